--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Chooses the upstream of each request at an ingress.
+//! Load balancing: an ingress chooses the upstream of each request.
 
 use std::time::Duration;
 
@@ -12,46 +12,50 @@
 
 pub mod places;
 
-/// Time over which a report of load loses most of its worth: it was made that many requests ago.
-const REPORT_LIFE: Duration = Duration::from_secs(1);
-/// Load, in shares of the slots, from which upstreams in other failure domains are asked too.
+/// Time constant with which a load report decays towards the assumed load, and the age up to which
+/// it counts as fresh: many requests start and end at an upstream within it.
+const LOAD_REPORT_LIFE: Duration = Duration::from_secs(1);
+/// Load, as a share of the slots, from which upstreams in other failure domains are considered too.
 const LOCAL_LOAD_MAX: f64 = 0.95;
-/// Load, in shares of the slots, up to which work waits at a sound upstream rather than go to one that
-/// is doubted, where it may hang: two rounds of work wait there.
+/// Load, as a share of the slots, up to which a request queues at an upstream that is not a suspect
+/// rather than go to a doubted one, where it may hang: two service rounds are queued there.
 const WAIT_LOAD_MAX: f64 = 3.0;
-/// Share of an upstream's queue from which it counts as full for repeatable work: the last places are
-/// taken before work that is sent now gets there.
+/// Share of an upstream's queue from which it counts as full for repeatable requests: the last
+/// entries are taken by others before a request that is sent now arrives.
 const QUEUE_SHARE_MAX: f64 = 0.9;
-/// What a hop to another failure domain weighs, as a share of a service time; 3 ms there and back.
+/// Cost factor of an upstream in another failure domain, as a share of a service time; the round
+/// trip takes 3 ms.
 const REMOTE_WEIGHT: f64 = 1.1;
-/// Load that is assumed of an upstream that has not reported lately, in shares of its slots.
-const UNKNOWN_LOAD: f64 = 0.3;
-/// Least ratio of an upstream's time to its siblings' that counts: errors are quicker than work
-/// and must not draw traffic.
-const QUICK_MIN: f64 = 0.8;
-/// Largest such ratio, so that a slow but healthy upstream still gets its share.
-const SLOW_MAX: f64 = 5.0;
-/// Upstreams compared for one choice (M. Mitzenmacher, "The power of two choices", 2001).
-const CHOICES: usize = 2;
-/// Factor on the cost of a suspect: it must be this many times less loaded than another to be chosen
-/// before it, so it gets what the others have no room for.
+/// Load that is assumed of an upstream without a recent report, as a share of its slots.
+const ASSUMED_LOAD: f64 = 0.3;
+/// Lower bound of the ratio of an upstream's service time to its siblings': errors are quicker than
+/// real answers and must not attract traffic.
+const TIME_RATIO_MIN: f64 = 0.8;
+/// Upper bound of that ratio, so that a slow but healthy upstream still gets its share.
+const TIME_RATIO_MAX: f64 = 5.0;
+/// Upstreams drawn and compared for one choice (M. Mitzenmacher, "The power of two choices", 2001).
+const DRAWN_UPSTREAMS: usize = 2;
+/// Factor on the cost of a suspect: it must be this many times less loaded than another to be
+/// chosen before it, so it gets only what the others have no room for.
 const SUSPECT_FACTOR: f64 = 10.0;
-/// Time for which a report that an upstream is doubted is worth acting on.
-const DOUBT_LIFE: Duration = Duration::from_secs(5);
-/// Time for which a report makes an upstream a suspect; then it is asked again.
+/// Age up to which a report that an upstream is doubted is acted on.
+const DOUBT_REPORT_LIFE: Duration = Duration::from_secs(5);
+/// Age up to which a report or a late attempt makes an upstream a suspect; after that it is tried
+/// again.
 const SUSPECT_LIFE: Duration = Duration::from_millis(1500);
-/// Age from which a report's sickness says nothing of a shared change.
+/// Age from which a report's sickness says nothing about a change that all upstreams share.
 const SICKNESS_LIFE: Duration = Duration::from_secs(30);
-/// Time after which a sick upstream that has said nothing since is asked again.
-const SICK_REPORT_LIFE: Duration = Duration::from_secs(90);
+/// Age up to which a report of ejection holds: an ejected upstream that has sent none since is
+/// tried again after it.
+const EJECTION_REPORT_LIFE: Duration = Duration::from_secs(90);
 
-/// One choice in this many may go to an upstream that the ingress has not heard of lately, so that it
-/// can compare the upstreams it prefers with others: in a small service its own failure domain holds
-/// fewer than a baseline needs.
+/// One choice in this many may go to an upstream without a recent report, so that the ingress can
+/// compare its preferred upstreams with others: in a small service, its own failure domain holds
+/// fewer upstreams than a baseline needs.
 const EXPLORE_EVERY: u32 = 10;
-/// Fresh reports that are enough to compare with.
-const EXPLORE_WANTED: usize = 4;
-/// Age from which a report is worth renewing in this way.
+/// Fresh reports that are enough for a comparison.
+const FRESH_REPORTS_WANTED: usize = 4;
+/// Age from which a report is worth renewing by exploration.
 const EXPLORE_AGE: Duration = Duration::from_secs(2);
 
 /// `LoadView` is what an ingress knows of one upstream.
@@ -59,23 +63,23 @@
 pub struct LoadView {
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether it is in the ingress's own failure domain.
+    /// Whether it is in the failure domain of the ingress.
     pub is_local: bool,
     /// Whether its daemon can be reached.
     pub reachable: bool,
-    /// Whether its daemon is linked again after a cut and has not yet answered a question since.
+    /// Whether the link to its daemon is up again after a cut, but no probe was answered since.
     pub proving: bool,
-    /// Whether it is leaving, by anybody's word.
+    /// Whether it is draining, whoever reported that.
     pub draining: bool,
-    /// Requests of this ingress that it works on.
+    /// Requests of this ingress that are in flight there.
     pub own: u32,
-    /// Requests in its slots and queue at the last report.
+    /// Requests in its slots and its queue, by the last report.
     pub load: u32,
-    /// Last report of its health.
+    /// Health in the last report.
     pub health: Option<HealthReport>,
-    /// When that report came.
+    /// When that report arrived.
     pub reported_at: Duration,
-    /// When an attempt there was last found late.
+    /// When an attempt there last ran past its hedge delay.
     pub late_at: Option<Duration>,
 }
 
@@ -96,9 +100,9 @@
         }
     }
 
-    /// Returns the sickness of an upstream that lately said it is ejected, 0 for others.
+    /// Returns the sickness of an upstream that recently reported its ejection, 0 for others.
     fn ejected_sickness(&self, now: Duration) -> f64 {
-        let fresh = now.saturating_sub(self.reported_at) < SICK_REPORT_LIFE;
+        let fresh = now.saturating_sub(self.reported_at) < EJECTION_REPORT_LIFE;
         let ejected = self.health.filter(|health| fresh && health.ejected);
         ejected.map_or(0.0, |health| health.sickness.max(1.0))
     }
@@ -107,26 +111,27 @@
     fn load_share(&self, now: Duration) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let age = now.saturating_sub(self.reported_at).as_secs_f64();
-        let worth = (-age / REPORT_LIFE.as_secs_f64()).exp();
-        let known = f64::from(self.load) / slots;
+        let weight = (-age / LOAD_REPORT_LIFE.as_secs_f64()).exp();
+        let reported = f64::from(self.load) / slots;
         let estimate = if self.health.is_some() {
-            known * worth + UNKNOWN_LOAD * (1.0 - worth)
+            reported * weight + ASSUMED_LOAD * (1.0 - weight)
         } else {
-            UNKNOWN_LOAD
+            ASSUMED_LOAD
         };
         estimate.max(f64::from(self.own) / slots)
     }
 
-    /// Returns how many rounds of work there are before new work, by the last report if it is fresh.
+    /// Returns how many service rounds are ahead of a new request, by the last report if it is
+    /// fresh.
     pub fn queued_rounds(&self, now: Duration) -> f64 {
-        let fresh = now.saturating_sub(self.reported_at) < REPORT_LIFE;
+        let fresh = now.saturating_sub(self.reported_at) < LOAD_REPORT_LIFE;
         if !fresh {
             return 0.0;
         }
         f64::from(self.load) / f64::from(self.slots.max(1))
     }
 
-    /// Returns the time that it takes for its work as a multiple of the usual.
+    /// Returns the service time of the upstream as a multiple of the typical one.
     fn time_ratio(&self, median_ln: f64) -> f64 {
         match &self.health {
             Some(health) if health.samples > 0 => (health.median_ln - median_ln).exp(),
@@ -139,100 +144,103 @@
         self.load_cost(terms.now, median_ln) * suspicion
     }
 
-    /// Returns the cost from load, time and distance alone.
+    /// Returns the cost by load, service time and distance alone, without the factor for suspects.
     fn load_cost(&self, now: Duration, median_ln: f64) -> f64 {
         let busy = self.load_share(now) + 1.0 / f64::from(self.slots.max(1));
         let health = match &self.health {
             Some(health) => health,
             None => return busy,
         };
-        let time = self.time_ratio(median_ln).clamp(QUICK_MIN, SLOW_MAX);
+        let time = self.time_ratio(median_ln).clamp(TIME_RATIO_MIN, TIME_RATIO_MAX);
         let distance = if self.is_local { 1.0 } else { REMOTE_WEIGHT };
         busy * time * distance / self.ramp(now, health)
     }
 
-    /// Says whether the upstream is a suspect: lately it had this sickness, but was not ejected, since
-    /// it must stand out for a while first, or an attempt there was late and nothing heard since.
+    /// Says whether the upstream is a suspect: a recent report puts its sickness at the threshold
+    /// without an ejection, as an upstream must stand out for a while before it is ejected, or the
+    /// upstream is doubted, or an attempt there was late and nothing was heard since.
     ///
-    /// Passing a suspect over spares callers, and the budget of repeats, what it would get until its
-    /// daemon is sure. It takes no capacity out of service.
+    /// Avoiding a suspect spares callers, and the retry budget, its failures until its daemon has
+    /// decided. It takes no capacity out of service.
     fn is_suspect(&self, terms: &ChoiceTerms) -> bool {
-        let ChoiceTerms { now, suspect_from: from, repeatable } = *terms;
+        let ChoiceTerms { now, suspect_threshold: threshold, repeatable } = *terms;
         let silent = self
             .late_at
             .is_some_and(|at| at >= self.reported_at && now.saturating_sub(at) < SUSPECT_LIFE);
         let fresh = now.saturating_sub(self.reported_at) < SUSPECT_LIFE;
         let sick = |health: HealthReport| {
-            // Once it is time, repeatable work finds out whether a doubted upstream works.
+            // Once a trial is due, a repeatable request tests whether a doubted upstream works.
             let due = repeatable && now >= self.reported_at + health.trial_in;
-            health.sickness >= from || health.doubtful && !due
+            health.sickness >= threshold || health.doubtful && !due
         };
         silent || fresh && self.health.is_some_and(sick)
     }
 
     fn ramp(&self, now: Duration, health: &HealthReport) -> f64 {
-        // A ramp goes on between reports.
+        // The ramp advances between reports.
         let age = now.saturating_sub(self.reported_at).as_secs_f64();
         (health.ramp + age / crate::recovery::RAMP.as_secs_f64()).min(1.0)
     }
 }
 
-/// `ChoiceRequest` asks for the upstream of one request.
+/// `ChoiceRequest` holds what the choice of an upstream needs to know about a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ChoiceRequest<'a> {
-    /// Upstreams that must not be chosen: the request was there, or they doubt themselves.
+    /// Upstreams that must not be chosen: the request was already there, or their daemons declined
+    /// it as they are doubted.
     pub excluded: &'a [usize],
-    /// Upstreams that just said that they are full: chosen only to wait there.
+    /// Upstreams that just declined the request as full: chosen only to queue there.
     pub full: &'a [usize],
-    /// Whether the work may go to an avoided upstream whose trial is due.
+    /// Whether the request is repeatable, so that it may be the trial of an ejected or doubted
+    /// upstream.
     pub repeatable: bool,
-    /// Whether the work goes out not refusable.
+    /// Whether the request is sent as not refusable.
     pub must_take: bool,
-    /// Whether the upstream can't pass the work on any more: one that just said that it is full, and is
-    /// not doubted, is better than one of which nothing is known.
+    /// Whether the upstream can't decline the request any more: one that just declined as full, and
+    /// is not doubted, is better than one of which nothing is known.
     pub is_last: bool,
-    /// Rounds of work for which the request waits in its own failure domain rather than send its bytes across.
+    /// Service rounds for which the request waits in its own failure domain rather than send its
+    /// bytes to another one.
     pub near_rounds: f64,
 }
 
 impl ChoiceRequest<'_> {
-    fn is_first(&self) -> bool {
+    fn is_first_attempt(&self) -> bool {
         !self.must_take && self.excluded.is_empty() && self.full.is_empty()
     }
 
-    fn may_ask(&self, index: usize) -> bool {
+    fn may_choose(&self, index: usize) -> bool {
         !self.excluded.contains(&index) && !self.full.contains(&index)
     }
 }
 
-/// `ChoiceTerms` is what one choice goes by.
+/// `ChoiceTerms` holds what is the same for all upstreams in one choice.
 #[derive(Debug, Clone, Copy)]
 struct ChoiceTerms {
     now: Duration,
-    /// Sickness from which an upstream is a suspect.
-    suspect_from: f64,
-    /// Whether the work may run more than once.
+    suspect_threshold: f64,
+    /// Whether the request may run more than once.
     repeatable: bool,
 }
 
-/// `ChoiceGround` says why an upstream was eligible.
+/// `ChoiceGround` is the criterion by which an upstream was eligible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceGround {
-    /// It is out of service, and repeatable work may try whether it works again.
+    /// It is ejected or doubted, and a repeatable request tests whether it works again.
     Trial,
-    /// Too little was heard lately to compare upstreams, and of this one nothing.
+    /// Too few upstreams have reported recently for a comparison, and this one has not.
     Explore,
-    /// It is in the ingress's own failure domain, not suspect and not loaded.
+    /// It is in the failure domain of the ingress, not a suspect and not loaded.
     Near,
-    /// It is not suspect and has room.
+    /// It is not a suspect and has a free slot.
     Sound,
-    /// It is not suspect, and as all such are full, the work waits there.
+    /// It is not a suspect, and as all such upstreams are full, the request queues there.
     Waiting,
-    /// It has idle slots, though it is a suspect; the sound ones would refuse the work.
+    /// It is a suspect, but has idle slots, and the others would refuse the request.
     Idle,
-    /// It is in service; none is better.
+    /// It is in service, and none is better.
     Any,
-    /// None is in service; the way to this one was cut and is linked again.
+    /// None is in service, and the link to this one is up again after a cut.
     Proving,
 }
 
@@ -257,7 +265,7 @@
 pub struct RivalUpstream {
     /// Position of the upstream.
     pub index: usize,
-    /// Its cost, which was no less.
+    /// Its cost, which is not lower than that of the chosen one.
     pub cost: f64,
 }
 
@@ -266,21 +274,21 @@
 pub struct UpstreamChoice {
     /// Position of the upstream.
     pub index: usize,
-    /// Whether the upstream may refuse, since others can do the work within the floor.
+    /// Whether the upstream may refuse, since others can serve the request within the floor.
     pub refusable: bool,
     /// Why it was eligible.
     pub ground: ChoiceGround,
-    /// Its cost: load, time, distance and suspicion.
+    /// Its cost by load, service time, distance and suspicion.
     pub cost: f64,
     /// The upstream that it was compared with, if another was drawn.
     pub rival: Option<RivalUpstream>,
-    /// Upstreams that were eligible on the same ground.
+    /// Upstreams that were eligible by the same criterion.
     pub eligible: usize,
-    /// Age of the report that the cost is from, if it has reported.
+    /// Age of the report behind the cost, if there is one.
     pub report_age: Option<Duration>,
 }
 
-/// `DrawnUpstream` is the best of a few upstreams that were drawn.
+/// `DrawnUpstream` is the upstream of least cost of a few that were drawn.
 #[derive(Debug, Clone, Copy)]
 struct DrawnUpstream {
     index: usize,
@@ -293,7 +301,7 @@
 #[derive(Debug, Clone)]
 pub struct ServiceView {
     floor: f64,
-    /// Requests that may wait before the slots of an upstream.
+    /// Requests that may queue for the slots of an upstream.
     queue: u32,
     upstreams: Vec<LoadView>,
     plan: FloorPlan,
@@ -302,17 +310,17 @@
     planned_at: Duration,
     violations: u64,
     choices: u32,
-    /// Room for the positions that fit a choice, kept so that a choice allocates nothing.
-    fits: Vec<usize>,
-    /// Room for the values of a median, kept for the same reason.
+    /// Buffer for the positions of eligible upstreams, reused so that a choice allocates nothing.
+    candidates: Vec<usize>,
+    /// Buffer for the values of a median, reused for the same reason.
     values: Vec<f64>,
 }
 
-/// Time after which the plan is made anew even if nothing was heard, as old reports expire.
+/// Age from which the plan is recomputed even without new reports, as old reports expire.
 const PLAN_LIFE: Duration = Duration::from_secs(1);
 
 impl ServiceView {
-    /// Builds the view of a service whose upstreams stand in the order of their names.
+    /// Builds the view of a service; the upstreams are sorted by name.
     pub fn new(floor: f64, upstreams: Vec<LoadView>) -> Self {
         Self {
             floor,
@@ -324,12 +332,12 @@
             planned_at: Duration::ZERO,
             violations: 0,
             choices: 0,
-            fits: Vec::new(),
+            candidates: Vec::new(),
             values: Vec::new(),
         }
     }
 
-    /// Sets how many requests may wait before the slots of an upstream; by default any number.
+    /// Sets how many requests may queue for the slots of an upstream; unbounded by default.
     pub fn with_queue(self, queue: u32) -> Self {
         Self { queue, ..self }
     }
@@ -340,12 +348,12 @@
         others.filter(|index| self.in_service(*index)).count()
     }
 
-    /// Says whether an upstream is in the ingress's own failure domain.
+    /// Says whether an upstream is in the failure domain of the ingress.
     pub fn is_local(&self, index: usize) -> bool {
         self.upstreams.get(index).is_some_and(|view| view.is_local)
     }
 
-    /// Says whether an upstream last said that it is out of service or doubted.
+    /// Says whether an upstream last reported that it is ejected or doubted.
     pub fn is_out(&self, index: usize) -> bool {
         let health = self.upstreams.get(index).and_then(|view| view.health);
         health.is_some_and(|health| health.ejected || health.doubtful)
@@ -361,12 +369,12 @@
         &self.plan
     }
 
-    /// Returns how often the floor was found broken; it must stay 0.
+    /// Returns how often a plan violated the floor; it must stay 0.
     pub fn violations(&self) -> u64 {
         self.violations
     }
 
-    /// Takes a report in.
+    /// Records a report of an upstream.
     pub fn note_report(&mut self, index: usize, load: u32, health: HealthReport, now: Duration) {
         let view = match self.upstreams.get_mut(index) {
             Some(view) => view,
@@ -379,7 +387,7 @@
         view.reported_at = now;
     }
 
-    /// Takes in whether an upstream is leaving.
+    /// Records whether an upstream is draining.
     pub fn note_draining(&mut self, index: usize, draining: bool) {
         if let Some(view) = self.upstreams.get_mut(index) {
             self.stale |= view.draining != draining;
@@ -387,7 +395,7 @@
         }
     }
 
-    /// Takes in whether an upstream's daemon can be reached, and if not, whether it is linked again.
+    /// Records whether an upstream's daemon is reachable, and if not, whether the link is up again.
     pub fn note_reachable(&mut self, index: usize, reachable: bool, proving: bool) {
         if let Some(view) = self.upstreams.get_mut(index) {
             self.stale |= view.reachable != reachable;
@@ -396,33 +404,33 @@
         }
     }
 
-    /// Takes in that a request was sent to an upstream.
+    /// Records that a request was sent to an upstream.
     pub fn note_sent(&mut self, index: usize) {
         if let Some(view) = self.upstreams.get_mut(index) {
             view.own += 1;
         }
     }
 
-    /// Takes in that an attempt at an upstream is late.
+    /// Records that an attempt at an upstream is late.
     pub fn note_late(&mut self, index: usize, now: Duration) {
         if let Some(view) = self.upstreams.get_mut(index) {
             view.late_at = Some(now);
         }
     }
 
-    /// Takes in that a request to an upstream is over.
+    /// Records that a request to an upstream has ended.
     pub fn note_over(&mut self, index: usize) {
         if let Some(view) = self.upstreams.get_mut(index) {
             view.own = view.own.saturating_sub(1);
         }
     }
 
-    /// Returns the median sickness of the upstreams that reported lately.
+    /// Returns the median sickness of the upstreams with a recent report.
     pub fn sickness_median(&self, now: Duration) -> f64 {
         self.median_in(now, &mut Vec::new())
     }
 
-    /// Works the median sickness out in the room that `values` has.
+    /// Computes the median sickness with `values` as the buffer.
     fn median_in(&self, now: Duration, values: &mut Vec<f64>) -> f64 {
         values.clear();
         let recent = |view: &&LoadView| now.saturating_sub(view.reported_at) < SICKNESS_LIFE;
@@ -436,7 +444,7 @@
         *median
     }
 
-    /// Takes in the median service time over the upstreams, as the logarithm of µs.
+    /// Records the median service time over the upstreams, as the natural logarithm of µs.
     pub fn note_median(&mut self, median_ln: f64) {
         self.median_ln = median_ln;
     }
@@ -460,7 +468,7 @@
         self.planned_at = now;
     }
 
-    /// Chooses an upstream.
+    /// Chooses the upstream of a request.
     pub fn choose(
         &mut self,
         now: Duration,
@@ -469,28 +477,28 @@
     ) -> Option<UpstreamChoice> {
         let ChoiceRequest { repeatable, must_take, .. } = *request;
         self.refresh(now);
-        if request.is_first() {
-            if let Some(index) = self.due_trial(now, repeatable) {
-                let choice = self.alone(index, ChoiceGround::Trial, now);
+        if request.is_first_attempt() {
+            if let Some(index) = self.due_ejected_trial(now, repeatable) {
+                let choice = self.choice_of(index, ChoiceGround::Trial, now);
                 return Some(UpstreamChoice { refusable: true, ..choice });
             }
         }
-        if repeatable && request.is_first() {
-            if let Some(index) = self.due_doubt(now) {
-                return Some(self.alone(index, ChoiceGround::Trial, now));
+        if repeatable && request.is_first_attempt() {
+            if let Some(index) = self.due_doubted_trial(now) {
+                return Some(self.choice_of(index, ChoiceGround::Trial, now));
             }
         }
-        let terms = ChoiceTerms { now, suspect_from: self.suspect_from(now), repeatable };
-        if request.is_first() {
+        let terms = ChoiceTerms { now, suspect_threshold: self.suspect_threshold(now), repeatable };
+        if request.is_first_attempt() {
             if let Some(index) = self.explore(&terms, rng) {
-                return Some(self.alone(index, ChoiceGround::Explore, now));
+                return Some(self.choice_of(index, ChoiceGround::Explore, now));
             }
         }
-        let mut fits = std::mem::take(&mut self.fits);
-        let best = self.best(&terms, rng, &mut fits, request);
-        self.fits = fits;
+        let mut candidates = std::mem::take(&mut self.candidates);
+        let best = self.best(&terms, rng, &mut candidates, request);
+        self.candidates = candidates;
         let (ground, drawn) = best?;
-        let choice = self.alone(drawn.index, ground, now);
+        let choice = self.choice_of(drawn.index, ground, now);
         Some(UpstreamChoice {
             refusable: choice.refusable && !must_take,
             cost: drawn.cost,
@@ -500,8 +508,8 @@
         })
     }
 
-    /// Builds the choice of an upstream that was compared with no other.
-    fn alone(&self, index: usize, ground: ChoiceGround, now: Duration) -> UpstreamChoice {
+    /// Builds the choice of an upstream without a comparison.
+    fn choice_of(&self, index: usize, ground: ChoiceGround, now: Duration) -> UpstreamChoice {
         let view = &self.upstreams[index];
         UpstreamChoice {
             index,
@@ -514,68 +522,71 @@
         }
     }
 
-    /// Chooses the best upstream: one that is near, not a suspect and not loaded, if there is one; then
-    /// one that is not a suspect and has room; then one that is no suspect, to wait there, as work
-    /// behind that of a sound upstream is done sooner than work that hangs; for repeatable work that
-    /// would be refused there, one that has idle slots though it is a suspect; then any, by its cost;
-    /// and where there is none, one whose way was cut and is linked again.
+    /// Chooses the best upstream, in this order: one in the own failure domain that is not a
+    /// suspect and not loaded; one that is not a suspect and has a free slot; one that is not a
+    /// suspect, to queue there, as a request behind others at a sound upstream is served sooner
+    /// than one that hangs; for a repeatable request that would be refused there, a suspect with
+    /// idle slots; any, by its cost; and where there is none, one whose link is up again after a
+    /// cut.
     fn best(
         &self,
         terms: &ChoiceTerms,
         rng: &mut impl Rng,
-        fits: &mut Vec<usize>,
+        candidates: &mut Vec<usize>,
         request: &ChoiceRequest<'_>,
     ) -> Option<(ChoiceGround, DrawnUpstream)> {
         let load = |view: &LoadView| view.load_share(terms.now);
-        let takes = |view: &LoadView| !terms.repeatable || self.has_places(view, terms.now);
-        let may = |index: usize| self.in_service(index) && request.may_ask(index);
-        let sound = |index: usize, view: &LoadView| may(index) && !view.is_suspect(terms);
-        let known = |index: usize, view: &LoadView| {
+        let has_room = |view: &LoadView| !terms.repeatable || self.has_queue_room(view, terms.now);
+        let may_send = |index: usize| self.in_service(index) && request.may_choose(index);
+        let sound = |index: usize, view: &LoadView| may_send(index) && !view.is_suspect(terms);
+        let known_full = |index: usize, view: &LoadView| {
             let is_known = request.is_last && request.full.contains(&index);
-            is_known && self.in_service(index) && !view.is_suspect(terms) && takes(view)
+            is_known && self.in_service(index) && !view.is_suspect(terms) && has_room(view)
         };
-        if let Some(drawn) = self.draw(terms, rng, fits, known) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, known_full) {
             return Some((ChoiceGround::Waiting, drawn));
         }
-        let near = |index: usize, view: &LoadView| {
+        let local = |index: usize, view: &LoadView| {
             view.is_local && sound(index, view) && load(view) < LOCAL_LOAD_MAX
         };
-        if let Some(drawn) = self.draw(terms, rng, fits, near) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, local) {
             return Some((ChoiceGround::Near, drawn));
         }
-        let near_waiting = |index: usize, view: &LoadView| {
-            let is_trusted = view.is_local && !view.is_suspect(terms) && takes(view);
+        let local_waiting = |index: usize, view: &LoadView| {
+            let is_trusted = view.is_local && !view.is_suspect(terms) && has_room(view);
             let in_service = self.in_service(index) && !request.excluded.contains(&index);
             is_trusted && in_service && load(view) < 1.0 + request.near_rounds
         };
-        let waits_near = request.near_rounds > 0.0;
-        if let Some(drawn) = waits_near.then(|| self.draw(terms, rng, fits, near_waiting)).flatten()
+        let waits_locally = request.near_rounds > 0.0;
+        if let Some(drawn) =
+            waits_locally.then(|| self.draw(terms, rng, candidates, local_waiting)).flatten()
         {
             return Some((ChoiceGround::Waiting, drawn));
         }
         let free = |index: usize, view: &LoadView| sound(index, view) && load(view) < 1.0;
-        if let Some(drawn) = self.draw(terms, rng, fits, free) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, free) {
             return Some((ChoiceGround::Sound, drawn));
         }
         let trusted = |index: usize, view: &LoadView| {
             let in_service = self.in_service(index) && !request.excluded.contains(&index);
-            in_service && !view.is_suspect(terms) && takes(view)
+            in_service && !view.is_suspect(terms) && has_room(view)
         };
         let waiting =
             |index: usize, view: &LoadView| trusted(index, view) && load(view) < WAIT_LOAD_MAX;
-        if let Some(drawn) = self.draw(terms, rng, fits, waiting) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, waiting) {
             return Some((ChoiceGround::Waiting, drawn));
         }
         let views = || self.upstreams.iter().enumerate();
         let is_refused = terms.repeatable && !views().any(|(index, view)| trusted(index, view));
-        let idle = |index: usize, view: &LoadView| is_refused && may(index) && load(view) < 1.0;
-        if let Some(drawn) = self.draw(terms, rng, fits, idle) {
+        let idle =
+            |index: usize, view: &LoadView| is_refused && may_send(index) && load(view) < 1.0;
+        if let Some(drawn) = self.draw(terms, rng, candidates, idle) {
             return Some((ChoiceGround::Idle, drawn));
         }
         let any = |index: usize, _: &LoadView| {
             self.in_service(index) && !request.excluded.contains(&index)
         };
-        if let Some(drawn) = self.draw(terms, rng, fits, any) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, any) {
             return Some((ChoiceGround::Any, drawn));
         }
         let proving = |index: usize, view: &LoadView| {
@@ -584,17 +595,18 @@
                 && !self.plan.avoided[index]
                 && !request.excluded.contains(&index)
         };
-        let drawn = self.draw(terms, rng, fits, proving)?;
+        let drawn = self.draw(terms, rng, candidates, proving)?;
         Some((ChoiceGround::Proving, drawn))
     }
 
-    /// Says whether work would find a place in an upstream's queue. What is refused is lost for certain,
-    /// so that repeatable work goes to a suspect with idle slots, which does a part of what it gets, before
-    /// it is sent where it finds none. On days of a full service whose servers hang by turns, with work
-    /// bounded by [`crate::allowance`], it gains 0.024 of worth in the mean of ten plays.
-    fn has_places(&self, view: &LoadView, now: Duration) -> bool {
-        let places = f64::from(self.queue) / f64::from(view.slots.max(1));
-        view.load_share(now) < 1.0 + QUEUE_SHARE_MAX * places
+    /// Says whether a request would find room in an upstream's queue. A refused request is lost for
+    /// certain, so a repeatable one goes to a suspect with idle slots, which serves a part of what
+    /// it gets, before it is sent where there is no room. On days of a full service whose servers
+    /// hang by turns, with attempts bounded by [`crate::allowance`], this gains 0.024 of worth in
+    /// the mean of ten runs.
+    fn has_queue_room(&self, view: &LoadView, now: Duration) -> bool {
+        let queue_rounds = f64::from(self.queue) / f64::from(view.slots.max(1));
+        view.load_share(now) < 1.0 + QUEUE_SHARE_MAX * queue_rounds
     }
 
     fn in_service(&self, index: usize) -> bool {
@@ -602,7 +614,7 @@
         view.reachable && !view.draining && !self.plan.avoided[index]
     }
 
-    /// Draws, for one choice in a few, an upstream whose last report is old.
+    /// Draws, in a fraction of the choices, an upstream whose last report is old.
     fn explore(&mut self, terms: &ChoiceTerms, rng: &mut impl Rng) -> Option<usize> {
         let now = terms.now;
         self.choices = self.choices.wrapping_add(1);
@@ -610,50 +622,51 @@
             return None;
         }
         let is_fresh = |view: &&LoadView| now.saturating_sub(view.reported_at) < EXPLORE_AGE;
-        if self.upstreams.iter().filter(is_fresh).count() >= EXPLORE_WANTED {
+        if self.upstreams.iter().filter(is_fresh).count() >= FRESH_REPORTS_WANTED {
             return None;
         }
-        let drawn = (0..CHOICES).map(|_| rng.random_range(0..self.upstreams.len()));
+        let drawn = (0..DRAWN_UPSTREAMS).map(|_| rng.random_range(0..self.upstreams.len()));
         let oldest = drawn.min_by_key(|index| self.upstreams[*index].reported_at)?;
         let view = &self.upstreams[oldest];
-        // One that has not answered what it was sent is silent by itself.
+        // An upstream with unanswered requests is silent by itself: it is not worth exploring.
         let is_old = view.own == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
         let ramps = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
         let fits = self.in_service(oldest) && !ramps && !view.is_suspect(terms);
         (is_old && fits).then_some(oldest)
     }
 
-    /// Finds a doubted upstream near by whose trial is due: a sound one must not wait for long until a
-    /// request happens to find out, or too few of a service would get work.
-    fn due_doubt(&self, now: Duration) -> Option<usize> {
-        self.least_heard(|index, view| {
+    /// Finds a doubted upstream in the own failure domain whose trial is due: a sound one must not
+    /// wait long for a request that happens to test it, or too few upstreams of a service would get
+    /// requests.
+    fn due_doubted_trial(&self, now: Duration) -> Option<usize> {
+        self.oldest_report(|index, view| {
             let age = now.saturating_sub(view.reported_at);
             let is_due = |health: HealthReport| health.doubtful && age >= health.trial_in;
-            let fits = view.is_local && view.own == 0 && age < DOUBT_LIFE;
+            let fits = view.is_local && view.own == 0 && age < DOUBT_REPORT_LIFE;
             fits && self.in_service(index) && view.health.is_some_and(is_due)
         })
     }
 
-    fn due_trial(&self, now: Duration, repeatable: bool) -> Option<usize> {
+    fn due_ejected_trial(&self, now: Duration, repeatable: bool) -> Option<usize> {
         if !repeatable || self.plan.avoided.iter().all(|avoided| !avoided) {
             return None;
         }
-        self.least_heard(|index, view| {
+        self.oldest_report(|index, view| {
             let trial_in = view.health.map_or(Duration::ZERO, |health| health.trial_in);
             self.plan.avoided[index] && view.own == 0 && now >= view.reported_at + trial_in
         })
     }
 
-    /// Finds the upstream that was not heard of for longest, of those that fit: trials that say nothing leave a server
-    /// due, and must not keep the others from theirs.
-    fn least_heard(&self, fits: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
+    /// Finds the eligible upstream whose last report is the oldest: an inconclusive trial leaves an
+    /// upstream due, and must not keep the others from their trials.
+    fn oldest_report(&self, fits: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
         let views = self.upstreams.iter().enumerate();
         let due = views.filter(|(index, view)| fits(*index, view));
         due.min_by_key(|(_, view)| view.reported_at).map(|(index, _)| index)
     }
 
-    /// Returns the sickness from which an upstream stands out, as its daemon judges too.
-    fn suspect_from(&mut self, now: Duration) -> f64 {
+    /// Returns the sickness from which an upstream stands out; its daemon uses the same bound.
+    fn suspect_threshold(&mut self, now: Duration) -> f64 {
         let sick = |view: &LoadView| view.health.is_some_and(|health| health.sickness >= 1.0);
         if !self.upstreams.iter().any(sick) {
             return f64::INFINITY;
@@ -664,25 +677,26 @@
         health::sickness_bound(median)
     }
 
-    /// Draws a few of the upstreams that are eligible and returns the one of the least cost.
+    /// Draws a few of the eligible upstreams and returns the one of least cost.
     fn draw(
         &self,
         terms: &ChoiceTerms,
         rng: &mut impl Rng,
-        fits: &mut Vec<usize>,
+        candidates: &mut Vec<usize>,
         eligible: impl Fn(usize, &LoadView) -> bool,
     ) -> Option<DrawnUpstream> {
-        fits.clear();
+        candidates.clear();
         let views = self.upstreams.iter().enumerate();
-        fits.extend(views.filter(|(index, view)| eligible(*index, view)).map(|(index, _)| index));
-        if fits.is_empty() {
+        candidates
+            .extend(views.filter(|(index, view)| eligible(*index, view)).map(|(index, _)| index));
+        if candidates.is_empty() {
             return None;
         }
         let mut best: Option<DrawnUpstream> = None;
-        for _ in 0..CHOICES {
-            let index = fits[rng.random_range(0..fits.len())];
+        for _ in 0..DRAWN_UPSTREAMS {
+            let index = candidates[rng.random_range(0..candidates.len())];
             let cost = self.upstreams[index].cost(terms, self.median_ln);
-            let eligible = fits.len();
+            let eligible = candidates.len();
             best = Some(match best {
                 None => DrawnUpstream { index, cost, rival: None, eligible },
                 Some(least) if index == least.index => least,
--- a/crates/decide/src/balance/places.rs
+++ b/crates/decide/src/balance/places.rs
@@ -1,39 +1,43 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Chooses the upstreams before whose slots work waits.
+//! Chooses the upstreams at which a queued request makes its reservations.
 //!
-//! The load is a service whose slots are all taken for seconds, some of whose servers hang, with a demand that moves
-//! between failure domains.
+//! The workload is a service whose slots are all taken for seconds, some of whose servers hang,
+//! with a demand that moves between failure domains.
 
 use std::time::Duration;
 
 use rand::seq::index;
 use rand::Rng;
 
-use crate::balance::{ChoiceGround, ChoiceTerms, ServiceView, UpstreamChoice, CHOICES};
+use crate::balance::{ChoiceGround, ChoiceTerms, ServiceView, UpstreamChoice, DRAWN_UPSTREAMS};
 
-/// What a place in another failure domain weighs, in rounds of work: the work and its answer cross once it is called
-/// in, and who waits there is no sooner served.
-const FAR_PLACE_WEIGHT: f64 = 0.5;
+/// Cost of a reservation in another failure domain, in service rounds: the request and its answer
+/// cross over once the slot is offered, and a request that waits there is not served any sooner.
+const REMOTE_WEIGHT_ROUNDS: f64 = 0.5;
 
-/// `PlaceRequest` asks for upstreams before whose slots work may wait.
+/// `PlaceRequest` asks for the upstreams at which a request may make reservations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlaceRequest {
-    /// Upstreams at the most.
+    /// Maximum number of upstreams.
     pub count: usize,
-    /// Whether the work may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Rounds of work for which the request waits in its own failure domain rather than send its bytes across.
+    /// Service rounds for which the request waits in its own failure domain rather than send its
+    /// bytes to another one.
     pub near_rounds: f64,
 }
 
 impl ServiceView {
-    /// Draws upstreams before whose slots work may wait: the cheapest of twice as many that are in service and fit. No
-    /// two ingresses draw alike, so that who waits is spread over the service however old the reports are.
+    /// Draws the upstreams at which a request may make reservations: the cheapest of a sample,
+    /// twice as large as needed, of those that are in service and eligible. The samples of two
+    /// ingresses differ, so that waiting requests spread over the service however old the reports
+    /// are.
     ///
-    /// Suspects are drawn only when no other fits: one that fails work at once has a free slot again at once, and would
-    /// call in more than the sound ones. Their hosts know of most doubts first and refuse the places.
+    /// Suspects are drawn only when no other upstream is eligible: one that fails requests at once
+    /// has a free slot again at once, and would offer more slots than the sound ones. Their hosts
+    /// learn of most doubts first and refuse the reservations.
     pub fn draw_places(
         &mut self,
         now: Duration,
@@ -43,38 +47,39 @@
     ) -> Vec<usize> {
         self.refresh(now);
         let PlaceRequest { count, repeatable, near_rounds } = *request;
-        let suspect_from = self.suspect_from(now);
-        let terms = ChoiceTerms { now, suspect_from, repeatable };
+        let suspect_threshold = self.suspect_threshold(now);
+        let terms = ChoiceTerms { now, suspect_threshold, repeatable };
         let eligible = |index: &usize| self.in_service(*index) && fits(*index);
         let eligible: Vec<usize> = (0..self.upstreams.len()).filter(eligible).collect();
         let is_trusted = |index: &usize| !self.upstreams[*index].is_suspect(&terms);
         let trusted: Vec<usize> = eligible.iter().copied().filter(is_trusted).collect();
         let eligible = if trusted.is_empty() { eligible } else { trusted };
-        let near: Vec<usize> =
+        let local: Vec<usize> =
             eligible.iter().copied().filter(|index| self.is_local(*index)).collect();
-        // Of all alone, few would be near by in a service of many failure domains.
-        let mut drawn = sample(&near, count * CHOICES, rng);
-        let of_all = sample(&eligible, count * CHOICES, rng);
+        // A sample of all upstreams alone would hold few local ones in a service of many failure
+        // domains.
+        let mut drawn = sample(&local, count * DRAWN_UPSTREAMS, rng);
+        let of_all = sample(&eligible, count * DRAWN_UPSTREAMS, rng);
         drawn.extend(of_all.into_iter().filter(|index| !self.is_local(*index)));
         let cost = |index: &usize| {
             let view = &self.upstreams[*index];
-            let far = if view.is_local { 0.0 } else { FAR_PLACE_WEIGHT + near_rounds };
-            view.load_cost(now, self.median_ln) + far
+            let distance = if view.is_local { 0.0 } else { REMOTE_WEIGHT_ROUNDS + near_rounds };
+            view.load_cost(now, self.median_ln) + distance
         };
         drawn.sort_by(|left, right| cost(left).total_cmp(&cost(right)));
         drawn.truncate(count);
         drawn
     }
 
-    /// Builds the choice of an upstream that called waiting work in.
+    /// Builds the choice of an upstream that offered a slot to a waiting request.
     pub fn called_in(&self, index: usize, now: Duration) -> UpstreamChoice {
-        self.alone(index, ChoiceGround::Waiting, now)
+        self.choice_of(index, ChoiceGround::Waiting, now)
     }
 }
 
-/// Draws at most `count` different positions.
+/// Draws at most `count` distinct positions.
 fn sample(positions: &[usize], count: usize, rng: &mut impl Rng) -> Vec<usize> {
     let amount = positions.len().min(count);
     let drawn = index::sample(rng, positions.len(), amount);
-    drawn.into_iter().map(|place| positions[place]).collect()
+    drawn.into_iter().map(|draw| positions[draw]).collect()
 }
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -1,52 +1,52 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Finds out from real work that an upstream has become worse than its siblings.
+//! Detects from live requests that an upstream has become worse than its siblings.
 //!
-//! The detector keeps one-sided cumulative sums of log-likelihood ratios (E. S. Page, "Continuous
-//! inspection schemes", Biometrika 1954). Each sum weighs "as the siblings" against one way of
-//! being sick. In the mean, a healthy upstream reaches a sum of `h` at most once in `exp(h)`
-//! requests (G. Lorden, "Procedures for reacting to a change in distribution", 1971), which turns
-//! the threshold into a promise.
+//! The detector keeps one-sided cumulative sums of log-likelihood ratios (CUSUM; E. S. Page,
+//! "Continuous inspection schemes", Biometrika 1954). Each sum weighs "as the siblings" against one
+//! kind of anomaly. On average, a healthy upstream reaches a sum of `h` at most once in `exp(h)`
+//! requests (G. Lorden, "Procedures for reacting to a change in distribution", 1971), so the
+//! threshold bounds the rate of false ejections.
 
 use std::time::Duration;
 
 use crate::evidence::{self, ServiceBaseline, WorkEvidence};
 use crate::track::SPREAD_MIN;
 
-/// Least share of failures that a healthy upstream is taken to have: callers and networks fail too.
-const FAILURE_RATE_MIN: f64 = 0.01;
-/// Least share of overdue requests that a healthy upstream is taken to have.
-const OVERDUE_RATE_MIN: f64 = 0.02;
-/// Highest baseline share that still leaves room to tell an upstream from its siblings.
+/// Lowest failure rate that is assumed of a healthy upstream: callers and networks fail too.
+const ASSUMED_FAILURE_RATE: f64 = 0.01;
+/// Lowest share of overdue requests that is assumed of a healthy upstream.
+const ASSUMED_OVERDUE_RATE: f64 = 0.02;
+/// Highest baseline rate that still leaves room to tell an upstream from its siblings.
 const RATE_MAX: f64 = 0.6;
-/// Share of failures of an upstream that mostly fails.
+/// Failure rate of an upstream that mostly fails.
 const STRONG_RATE: f64 = 0.5;
-/// Share of failures of an upstream that fails in part, for instance on one route of ten.
+/// Failure rate of an upstream that fails in part, for instance on one route of ten.
 const WEAK_RATE: f64 = 0.12;
-/// Shift of the mean, in deviations, that the sum of service times is tuned to.
+/// Shift of the mean, in deviations, that the sum of service times is designed to detect.
 const SHIFT_DEVIATIONS: f64 = 1.0;
-/// Deviations beyond which a service time counts no more, so that one straggler proves nothing.
+/// Deviations at which a service time is clipped, so that one straggler proves nothing.
 const SHIFT_CLIP: f64 = 2.5;
-/// Share by which a shift must exceed what the mix of requests alone may make.
+/// Shift, in deviations, that the mix of requests alone may cause; only what exceeds it counts.
 const SHIFT_SLACK: f64 = 0.25;
-/// Weight of work that was given up before it was overdue: times have heavier tails than those that its
-/// evidence assumes, and with the whole weight a healthy upstream was ejected 0.12 times an hour, by
-/// the decision bench, in place of 0.04.
+/// Weight of a request that was given up before it was overdue: service times have heavier tails
+/// than the evidence assumes, and with the full weight a healthy upstream was ejected 0.12 times an
+/// hour, by the decision bench, in place of 0.04.
 const GIVEN_UP_WEIGHT: f64 = 0.5;
-/// Sums stop at this many thresholds, so that an upstream that is well again is soon seen to be.
+/// Sums are capped at this many thresholds, so that the recovery of an upstream soon shows.
 const CAP_THRESHOLDS: f64 = 4.0;
 
-/// `EvidenceKind` names the sums.
+/// `EvidenceKind` is the kind of anomaly that a sum detects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EvidenceKind {
     /// Most requests fail.
     Failing,
     /// Some requests fail.
     FailingPartly,
-    /// Requests take longer throughout.
+    /// Requests take longer in general.
     Slow,
-    /// Many requests take much longer, or do not end.
+    /// Many requests take much longer, or hang.
     Overdue,
     /// Some requests take much longer.
     OverduePartly,
@@ -82,17 +82,18 @@
 }
 
 impl SicknessDetector {
-    /// Builds a detector that a healthy upstream sets off once in `exp(threshold)` requests.
+    /// Builds a detector that a healthy upstream triggers once in `exp(threshold)` requests.
     pub fn new(threshold: f64) -> Self {
         Self { sums: [0.0; EVIDENCE_KINDS.len()], threshold }
     }
 
-    /// Changes the threshold; what was learnt is kept.
+    /// Changes the threshold; the sums are kept.
     pub fn set_threshold(&mut self, threshold: f64) {
         self.threshold = threshold;
     }
 
-    /// Takes the end of a request in. `was_overdue` says that [`Self::note_overdue`] already was.
+    /// Records the end of a request. `was_overdue` says that [`Self::note_overdue`] was already
+    /// called for it.
     pub fn note(&mut self, evidence: WorkEvidence, was_overdue: bool, baseline: &ServiceBaseline) {
         match evidence {
             WorkEvidence::Neutral => {}
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Takes the end of a request in without its time, as of a server that is still cold.
+    /// Records the end of a request without its service time, as for a server that is still cold.
     pub fn note_untimed(&mut self, evidence: WorkEvidence, baseline: &ServiceBaseline) {
         match evidence {
             WorkEvidence::Neutral => {}
@@ -114,9 +115,9 @@
     }
 
     fn note_failure(&mut self, failed: bool, baseline: &ServiceBaseline) {
-        let usual = usual_rate(baseline.failure_rate, FAILURE_RATE_MIN, baseline);
-        self.add(EvidenceKind::Failing, ratio(failed, usual, strong_rate(usual)));
-        self.add(EvidenceKind::FailingPartly, ratio(failed, usual, weak_rate(usual)));
+        let usual = usual_rate(baseline.failure_rate, ASSUMED_FAILURE_RATE, baseline);
+        self.add(EvidenceKind::Failing, log_ratio(failed, usual, strong_rate(usual)));
+        self.add(EvidenceKind::FailingPartly, log_ratio(failed, usual, weak_rate(usual)));
     }
 
     fn note_latency(&mut self, latency: Duration, was_overdue: bool, baseline: &ServiceBaseline) {
@@ -133,29 +134,30 @@
         self.add(EvidenceKind::Slow, step);
     }
 
-    /// Takes in that a request, still running, is overdue.
+    /// Records that a request, still running, is overdue.
     pub fn note_overdue(&mut self, baseline: &ServiceBaseline) {
         if baseline.is_usable() {
             self.add_overdue(true, baseline);
         }
     }
 
-    /// Takes in that work which was given up before it was overdue spoke for a hang by this much.
+    /// Records that a request which was given up before it was overdue left this much evidence of a
+    /// hang.
     pub fn note_given_up(&mut self, evidence: f64) {
         self.add(EvidenceKind::Overdue, evidence * GIVEN_UP_WEIGHT);
     }
 
     fn add_overdue(&mut self, overdue: bool, baseline: &ServiceBaseline) {
-        let usual = usual_rate(baseline.overdue_rate, OVERDUE_RATE_MIN, baseline);
-        self.add(EvidenceKind::Overdue, ratio(overdue, usual, strong_rate(usual)));
-        self.add(EvidenceKind::OverduePartly, ratio(overdue, usual, weak_rate(usual)));
+        let usual = usual_rate(baseline.overdue_rate, ASSUMED_OVERDUE_RATE, baseline);
+        self.add(EvidenceKind::Overdue, log_ratio(overdue, usual, strong_rate(usual)));
+        self.add(EvidenceKind::OverduePartly, log_ratio(overdue, usual, weak_rate(usual)));
     }
 
-    /// Takes back a failure that followed the request to another upstream.
+    /// Withdraws a failure, as the request failed at another upstream as well.
     pub fn withdraw_failure(&mut self, baseline: &ServiceBaseline) {
-        let usual = usual_rate(baseline.failure_rate, FAILURE_RATE_MIN, baseline);
-        self.add(EvidenceKind::Failing, -ratio(true, usual, strong_rate(usual)));
-        self.add(EvidenceKind::FailingPartly, -ratio(true, usual, weak_rate(usual)));
+        let usual = usual_rate(baseline.failure_rate, ASSUMED_FAILURE_RATE, baseline);
+        self.add(EvidenceKind::Failing, -log_ratio(true, usual, strong_rate(usual)));
+        self.add(EvidenceKind::FailingPartly, -log_ratio(true, usual, weak_rate(usual)));
     }
 
     fn add(&mut self, kind: EvidenceKind, step: f64) {
@@ -164,7 +166,8 @@
         *sum = (*sum + step).clamp(0.0, cap);
     }
 
-    /// Returns the largest sum in thresholds: from 1 on, the upstream is sick by itself.
+    /// Returns the largest sum in multiples of the threshold: from 1 on, the upstream is sick,
+    /// whatever its siblings are.
     pub fn sickness(&self) -> f64 {
         self.largest().1 / self.threshold
     }
@@ -184,7 +187,7 @@
         largest
     }
 
-    /// Forgets everything, after the upstream has proved itself.
+    /// Clears the sums, after the upstream has passed its trials.
     pub fn reset(&mut self) {
         self.sums = [0.0; EVIDENCE_KINDS.len()];
     }
@@ -199,17 +202,17 @@
 }
 
 fn strong_rate(usual: f64) -> f64 {
-    // Halfway between the usual share and certainty, at least a half.
+    // Halfway between the usual rate and 1, and at least a half.
     STRONG_RATE.max((1.0 + usual) / 2.0)
 }
 
 fn weak_rate(usual: f64) -> f64 {
-    // Three times the usual odds, but never near certainty.
+    // Three times the usual rate, but never close to 1.
     WEAK_RATE.max((usual * 3.0).min((1.0 + usual) / 2.0))
 }
 
 /// Returns the log-likelihood ratio of "sick" against "usual" for one request.
-fn ratio(is_true: bool, usual: f64, sick: f64) -> f64 {
+fn log_ratio(is_true: bool, usual: f64, sick: f64) -> f64 {
     if is_true {
         (sick / usual).ln()
     } else {
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -1,25 +1,25 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What real work says about an upstream.
+//! Evidence about an upstream from live requests, and the baseline it is compared with.
 
 use std::time::Duration;
 
 use crate::hang::UsualTime;
 use crate::track::SPREAD_MIN;
 
-/// `WorkEvidence` is what one request says about the upstream that worked on it.
+/// `WorkEvidence` is what one request tells about the upstream that served it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkEvidence {
     /// A complete answer that is no server error came this long after the request was offered.
     Answered(Duration),
     /// A server error, a broken connection or an answer cut short.
     Failed,
-    /// Nothing can be learnt: the caller was at fault or went away early.
+    /// No evidence: the caller was at fault or went away early.
     Neutral,
 }
 
-/// `ServiceBaseline` is what the upstreams of a service have in common, so that an upstream is
+/// `ServiceBaseline` holds the medians over the upstreams of a service, so that an upstream is
 /// compared with its siblings rather than with fixed limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceBaseline {
@@ -27,22 +27,22 @@
     pub median_ln: f64,
     /// Median over the upstreams of the spread of that logarithm (as a standard deviation).
     pub spread: f64,
-    /// Median over the upstreams of the share of failures.
+    /// Median over the upstreams of the failure rate.
     pub failure_rate: f64,
     /// Median over the upstreams of the share of overdue requests.
     pub overdue_rate: f64,
     /// Median over the upstreams of the sickness.
     pub sickness: f64,
-    /// Number of upstreams that this was made from.
+    /// Number of upstreams behind the medians.
     pub upstreams: u32,
 }
 
-/// Fewest upstreams whose median says anything about a sibling.
+/// Fewest upstreams whose median is a meaningful baseline.
 pub const BASELINE_UPSTREAMS_MIN: u32 = 3;
 /// Standard deviations above the median from which a request is overdue. A log-normal time is so
 /// late once in 740 requests; heavier tails raise the baseline's overdue rate instead.
 pub const OVERDUE_DEVIATIONS: f64 = 3.0;
-/// Least wait before a request may be called overdue: below it, timers and the system's scheduler
+/// Shortest time after which a request may be overdue: below it, timers and the system's scheduler
 /// are what is measured.
 pub const OVERDUE_MIN: Duration = Duration::from_millis(20);
 
@@ -60,12 +60,12 @@
 }
 
 impl ServiceBaseline {
-    /// Says whether enough upstreams stand behind it to compare with.
+    /// Says whether there are enough upstreams for a comparison.
     pub fn is_usable(&self) -> bool {
         self.upstreams >= BASELINE_UPSTREAMS_MIN
     }
 
-    /// Returns the distribution of the times, if there is one to compare with.
+    /// Returns the distribution of the service times, if the baseline is usable.
     pub fn usual_time(&self) -> Option<UsualTime> {
         let spread = self.spread.max(SPREAD_MIN);
         self.is_usable().then_some(UsualTime { median_ln: self.median_ln, spread })
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -3,23 +3,23 @@
 
 //! Keeps ejection from taking a service's capacity below its floor.
 //!
-//! Each ingress decides from its own view. Servers that are down, unreachable or draining have
-//! already spent part of what the floor allows to be missing; the worst of the others are avoided
-//! only while what stays in service is at or above the floor. So no view holds less than the floor
-//! through ejection, and nothing has to be agreed.
+//! Each ingress decides from its own view. Servers that are down, unreachable or draining already
+//! use up a part of the capacity that the floor allows to be missing; the sickest of the others are
+//! avoided only while the capacity in service stays at or above the floor. So ejection takes no
+//! view below the floor, and the ingresses need no agreement.
 
-/// `CapacityEntry` is one upstream as the floor sees it.
+/// `CapacityEntry` is what the floor needs to know about one upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacityEntry {
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether it can be reached and is not leaving.
+    /// Whether it is reachable and not draining.
     pub available: bool,
-    /// Sickness in thresholds.
+    /// Sickness in multiples of the ejection threshold.
     pub sickness: f64,
 }
 
-/// `FloorPlan` is what an ingress avoids, and what that leaves.
+/// `FloorPlan` is which upstreams an ingress avoids, and the capacity that remains.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct FloorPlan {
     /// Whether each upstream is avoided, in the order of the entries.
@@ -30,16 +30,16 @@
     pub floor: u32,
 }
 
-/// Returns the slots that must stay in service of `configured` ones.
+/// Returns how many of `configured` slots must stay in service.
 pub fn floor_slots(floor: f64, configured: u32) -> u32 {
-    // The small step down keeps 0.7 × 10 from becoming 8 for want of binary digits.
+    // The small subtrahend keeps 0.7 × 10 from becoming 8 by rounding of binary fractions.
     (floor * f64::from(configured) - 1e-9).ceil().max(0.0) as u32
 }
 
 /// Plans which upstreams to avoid: the sickest first, ties by position, while the floor holds.
 ///
-/// Entries stand in the order of the upstreams' names, so that ingresses with the same reports
-/// avoid the same upstreams.
+/// Entries are sorted by the names of the upstreams, so that ingresses with the same reports avoid
+/// the same upstreams.
 pub fn plan(floor: f64, entries: &[CapacityEntry]) -> FloorPlan {
     let configured = entries.iter().map(|entry| entry.slots).sum();
     let available = entries.iter().filter(|entry| entry.available);
@@ -62,12 +62,12 @@
 }
 
 impl FloorPlan {
-    /// Says whether this many slots in service can be done without.
+    /// Says whether this many slots can be taken out of service.
     pub fn can_spare(&self, slots: u32) -> bool {
         self.in_service >= self.floor.saturating_add(slots)
     }
 
-    /// Checks what must always hold: avoiding never leaves less than the floor.
+    /// Checks the invariant: avoiding upstreams never leaves less than the floor.
     pub fn holds(&self) -> bool {
         let avoids = self.avoided.iter().any(|avoided| *avoided);
         !avoids || self.in_service >= self.floor
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The health of one upstream as the daemon beside it sees it.
+//! The health of one upstream, as seen by the daemon of its host.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,34 +14,35 @@
 use crate::evidence::{self, ServiceBaseline, WorkEvidence, OVERDUE_DEVIATIONS};
 use crate::hang::{HangWatch, UsualTime};
 use crate::recovery::{RecoveryPlan, TrialVerdict, RAMP};
-use crate::track::{LatencyTrack, RateTrack, RecentPeak};
+use crate::track::{DecayingPeak, LatencyEstimate, RateEstimate};
 
-/// Threshold for `detection`: a healthy upstream is ejected at most once in e^9 (8,000) requests
-/// of the worst case that the bound covers; measured rates are far lower (docs/MEASUREMENTS.md).
+/// Threshold for `detection`: a healthy upstream is ejected at most once in e^9 (8,000) requests of
+/// the worst case that the bound covers; measured rates are far lower (docs/MEASUREMENTS.md).
 pub const THRESHOLD_DETECTION: f64 = 9.0;
 /// Threshold for `precision`: at most once in e^14 (1.2 million) requests.
 pub const THRESHOLD_PRECISION: f64 = 14.0;
-/// Time for which an upstream must stand out, for `detection`.
+/// Time for which an upstream must stand out before ejection, for `detection`.
 const CONFIRM_DETECTION: Duration = Duration::from_millis(200);
-/// Time for which an upstream must stand out, for `precision`.
+/// Time for which an upstream must stand out before ejection, for `precision`.
 const CONFIRM_PRECISION: Duration = Duration::from_millis(800);
-/// Overdue times that a cold upstream is given for one request: 2.5 of them are 11 times the usual
-/// service time at the decision bench's spread, whose slowest start is 6 times as slow; an ingress
-/// gives an attempt up after 3.
-const COLD_PATIENCE: f64 = 2.5;
-/// Routes of one upstream whose service times are followed one by one; later ones share.
+/// Factor on the overdue time of a request at a cold upstream: 2.5 overdue times are 11 times the
+/// typical service time at the decision bench's spread, whose slowest cold start is 6 times as
+/// slow; an ingress gives an attempt up after 3.
+const COLD_OVERDUE_FACTOR: f64 = 2.5;
+/// Routes of one upstream whose service times are estimated separately; later ones share one
+/// estimate.
 const ROUTES_MAX: usize = 64;
-/// Name under which the routes beyond [`ROUTES_MAX`] are followed.
+/// Key of the estimate that the routes beyond [`ROUTES_MAX`] share.
 const OTHER_ROUTES: &str = "";
-/// Answers of a route from which its usual time is known without siblings.
+/// Answers of a route from which its typical service time is known without siblings.
 const USUAL_SAMPLES_MIN: u32 = 8;
-/// Answers that the report of a sibling stands for at the least.
+/// Answers that one sibling's report stands for, at the least.
 const SIBLING_ANSWERS: u32 = 4;
-/// What an upstream must have beyond the median sickness of its siblings, as a multiple of it: what
-/// all have is not one server's fault.
+/// What an upstream's sickness must exceed the median sickness of its siblings by, as a multiple of
+/// that median: what all have in common is not the fault of one server.
 const SIBLING_WEIGHT: f64 = 3.0;
 
-/// Returns the threshold behind a choice.
+/// Returns the ejection threshold of a choice.
 pub fn threshold_of(prefer: PreferChoice) -> f64 {
     match prefer {
         PreferChoice::Detection => THRESHOLD_DETECTION,
@@ -49,15 +50,16 @@
     }
 }
 
-/// Returns the sickness from which an upstream stands out from siblings of this median sickness.
+/// Returns the sickness from which an upstream stands out from siblings with this median sickness.
 pub fn sickness_bound(siblings: f64) -> f64 {
     1.0 + SIBLING_WEIGHT * siblings
 }
 
 /// Returns the time for which an upstream must stand out before it is ejected.
 ///
-/// In it, the answers of the siblings arrive that tell a shared change from one server's fault: the
-/// usual service time, and the way to the ingress and back with the next dispatch.
+/// Within it, the answers of the siblings arrive that tell a shared change from the fault of one
+/// server: it covers the typical service time, and the way to the ingress and back with the next
+/// dispatch.
 fn confirm_time(prefer: PreferChoice) -> Duration {
     match prefer {
         PreferChoice::Detection => CONFIRM_DETECTION,
@@ -65,84 +67,84 @@
     }
 }
 
-/// `RouteTrack` follows one route on one upstream.
+/// `RouteStats` holds the estimates of one route at one upstream.
 #[derive(Debug, Clone, Copy, Default)]
-struct RouteTrack {
-    latency: LatencyTrack,
-    overdue: RateTrack,
+struct RouteStats {
+    latency: LatencyEstimate,
+    overdue: RateEstimate,
     baseline: ServiceBaseline,
 }
 
-/// `AdmitVerdict` says whether an upstream takes a dispatch.
+/// `AdmitVerdict` says whether an upstream accepts a dispatch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmitVerdict {
-    /// It does.
+    /// The dispatch is accepted.
     Admit,
-    /// It does, as a trial.
+    /// The dispatch is accepted as a trial of an ejected upstream.
     Trial,
-    /// It is thought sick and another can do the work.
+    /// The upstream is ejected or doubted, and another can serve the request.
     Refuse,
 }
 
-/// `DispatchTerms` is what matters of a dispatch to the health of its upstream.
+/// `DispatchTerms` is what the health of an upstream needs to know about a dispatch.
 #[derive(Debug, Clone, Copy)]
 pub struct DispatchTerms<'a> {
     /// Name of the route.
     pub route: &'a str,
-    /// Whether the ingress can send the work elsewhere within the floor.
+    /// Whether the ingress can send the request elsewhere within the floor.
     pub refusable: bool,
-    /// Whether the work may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the ingress can ask another upstream if this one is doubted. That takes no capacity
-    /// out of service: the last upstream asked takes the work.
+    /// Whether the ingress can try another upstream if this one is doubted. This takes no capacity
+    /// out of service: the last upstream that is tried accepts the request.
     pub passable: bool,
     /// What the ingress knows of the siblings.
     pub baseline: ServiceBaseline,
 }
 
-/// `HealthReport` is what an upstream's daemon tells about its health.
+/// `HealthReport` is what an upstream's daemon reports about its health.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthReport {
-    /// Sickness in thresholds.
+    /// Sickness: the anomaly score in multiples of the ejection threshold.
     pub sickness: f64,
-    /// Whether the upstream is ejected: it is out unless the floor needs it.
+    /// Whether the upstream is ejected: it gets no requests unless the floor needs it.
     pub ejected: bool,
-    /// Logarithm of the median service time of the route asked for, in µs.
+    /// Natural logarithm of the median service time of the requested route, in µs.
     pub median_ln: f64,
     /// Spread of that logarithm.
     pub spread: f64,
     /// Share of failures.
     pub failure_rate: f64,
-    /// Share of overdue requests of the route asked for.
+    /// Share of overdue requests of the requested route.
     pub overdue_rate: f64,
-    /// Requests of the route that the figures stand on.
+    /// Requests of the route that the figures are based on.
     pub samples: u32,
-    /// Share of its full work that the upstream should get.
+    /// Share of its full load that the upstream should get.
     pub ramp: f64,
     /// Time until a trial may start; zero when the upstream serves.
     pub trial_in: Duration,
-    /// Whether work that must not be repeated should go elsewhere until repeatable work succeeds.
+    /// Whether non-repeatable requests should go elsewhere until repeatable ones succeed.
     pub doubtful: bool,
 }
 
-/// `HealthChange` is an ejection or a return, for logs and metrics.
+/// `HealthChange` is a change of an upstream's state, for logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum HealthChange {
     /// The upstream was ejected.
     Ejected {
-        /// What it was ejected for.
+        /// Evidence that led to the ejection.
         reason: EvidenceKind,
         /// Sickness at that moment.
         sickness: f64,
         /// Time since the first evidence of this sickness.
         after: Duration,
     },
-    /// The upstream came back.
+    /// The upstream is in service again.
     Returned {
-        /// How long it was out.
+        /// How long it was ejected.
         out: Duration,
     },
-    /// The upstream is doubted after a failure.
+    /// The upstream is doubted after a failure or a hang.
     Doubted,
     /// The upstream is no longer doubted.
     Trusted {
@@ -151,14 +153,14 @@
     },
 }
 
-/// `WatchEnd` is how the watch over a piece of work ended.
+/// `WatchEnd` says how hang detection ended for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// The work was answered, or made a call.
+    /// The request was answered, or made a nested call.
     Lives,
     /// It was given up before it was overdue.
     GivenUp,
-    /// It ended without an answer, or was given up after it was noted as overdue.
+    /// It ended without an answer, or was given up after it was recorded as overdue.
     Noted,
 }
 
@@ -167,52 +169,52 @@
 pub struct UpstreamHealth {
     detector: SicknessDetector,
     recovery: RecoveryPlan,
-    failures: RateTrack,
-    routes: FnvHashMap<Rc<str>, RouteTrack>,
-    siblings: f64,
-    usual_failures: RecentPeak,
+    failures: RateEstimate,
+    routes: FnvHashMap<Rc<str>, RouteStats>,
+    sibling_sickness: f64,
+    peak_failure_rate: DecayingPeak,
     rising_since: Option<Duration>,
     reason: Option<EvidenceKind>,
     cold_until: Duration,
-    suspect_since: Option<Duration>,
+    stands_out_since: Option<Duration>,
     confirm: Duration,
     caution: FailureCaution,
     hang: HangWatch,
 }
 
 impl UpstreamHealth {
-    /// Builds the health of an upstream from `now` on; a `cold` one gets work slowly at first.
+    /// Builds the health of an upstream from `now` on; the load of a `cold` one rises slowly.
     pub fn new(prefer: PreferChoice, now: Duration, cold: bool) -> Self {
         Self {
             detector: SicknessDetector::new(threshold_of(prefer)),
             recovery: RecoveryPlan::new(now, cold),
-            failures: RateTrack::default(),
+            failures: RateEstimate::default(),
             routes: FnvHashMap::default(),
-            siblings: 0.0,
-            usual_failures: RecentPeak::default(),
+            sibling_sickness: 0.0,
+            peak_failure_rate: DecayingPeak::default(),
             rising_since: None,
             reason: None,
             cold_until: if cold { now + RAMP } else { Duration::ZERO },
-            suspect_since: None,
+            stands_out_since: None,
             confirm: confirm_time(prefer),
             caution: FailureCaution::default(),
             hang: HangWatch::default(),
         }
     }
 
-    /// Sets the threshold itself, in place of one of the two choices.
+    /// Sets the ejection threshold directly, in place of one of the two choices.
     pub fn set_threshold(&mut self, threshold: f64) {
         self.detector.set_threshold(threshold);
     }
 
-    /// Notes that the backend server was started anew: it gets work slowly at first, and being
-    /// slow meanwhile does not speak against it.
+    /// Records that the backend server restarted: its load rises slowly, and slow answers meanwhile
+    /// are not evidence against it.
     pub fn note_restart(&mut self, now: Duration) {
         self.recovery.ramp_from(now);
         self.cold_until = now + RAMP;
     }
 
-    /// Changes which error the service would rather have.
+    /// Changes whether the service prefers detection or precision.
     pub fn set_prefer(&mut self, prefer: PreferChoice) {
         self.detector.set_threshold(threshold_of(prefer));
         self.confirm = confirm_time(prefer);
@@ -223,19 +225,19 @@
         self.caution.is_doubtful()
     }
 
-    /// Says whether the upstream is out of service or doubted.
+    /// Says whether the upstream is ejected or doubted.
     pub fn is_out(&self) -> bool {
         self.is_doubtful() || self.recovery.is_ejected()
     }
 
-    /// Says whether the upstream takes a dispatch.
+    /// Says whether the upstream accepts a dispatch.
     pub fn admit(
         &mut self,
         terms: &DispatchTerms<'_>,
         now: Duration,
     ) -> (AdmitVerdict, Option<HealthChange>) {
         self.learn_baseline(terms, now);
-        // The dispatch brought fresh word of the siblings.
+        // The dispatch carries a recent baseline of the siblings.
         let change = self.judge(now);
         (self.admit_verdict(terms, now), change)
     }
@@ -263,38 +265,38 @@
             return;
         }
         let mut baseline = terms.baseline;
-        self.siblings = baseline.sickness;
-        baseline.failure_rate = self.usual_failures.note(baseline.failure_rate, now);
+        self.sibling_sickness = baseline.sickness;
+        baseline.failure_rate = self.peak_failure_rate.note(baseline.failure_rate, now);
         self.route_mut(terms.route).baseline = baseline;
     }
 
-    fn route_mut(&mut self, route: &str) -> &mut RouteTrack {
+    fn route_mut(&mut self, route: &str) -> &mut RouteStats {
         let key = if self.routes.contains_key(route) || self.routes.len() < ROUTES_MAX {
             route
         } else {
             OTHER_ROUTES
         };
         if !self.routes.contains_key(key) {
-            self.routes.insert(Rc::from(key), RouteTrack::default());
+            self.routes.insert(Rc::from(key), RouteStats::default());
         }
         self.routes.get_mut(key).unwrap_or_else(|| unreachable!("inserted above"))
     }
 
     /// Returns the last usable baseline of a route.
     pub fn baseline(&self, route: &str) -> ServiceBaseline {
-        let track = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
-        track.map(|track| track.baseline).unwrap_or_default()
+        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
+        stats.map(|stats| stats.baseline).unwrap_or_default()
     }
 
-    /// Returns the time after which a request of a route is overdue, if that can be said. A cold
-    /// upstream is given longer.
+    /// Returns the time after which a request of a route is overdue, if there is a usable baseline.
+    /// A cold upstream is given longer.
     pub fn overdue_after(&self, route: &str, now: Duration) -> Option<Duration> {
         let baseline = self.baseline(route);
-        let patience = if now < self.cold_until { COLD_PATIENCE } else { 1.0 };
-        baseline.is_usable().then(|| baseline.overdue_after().mul_f64(patience))
+        let factor = if now < self.cold_until { COLD_OVERDUE_FACTOR } else { 1.0 };
+        baseline.is_usable().then(|| baseline.overdue_after().mul_f64(factor))
     }
 
-    /// Takes in that a running request is overdue.
+    /// Records that a running request is overdue.
     pub fn note_overdue(&mut self, route: &str, now: Duration) -> Option<HealthChange> {
         let baseline = self.baseline(route);
         self.route_mut(route).overdue.note(true);
@@ -302,7 +304,7 @@
         self.judge(now)
     }
 
-    /// Takes the end of a request in.
+    /// Records the end of a request as evidence.
     pub fn note(
         &mut self,
         route: &str,
@@ -311,7 +313,7 @@
         now: Duration,
     ) -> Option<HealthChange> {
         let baseline = self.baseline(route);
-        self.follow(route, evidence, was_overdue);
+        self.update_estimates(route, evidence, was_overdue);
         if now < self.cold_until {
             self.detector.note_untimed(evidence, &baseline);
         } else {
@@ -320,21 +322,21 @@
         self.judge(now)
     }
 
-    fn follow(&mut self, route: &str, evidence: WorkEvidence, was_overdue: bool) {
+    fn update_estimates(&mut self, route: &str, evidence: WorkEvidence, was_overdue: bool) {
         if evidence != WorkEvidence::Neutral {
             self.failures.note(evidence == WorkEvidence::Failed);
         }
         if let WorkEvidence::Answered(latency) = evidence {
-            let track = self.route_mut(route);
+            let stats = self.route_mut(route);
             if !was_overdue {
-                let late = track.baseline.is_usable() && latency > track.baseline.overdue_after();
-                track.overdue.note(late);
+                let late = stats.baseline.is_usable() && latency > stats.baseline.overdue_after();
+                stats.overdue.note(late);
             }
-            track.latency.note(latency);
+            stats.latency.note(latency);
         }
     }
 
-    /// Takes the end of a trial in.
+    /// Records the end of a trial.
     pub fn note_trial(
         &mut self,
         route: &str,
@@ -342,7 +344,7 @@
         now: Duration,
     ) -> Option<HealthChange> {
         let verdict = self.judge_trial(route, evidence);
-        self.follow(route, evidence, false);
+        self.update_estimates(route, evidence, false);
         let since = self.recovery.since();
         if !self.recovery.end_trial(now, verdict) {
             return None;
@@ -356,24 +358,25 @@
 
     fn judge_trial(&self, route: &str, evidence: WorkEvidence) -> TrialVerdict {
         let latency = match evidence {
-            WorkEvidence::Neutral => return TrialVerdict::Nothing,
-            WorkEvidence::Failed => return TrialVerdict::Bad,
+            WorkEvidence::Neutral => return TrialVerdict::Inconclusive,
+            WorkEvidence::Failed => return TrialVerdict::Failed,
             WorkEvidence::Answered(latency) => latency,
         };
         let baseline = self.baseline(route);
         if !baseline.is_usable() {
-            return TrialVerdict::Good;
+            return TrialVerdict::Passed;
         }
-        // An upstream that was slow throughout must be near its siblings again, not only not late.
+        // An upstream that was ejected as slow must be close to its siblings again, not only below
+        // the overdue time.
         let distance = evidence::log_micros(latency) - baseline.median_ln;
         if distance > (OVERDUE_DEVIATIONS / 2.0) * baseline.spread {
-            TrialVerdict::Bad
+            TrialVerdict::Failed
         } else {
-            TrialVerdict::Good
+            TrialVerdict::Passed
         }
     }
 
-    /// Takes in how a piece of work ended, for the caution of the next ones.
+    /// Records how a request ended in the circuit breaker, which decides on the next ones.
     pub fn note_end(
         &mut self,
         failure: Option<FailureSort>,
@@ -393,38 +396,39 @@
         }
     }
 
-    /// Returns the usual time of a route: that of the siblings, else what was seen here, else what its
-    /// objective lets one assume.
+    /// Returns the typical service time of a route: that of the siblings, else the one observed
+    /// here, else one assumed from the objective.
     pub fn usual_time(&self, route: &str, objective: Option<Duration>) -> Option<UsualTime> {
-        let track = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
-        let track = track.copied().unwrap_or_default();
-        if let Some(usual) = track.baseline.usual_time() {
+        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
+        let stats = stats.copied().unwrap_or_default();
+        if let Some(usual) = stats.baseline.usual_time() {
             return Some(usual);
         }
-        let latency = &track.latency;
+        let latency = &stats.latency;
         let own = UsualTime { median_ln: latency.centre(), spread: latency.spread() };
         let samples = latency.samples();
         let objective = match objective {
             Some(objective) => objective,
             None => return (samples >= USUAL_SAMPLES_MIN).then_some(own),
         };
-        let siblings = track.baseline.upstreams;
+        let siblings = stats.baseline.upstreams;
         if samples == 0 && siblings == 0 {
-            // What nobody has answered yet may be work that nobody can do.
+            // A route that no server has answered yet may be one that none can serve.
             return None;
         }
-        let seen = UsualTime { median_ln: track.baseline.median_ln, spread: track.baseline.spread };
+        let seen = UsualTime { median_ln: stats.baseline.median_ln, spread: stats.baseline.spread };
         let assumed =
             UsualTime::of_objective(objective).corrected(&seen, siblings * SIBLING_ANSWERS);
         Some(assumed.corrected(&own, samples))
     }
 
-    /// Takes in that work of this usual time was sent to the upstream; returns its number.
+    /// Records that a request with this typical service time was sent to the upstream; returns its
+    /// number.
     pub fn start_work(&mut self, usual: UsualTime, now: Duration) -> u64 {
         self.hang.start(usual, now)
     }
 
-    /// Takes in that work ended or made a call, or that it was given up.
+    /// Records that a request ended, made a nested call or was given up.
     pub fn end_work(&mut self, number: u64, end: WatchEnd, now: Duration) -> Option<HealthChange> {
         let evidence = self.hang.end(number, end == WatchEnd::Lives, now);
         if end == WatchEnd::GivenUp && now >= self.cold_until {
@@ -437,23 +441,24 @@
             return self.look(now);
         }
         if end == WatchEnd::Lives {
-            // What lasted long ended well.
+            // The slow requests that caused the doubt were answered.
             let after = self.hang.is_over(now).then(|| self.caution.retract(now)).flatten()?;
             return Some(HealthChange::Trusted { after });
         }
         if evidence > 0.0 {
-            // Work that was to find out hung as well.
+            // The trial request hung as well.
             self.caution.note_failure(FailureSort::Broken, now);
         }
         None
     }
 
-    /// Forgets the running work: how long it runs says nothing, as the host slept meanwhile.
+    /// Forgets the running requests: their age is not evidence, as the host was suspended
+    /// meanwhile.
     pub fn forget_running(&mut self) {
         self.hang.forget();
     }
 
-    /// Looks at the running work: an upstream whose work lasts too long is doubted.
+    /// Checks the running requests: an upstream whose requests run too long is doubted.
     pub fn look(&mut self, now: Duration) -> Option<HealthChange> {
         if self.caution.is_doubtful() || now < self.cold_until || !self.hang.is_doubtful(now) {
             return None;
@@ -462,7 +467,7 @@
         doubted.then_some(HealthChange::Doubted)
     }
 
-    /// Takes back a failure that followed the request to another upstream.
+    /// Withdraws a failure, as the request failed at another upstream as well.
     pub fn withdraw_failure(&mut self, route: &str) {
         let baseline = self.baseline(route);
         self.detector.withdraw_failure(&baseline);
@@ -479,14 +484,14 @@
             return None;
         }
         if !self.stands_out(sickness) {
-            self.suspect_since = None;
+            self.stands_out_since = None;
             return None;
         }
-        let suspect_since = *self.suspect_since.get_or_insert(now);
-        if now.saturating_sub(suspect_since) < self.confirm {
+        let stands_out_since = *self.stands_out_since.get_or_insert(now);
+        if now.saturating_sub(stands_out_since) < self.confirm {
             return None;
         }
-        self.suspect_since = None;
+        self.stands_out_since = None;
         let reason = self.detector.reason();
         self.reason = Some(reason);
         self.recovery.eject(now);
@@ -495,7 +500,7 @@
     }
 
     fn stands_out(&self, sickness: f64) -> bool {
-        sickness >= sickness_bound(self.siblings)
+        sickness >= sickness_bound(self.sibling_sickness)
     }
 
     /// Says whether the upstream is ejected.
@@ -503,12 +508,13 @@
         self.recovery.is_ejected()
     }
 
-    /// Returns where the upstream stands.
+    /// Returns the recovery state of the upstream.
     pub fn recovery(&self) -> &RecoveryPlan {
         &self.recovery
     }
 
-    /// Returns what the upstream was ejected for, or what speaks most against it.
+    /// Returns the evidence that led to the ejection, or the strongest evidence against the
+    /// upstream so far.
     pub fn reason(&self) -> Option<EvidenceKind> {
         let rising = self.detector.sickness() > 0.0;
         self.reason.or_else(|| rising.then(|| self.detector.reason()))
@@ -516,17 +522,17 @@
 
     /// Returns the report for a dispatch of `route`.
     pub fn report(&self, route: &str, now: Duration) -> HealthReport {
-        let track = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
-        let track = track.copied().unwrap_or_default();
+        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
+        let stats = stats.copied().unwrap_or_default();
         let sickness = self.detector.sickness();
         HealthReport {
             sickness,
             ejected: self.is_ejected(),
-            median_ln: track.latency.centre(),
-            spread: track.latency.spread(),
+            median_ln: stats.latency.centre(),
+            spread: stats.latency.spread(),
             failure_rate: self.failures.rate(),
-            overdue_rate: track.overdue.rate(),
-            samples: track.latency.samples(),
+            overdue_rate: stats.overdue.rate(),
+            samples: stats.latency.samples(),
             ramp: self.recovery.ramp(now),
             trial_in: self.recovery.trial_in(now).unwrap_or(self.caution.trial_in(now)),
             doubtful: self.caution.is_doubtful(),
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The decisions of the fleet, without input or output.
+//! Decision logic of the fleet (balancing, ejection, circuit breaking, retries, rate limits),
+//! without I/O.
 //!
-//! The daemon and the decision bench run the same code: time is handed in as the duration since
-//! some start, randomness as a generator. Nothing here waits, sends or receives.
+//! The daemon and the decision bench run the same code: time is passed in as the duration since an
+//! arbitrary start, randomness as a generator. Nothing here blocks, sends or receives.
 
 pub mod allowance;
 pub mod balance;
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -1,47 +1,49 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! How an upstream that was taken out comes back: trials, hold-off, slow start.
+//! How an ejected upstream returns to service: trials, hold-off, slow start.
 
 use std::time::Duration;
 
 /// First hold-off before a trial: a restart or a short pause of a backend server is over by then.
 pub const HOLD_OFF_MIN: Duration = Duration::from_secs(1);
-/// Longest hold-off: a server that is well again is asked at least this often.
+/// Longest hold-off: a server that has recovered is tried at least this often.
 pub const HOLD_OFF_MAX: Duration = Duration::from_secs(6);
-/// Good trials in a row that bring an upstream back.
+/// Successful trials in a row after which an upstream returns to service.
 pub const TRIALS_NEEDED: u32 = 3;
-/// Time over which an upstream that came back, or started, gets its full share.
+/// Time of the slow start, in which the load of an upstream that returned or started rises to its
+/// full share.
 pub const RAMP: Duration = Duration::from_secs(10);
-/// Share of the work that an upstream gets at the start of its ramp.
+/// Share of its full load that an upstream gets at the beginning of the slow start.
 pub const RAMP_START: f64 = 0.1;
-/// Hold-offs without repeatable work after which any work may be a trial.
-const ANY_WORK_HOLD_OFFS: u32 = 4;
-/// Healthy time, in hold-offs, after which a former ejection no longer lengthens the next.
+/// Hold-offs without a repeatable request after which any request may be a trial.
+const ANY_REQUEST_HOLD_OFFS: u32 = 4;
+/// Time in service, in hold-offs, after which a previous ejection no longer lengthens the next.
 const FORGET_HOLD_OFFS: u32 = 10;
 
-/// `RecoveryState` says where an upstream stands.
+/// `RecoveryState` says whether an upstream is in service or ejected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RecoveryState {
-    /// It takes work; `since` some time.
+    /// It is in service.
     Serving {
         /// Start of the state.
         since: Duration,
     },
-    /// It is thought sick and tried now and then.
+    /// It is ejected and gets only trials.
     Ejected {
         /// Start of the state.
         since: Duration,
         /// Next time at which a trial may start.
         trial_at: Duration,
-        /// Good trials in a row.
-        good: u32,
+        /// Successful trials in a row.
+        passed: u32,
         /// Whether a trial is running.
         running: bool,
     },
 }
 
-/// `RecoveryPlan` brings an upstream back, later each time it is ejected again.
+/// `RecoveryPlan` schedules the return of an upstream to service, later each time it is ejected
+/// again.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecoveryPlan {
     state: RecoveryState,
@@ -51,7 +53,8 @@
 }
 
 impl RecoveryPlan {
-    /// Builds the plan of an upstream that serves from `now`, with a slow start if it is `cold`.
+    /// Builds the plan of an upstream that is in service from `now`, with a slow start if it is
+    /// `cold`.
     pub fn new(now: Duration, cold: bool) -> Self {
         Self {
             state: RecoveryState::Serving { since: now },
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Returns where the upstream stands.
+    /// Returns the state of the upstream.
     pub fn state(&self) -> RecoveryState {
         self.state
     }
@@ -76,7 +79,7 @@
         self.ejections
     }
 
-    /// Returns when the present state began.
+    /// Returns when the current state began.
     pub fn since(&self) -> Duration {
         match self.state {
             RecoveryState::Serving { since } | RecoveryState::Ejected { since, .. } => since,
@@ -97,13 +100,14 @@
             self.state = RecoveryState::Ejected {
                 since: now,
                 trial_at: now + self.hold_off,
-                good: 0,
+                passed: 0,
                 running: false,
             };
         }
     }
 
-    /// Returns how long until a trial with repeatable work may start; nothing if not ejected.
+    /// Returns how long until a trial with a repeatable request may start, if the upstream is
+    /// ejected.
     pub fn trial_in(&self, now: Duration) -> Option<Duration> {
         match self.state {
             RecoveryState::Serving { .. } => None,
@@ -113,10 +117,10 @@
 
     /// Starts a trial if one is due and says whether it did.
     pub fn start_trial(&mut self, now: Duration, repeatable: bool) -> bool {
-        let patience = self.hold_off * (ANY_WORK_HOLD_OFFS - 1);
+        let extra_wait = self.hold_off * (ANY_REQUEST_HOLD_OFFS - 1);
         match &mut self.state {
             RecoveryState::Ejected { trial_at, running, .. } if !*running => {
-                let due = if repeatable { *trial_at } else { *trial_at + patience };
+                let due = if repeatable { *trial_at } else { *trial_at + extra_wait };
                 *running = now >= due;
                 *running
             }
@@ -124,26 +128,26 @@
         }
     }
 
-    /// Takes the end of a trial in and says whether the upstream is back.
+    /// Records the end of a trial and says whether the upstream returns to service.
     pub fn end_trial(&mut self, now: Duration, verdict: TrialVerdict) -> bool {
-        let (good, trial_at) = match &mut self.state {
-            RecoveryState::Ejected { good, trial_at, running, .. } => {
+        let (passed, trial_at) = match &mut self.state {
+            RecoveryState::Ejected { passed, trial_at, running, .. } => {
                 *running = false;
-                (good, trial_at)
+                (passed, trial_at)
             }
             RecoveryState::Serving { .. } => return false,
         };
         match verdict {
-            TrialVerdict::Nothing => return false,
-            TrialVerdict::Bad => {
-                *good = 0;
+            TrialVerdict::Inconclusive => return false,
+            TrialVerdict::Failed => {
+                *passed = 0;
                 self.hold_off = (self.hold_off * 2).min(HOLD_OFF_MAX);
                 *trial_at = now + self.hold_off;
                 return false;
             }
-            TrialVerdict::Good => *good += 1,
+            TrialVerdict::Passed => *passed += 1,
         }
-        if *good < TRIALS_NEEDED {
+        if *passed < TRIALS_NEEDED {
             return false;
         }
         self.state = RecoveryState::Serving { since: now };
@@ -151,12 +155,12 @@
         true
     }
 
-    /// Starts the ramp anew.
+    /// Restarts the slow start.
     pub fn ramp_from(&mut self, now: Duration) {
         self.ramp_from = Some(now);
     }
 
-    /// Returns the share of its full work that the upstream should get, 0.1 to 1.
+    /// Returns the share of its full load that the upstream should get, 0.1 to 1.
     pub fn ramp(&self, now: Duration) -> f64 {
         let start = match self.ramp_from {
             Some(start) => start,
@@ -167,13 +171,13 @@
     }
 }
 
-/// `TrialVerdict` is what a trial says.
+/// `TrialVerdict` is the result of a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrialVerdict {
-    /// The upstream did the work in a usual time.
-    Good,
+    /// The upstream answered within its typical service time.
+    Passed,
     /// It failed or was much too slow.
-    Bad,
-    /// The trial says nothing.
-    Nothing,
+    Failed,
+    /// The trial was inconclusive.
+    Inconclusive,
 }
--- a/crates/decide/src/track.rs
+++ b/crates/decide/src/track.rs
@@ -21,21 +21,21 @@
 /// Spread assumed before there are samples.
 const SPREAD_START: f64 = 0.5;
 
-/// `LatencyTrack` follows the centre and spread of the logarithm of service times.
+/// `LatencyEstimate` follows the centre and spread of the logarithm of service times.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LatencyTrack {
+pub struct LatencyEstimate {
     centre: f64,
     spread: f64,
     samples: u32,
 }
 
-impl Default for LatencyTrack {
+impl Default for LatencyEstimate {
     fn default() -> Self {
         Self { centre: 0.0, spread: SPREAD_START, samples: 0 }
     }
 }
 
-impl LatencyTrack {
+impl LatencyEstimate {
     /// Takes one service time in.
     pub fn note(&mut self, latency: Duration) {
         let value = evidence::log_micros(latency);
@@ -72,18 +72,18 @@
 /// Weight of a new sample in the slow estimate of a share: rare events need a long memory.
 const RARE_WEIGHT: f64 = 0.005;
 
-/// `RateTrack` follows the share of requests for which something is true.
+/// `RateEstimate` follows the share of requests for which something is true.
 ///
 /// It keeps a fast and a slow estimate and tells the higher one: a share that all upstreams have
 /// lately got counts at once, and one that is rare but usual is not forgotten between two events.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct RateTrack {
+pub struct RateEstimate {
     fast: f64,
     slow: f64,
     samples: u32,
 }
 
-impl RateTrack {
+impl RateEstimate {
     /// Takes one request in.
     pub fn note(&mut self, is_true: bool) {
         self.samples = self.samples.saturating_add(1);
@@ -103,15 +103,15 @@
 /// Time over which a peak loses most of its height.
 const PEAK_LIFE: Duration = Duration::from_secs(5);
 
-/// `RecentPeak` follows the highest of the values that were lately told of the same thing by several
+/// `DecayingPeak` follows the highest of the values that were lately told of the same thing by several
 /// parties, each of which sees a part only.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct RecentPeak {
+pub struct DecayingPeak {
     height: f64,
     at: Duration,
 }
 
-impl RecentPeak {
+impl DecayingPeak {
     /// Takes a value in and returns the peak.
     pub fn note(&mut self, value: f64, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
