--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Cost of decisions, by upstreams of a service and by services at one ingress.
+//! Cost of decisions, by the number of upstreams of a service and of services at one ingress.
 //!
 //! `cargo bench -p basaltarch-decide`. The figures feed docs/CAPACITY.md.
 
@@ -20,14 +20,15 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Upstreams of one service: the brief's sizes and a large one.
+/// Upstreams of one service: the sizes of the requirements and a large one.
 const UPSTREAMS: [usize; 4] = [6, 15, 25, 100];
-/// Services at one ingress, up to all of the two-year size.
+/// Services at one ingress, up to all those expected in two years.
 const SERVICES: [usize; 4] = [1, 100, 1000, 9000];
-/// Upstreams of each of many services: 200,000 over 9,000.
-const EACH: usize = 22;
-/// Time between two requests of one ingress at its share of the two-year peak, 879 a second.
-const GAP: Duration = Duration::from_micros(1138);
+/// Upstreams of each of many services: 200,000 upstreams over 9,000 services.
+const UPSTREAMS_EACH: usize = 22;
+/// Time between two requests at one ingress: its share of the peak expected in two years, 879
+/// requests a second.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(1138);
 
 fn main() {
     divan::main();
@@ -82,13 +83,13 @@
 #[divan::bench(args = SERVICES)]
 fn choose_among_services(bencher: Bencher, services: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(6);
-    let mut views: Vec<ServiceView> = (0..services).map(|_| view(EACH, 0.0)).collect();
+    let mut views: Vec<ServiceView> = (0..services).map(|_| view(UPSTREAMS_EACH, 0.0)).collect();
     let mut now = Duration::from_secs(1);
     let mut turn = 0;
     bencher.bench_local(|| {
-        // A stride that shares no factor with the numbers of services reaches all of them.
+        // A stride that is coprime to the numbers of services visits all of them.
         turn = (turn + 7919) % services;
-        now += GAP;
+        now += REQUEST_INTERVAL;
         views[turn].choose(
             now,
             &ChoiceRequest { repeatable: true, ..ChoiceRequest::default() },
@@ -105,7 +106,7 @@
     let mut turn = 0;
     bencher.bench_local(|| {
         turn = (turn + 1) % upstreams;
-        now += GAP;
+        now += REQUEST_INTERVAL;
         baseline.note(turn as u32, &report(0.1));
         view.note_median(baseline.current().median_ln);
         view.note_report(turn, 1, report(0.1), now);
@@ -131,17 +132,17 @@
     };
     let mut now = Duration::ZERO;
     bencher.bench_local(|| {
-        now += GAP;
+        now += REQUEST_INTERVAL;
         health.admit(&terms, now);
         health.note("puzzle", WorkEvidence::Answered(Duration::from_millis(20)), false, now);
         health.report("puzzle", now)
     });
 }
 
-/// Sizes of bodies: none, a small one, and the most that is read before a request is sent on.
+/// Sizes of bodies: none, a small one, and the largest that is read before a request is sent on.
 const BODIES: [usize; 3] = [0, 1024, 64 * 1024];
 
-/// The fingerprint of a request, which is worked out while any request is suspected.
+/// The fingerprint of a request, which is computed while any request is suspected.
 #[divan::bench(args = BODIES)]
 fn fingerprint(bencher: Bencher<'_, '_>, body: usize) {
     let body = vec![7; body];
@@ -160,7 +161,7 @@
     bencher.bench(|| RequestFingerprint::of(b"a secret of the fleet", &parts));
 }
 
-/// The verdict on a request while as many others are suspected as are remembered.
+/// The verdict on a request while the table of suspects is full.
 #[divan::bench]
 fn judge_beside_suspects(bencher: Bencher<'_, '_>) {
     let mut table = SuspectTable::default();
--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -1,20 +1,20 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the upstreams of a service have in common, gathered at an ingress.
+//! The baseline of a service: what its upstreams have in common, collected at an ingress.
 //!
-//! Reports tell what is usual for a route; they follow a change within a dozen requests of each
-//! upstream. The last answers of all upstreams together show a shared change sooner.
+//! Reports give what is typical for a route; they follow a change within a dozen requests at each
+//! upstream. The most recent answers of all upstreams together show a shared change sooner.
 
 use std::time::Duration;
 
 use crate::evidence::{self, ServiceBaseline};
 use crate::health::HealthReport;
 
-/// Upstreams whose reports are kept for one route: the median of 15 is steady, and their reports
+/// Upstreams whose reports are kept for one route: the median of 15 is stable, and their reports
 /// fit in a kilobyte.
 const REPORTS_MAX: usize = 15;
-/// Requests that a report must stand on.
+/// Fewest requests that a report must be based on.
 const SAMPLES_MIN: u32 = 3;
 
 #[derive(Debug, Clone, Copy)]
@@ -32,7 +32,7 @@
 }
 
 impl RouteBaseline {
-    /// Takes a report of the upstream with this number in.
+    /// Records a report of the upstream with this number.
     pub fn note(&mut self, upstream: u32, report: &HealthReport) {
         if report.samples < SAMPLES_MIN {
             return;
@@ -64,8 +64,8 @@
     fn median(&self, value: impl Fn(&HealthReport) -> f64) -> f64 {
         let mut values = [0.0; REPORTS_MAX];
         let count = self.reports.len();
-        for (place, kept) in values.iter_mut().zip(&self.reports) {
-            *place = value(&kept.report);
+        for (slot, kept) in values.iter_mut().zip(&self.reports) {
+            *slot = value(&kept.report);
         }
         let values = &mut values[..count];
         let middle = (count - 1) / 2;
@@ -79,22 +79,23 @@
     }
 }
 
-/// Answers kept of a service: about two of each upstream at the brief's sizes.
+/// Answers kept of a service: about two per upstream at the sizes of the requirements.
 const ANSWERS_MAX: usize = 32;
-/// Age from which an answer says nothing about now.
+/// Age from which an answer is no evidence of the current state.
 const ANSWER_LIFE: Duration = Duration::from_secs(5);
-/// Fewest answers of others from which a shared change is seen.
+/// Fewest answers of other upstreams from which a shared change is detected.
 const OTHERS_MIN: usize = 6;
 /// Other upstreams that must have failed before failures count as shared, in a large service.
 const FAILED_UPSTREAMS_MIN: usize = 3;
 /// Share of the other upstreams that must have failed.
 const FAILED_UPSTREAMS_SHARE: f64 = 0.25;
 /// Deviations by which the median answer of the others must be late before the shift counts as
-/// shared; noise of the median of a few answers stays below.
+/// shared; the noise of a median of a few answers stays below it.
 const SHARED_SHIFT_MIN: f64 = 0.4;
 
-/// Last answers of others that must all be late for a shift to count as shared before the median of
-/// [`ANSWERS_MAX`] shows it: four are late by [`SHARED_SHIFT_MIN`] by chance once in 70 times.
+/// Most recent answers of others that must all be late for a shift to count as shared before the
+/// median of [`ANSWERS_MAX`] shows it: four are late by [`SHARED_SHIFT_MIN`] by chance once in 70
+/// times.
 const LATEST_ANSWERS: usize = 4;
 
 #[derive(Debug, Clone, Copy)]
@@ -105,8 +106,8 @@
     deviations: Option<f64>,
 }
 
-/// `RecentAnswers` keeps the last answers of a service's upstreams, to see what all of them share
-/// before their own reports show it.
+/// `RecentAnswers` keeps the most recent answers of a service's upstreams, to detect a change that
+/// they share before their own reports show it.
 #[derive(Debug, Clone, Default)]
 pub struct RecentAnswers {
     answers: Vec<KeptAnswer>,
@@ -114,7 +115,7 @@
 }
 
 impl RecentAnswers {
-    /// Takes an answer in; `took` is the service time, if there is one to compare.
+    /// Records an answer; `took` is the service time, if there is one to compare.
     pub fn note(
         &mut self,
         upstream: u32,
@@ -136,7 +137,7 @@
         self.oldest = (self.oldest + 1) % ANSWERS_MAX;
     }
 
-    /// Adds to a baseline what the other upstreams than `upstream` lately have in common.
+    /// Adjusts a baseline by what the upstreams other than `upstream` recently have in common.
     pub fn adjust(&self, upstream: u32, baseline: &mut ServiceBaseline, now: Duration) {
         let recent = |answer: &&KeptAnswer| {
             answer.upstream != upstream && now.saturating_sub(answer.at) < ANSWER_LIFE
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Returns the least deviation of the last few answers of others: all of them are late by that.
+    /// Returns the smallest deviation of the most recent answers of others: all of them are late by
+    /// at least that.
     fn latest_shift(&self, upstream: u32, now: Duration) -> f64 {
         let (older, newer) = self.answers.split_at(self.oldest);
         let newest_first = older.iter().rev().chain(newer.iter().rev());
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,20 +1,21 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The budget of repeated dispatches of a service, over a sliding window.
+//! The retry budget of a service, over a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slots that a window is counted in: the count lags behind the true window by a tenth at the most.
+/// Slots that a window is divided into: the count lags behind the true window by a tenth at the
+/// most.
 const SLOTS: u32 = 10;
 
-/// `BudgetTerms` says how much a service may repeat in one window.
+/// `BudgetTerms` says how many retries a service may make in one window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetTerms {
     /// Share of the window's requests.
     pub share: f64,
-    /// Repeats beyond that share; a daemon's part of what the fleet may make.
+    /// Retries beyond that share: this daemon's part of what the fleet may make.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
@@ -28,8 +29,8 @@
     repeats: u32,
 }
 
-/// `RetryBudget` lets a share of requests be repeated. In any window, the repeats stay within what
-/// its terms allow for the requests of the same window.
+/// `RetryBudget` allows a share of requests to be retried. In any window, the retries stay within
+/// what its terms allow for the requests of the same window.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
     terms: BudgetTerms,
@@ -42,27 +43,28 @@
         Self { terms, slots: VecDeque::new() }
     }
 
-    /// Changes the terms; what was repeated still counts.
+    /// Changes the terms; retries already made still count.
     pub fn set_terms(&mut self, terms: BudgetTerms) {
         self.terms = terms;
     }
 
-    /// Takes in that a request came.
+    /// Records that a request arrived.
     pub fn note_request(&mut self, now: Duration) {
         self.slot_mut(now).requests += 1;
     }
 
-    /// Takes in a repeat that nobody was asked about: a call of work that repeats other work.
+    /// Records a retry that was made without asking the budget: a nested call of a request that was
+    /// itself retried.
     pub fn note_repeat(&mut self, now: Duration) {
         self.slot_mut(now).repeats += 1;
     }
 
-    /// Says whether there is a repeat to take.
+    /// Says whether the budget allows a retry.
     pub fn has_room(&mut self, now: Duration) -> bool {
         self.left(now) >= 1.0
     }
 
-    /// Returns the repeats that may be taken now.
+    /// Returns the retries that may be made now.
     pub fn left(&mut self, now: Duration) -> f64 {
         self.slot_mut(now);
         let requests: u32 = self.slots.iter().map(|slot| slot.requests).sum();
@@ -71,7 +73,7 @@
         allowed - f64::from(repeats)
     }
 
-    /// Takes one repeat from the budget, if there is one.
+    /// Takes one retry from the budget, if it allows one.
     pub fn take(&mut self, now: Duration) -> bool {
         let room = self.has_room(now);
         if room {
@@ -80,7 +82,7 @@
         room
     }
 
-    /// Returns the slot of `now`, and forgets those that the window has left.
+    /// Returns the slot of `now`, and drops those that have left the window.
     fn slot_mut(&mut self, now: Duration) -> &mut BudgetSlot {
         let length = (self.terms.window / SLOTS).max(Duration::from_millis(1));
         let number = (now.as_nanos() / length.as_nanos()) as u64;
--- a/crates/decide/src/distance.rs
+++ b/crates/decide/src/distance.rs
@@ -1,41 +1,42 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What it costs to send a request to another failure domain.
+//! The cost of sending a request to another failure domain.
 //!
-//! The load is requests of very different size for the same servers: downloads of many kilobytes beside lookups of some
-//! hundred bytes, and a demand that moves between failure domains. The way there and back is nearly nothing beside the
-//! work; bytes across are not, where the operator says so. So heavy requests wait near by for as long as their
-//! bytes are worth, and light ones, which lose nothing by it, make room by going far.
+//! The workload is requests of very different size for the same servers: downloads of many
+//! kilobytes beside lookups of some hundred bytes, with a demand that moves between failure
+//! domains. The round trip is negligible compared with the service time; the bytes that cross are
+//! not, where the operator says so. So heavy requests wait in the own failure domain for as long as
+//! their bytes are worth, and light ones, which lose nothing by it, make room by going to another.
 
 use std::time::Duration;
 
-/// Part of a mean that the last request makes: sizes of a route change as callers ask for other things.
-const LAST_SHARE: f64 = 0.1;
+/// Weight of the last request in the mean: sizes on a route change as callers ask for other things.
+const LAST_WEIGHT: f64 = 0.1;
 /// Bytes of a megabyte, as the operator counts them.
 const MEGABYTE: f64 = 1e6;
-/// Most rounds of work that the bytes of a request are worth: beyond it callers would wait near by for what they could
-/// have at once.
+/// Most service rounds that the bytes of a request are worth: beyond it, callers would wait locally
+/// for what they could have at once.
 const ROUNDS_MAX: f64 = 3.0;
 
-/// `ByteMean` is the mean size of the requests of a route, with their answers; it forgets.
+/// `ByteMean` is the moving average of the size of a route's requests, with their answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ByteMean {
     mean: Option<f64>,
 }
 
 impl ByteMean {
-    /// Takes in the bytes of a request and its answer.
+    /// Records the bytes of a request and its answer.
     pub fn note(&mut self, bytes: u64) {
         let bytes = bytes as f64;
         self.mean = Some(match self.mean {
-            Some(mean) => mean + LAST_SHARE * (bytes - mean),
+            Some(mean) => mean + LAST_WEIGHT * (bytes - mean),
             None => bytes,
         });
     }
 
-    /// Returns the rounds of work that a request waits rather than send its bytes across, where a megabyte is worth
-    /// waiting for `worth` and a round takes `usual`.
+    /// Returns the service rounds for which a request waits rather than send its bytes to another
+    /// failure domain, where a megabyte is worth waiting for `worth` and a round takes `usual`.
     pub fn rounds(&self, worth: Duration, usual: Option<Duration>) -> f64 {
         let (Some(mean), Some(usual)) = (self.mean, usual.filter(|usual| !usual.is_zero())) else {
             return 0.0;
--- a/crates/decide/src/look.rs
+++ b/crates/decide/src/look.rs
@@ -1,99 +1,106 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Decides whether to look at upstreams before work is sent to one, and which of them then gets it.
+//! Load probes: decides whether to probe the load of upstreams before a request is sent, and which
+//! of them then gets it.
 //!
-//! What an ingress knows of an upstream is as old as its last answer from there. The load that this answers is work
-//! of tenths of a second at many upstreams of few slots, each of which an ingress sees less than once a second:
-//! there most of what is known is out of date, and work sent by it is turned away, or sent along a path that has
-//! fallen silent. A look costs a round trip and two small frames for each upstream.
+//! What an ingress knows of an upstream is as old as its last answer from there. The workload is
+//! requests of tenths of a second at many upstreams of few slots, each of which an ingress uses
+//! less than once a second: there most of what is known is out of date, and requests sent by it are
+//! declined, or sent along a path that has fallen silent. A probe costs a round trip and two small
+//! frames for each upstream.
 
 use std::time::Duration;
 
-/// Age up to which a report counts as fresh: a slot is taken or given back a few times in it.
+/// Age up to which a report counts as fresh: a slot is taken or released a few times in it.
 pub const FRESH_FOR: Duration = Duration::from_millis(20);
-/// Part of the time left that a round trip may have for a look to be worth it.
+/// Fraction (one in this many) of the remaining time that a round trip may take for a probe to be
+/// worth it.
 const ROUND_TRIP_SHARE: u32 = 25;
-/// Round trips for which an answer is waited for.
+/// Round trips after which a probe times out.
 const WAIT_ROUNDS: u32 = 4;
-/// Shortest wait for an answer: a daemon on a small part of a processor is at other work for as long.
+/// Shortest timeout of a probe: a daemon with a small share of a processor is busy otherwise for as
+/// long.
 const WAIT_MIN: Duration = Duration::from_millis(10);
-/// Wait for an answer over a path whose round trip is not known.
+/// Timeout of a probe over a path whose round trip is not known, and the longest one.
 const WAIT_UNKNOWN: Duration = Duration::from_millis(40);
 
-/// Part of the looks that must lately have found an upstream which would take the work: where all are full a look
-/// finds nothing, and costs processor time and choices.
-const FOUND_LEAST: f64 = 0.5;
-/// Weight of the last look in that part.
+/// Share of the recent probes that must have found an upstream which would accept the request:
+/// where all are full, a probe finds nothing, and costs processor time and choices.
+const FOUND_SHARE_MIN: f64 = 0.5;
+/// Weight of the last probe in that share.
 const FOUND_WEIGHT: f64 = 1.0 / 16.0;
-/// Of requests that would not look, one in so many does, to find out whether it pays again.
+/// Of the requests that would not probe, one in this many does, to find out whether probing pays
+/// again.
 pub const TRY_EACH: u32 = 16;
 
-/// `LookGain` follows how often looks at a service find an upstream that would take the work.
+/// `LookGain` estimates how often probes of a service find an upstream that would accept the
+/// request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LookGain {
     found: f64,
-    passed: u32,
+    skipped: u32,
 }
 
 impl Default for LookGain {
     fn default() -> Self {
-        Self { found: 1.0, passed: 0 }
+        Self { found: 1.0, skipped: 0 }
     }
 }
 
 impl LookGain {
-    /// Says whether the next request looks.
+    /// Says whether the next request probes.
     pub fn looks(&mut self) -> bool {
-        if self.found >= FOUND_LEAST {
+        if self.found >= FOUND_SHARE_MIN {
             return true;
         }
-        self.passed = (self.passed + 1) % TRY_EACH;
-        self.passed == 0
+        self.skipped = (self.skipped + 1) % TRY_EACH;
+        self.skipped == 0
     }
 
-    /// Takes in whether a look found an upstream that would take the work.
+    /// Records whether a probe found an upstream that would accept the request.
     pub fn note(&mut self, found: bool) {
         let last = if found { 1.0 } else { 0.0 };
         self.found += (last - self.found) * FOUND_WEIGHT;
     }
 }
 
-/// `UpstreamLook` is how an upstream is just now.
+/// `UpstreamLook` is the current state of an upstream, as answered to a probe.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UpstreamLook {
     /// Requests in its slots.
     pub in_flight: u32,
-    /// Requests that wait for one.
+    /// Requests that wait for a slot.
     pub queued: u32,
-    /// Its slots.
+    /// Slots of the upstream.
     pub slots: u32,
     /// Whether its daemon doubts it.
     pub doubtful: bool,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Whether it is out of service.
+    /// Whether it is ejected.
     pub ejected: bool,
 }
 
 impl UpstreamLook {
-    /// Says whether its daemon would pass work on that can go elsewhere.
+    /// Says whether its daemon would decline a request that can go elsewhere.
     pub fn passes_on(&self) -> bool {
         self.doubtful || self.draining || self.ejected || self.is_full()
     }
 
-    /// Says whether work would wait.
+    /// Says whether a request would have to wait.
     pub fn is_full(&self) -> bool {
         self.in_flight >= self.slots || self.queued > 0
     }
 
-    /// Returns what it has to do for each slot.
+    /// Returns the requests per slot.
     fn load(&self) -> f64 {
         f64::from(self.in_flight + self.queued) / f64::from(self.slots.max(1))
     }
 }
 
-/// Says whether to look before work is sent along a path, with so much time left for the work.
+/// Says whether to probe before a request is sent along a path, with `left` as the request's
+/// remaining time.
 pub fn is_worth(
     report_age: Option<Duration>,
     round_trip: Option<Duration>,
@@ -104,17 +111,18 @@
     !is_fresh && is_quick
 }
 
-/// Returns how long an answer is waited for.
+/// Returns the timeout of a probe.
 pub fn wait_for(round_trip: Option<Duration>) -> Duration {
     round_trip.map_or(WAIT_UNKNOWN, |took| (took * WAIT_ROUNDS).clamp(WAIT_MIN, WAIT_UNKNOWN))
 }
 
-/// Returns the position of the better of some looks: one that would take the work, of those the least loaded.
-pub fn best(looks: &[UpstreamLook]) -> Option<usize> {
-    let rank = |look: &UpstreamLook| (look.passes_on(), look.load());
-    let ranked = looks.iter().enumerate().map(|(position, look)| (rank(look), position));
-    let least = ranked.min_by(|((passes, load), _), ((others_pass, other_load), _)| {
-        passes.cmp(others_pass).then(load.total_cmp(other_load))
+/// Returns the position of the best probed upstream: one that would accept the request, of those
+/// the least loaded.
+pub fn best(probed: &[UpstreamLook]) -> Option<usize> {
+    let rank = |load: &UpstreamLook| (load.passes_on(), load.load());
+    let ranked = probed.iter().enumerate().map(|(position, load)| (rank(load), position));
+    let least = ranked.min_by(|((is_declined, load), _), ((other_declined, other_load), _)| {
+        is_declined.cmp(other_declined).then(load.total_cmp(other_load))
     });
     least.map(|(_, position)| position)
 }
--- a/crates/decide/src/neighbours.rs
+++ b/crates/decide/src/neighbours.rs
@@ -1,33 +1,35 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Chooses whom a daemon tells of news first: its neighbours.
+//! Chooses the neighbours of a daemon in the gossip overlay: those that it sends updates to first.
 //!
-//! The load that this answers is a change that must reach every daemon in a second while some links are silent.
-//! A random graph alone leaves one daemon in fifty that nobody has chosen. So half of the neighbours are those
-//! that follow on a ring, which gives every daemon two that tell it, and half are drawn, which makes
-//! the way across the fleet short and lets no partition of the graph last.
+//! The workload is a change that must reach every daemon within a second while some links are
+//! silent. A random graph alone leaves one daemon in fifty that no other has chosen. So half of the
+//! neighbours are the next ones on a ring, which gives every daemon two that send to it, and half
+//! are drawn at random, which keeps the paths across the fleet short and lets no partition of the
+//! graph last.
 
 use crate::limits;
 
-/// Neighbours that a daemon tells. A random graph with four edges a node is connected for thousands of
-/// nodes, and news crosses it in about six steps.
+/// Neighbours that a daemon sends updates to. A random graph with four edges a node is connected
+/// for thousands of nodes, and updates cross it in about six hops.
 pub const NEIGHBOURS: usize = 4;
-/// Those of them that follow on the ring: one may be down.
+/// Neighbours that are the next ones on the ring: one may be down.
 pub const RING_NEIGHBOURS: usize = 2;
-/// Rounds of heartbeats for which the one that changes stays.
-const TURN_ROUNDS: u64 = 30;
-/// What the order on the ring is drawn by; all daemons find the same.
+/// Rounds of heartbeats after which the rotating neighbour is replaced.
+const ROTATION_ROUNDS: u64 = 30;
+/// Key of the hash that orders the ring; all daemons compute the same order.
 const RING_KEY: &str = "ring of neighbours";
 
-/// Chooses among `hosts`, which must not hold `own`. The last of them changes from time to time with `round`.
+/// Chooses the neighbours of `own` among `hosts`, which must not contain it. The last one changes
+/// from time to time with `round`.
 pub fn choose(own: &str, mut hosts: Vec<String>, round: u64) -> Vec<String> {
     let mut chosen = on_ring(own, &hosts);
     hosts.retain(|host| !chosen.contains(host));
     while chosen.len() < NEIGHBOURS && !hosts.is_empty() {
         let rotating = chosen.len() + 1 == NEIGHBOURS;
-        let turn = if rotating { round / TURN_ROUNDS } else { 0 };
-        let seed = format!("{own}#{turn}#{}", chosen.len());
+        let rotation = if rotating { round / ROTATION_ROUNDS } else { 0 };
+        let seed = format!("{own}#{rotation}#{}", chosen.len());
         let next = limits::home_of(&seed, hosts.iter().map(String::as_str));
         let next = match next {
             Some(next) => next.to_owned(),
@@ -39,12 +41,12 @@
     chosen
 }
 
-/// Returns those that follow on the ring.
+/// Returns the next hosts on the ring.
 fn on_ring(own: &str, hosts: &[String]) -> Vec<String> {
-    let place = |host: &str| (limits::weight(RING_KEY, host), host.to_owned());
-    let start = place(own);
-    let mut places: Vec<_> = hosts.iter().map(|host| place(host)).collect();
-    // Who comes before the own place follows at the end, as the ring closes.
-    places.sort_by_key(|place| (*place < start, place.clone()));
-    places.into_iter().take(RING_NEIGHBOURS).map(|(_, host)| host).collect()
+    let position = |host: &str| (limits::weight(RING_KEY, host), host.to_owned());
+    let start = position(own);
+    let mut positions: Vec<_> = hosts.iter().map(|host| position(host)).collect();
+    // Hosts before the own position come last, as the ring closes.
+    positions.sort_by_key(|position| (*position < start, position.clone()));
+    positions.into_iter().take(RING_NEIGHBOURS).map(|(_, host)| host).collect()
 }
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -1,37 +1,37 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Remembers requests that fail wherever they go.
+//! Poison requests: those that fail at whichever upstream runs them.
 //!
-//! A failure that follows a request from one upstream to another speaks against the request. The
-//! ingress that saw it marks later dispatches of the same request, so that their failures are no
-//! evidence, also where no repeat can show it: the budget is empty or the work can't be repeated.
-//! What counted before it knew is taken back.
+//! A failure that follows a request from one upstream to another is evidence against the request.
+//! The ingress that saw it marks later dispatches of the same request, so that their failures are
+//! not evidence against upstreams, also where no retry can show it: the budget is used up or the
+//! request is not repeatable. Failures that counted before it knew are withdrawn.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
 use fnv::FnvHasher;
 
-/// Requests remembered for one service: poison is rare, and what falls out is learnt again from two
-/// failures.
+/// Requests remembered for one service: poison requests are rare, and one that is evicted is
+/// detected again from two failures.
 pub const MARKS_MAX: usize = 32;
-/// Different upstreams at which a request must have failed before its failures are no evidence; a
-/// second one is also what withdraws the first failure of a repeated request.
+/// Distinct upstreams at which a request must have failed before its failures are no evidence; a
+/// second one is also what withdraws the first failure of a retried request.
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
-/// Different upstreams from which on repeating the request only spends the budget: two that are
+/// Distinct upstreams from which on a retry of the request only spends the budget: two that are
 /// sick at once are seen in practice, a third makes the request the likelier cause.
 const NO_REPEAT_UPSTREAMS: usize = 3;
 /// Time after its last failure for which a request is remembered; a caller that repeats a poison
 /// request by itself does so within seconds.
 pub const MARK_LIFE: Duration = Duration::from_secs(10);
 
-/// `RequestMark` tells requests for the same thing from others: a hash of method and target.
+/// `RequestMark` identifies requests for the same resource: a hash of method and target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestMark(u64);
 
 impl RequestMark {
-    /// Returns the mark of a request.
+    /// Returns the hash of a request.
     pub fn of(method: &str, target: &str) -> Self {
         let mut hasher = FnvHasher::default();
         method.hash(&mut hasher);
@@ -40,23 +40,23 @@
     }
 }
 
-/// `CountedFailures` is how many failures of a request stand as evidence against an upstream.
+/// `CountedFailures` is how many failures of a request count as evidence against an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CountedFailures<U> {
     /// The upstream.
     pub upstream: U,
-    /// Failures to take back.
+    /// Failures to withdraw.
     pub count: u32,
 }
 
 #[derive(Debug, Clone)]
-struct FailedMark<U> {
+struct FailedRequest<U> {
     mark: RequestMark,
     failures: Vec<CountedFailures<U>>,
     at: Duration,
 }
 
-impl<U: Clone + PartialEq> FailedMark<U> {
+impl<U: Clone + PartialEq> FailedRequest<U> {
     fn add(&mut self, upstream: U, counted: bool, now: Duration) {
         self.at = now;
         let count = u32::from(counted);
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Takes out what stands as evidence, once the request is known to fail wherever it goes.
+    /// Takes the failures that count as evidence, once the request is known to fail at any
+    /// upstream.
     fn take_counted(&mut self) -> Vec<CountedFailures<U>> {
         if self.failures.len() < NO_EVIDENCE_UPSTREAMS {
             return Vec::new();
@@ -80,11 +81,12 @@
     }
 }
 
-/// `PoisonMemory` remembers the requests to one service that lately failed, until one succeeds. It names
-/// upstreams in a way that holds when others come and go, as they do while servers fail.
+/// `PoisonMemory` remembers the requests to one service that recently failed, until one succeeds.
+/// It identifies upstreams in a way that stays valid when others come and go, as they do while
+/// servers fail.
 #[derive(Debug, Clone)]
 pub struct PoisonMemory<U> {
-    marks: Vec<FailedMark<U>>,
+    marks: Vec<FailedRequest<U>>,
 }
 
 impl<U> Default for PoisonMemory<U> {
@@ -94,12 +96,12 @@
 }
 
 impl<U: Clone + PartialEq> PoisonMemory<U> {
-    /// Says whether nothing is remembered, so that no mark need be worked out.
+    /// Says whether the table is empty, so that no hash need be computed.
     pub fn is_empty(&self) -> bool {
         self.marks.is_empty()
     }
 
-    /// Forgets what expired, so that nothing is worked out for requests long after the last failure.
+    /// Drops expired requests, so that no hashes are computed long after the last failure.
     pub fn forget_old(&mut self, now: Duration) {
         self.marks.retain(|each| now.saturating_sub(each.at) < MARK_LIFE);
     }
@@ -109,8 +111,8 @@
         self.marks.len()
     }
 
-    /// Takes in that a request failed at an upstream, and whether that `counted` as evidence there;
-    /// returns what must be taken back, now that the request is known to fail wherever it goes.
+    /// Records that a request failed at an upstream, and whether that `counted` as evidence there;
+    /// returns the failures to withdraw, now that the request is known to fail at any upstream.
     pub fn note_failure(
         &mut self,
         mark: RequestMark,
@@ -124,14 +126,14 @@
             return known.take_counted();
         }
         if self.marks.len() >= MARKS_MAX {
-            self.forget_weakest();
+            self.evict_weakest();
         }
         let failures = vec![CountedFailures { upstream, count: u32::from(counted) }];
-        self.marks.push(FailedMark { mark, failures, at: now });
+        self.marks.push(FailedRequest { mark, failures, at: now });
         Vec::new()
     }
 
-    /// Takes in that one failure at an upstream was taken back already.
+    /// Records that one failure at an upstream was already withdrawn.
     pub fn note_withdrawn(&mut self, mark: RequestMark, upstream: &U) {
         let known = self.marks.iter_mut().filter(|each| each.mark == mark);
         let failures = known.flat_map(|each| each.failures.iter_mut());
@@ -140,8 +142,8 @@
         }
     }
 
-    /// Forgets the mark with the fewest upstreams, the oldest of them.
-    fn forget_weakest(&mut self) {
+    /// Evicts the request that failed at the fewest upstreams, the oldest of those.
+    fn evict_weakest(&mut self) {
         let marks = self.marks.iter().enumerate();
         let weakest = marks.min_by_key(|(_, each)| (each.failures.len(), each.at));
         if let Some((index, _)) = weakest {
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Takes in that a request succeeded: the failures before were not its own.
+    /// Records that a request succeeded: it did not cause its failures.
     pub fn note_success(&mut self, mark: RequestMark) {
         self.marks.retain(|each| each.mark != mark);
     }
@@ -159,12 +161,12 @@
         self.failed_at(mark, now) >= NO_EVIDENCE_UPSTREAMS
     }
 
-    /// Says whether repeating the request would only spend the budget of repeats.
+    /// Says whether a retry of the request would only spend the retry budget.
     pub fn forbids_repeat(&self, mark: RequestMark, now: Duration) -> bool {
         self.failed_at(mark, now) >= NO_REPEAT_UPSTREAMS
     }
 
-    /// Returns the number of upstreams at which the request lately failed.
+    /// Returns the number of upstreams at which the request recently failed.
     pub fn failed_at(&self, mark: RequestMark, now: Duration) -> usize {
         let known = self.marks.iter().find(|each| each.mark == mark);
         known
--- a/crates/decide/src/split.rs
+++ b/crates/decide/src/split.rs
@@ -1,12 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Splits a route's requests over services by weight.
+//! Splits the requests of a route over services by weight.
 //!
-//! Each choice raises every part's credit by its weight and takes the whole sum from the part with
-//! the most credit (smooth weighted round robin), so that in any run of choices each part is off by
-//! less than one request for each ingress. The credits begin at random: the parts that many ingresses
-//! choose first are then spread as the weights are.
+//! Each choice adds each part's weight to its credit and subtracts the sum of the weights from the
+//! part with the most credit (smooth weighted round robin), so that in any run of choices each part
+//! is off by less than one request for each ingress. The credits begin at random: the parts that
+//! many ingresses choose first are then distributed as the weights are.
 
 use rand::{Rng, RngExt};
 
@@ -18,7 +18,8 @@
 }
 
 impl WeightedSplit {
-    /// Chooses the position of a part; `weights` are those in force, of which one is above zero.
+    /// Chooses the position of a part; `weights` are those in force, at least one of them above
+    /// zero.
     pub fn choose(&mut self, weights: &[u32], rng: &mut impl Rng) -> usize {
         let sum: f64 = weights.iter().copied().map(f64::from).sum();
         if self.weights != weights {
--- a/crates/decide/src/start.rs
+++ b/crates/decide/src/start.rs
@@ -1,70 +1,71 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which start of a backend server is the one that lives.
+//! Incarnations of a backend server: which start of the process is the current one.
 //!
-//! A backend server may start again under its name; what the start before said may still arrive then.
-//! Starts are told apart by their time of day, which may be set back between two of them. The load is
-//! that of servers that crash and come back while their heartbeats are held up on the way.
+//! A backend server may restart under the same name, and heartbeats of the previous incarnation may
+//! still arrive then. Incarnations are told apart by their start time, and the clock may be set
+//! back between two of them. The workload is servers that crash and restart while their heartbeats
+//! are delayed on the way.
 
 use std::time::Duration;
 
-/// Earlier starts that are remembered, to know their late heartbeats: a server that starts more often
-/// than heartbeats are held up for is of no use to callers.
-const EARLIER_MAX: usize = 8;
-/// Time over which a start that claims to be older must speak, while the newer one is silent, to be
-/// taken for the one that lives: longer than heartbeats that were held up take to arrive one after the
-/// other, and short enough that a clock set back costs callers one server for a few seconds.
-const PROOF_TIME: Duration = Duration::from_secs(2);
+/// Earlier incarnations that are remembered, to recognise their late heartbeats: a server that
+/// restarts more often than heartbeats are delayed for is of no use to callers.
+const EARLIER_INCARNATIONS_MAX: usize = 8;
+/// Time over which an incarnation that claims to be older must send heartbeats, while the newer one
+/// is silent, to count as the current one: longer than delayed heartbeats take to arrive one after
+/// the other, and short enough that a clock set back costs callers one server for a few seconds.
+const TAKEOVER_TIME: Duration = Duration::from_secs(2);
 
-/// `StartWord` is what a heartbeat says of the start that it is from.
+/// `StartWord` is what a heartbeat tells about the incarnation that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StartWord {
-    /// Unix time of the start in milliseconds, if it is told.
+    /// Unix time of the start in milliseconds, if it is reported.
     pub born: Option<u64>,
-    /// Number of the heartbeat within the start.
+    /// Sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
 }
 
-/// `StartVerdict` says what a heartbeat counts for.
+/// `StartVerdict` says how a heartbeat counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartVerdict {
-    /// It is from the start that lives.
+    /// It is from the current incarnation.
     Current,
-    /// It is from a start that takes the place of the one known.
+    /// It is from an incarnation that replaces the current one.
     Replaces,
-    /// It is from an earlier start, or may be.
+    /// It is from an earlier incarnation, or may be.
     Late,
-    /// It tells no start although others of the server did.
+    /// It reports no start time, although others of the server did.
     Unnamed,
 }
 
-/// `OlderStart` is a start that claims to be older than the current one, and that nothing was heard of
-/// before.
+/// `OlderIncarnation` is an incarnation that claims to be older than the current one, and of which
+/// no heartbeat was seen before.
 #[derive(Debug, Clone, Copy)]
-struct OlderStart {
+struct OlderIncarnation {
     born: u64,
     first_at: Duration,
     sequence: u64,
 }
 
-/// `StartTrack` follows the starts of one backend server.
+/// `StartTrack` follows the incarnations of one backend server.
 #[derive(Debug, Clone, Default)]
 pub struct StartTrack {
     current: Option<u64>,
     earlier: Vec<u64>,
-    older: Option<OlderStart>,
+    older: Option<OlderIncarnation>,
 }
 
 impl StartTrack {
-    /// Returns the start that lives, if the server tells it.
+    /// Returns the start time of the current incarnation, if the server reports it.
     pub fn current(&self) -> Option<u64> {
         self.current
     }
 
-    /// Takes a heartbeat in and says what it counts for.
-    pub fn judge(&mut self, word: StartWord, now: Duration) -> StartVerdict {
-        let (current, born) = match (self.current, word.born) {
+    /// Records a heartbeat and says how it counts.
+    pub fn judge(&mut self, claim: StartWord, now: Duration) -> StartVerdict {
+        let (current, born) = match (self.current, claim.born) {
             (None, None) => return StartVerdict::Current,
             (Some(_), None) => return StartVerdict::Unnamed,
             (None, Some(born)) => return self.replace(born),
@@ -77,13 +78,14 @@
         if self.earlier.contains(&born) {
             return StartVerdict::Late;
         }
-        if born > current || self.is_proved(born, word.sequence, now) {
+        if born > current || self.has_taken_over(born, claim.sequence, now) {
             return self.replace(born);
         }
         StartVerdict::Late
     }
 
-    /// Takes in that a start is over. One that comes after it is another, whatever its time.
+    /// Records that an incarnation has ended. The next heartbeat is of another one, whatever its
+    /// start time.
     pub fn note_over(&mut self, born: u64) {
         if self.current == Some(born) {
             self.current = None;
@@ -106,20 +108,21 @@
         if !self.earlier.contains(&born) {
             self.earlier.push(born);
         }
-        if self.earlier.len() > EARLIER_MAX {
+        if self.earlier.len() > EARLIER_INCARNATIONS_MAX {
             self.earlier.remove(0);
         }
     }
 
-    /// Says whether a start that claims to be older lives: it goes on speaking, and the newer doesn't.
-    fn is_proved(&mut self, born: u64, sequence: u64, now: Duration) -> bool {
+    /// Says whether an incarnation that claims to be older is the current one: it goes on sending
+    /// heartbeats, and the newer one doesn't.
+    fn has_taken_over(&mut self, born: u64, sequence: u64, now: Duration) -> bool {
         match self.older {
             Some(older) if older.born == born => {
                 let rises = sequence > older.sequence;
-                rises && now.saturating_sub(older.first_at) >= PROOF_TIME
+                rises && now.saturating_sub(older.first_at) >= TAKEOVER_TIME
             }
             _ => {
-                self.older = Some(OlderStart { born, first_at: now, sequence });
+                self.older = Some(OlderIncarnation { born, first_at: now, sequence });
                 false
             }
         }
--- a/crates/decide/src/stop.rs
+++ b/crates/decide/src/stop.rs
@@ -1,43 +1,48 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The phases of a planned stop: what is still taken, and when the process may end.
+//! The phases of a graceful shutdown: what is still accepted, and when the process may end.
 //!
-//! The load is that of callers who go on sending for as long as the daemon lives. They hear late that
-//! it leaves, and where most of a failure domain stops at once, they are sent nowhere else: one in 15 of
-//! the requests that stopping daemons took came later than half of the grace (66 of 959, logs of 62
-//! stops in series). So a stop first closes, which takes nothing more, and ends only after that: what
-//! was taken has ended then, and nothing can come in between.
+//! The workload is callers who go on sending for as long as the daemon runs. They learn late that
+//! it leaves, and where most of a failure domain stops at once, they have nowhere else to send to:
+//! one in 15 of the requests that stopping daemons accepted came later than half of the drain time
+//! (66 of 959, logs of 62 stops in series). So a stop first closes, after which nothing more is
+//! accepted, and ends only then: what was accepted has ended by that time, and nothing can come in
+//! between.
 //!
-//! Until the callers have heard, the backend servers beside the daemon go on working: they are not
-//! leaving. Where a third of a fleet stops at once, as much of its capacity would be idle for that time:
-//! a server got nothing for 3.4 s in the middle, and gets nothing for 1.5 s (logs of 372 stops each).
+//! Until the callers have learnt of the stop, the backend servers on the daemon's host go on
+//! serving: they are not leaving. Where a third of a fleet stops at once, as much of its capacity
+//! would be idle for that time: a server got no requests for 3.4 s in the median, and gets none for
+//! 1.5 s (logs of 372 stops each).
 
 use std::time::Duration;
 
-/// Share of the longest drain for which work is taken, however long callers take to hear: what comes last
-/// has as long to end as the daemon listened to them. What is refused after it ran nowhere.
+/// Share of the longest drain for which requests are accepted, however long callers take to learn
+/// of the stop: the last request has as long to end as the daemon accepted requests. What is
+/// refused after that ran nowhere.
 const OPEN_SHARE: f64 = 0.5;
-/// Time before the end of the shortest drain at which the other daemons are told: no way there and back
-/// is longer than 0.3 s (between far regions), so that nothing of theirs is on its way when the daemon ends.
-const HAND_OVER: Duration = Duration::from_millis(400);
-/// Time before the end of the longest drain at which requests that still wait are answered as not known:
-/// an answer takes a few milliseconds to its caller, and a connection that just ends says less.
-const LAST_ANSWERS: Duration = Duration::from_millis(300);
+/// Time before the end of the shortest drain at which the other daemons are told: no round trip is
+/// longer than 0.3 s (between far regions), so that no request of theirs is on its way when the
+/// daemon ends.
+const HANDOVER_TIME: Duration = Duration::from_millis(400);
+/// Time before the end of the longest drain at which requests that still wait are answered as of
+/// unknown outcome: an answer takes a few milliseconds to its caller, and a connection that just
+/// ends tells it less.
+const LAST_ANSWERS_TIME: Duration = Duration::from_millis(300);
 
-/// `StopPhase` is how far a stop is.
+/// `StopPhase` is the phase of a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum StopPhase {
-    /// Callers' requests and the work of other daemons are taken.
+    /// Requests of callers and of other daemons are accepted.
     #[default]
     Open,
-    /// The other daemons are told; their work is refused, callers' requests are still taken.
+    /// The other daemons are told; their requests are refused, those of callers are still accepted.
     HandingOver,
-    /// Only calls of work that runs here are taken; all else is refused as not run.
+    /// Only nested calls of requests that run here are accepted; all else is refused as not run.
     Closed,
-    /// Who still waits is told that the end is not known.
+    /// Callers that still wait are told that the outcome is unknown.
     GivingUp {
-        /// When that began.
+        /// When this phase began.
         since: Duration,
     },
     /// The process ends.
@@ -47,11 +52,11 @@
 /// `StopCause` says why a daemon ends now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopCause {
-    /// What was taken has ended.
+    /// Everything that was accepted has ended.
     Idle,
     /// The longest drain was over before that.
     Time,
-    /// It was asked to end at once.
+    /// The daemon was asked to end at once.
     Signal,
 }
 
@@ -66,17 +71,17 @@
     }
 }
 
-/// `StopTerms` are the bounds of a stop, as times since it was asked for.
+/// `StopTerms` are the time limits of a stop, counted from the request to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopTerms {
-    /// Shortest drain: within it callers hear that the daemon leaves.
+    /// Shortest drain: within it callers learn that the daemon leaves.
     pub shortest: Duration,
-    /// Longest drain: the process ends then, whatever is in flight.
+    /// Longest drain: the process ends after it, whatever is in flight.
     pub longest: Duration,
 }
 
 impl StopTerms {
-    /// Returns the phase that follows, `elapsed` after the stop was asked for, while so many things are
+    /// Returns the next phase, `elapsed` after the stop was requested, while this many things are
     /// `unfinished` that must be done before the process may end.
     pub fn next(&self, phase: StopPhase, elapsed: Duration, unfinished: usize) -> StopPhase {
         let is_idle = unfinished == 0;
@@ -86,25 +91,28 @@
                 StopPhase::Closed
             }
             StopPhase::HandingOver if elapsed >= self.closes_after() => StopPhase::Closed,
-            // Idle while closed: nothing was taken since. To close and end on the same look would cut what
-            // comes with it.
+            // Idle while closed: nothing was accepted since. Closing and ending on the same check
+            // would cut off requests that arrive with it.
             StopPhase::Closed if is_idle => StopPhase::Over(StopCause::Idle),
             StopPhase::Closed if elapsed >= self.gives_up_after() => {
                 StopPhase::GivingUp { since: elapsed }
             }
-            // A daemon that slept gives up late; its last answers take as long as ever.
-            StopPhase::GivingUp { since } if is_idle || elapsed >= since + LAST_ANSWERS => {
+            // A daemon whose host was suspended gives up late; its last answers take as long as
+            // ever.
+            StopPhase::GivingUp { since } if is_idle || elapsed >= since + LAST_ANSWERS_TIME => {
                 StopPhase::Over(StopCause::Time)
             }
             same => same,
         }
     }
 
-    /// Says whether a request is taken, `elapsed` after the stop was asked for. A call of work that runs
-    /// here is taken longer: the stop waits for that work, which fails without it.
+    /// Says whether a request is accepted, `elapsed` after the stop was requested. A nested call of
+    /// a request that runs here is accepted for longer: the stop waits for that request, which
+    /// fails without it.
     ///
-    /// The phase is that of the last look. A daemon that slept since then goes by the clock, lest it take
-    /// requests on waking, run them, and give them up 40 ms later (tests with a stopped process).
+    /// The phase is that of the last check. A daemon whose host was suspended since then goes by
+    /// the clock; otherwise it would accept requests on resuming, run them, and give them up 40 ms
+    /// later (tests with a stopped process).
     pub fn takes(&self, phase: StopPhase, elapsed: Duration, is_call: bool) -> bool {
         match phase {
             StopPhase::Open | StopPhase::HandingOver if elapsed < self.closes_after() => true,
@@ -115,22 +123,23 @@
         }
     }
 
-    /// Says whether work at a backend server of this host is started that must end `ends` after the stop was
-    /// asked for. Once the other daemons are told it must be sure to end: work that waits here for seconds
-    /// is else lost to callers whose own daemon stops as well (8 requests in logs of 870 stops in series, on a
-    /// fleet whose requests may last for 10 s).
+    /// Says whether a request that must end `ends` after the stop was requested is started at a
+    /// backend server of this host. Once the other daemons are told, it must be certain to end: a
+    /// request that waits here for seconds is otherwise lost to a caller whose own daemon stops as
+    /// well (8 requests in logs of 870 stops in series, on a fleet whose requests may last for 10
+    /// s).
     pub fn starts(&self, phase: StopPhase, ends: Duration) -> bool {
         phase == StopPhase::Open || ends <= self.gives_up_after()
     }
 
-    /// Returns the time after which who still waits is given up.
+    /// Returns the time after which requests that still wait are given up.
     pub fn gives_up_after(&self) -> Duration {
-        self.longest.saturating_sub(LAST_ANSWERS)
+        self.longest.saturating_sub(LAST_ANSWERS_TIME)
     }
 
     /// Returns the time after which the other daemons are told.
     fn hands_over_after(&self) -> Duration {
-        self.may_close_after().saturating_sub(HAND_OVER)
+        self.may_close_after().saturating_sub(HANDOVER_TIME)
     }
 
     /// Returns the time after which the stop closes once nothing is in flight.
--- a/crates/decide/src/track.rs
+++ b/crates/decide/src/track.rs
@@ -1,27 +1,27 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Running estimates that follow the recent past.
+//! Running estimates over recent requests.
 
 use std::time::Duration;
 
 use crate::evidence;
 
-/// Weight of a new sample once there are many: an estimate follows the last dozen requests, so
+/// Weight of a new sample once there are many: an estimate covers about the last dozen requests, so
 /// that a change shared by all upstreams moves the baseline about as fast as it moves a detector.
 const SAMPLE_WEIGHT: f64 = 0.08;
-/// Deviations beyond which a sample counts no more than one this far off (Huber's bound).
+/// Deviations at which a sample is clipped (Huber's bound).
 const CLIP_DEVIATIONS: f64 = 2.0;
 /// Ratio of the standard deviation to the mean absolute deviation of a normal distribution.
 const MEAN_TO_STANDARD: f64 = 1.2533;
-/// Least spread; below it, noise of the system would count as a change.
+/// Lower bound of the spread; below it, noise of the system would count as a change.
 pub const SPREAD_MIN: f64 = 0.15;
-/// Largest spread: beyond a factor of e² a service has no typical time to compare with.
+/// Upper bound of the spread: beyond a factor of e², a service has no typical time to compare with.
 pub const SPREAD_MAX: f64 = 2.0;
 /// Spread assumed before there are samples.
 const SPREAD_START: f64 = 0.5;
 
-/// `LatencyEstimate` follows the centre and spread of the logarithm of service times.
+/// `LatencyEstimate` estimates the centre and spread of the logarithm of service times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LatencyEstimate {
     centre: f64,
@@ -36,7 +36,7 @@
 }
 
 impl LatencyEstimate {
-    /// Takes one service time in.
+    /// Records one service time.
     pub fn note(&mut self, latency: Duration) {
         let value = evidence::log_micros(latency);
         self.samples = self.samples.saturating_add(1);
@@ -53,7 +53,7 @@
         self.spread = self.spread.clamp(SPREAD_MIN, SPREAD_MAX);
     }
 
-    /// Returns the centre: the natural logarithm of µs.
+    /// Returns the centre, a natural logarithm of µs.
     pub fn centre(&self) -> f64 {
         self.centre
     }
@@ -63,19 +63,20 @@
         self.spread
     }
 
-    /// Returns how many samples were taken in.
+    /// Returns the number of samples.
     pub fn samples(&self) -> u32 {
         self.samples
     }
 }
 
-/// Weight of a new sample in the slow estimate of a share: rare events need a long memory.
+/// Weight of a new sample in the slow estimate of a rate: rare events need a long memory.
 const RARE_WEIGHT: f64 = 0.005;
 
-/// `RateEstimate` follows the share of requests for which something is true.
+/// `RateEstimate` estimates the share of requests for which a condition holds.
 ///
-/// It keeps a fast and a slow estimate and tells the higher one: a share that all upstreams have
-/// lately got counts at once, and one that is rare but usual is not forgotten between two events.
+/// It keeps a fast and a slow estimate and returns the higher one: a rate that has recently risen
+/// at all upstreams counts at once, and a rare but regular event is not forgotten between two
+/// occurrences.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RateEstimate {
     fast: f64,
@@ -84,10 +85,10 @@
 }
 
 impl RateEstimate {
-    /// Takes one request in.
+    /// Records one request.
     pub fn note(&mut self, is_true: bool) {
         self.samples = self.samples.saturating_add(1);
-        // Starts from zero rather than from the first sample: one early failure is no rate of 1.
+        // Starts from zero rather than from the first sample: one early failure is not a rate of 1.
         let start = 1.0 / f64::from(self.samples + 8);
         let value = if is_true { 1.0 } else { 0.0 };
         self.fast += SAMPLE_WEIGHT.max(start) * (value - self.fast);
@@ -100,11 +101,11 @@
     }
 }
 
-/// Time over which a peak loses most of its height.
+/// Time constant with which a peak decays.
 const PEAK_LIFE: Duration = Duration::from_secs(5);
 
-/// `DecayingPeak` follows the highest of the values that were lately told of the same thing by several
-/// parties, each of which sees a part only.
+/// `DecayingPeak` is the decaying maximum of the values that several parties, each of which sees
+/// only a part, recently reported of the same quantity.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct DecayingPeak {
     height: f64,
@@ -112,7 +113,7 @@
 }
 
 impl DecayingPeak {
-    /// Takes a value in and returns the peak.
+    /// Records a value and returns the peak.
     pub fn note(&mut self, value: f64, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
         let left = self.height * (-age / PEAK_LIFE.as_secs_f64()).exp();
