--- a/crates/decide/src/allowance.rs
+++ b/crates/decide/src/allowance.rs
@@ -38,8 +38,7 @@
 /// slots are free: a slot is free only until a request that hangs has taken it.
 const SERVICE_HUNG_MIN: f64 = 10.0;
 
-/// `LongWork` holds the decaying counts of requests that ran longer than nearly all sound requests
-/// do.
+/// `LongWork` holds decaying counts of requests that ran longer than nearly all sound ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LongWork {
     /// Requests that made no progress, less those that were answered after all.
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -522,12 +522,13 @@
         }
     }
 
-    /// Chooses the best upstream, in this order: one in the own failure domain that is not a
-    /// suspect and not loaded; one that is not a suspect and has a free slot; one that is not a
-    /// suspect, to queue there, as a request behind others at a sound upstream is served sooner
-    /// than one that hangs; for a repeatable request that would be refused there, a suspect with
-    /// idle slots; any, by its cost; and where there is none, one whose link is up again after a
-    /// cut.
+    /// Chooses the best upstream, in this order: where the upstream can't decline any more, one
+    /// that just declined as full but is not a suspect; one in the own failure domain that is not a
+    /// suspect and not loaded; one there to queue at, for the rounds that the request's bytes are
+    /// worth; one that is not a suspect and has a free slot; one that is not a suspect, to queue
+    /// there, as a request behind others at a sound upstream is served sooner than one that hangs;
+    /// for a repeatable request that would be refused there, a suspect with idle slots; any, by its
+    /// cost; and where there is none, one whose link is up again after a cut.
     fn best(
         &self,
         terms: &ChoiceTerms,
@@ -602,7 +603,7 @@
     /// Says whether a request would find room in an upstream's queue. A refused request is lost for
     /// certain, so a repeatable one goes to a suspect with idle slots, which serves a part of what
     /// it gets, before it is sent where there is no room. On days of a full service whose servers
-    /// hang by turns, with attempts bounded by [`crate::allowance`], this gains 0.024 of worth in
+    /// hang by turns, with attempts bounded by the adaptive timeout, this gains 0.024 of worth in
     /// the mean of ten runs.
     fn has_queue_room(&self, view: &LoadView, now: Duration) -> bool {
         let queue_rounds = f64::from(self.queue) / f64::from(view.slots.max(1));
--- a/crates/decide/src/caution.rs
+++ b/crates/decide/src/caution.rs
@@ -104,10 +104,10 @@
     }
 
     /// Records a failure; says whether the upstream is doubted from now on.
-    pub fn note_failure(&mut self, sort: FailureSort, now: Duration) -> bool {
+    pub fn note_failure(&mut self, kind: FailureSort, now: Duration) -> bool {
         self.successes = 0;
         self.failures += 1;
-        if sort == FailureSort::Answered && self.failures < ANSWERED_FAILURES {
+        if kind == FailureSort::Answered && self.failures < ANSWERED_FAILURES {
             return false;
         }
         self.is_hang = false;
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -384,8 +384,8 @@
         now: Duration,
     ) -> Option<HealthChange> {
         match failure {
-            Some(sort) => {
-                let doubted = self.caution.note_failure(sort, now);
+            Some(kind) => {
+                let doubted = self.caution.note_failure(kind, now);
                 doubted.then_some(HealthChange::Doubted)
             }
             None => {
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -170,8 +170,7 @@
     Ask(f64),
 }
 
-/// `AloneTerms` is what an ingress applies of a limit while it reaches neither the owner nor its
-/// backup.
+/// `AloneTerms` is what an ingress enforces while it reaches neither the owner nor the backup.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AloneTerms {
     /// Requests a second of the limit.
--- a/crates/decide/src/look.rs
+++ b/crates/decide/src/look.rs
@@ -6,9 +6,9 @@
 //!
 //! What an ingress knows of an upstream is as old as its last answer from there. The workload is
 //! requests of tenths of a second at many upstreams of few slots, each of which an ingress uses
-//! less than once a second: there most of what is known is out of date, and requests sent by it are
-//! declined, or sent along a path that has fallen silent. A probe costs a round trip and two small
-//! frames for each upstream.
+//! less than once a second: there most of what is known is out of date, and requests that are sent
+//! by it are declined, or sent along a path that has fallen silent. A probe costs a round trip and
+//! two small frames for each upstream.
 
 use std::time::Duration;
 
@@ -18,12 +18,12 @@
 /// worth it.
 const ROUND_TRIP_SHARE: u32 = 25;
 /// Round trips after which a probe times out.
-const WAIT_ROUNDS: u32 = 4;
+const TIMEOUT_ROUND_TRIPS: u32 = 4;
 /// Shortest timeout of a probe: a daemon with a small share of a processor is busy otherwise for as
 /// long.
-const WAIT_MIN: Duration = Duration::from_millis(10);
+const TIMEOUT_MIN: Duration = Duration::from_millis(10);
 /// Timeout of a probe over a path whose round trip is not known, and the longest one.
-const WAIT_UNKNOWN: Duration = Duration::from_millis(40);
+const TIMEOUT_MAX: Duration = Duration::from_millis(40);
 
 /// Share of the recent probes that must have found an upstream which would accept the request:
 /// where all are full, a probe finds nothing, and costs processor time and choices.
@@ -113,7 +113,8 @@
 
 /// Returns the timeout of a probe.
 pub fn wait_for(round_trip: Option<Duration>) -> Duration {
-    round_trip.map_or(WAIT_UNKNOWN, |took| (took * WAIT_ROUNDS).clamp(WAIT_MIN, WAIT_UNKNOWN))
+    round_trip
+        .map_or(TIMEOUT_MAX, |took| (took * TIMEOUT_ROUND_TRIPS).clamp(TIMEOUT_MIN, TIMEOUT_MAX))
 }
 
 /// Returns the position of the best probed upstream: one that would accept the request, of those
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -21,7 +21,7 @@
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
 /// Distinct upstreams from which on a retry of the request only spends the budget: two that are
 /// sick at once are seen in practice, a third makes the request the likelier cause.
-const NO_REPEAT_UPSTREAMS: usize = 3;
+const NO_RETRY_UPSTREAMS: usize = 3;
 /// Time after its last failure for which a request is remembered; a caller that repeats a poison
 /// request by itself does so within seconds.
 pub const MARK_LIFE: Duration = Duration::from_secs(10);
@@ -51,7 +51,7 @@
 
 #[derive(Debug, Clone)]
 struct FailedRequest<U> {
-    mark: RequestMark,
+    request: RequestMark,
     failures: Vec<CountedFailures<U>>,
     at: Duration,
 }
@@ -63,7 +63,7 @@
         let known = self.failures.iter().position(|each| each.upstream == upstream);
         if let Some(index) = known {
             self.failures[index].count += count;
-        } else if counted || self.failures.len() < NO_REPEAT_UPSTREAMS {
+        } else if counted || self.failures.len() < NO_RETRY_UPSTREAMS {
             self.failures.push(CountedFailures { upstream, count });
         }
     }
@@ -76,7 +76,7 @@
         }
         let counted = self.failures.iter().filter(|each| each.count > 0).cloned().collect();
         self.failures.iter_mut().for_each(|each| each.count = 0);
-        self.failures.truncate(NO_REPEAT_UPSTREAMS);
+        self.failures.truncate(NO_RETRY_UPSTREAMS);
         counted
     }
 }
@@ -86,56 +86,56 @@
 /// servers fail.
 #[derive(Debug, Clone)]
 pub struct PoisonMemory<U> {
-    marks: Vec<FailedRequest<U>>,
+    requests: Vec<FailedRequest<U>>,
 }
 
 impl<U> Default for PoisonMemory<U> {
     fn default() -> Self {
-        Self { marks: Vec::new() }
+        Self { requests: Vec::new() }
     }
 }
 
 impl<U: Clone + PartialEq> PoisonMemory<U> {
     /// Says whether the table is empty, so that no hash need be computed.
     pub fn is_empty(&self) -> bool {
-        self.marks.is_empty()
+        self.requests.is_empty()
     }
 
     /// Drops expired requests, so that no hashes are computed long after the last failure.
     pub fn forget_old(&mut self, now: Duration) {
-        self.marks.retain(|each| now.saturating_sub(each.at) < MARK_LIFE);
+        self.requests.retain(|each| now.saturating_sub(each.at) < MARK_LIFE);
     }
 
     /// Returns the number of requests remembered, at most [`MARKS_MAX`].
     pub fn len(&self) -> usize {
-        self.marks.len()
+        self.requests.len()
     }
 
     /// Records that a request failed at an upstream, and whether that `counted` as evidence there;
     /// returns the failures to withdraw, now that the request is known to fail at any upstream.
     pub fn note_failure(
         &mut self,
-        mark: RequestMark,
+        request: RequestMark,
         upstream: U,
         counted: bool,
         now: Duration,
     ) -> Vec<CountedFailures<U>> {
         self.forget_old(now);
-        if let Some(known) = self.marks.iter_mut().find(|each| each.mark == mark) {
+        if let Some(known) = self.requests.iter_mut().find(|each| each.request == request) {
             known.add(upstream, counted, now);
             return known.take_counted();
         }
-        if self.marks.len() >= MARKS_MAX {
+        if self.requests.len() >= MARKS_MAX {
             self.evict_weakest();
         }
         let failures = vec![CountedFailures { upstream, count: u32::from(counted) }];
-        self.marks.push(FailedRequest { mark, failures, at: now });
+        self.requests.push(FailedRequest { request, failures, at: now });
         Vec::new()
     }
 
     /// Records that one failure at an upstream was already withdrawn.
-    pub fn note_withdrawn(&mut self, mark: RequestMark, upstream: &U) {
-        let known = self.marks.iter_mut().filter(|each| each.mark == mark);
+    pub fn note_withdrawn(&mut self, request: RequestMark, upstream: &U) {
+        let known = self.requests.iter_mut().filter(|each| each.request == request);
         let failures = known.flat_map(|each| each.failures.iter_mut());
         for failure in failures.filter(|failure| failure.upstream == *upstream) {
             failure.count = failure.count.saturating_sub(1);
@@ -144,31 +144,31 @@
 
     /// Evicts the request that failed at the fewest upstreams, the oldest of those.
     fn evict_weakest(&mut self) {
-        let marks = self.marks.iter().enumerate();
-        let weakest = marks.min_by_key(|(_, each)| (each.failures.len(), each.at));
+        let requests = self.requests.iter().enumerate();
+        let weakest = requests.min_by_key(|(_, each)| (each.failures.len(), each.at));
         if let Some((index, _)) = weakest {
-            self.marks.swap_remove(index);
+            self.requests.swap_remove(index);
         }
     }
 
     /// Records that a request succeeded: it did not cause its failures.
-    pub fn note_success(&mut self, mark: RequestMark) {
-        self.marks.retain(|each| each.mark != mark);
+    pub fn note_success(&mut self, request: RequestMark) {
+        self.requests.retain(|each| each.request != request);
     }
 
     /// Says whether a failure of the request is no evidence against an upstream.
-    pub fn spares(&self, mark: RequestMark, now: Duration) -> bool {
-        self.failed_at(mark, now) >= NO_EVIDENCE_UPSTREAMS
+    pub fn spares(&self, request: RequestMark, now: Duration) -> bool {
+        self.failed_at(request, now) >= NO_EVIDENCE_UPSTREAMS
     }
 
     /// Says whether a retry of the request would only spend the retry budget.
-    pub fn forbids_repeat(&self, mark: RequestMark, now: Duration) -> bool {
-        self.failed_at(mark, now) >= NO_REPEAT_UPSTREAMS
+    pub fn forbids_repeat(&self, request: RequestMark, now: Duration) -> bool {
+        self.failed_at(request, now) >= NO_RETRY_UPSTREAMS
     }
 
     /// Returns the number of upstreams at which the request recently failed.
-    pub fn failed_at(&self, mark: RequestMark, now: Duration) -> usize {
-        let known = self.marks.iter().find(|each| each.mark == mark);
+    pub fn failed_at(&self, request: RequestMark, now: Duration) -> usize {
+        let known = self.requests.iter().find(|each| each.request == request);
         known
             .filter(|each| now.saturating_sub(each.at) < MARK_LIFE)
             .map_or(0, |each| each.failures.len())
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -30,7 +30,7 @@
 pub const REFUSED_CRASHES: u32 = 3;
 /// Crashes in a chain from which a daemon does not retry a request by itself: the next copy is left
 /// to its caller, and by then the notice of a successful run elsewhere may have arrived.
-const NO_REPEAT_CRASHES: u32 = 2;
+const NO_RETRY_CRASHES: u32 = 2;
 /// Time for which a request is remembered after its last copy: callers that send it again by a
 /// schedule do so within minutes, and a forgotten one costs three servers again.
 pub const SUSPECT_LIFE: Duration = Duration::from_secs(600);
@@ -66,7 +66,7 @@
 
     /// Says whether a daemon may retry the request by itself.
     pub fn allows_repeat(self) -> bool {
-        self.crashes < NO_REPEAT_CRASHES
+        self.crashes < NO_RETRY_CRASHES
     }
 }
 
