--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// `FreshWord` is a confirmation that nothing later than the configuration in force was accepted.
+/// `FreshWord` confirms that nothing later than the configuration in force was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshWord {
     /// Time for which it holds.
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -236,8 +236,8 @@
             .then(|| record.notice(notice.fingerprint, now))
     }
 
-    /// Says what is done with a copy that arrived; `makes_trials` tells whether this daemon makes the
-    /// trials of the request, as one of the fleet does.
+    /// Says what is done with a copy that arrived; `makes_trials` tells whether this daemon is the
+    /// one of the fleet that makes the trials of the request.
     pub fn judge(
         &mut self,
         fingerprint: &RequestFingerprint,
