--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -150,7 +150,7 @@
         self.ended_evidence * (-age / EVIDENCE_LIFE.as_secs_f64()).exp()
     }
 
-    /// Returns the evidence of a hang: above 0, a hang is likelier than before any request.
+    /// Returns the evidence of a hang: from 0 on, a hang is likelier than before any request.
     pub fn evidence(&self, now: Duration) -> f64 {
         let beyond_usual = |request: &RunningRequest| request.evidence(now) - RUNNING_EVIDENCE_MEAN;
         let running: f64 = self.running.iter().map(beyond_usual).sum();
--- a/crates/decide/src/stop.rs
+++ b/crates/decide/src/stop.rs
@@ -4,9 +4,9 @@
 //! The phases of a graceful shutdown: what is still accepted, and when the process may end.
 //!
 //! The workload is callers who go on sending for as long as the daemon runs. They learn late that
-//! it leaves, and where most of a failure domain stops at once, they have nowhere else to send to:
-//! one in 15 of the requests that stopping daemons accepted came later than half of the drain time
-//! (66 of 959, logs of 62 stops in series). So a stop first closes, after which nothing more is
+//! it leaves, and where most of a failure domain stops at once, they are directed nowhere else: one
+//! in 15 of the requests that stopping daemons accepted came later than half of the drain time (66
+//! of 959, logs of 62 stops in series). So a stop first closes, after which nothing more is
 //! accepted, and ends only then: what was accepted has ended by that time, and nothing can come in
 //! between.
 //!
@@ -147,7 +147,7 @@
         self.shortest.min(self.closes_after())
     }
 
-    /// Returns the time after which the stop closes although work is in flight.
+    /// Returns the time after which the stop closes although requests are in flight.
     fn closes_after(&self) -> Duration {
         self.longest.mul_f64(OPEN_SHARE)
     }
