--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -1,11 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Slots of one backend server, and who waits before them.
+//! The slots of one backend server and the queue of requests that wait for them.
 //!
-//! Slots are counted exactly. Whoever can't be served in time is refused at once rather than near the deadline.
-//! Work waits here in one of two ways: whole, so that it is lost with this daemon, or by a place that it holds here
-//! and at other hosts, which costs the others nothing.
+//! Slots are counted exactly. A request that can't be served in time is refused at once rather than
+//! near its deadline. A request waits in one of two ways: it was sent here and is queued, so that
+//! it is lost with this daemon; or it stays at its ingress and holds a reservation here and at
+//! other hosts, so that the loss of one costs it nothing.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -19,17 +20,20 @@
 use basaltarch_decide::order::{self, WaitingWork};
 use basaltarch_decide::proof::ProofTerms;
 
-/// Share of the time left that whole work may wait for a slot: what has waited for longer is seldom done in
-/// time, and its caller can still turn elsewhere.
+/// Share of the time left until its deadline that a queued request may wait for a slot. One that
+/// has waited for longer seldom completes in time, and a caller that is refused by then can still
+/// try elsewhere.
 const WAIT_SHARE_MAX: f64 = 0.45;
-/// Places for each slot that can be held at once. Work holds several and takes one, so that this is as much as
-/// callers usually wait for; each costs the daemon about two kilobytes.
-const PLACES_PER_SLOT: u32 = 8;
-/// Work that is called in ahead of the slots that are free: it comes while the next slot gets free, which would stand
-/// idle for a way there and back otherwise.
-const CALLED_AHEAD: u32 = 1;
-/// Part of a place that counts as work before others: the rest of the work that holds it goes elsewhere.
-const PLACE_WEIGHT: f64 = 0.5;
+/// Reservations that can be held at once for each slot. A request holds several and uses one, so
+/// that the limit corresponds to the time that callers usually wait. Each reservation costs the
+/// daemon about two kilobytes.
+const RESERVATIONS_PER_SLOT: u32 = 8;
+/// Slots offered to reservations beyond those that are free. The request arrives while the next
+/// slot becomes free, which would otherwise stay idle for a round trip.
+const OFFERS_AHEAD: u32 = 1;
+/// Weight of a reservation in the length of the queue, where a queued request counts as one: the
+/// other requests that hold reservations here are served elsewhere.
+const RESERVATION_WEIGHT: f64 = 0.5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WaitState {
@@ -38,15 +42,15 @@
     Refused(NotRunReason),
 }
 
-/// `WaitKind` says what waits.
+/// `WaitKind` is the way in which a request waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WaitKind {
-    /// Work that was sent here to wait.
-    Whole,
-    /// A place; its work is still at its ingress, and may hold places elsewhere too.
-    Place,
-    /// Work that came when it was called in.
-    CalledIn,
+    /// The request was sent here and is queued.
+    Queued,
+    /// A reservation; its request is still at the ingress and may hold reservations elsewhere too.
+    Reservation,
+    /// The request was sent here after its reservation had been offered a slot.
+    Offered,
 }
 
 struct QueueWaiter {
@@ -57,7 +61,7 @@
 }
 
 impl QueueWaiter {
-    fn settle(&self, state: WaitState) {
+    fn resolve(&self, state: WaitState) {
         self.state.set(state);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
@@ -65,85 +69,91 @@
     }
 }
 
-/// `SlotQueue` gives out the slots of one backend server.
+/// `SlotQueue` assigns the slots of one backend server to requests.
 pub struct SlotQueue {
     clock: DaemonClock,
     slots: Cell<u32>,
     used: Cell<u32>,
-    /// Work that was called in and has no slot yet.
-    called: Cell<u32>,
-    /// When a call of running work last had to wait.
-    call_waited_at: Cell<Option<Duration>>,
-    /// When work last ended well.
-    ended_at: Cell<Option<Duration>>,
+    /// Offers whose request has no slot yet.
+    offered: Cell<u32>,
+    /// When a nested call last had to wait.
+    call_queued_at: Cell<Option<Duration>>,
+    /// When a request last completed successfully.
+    completed_at: Cell<Option<Duration>>,
     limit: Cell<u32>,
     waiting: RefCell<Vec<Rc<QueueWaiter>>>,
-    /// Slots that were given to work that had waited.
+    /// Number of slots that were given to waiting requests.
     turn: Cell<u32>,
 }
 
 /// `SlotRequest` asks for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotRequest {
-    /// What the order of those who wait goes by.
+    /// Properties that decide the order of waiting requests.
     pub work: WaitingWork,
-    /// Whether the ingress can send the work elsewhere within the floor.
+    /// Whether the ingress can send the request elsewhere without taking the service below its
+    /// capacity floor.
     pub refusable: bool,
     /// Whether the ingress can ask another upstream.
     pub passable: bool,
-    /// Whether the work must not be repeated and goes, while it can, where work ended lately.
+    /// Whether the request is not repeatable and should, if possible, go to a server that completed
+    /// one lately.
     pub wants_proof: bool,
 }
 
 impl SlotQueue {
-    /// Builds a queue of at most `limit` before `slots`.
+    /// Builds a queue of at most `limit` requests for `slots` slots.
     pub fn new(slots: u32, limit: u32, clock: DaemonClock) -> Self {
         Self {
             clock,
             slots: Cell::new(slots),
             used: Cell::new(0),
-            called: Cell::new(0),
-            call_waited_at: Cell::new(None),
-            ended_at: Cell::new(None),
+            offered: Cell::new(0),
+            call_queued_at: Cell::new(None),
+            completed_at: Cell::new(None),
             limit: Cell::new(limit),
             waiting: RefCell::default(),
             turn: Cell::new(0),
         }
     }
 
-    /// Changes the numbers; slots in use stay so until they are given back.
+    /// Changes the number of slots and the limit of the queue; slots in use stay so until they are
+    /// released.
     pub fn configure(&self, slots: u32, limit: u32) {
         self.slots.set(slots);
         self.limit.set(limit);
-        self.hand_on();
+        self.grant_free_slots();
     }
 
-    /// Takes in that work ended well.
+    /// Records that a request completed successfully.
     pub fn note_end(&self) {
-        self.ended_at.set(Some(self.clock.now()));
+        self.completed_at.set(Some(self.clock.now()));
     }
 
-    /// Says whether a request should go elsewhere for now, as nothing shows that the backend server doesn't hang.
-    fn lacks_proof(&self, request: &SlotRequest, now: Duration) -> bool {
+    /// Says whether a request should go elsewhere for now, as no recent completion shows that the
+    /// backend server doesn't hang.
+    fn lacks_recent_progress(&self, request: &SlotRequest, now: Duration) -> bool {
         let terms = ProofTerms {
-            running: self.used.get() + self.called.get(),
-            quiet: self.ended_at.get().map(|at| now.saturating_sub(at)),
+            running: self.used.get() + self.offered.get(),
+            quiet: self.completed_at.get().map(|at| now.saturating_sub(at)),
             usual: request.work.usual,
         };
         request.wants_proof && terms.is_unproven()
     }
 
-    /// Says whether work may get a slot now, or be called in.
+    /// Says whether a request may get a slot, or a reservation be offered one, now.
     fn may_start(&self, kind: WaitKind, request: &SlotRequest, now: Duration) -> bool {
         let work = &request.work;
-        let waited_at = self.call_waited_at.get();
-        let calls_wait = waited_at.is_some_and(|at| now.saturating_sub(at) < order::KEEP_TIME);
+        let queued_at = self.call_queued_at.get();
+        let calls_wait = queued_at.is_some_and(|at| now.saturating_sub(at) < order::KEEP_TIME);
         let open = order::open_slots(self.slots.get(), work.is_call, calls_wait);
-        let taken = self.used.get() + self.called.get();
+        let taken = self.used.get() + self.offered.get();
         match kind {
-            WaitKind::CalledIn => !self.is_full(),
-            WaitKind::Whole => taken < open,
-            WaitKind::Place => taken < open + CALLED_AHEAD && !self.lacks_proof(request, now),
+            WaitKind::Offered => !self.is_full(),
+            WaitKind::Queued => taken < open,
+            WaitKind::Reservation => {
+                taken < open + OFFERS_AHEAD && !self.lacks_recent_progress(request, now)
+            }
         }
     }
 
@@ -162,68 +172,70 @@
         self.used.get() >= self.slots.get()
     }
 
-    /// Returns the number of requests that wait; of places, as many as are likely to be called in.
+    /// Returns the number of waiting requests, with reservations weighted by how likely they are to
+    /// be used.
     pub fn queued(&self) -> u32 {
         let waiting = self.waiting.borrow();
         weight_of(waiting.iter()).ceil() as u32
     }
 
-    /// Says whether whole work of this class would be let into a slot or the queue.
+    /// Says whether a request of this class would get a slot or be queued.
     pub fn has_room(&self, class: WorkClass) -> bool {
         let waiting = self.waiting.borrow();
-        let mut whole = waiting.iter().filter(|waiter| waiter.kind == WaitKind::Whole);
+        let mut queued_requests = waiting.iter().filter(|waiter| waiter.kind == WaitKind::Queued);
         self.used.get() < self.slots.get()
-            || whole.clone().count() < self.limit.get() as usize
-            || whole.any(|waiter| waiter.request.work.class < class)
+            || queued_requests.clone().count() < self.limit.get() as usize
+            || queued_requests.any(|waiter| waiter.request.work.class < class)
     }
 
-    /// Takes a slot, waiting for one if the queue has room.
+    /// Acquires a slot, waiting for one if the queue has room.
     pub async fn acquire(self: &Rc<Self>, request: SlotRequest) -> Result<SlotGuard, NotRunReason> {
-        if request.passable && self.lacks_proof(&request, self.clock.now()) {
+        if request.passable && self.lacks_recent_progress(&request, self.clock.now()) {
             return Err(NotRunReason::Unproven);
         }
-        if !self.is_free_for(WaitKind::Whole, &request) {
+        if !self.is_free_for(WaitKind::Queued, &request) {
             if request.passable {
-                // Another may have a free slot, and who waits here is not seen by those that become free.
+                // Another server may have a free slot; once the request is queued here, no other
+                // can take it.
                 return Err(NotRunReason::QueueFull);
             }
-            self.wait(WaitKind::Whole, request).await?;
+            self.wait(WaitKind::Queued, request).await?;
         } else {
-            self.take(WaitKind::Whole);
+            self.count_grant(WaitKind::Queued);
         }
         Ok(SlotGuard::new(self))
     }
 
-    /// Waits with a place until the work may be called in.
+    /// Holds a reservation until a slot is offered to it.
     pub async fn wait_turn(
         self: &Rc<Self>,
         request: SlotRequest,
-    ) -> Result<TurnGuard, NotRunReason> {
-        if self.is_free_for(WaitKind::Place, &request) {
-            self.take(WaitKind::Place);
+    ) -> Result<OfferGuard, NotRunReason> {
+        if self.is_free_for(WaitKind::Reservation, &request) {
+            self.count_grant(WaitKind::Reservation);
         } else {
-            self.wait(WaitKind::Place, request).await?;
+            self.wait(WaitKind::Reservation, request).await?;
         }
-        Ok(TurnGuard { queue: self.clone() })
+        Ok(OfferGuard { queue: self.clone() })
     }
 
     fn is_free_for(&self, kind: WaitKind, request: &SlotRequest) -> bool {
         self.waiting.borrow().is_empty() && self.may_start(kind, request, self.clock.now())
     }
 
-    /// Counts what a waiter of this kind waits for as taken.
-    fn take(&self, kind: WaitKind) {
-        let count = if kind == WaitKind::Place { &self.called } else { &self.used };
+    /// Counts a slot as used, or as offered in the case of a reservation.
+    fn count_grant(&self, kind: WaitKind) {
+        let count = if kind == WaitKind::Reservation { &self.offered } else { &self.used };
         count.set(count.get() + 1);
     }
 
-    /// Waits until it is the turn of a request.
+    /// Waits until the request is granted what its kind waits for.
     async fn wait(
         self: &Rc<Self>,
         kind: WaitKind,
         request: SlotRequest,
     ) -> Result<(), NotRunReason> {
-        if kind != WaitKind::CalledIn {
+        if kind != WaitKind::Offered {
             self.check_time(kind, &request, self.clock.now())?;
         }
         let waiter = self.enqueue(kind, &request)?;
@@ -243,21 +255,22 @@
             Err(_) => Err(NotRunReason::DeadlinePassed),
         };
         result?;
-        // From here on what was granted is given back by a guard of its own.
+        // From here on the caller's own guard releases what was granted.
         std::mem::forget(guard);
         Ok(())
     }
 
-    /// Returns how long a request may wait. Whoever holds a place turns elsewhere by itself, and gives it up.
+    /// Returns how long a request may wait. The holder of a reservation releases it by itself when
+    /// it goes elsewhere.
     fn longest_wait(&self, kind: WaitKind, request: &SlotRequest) -> Duration {
         let left = request.work.deadline.saturating_sub(self.clock.now());
         match kind {
-            WaitKind::Whole => left.mul_f64(WAIT_SHARE_MAX),
+            WaitKind::Queued => left.mul_f64(WAIT_SHARE_MAX),
             _ => left.saturating_sub(request.work.usual.unwrap_or_default()),
         }
     }
 
-    /// Refuses at once what would only get its slot after its deadline.
+    /// Refuses at once a request that would only get its slot after its deadline.
     fn check_time(
         &self,
         kind: WaitKind,
@@ -273,16 +286,17 @@
             None => return Ok(()),
         };
         let waiting = self.waiting.borrow();
-        let is_before = |waiter: &&Rc<QueueWaiter>| waiter.request.work.urgency() >= work.urgency();
-        let before = weight_of(waiting.iter().filter(is_before));
-        let start = order::start_after(before, self.slots.get(), usual, now);
+        let is_ahead = |waiter: &&Rc<QueueWaiter>| waiter.request.work.urgency() >= work.urgency();
+        let ahead = weight_of(waiting.iter().filter(is_ahead));
+        let start = order::start_after(ahead, self.slots.get(), usual, now);
         if start > work.deadline {
             return Err(NotRunReason::DeadlinePassed);
         }
-        // Elsewhere it may be in time; and where it is late anyway, it must not make others late.
+        // Elsewhere it may meet its objective; if it misses it anyway, it must not make others miss
+        // theirs.
         let late = !work.is_in_time(start);
-        let passes_on = request.passable && kind == WaitKind::Whole;
-        if late && (passes_on || !order::keeps_late(before, self.slots.get())) {
+        let declines = request.passable && kind == WaitKind::Queued;
+        if late && (declines || !order::keeps_late(ahead, self.slots.get())) {
             return Err(NotRunReason::QueueFull);
         }
         Ok(())
@@ -295,29 +309,29 @@
     ) -> Result<Rc<QueueWaiter>, NotRunReason> {
         let mut waiting = self.waiting.borrow_mut();
         let limit = match kind {
-            WaitKind::Whole => self.limit.get(),
-            WaitKind::Place => self.slots.get().max(1) * PLACES_PER_SLOT,
-            WaitKind::CalledIn => u32::MAX,
+            WaitKind::Queued => self.limit.get(),
+            WaitKind::Reservation => self.slots.get().max(1) * RESERVATIONS_PER_SLOT,
+            WaitKind::Offered => u32::MAX,
         };
-        let alike = |waiter: &Rc<QueueWaiter>| waiter.kind == kind;
-        if waiting.iter().filter(|waiter| alike(waiter)).count() >= limit as usize {
+        let is_same_kind = |waiter: &Rc<QueueWaiter>| waiter.kind == kind;
+        if waiting.iter().filter(|waiter| is_same_kind(waiter)).count() >= limit as usize {
             let lowest = waiting
                 .iter()
                 .enumerate()
                 .rev()
-                .filter(|(_, waiter)| alike(waiter))
+                .filter(|(_, waiter)| is_same_kind(waiter))
                 .min_by_key(|(_, waiter)| waiter.request.work.class)
                 .map(|(index, waiter)| (index, waiter.request.work.class));
             match lowest {
                 Some((index, class)) if class < request.work.class => {
                     let evicted = waiting.remove(index);
-                    evicted.settle(WaitState::Refused(NotRunReason::QueueFull));
+                    evicted.resolve(WaitState::Refused(NotRunReason::QueueFull));
                 }
                 _ => return Err(NotRunReason::QueueFull),
             }
         }
         if request.work.is_call {
-            self.call_waited_at.set(Some(self.clock.now()));
+            self.call_queued_at.set(Some(self.clock.now()));
         }
         let waiter = Rc::new(QueueWaiter {
             kind,
@@ -329,35 +343,38 @@
         Ok(waiter)
     }
 
-    /// Refuses all who wait and can be served elsewhere, when the backend server is thought sick.
+    /// Refuses all waiting requests that can be served elsewhere, when the backend server is
+    /// ejected.
     pub fn refuse_waiting(&self) {
         self.refuse_where(NotRunReason::Sick, |waiter| waiter.request.refusable);
     }
 
-    /// Refuses all who wait and can ask another upstream, when the backend server is doubted.
+    /// Refuses all waiting requests that can try another upstream, when the backend server is
+    /// doubted.
     pub fn pass_waiting(&self) {
         let is_refused = |waiter: &QueueWaiter| match waiter.kind {
-            WaitKind::Whole | WaitKind::Place => waiter.request.passable,
-            WaitKind::CalledIn => true,
+            WaitKind::Queued | WaitKind::Reservation => waiter.request.passable,
+            WaitKind::Offered => true,
         };
         self.refuse_where(NotRunReason::Sick, is_refused);
     }
 
-    /// Refuses all who wait with a place, or were called in and have no slot yet: they lose nothing by it.
+    /// Refuses all reservations, and all requests that came for an offer and have no slot yet: they
+    /// lose nothing by it.
     pub fn refuse_places(&self, reason: NotRunReason) {
-        self.refuse_where(reason, |waiter| waiter.kind != WaitKind::Whole);
+        self.refuse_where(reason, |waiter| waiter.kind != WaitKind::Queued);
     }
 
-    /// Refuses all who wait and have a deadline that is too late for a daemon that stops, and all places: who
-    /// holds one loses nothing by going elsewhere.
+    /// Refuses all waiting requests whose deadline is too late for a daemon that is stopping, and
+    /// all reservations, whose holders lose nothing by going elsewhere.
     pub fn refuse_late(&self, is_late: impl Fn(Duration) -> bool) {
         let is_refused = |waiter: &QueueWaiter| {
-            waiter.kind == WaitKind::Place || is_late(waiter.request.work.deadline)
+            waiter.kind == WaitKind::Reservation || is_late(waiter.request.work.deadline)
         };
         self.refuse_where(NotRunReason::Draining, is_refused);
     }
 
-    /// Refuses all who can't be done by their deadline any more.
+    /// Refuses all waiting requests that can no longer complete by their deadline.
     pub fn refuse_dead(&self) {
         let now = self.clock.now();
         let is_refused = |waiter: &QueueWaiter| !waiter.request.work.can_end(now);
@@ -368,53 +385,54 @@
         self.waiting.borrow_mut().retain(|waiter| {
             let refused = is_refused(waiter);
             if refused {
-                waiter.settle(WaitState::Refused(reason));
+                waiter.resolve(WaitState::Refused(reason));
             }
             !refused
         });
     }
 
-    /// Refuses all who wait.
+    /// Refuses all waiting requests and reservations.
     pub fn refuse_all(&self, reason: NotRunReason) {
         for waiter in self.waiting.borrow_mut().drain(..) {
-            waiter.settle(WaitState::Refused(reason));
+            waiter.resolve(WaitState::Refused(reason));
         }
     }
 
-    fn give_back(&self) {
+    fn release_slot(&self) {
         self.used.set(self.used.get() - 1);
-        self.hand_on();
+        self.grant_free_slots();
     }
 
-    fn end_turn(&self) {
-        self.called.set(self.called.get() - 1);
-        self.hand_on();
+    fn end_offer(&self) {
+        self.offered.set(self.offered.get() - 1);
+        self.grant_free_slots();
     }
 
-    /// Hands free slots, and turns ahead of them, to those who wait, in the order of [`order::first`].
-    fn hand_on(&self) {
+    /// Gives free slots, and offers of the slots next to become free, to waiting requests in the
+    /// order of [`order::first`].
+    fn grant_free_slots(&self) {
         let now = self.clock.now();
-        while let Some(waiter) = self.take_first(now) {
-            self.take(waiter.kind);
-            waiter.settle(WaitState::Granted);
+        while let Some(waiter) = self.take_next(now) {
+            self.count_grant(waiter.kind);
+            waiter.resolve(WaitState::Granted);
         }
     }
 
-    fn take_first(&self, now: Duration) -> Option<Rc<QueueWaiter>> {
+    fn take_next(&self, now: Duration) -> Option<Rc<QueueWaiter>> {
         let mut waiting = self.waiting.borrow_mut();
         if !waiting.iter().any(|waiter| self.may_be_next(waiter, now)) {
             return None;
         }
-        refuse_hopeless(&mut waiting, self.slots.get(), now);
-        // Work that was called in has had its turn.
-        let is_called = |waiter: &&Rc<QueueWaiter>| waiter.kind == WaitKind::CalledIn;
-        if let Some(position) = waiting.iter().position(|waiter| is_called(&waiter)) {
+        refuse_unservable(&mut waiting, self.slots.get(), now);
+        // A request that came for an offer has already waited for its turn.
+        let is_offered = |waiter: &&Rc<QueueWaiter>| waiter.kind == WaitKind::Offered;
+        if let Some(position) = waiting.iter().position(|waiter| is_offered(&waiter)) {
             if !self.is_full() {
                 return Some(waiting.remove(position));
             }
         }
-        // Without places the class alone decides, then who came first.
-        let turn = match waiting.iter().any(|waiter| waiter.kind == WaitKind::Place) {
+        // Without reservations only the class and then the order of arrival decide.
+        let turn = match waiting.iter().any(|waiter| waiter.kind == WaitKind::Reservation) {
             true => self.turn.replace(self.turn.get().wrapping_add(1)),
             false => 0,
         };
@@ -429,40 +447,42 @@
     }
 }
 
-/// Refuses who can't be done by its deadline any more; whole work that is late while others wait that are in time, as
-/// it would make them late too; and late work with a place that would wait too long behind them.
-fn refuse_hopeless(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
+/// Refuses requests that can no longer complete by their deadline; queued requests that miss their
+/// objective while others wait that can meet theirs, as they would make these miss it too; and
+/// reservations of requests that miss their objective and would wait too long behind those that
+/// meet it.
+fn refuse_unservable(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
     let is_in_time = |waiter: &&Rc<QueueWaiter>| waiter.request.work.is_in_time(now);
     let in_time = weight_of(waiting.iter().filter(is_in_time));
     let keeps_late = order::keeps_late(in_time, slots);
     waiting.retain(|waiter| {
         let work = &waiter.request.work;
-        let hopeless = !work.can_end(now);
+        let expired = !work.can_end(now);
         let is_kept = match waiter.kind {
-            WaitKind::Whole => in_time == 0.0,
-            WaitKind::Place => keeps_late || work.is_call,
-            WaitKind::CalledIn => true,
+            WaitKind::Queued => in_time == 0.0,
+            WaitKind::Reservation => keeps_late || work.is_call,
+            WaitKind::Offered => true,
         };
         let late = !is_kept && !work.is_in_time(now);
-        if hopeless {
-            waiter.settle(WaitState::Refused(NotRunReason::DeadlinePassed));
+        if expired {
+            waiter.resolve(WaitState::Refused(NotRunReason::DeadlinePassed));
         } else if late {
-            waiter.settle(WaitState::Refused(NotRunReason::QueueFull));
+            waiter.resolve(WaitState::Refused(NotRunReason::QueueFull));
         }
-        !hopeless && !late
+        !expired && !late
     });
 }
 
-/// Returns how much work waits, with places as the part of them that is likely to be called in.
+/// Returns the length of the queue, with reservations weighted by how likely they are to be used.
 fn weight_of<'a>(waiting: impl Iterator<Item = &'a Rc<QueueWaiter>>) -> f64 {
     let weight = |waiter: &Rc<QueueWaiter>| match waiter.kind {
-        WaitKind::Place => PLACE_WEIGHT,
-        WaitKind::Whole | WaitKind::CalledIn => 1.0,
+        WaitKind::Reservation => RESERVATION_WEIGHT,
+        WaitKind::Queued | WaitKind::Offered => 1.0,
     };
     waiting.map(weight).sum()
 }
 
-/// Takes a waiter out of the queue when it stops waiting.
+/// `WaitGuard` removes a waiter from the queue when it stops waiting.
 struct WaitGuard<'a> {
     queue: &'a Rc<SlotQueue>,
     waiter: &'a Rc<QueueWaiter>,
@@ -473,36 +493,37 @@
         let mut waiting = self.queue.waiting.borrow_mut();
         waiting.retain(|waiter| !Rc::ptr_eq(waiter, self.waiter));
         drop(waiting);
-        // What was granted but not yet seen would be lost.
+        // A slot or offer that was granted but not yet received would be lost.
         if self.waiter.state.get() == WaitState::Granted {
             match self.waiter.kind {
-                WaitKind::Place => self.queue.end_turn(),
-                WaitKind::Whole | WaitKind::CalledIn => self.queue.give_back(),
+                WaitKind::Reservation => self.queue.end_offer(),
+                WaitKind::Queued | WaitKind::Offered => self.queue.release_slot(),
             }
         }
     }
 }
 
-/// `TurnGuard` is the turn of work that holds a place: it may come now.
-pub struct TurnGuard {
+/// `OfferGuard` is the offer of a slot to a reservation: its request may be sent now.
+pub struct OfferGuard {
     queue: Rc<SlotQueue>,
 }
 
-impl TurnGuard {
-    /// Takes a slot for the work, which came; a slot that gets free goes to it before all others.
+impl OfferGuard {
+    /// Acquires the slot for the request once it has arrived; it gets the next free slot before all
+    /// others.
     pub async fn start(self, request: SlotRequest) -> Result<SlotGuard, NotRunReason> {
         if self.queue.is_full() {
-            self.queue.wait(WaitKind::CalledIn, request).await?;
+            self.queue.wait(WaitKind::Offered, request).await?;
         } else {
-            self.queue.take(WaitKind::CalledIn);
+            self.queue.count_grant(WaitKind::Offered);
         }
         Ok(SlotGuard::new(&self.queue))
     }
 }
 
-impl Drop for TurnGuard {
+impl Drop for OfferGuard {
     fn drop(&mut self) {
-        self.queue.end_turn();
+        self.queue.end_offer();
     }
 }
 
@@ -519,6 +540,6 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        self.queue.give_back();
+        self.queue.release_slot();
     }
 }
--- a/crates/waiting/tests/places.rs
+++ b/crates/waiting/tests/places.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Every order in which the messages about the places of one piece of work can come, over the book that runs.
+//! Model check of the reservations of one request, over the set that the ingress uses.
 //!
-//! Two hosts with one slot each. Calls, the work, cancels and refusals may be late, a host may give a call up, end,
-//! or be cut off; the ingress may give up. The work begins at most once, and no slot stays held.
+//! Two hosts with one slot each. Offers, the request, cancellations and refusals may be delayed in
+//! any order, a host may withdraw an offer, stop or be cut off, and the ingress may give up. The
+//! request starts at most once, and no slot stays taken by an offer.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -12,208 +13,214 @@
 
 const HOSTS: usize = 2;
 
-/// What a host thinks of the place.
+/// `HostReservation` is the state of the reservation at one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum HostPlace {
-    /// It was never asked, or the place is over.
+enum HostReservation {
+    /// The host was never asked, or the reservation is over.
     None,
-    /// The work waits.
+    /// The reservation waits for a slot.
     Waiting,
-    /// The slot is held and the work was called in.
-    Held,
-    /// The work has begun.
-    Begun,
+    /// The slot is taken and was offered to the request.
+    Offered,
+    /// The request has started.
+    Started,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum HostMessage {
-    Ask,
-    Work,
+    Reserve,
+    Request,
     Cancel,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum IngressMessage {
-    Call,
+    Offer,
     Refusal,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct World {
-    /// The places held; none once the work was sent or given up.
-    book: Option<PlaceBook<()>>,
-    hosts: [HostPlace; HOSTS],
+struct ModelState {
+    /// The reservations held; none once the request was sent or given up.
+    set: Option<PlaceBook<()>>,
+    hosts: [HostReservation; HOSTS],
     is_up: [bool; HOSTS],
     to_host: [VecDeque<HostMessage>; HOSTS],
     to_ingress: [VecDeque<IngressMessage>; HOSTS],
-    begun: usize,
+    started: usize,
 }
 
-impl World {
+impl ModelState {
     fn new() -> Self {
         let plan = PlacePlan { tries: HOSTS, ..PlacePlan::default() };
         Self {
-            book: Some(PlaceBook::new(plan)),
-            hosts: [HostPlace::None; HOSTS],
+            set: Some(PlaceBook::new(plan)),
+            hosts: [HostReservation::None; HOSTS],
             is_up: [true; HOSTS],
             to_host: Default::default(),
             to_ingress: Default::default(),
-            begun: 0,
+            started: 0,
         }
     }
 
-    /// Gives all places up that are left in a book.
-    fn cancel_all(&mut self, book: &PlaceBook<()>) {
-        for index in book.indexes() {
+    /// Cancels all reservations that are left in a set.
+    fn cancel_all(&mut self, set: &PlaceBook<()>) {
+        for index in set.indexes() {
             self.to_host[index].push_back(HostMessage::Cancel);
         }
     }
 
-    /// Lists every world that may follow.
-    fn next(&self, guarded: bool) -> Vec<World> {
-        let mut worlds = Vec::new();
-        let mut add = |change: &dyn Fn(&mut World)| {
-            let mut world = self.clone();
-            change(&mut world);
-            worlds.push(world);
+    /// Lists every state that may follow.
+    fn successors(&self, drops_late: bool) -> Vec<ModelState> {
+        let mut states = Vec::new();
+        let mut add = |change: &dyn Fn(&mut ModelState)| {
+            let mut state = self.clone();
+            change(&mut state);
+            states.push(state);
         };
-        if let Some(book) = &self.book {
-            if book.missing() > 0 {
-                add(&|world| {
-                    let index = world.book.as_ref().map_or(0, PlaceBook::tries);
-                    let book = world.book.as_mut().expect("a book");
-                    book.push(HeldPlace { index, handle: () });
-                    world.to_host[index].push_back(HostMessage::Ask);
+        if let Some(set) = &self.set {
+            if set.missing() > 0 {
+                add(&|state| {
+                    let index = state.set.as_ref().map_or(0, PlaceBook::tries);
+                    let set = state.set.as_mut().expect("a set");
+                    set.push(HeldPlace { index, handle: () });
+                    state.to_host[index].push_back(HostMessage::Reserve);
                 });
             }
-            add(&|world| {
-                let book = world.book.take().expect("a book");
-                world.cancel_all(&book);
+            add(&|state| {
+                let set = state.set.take().expect("a set");
+                state.cancel_all(&set);
             });
         }
         for host in 0..HOSTS {
             if !self.to_host[host].is_empty() {
-                add(&|world| world.reach_host(host, guarded));
+                add(&|state| state.deliver_to_host(host, drops_late));
             }
             if !self.to_ingress[host].is_empty() {
-                add(&|world| world.reach_ingress(host));
+                add(&|state| state.deliver_to_ingress(host));
             }
             match self.hosts[host] {
-                HostPlace::Waiting => add(&|world| {
-                    world.hosts[host] = HostPlace::Held;
-                    world.to_ingress[host].push_back(IngressMessage::Call);
+                HostReservation::Waiting => add(&|state| {
+                    state.hosts[host] = HostReservation::Offered;
+                    state.to_ingress[host].push_back(IngressMessage::Offer);
                 }),
-                // The work didn't come in time.
-                HostPlace::Held => add(&|world| {
-                    world.hosts[host] = HostPlace::None;
-                    world.to_ingress[host].push_back(IngressMessage::Refusal);
+                // The request didn't arrive in time.
+                HostReservation::Offered => add(&|state| {
+                    state.hosts[host] = HostReservation::None;
+                    state.to_ingress[host].push_back(IngressMessage::Refusal);
                 }),
-                HostPlace::None | HostPlace::Begun => {}
+                HostReservation::None | HostReservation::Started => {}
             }
             if self.is_up[host] {
-                // The host ends: its link tells the ingress.
-                add(&|world| {
-                    world.is_up[host] = false;
-                    world.hosts[host] = HostPlace::None;
-                    world.to_host[host].clear();
-                    world.to_ingress[host] = VecDeque::from([IngressMessage::Refusal]);
+                // The host stops: the ingress sees its link close.
+                add(&|state| {
+                    state.is_up[host] = false;
+                    state.hosts[host] = HostReservation::None;
+                    state.to_host[host].clear();
+                    state.to_ingress[host] = VecDeque::from([IngressMessage::Refusal]);
                 });
             }
         }
-        worlds
+        states
     }
 
-    fn reach_host(&mut self, host: usize, guarded: bool) {
+    fn deliver_to_host(&mut self, host: usize, drops_late: bool) {
         let message = self.to_host[host].pop_front().expect("a message");
         match (message, self.hosts[host]) {
             _ if !self.is_up[host] => {}
-            (HostMessage::Ask, _) => self.hosts[host] = HostPlace::Waiting,
-            (HostMessage::Work, HostPlace::Held) => {
-                self.hosts[host] = HostPlace::Begun;
-                self.begun += 1;
+            (HostMessage::Reserve, _) => self.hosts[host] = HostReservation::Waiting,
+            (HostMessage::Request, HostReservation::Offered) => {
+                self.hosts[host] = HostReservation::Started;
+                self.started += 1;
             }
-            // A host that has given the place up passes the work over; without that guard it would begin it.
-            (HostMessage::Work, _) if !guarded => self.begun += 1,
-            (HostMessage::Cancel, HostPlace::Waiting | HostPlace::Held) => {
-                self.hosts[host] = HostPlace::None;
+            // A host drops a request whose reservation is over; without that check it would start
+            // it.
+            (HostMessage::Request, _) if !drops_late => self.started += 1,
+            (HostMessage::Cancel, HostReservation::Waiting | HostReservation::Offered) => {
+                self.hosts[host] = HostReservation::None;
             }
-            (HostMessage::Work | HostMessage::Cancel, _) => {}
+            (HostMessage::Request | HostMessage::Cancel, _) => {}
         }
     }
 
-    fn reach_ingress(&mut self, host: usize) {
+    fn deliver_to_ingress(&mut self, host: usize) {
         let message = self.to_ingress[host].pop_front().expect("a message");
-        let Some(mut book) = self.book.take() else { return };
-        let place = book.take(host);
+        let Some(mut set) = self.set.take() else { return };
+        let reservation = set.take(host);
         match message {
-            IngressMessage::Call if place.is_some() => {
-                self.to_host[host].push_back(HostMessage::Work);
-                self.cancel_all(&book);
+            IngressMessage::Offer if reservation.is_some() => {
+                self.to_host[host].push_back(HostMessage::Request);
+                self.cancel_all(&set);
             }
-            _ => self.book = Some(book),
+            _ => self.set = Some(set),
         }
     }
 }
 
-/// Explores all worlds that can be reached; returns the most times that the work began, and the number of worlds.
-fn explore(guarded: bool) -> (usize, usize) {
-    let mut seen = HashSet::from([World::new()]);
-    let mut open = vec![World::new()];
-    let mut begun_most = 0;
-    while let Some(world) = open.pop() {
-        begun_most = begun_most.max(world.begun);
-        let next = world.next(guarded);
-        if next.is_empty() {
-            assert!(!world.hosts.contains(&HostPlace::Held), "a slot stays held: {world:?}");
+/// Explores all reachable states; returns how often the request started at the most, and the number
+/// of states.
+fn explore(drops_late: bool) -> (usize, usize) {
+    let mut seen = HashSet::from([ModelState::new()]);
+    let mut pending = vec![ModelState::new()];
+    let mut started_max = 0;
+    while let Some(state) = pending.pop() {
+        started_max = started_max.max(state.started);
+        let successors = state.successors(drops_late);
+        if successors.is_empty() {
+            assert!(
+                !state.hosts.contains(&HostReservation::Offered),
+                "a slot stays taken by an offer: {state:?}"
+            );
         }
-        for world in next {
-            if seen.insert(world.clone()) {
-                open.push(world);
+        for state in successors {
+            if seen.insert(state.clone()) {
+                pending.push(state);
             }
         }
     }
-    (begun_most, seen.len())
+    (started_max, seen.len())
 }
 
 #[test]
-fn verify_work_begins_at_most_once_and_no_slot_stays_held() {
-    let (begun, worlds) = explore(true);
-    assert_eq!(begun, 1);
-    assert!(worlds > 500, "{worlds} worlds are few");
+fn verify_a_request_starts_at_most_once_and_no_slot_stays_taken() {
+    let (started, states) = explore(true);
+    assert_eq!(started, 1);
+    assert!(states > 500, "only {states} states were reached");
 }
 
 #[test]
-fn verify_the_model_sees_work_that_begins_after_its_place_was_given_up() {
-    // A refusal is told, so that the ingress may begin anew elsewhere, and the work that is late begins as well.
-    let refused_and_begun = {
-        let mut world = World::new();
-        world.hosts[0] = HostPlace::None;
-        world.to_host[0].push_back(HostMessage::Work);
-        world.reach_host(0, false);
-        world.begun
+fn verify_the_model_detects_a_request_that_starts_after_its_reservation_ended() {
+    // The ingress has heard of the refusal and may try elsewhere, and the delayed request starts as
+    // well.
+    let started_after_refusal = {
+        let mut state = ModelState::new();
+        state.hosts[0] = HostReservation::None;
+        state.to_host[0].push_back(HostMessage::Request);
+        state.deliver_to_host(0, false);
+        state.started
     };
-    assert_eq!(refused_and_begun, 1);
-    let mut world = World::new();
-    world.to_host[0].push_back(HostMessage::Work);
-    world.reach_host(0, true);
-    assert_eq!(world.begun, 0, "what was given up doesn't begin");
+    assert_eq!(started_after_refusal, 1);
+    let mut state = ModelState::new();
+    state.to_host[0].push_back(HostMessage::Request);
+    state.deliver_to_host(0, true);
+    assert_eq!(state.started, 0, "a request whose reservation is over doesn't start");
 }
 
 #[test]
-fn verify_places_are_asked_for_as_planned() {
-    let plan = PlacePlan { at_first: 2, most: 3, tries: 4, ..PlacePlan::default() };
-    let mut book = PlaceBook::new(plan);
-    assert_eq!(book.missing(), 2);
-    (0..2).for_each(|index| book.push(HeldPlace { index, handle: () }));
-    assert_eq!(book.missing(), 0);
-    book.widen();
-    book.widen();
-    assert_eq!(book.missing(), 1, "never more than the most");
-    book.push(HeldPlace { index: 2, handle: () });
-    assert!(book.take(0).is_some());
-    assert!(book.take(0).is_none(), "a place ends once");
-    assert_eq!(book.missing(), 1);
-    book.push(HeldPlace { index: 3, handle: () });
-    assert!(book.take(1).is_some());
-    assert_eq!(book.missing(), 0, "no host is left to ask");
+fn verify_reservations_are_requested_as_planned() {
+    let plan = PlacePlan { initial: 2, max_held: 3, tries: 4, ..PlacePlan::default() };
+    let mut set = PlaceBook::new(plan);
+    assert_eq!(set.missing(), 2);
+    (0..2).for_each(|index| set.push(HeldPlace { index, handle: () }));
+    assert_eq!(set.missing(), 0);
+    set.widen();
+    set.widen();
+    assert_eq!(set.missing(), 1, "never more than the maximum");
+    set.push(HeldPlace { index: 2, handle: () });
+    assert!(set.take(0).is_some());
+    assert!(set.take(0).is_none(), "a reservation ends once");
+    assert_eq!(set.missing(), 1);
+    set.push(HeldPlace { index: 3, handle: () });
+    assert!(set.take(1).is_some());
+    assert_eq!(set.missing(), 0, "no host is left to ask");
 }
