--- a/crates/decide/tests/caution.rs
+++ b/crates/decide/tests/caution.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Caution after a failure, and the choice among doubted upstreams.
+//! The circuit breaker of an upstream, and the choice when some upstreams are doubted.
 
 use std::time::Duration;
 
@@ -18,9 +18,13 @@
     Duration::from_millis(count)
 }
 
-/// Lets repeatable work through every 50 ms until the upstream is trusted; returns how long that took
-/// and how much work failed, when the upstream is sick for `sick`.
-fn find_out(caution: &mut FailureCaution, from: Duration, sick: Duration) -> (Duration, u32) {
+/// Offers a repeatable request every 50 ms until the breaker closes; returns how long that took and
+/// how many requests failed, when the upstream fails for `faulty_for`.
+fn run_trials(
+    caution: &mut FailureCaution,
+    from: Duration,
+    faulty_for: Duration,
+) -> (Duration, u32) {
     let mut failed = 0;
     let mut now = from;
     while caution.is_doubtful() {
@@ -29,7 +33,7 @@
         if !caution.admit(true, now) {
             continue;
         }
-        if now < from + sick {
+        if now < from + faulty_for {
             caution.note_failure(FailureSort::Broken, now);
             failed += 1;
         } else {
@@ -40,11 +44,11 @@
 }
 
 #[test_case(0, 500, 0 ; "a single broken connection")]
-#[test_case(300, 2000, 1 ; "sick for a moment")]
-#[test_case(2700, 5000, 4 ; "sick for some seconds")]
-#[test_case(20_000, 22_000, 15 ; "sick for long")]
-fn verify_trust_returns_soon_after_the_sickness_and_little_work_finds_out(
-    sick_ms: u64,
+#[test_case(300, 2000, 1 ; "failing for a moment")]
+#[test_case(2700, 5000, 4 ; "failing for some seconds")]
+#[test_case(20_000, 22_000, 15 ; "failing for long")]
+fn verify_the_breaker_closes_soon_after_the_fault_and_few_trials_fail(
+    fault_ms: u64,
     trusted_ms: u64,
     failed_most: u32,
 ) {
@@ -54,15 +58,15 @@
         caution.note_failure(FailureSort::Broken, millis(0)),
         "one broken connection is enough"
     );
-    assert!(!caution.admit(false, millis(10)), "what must not be repeated waits");
-    let (took, failed) = find_out(&mut caution, millis(0), millis(sick_ms));
+    assert!(!caution.admit(false, millis(10)), "non-repeatable requests are refused");
+    let (took, failed) = run_trials(&mut caution, millis(0), millis(fault_ms));
     assert!(took <= millis(trusted_ms), "{took:?}");
     assert!(failed <= failed_most, "{failed}");
     assert!(caution.admit(false, took));
 }
 
 #[test]
-fn verify_one_error_is_no_reason_but_two_in_a_row_are() {
+fn verify_one_error_does_not_open_the_breaker_but_two_in_a_row_do() {
     let mut caution = FailureCaution::default();
     for number in 0..10 {
         assert!(!caution.note_failure(FailureSort::Answered, millis(number)));
@@ -74,7 +78,7 @@
 }
 
 #[test]
-fn verify_a_service_without_repeatable_work_finds_out_too() {
+fn verify_a_non_repeatable_request_becomes_the_trial_where_no_other_comes() {
     let mut caution = FailureCaution::default();
     caution.note_failure(FailureSort::Broken, millis(0));
     assert!(!caution.admit(false, millis(1000)));
@@ -84,24 +88,24 @@
 
 fn terms(repeatable: bool, passable: bool) -> DispatchTerms<'static> {
     let baseline = ServiceBaseline::default();
-    // Nothing can be spared, as when the floor is reached.
+    // No upstream can be spared, as when the capacity floor is reached.
     DispatchTerms { route: "r", refusable: false, repeatable, passable, baseline }
 }
 
 #[test]
-fn verify_a_doubted_upstream_passes_work_on_but_the_last_one_asked_takes_it() {
+fn verify_a_doubted_upstream_declines_requests_but_the_last_one_tried_admits_them() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.note_end(Some(FailureSort::Broken), millis(0), millis(0));
     let mut verdict =
         |repeatable, passable| health.admit(&terms(repeatable, passable), millis(10)).0;
     assert_eq!(verdict(false, true), AdmitVerdict::Refuse);
-    assert_eq!(verdict(true, true), AdmitVerdict::Refuse, "not yet time");
+    assert_eq!(verdict(true, true), AdmitVerdict::Refuse, "no trial is due yet");
     assert_eq!(verdict(false, false), AdmitVerdict::Admit, "no capacity is taken out of service");
     assert!(!health.is_ejected());
     assert!(health.report("r", millis(10)).doubtful);
 }
 
-fn report(sound: bool) -> HealthReport {
+fn report(healthy: bool) -> HealthReport {
     HealthReport {
         sickness: 0.0,
         ejected: false,
@@ -112,11 +116,11 @@
         samples: 50,
         ramp: 1.0,
         trial_in: millis(200),
-        doubtful: !sound,
+        doubtful: !healthy,
     }
 }
 
-/// Six upstreams of four slots, the first two near.
+/// Six upstreams of four slots, the first two of them local.
 fn view() -> ServiceView {
     let upstreams = (0..6).map(|index| LoadView::new(4, index < 2));
     let mut view = ServiceView::new(0.7, upstreams.collect());
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn verify_a_service_without_upstreams_has_no_choice() {
+fn verify_a_service_without_upstreams_offers_no_choice() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut view = ServiceView::new(0.7, Vec::new());
     for number in 0..30 {
@@ -142,7 +146,7 @@
 }
 
 #[test]
-fn verify_work_goes_to_a_doubted_upstream_only_if_the_others_are_far_more_loaded() {
+fn verify_requests_go_to_a_doubted_upstream_only_if_the_others_are_far_more_loaded() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut view = view();
     view.note_report(1, 0, report(false), millis(0));
@@ -152,13 +156,13 @@
         assert_ne!(choice.index, 1);
     }
     for index in [0, 2, 3, 4, 5] {
-        // A suspect must be ten times less loaded to be worth its risk.
+        // A doubted upstream must be ten times less loaded to be worth its risk.
         (0..30).for_each(|_| view.note_sent(index));
     }
     let chosen =
         (0..50).filter_map(|_| view.choose(millis(200), &ChoiceRequest::default(), &mut rng));
     assert!(
         chosen.into_iter().any(|choice| choice.index == 1),
-        "it has room where others are overrun"
+        "it has free slots where the others are overloaded"
     );
 }
--- a/crates/decide/tests/floor.rs
+++ b/crates/decide/tests/floor.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The floor holds for any scores, losses and changes.
+//! The capacity floor holds for any anomaly scores, losses of upstreams and changes of the
+//! configuration.
 
 use std::time::Duration;
 
@@ -30,7 +31,7 @@
 }
 
 #[test_case(0.7, 60, 42 ; "seven tenths")]
-#[test_case(0.7, 10, 7 ; "no step up for want of binary digits")]
+#[test_case(0.7, 10, 7 ; "no rounding up by a floating-point error")]
 #[test_case(0.0, 60, 0 ; "no floor")]
 #[test_case(1.0, 60, 60 ; "all")]
 #[test_case(0.5, 3, 2 ; "rounded up")]
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn verify_the_sickest_are_avoided_first_and_ties_go_by_position() {
+fn verify_the_highest_scores_are_avoided_first_and_ties_go_by_position() {
     let entry = |sickness| CapacityEntry { slots: 4, available: true, sickness };
     let entries = [entry(1.5), entry(3.0), entry(1.5), entry(0.0), entry(0.2)];
     let plan = floor::plan(0.6, &entries);
@@ -48,13 +49,13 @@
 }
 
 #[test]
-fn verify_what_is_down_has_already_spent_its_part() {
+fn verify_upstreams_that_are_down_count_against_the_floor() {
     let sick = CapacityEntry { slots: 4, available: true, sickness: 2.0 };
     let down = CapacityEntry { available: false, ..sick };
-    let well = CapacityEntry { sickness: 0.0, ..sick };
-    let plan = floor::plan(0.5, &[sick, down, down, well]);
+    let healthy = CapacityEntry { sickness: 0.0, ..sick };
+    let plan = floor::plan(0.5, &[sick, down, down, healthy]);
     assert_eq!(plan.avoided, [false; 4], "half is left, and half is the floor");
-    let plan = floor::plan(0.5, &[sick, down, well, well]);
+    let plan = floor::plan(0.5, &[sick, down, healthy, healthy]);
     assert_eq!(plan.avoided, [true, false, false, false]);
 }
 
@@ -97,7 +98,7 @@
     ]
 }
 
-/// Runs so many cases, the same ones each time.
+/// Runs `cases` cases, the same ones each time.
 fn fixed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -126,7 +127,7 @@
     }
 
     #[test]
-    fn verify_two_ingresses_with_the_same_reports_avoid_the_same(
+    fn verify_two_ingresses_with_the_same_reports_avoid_the_same_upstreams(
         share in 0.0..=1.0_f64,
         entries in prop::collection::vec(any_entry(), 0..30),
     ) {
@@ -153,7 +154,16 @@
                 ViewChange::Wait(millis) => now += Duration::from_millis(millis),
                 ViewChange::Configure(floor, slots) => view = configured(&view, floor, &slots),
                 ViewChange::Choose { excluded, repeatable, must_take } => {
-                    let choice = view.choose(now, &ChoiceRequest { excluded: &excluded, repeatable, must_take, ..ChoiceRequest::default() }, &mut rng);
+                    let choice = view.choose(
+                        now,
+                        &ChoiceRequest {
+                            excluded: &excluded,
+                            repeatable,
+                            must_take,
+                            ..ChoiceRequest::default()
+                        },
+                        &mut rng,
+                    );
                     prop_assert!(view.plan().holds());
                     if let Some(choice) = choice {
                         check_choice(&view, choice, &excluded, must_take)?;
@@ -165,7 +175,7 @@
     }
 }
 
-/// Builds the view under a changed configuration; upstreams that stay keep what was learnt of them.
+/// Builds the view under a changed configuration; upstreams that stay keep their state.
 fn configured(old: &ServiceView, floor: f64, slots: &[u32]) -> ServiceView {
     let views = slots.iter().enumerate().map(|(index, slots)| match old.upstreams().get(index) {
         Some(known) => LoadView { slots: *slots, own: 0, ..*known },
@@ -174,8 +184,8 @@
     ServiceView::new(floor, views.collect())
 }
 
-/// A dispatch may be refused only if the service can do without the upstream: otherwise a refusal
-/// would take capacity below the floor.
+/// A dispatch may be refusable only if the service can spare the upstream: otherwise a refusal
+/// would take the capacity below the floor.
 fn check_choice(
     view: &ServiceView,
     choice: basaltarch_decide::balance::UpstreamChoice,
--- a/crates/decide/tests/freshness.rs
+++ b/crates/decide/tests/freshness.rs
@@ -1,49 +1,53 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A daemon is certain of its configuration for a moment after word, and no longer.
+//! A daemon is certain of its configuration for a limited time after a confirmation.
 
 use std::time::Duration;
 
 use basaltarch_decide::freshness::{ConfigFreshness, FreshWord, WordSource, CERTAIN_FOR};
 use proptest::prelude::*;
 
-fn word(millis: u64) -> FreshWord {
+fn confirmation(millis: u64) -> FreshWord {
     FreshWord { as_of: Duration::from_millis(millis), source: WordSource::Store }
 }
 
 #[test]
-fn verify_nobody_is_certain_before_word_and_after_its_time() {
+fn verify_a_daemon_is_uncertain_before_a_confirmation_and_after_it_expires() {
     let mut freshness = ConfigFreshness::default();
     assert!(!freshness.is_certain(Duration::ZERO));
-    freshness.note_word(word(5000));
+    freshness.note_word(confirmation(5000));
     let until = Duration::from_millis(5000) + CERTAIN_FOR;
     assert!(freshness.is_certain(until));
     assert!(!freshness.is_certain(until + Duration::from_millis(1)));
 }
 
 #[test]
-fn verify_a_later_configuration_that_cannot_be_read_outweighs_all_word() {
+fn verify_a_later_configuration_that_cannot_be_read_overrides_confirmations() {
     let mut freshness = ConfigFreshness::default();
-    freshness.note_word(word(1000));
+    freshness.note_word(confirmation(1000));
     freshness.note_outdated();
-    freshness.note_word(word(1100));
+    freshness.note_word(confirmation(1100));
     assert!(!freshness.is_certain(Duration::from_millis(1100)));
     freshness.note_readable();
-    assert!(!freshness.is_certain(Duration::from_millis(1100)), "word of before counts no more");
-    freshness.note_word(word(1200));
+    assert!(
+        !freshness.is_certain(Duration::from_millis(1100)),
+        "earlier confirmations no longer count"
+    );
+    freshness.note_word(confirmation(1200));
     assert!(freshness.is_certain(Duration::from_millis(1200)));
 }
 
 proptest! {
-    /// Word comes late and out of order; what counts is the latest moment that any of it speaks for.
+    /// Confirmations arrive late and out of order; the latest moment that any of them confirms
+    /// counts.
     #[test]
-    fn verify_the_age_is_that_of_the_latest_word(
+    fn verify_the_age_is_that_of_the_latest_confirmation(
         moments in proptest::collection::vec(0_u64..100_000, 1..40),
     ) {
         let mut freshness = ConfigFreshness::default();
         for moment in &moments {
-            freshness.note_word(word(*moment));
+            freshness.note_word(confirmation(*moment));
         }
         let latest = moments.iter().max().copied().unwrap_or(0);
         let now = Duration::from_millis(100_000);
--- a/crates/decide/tests/hang.rs
+++ b/crates/decide/tests/hang.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Work that runs too long raises doubt within a usual time or two, and sound work seldom does.
+//! The hang detector: an upstream whose requests hang is doubted within one or two usual times, and
+//! a healthy one seldom is.
 
 use std::time::Duration;
 
@@ -27,9 +28,9 @@
     UsualTime { median_ln: (MEDIAN_MS * 1000.0).ln(), spread: SPREAD }
 }
 
-/// Starts work at each of these moments and returns when the upstream is first doubted if none of it
-/// ends.
-fn doubted_at(starts: &[u64]) -> u64 {
+/// Starts a request at each of `starts`, in ms, and returns when the upstream is first doubted if
+/// none of them completes.
+fn doubted_after(starts: &[u64]) -> u64 {
     let mut watch = HangWatch::default();
     let mut starts = starts.iter().peekable();
     for now in 0..20_000 {
@@ -43,24 +44,24 @@
     panic!("never doubted");
 }
 
-// The usual time of 99 in 100 is 1212 ms.
-#[test_case(&[0], 1000 ; "one piece of work alone")]
+// 99 in 100 requests usually take at most 1212 ms.
+#[test_case(&[0], 1000 ; "a single request")]
 #[test_case(&[0, 250, 500], 900 ; "four a second")]
 #[test_case(&[0, 100, 200, 300, 400], 680 ; "ten a second")]
-fn verify_hanging_work_is_doubted_the_sooner_the_more_of_it_there_is(starts: &[u64], most: u64) {
-    let at = doubted_at(starts);
+fn verify_more_hanging_requests_raise_doubt_sooner(starts: &[u64], most: u64) {
+    let at = doubted_after(starts);
     assert!(at <= most, "{at}");
 }
 
-/// Plays sound work of this rate for an hour of its own time; returns the share of the time in which
-/// the upstream is doubted.
+/// Simulates healthy requests at this rate for an hour of simulated time; returns the share of the
+/// time in which the upstream is doubted.
 fn doubted_share(rate: f64) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let times = LogNormal::new((MEDIAN_MS / 1000.0).ln(), SPREAD).expect("a distribution");
     let gaps = Exp::new(rate).expect("a distribution");
     let mut watch = HangWatch::default();
     let (mut next, mut running) = (0.0, Vec::<(f64, u64)>::new());
-    let (mut doubted, mut looks) = (0_u32, 0_u32);
+    let (mut doubted, mut checks) = (0_u32, 0_u32);
     for step in 0..360_000_u32 {
         let at = f64::from(step) / 100.0;
         let now = Duration::from_secs_f64(at);
@@ -76,17 +77,17 @@
             }
             !over
         });
-        looks += 1;
+        checks += 1;
         doubted += u32::from(watch.is_doubtful(now));
     }
-    f64::from(doubted) / f64::from(looks)
+    f64::from(doubted) / f64::from(checks)
 }
 
 #[test_case(1.0 ; "one a second")]
 #[test_case(4.0 ; "four a second")]
 #[test_case(12.0 ; "twelve a second")]
 #[test_case(40.0 ; "forty a second")]
-fn verify_sound_work_is_seldom_doubted(rate: f64) {
+fn verify_a_healthy_upstream_is_seldom_doubted(rate: f64) {
     let share = doubted_share(rate);
     assert!(share < 0.06, "{share}");
 }
@@ -101,11 +102,12 @@
     DispatchTerms { route, refusable: true, repeatable, passable: true, baseline }
 }
 
-/// Returns the health of an upstream whose one piece of work hangs, when it is doubted, and when.
+/// Returns an upstream whose only request hangs, at the time when it becomes doubted, and that
+/// time.
 fn doubted_health() -> (UpstreamHealth, Duration) {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
-    let usual = health.usual_time("r", None).expect("known of siblings");
+    let usual = health.usual_time("r", None).expect("the baseline of the siblings");
     health.start_work(usual, millis(0));
     for now in 0..5000 {
         if health.look(millis(now)) == Some(HealthChange::Doubted) {
@@ -116,11 +118,11 @@
 }
 
 #[test]
-fn verify_a_doubted_upstream_passes_on_what_must_not_be_repeated_until_it_answers() {
+fn verify_a_doubted_upstream_declines_non_repeatable_requests_until_it_answers() {
     let (mut health, at) = doubted_health();
     let mut verdict = |repeatable, at| health.admit(&terms("r", repeatable), at).0;
     assert_eq!(verdict(false, at + millis(1)), AdmitVerdict::Refuse);
-    assert_eq!(verdict(true, at + millis(1000)), AdmitVerdict::Admit, "it finds out");
+    assert_eq!(verdict(true, at + millis(1000)), AdmitVerdict::Admit, "the trial is admitted");
     for number in 0..2 {
         let (sent, now) = (at + millis(1000 + number), at + millis(1200 + number));
         let took = now - sent;
@@ -128,11 +130,11 @@
         health.note_end(None, sent, now);
     }
     let verdict = health.admit(&terms("r", false), at + millis(1300)).0;
-    assert_eq!(verdict, AdmitVerdict::Admit, "what hangs from before says nothing new");
+    assert_eq!(verdict, AdmitVerdict::Admit, "requests that hung before are no new evidence");
 }
 
 #[test]
-fn verify_answers_to_work_from_before_the_doubt_prove_nothing() {
+fn verify_answers_to_requests_sent_before_the_doubt_prove_nothing() {
     let (mut health, at) = doubted_health();
     for number in 0..4 {
         let change = health.note_end(None, at - millis(50), at + millis(number));
@@ -141,7 +143,7 @@
 }
 
 #[test]
-fn verify_a_doubt_is_taken_back_when_the_late_work_ends_well() {
+fn verify_the_doubt_ends_when_the_late_request_makes_progress() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let work = health.start_work(usual(), millis(0));
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn verify_work_that_made_a_call_raises_no_doubt() {
+fn verify_a_request_that_made_a_nested_call_raises_no_doubt() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let work = health.start_work(usual(), millis(0));
@@ -160,14 +162,18 @@
 }
 
 #[test]
-fn verify_a_route_that_nobody_answered_raises_no_doubt() {
+fn verify_a_route_that_was_never_answered_raises_no_doubt() {
     let health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
-    assert_eq!(health.usual_time("r", Some(millis(900))), None, "it may be work nobody can do");
+    assert_eq!(
+        health.usual_time("r", Some(millis(900))),
+        None,
+        "it may be a route that no server can answer"
+    );
     assert_eq!(health.usual_time("r", None), None);
 }
 
 #[test]
-fn verify_the_objective_stands_in_until_answers_tell() {
+fn verify_the_objective_replaces_the_usual_time_until_answers_are_known() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.note("r", WorkEvidence::Answered(millis(10)), false, millis(10));
     let median = |health: &UpstreamHealth| {
@@ -178,5 +184,5 @@
     for number in 0..100 {
         health.note("r", WorkEvidence::Answered(millis(10)), false, millis(20 + number));
     }
-    assert!(median(&health) < millis(15), "{:?}: what was seen", median(&health));
+    assert!(median(&health) < millis(15), "{:?}: the measured time", median(&health));
 }
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The detector, trials and return of one upstream.
+//! The outlier detector, the ejection, the trials and the return to service of one upstream.
 
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Dispatches one request 20 ms after the last; returns whether it was taken.
+    /// Dispatches one request 20 ms after the last; returns whether it was admitted.
     fn request(&mut self, terms: &DispatchTerms<'_>, evidence: WorkEvidence) -> bool {
         self.now += Duration::from_millis(20);
         let (verdict, change) = self.health.admit(terms, self.now);
@@ -72,7 +72,10 @@
 
 #[test_case(PreferChoice::Detection, 15 ; "detection")]
 #[test_case(PreferChoice::Precision, 50 ; "precision")]
-fn verify_a_failing_upstream_is_ejected_within_so_many_requests(prefer: PreferChoice, most: usize) {
+fn verify_a_failing_upstream_is_ejected_within_a_bounded_number_of_requests(
+    prefer: PreferChoice,
+    most: usize,
+) {
     let mut upstream = Upstream::new(prefer);
     for _ in 0..100 {
         upstream.request(&terms(true, true), good());
@@ -99,7 +102,7 @@
 }
 
 #[test_case(false ; "warm")]
-#[test_case(true ; "cold, as it was since its start")]
+#[test_case(true ; "cold since its start")]
 fn verify_a_stuck_upstream_is_ejected_before_any_request_ends(cold: bool) {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     if cold {
@@ -111,13 +114,14 @@
     }
     let wait = upstream.health.overdue_after(ROUTE, upstream.now).expect("a baseline");
     let usual = terms(true, true).baseline.overdue_after();
-    assert_eq!(wait > usual, cold, "a cold one is given longer");
+    assert_eq!(wait > usual, cold, "a cold upstream gets a longer time");
     for _ in 0..4 {
         upstream.now += wait;
         let change = upstream.health.note_overdue(ROUTE, upstream.now);
         upstream.note_change(change);
     }
-    // It stood out for long enough for word of the siblings to arrive, and they are well.
+    // It was an outlier for long enough that reports of its siblings have arrived, and they are
+    // healthy.
     upstream.now += Duration::from_millis(250);
     let (verdict, change) = upstream.health.admit(&terms(true, true), upstream.now);
     upstream.note_change(change);
@@ -125,8 +129,8 @@
     assert_eq!(verdict, AdmitVerdict::Refuse);
 }
 
-#[test_case(WorkEvidence::Neutral ; "caller faults")]
-fn verify_what_says_nothing_changes_nothing(evidence: WorkEvidence) {
+#[test_case(WorkEvidence::Neutral ; "faults of callers")]
+fn verify_neutral_evidence_changes_nothing(evidence: WorkEvidence) {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     for _ in 0..2000 {
         assert!(upstream.request(&terms(true, true), evidence));
@@ -135,7 +139,7 @@
 }
 
 #[test]
-fn verify_what_all_siblings_share_ejects_nobody() {
+fn verify_failures_that_all_siblings_share_eject_no_upstream() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     let mut shared = terms(true, true);
     shared.baseline.sickness = 1.2;
@@ -146,12 +150,12 @@
 }
 
 #[test]
-fn verify_what_one_ingress_of_several_sees_counts_for_all() {
+fn verify_a_baseline_that_one_of_several_ingresses_reports_counts_for_all() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     let mut seen = terms(true, true);
     seen.baseline.failure_rate = 0.3;
     for number in 0..2000 {
-        // One ingress in four sees the siblings fail alike, the others see too few of them.
+        // One ingress in four sees the siblings fail as often, the others send to too few of them.
         let terms = if number % 4 == 0 { &seen } else { &terms(true, true) };
         let evidence = if number % 10 < 3 { WorkEvidence::Failed } else { good() };
         assert!(upstream.request(terms, evidence), "request {number}");
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn verify_a_withdrawn_failure_counts_for_nothing() {
+fn verify_a_withdrawn_failure_does_not_count() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     for _ in 0..500 {
         upstream.request(&terms(true, true), WorkEvidence::Failed);
@@ -170,17 +174,17 @@
 }
 
 #[test]
-fn verify_work_that_must_be_taken_is_taken_though_sick() {
+fn verify_an_ejected_upstream_admits_requests_that_are_not_refusable() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     while upstream.ejected.is_empty() {
         upstream.request(&terms(true, false), WorkEvidence::Failed);
     }
-    assert!(!upstream.request(&terms(true, false), good()), "refusable work is refused");
-    assert!(upstream.request(&terms(false, false), good()), "other work is done");
+    assert!(!upstream.request(&terms(true, false), good()), "a refusable request is refused");
+    assert!(upstream.request(&terms(false, false), good()), "another is admitted");
 }
 
 #[test]
-fn verify_an_upstream_that_is_well_again_returns_within_the_longest_hold_off() {
+fn verify_a_recovered_upstream_returns_within_the_longest_hold_off() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     while upstream.ejected.len() < 6 {
         upstream.request(&terms(true, true), WorkEvidence::Failed);
@@ -188,13 +192,13 @@
             break;
         }
     }
-    let well_at = upstream.now;
+    let recovered_at = upstream.now;
     let returned = upstream.returned.len();
     while upstream.returned.len() == returned {
         upstream.request(&terms(true, true), good());
-        assert!(upstream.now - well_at < HOLD_OFF_MAX + Duration::from_secs(2));
+        assert!(upstream.now - recovered_at < HOLD_OFF_MAX + Duration::from_secs(2));
     }
-    assert!(upstream.health.report(ROUTE, upstream.now).ramp < 0.2, "slowly at first");
+    assert!(upstream.health.report(ROUTE, upstream.now).ramp < 0.2, "it ramps up slowly");
     upstream.now += Duration::from_secs(11);
     assert_eq!(upstream.health.report(ROUTE, upstream.now).ramp, 1.0);
 }
@@ -202,20 +206,20 @@
 #[test]
 fn verify_a_flapping_upstream_is_held_off_longer_each_time() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
-    let mut outs = Vec::new();
+    let mut durations = Vec::new();
     for _ in 0..4 {
         let ejections = upstream.ejected.len();
         while upstream.ejected.len() == ejections {
             upstream.request(&terms(true, true), WorkEvidence::Failed);
         }
-        let out_at = upstream.now;
+        let ejected_at = upstream.now;
         let returns = upstream.returned.len();
         while upstream.returned.len() == returns {
             upstream.request(&terms(true, true), good());
         }
-        outs.push(upstream.now - out_at);
+        durations.push(upstream.now - ejected_at);
     }
-    assert!(outs.windows(2).all(|pair| pair[1] > pair[0]), "{outs:?}");
+    assert!(durations.windows(2).all(|pair| pair[1] > pair[0]), "{durations:?}");
 }
 
 #[test]
@@ -228,17 +232,17 @@
     let admit = |upstream: &mut Upstream| upstream.health.admit(&terms(true, true), upstream.now).0;
     assert_eq!(admit(&mut upstream), AdmitVerdict::Trial);
     assert_eq!(admit(&mut upstream), AdmitVerdict::Refuse);
-    for done in 1..=TRIALS_NEEDED {
+    for completed in 1..=TRIALS_NEEDED {
         let change = upstream.health.note_trial(ROUTE, good(), upstream.now);
-        assert_eq!(change.is_some(), done == TRIALS_NEEDED);
-        if done < TRIALS_NEEDED {
+        assert_eq!(change.is_some(), completed == TRIALS_NEEDED);
+        if completed < TRIALS_NEEDED {
             assert_eq!(admit(&mut upstream), AdmitVerdict::Trial);
         }
     }
 }
 
 #[test]
-fn verify_a_cold_upstream_is_not_ejected_for_its_times() {
+fn verify_a_cold_upstream_is_not_ejected_for_its_latency() {
     for (cold, ejected) in [(true, false), (false, true)] {
         let mut upstream = Upstream::new(PreferChoice::Detection);
         if cold {
@@ -252,8 +256,8 @@
     }
 }
 
-/// The promise behind the thresholds, measured: a healthy upstream with the failures and times of
-/// its siblings.
+/// The false positive rate that the thresholds are set for: a healthy upstream has the failures and
+/// latencies of its siblings.
 #[test_case(PreferChoice::Detection, 3 ; "detection")]
 #[test_case(PreferChoice::Precision, 0 ; "precision")]
 fn verify_healthy_upstreams_are_hardly_ever_ejected(prefer: PreferChoice, most: usize) {
@@ -265,7 +269,7 @@
             let evidence = if rng.random_bool(0.002) {
                 WorkEvidence::Failed
             } else {
-                // The sum of uniform numbers is near enough to a normal distribution.
+                // The sum of twelve uniform numbers approximates a normal distribution.
                 let normal: f64 = (0..12).map(|_| rng.random_range(0.0..1.0)).sum::<f64>() - 6.0;
                 WorkEvidence::Answered(Duration::from_millis(20).mul_f64((0.4 * normal).exp()))
             };
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Balancing, path health, budgets and limits.
+//! The decisions of an ingress: load balancing, path health, retry budgets, traffic splits,
+//! baselines and rate limits.
 
 use std::time::Duration;
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// Chooses `count` times without load changing and tells how often each upstream was chosen.
+/// Chooses `count` times with constant load and returns how often each upstream was chosen.
 fn shares(view: &mut ServiceView, count: usize) -> Vec<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut shares = vec![0; view.upstreams().len()];
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn verify_the_own_failure_domain_comes_first_until_it_is_loaded() {
+fn verify_the_local_failure_domain_is_preferred_until_it_is_loaded() {
     let views = (0..6).map(|index| LoadView::new(4, index < 2)).collect();
     let mut view = ServiceView::new(0.5, views);
     for index in 0..6 {
@@ -69,7 +70,8 @@
     assert!(shares(&mut view, 300)[2..].iter().sum::<usize>() > 250);
 }
 
-/// Chooses over 40 s and answers each choice at once; tells how often each upstream was chosen.
+/// Chooses over 40 s, where the upstreams for which `answers` holds answer at once, and returns how
+/// often each upstream was chosen.
 fn answered_shares(view: &mut ServiceView, answers: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(4);
     let mut shares = vec![0; view.upstreams().len()];
@@ -89,17 +91,17 @@
 }
 
 #[test]
-fn verify_an_ingress_hears_of_upstreams_beyond_its_own_failure_domain() {
+fn verify_an_ingress_learns_of_upstreams_beyond_its_own_failure_domain() {
     let views = (0..8).map(|index| LoadView::new(4, index < 2)).collect();
     let mut view = ServiceView::new(0.5, views);
     let shares = answered_shares(&mut view, |_| true);
     assert!(shares[2..].iter().all(|count| *count > 0), "{shares:?}");
-    let far = shares[2..].iter().sum::<usize>();
-    assert!(far <= 40, "{far} of 400: one request in ten at the most");
+    let remote = shares[2..].iter().sum::<usize>();
+    assert!(remote <= 40, "{remote} of 400, where one request in ten is the maximum");
 }
 
 #[test]
-fn verify_an_ingress_that_has_enough_to_compare_with_stays_in_its_failure_domain() {
+fn verify_an_ingress_with_enough_local_siblings_to_compare_stays_in_its_failure_domain() {
     let views = (0..8).map(|index| LoadView::new(4, index < 5)).collect();
     let mut view = ServiceView::new(0.5, views);
     for index in 0..8 {
@@ -110,18 +112,18 @@
 }
 
 #[test]
-fn verify_no_request_goes_to_hear_of_a_silent_or_leaving_upstream() {
+fn verify_no_request_explores_a_silent_or_draining_upstream() {
     let views = (0..8).map(|index| LoadView::new(4, index < 2)).collect();
     let mut view = ServiceView::new(0.2, views);
     view.note_draining(3, true);
     view.note_reachable(4, false, false);
     let shares = answered_shares(&mut view, |index| index != 5);
     assert_eq!((shares[3], shares[4]), (0, 0), "{shares:?}");
-    assert_eq!(shares[5], 1, "one that owes an answer gets no more: {shares:?}");
+    assert_eq!(shares[5], 1, "an upstream with an unanswered request gets no other: {shares:?}");
 }
 
 #[test]
-fn verify_an_upstream_that_is_just_linked_again_takes_what_nobody_else_can() {
+fn verify_an_upstream_whose_link_just_returned_is_the_last_choice() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut view = ServiceView::new(0.5, vec![LoadView::new(4, true); 3]);
     view.note_reachable(1, false, true);
@@ -136,11 +138,11 @@
     };
     assert!((0..50).all(|_| choose(&[]) == Some((0, ChoiceGround::Near))));
     assert!((0..50).all(|_| choose(&[0]) == Some((1, ChoiceGround::Proving))));
-    assert_eq!(choose(&[0, 1]), None, "the way to the third is cut");
+    assert_eq!(choose(&[0, 1]), None, "the path to the third is cut");
 }
 
 #[test]
-fn verify_repeatable_work_finds_out_at_once_when_a_doubted_upstream_is_due() {
+fn verify_the_next_repeatable_request_is_the_trial_when_a_doubted_upstream_is_due() {
     let mut rng = ChaCha8Rng::seed_from_u64(6);
     let mut view = ServiceView::new(0.7, vec![LoadView::new(4, true); 30]);
     for index in 0..30 {
@@ -153,13 +155,13 @@
             .expect("an upstream")
             .index
     };
-    assert!((0..100).all(|_| choose(100, true) != 17), "it is not due yet");
-    assert_eq!(choose(210, true), 17, "the next repeatable work finds out");
-    assert!((0..100).all(|_| choose(210, false) != 17), "other work does not");
+    assert!((0..100).all(|_| choose(100, true) != 17), "no trial is due yet");
+    assert_eq!(choose(210, true), 17, "the next repeatable request is the trial");
+    assert!((0..100).all(|_| choose(210, false) != 17), "non-repeatable requests are no trials");
 }
 
 #[test]
-fn verify_quick_errors_draw_no_traffic() {
+fn verify_fast_errors_attract_no_traffic() {
     let views = (0..5).map(|_| LoadView::new(4, true)).collect();
     let mut view = ServiceView::new(0.5, views);
     view.note_median((20_000_f64).ln());
@@ -167,7 +169,7 @@
         view.note_report(index, 1, healthy(if index == 0 { 0.2 } else { 20.0 }), millis(10));
     }
     let shares = shares(&mut view, 1000);
-    assert!(shares[0] < 420, "{shares:?}: a fifth, doubled by the better of two, and no more");
+    assert!(shares[0] < 420, "{shares:?}: at most a fifth, doubled by the choice of two");
 }
 
 #[test]
@@ -177,27 +179,33 @@
     view.note_median((20_000_f64).ln());
     for index in 0..5 {
         let median = if index == 0 { 30.0 } else { 20.0 };
-        // Under equal load the slow one has had its requests longer.
+        // Under equal load the requests of the slow upstream have been running for longer.
         view.note_report(index, 1, healthy(median), millis(10));
     }
     assert!(shares(&mut view, 1000)[0] > 20);
 }
 
 #[test]
-fn verify_a_suspect_is_passed_over_while_others_have_room_and_asked_again_soon() {
+fn verify_a_suspect_is_skipped_while_others_have_free_slots_and_tried_again_soon() {
     let views = (0..4).map(|_| LoadView::new(4, true)).collect();
     let mut view = ServiceView::new(0.5, views);
     for index in 0..4 {
         let sickness = if index == 0 { 1.2 } else { 0.0 };
         view.note_report(index, 1, HealthReport { sickness, ..healthy(20.0) }, millis(10));
     }
-    let passed_over = shares(&mut view, 300)[0];
-    assert!(passed_over < 40, "{passed_over}: its daemon is not sure yet, callers need not wait");
+    let chosen = shares(&mut view, 300)[0];
+    assert!(
+        chosen < 40,
+        "{chosen}: its daemon has not ejected it yet, and callers need not wait for that"
+    );
     assert!(view.plan().avoided.iter().all(|avoided| !avoided), "it stays in service");
     for index in 1..4 {
         view.note_report(index, 40, healthy(20.0), millis(10));
     }
-    assert!(shares(&mut view, 300)[0] > 20, "it takes what the others have no room for");
+    assert!(
+        shares(&mut view, 300)[0] > 20,
+        "it takes the requests for which the others have no free slots"
+    );
     for index in 1..4 {
         view.note_report(index, 1, healthy(20.0), millis(10));
     }
@@ -213,25 +221,25 @@
             .expect("an upstream");
         choice.index == 0
     });
-    assert!(asked.count() > 10, "an old suspicion is worth nothing");
+    assert!(asked.count() > 10, "an old suspicion no longer counts");
 }
 
 #[test]
-fn verify_one_whose_attempt_was_late_is_passed_over_until_it_is_heard_of() {
+fn verify_an_upstream_with_a_late_attempt_is_skipped_until_it_reports_again() {
     let views = (0..4).map(|_| LoadView::new(4, true)).collect();
     let mut view = ServiceView::new(0.5, views);
     for index in 0..4 {
         view.note_report(index, 1, healthy(20.0), millis(5));
     }
     view.note_late(0, millis(8));
-    assert!(shares(&mut view, 300)[0] < 40, "it is silent");
+    assert!(shares(&mut view, 300)[0] < 40, "no report arrives");
     assert!(view.plan().avoided.iter().all(|avoided| !avoided), "it stays in service");
     view.note_report(0, 1, healthy(20.0), millis(9));
     assert!(shares(&mut view, 300)[0] > 40, "it answered another request meanwhile");
 }
 
 #[test]
-fn verify_one_that_just_returned_is_not_overrun() {
+fn verify_an_upstream_that_just_returned_is_not_overloaded() {
     let views = (0..5).map(|_| LoadView::new(4, true)).collect();
     let mut view = ServiceView::new(0.5, views);
     for index in 0..5 {
@@ -244,7 +252,7 @@
 }
 
 #[test]
-fn verify_own_requests_count_before_any_report() {
+fn verify_own_requests_count_before_the_first_report() {
     let views = (0..2).map(|_| LoadView::new(4, true)).collect();
     let mut view = ServiceView::new(0.5, views);
     for _ in 0..4 {
@@ -255,25 +263,25 @@
 }
 
 #[test]
-fn verify_a_path_is_cut_when_questions_stay_unanswered() {
+fn verify_a_path_is_cut_when_probes_stay_unanswered() {
     let mut path = PathHealth::new(Duration::ZERO);
-    assert!(!path.ask(millis(100), true), "heard a moment ago");
-    assert!(!path.ask(ASK_AFTER, false), "nobody uses it");
+    assert!(!path.ask(millis(100), true), "a frame arrived a moment ago");
+    assert!(!path.ask(ASK_AFTER, false), "the path is not in use");
     assert!(path.ask(ASK_AFTER, true));
     assert_eq!(path.state(ASK_AFTER + SILENCE_MAX), PathState::Up);
     let late = ASK_AFTER + SILENCE_MAX + millis(1);
     assert_eq!(path.state(late), PathState::Cut);
     path.note_heard(late + millis(10));
-    assert_eq!(path.state(late + millis(10)), PathState::Proving, "a late frame proves little");
+    assert_eq!(path.state(late + millis(10)), PathState::Proving, "a delayed frame is not enough");
     path.note_answer(late + millis(20));
     assert_eq!(path.state(late + millis(20)), PathState::Up);
 }
 
 #[test]
-fn verify_a_flapping_path_must_prove_itself_longer() {
+fn verify_a_flapping_path_needs_more_answers_each_time() {
     let mut path = PathHealth::new(Duration::ZERO);
     let mut now = Duration::ZERO;
-    let mut needed = Vec::new();
+    let mut answers_needed = Vec::new();
     for _ in 0..4 {
         path.note_broken(now);
         let mut answers = 0;
@@ -282,9 +290,9 @@
             path.note_answer(now);
             answers += 1;
         }
-        needed.push(answers);
+        answers_needed.push(answers);
     }
-    assert_eq!(needed, [1, 2, 4, 8]);
+    assert_eq!(answers_needed, [1, 2, 4, 8]);
 }
 
 #[test]
@@ -292,7 +300,8 @@
     const WINDOW: Duration = Duration::from_secs(10);
     let terms = BudgetTerms { share: 0.1, extra: 3.0, window: WINDOW };
     let mut budget = RetryBudget::new(terms);
-    // A hundred requests a second, after a quiet hour that must not save anything up.
+    // A hundred requests a second, after an hour without requests that must not accumulate any
+    // budget.
     let times = (0..10_000).map(|number| Duration::from_millis(3_600_000 + number * 10));
     let mut repeats: Vec<Duration> = Vec::new();
     for now in times {
@@ -305,7 +314,7 @@
         let allowed = requests.min(1000) / 10 + 3;
         assert!(in_window <= allowed, "{in_window} of {allowed} at {now:?}");
     }
-    // Most of what is allowed can be used.
+    // Most of the budget can be used.
     assert!(repeats.len() > 850, "{}", repeats.len());
     let mut none = RetryBudget::new(BudgetTerms { share: 0.0, extra: 0.0, window: WINDOW });
     none.note_request(Duration::ZERO);
@@ -313,7 +322,7 @@
 }
 
 #[test]
-fn verify_a_split_gives_each_part_its_share_and_many_ingresses_do_not_begin_alike() {
+fn verify_a_split_gives_each_part_its_share_and_ingresses_start_at_different_points() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let weights = [90, 0, 10];
     let mut counts = [0; 3];
@@ -333,7 +342,7 @@
 }
 
 #[test]
-fn verify_the_baseline_is_the_siblings_and_one_sick_server_moves_it_not() {
+fn verify_the_baseline_is_robust_against_one_faulty_sibling() {
     let mut baseline = RouteBaseline::default();
     for index in 0..9 {
         baseline.note(index, &healthy(20.0));
@@ -346,7 +355,7 @@
 }
 
 #[test]
-fn verify_failures_of_many_others_count_as_shared_and_of_one_do_not() {
+fn verify_failures_of_many_siblings_count_as_shared_and_those_of_one_do_not() {
     let base = ServiceBaseline { upstreams: 10, ..ServiceBaseline::default() };
     let adjusted = |failing: u32| {
         let mut recent = RecentAnswers::default();
@@ -363,7 +372,7 @@
 }
 
 #[test]
-fn verify_a_shift_of_the_last_answers_of_all_others_counts_as_shared_at_once() {
+fn verify_a_latency_shift_of_all_siblings_counts_as_shared_at_once() {
     let base = ServiceBaseline { median_ln: 10.0, upstreams: 6, ..ServiceBaseline::default() };
     let usual = Duration::from_micros(10_f64.exp() as u64);
     let shift = |late: u32| {
@@ -377,13 +386,13 @@
         baseline.median_ln - base.median_ln
     };
     assert_eq!(shift(0), 0.0);
-    assert_eq!(shift(3), 0.0, "a few stragglers move nothing");
+    assert_eq!(shift(3), 0.0, "a few slow answers shift nothing");
     assert!((shift(4) - 8_f64.ln()).abs() < 0.01);
     assert!((shift(20) - 8_f64.ln()).abs() < 0.01);
 }
 
 #[test]
-fn verify_every_daemon_finds_the_same_home_and_homes_are_spread() {
+fn verify_every_daemon_finds_the_same_owner_and_owners_are_spread() {
     let hosts: Vec<String> = (0..20).map(|number| format!("host-{number}")).collect();
     let mut counts = vec![0; hosts.len()];
     for limit in 0..2000 {
@@ -391,13 +400,13 @@
         let forward = limits::home_of(&name, hosts.iter().map(String::as_str));
         let back = limits::home_of(&name, hosts.iter().rev().map(String::as_str));
         assert_eq!(forward, back);
-        let home = hosts.iter().position(|host| Some(host.as_str()) == forward).expect("home");
-        counts[home] += 1;
+        let owner = hosts.iter().position(|host| Some(host.as_str()) == forward).expect("home");
+        counts[owner] += 1;
     }
     assert!(counts.iter().all(|count| (50..=160).contains(count)), "{counts:?}");
 }
 
-/// Runs so many cases, the same ones each time.
+/// Runs `cases` cases, the same ones each time.
 fn fixed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -406,24 +415,24 @@
 proptest! {
     #![proptest_config(fixed(300))]
 
-    /// Whatever the ingresses do, what they admit is bounded by what the home granted.
+    /// Whatever the ingresses do, they admit no more requests than the owner of the limit granted.
     #[test]
-    fn verify_ingresses_never_use_more_than_was_granted(
+    fn verify_ingresses_never_admit_more_than_was_granted(
         rate in 1.0..500.0_f64,
         burst in 1.0..200.0_f64,
         steps in prop::collection::vec((0..4_usize, 0..300_u64), 1..400),
     ) {
-        let mut home = TokenBucket::new(rate, burst, Duration::ZERO);
-        let mut ledgers = [LimitLedger::new(Duration::ZERO); 4];
+        let mut owner = TokenBucket::new(rate, burst, Duration::ZERO);
+        let mut limiters = [LimitLedger::new(Duration::ZERO); 4];
         let mut now = Duration::ZERO;
         let mut passed = 0.0;
         for (ingress, wait) in steps {
             now += millis(wait);
-            let ledger = &mut ledgers[ingress];
-            if let LimitVerdict::Ask(wanted) = ledger.admit(now) {
-                let granted = home.take_up_to(wanted, now);
-                ledger.note_grant(granted, millis(10), now);
-            } else if ledger.admit(now) == LimitVerdict::Pass {
+            let limiter = &mut limiters[ingress];
+            if let LimitVerdict::Ask(wanted) = limiter.admit(now) {
+                let granted = owner.take_up_to(wanted, now);
+                limiter.note_grant(granted, millis(10), now);
+            } else if limiter.admit(now) == LimitVerdict::Pass {
                 passed += 1.0;
             }
             prop_assert!(passed <= burst + rate * now.as_secs_f64() + 1.0);
@@ -431,7 +440,8 @@
     }
 }
 
-/// Six upstreams of four slots in one failure domain, the first two doubted, the others with this load.
+/// Six upstreams of four slots in one failure domain, the first two doubted, the others with load
+/// `load`.
 fn busy_view(load: u32) -> ServiceView {
     let views = (0..6).map(|_| LoadView::new(4, true)).collect();
     let mut view = ServiceView::new(0.5, views);
@@ -443,13 +453,10 @@
     view
 }
 
-#[test_case(5, true ; "a little beyond the slots")]
+#[test_case(5, true ; "slightly more than the slots")]
 #[test_case(9, true ; "one round waits")]
-#[test_case(40, false ; "overrun")]
-fn verify_work_waits_at_a_sound_upstream_rather_than_hang_unless_it_is_overrun(
-    load: u32,
-    waits: bool,
-) {
+#[test_case(40, false ; "overloaded")]
+fn verify_requests_wait_at_a_trusted_upstream_unless_it_is_overloaded(load: u32, waits: bool) {
     let mut view = busy_view(load);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for _ in 0..100 {
@@ -460,7 +467,7 @@
 }
 
 #[test]
-fn verify_the_last_choice_is_one_that_is_known_to_be_sound_though_full() {
+fn verify_the_last_choice_is_an_upstream_known_to_be_healthy_though_full() {
     let mut view = ServiceView::new(0.5, (0..6).map(|_| LoadView::new(4, true)).collect());
     view.note_report(3, 4, healthy(20.0), millis(10));
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -470,31 +477,31 @@
         assert_eq!((choice.index, choice.ground), (3, ChoiceGround::Waiting));
         let request = ChoiceRequest { full: &[3], ..ChoiceRequest::default() };
         let choice = view.choose(millis(11), &request, &mut rng).expect("one");
-        assert_ne!(choice.index, 3, "others are asked first");
+        assert_ne!(choice.index, 3, "others are tried first");
     }
 }
 
 #[test]
-fn verify_calls_of_repeated_work_are_taken_off_the_budget() {
+fn verify_nested_calls_of_retried_requests_count_against_the_budget() {
     let terms = BudgetTerms { share: 0.2, extra: 2.0, window: Duration::from_secs(10) };
     let mut budget = RetryBudget::new(terms);
     (0..10).for_each(|_| budget.note_request(millis(1)));
     (0..4).for_each(|_| budget.note_repeat(millis(2)));
-    assert!(!budget.take(millis(3)), "all four of the window are spent");
+    assert!(!budget.take(millis(3)), "all four retries of the window are used");
 }
 
 #[test]
-fn verify_a_path_is_asked_for_a_sign_of_life_after_a_late_attempt() {
+fn verify_a_path_is_probed_after_a_late_attempt() {
     let mut path = PathHealth::new(millis(0));
-    assert!(!path.ask(millis(400), false), "an idle path is left alone");
+    assert!(!path.ask(millis(400), false), "an idle path is not probed");
     path.note_late();
     assert!(path.ask(millis(400), false));
     path.note_heard(millis(410));
-    assert!(!path.ask(millis(900), false), "it was heard of since");
+    assert!(!path.ask(millis(900), false), "a frame has arrived since");
 }
 
-/// A service that is full: its sound upstreams have so many requests each in ten slots and a queue of 16, one
-/// hangs and has idle slots. Returns how often work goes to that one.
+/// A full service: its healthy upstreams have `load` requests each for ten slots and a queue of 16,
+/// and one upstream hangs and has idle slots. Returns how often of 200 times that one is chosen.
 fn to_idle_suspect(load: u32, repeatable: bool) -> usize {
     let mut view = ServiceView::new(0.5, vec![LoadView::new(10, true); 6]).with_queue(16);
     for index in 0..5 {
@@ -509,11 +516,12 @@
     (0..200).map(choose).filter(|index| *index == 5).count()
 }
 
-// Calls that would be refused get a part of what a hanging server still does.
-#[test_case(26, true, 200 ; "repeatable work that would be refused at the sound ones")]
-#[test_case(20, true, 0 ; "repeatable work that can wait at a sound one")]
-#[test_case(26, false, 0 ; "work that must not hang")]
-fn verify_repeatable_work_uses_idle_suspects_before_it_is_refused(
+// A hanging server still completes some requests; those that would otherwise be refused may use
+// that.
+#[test_case(26, true, 200 ; "repeatable request that the healthy ones would refuse")]
+#[test_case(20, true, 0 ; "repeatable request that can wait at a healthy one")]
+#[test_case(26, false, 0 ; "non-repeatable request")]
+fn verify_repeatable_requests_use_idle_suspects_before_they_are_refused(
     load: u32,
     repeatable: bool,
     wanted: usize,
@@ -521,7 +529,7 @@
     assert_eq!(to_idle_suspect(load, repeatable), wanted);
 }
 
-#[test_case(true ; "out of service")]
+#[test_case(true ; "ejected")]
 #[test_case(false ; "doubted")]
 fn verify_trials_go_to_all_that_are_due_in_turn(ejected: bool) {
     let mut rng = ChaCha8Rng::seed_from_u64(8);
@@ -538,7 +546,8 @@
         let index = view.choose(millis(at), &request, &mut rng).expect("an upstream").index;
         if index < 6 {
             tried[index] += 1;
-            // The server refuses the trial, which says nothing of it: the next is due at once.
+            // The server refuses the trial, which is no evidence of its health: the next is due at
+            // once.
             view.note_report(index, 0, health, millis(at));
         }
     }
--- a/crates/decide/tests/look.rs
+++ b/crates/decide/tests/look.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! When upstreams are looked at before work is sent, and which of them gets it.
+//! When upstreams are probed for their load before a request is sent, and which of them is chosen.
 
 use std::time::Duration;
 
@@ -17,45 +17,52 @@
     ejected: false,
 };
 
-#[test_case(&[UpstreamLook { in_flight: 3, ..IDLE }, UpstreamLook { in_flight: 1, ..IDLE }], 1 ; "the less loaded")]
-#[test_case(&[UpstreamLook { in_flight: 2, ..IDLE }, UpstreamLook { in_flight: 3, slots: 8, ..IDLE }], 1 ; "by its slots")]
-#[test_case(&[UpstreamLook { doubtful: true, ..IDLE }, UpstreamLook { in_flight: 3, ..IDLE }], 1 ; "the one that is not doubted")]
-#[test_case(&[UpstreamLook { in_flight: 3, ..IDLE }, UpstreamLook { draining: true, ..IDLE }], 0 ; "the one that stays")]
-#[test_case(&[UpstreamLook { in_flight: 4, ..IDLE }, UpstreamLook { in_flight: 4, queued: 2, ..IDLE }], 0 ; "of full ones the shorter queue")]
-fn verify_the_better_upstream_gets_the_work(looks: &[UpstreamLook], best: usize) {
+#[test_case(&[UpstreamLook { in_flight: 3, ..IDLE }, UpstreamLook { in_flight: 1, ..IDLE }], 1
+            ; "the less loaded")]
+#[test_case(&[UpstreamLook { in_flight: 2, ..IDLE },
+              UpstreamLook { in_flight: 3, slots: 8, ..IDLE }], 1
+            ; "the less loaded for its slots")]
+#[test_case(&[UpstreamLook { doubtful: true, ..IDLE }, UpstreamLook { in_flight: 3, ..IDLE }], 1
+            ; "one that is not doubted")]
+#[test_case(&[UpstreamLook { in_flight: 3, ..IDLE }, UpstreamLook { draining: true, ..IDLE }], 0
+            ; "one that is not draining")]
+#[test_case(&[UpstreamLook { in_flight: 4, ..IDLE },
+              UpstreamLook { in_flight: 4, queued: 2, ..IDLE }], 0
+            ; "of full ones the shorter queue")]
+fn verify_the_better_upstream_is_chosen(looks: &[UpstreamLook], best: usize) {
     assert_eq!(look::best(looks), Some(best));
 }
 
 #[test]
-fn verify_nobody_is_best_where_nobody_answered() {
+fn verify_no_upstream_is_best_where_none_answered() {
     assert_eq!(look::best(&[]), None);
 }
 
 #[test]
-fn verify_a_look_is_worth_a_round_trip_that_is_short_for_the_time_left() {
+fn verify_a_probe_is_worth_a_round_trip_that_is_short_for_the_time_left() {
     let left = Duration::from_millis(150);
     let old = Some(Duration::from_secs(1));
     assert!(look::is_worth(old, Some(Duration::from_millis(1)), left));
     assert!(look::is_worth(None, None, left), "nothing is known");
-    assert!(!look::is_worth(old, Some(Duration::from_millis(40)), left), "far away");
+    assert!(!look::is_worth(old, Some(Duration::from_millis(40)), left), "a long round trip");
     assert!(!look::is_worth(Some(FRESH_FOR / 2), Some(Duration::from_millis(1)), left));
 }
 
 #[test]
-fn verify_where_all_are_full_looks_stop_and_come_back_with_room() {
+fn verify_probes_stop_where_all_are_full_and_resume_with_free_slots() {
     let mut gain = LookGain::default();
-    let mut looked = 0;
+    let mut probed = 0;
     for _ in 0..1000 {
         if gain.looks() {
-            looked += 1;
+            probed += 1;
             gain.note(false);
         }
     }
-    assert!(looked <= 1000 / TRY_EACH + 16, "{looked} looks of 1000 requests at full servers");
-    let mut until = 0;
+    assert!(probed <= 1000 / TRY_EACH + 16, "{probed} probes for 1000 requests at full servers");
+    let mut successes = 0;
     while !(gain.looks() && gain.looks()) {
         gain.note(true);
-        until += 1;
-        assert!(until <= 64, "looks don't come back");
+        successes += 1;
+        assert!(successes <= 64, "probes don't resume");
     }
 }
--- a/crates/decide/tests/neighbours.rs
+++ b/crates/decide/tests/neighbours.rs
@@ -1,52 +1,52 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Every daemon is told by others, and news crosses the fleet.
+//! Gossip: every daemon is notified by others, and news reaches the whole fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use basaltarch_decide::neighbours::{self, NEIGHBOURS, RING_NEIGHBOURS};
 use test_case::test_case;
 
-/// Returns whom each of so many hosts tells.
-fn tellers(count: usize, round: u64) -> BTreeMap<String, Vec<String>> {
+/// Returns the hosts that each of `count` hosts notifies.
+fn notified_by_host(count: usize, round: u64) -> BTreeMap<String, Vec<String>> {
     let names: Vec<String> = (0..count).map(|number| format!("host-{number}")).collect();
-    let tells = |own: &String| {
+    let targets = |own: &String| {
         let others = names.iter().filter(|name| *name != own).cloned().collect();
         (own.clone(), neighbours::choose(own, others, round))
     };
-    names.iter().map(tells).collect()
+    names.iter().map(targets).collect()
 }
 
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(33)]
 #[test_case(350)]
-fn verify_every_host_is_told_by_as_many_as_the_ring_gives_it(count: usize) {
+fn verify_every_host_is_notified_by_at_least_its_ring_neighbours(count: usize) {
     for round in [0, 45, 300] {
-        let mut told: BTreeMap<String, usize> = BTreeMap::new();
-        for (own, chosen) in tellers(count, round) {
+        let mut notified: BTreeMap<String, usize> = BTreeMap::new();
+        for (own, chosen) in notified_by_host(count, round) {
             assert_eq!(chosen.len(), NEIGHBOURS.min(count - 1), "{own}");
             assert_eq!(chosen.iter().collect::<BTreeSet<_>>().len(), chosen.len(), "{own}");
             assert!(!chosen.contains(&own));
-            chosen.into_iter().for_each(|host| *told.entry(host).or_default() += 1);
+            chosen.into_iter().for_each(|host| *notified.entry(host).or_default() += 1);
         }
-        assert_eq!(told.len(), count, "somebody is told by nobody");
+        assert_eq!(notified.len(), count, "some host is notified by none");
         let least = RING_NEIGHBOURS.min(count - 1);
-        assert!(told.values().all(|times| *times >= least), "{told:?}");
+        assert!(notified.values().all(|times| *times >= least), "{notified:?}");
     }
 }
 
-/// Half of the hosts learn nothing by themselves; the others tell.
+/// Half of the hosts have the news at first and forward it to the others.
 #[test_case(12, 3)]
 #[test_case(33, 4)]
 #[test_case(350, 5)]
 fn verify_news_that_half_of_the_hosts_have_reaches_all_in_few_steps(count: usize, steps: usize) {
-    let tells = tellers(count, 0);
-    let mut know: BTreeSet<&String> = tells.keys().step_by(2).collect();
+    let targets = notified_by_host(count, 0);
+    let mut informed: BTreeSet<&String> = targets.keys().step_by(2).collect();
     for _ in 0..steps {
-        let told: Vec<&String> = know.iter().flat_map(|host| &tells[*host]).collect();
-        know.extend(told);
+        let notified: Vec<&String> = informed.iter().flat_map(|host| &targets[*host]).collect();
+        informed.extend(notified);
     }
-    assert_eq!(know.len(), count);
+    assert_eq!(informed.len(), count);
 }
--- a/crates/decide/tests/order.rs
+++ b/crates/decide/tests/order.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Who gets the slots of a service that has too little room.
+//! Which requests get the slots of an overloaded service.
 
 use std::time::Duration;
 
@@ -12,101 +12,107 @@
 const OBJECTIVE: Duration = Duration::from_secs(2);
 const DEADLINE: Duration = Duration::from_secs(8);
 
-fn work(class: WorkClass, came_at: Duration) -> WaitingWork {
+fn entry(class: WorkClass, arrived_at: Duration) -> WaitingWork {
     WaitingWork {
         class,
         is_call: false,
-        deadline: came_at + DEADLINE,
-        objective: Some(came_at + OBJECTIVE),
+        deadline: arrived_at + DEADLINE,
+        objective: Some(arrived_at + OBJECTIVE),
         usual: Some(USUAL),
         most: Some(USUAL),
     }
 }
 
 #[test]
-fn verify_what_can_be_in_time_goes_before_what_is_more_urgent_and_late() {
+fn verify_a_request_that_meets_its_objective_goes_before_an_urgent_late_one() {
     let now = Duration::from_secs(10);
-    let late = work(WorkClass::Critical, Duration::from_secs(7));
-    let in_time = work(WorkClass::Sheddable, Duration::from_secs(9));
+    let late = entry(WorkClass::Critical, Duration::from_secs(7));
+    let in_time = entry(WorkClass::Sheddable, Duration::from_secs(9));
     assert_eq!(order::first([late, in_time].into_iter(), 0, now), Some(1));
     assert_eq!(
         order::first([late].into_iter(), 0, now),
         Some(0),
-        "late work is served in its turn"
+        "a late request is served when no other waits"
     );
 }
 
 #[test]
-fn verify_late_calls_of_running_work_go_before_new_work() {
+fn verify_late_nested_calls_go_before_new_requests() {
     let now = Duration::from_secs(10);
-    let new = work(WorkClass::Critical, Duration::from_secs(10));
-    let call = WaitingWork { is_call: true, ..work(WorkClass::Sheddable, Duration::from_secs(7)) };
+    let new = entry(WorkClass::Critical, Duration::from_secs(10));
+    let call = WaitingWork { is_call: true, ..entry(WorkClass::Sheddable, Duration::from_secs(7)) };
     assert_eq!(order::first([new, call].into_iter(), 0, now), Some(1));
 }
 
-/// Urgent and lesser work waits for ever; returns the part of the slots that the lesser work got.
-fn part_of_lesser(slots: u32) -> f64 {
+/// An urgent and a less urgent request always wait; returns the share of the slots that the less
+/// urgent class got.
+fn share_of_sheddable(slots: u32) -> f64 {
     let now = Duration::from_secs(1);
-    // Who came first stands first.
-    let waiting = [work(WorkClass::Sheddable, now), work(WorkClass::Critical, now)];
-    let lesser = (0..slots).filter(|turn| order::first(waiting.into_iter(), *turn, now) == Some(0));
-    lesser.count() as f64 / f64::from(slots)
+    // Waiting requests are in the order of arrival.
+    let waiting = [entry(WorkClass::Sheddable, now), entry(WorkClass::Critical, now)];
+    let sheddable =
+        (0..slots).filter(|turn| order::first(waiting.into_iter(), *turn, now) == Some(0));
+    sheddable.count() as f64 / f64::from(slots)
 }
 
 #[test]
-fn verify_no_class_falls_to_nothing_while_urgent_work_fills_all_slots() {
-    let part = part_of_lesser(1000);
-    assert!((0.15..=0.25).contains(&part), "{part} of the slots");
+fn verify_no_class_starves_while_urgent_requests_fill_all_slots() {
+    let share = share_of_sheddable(1000);
+    assert!((0.15..=0.25).contains(&share), "{share} of the slots");
 }
 
-/// `CallPiece` is a piece of work in the play of a service that calls itself.
+/// `SimulatedRequest` is a request in the simulation of a service that calls itself.
 #[derive(Clone, Copy)]
-struct CallPiece {
-    work: WaitingWork,
-    /// Slot of the parent, of a call.
+struct SimulatedRequest {
+    entry: WaitingWork,
+    /// Slot of the parent request, for a nested call.
     parent: Option<usize>,
 }
 
-/// Plays a service whose work makes a call to the same service and keeps its slot meanwhile, for a minute. Returns
-/// the pieces of work that ended; none ends any more once all slots are held by work that waits for its calls.
-fn ended_with_calls(kept: bool) -> usize {
+/// Simulates for a minute a service whose requests each make a nested call to the same service and
+/// keep their slot meanwhile. Returns the number of requests that completed; none completes any
+/// more once all slots are held by requests that wait for their nested calls. Slots are kept for
+/// calls if `kept`.
+fn completed_with_calls(kept: bool) -> usize {
     const SLOTS: usize = 8;
     const STEP: Duration = Duration::from_millis(50);
-    let mut slots: [Option<(CallPiece, u32)>; SLOTS] = [None; SLOTS];
-    let mut waiting: Vec<CallPiece> = Vec::new();
-    let mut ended = 0;
+    let mut slots: [Option<(SimulatedRequest, u32)>; SLOTS] = [None; SLOTS];
+    let mut waiting: Vec<SimulatedRequest> = Vec::new();
+    let mut completed = 0;
     for step in 0..1200 {
         let now = STEP * step;
-        // More comes than there is room for.
+        // More requests arrive than there are slots for.
         for _ in 0..2 {
-            waiting.push(CallPiece { work: work(WorkClass::Normal, now), parent: None });
+            waiting.push(SimulatedRequest { entry: entry(WorkClass::Normal, now), parent: None });
         }
         for slot in 0..SLOTS {
-            let Some((piece, left)) = slots[slot] else { continue };
-            match (piece.parent, left) {
-                // A parent makes its call at the end of its own work.
+            let Some((request, left)) = slots[slot] else { continue };
+            match (request.parent, left) {
+                // A parent makes its nested call at the end of its own processing.
                 (None, 1) => {
-                    let call = WaitingWork { is_call: true, ..work(WorkClass::Normal, now) };
-                    waiting.push(CallPiece { work: call, parent: Some(slot) });
-                    slots[slot] = Some((piece, 0));
+                    let call = WaitingWork { is_call: true, ..entry(WorkClass::Normal, now) };
+                    waiting.push(SimulatedRequest { entry: call, parent: Some(slot) });
+                    slots[slot] = Some((request, 0));
                 }
                 (None, 0) => {}
                 (Some(parent), 1) => {
                     slots[slot] = None;
                     slots[parent] = None;
-                    ended += 1;
+                    completed += 1;
                 }
-                _ => slots[slot] = Some((piece, left - 1)),
+                _ => slots[slot] = Some((request, left - 1)),
             }
         }
-        waiting.retain(|piece| piece.parent.is_some() || piece.work.can_end(now));
+        waiting.retain(|request| request.parent.is_some() || request.entry.can_end(now));
         for slot in 0..SLOTS {
             let used = slots.iter().flatten().count() as u32;
-            let may = |piece: &&CallPiece| used < order::open_slots(8, piece.work.is_call, kept);
-            let works = waiting.iter().filter(may).map(|piece| piece.work);
-            let first = order::first(works, step, now);
+            let may = |request: &&SimulatedRequest| {
+                used < order::open_slots(8, request.entry.is_call, kept)
+            };
+            let candidates = waiting.iter().filter(may).map(|request| request.entry);
+            let first = order::first(candidates, step, now);
             let index = first.and_then(|first| {
-                let eligible = waiting.iter().enumerate().filter(|(_, piece)| may(piece));
+                let eligible = waiting.iter().enumerate().filter(|(_, request)| may(request));
                 eligible.map(|(index, _)| index).nth(first)
             });
             if let Some(index) = index.filter(|_| slots[slot].is_none()) {
@@ -114,14 +120,18 @@
             }
         }
     }
-    ended
+    completed
 }
 
 #[test]
-fn verify_work_that_calls_its_own_service_does_not_stand_still() {
-    // Half of the slots' time goes to calls: 8 slots, 60 s, 0.3 s each.
+fn verify_a_service_that_calls_itself_does_not_deadlock() {
+    // A request and its nested call take 0.3 s each: 8 slots, 60 s, half of the time for nested
+    // calls.
     let most = 8.0 * 60.0 / 0.6;
-    let kept = ended_with_calls(true) as f64;
+    let kept = completed_with_calls(true) as f64;
     assert!(kept > most / 3.0, "{kept} of {most}");
-    assert!((ended_with_calls(false) as f64) < 0.1 * most, "the play shows the fault");
+    assert!(
+        (completed_with_calls(false) as f64) < 0.1 * most,
+        "without kept slots the simulation deadlocks"
+    );
 }
--- a/crates/decide/tests/places.rs
+++ b/crates/decide/tests/places.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where work waits when the servers near by are full, and what distance costs it.
+//! Where a request waits when the local servers are full, and the cost of remote ones.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 const NOW: Duration = Duration::from_millis(10);
 const USUAL: Duration = Duration::from_millis(400);
-/// Time that a megabyte to another failure domain is worth.
+/// Waiting time that is preferred to sending a megabyte to another failure domain.
 const WORTH: Duration = Duration::from_secs(10);
 const SLOTS: u32 = 8;
 
@@ -34,13 +34,13 @@
     }
 }
 
-/// Two servers near by and four far ones, with this load.
-fn service(near: u32, far: u32) -> ServiceView {
+/// Two local servers with load `local` and four remote ones with load `remote`.
+fn service(local: u32, remote: u32) -> ServiceView {
     let views = (0..6).map(|index| LoadView::new(SLOTS, index < 2)).collect();
     let mut view = ServiceView::new(0.5, views);
     view.note_median(report(false).median_ln);
     for index in 0..6 {
-        let load = if index < 2 { near } else { far };
+        let load = if index < 2 { local } else { remote };
         view.note_report(index, load, report(false), NOW);
     }
     view
@@ -52,41 +52,45 @@
     mean
 }
 
-// 100 kB are worth a second, two and a half rounds of work.
-#[test_case(100_000, 10, ChoiceGround::Waiting ; "a download waits near by")]
+// 100 kB are worth a second of waiting, two and a half service rounds.
+#[test_case(100_000, 10, ChoiceGround::Waiting ; "a download waits for a local server")]
 #[test_case(100_000, 40, ChoiceGround::Sound ; "but not for longer than its bytes are worth")]
-#[test_case(500, 10, ChoiceGround::Sound ; "a lookup makes room")]
-fn verify_the_heavy_stays_near_and_the_light_goes_far(bytes: u64, near: u32, ground: ChoiceGround) {
-    let mut view = service(near, 1);
+#[test_case(500, 10, ChoiceGround::Sound ; "a lookup goes to a remote server")]
+fn verify_large_transfers_stay_local_and_small_ones_go_to_remote_servers(
+    bytes: u64,
+    local: u32,
+    ground: ChoiceGround,
+) {
+    let mut view = service(local, 1);
     let near_rounds = mean(bytes).rounds(WORTH, Some(USUAL));
     let request = ChoiceRequest { near_rounds, ..ChoiceRequest::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..100 {
         let choice = view.choose(NOW, &request, &mut rng).expect("an upstream");
-        let is_near = choice.index < 2;
-        assert_eq!((choice.ground, is_near), (ground, ground == ChoiceGround::Waiting));
+        let is_local = choice.index < 2;
+        assert_eq!((choice.ground, is_local), (ground, ground == ChoiceGround::Waiting));
     }
 }
 
 #[test]
-fn verify_nothing_waits_for_bytes_unless_they_are_given_a_worth() {
+fn verify_sizes_cost_nothing_unless_a_megabyte_has_a_price() {
     assert_eq!(mean(100_000).rounds(Duration::ZERO, Some(USUAL)), 0.0);
     assert_eq!(
         ByteMean::default().rounds(WORTH, Some(USUAL)),
         0.0,
-        "nothing is known of the route"
+        "no size is known of the route"
     );
-    assert_eq!(mean(100_000).rounds(WORTH, None), 0.0, "nor of its time");
+    assert_eq!(mean(100_000).rounds(WORTH, None), 0.0, "no usual time is known");
 }
 
 #[test]
-fn verify_sizes_follow_what_callers_ask_for() {
+fn verify_the_mean_size_follows_recent_transfers() {
     let mut sizes = mean(100_000);
     (0..60).for_each(|_| sizes.note(1000));
     assert!(sizes.rounds(WORTH, Some(USUAL)) < 0.1, "{sizes:?}");
 }
 
-/// Counts the places that are drawn at each upstream.
+/// Counts the reservations that are drawn at each upstream.
 fn drawn(view: &mut ServiceView, repeatable: bool) -> Vec<usize> {
     let request = PlaceRequest { count: 2, repeatable, near_rounds: 0.0 };
     let mut rng = ChaCha8Rng::seed_from_u64(5);
@@ -94,30 +98,33 @@
     for _ in 0..600 {
         let places = view.draw_places(NOW, &request, |_| true, &mut rng);
         assert_eq!(places.len(), 2);
-        assert_ne!(places[0], places[1], "two places at one host are worth one");
+        assert_ne!(places[0], places[1], "two reservations at one host count as one");
         places.into_iter().for_each(|index| counts[index] += 1);
     }
     counts
 }
 
 #[test]
-fn verify_places_are_near_by_until_others_have_less_to_do() {
+fn verify_reservations_are_local_until_remote_servers_are_less_loaded() {
     let counts = drawn(&mut service(12, 12), true);
     assert_eq!(counts[2..].iter().sum::<usize>(), 0, "{counts:?}");
     let counts = drawn(&mut service(24, 12), true);
     assert_eq!(counts[..2].iter().sum::<usize>(), 0, "{counts:?}");
-    // However old the reports are, no host gets all of them.
+    // No host gets all reservations, however old the load reports are.
     assert!(counts[2..].iter().all(|count| *count > 200), "{counts:?}");
 }
 
-#[test_case(8, false ; "once-only work")]
-#[test_case(8, true ; "work that can be repeated")]
-#[test_case(40, false ; "once-only work that waits for many rounds")]
-#[test_case(40, true ; "work that can be repeated and waits for many rounds")]
-fn verify_nobody_waits_at_a_suspect_while_a_trusted_server_fits(load: u32, repeatable: bool) {
+#[test_case(8, false ; "non-repeatable request")]
+#[test_case(8, true ; "repeatable request")]
+#[test_case(40, false ; "non-repeatable request that waits for many rounds")]
+#[test_case(40, true ; "repeatable request that waits for many rounds")]
+fn verify_no_reservation_goes_to_a_doubted_server_while_a_trusted_one_fits(
+    load: u32,
+    repeatable: bool,
+) {
     let mut view = service(load, load);
     view.note_report(0, 0, report(true), NOW);
-    assert_eq!(drawn(&mut view, repeatable)[0], 0, "idle as it is");
+    assert_eq!(drawn(&mut view, repeatable)[0], 0, "though it is idle");
     for index in 1..6 {
         view.note_report(index, load, report(true), NOW);
     }
--- a/crates/decide/tests/poison.rs
+++ b/crates/decide/tests/poison.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Requests that fail wherever they go speak against no upstream.
+//! Poison requests, which fail at every upstream, count as failures of none.
 
 use std::time::Duration;
 
@@ -20,19 +20,20 @@
 }
 
 #[test]
-fn verify_nothing_is_taken_back_twice() {
+fn verify_no_failure_is_withdrawn_twice() {
     let mut memory = PoisonMemory::default();
     memory.note_failure(mark(1), 4, true, NOW);
     memory.note_withdrawn(mark(1), &4);
     assert_eq!(memory.note_failure(mark(1), 2, false, NOW), []);
-    // One that was under way when the request became known counted, and is taken back at once.
+    // A copy that was running when the request became known as poison still counted; its failure is
+    // withdrawn at once.
     assert_eq!(memory.note_failure(mark(1), 7, true, NOW), [counted(7, 1)]);
     assert_eq!(memory.note_failure(mark(1), 8, true, NOW), [counted(8, 1)]);
     assert_eq!(memory.note_failure(mark(1), 7, false, NOW), []);
 }
 
 #[test]
-fn verify_failures_at_one_upstream_are_never_the_request_s_own() {
+fn verify_failures_at_one_upstream_do_not_make_a_request_poison() {
     let mut memory = PoisonMemory::default();
     for _ in 0..100 {
         memory.note_failure(mark(1), 4, true, NOW);
@@ -42,12 +43,12 @@
 }
 
 #[test]
-fn verify_failures_at_several_upstreams_are_the_request_s_own_until_one_succeeds() {
+fn verify_failures_at_several_upstreams_make_a_request_poison_until_it_succeeds() {
     let mut memory = PoisonMemory::default();
     assert_eq!(memory.note_failure(mark(1), 4, true, NOW), []);
     assert_eq!(memory.note_failure(mark(1), 4, true, NOW), []);
-    let taken_back = memory.note_failure(mark(1), 2, true, NOW);
-    assert_eq!(taken_back, [counted(4, 2), counted(2, 1)], "what counted before is taken back");
+    let withdrawn = memory.note_failure(mark(1), 2, true, NOW);
+    assert_eq!(withdrawn, [counted(4, 2), counted(2, 1)], "failures counted before are withdrawn");
     assert!(memory.spares(mark(1), NOW) && !memory.forbids_repeat(mark(1), NOW));
     assert!(!memory.spares(mark(2), NOW));
     assert_eq!(memory.note_failure(mark(1), 3, false, NOW), []);
@@ -66,14 +67,14 @@
         memory.note_failure(mark(number), 1, true, NOW);
     }
     assert_eq!(memory.len(), MARKS_MAX);
-    assert!(memory.spares(mark(0), NOW), "what is known to be poison stays");
+    assert!(memory.spares(mark(0), NOW), "a known poison request is kept");
     assert!(!memory.spares(mark(0), NOW + MARK_LIFE));
     memory.note_failure(mark(9999), 1, true, NOW + MARK_LIFE);
     assert_eq!(memory.len(), 1);
 }
 
 #[test]
-fn verify_one_failure_that_never_comes_again_is_forgotten_without_another() {
+fn verify_a_single_failure_expires_without_another() {
     let mut memory = PoisonMemory::default();
     memory.note_failure(mark(1), 1, true, NOW);
     memory.forget_old(NOW + MARK_LIFE / 2);
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn verify_method_and_target_make_the_mark() {
+fn verify_method_and_target_identify_a_request() {
     assert_eq!(RequestMark::of("GET", "/a"), RequestMark::of("GET", "/a"));
     assert_ne!(RequestMark::of("GET", "/a"), RequestMark::of("PUT", "/a"));
     assert_ne!(RequestMark::of("GET", "/a"), RequestMark::of("GET", "/b"));
@@ -96,11 +97,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// One sick upstream alone never has its failures overlooked, whatever else goes on.
+    /// The failures of a single failing upstream always count, whatever requests succeed elsewhere.
     #[test]
-    fn verify_one_sick_upstream_is_never_spared(ends in prop::collection::vec((0usize..40, 0u32..9), 1..300)) {
+    fn verify_a_single_failing_upstream_is_never_spared(
+        outcomes in prop::collection::vec((0usize..40, 0u32..9), 1..300),
+    ) {
         let mut memory = PoisonMemory::default();
-        for (step, (number, upstream)) in ends.into_iter().enumerate() {
+        for (step, (number, upstream)) in outcomes.into_iter().enumerate() {
             let now = NOW + Duration::from_millis(step as u64);
             if upstream == 4 {
                 memory.note_failure(mark(number), upstream, true, now);
--- a/crates/decide/tests/start.rs
+++ b/crates/decide/tests/start.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which start of a backend server lives, whatever comes in which order.
+//! Which incarnation of a backend server is the current one, in whatever order its heartbeats
+//! arrive.
 
 use std::time::Duration;
 
@@ -9,40 +10,45 @@
 use test_case::test_case;
 use StartVerdict::{Current, Late, Replaces, Unnamed};
 
-/// A heartbeat: when it comes in ms, the start that it tells, its number, and what it counts for.
-type Heard = (u64, Option<u64>, u64, StartVerdict);
+/// `HeartbeatCase` is a heartbeat: its arrival in ms, its incarnation, its sequence number, and the
+/// expected verdict.
+type HeartbeatCase = (u64, Option<u64>, u64, StartVerdict);
 
-#[test_case(&[(0, None, 1, Current), (9, None, 2, Current)] ; "servers that tell no start")]
-#[test_case(&[(0, None, 7, Current), (9, Some(5), 1, Replaces)] ; "one that begins to tell it")]
-#[test_case(&[(0, Some(5), 1, Replaces), (9, None, 2, Unnamed)] ; "one that told it before")]
+#[test_case(&[(0, None, 1, Current), (9, None, 2, Current)]
+            ; "a server that reports no incarnation")]
+#[test_case(&[(0, None, 7, Current), (9, Some(5), 1, Replaces)]
+            ; "a server that begins to report it")]
+#[test_case(&[(0, Some(5), 1, Replaces), (9, None, 2, Unnamed)]
+            ; "a server that reported it before")]
 #[test_case(&[(0, Some(5), 8, Replaces), (9, Some(6), 1, Replaces), (10, Some(5), 9, Late),
-              (5000, Some(5), 10, Late)] ; "late heartbeats of the start before")]
+              (5000, Some(5), 10, Late)] ; "late heartbeats of the previous incarnation")]
 #[test_case(&[(0, Some(6), 1, Replaces), (9, Some(5), 8, Late), (10, Some(6), 2, Current)]
-            ; "a late heartbeat of a start that was never seen")]
+            ; "a late heartbeat of an incarnation that was never seen")]
 #[test_case(&[(0, Some(6), 1, Replaces), (9, Some(5), 8, Late), (10, Some(5), 9, Late)]
-            ; "two that were held up together")]
+            ; "two heartbeats that were delayed together")]
 #[test_case(&[(0, Some(6), 90, Replaces), (500, Some(5), 1, Late), (2000, Some(5), 2, Late),
-              (3500, Some(5), 3, Replaces), (4000, Some(6), 91, Late)] ; "a clock that was set back")]
+              (3500, Some(5), 3, Replaces), (4000, Some(6), 91, Late)]
+            ; "a clock that was set back")]
 #[test_case(&[(0, Some(6), 1, Replaces), (500, Some(5), 1, Late), (2000, Some(6), 2, Current),
-              (3500, Some(5), 2, Late)] ; "an older start while the newer speaks")]
+              (3500, Some(5), 2, Late)] ; "an older incarnation while the newer sends heartbeats")]
 #[test_case(&[(0, Some(6), 1, Replaces), (500, Some(5), 9, Late), (3500, Some(5), 9, Late)]
             ; "the same heartbeat twice")]
-fn verify_the_start_that_lives_is_taken(heard: &[Heard]) {
+fn verify_the_running_incarnation_is_the_current_one(heartbeats: &[HeartbeatCase]) {
     let mut track = StartTrack::default();
-    for (at, born, sequence, wanted) in heard {
-        let word = StartWord { born: *born, sequence: *sequence };
-        assert_eq!(track.judge(word, Duration::from_millis(*at)), *wanted, "at {at} ms");
+    for (at, born, sequence, expected) in heartbeats {
+        let claim = StartWord { born: *born, sequence: *sequence };
+        assert_eq!(track.judge(claim, Duration::from_millis(*at)), *expected, "at {at} ms");
     }
 }
 
 #[test]
-fn verify_a_start_that_is_over_does_not_come_back_and_any_other_may() {
+fn verify_an_ended_incarnation_does_not_come_back_and_any_other_may() {
     let mut track = StartTrack::default();
-    let word = |born| StartWord { born: Some(born), sequence: 1 };
-    track.judge(word(6), Duration::ZERO);
+    let claim = |born| StartWord { born: Some(born), sequence: 1 };
+    track.judge(claim(6), Duration::ZERO);
     track.note_over(6);
     assert_eq!(track.current(), None);
-    assert_eq!(track.judge(word(6), Duration::ZERO), Late);
-    // Its clock was set back meanwhile; nothing that lives speaks against it.
-    assert_eq!(track.judge(word(5), Duration::ZERO), Replaces);
+    assert_eq!(track.judge(claim(6), Duration::ZERO), Late);
+    // The clock was set back meanwhile; no running incarnation contradicts the older stamp.
+    assert_eq!(track.judge(claim(5), Duration::ZERO), Replaces);
 }
--- a/crates/decide/tests/stop.rs
+++ b/crates/decide/tests/stop.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A stop closes before it ends, and takes only what can end before it gives up.
+//! A graceful shutdown closes before it ends, and admits only requests that can complete before it
+//! gives up.
 
 use std::time::Duration;
 
@@ -11,27 +12,30 @@
 const TERMS: StopTerms =
     StopTerms { shortest: Duration::from_millis(2600), longest: Duration::from_millis(5700) };
 
-/// Who still waits was given up in time.
+/// Requests that were still waiting were given up in time.
 const GIVING_UP: StopPhase = StopPhase::GivingUp { since: Duration::from_millis(5400) };
-/// Who still waits was given up after a sleep.
+/// Requests that were still waiting were given up after the host had been suspended.
 const GAVE_UP_LATE: StopPhase = StopPhase::GivingUp { since: Duration::from_millis(9000) };
 
-#[test_case(StopPhase::Open, 2199, 0, StopPhase::Open ; "idle before the others are told")]
-#[test_case(StopPhase::Open, 2200, 1, StopPhase::HandingOver ; "time to tell them")]
-#[test_case(StopPhase::Open, 9000, 0, StopPhase::HandingOver ; "asleep over the whole drain")]
-#[test_case(StopPhase::HandingOver, 2599, 0, StopPhase::HandingOver ; "idle before the shortest drain")]
+#[test_case(StopPhase::Open, 2199, 0, StopPhase::Open ; "idle before the peers are notified")]
+#[test_case(StopPhase::Open, 2200, 1, StopPhase::HandingOver ; "time to notify them")]
+#[test_case(StopPhase::Open, 9000, 0, StopPhase::HandingOver ; "suspended during the whole drain")]
+#[test_case(StopPhase::HandingOver, 2599, 0, StopPhase::HandingOver
+            ; "idle before the shortest drain")]
 #[test_case(StopPhase::HandingOver, 2600, 0, StopPhase::Closed ; "idle after it")]
-#[test_case(StopPhase::HandingOver, 2849, 1, StopPhase::HandingOver ; "busy before half of the longest drain")]
+#[test_case(StopPhase::HandingOver, 2849, 1, StopPhase::HandingOver
+            ; "busy before half of the longest drain")]
 #[test_case(StopPhase::HandingOver, 2850, 1, StopPhase::Closed ; "busy after it")]
-#[test_case(StopPhase::HandingOver, 9000, 1, StopPhase::Closed ; "busy and asleep over the whole drain")]
+#[test_case(StopPhase::HandingOver, 9000, 1, StopPhase::Closed
+            ; "busy and suspended during the whole drain")]
 #[test_case(StopPhase::Closed, 2620, 0, StopPhase::Over(StopCause::Idle) ; "closed and idle")]
 #[test_case(StopPhase::Closed, 5399, 1, StopPhase::Closed ; "closed and busy")]
 #[test_case(StopPhase::Closed, 5400, 1, GIVING_UP ; "busy for too long")]
-#[test_case(GIVING_UP, 5699, 1, GIVING_UP ; "last answers on their way")]
-#[test_case(GIVING_UP, 5420, 0, StopPhase::Over(StopCause::Time) ; "last answers written")]
-#[test_case(GIVING_UP, 5700, 1, StopPhase::Over(StopCause::Time) ; "last answers stuck")]
-#[test_case(GAVE_UP_LATE, 9299, 1, GAVE_UP_LATE ; "last answers after a sleep")]
-fn verify_a_stop_closes_before_it_ends(
+#[test_case(GIVING_UP, 5699, 1, GIVING_UP ; "last responses being written")]
+#[test_case(GIVING_UP, 5420, 0, StopPhase::Over(StopCause::Time) ; "last responses written")]
+#[test_case(GIVING_UP, 5700, 1, StopPhase::Over(StopCause::Time) ; "last responses stuck")]
+#[test_case(GAVE_UP_LATE, 9299, 1, GAVE_UP_LATE ; "last responses after a suspension")]
+fn verify_a_shutdown_closes_before_it_ends(
     phase: StopPhase,
     elapsed_ms: u64,
     in_flight: usize,
@@ -42,26 +46,27 @@
 
 #[test_case(StopPhase::Open, 2849, false, true ; "open")]
 #[test_case(StopPhase::HandingOver, 2849, false, true ; "handing over")]
-#[test_case(StopPhase::Open, 2850, false, false ; "open by the last look before a sleep")]
-#[test_case(StopPhase::HandingOver, 9000, true, false ; "a call after a sleep over the whole drain")]
+#[test_case(StopPhase::Open, 2850, false, false ; "open at the last check before a suspension")]
+#[test_case(StopPhase::HandingOver, 9000, true, false
+            ; "a nested call after a suspension during the whole drain")]
 #[test_case(StopPhase::Closed, 2620, false, false ; "closed")]
-#[test_case(StopPhase::Closed, 5399, true, true ; "a call while closed")]
-#[test_case(StopPhase::Closed, 5400, true, false ; "a call that comes too late")]
+#[test_case(StopPhase::Closed, 5399, true, true ; "a nested call while closed")]
+#[test_case(StopPhase::Closed, 5400, true, false ; "a nested call that arrives too late")]
 #[test_case(GIVING_UP, 5420, true, false ; "giving up")]
-fn verify_a_closed_stop_takes_only_calls(
+fn verify_a_closed_shutdown_admits_only_nested_calls(
     phase: StopPhase,
     elapsed_ms: u64,
     is_call: bool,
-    taken: bool,
+    admitted: bool,
 ) {
-    assert_eq!(TERMS.takes(phase, Duration::from_millis(elapsed_ms), is_call), taken);
+    assert_eq!(TERMS.takes(phase, Duration::from_millis(elapsed_ms), is_call), admitted);
 }
 
 #[test_case(StopPhase::Open, 9000, true ; "open")]
 #[test_case(StopPhase::HandingOver, 5400, true ; "handing over and in time")]
-#[test_case(StopPhase::HandingOver, 5401, false ; "handing over and maybe too late")]
-#[test_case(StopPhase::Closed, 5401, false ; "closed and maybe too late")]
-fn verify_a_stop_starts_late_only_what_must_end_in_time(
+#[test_case(StopPhase::HandingOver, 5401, false ; "handing over and possibly too late")]
+#[test_case(StopPhase::Closed, 5401, false ; "closed and possibly too late")]
+fn verify_a_shutdown_starts_only_requests_that_end_in_time(
     phase: StopPhase,
     ends_ms: u64,
     started: bool,
--- a/crates/waiting/tests/places.rs
+++ b/crates/waiting/tests/places.rs
@@ -190,7 +190,7 @@
 
 #[test]
 fn verify_the_model_detects_a_request_that_starts_after_its_reservation_ended() {
-    // The ingress has heard of the refusal and may try elsewhere, and the delayed request starts as
+    // The ingress has received the refusal and may try elsewhere, and the delayed request starts as
     // well.
     let started_after_refusal = {
         let mut state = ModelState::new();
--- a/crates/waiting/tests/slots.rs
+++ b/crates/waiting/tests/slots.rs
@@ -151,8 +151,8 @@
         let deadline = now + Duration::from_millis(50);
         let mut request = queue.request(WorkClass::Normal, 60_000);
         request.work.deadline = deadline;
-        queue.acquire_as("hopeless", request).await;
-        assert_eq!(queue.outcome_of("hopeless"), Some(Err(NotRunReason::DeadlinePassed)));
+        queue.acquire_as("too late", request).await;
+        assert_eq!(queue.outcome_of("too late"), Some(Err(NotRunReason::DeadlinePassed)));
     });
 }
 
