--- a/crates/decide/tests/look.rs
+++ b/crates/decide/tests/look.rs
@@ -29,8 +29,8 @@
 #[test_case(&[UpstreamLook { in_flight: 4, ..IDLE },
               UpstreamLook { in_flight: 4, queued: 2, ..IDLE }], 0
             ; "of full ones the shorter queue")]
-fn verify_the_better_upstream_is_chosen(looks: &[UpstreamLook], best: usize) {
-    assert_eq!(look::best(looks), Some(best));
+fn verify_the_better_upstream_is_chosen(loads: &[UpstreamLook], best: usize) {
+    assert_eq!(look::best(loads), Some(best));
 }
 
 #[test]
--- a/crates/decide/tests/patience.rs
+++ b/crates/decide/tests/patience.rs
@@ -24,7 +24,7 @@
     least: u64,
     most: u64,
 ) {
-    let patience = patience::of(&usual(), left_ms.map(Duration::from_millis));
+    let delay = patience::of(&usual(), left_ms.map(Duration::from_millis));
     let allowed = Duration::from_millis(least)..=Duration::from_millis(most);
-    assert!(allowed.contains(&patience), "{patience:?}");
+    assert!(allowed.contains(&delay), "{delay:?}");
 }
