--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -400,7 +400,7 @@
         let forward = limits::home_of(&name, hosts.iter().map(String::as_str));
         let back = limits::home_of(&name, hosts.iter().rev().map(String::as_str));
         assert_eq!(forward, back);
-        let owner = hosts.iter().position(|host| Some(host.as_str()) == forward).expect("home");
+        let owner = hosts.iter().position(|host| Some(host.as_str()) == forward).expect("an owner");
         counts[owner] += 1;
     }
     assert!(counts.iter().all(|count| (50..=160).contains(count)), "{counts:?}");
--- a/crates/waiting/src/places.rs
+++ b/crates/waiting/src/places.rs
@@ -32,7 +32,8 @@
     }
 }
 
-/// `PlaceWord` is the answer of the host to a reservation, with its reason `R` for a refusal.
+/// `PlaceWord` is the answer of the host to a reservation, with its reason `R` for a
+/// refusal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlaceWord<R> {
     /// The host offers a slot: a free one, or the next that becomes free.
@@ -41,8 +42,8 @@
     Refused(R),
 }
 
-/// `HeldPlace` is a reservation for a slot of one backend server; dropping its handle `P` releases
-/// it.
+/// `HeldPlace` is a reservation for a slot of one backend server; dropping its handle `P`
+/// releases it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct HeldPlace<P> {
     /// Position of the backend server among the upstreams of its service.
