--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -261,7 +261,7 @@
 
     /// Says whether to ask the daemon for a sign of life now.
     pub fn should_ask(&self, now: Duration, in_use: bool) -> bool {
-        self.health.borrow_mut().ask(now, in_use)
+        self.health.borrow_mut().probe(now, in_use)
     }
 }
 
--- a/crates/bench/src/crashes/world.rs
+++ b/crates/bench/src/crashes/world.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use basaltarch_core::fingerprint::{RequestFingerprint, FINGERPRINT_BYTES};
-use basaltarch_decide::suspects::{CopyVerdict, CrashTally, SuspectTable, SuspectWord};
+use basaltarch_decide::suspects::{CopyVerdict, CrashTally, SuspectNotice, SuspectTable};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -100,7 +100,7 @@
     daemons: Vec<SuspectTable>,
     servers: Vec<CrashServer>,
     /// Words on their way.
-    words: Vec<SuspectWord>,
+    notices: Vec<SuspectNotice>,
     /// Crashes by bad request.
     crashed: u64,
     crashes: u64,
@@ -131,7 +131,7 @@
             numbers: 0,
             daemons: vec![SuspectTable::default(); plan.daemons],
             servers: (0..plan.daemons).map(|_| CrashServer::default()).collect(),
-            words: Vec::new(),
+            notices: Vec::new(),
             crashed: 0,
             crashes: 0,
             refused: vec![RefusedTimes::default(); plan.bad],
@@ -165,7 +165,7 @@
         });
         self.result.known_after = known.max().unwrap_or_default();
         self.result.crashed_each = self.crashed as f64 / self.plan.bad as f64;
-        self.result.words_each = self.words.len() as f64 / self.crashes.max(1) as f64;
+        self.result.words_each = self.notices.len() as f64 / self.crashes.max(1) as f64;
         self.result
     }
 
@@ -278,8 +278,8 @@
         let before = self.daemons[server].tally(&fingerprint);
         if let Some(tally) = self.daemons[server].note_success(&fingerprint, self.now) {
             let upstream = Rc::from("");
-            let word = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-            self.tell(server, &word, word.told_to(before));
+            let word = SuspectNotice { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
+            self.tell(server, &word, word.notify_count(before));
         }
     }
 
@@ -296,7 +296,7 @@
         }
         for ServerRun { request, .. } in runs {
             let tally = self.daemons[request.ingress].tally(&fingerprint(request.kind));
-            if request.dispatches < DISPATCHES_MAX && tally.allows_repeat() {
+            if request.dispatches < DISPATCHES_MAX && tally.allows_retry() {
                 self.dispatch(request);
             }
         }
@@ -313,36 +313,36 @@
             self.refused[number].first.get_or_insert(self.now);
         }
         let upstream = Rc::from("server");
-        let word = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-        self.tell(server, &word, word.told_to(run.tally));
+        let word = SuspectNotice { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
+        self.tell(server, &word, word.notify_count(run.tally));
         if self.plan.shared {
             // The ingress hears of it before the end of its attempt.
-            self.note_word(run.request.ingress, &word);
+            self.apply_notice(run.request.ingress, &word);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, word: &SuspectWord) {
+    fn send(&mut self, from: usize, to: usize, word: &SuspectNotice) {
         if !self.plan.shared || self.rng.random_bool(LOST) {
             return;
         }
         let after = self.rng.random_range(WORD_MS[0]..WORD_MS[1]);
-        self.words.push(word.clone());
-        let event = WorldEvent::Word { from, to, word: self.words.len() - 1 };
+        self.notices.push(word.clone());
+        let event = WorldEvent::Word { from, to, word: self.notices.len() - 1 };
         self.push(Duration::from_secs_f64(after / 1000.0), event);
     }
 
     fn hear(&mut self, from: usize, daemon: usize, word: usize) {
-        let word = self.words[word].clone();
+        let word = self.notices[word].clone();
         if let Some(answer) = self.daemons[daemon].answer(&word, self.now) {
             self.send(daemon, from, &answer);
         }
-        if !self.note_word(daemon, &word) {
+        if !self.apply_notice(daemon, &word) {
             return;
         }
-        self.tell(daemon, &word, word.passed_to());
+        self.tell(daemon, &word, word.forward_count());
     }
 
-    fn tell(&mut self, from: usize, word: &SuspectWord, most: usize) {
+    fn tell(&mut self, from: usize, word: &SuspectNotice, most: usize) {
         if most >= self.plan.daemons {
             (0..self.plan.daemons)
                 .filter(|to| *to != from)
@@ -356,8 +356,8 @@
     }
 
     /// Takes a word in, and notes when the last daemon knows that a bad request is refused.
-    fn note_word(&mut self, daemon: usize, word: &SuspectWord) -> bool {
-        let is_new = self.daemons[daemon].note_word(word, self.now);
+    fn apply_notice(&mut self, daemon: usize, word: &SuspectNotice) -> bool {
+        let is_new = self.daemons[daemon].apply_notice(word, self.now);
         let bad = (0..self.plan.bad)
             .find(|number| fingerprint(RequestKind::Bad(*number)) == word.fingerprint);
         if let Some(number) = bad.filter(|_| is_new && word.tally.is_refused()) {
@@ -374,7 +374,7 @@
             let to = self.rng.random_range(0..self.plan.daemons);
             if self.daemons[to].digest(self.now) != self.daemons[daemon].digest(self.now) {
                 let (one, other) =
-                    (self.daemons[daemon].words(self.now), self.daemons[to].words(self.now));
+                    (self.daemons[daemon].notices(self.now), self.daemons[to].notices(self.now));
                 one.iter().for_each(|word| self.send(daemon, to, word));
                 other.iter().for_each(|word| self.send(to, daemon, word));
             }
--- a/crates/bench/src/decisions/actors.rs
+++ b/crates/bench/src/decisions/actors.rs
@@ -14,7 +14,7 @@
 use basaltarch_decide::budget::{BudgetTerms, RetryBudget};
 use basaltarch_decide::hang::UsualTime;
 use basaltarch_decide::health::{HealthReport, UpstreamHealth};
-use basaltarch_decide::poison::{PoisonMemory, RequestMark};
+use basaltarch_decide::poison::{PoisonTable, RequestHash};
 
 use crate::decisions::faults::JobEnd;
 use crate::decisions::rules::{PlainRule, RuleKind};
@@ -60,7 +60,7 @@
     pub route: usize,
     pub repeatable: bool,
     pub poison: bool,
-    pub mark: RequestMark,
+    pub mark: RequestHash,
     pub begun: Duration,
     pub sent_at: Duration,
     pub dispatches: usize,
@@ -105,7 +105,7 @@
     pub recent: RecentAnswers,
     pub rule: PlainRule,
     pub budget: RetryBudget,
-    pub poison: PoisonMemory<u32>,
+    pub poison: PoisonTable<u32>,
     pub domain: usize,
 }
 
@@ -137,7 +137,7 @@
         recent: RecentAnswers::default(),
         rule: PlainRule::new(rule, strictness, deployment.upstreams, deployment.floor),
         budget: RetryBudget::new(BUDGET),
-        poison: PoisonMemory::default(),
+        poison: PoisonTable::default(),
         domain,
     }
 }
@@ -156,10 +156,10 @@
 const POISON_TARGETS: usize = 4;
 
 /// Returns the mark of a request; every second poison request is for a target never seen before.
-pub fn mark_of(number: usize, poison: bool) -> RequestMark {
+pub fn mark_of(number: usize, poison: bool) -> RequestHash {
     match (poison, number.is_multiple_of(2)) {
-        (false, _) => RequestMark::of("GET", &format!("/puzzle/{}", number % TARGETS)),
-        (true, true) => RequestMark::of("GET", &format!("/poison/{}", number / 2 % POISON_TARGETS)),
-        (true, false) => RequestMark::of("GET", &format!("/poison/new/{number}")),
+        (false, _) => RequestHash::of("GET", &format!("/puzzle/{}", number % TARGETS)),
+        (true, true) => RequestHash::of("GET", &format!("/poison/{}", number / 2 % POISON_TARGETS)),
+        (true, false) => RequestHash::of("GET", &format!("/poison/new/{number}")),
     }
 }
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -5,8 +5,8 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::caution::FailureSort;
-use basaltarch_decide::evidence::{ServiceBaseline, WorkEvidence};
+use basaltarch_decide::breaker::FailureKind;
+use basaltarch_decide::evidence::{RequestEvidence, ServiceBaseline};
 use basaltarch_decide::hang;
 use basaltarch_decide::health::{
     AdmitVerdict, DispatchTerms, HealthChange, HealthReport, WatchEnd,
@@ -62,7 +62,7 @@
     /// Lets another trial start after one that never reached the server.
     fn end_unstarted(&mut self, index: usize, trial: bool) {
         if trial {
-            self.upstreams[index].health.note_trial(ROUTES[0], WorkEvidence::Neutral, self.now);
+            self.upstreams[index].health.note_trial(ROUTES[0], RequestEvidence::Neutral, self.now);
         }
     }
 
@@ -102,7 +102,7 @@
         upstream.running.push(job);
         let usual = upstream.health.usual_time(ROUTES[route], None);
         let usual = usual.filter(|_| self.rule.prefer().is_some());
-        let watched = usual.map(|usual| (upstream.health.start_work(usual, self.now), usual));
+        let watched = usual.map(|usual| (upstream.health.start_request(usual, self.now), usual));
         if !trial {
             upstream.accepted.push(self.now);
         }
@@ -119,7 +119,7 @@
         });
         self.schedule(time, Event::End { job });
         if let Some((_, usual)) = watched {
-            self.schedule(hang::first_look(&usual), Event::Look { job });
+            self.schedule(hang::first_check(&usual), Event::Look { job });
         }
         if self.rule.prefer().is_some() && !trial {
             let health = &self.upstreams[sent.upstream].health;
@@ -157,28 +157,28 @@
     }
 
     /// Looks whether work lasts too long, as the daemon does while it runs.
-    pub(super) fn look(&mut self, number: usize) {
+    pub(super) fn check_running(&mut self, number: usize) {
         let job = self.jobs[number];
         let usual = match job.watched {
             Some((_, usual)) if !job.over => usual,
             _ => return,
         };
-        let change = self.upstreams[job.sent.upstream].health.look(self.now);
+        let change = self.upstreams[job.sent.upstream].health.check_running(self.now);
         self.note_change(job.sent.upstream, change);
-        self.schedule(hang::look_every(&usual), Event::Look { job: number });
+        self.schedule(hang::check_interval(&usual), Event::Look { job: number });
     }
 
     /// Ends the watch over work.
     fn end_watch(&mut self, number: usize, answered: bool) {
         let job = self.jobs[number];
         let end = match (answered, job.overdue) {
-            (true, _) => WatchEnd::Lives,
-            (false, true) => WatchEnd::Noted,
+            (true, _) => WatchEnd::Progressed,
+            (false, true) => WatchEnd::Recorded,
             (false, false) => WatchEnd::GivenUp,
         };
         if let Some((watched, _)) = job.watched {
             let health = &mut self.upstreams[job.sent.upstream].health;
-            let change = health.end_work(watched, end, self.now);
+            let change = health.end_request(watched, end, self.now);
             self.note_change(job.sent.upstream, change);
         }
     }
@@ -231,11 +231,11 @@
             return;
         }
         let evidence = match job.end {
-            JobEnd::Good => WorkEvidence::Answered(self.now - job.started),
-            JobEnd::Error if job.after_failure => WorkEvidence::Neutral,
-            JobEnd::Error => WorkEvidence::Failed,
-            JobEnd::Timeout if job.overdue || job.trial => WorkEvidence::Failed,
-            JobEnd::Timeout => WorkEvidence::Neutral,
+            JobEnd::Good => RequestEvidence::Answered(self.now - job.started),
+            JobEnd::Error if job.after_failure => RequestEvidence::Neutral,
+            JobEnd::Error => RequestEvidence::Failed,
+            JobEnd::Timeout if job.overdue || job.trial => RequestEvidence::Failed,
+            JobEnd::Timeout => RequestEvidence::Neutral,
         };
         let health = &mut self.upstreams[job.sent.upstream].health;
         let route = ROUTES[job.route];
@@ -246,9 +246,9 @@
         };
         let failure = match job.end {
             JobEnd::Good => None,
-            JobEnd::Error | JobEnd::Timeout => Some(FailureSort::Answered),
+            JobEnd::Error | JobEnd::Timeout => Some(FailureKind::Answered),
         };
-        if failure.is_some() || evidence != WorkEvidence::Neutral {
+        if failure.is_some() || evidence != RequestEvidence::Neutral {
             // Doubts and trust show in the reports alone.
             health.note_end(failure, job.started, self.now);
         }
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -4,7 +4,7 @@
 //! The ingresses of a run: choosing, sending, repeating, answering.
 
 use basaltarch_decide::balance::ChoiceRequest;
-use basaltarch_decide::patience;
+use basaltarch_decide::hedge;
 
 use crate::decisions::actors::{self, Answer, Dispatch, Event, ROUTES};
 use crate::decisions::faults::{self, JobEnd};
@@ -43,7 +43,7 @@
             _ => return self.finish_request(number, false),
         };
         ingress.view.note_sent(choice.index);
-        let spared = ingress.poison.spares(request.mark, self.now);
+        let spared = ingress.poison.is_poison(request.mark, self.now);
         let delay = actors::delay_between(&self.plan, ingress.domain, choice.index);
         self.note_capacity(number);
         let request = &mut self.requests[number];
@@ -78,7 +78,7 @@
         }
         let baseline = self.baseline_for(sent);
         if let Some(usual) = baseline.usual_time() {
-            self.schedule(patience::of(&usual, None), Event::Impatient { sent });
+            self.schedule(hedge::due_after(&usual, None), Event::Impatient { sent });
         }
     }
 
@@ -186,8 +186,7 @@
         }
         let counts = self.requests[number].counts;
         let taken_back = ingress.poison.note_failure(mark, index as u32, counts, self.now);
-        let hopeless =
-            self.rule.prefer().is_some() && ingress.poison.forbids_repeat(mark, self.now);
+        let hopeless = self.rule.prefer().is_some() && ingress.poison.forbids_retry(mark, self.now);
         let route = self.requests[number].route;
         for failures in taken_back {
             for _ in 0..failures.count {
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -108,7 +108,7 @@
                 Event::Impatient { sent } => self.overtake(sent),
                 Event::Cancel { sent } => self.cancel(sent),
                 Event::Overdue { job } => self.note_overdue(job),
-                Event::Look { job } => self.look(job),
+                Event::Look { job } => self.check_running(job),
                 Event::End { job } => self.end_job(job),
                 Event::Reply { sent, answer } => self.reach_ingress(sent, answer),
             }
--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -17,8 +17,8 @@
 
 /// Tells all that is known here, the gravest first.
 pub fn list(state: &DaemonState) -> ServerReply {
-    let words = state.suspects.words(state.now());
-    let suspects: Vec<Value> = words
+    let notices = state.suspects.notices(state.now());
+    let suspects: Vec<Value> = notices
         .iter()
         .map(|word| {
             json!({
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -16,7 +16,7 @@
 use basaltarch_base::metrics;
 use basaltarch_base::signal::RisingSignal;
 use basaltarch_core::units::FleetRevision;
-use basaltarch_decide::freshness::{ConfigFreshness, FreshWord, WordSource};
+use basaltarch_decide::freshness::{ConfigFreshness, ConfirmationSource, FreshConfirmation};
 use basaltarch_events::process;
 use basaltarch_options::ConfigSource;
 use basaltarch_peer::link::NO_EXCHANGE;
@@ -59,7 +59,7 @@
 
     /// Takes in the word of the store, as of a moment.
     pub fn note_store(&self, as_of: Duration) {
-        self.note(FreshWord { as_of, source: WordSource::Store });
+        self.note(FreshConfirmation { as_of, source: ConfirmationSource::Store });
     }
 
     /// Takes in that the store has a later configuration that can't be put in force here.
@@ -72,8 +72,8 @@
         self.known.borrow_mut().note_readable();
     }
 
-    fn note(&self, word: FreshWord) {
-        self.known.borrow_mut().note_word(word);
+    fn note(&self, word: FreshConfirmation) {
+        self.known.borrow_mut().note_confirmation(word);
         self.heard.raise();
     }
 }
@@ -182,7 +182,8 @@
     if asked > state.now() || theirs > state.config.revision() || !state.config.is_loaded() {
         return;
     }
-    let word = FreshWord { as_of: asked.saturating_sub(age), source: WordSource::Peer };
+    let word =
+        FreshConfirmation { as_of: asked.saturating_sub(age), source: ConfirmationSource::Peer };
     state.freshness.note(word);
 }
 
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -12,12 +12,12 @@
 use basaltarch_core::fingerprint::{RequestFingerprint, RequestParts};
 use basaltarch_core::outcome::{FailureOutcome, NotRunReason, UnknownReason};
 use basaltarch_core::resources::WorkMode;
-use basaltarch_decide::allowance::{AllowanceTerms, GivenTime};
-use basaltarch_decide::caution::FailureSort;
-use basaltarch_decide::evidence::WorkEvidence;
+use basaltarch_decide::adaptive_timeout::{AttemptTimeout, TimeoutTerms};
+use basaltarch_decide::breaker::FailureKind;
+use basaltarch_decide::evidence::RequestEvidence;
 use basaltarch_decide::hang::UsualTime;
 use basaltarch_decide::health::{AdmitVerdict, DispatchTerms};
-use basaltarch_decide::order::WaitingWork;
+use basaltarch_decide::order::QueuedRequest;
 use basaltarch_decide::suspects::CrashTally;
 use basaltarch_events::servers::ServerCrashed;
 use basaltarch_http::connection::HttpStream;
@@ -97,7 +97,7 @@
     }
     if work.is_trial && admitted.is_err() {
         // A trial that never reached the server says nothing, but another may start.
-        work.note(WorkEvidence::Neutral, false, None);
+        work.note(RequestEvidence::Neutral, false, None);
     }
     admitted
 }
@@ -182,13 +182,13 @@
     }
 
     /// Takes the end of the work in.
-    pub fn note(&self, evidence: WorkEvidence, was_overdue: bool, failure: Option<FailureSort>) {
+    pub fn note(&self, evidence: RequestEvidence, was_overdue: bool, failure: Option<FailureKind>) {
         // What failed elsewhere before may be the request's own fault, and work that a sleep of the host
         // fell into neither failed nor was quick or slow.
         let slept = self.slept();
         let evidence = match evidence {
-            WorkEvidence::Failed if self.head.after_failure => WorkEvidence::Neutral,
-            _ if slept => WorkEvidence::Neutral,
+            RequestEvidence::Failed if self.head.after_failure => RequestEvidence::Neutral,
+            _ if slept => RequestEvidence::Neutral,
             other => other,
         };
         let (was_overdue, failure) = (was_overdue && !slept, failure.filter(|_| !slept));
@@ -245,7 +245,7 @@
     pub fn slot_request(&self) -> SlotRequest {
         let usual = self.usual_time();
         let deviations = if self.is_place() { MOST_DEVIATIONS } else { 0.0 };
-        let work = WaitingWork {
+        let work = QueuedRequest {
             class: wire::class_of(self.head.work_class),
             is_call: self.head.called == Some(true),
             deadline: self.deadline,
@@ -270,17 +270,17 @@
     }
 
     /// Returns the time that the server is given for this work.
-    fn give_time(&self) -> GivenTime {
+    fn give_time(&self) -> AttemptTimeout {
         let now = self.state.now();
         let objective_left = self.objective.map_or(Duration::ZERO, |at| at.saturating_sub(now));
-        let terms = AllowanceTerms {
+        let terms = TimeoutTerms {
             left: self.left(),
             objective_left,
             usual: self.upstream.health.borrow().usual_time(&self.head.route, None),
             full: self.upstream.slots.is_full(),
             siblings: wire::siblings_work(self.head.baseline.as_ref()),
         };
-        self.upstream.allowance.borrow_mut().give(&terms, now)
+        self.upstream.adaptive_timeout.borrow_mut().timeout_for(&terms, now)
     }
 
     /// Writes the ledger's row of once-only work with a key.
@@ -399,7 +399,7 @@
         let mut pooled = match taken {
             Ok(pooled) => pooled,
             Err(_) => {
-                self.note(WorkEvidence::Failed, false, Some(FailureSort::Broken));
+                self.note(RequestEvidence::Failed, false, Some(FailureKind::Broken));
                 return Err(FailureOutcome::NotRun(NotRunReason::ConnectFailed));
             }
         };
@@ -480,7 +480,7 @@
         let mut slept = std::pin::pin!(self.state.clock.passed(self.deadline).fuse());
         let overdue_after = overdue_after.unwrap_or(NEVER);
         let mut overdue = std::pin::pin!(monoio::time::sleep(overdue_after).fuse());
-        let mut looking = std::pin::pin!(watch.look().fuse());
+        let mut looking = std::pin::pin!(watch.check_running().fuse());
         loop {
             select_biased! {
                 result = answering => return result.map(|clean| clean && sent.get()),
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -9,9 +9,9 @@
 
 use basaltarch_base::metrics;
 use basaltarch_core::outcome::{FailureOutcome, NotRunReason, UnknownReason};
-use basaltarch_decide::allowance::GivenTime;
-use basaltarch_decide::caution::FailureSort;
-use basaltarch_decide::evidence::WorkEvidence;
+use basaltarch_decide::adaptive_timeout::AttemptTimeout;
+use basaltarch_decide::breaker::FailureKind;
+use basaltarch_decide::evidence::RequestEvidence;
 use basaltarch_http::body::{BodyLimits, BodyReader};
 use basaltarch_http::errors::HttpError;
 use basaltarch_http::fields;
@@ -90,21 +90,21 @@
     }
 
     /// Returns how the server failed, if it did.
-    pub fn failure(self) -> Option<FailureSort> {
+    pub fn failure(self) -> Option<FailureKind> {
         match self {
-            Self::Broken | Self::BadAnswer => Some(FailureSort::Broken),
-            Self::TimedOut => Some(FailureSort::Answered),
+            Self::Broken | Self::BadAnswer => Some(FailureKind::Broken),
+            Self::TimedOut => Some(FailureKind::Answered),
             _ => None,
         }
     }
 
     /// Returns what the fault says about the server.
-    pub fn evidence(self, was_overdue: bool) -> WorkEvidence {
+    pub fn evidence(self, was_overdue: bool) -> RequestEvidence {
         match self {
-            Self::Broken | Self::BadAnswer => WorkEvidence::Failed,
+            Self::Broken | Self::BadAnswer => RequestEvidence::Failed,
             // A time-out is a censored time: it says something only if the work was overdue.
-            Self::TimedOut if was_overdue => WorkEvidence::Failed,
-            _ => WorkEvidence::Neutral,
+            Self::TimedOut if was_overdue => RequestEvidence::Failed,
+            _ => RequestEvidence::Neutral,
         }
     }
 }
@@ -114,7 +114,7 @@
     slot: Cell<Option<SlotGuard>>,
     started: Instant,
     /// Time that the server was given.
-    pub given: GivenTime,
+    pub given: AttemptTimeout,
     /// Whether it passed what such work is allowed without a sign of life.
     pub has_passed: Cell<bool>,
     /// Whether the head of the answer came.
@@ -138,7 +138,7 @@
     }
 
     /// Builds the progress of work that starts now in this slot and for which the server is given this time.
-    pub fn new(slot: SlotGuard, given: GivenTime) -> Self {
+    pub fn new(slot: SlotGuard, given: AttemptTimeout) -> Self {
         Self {
             slot: Cell::new(Some(slot)),
             started: Instant::now(),
@@ -304,7 +304,7 @@
         // The word was in the head; a broken body only spoils the connection.
         let whole = self.read_past(reader, framing).await.is_ok();
         self.progress.reusable.set(whole && !close && reader.buffer.is_empty());
-        self.work.note(WorkEvidence::Neutral, false, None);
+        self.work.note(RequestEvidence::Neutral, false, None);
         self.progress.noted.set(true);
         Err(WorkFault::Shed)
     }
@@ -315,19 +315,19 @@
         let failed = wire::is_server_error(status.as_u16());
         let evidence = match status {
             // An error that follows a lost call is not the server's own.
-            _ if failed && self.calls.has_lost() => WorkEvidence::Neutral,
+            _ if failed && self.calls.has_lost() => RequestEvidence::Neutral,
             // The server ended with its time, which says no more than that the time was too short.
             StatusCode::GATEWAY_TIMEOUT => WorkFault::TimedOut.evidence(was_overdue),
-            _ if failed => WorkEvidence::Failed,
-            _ => WorkEvidence::Answered(took),
+            _ if failed => RequestEvidence::Failed,
+            _ => RequestEvidence::Answered(took),
         };
-        let failure = (evidence == WorkEvidence::Failed).then_some(FailureSort::Answered);
+        let failure = (evidence == RequestEvidence::Failed).then_some(FailureKind::Answered);
         self.progress.has_answered.set(!failed);
         if !failed && !self.work.slept() {
-            let mut allowance = self.work.upstream.allowance.borrow_mut();
+            let mut adaptive_timeout = self.work.upstream.adaptive_timeout.borrow_mut();
             let passed = self.progress.has_passed.get();
             let now = self.work.state.now();
-            allowance.note_answered(&self.progress.given, took, passed, now);
+            adaptive_timeout.note_answered(&self.progress.given, took, passed, now);
         }
         self.work.note(evidence, was_overdue, failure);
         self.progress.noted.set(true);
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -12,9 +12,9 @@
 use basaltarch_core::outcome::NotRunReason;
 use basaltarch_core::resources::{BackendServer, ServerState, ServiceSpec};
 use basaltarch_core::services::{ServiceEntry, UpstreamEntry};
-use basaltarch_decide::allowance::TimeAllowance;
-use basaltarch_decide::caution::FailureSort;
-use basaltarch_decide::evidence::WorkEvidence;
+use basaltarch_decide::adaptive_timeout::AdaptiveTimeout;
+use basaltarch_decide::breaker::FailureKind;
+use basaltarch_decide::evidence::RequestEvidence;
 use basaltarch_decide::health::{
     AdmitVerdict, DispatchTerms, HealthChange, UpstreamHealth, WatchEnd,
 };
@@ -44,7 +44,7 @@
     /// Connections to it.
     pub pool: BackendPool,
     /// How long work may take at it.
-    pub allowance: RefCell<TimeAllowance>,
+    pub adaptive_timeout: RefCell<AdaptiveTimeout>,
     draining_until: Cell<Duration>,
     was_down: Cell<bool>,
     answered_at: Cell<Duration>,
@@ -67,7 +67,7 @@
             slots: Rc::new(SlotQueue::new(server.slots, service.spec.queue, clock)),
             health: RefCell::new(UpstreamHealth::new(service.spec.prefer, now, cold)),
             pool: BackendPool::new(server.address, server.connections as usize),
-            allowance: RefCell::default(),
+            adaptive_timeout: RefCell::default(),
             draining_until: Cell::new(Duration::ZERO),
             was_down: Cell::new(false),
             answered_at: Cell::new(Duration::ZERO),
@@ -145,17 +145,17 @@
         } else {
             health.note(route, work.evidence, work.was_overdue, now)
         };
-        if matches!(work.evidence, WorkEvidence::Answered(_)) {
+        if matches!(work.evidence, RequestEvidence::Answered(_)) {
             self.answered_at.set(now);
             self.slots.note_end();
         }
-        let caution = match (work.failure, work.evidence) {
-            (None, WorkEvidence::Neutral) => None,
+        let breaker = match (work.failure, work.evidence) {
+            (None, RequestEvidence::Neutral) => None,
             (failure, _) => health.note_end(failure, work.started, now),
         };
         drop(health);
         self.tell(change);
-        self.tell(caution);
+        self.tell(breaker);
     }
 
     /// Takes in that a running request is overdue.
@@ -173,14 +173,14 @@
     }
 
     /// Looks at the running work, whether it lasts too long.
-    pub fn look(&self, now: Duration) {
-        let change = self.health.borrow_mut().look(now);
+    pub fn check_running(&self, now: Duration) {
+        let change = self.health.borrow_mut().check_running(now);
         self.tell(change);
     }
 
     /// Takes in that watched work ended.
-    pub fn end_work(&self, number: u64, end: WatchEnd, now: Duration) {
-        let change = self.health.borrow_mut().end_work(number, end, now);
+    pub fn end_request(&self, number: u64, end: WatchEnd, now: Duration) {
+        let change = self.health.borrow_mut().end_request(number, end, now);
         self.tell(change);
     }
 
@@ -221,7 +221,7 @@
             draining: self.is_draining(now) || state.stop.is_handing_over(),
             revision: state.config.revision().0,
             took,
-            long_work: self.allowance.borrow().long_work(now),
+            slow_requests: self.adaptive_timeout.borrow().slow_requests(now),
         };
         wire::report_note(load, &self.health.borrow().report(route, now))
     }
@@ -231,7 +231,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct WorkNote {
     /// The evidence.
-    pub evidence: WorkEvidence,
+    pub evidence: RequestEvidence,
     /// Whether the request was noted as overdue while it ran.
     pub was_overdue: bool,
     /// Whether the request was a trial.
@@ -239,5 +239,5 @@
     /// When the work came to the host.
     pub started: Duration,
     /// How the request failed, if the backend server failed it.
-    pub failure: Option<FailureSort>,
+    pub failure: Option<FailureKind>,
 }
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -33,7 +33,7 @@
         let calls = work.state.host.calls.begin(&request, work.head.repeated, organisation);
         let usual = work.usual_time();
         let mut health = work.upstream.health.borrow_mut();
-        let number = usual.map_or(0, |usual| health.start_work(usual, now));
+        let number = usual.map_or(0, |usual| health.start_request(usual, now));
         Self { work, request, calls, usual, number, progress }
     }
 
@@ -43,32 +43,32 @@
     }
 
     /// Looks at the work for as long as it runs and makes no call.
-    pub async fn look(&self) {
+    pub async fn check_running(&self) {
         let usual = match &self.usual {
             Some(usual) => usual,
             None => return future::pending().await,
         };
-        monoio::time::sleep(hang::first_look(usual)).await;
+        monoio::time::sleep(hang::first_check(usual)).await;
         while !self.calls.has_called() {
             self.look_once();
-            monoio::time::sleep(hang::look_every(usual)).await;
+            monoio::time::sleep(hang::check_interval(usual)).await;
         }
-        self.end(WatchEnd::Lives);
+        self.end(WatchEnd::Progressed);
         future::pending().await
     }
 
     fn look_once(&self) {
         let now = self.work.state.now();
-        self.work.upstream.look(now);
+        self.work.upstream.check_running(now);
         let is_long = self.progress.elapsed() > self.progress.given.late_after;
         if is_long && !self.progress.has_passed.replace(true) {
-            self.work.upstream.allowance.borrow_mut().note_passed(now);
+            self.work.upstream.adaptive_timeout.borrow_mut().note_overrun(now);
         }
     }
 
     fn end(&self, end: WatchEnd) {
         if self.usual.is_some() {
-            self.work.upstream.end_work(self.number, end, self.work.state.now());
+            self.work.upstream.end_request(self.number, end, self.work.state.now());
         }
     }
 }
@@ -79,8 +79,8 @@
         let lives = self.progress.has_answered.get() || self.calls.has_called();
         let seen = self.progress.was_overdue.get() || self.progress.head_seen.get();
         self.end(match (lives, seen) {
-            (true, _) => WatchEnd::Lives,
-            (false, true) => WatchEnd::Noted,
+            (true, _) => WatchEnd::Progressed,
+            (false, true) => WatchEnd::Recorded,
             (false, false) => WatchEnd::GivenUp,
         });
     }
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -13,7 +13,7 @@
 use basaltarch_core::outcome::{FailureOutcome, NotRunReason, UnknownReason};
 use basaltarch_core::resources::WorkMode;
 use basaltarch_decide::balance::{ChoiceGround, ChoiceRequest, UpstreamChoice};
-use basaltarch_decide::look;
+use basaltarch_decide::probing;
 use basaltarch_decide::suspects::{CopyVerdict, CrashTally};
 use basaltarch_http::body::BodyReader;
 use basaltarch_http::connection::HttpStream;
@@ -332,9 +332,9 @@
     }
 
     /// Returns the rounds of work for which the request waits in this failure domain rather than go far.
-    pub fn near_rounds(&self) -> f64 {
+    pub fn local_wait_rounds(&self) -> f64 {
         let worth = self.state.live().far_megabyte;
-        self.request.service.near_rounds(&self.request.route.name, worth)
+        self.request.service.local_wait_rounds(&self.request.route.name, worth)
     }
 
     fn choose(&mut self) -> Result<UpstreamChoice, CallerFailure> {
@@ -355,7 +355,7 @@
             repeatable: self.finds_out(),
             must_take,
             is_last: self.passes >= PASSES_MAX,
-            near_rounds: self.near_rounds(),
+            local_wait_rounds: self.local_wait_rounds(),
         };
         service.refresh_own(self.state, &self.request.route.name);
         service
@@ -382,7 +382,7 @@
             }
         }
         let best = ingress_look::best_of(&looked);
-        let takes = best.is_some_and(|best| !best.passes_on());
+        let takes = best.is_some_and(|best| !best.declines());
         self.request.service.note_look(takes);
         if !takes && self.is_passable() {
             self.pass_by(&looked);
@@ -398,8 +398,8 @@
         let path = self.request.service.path(choice.index);
         let left = Some(self.objective_left()).filter(|left| !left.is_zero());
         let left = left.unwrap_or_else(|| self.left());
-        let is_worth = look::is_worth(choice.report_age, path.round_trip(), left);
-        is_choosy && !path.is_self && is_worth && self.request.service.looks()
+        let is_worth = probing::is_worth(choice.report_age, path.round_trip(), left);
+        is_choosy && !path.is_self && is_worth && self.request.service.should_probe()
     }
 
     /// Leaves out upstreams that were looked at and would pass the work on, or did not answer.
@@ -538,7 +538,7 @@
             && !self.left().is_zero()
             && self.has_arrivals_left()
             && !self.is_hopeless()
-            && self.request.tally(self.state).is_none_or(CrashTally::allows_repeat)
+            && self.request.tally(self.state).is_none_or(CrashTally::allows_retry)
             && self.take_repeat()
     }
 }
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -12,7 +12,7 @@
 use basaltarch_decide::balance::{ChoiceGround, UpstreamChoice};
 use basaltarch_decide::evidence::ServiceBaseline;
 use basaltarch_decide::hang::UsualTime;
-use basaltarch_decide::patience;
+use basaltarch_decide::hedge;
 use basaltarch_http::connection::HttpStream;
 use basaltarch_options::WaitingMode;
 use basaltarch_peer::errors::LinkError;
@@ -41,7 +41,7 @@
     /// Path to another daemon that it runs over, if it may be given up when that is cut.
     pub path: Option<Rc<PeerPath>>,
     /// How long it is waited for before another attempt is made.
-    pub patience: Option<Duration>,
+    pub hedge: Option<Duration>,
     /// Whether a failure counts as evidence against the upstream.
     pub counts: bool,
     /// Counts the request at the upstream.
@@ -109,10 +109,10 @@
             },
         };
         let queued = service.queued_rounds(choice.index, self.state.now());
-        let patience = self.patience(&baseline, queued);
+        let hedge = self.hedge(&baseline, queued);
         let withheld = withheld.then(|| self.request.prefix.clone());
         let path = self.path_to_leave(path, body_is_done);
-        DispatchEnd::Sent(LiveExchange { exchange, withheld, path, patience, counts, sent })
+        DispatchEnd::Sent(LiveExchange { exchange, withheld, path, hedge, counts, sent })
     }
 
     /// Returns the link to an upstream's daemon, making it if need be; none is needed to this one.
@@ -189,8 +189,8 @@
     /// of work there, so that it is told only where work waits for the slots that get free.
     fn baseline_note(&self, index: usize, baseline: &ServiceBaseline) -> Option<BaselineNote> {
         if self.state.live().waiting == WaitingMode::Places {
-            let long_work = self.request.service.siblings_work(index, self.state.now());
-            return Some(wire::baseline_with(baseline, &long_work));
+            let slow_requests = self.request.service.siblings_work(index, self.state.now());
+            return Some(wire::baseline_with(baseline, &slow_requests));
         }
         (baseline.upstreams > 0).then(|| wire::baseline_note(baseline))
     }
@@ -212,12 +212,12 @@
 
     /// Returns how long an attempt is waited for before another is made, if another may be.
     /// Rounds of work that are `queued` before it are not the upstream's fault.
-    pub fn patience(&self, baseline: &ServiceBaseline, queued: f64) -> Option<Duration> {
+    pub fn hedge(&self, baseline: &ServiceBaseline, queued: f64) -> Option<Duration> {
         if !self.may_follow() {
             return None;
         }
         let left = Some(self.objective_left()).filter(|left| !left.is_zero());
         let usual = baseline.usual_time().or(left.map(UsualTime::of_objective))?;
-        Some(patience::of(&usual, left) + usual.at(0.0).mul_f64(queued))
+        Some(hedge::due_after(&usual, left) + usual.at(0.0).mul_f64(queued))
     }
 }
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -13,7 +13,7 @@
     /// Says whether the request lately failed wherever it went.
     pub fn is_hopeless(&self) -> bool {
         let request = self.request;
-        request.service.forbids_repeat(request.method.as_str(), &request.target, self.state.now())
+        request.service.forbids_retry(request.method.as_str(), &request.target, self.state.now())
     }
 
     /// Says whether a failure of the request is no evidence: it failed elsewhere, now or lately.
--- a/crates/daemon/src/ingress/look.rs
+++ b/crates/daemon/src/ingress/look.rs
@@ -9,7 +9,7 @@
 
 use basaltarch_base::metrics;
 use basaltarch_base::peers::PeerPath;
-use basaltarch_decide::look::{self, UpstreamLook};
+use basaltarch_decide::probing::{self, ProbedLoad};
 use basaltarch_peer::frames::FrameSender;
 use basaltarch_peer::link::NO_EXCHANGE;
 use basaltarch_peer::protocol::{FrameBody, LoadAnswer, LoadQuestion, LoadReport};
@@ -47,9 +47,9 @@
 
 impl LookedUpstream {
     /// Returns how it is, if its daemon answered.
-    pub fn look(&self) -> Option<UpstreamLook> {
+    pub fn look(&self) -> Option<ProbedLoad> {
         let report = self.report.as_ref()?;
-        Some(UpstreamLook {
+        Some(ProbedLoad {
             in_flight: report.in_flight.max(0) as u32,
             queued: report.queued.max(0) as u32,
             slots: self.slots,
@@ -60,16 +60,16 @@
     }
 
     /// Says whether its daemon would pass the work on.
-    pub fn passes_on(&self) -> bool {
-        self.look().is_none_or(|look| look.passes_on())
+    pub fn declines(&self) -> bool {
+        self.look().is_none_or(|look| look.declines())
     }
 }
 
 /// Returns the best of the upstreams whose daemons answered.
 pub fn best_of(looked: &[LookedUpstream]) -> Option<&LookedUpstream> {
     let answered = || looked.iter().filter(|each| each.report.is_some());
-    let looks: Vec<UpstreamLook> = answered().filter_map(LookedUpstream::look).collect();
-    look::best(&looks).and_then(|position| answered().nth(position))
+    let looks: Vec<ProbedLoad> = answered().filter_map(LookedUpstream::look).collect();
+    probing::best(&looks).and_then(|position| answered().nth(position))
 }
 
 /// Looks at some upstreams of a request's service together; those of this host and those without a link are left
@@ -105,7 +105,7 @@
         sequence,
     };
     link.sender().send(NO_EXCHANGE, FrameBody::LoadQuestion(question)).ok()?;
-    let wait = look::wait_for(path.round_trip());
+    let wait = probing::probe_timeout(path.round_trip());
     let answer = monoio::time::timeout(wait, receiver).await;
     let report = note_answer(&path, answer.ok().map(Result::ok), state.now() - began);
     Some(LookedUpstream { index, report, slots: upstream.server.slots })
--- a/crates/daemon/src/ingress/places.rs
+++ b/crates/daemon/src/ingress/places.rs
@@ -11,7 +11,7 @@
 
 use basaltarch_base::metrics;
 use basaltarch_core::outcome::{FailureOutcome, NotRunReason};
-use basaltarch_decide::balance::places::PlaceRequest;
+use basaltarch_decide::balance::reservations::ReservationRequest;
 use basaltarch_decide::balance::{ChoiceGround, UpstreamChoice};
 use basaltarch_decide::evidence::ServiceBaseline;
 use basaltarch_http::connection::HttpStream;
@@ -185,12 +185,12 @@
         let left_out = [&held[..], &self.excluded, full].concat();
         let fits = |index: usize| !left_out.contains(&index);
         let service = self.request.service.clone();
-        let request = PlaceRequest {
+        let request = ReservationRequest {
             count: missing,
             repeatable: self.is_repeatable(),
-            near_rounds: self.near_rounds(),
+            local_wait_rounds: self.local_wait_rounds(),
         };
-        for index in service.draw_places(self.state.now(), &request, fits) {
+        for index in service.draw_reservations(self.state.now(), &request, fits) {
             match self.place_link(index) {
                 PlaceLink::Own => {
                     let head = self.place_head(index);
@@ -237,7 +237,7 @@
     /// up, and bytes between failure domains are dear.
     fn place_head(&self, index: usize) -> DispatchHead {
         let now = self.state.now();
-        let choice = self.request.service.with_view(|view| view.called_in(index, now));
+        let choice = self.request.service.with_view(|view| view.offered_choice(index, now));
         let attempt = self.request.trail.attempts.get() as i8 + 1;
         DispatchHead {
             method: String::new(),
@@ -317,7 +317,7 @@
         let service = &self.request.service;
         let baseline = service.baseline(&self.request.route.name, index, now);
         let path = service.path(index).clone();
-        let choice = service.with_view(|view| view.called_in(index, now));
+        let choice = service.with_view(|view| view.offered_choice(index, now));
         let head = self.head(choice, body_is_done, &baseline);
         if exchange.begin(head).is_err() {
             // Its link ended in this moment, before anything was sent.
@@ -328,7 +328,7 @@
             exchange,
             withheld: None,
             path: self.path_to_leave(path, body_is_done),
-            patience: self.patience(&baseline, 0.0),
+            hedge: self.hedge(&baseline, 0.0),
             counts: !self.spares_failure(),
             sent: service.count_sent(index),
         };
--- a/crates/daemon/src/ingress/trail.rs
+++ b/crates/daemon/src/ingress/trail.rs
@@ -295,7 +295,7 @@
         revision: state.config.revision().0,
         in_force_ms: now.saturating_sub(state.config.since()).as_millis() as u64,
         fresh_ms: known.age(now).map(|age| age.as_millis() as u64),
-        fresh_from: known.word().map(|word| word.source.name()),
+        fresh_from: known.confirmation().map(|confirmation| confirmation.source.name()),
     }
     .log();
 }
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -59,8 +59,8 @@
     let mut event = std::pin::pin!(answer.next().fuse());
     let wait = left + DEADLINE_GRACE;
     let mut late = std::pin::pin!(monoio::time::sleep(wait).fuse());
-    let patience = live.patience.filter(|_| body.is_done()).unwrap_or(wait * 2);
-    let mut patient = std::pin::pin!(monoio::time::sleep(patience).fuse());
+    let hedge = live.hedge.filter(|_| body.is_done()).unwrap_or(wait * 2);
+    let mut patient = std::pin::pin!(monoio::time::sleep(hedge).fuse());
     let mut cut = std::pin::pin!(path_cut(state, live).fuse());
     let mut sending = std::pin::pin!(send_body(stream, body, live).fuse());
     let mut slept = std::pin::pin!(passed_asleep(state, request.deadline).fuse());
--- a/crates/daemon/src/limit_homes.rs
+++ b/crates/daemon/src/limit_homes.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use basaltarch_core::units;
-use basaltarch_decide::grants::{GrantAnswer, GrantQuestion, LimitHome};
+use basaltarch_decide::grants::{LimitOwner, TokenGrant, TokenRequest};
 use basaltarch_decide::limits::{self, GRANT_LIFE};
 use basaltarch_peer::frames::FrameSender;
 use basaltarch_peer::link::NO_EXCHANGE;
@@ -53,8 +53,8 @@
 /// `LimitHomes` holds the limits that this daemon counts.
 #[derive(Default)]
 pub struct LimitHomes {
-    homes: RefCell<FnvHashMap<String, LimitHome>>,
-    deputies: RefCell<FnvHashMap<String, LimitHome>>,
+    homes: RefCell<FnvHashMap<String, LimitOwner>>,
+    deputies: RefCell<FnvHashMap<String, LimitOwner>>,
     /// Who counts the limits that this daemon was asked for.
     asked: RefCell<FnvHashMap<String, LimitPlaces>>,
     live: RefCell<LiveLook>,
@@ -69,8 +69,8 @@
             return;
         }
         let hosts = || live.hosts.iter().map(String::as_str);
-        let home = limits::home_of(limit, hosts());
-        let deputy = home.and_then(|home| limits::deputy_of(limit, home, hosts()));
+        let home = limits::owner_of(limit, hosts());
+        let deputy = home.and_then(|home| limits::backup_of(limit, home, hosts()));
         places.home = home.map(Rc::from);
         places.deputy = deputy.map(Rc::from);
         places.look = live.number;
@@ -122,11 +122,11 @@
         state: &DaemonState,
         limit: &str,
         claim: Option<f64>,
-        question: &GrantQuestion<'_>,
-    ) -> Option<GrantAnswer> {
+        question: &TokenRequest<'_>,
+    ) -> Option<TokenGrant> {
         let active = state.config.active();
         let Some(entry) = active.limit(limit) else {
-            return Some(GrantAnswer { granted: 0.0, share: 0.0, ahead: 0 });
+            return Some(TokenGrant { granted: 0.0, share: 0.0, ahead: 0 });
         };
         if claim.is_none() && !self.is_home(state, limit) {
             return None;
@@ -137,16 +137,16 @@
             let mut deputies = self.deputies.borrow_mut();
             let deputy = deputies
                 .entry(limit.to_owned())
-                .or_insert_with(|| LimitHome::following(rate, burst, now));
-            return Some(deputy.answer_as_deputy(rate, burst, claim, question, now));
+                .or_insert_with(|| LimitOwner::following(rate, burst, now));
+            return Some(deputy.answer_as_backup(rate, burst, claim, question, now));
         }
         let since = self.live.borrow().changed_at;
         let tolerance = state.live().limit_tolerance;
         let mut homes = self.homes.borrow_mut();
         let home = homes.entry(limit.to_owned()).or_insert_with(|| match fleet_start(state) {
-            FleetStart::First => LimitHome::new(rate, burst, now),
-            FleetStart::Again => LimitHome::restarted(rate, burst, &tolerance, since),
-            FleetStart::Past => LimitHome::following(rate, burst, since),
+            FleetStart::First => LimitOwner::new(rate, burst, now),
+            FleetStart::Again => LimitOwner::restarted(rate, burst, &tolerance, since),
+            FleetStart::Past => LimitOwner::following(rate, burst, since),
         });
         Some(home.answer(rate, burst, &tolerance, question, now))
     }
@@ -215,11 +215,11 @@
 pub fn answer_request(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
-    asker: &str,
+    requester: &str,
     request: &GrantRequest,
 ) {
     let spent = request.spent.map_or(0.0, |spent| spent.0);
-    let question = GrantQuestion { asker, wanted: request.wanted.0, spent };
+    let question = TokenRequest { requester, wanted: request.wanted.0, spent };
     let claim = request.claim.map(|claim| claim.0);
     let Some(answer) = state.limits.homes.answer(state, &request.limit, claim, &question) else {
         return find_out(state, &request.limit);
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -12,8 +12,8 @@
 use basaltarch_base::signal::RisingSignal;
 use basaltarch_core::config::{ActiveConfig, LimitEntry};
 use basaltarch_core::resources::{LimitRule, LimitScope};
-use basaltarch_decide::grants::{GrantAnswer, GrantQuestion};
-use basaltarch_decide::limits::{AloneTerms, LimitLedger, LimitVerdict, GRANT_LIFE};
+use basaltarch_decide::grants::{TokenGrant, TokenRequest};
+use basaltarch_decide::limits::{LimitVerdict, LocalLimiter, StandaloneTerms, GRANT_LIFE};
 use basaltarch_decide::path::PathState;
 use basaltarch_peer::link::NO_EXCHANGE;
 use basaltarch_peer::protocol::{FrameBody, GrantReply, GrantRequest};
@@ -33,7 +33,7 @@
 
 /// `LimitState` is what this ingress knows of one limit.
 struct LimitState {
-    ledger: LimitLedger,
+    ledger: LocalLimiter,
     asking: Option<Rc<RisingSignal>>,
     ask_again_at: Duration,
     /// Until when the home, which could not be reached, is not asked again.
@@ -48,7 +48,7 @@
     ledgers: RefCell<FnvHashMap<Rc<str>, LimitState>>,
     /// Limits that this daemon counts for the fleet.
     pub homes: LimitHomes,
-    waiting: RefCell<FnvHashMap<i64, oneshot::Sender<GrantAnswer>>>,
+    waiting: RefCell<FnvHashMap<i64, oneshot::Sender<TokenGrant>>>,
     sequence: Cell<i64>,
 }
 
@@ -116,9 +116,9 @@
     fn new(state: &DaemonState, entry: &LimitEntry, wait: Duration) -> Self {
         let ledgers = state.limits.ledgers.borrow();
         let known = ledgers.get(&entry.name);
-        let is_alone = known.is_some_and(|known| known.ledger.is_alone());
+        let is_standalone = known.is_some_and(|known| known.ledger.is_standalone());
         let home = known.and_then(|known| known.places.home.as_deref()).unwrap_or("nobody");
-        let count = if is_alone { "this daemon alone, without" } else { "all daemons at" };
+        let count = if is_standalone { "this daemon alone, without" } else { "all daemons at" };
         let LimitRule { rate, burst, .. } = &entry.rule;
         let name = &entry.name;
         let message =
@@ -151,7 +151,7 @@
     fn check(&self, entry: &LimitEntry, now: Duration) -> LimitVerdict {
         let mut ledgers = self.ledgers.borrow_mut();
         let known = ledgers.entry(entry.name.clone()).or_insert_with(|| LimitState {
-            ledger: LimitLedger::new(now),
+            ledger: LocalLimiter::new(now),
             asking: None,
             ask_again_at: Duration::ZERO,
             home_lost_until: None,
@@ -173,7 +173,7 @@
     fn tries_again(&self, entry: &LimitEntry, now: Duration) -> bool {
         let ledgers = self.ledgers.borrow();
         ledgers.get(&entry.name).is_some_and(|known| {
-            known.ledger.is_alone() && known.asking.is_none() && now >= known.ask_again_at
+            known.ledger.is_standalone() && known.asking.is_none() && now >= known.ask_again_at
         })
     }
 
@@ -190,7 +190,7 @@
         if let Some(waiting) = self.waiting.borrow_mut().remove(&reply.sequence) {
             let ahead = reply.ahead.unwrap_or(0).max(0) as u32;
             let share = reply.share.map_or(0.0, |share| share.0);
-            let _ = waiting.send(GrantAnswer { granted: reply.granted.0, share, ahead });
+            let _ = waiting.send(TokenGrant { granted: reply.granted.0, share, ahead });
         }
     }
 }
@@ -254,7 +254,7 @@
     state.limits.with_state(entry, |known| match &answer {
         Some(answer) => {
             known.home_lost_until = None;
-            known.ledger.note_home(answer.ahead, answer.share, now);
+            known.ledger.note_owner(answer.ahead, answer.share, now);
             note_grant(known, entry, wanted, answer, now);
         }
         None => {
@@ -269,7 +269,7 @@
     let rule = &entry.rule;
     let daemons = state.limits.homes.daemons(state);
     let claim =
-        state.limits.with_state(entry, |known| known.ledger.note_home_lost(rule.rate, daemons));
+        state.limits.with_state(entry, |known| known.ledger.note_owner_lost(rule.rate, daemons));
     let deputy = state.limits.places(state, entry).and_then(|places| places.deputy);
     let answer = match deputy {
         Some(deputy) => {
@@ -283,15 +283,15 @@
         // The home may have come back meanwhile.
         _ if known.home_lost_until.is_none() => {}
         Some(answer) => {
-            known.ledger.note_deputy();
+            known.ledger.note_backup();
             note_grant(known, entry, wanted, answer, now);
         }
         None => {
             // Only of a fleet that starts for the first time the whole part of the burst is known to be left.
             let is_first = limit_homes::fleet_start(state) == FleetStart::First;
             let since = (!is_first).then_some(Duration::ZERO);
-            let terms = AloneTerms { rate: rule.rate, burst: rule.burst, daemons, since };
-            known.ledger.go_alone(terms, now);
+            let terms = StandaloneTerms { rate: rule.rate, burst: rule.burst, daemons, since };
+            known.ledger.start_standalone(terms, now);
             known.ask_again_at = now + ALONE_FOR;
         }
     });
@@ -316,7 +316,7 @@
     known: &mut LimitState,
     entry: &LimitEntry,
     wanted: f64,
-    answer: &GrantAnswer,
+    answer: &TokenGrant,
     now: Duration,
 ) {
     if wanted > 0.0 {
@@ -339,11 +339,11 @@
     host: &str,
     entry: &LimitEntry,
     terms: GrantTerms,
-) -> Option<GrantAnswer> {
+) -> Option<TokenGrant> {
     metrics::GRANTS_ASKED.add_one();
     let GrantTerms { wanted, spent, claim } = terms;
     if *host == *state.options.host {
-        let question = GrantQuestion { asker: host, wanted, spent };
+        let question = TokenRequest { requester: host, wanted, spent };
         return state.limits.homes.answer(state, &entry.name, claim, &question);
     }
     let path = state.peers.path(host);
@@ -365,7 +365,7 @@
     state: &Rc<DaemonState>,
     path: &Rc<PeerPath>,
     request: GrantRequest,
-) -> Option<GrantAnswer> {
+) -> Option<TokenGrant> {
     let link = links::link_to(state, path).await.ok()?;
     let sequence = state.limits.sequence.get() + 1;
     state.limits.sequence.set(sequence);
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 
 use basaltarch_core::incarnation::{self, ServerIncarnation};
-use basaltarch_decide::start::{StartTrack, StartVerdict, StartWord};
+use basaltarch_decide::server_incarnation::{
+    IncarnationClaim, IncarnationTracker, IncarnationVerdict,
+};
 use basaltarch_events::servers;
 use basaltarch_http::client::HttpClient;
 use basaltarch_http::server::{self, ServerLimits, ServerReply, ServerRequest};
@@ -43,7 +45,7 @@
 #[derive(Debug, Default)]
 pub struct RegistrationTable {
     /// Starts of each backend server, by its own name.
-    starts: RefCell<FnvHashMap<String, StartTrack>>,
+    starts: RefCell<FnvHashMap<String, IncarnationTracker>>,
     sequences: RefCell<FnvHashMap<String, u64>>,
     cold_until: RefCell<FnvHashMap<String, Duration>>,
     gone: RefCell<VecDeque<String>>,
@@ -58,16 +60,16 @@
     }
 
     /// Says what a heartbeat counts for, and notes it.
-    fn judge(&self, heartbeat: &ServerHeartbeat, now: Duration) -> StartVerdict {
+    fn judge(&self, heartbeat: &ServerHeartbeat, now: Duration) -> IncarnationVerdict {
         let ServerIncarnation { server, born } = &heartbeat.incarnation;
-        let word = StartWord { born: *born, sequence: heartbeat.sequence };
+        let word = IncarnationClaim { born: *born, sequence: heartbeat.sequence };
         let mut starts = self.starts.borrow_mut();
         if starts.len() >= STARTS_MAX && !starts.contains_key(server) {
             starts.clear();
         }
         let verdict = starts.entry(server.clone()).or_default().judge(word, now);
-        if verdict == StartVerdict::Current && !self.is_news(heartbeat) {
-            return StartVerdict::Late;
+        if verdict == IncarnationVerdict::Current && !self.is_news(heartbeat) {
+            return IncarnationVerdict::Late;
         }
         verdict
     }
@@ -88,7 +90,7 @@
     /// Returns the start that a word of leaving is about: the one it names, else the one known.
     fn leaving(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
         let starts = self.starts.borrow();
-        let known = starts.get(&incarnation.server).and_then(StartTrack::current);
+        let known = starts.get(&incarnation.server).and_then(IncarnationTracker::current);
         ServerIncarnation { born: incarnation.born.or(known), ..incarnation }
     }
 
@@ -136,7 +138,7 @@
                 servers::ServerCallRefused { error: problem, from }.log();
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
             }
-            if note_heartbeat(state, &heartbeat) == StartVerdict::Unnamed {
+            if note_heartbeat(state, &heartbeat) == IncarnationVerdict::Unnamed {
                 return admin::problem(StatusCode::BAD_REQUEST, "the heartbeat tells no start");
             }
         }
@@ -172,12 +174,12 @@
 }
 
 /// Takes a heartbeat in and says what it counted for.
-fn note_heartbeat(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) -> StartVerdict {
+fn note_heartbeat(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) -> IncarnationVerdict {
     let verdict = state.registrations.judge(heartbeat, state.now());
     match verdict {
-        StartVerdict::Current => {}
-        StartVerdict::Replaces => drop(state.registrations.is_news(heartbeat)),
-        StartVerdict::Late | StartVerdict::Unnamed => {
+        IncarnationVerdict::Current => {}
+        IncarnationVerdict::Replaces => drop(state.registrations.is_news(heartbeat)),
+        IncarnationVerdict::Late | IncarnationVerdict::Unnamed => {
             let (upstream, sequence) = (&heartbeat.incarnation.upstream(), heartbeat.sequence);
             servers::HeartbeatLate { upstream, sequence }.log();
             return verdict;
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -608,7 +608,7 @@
         gone.extend(state.roster.stale.borrow_mut().drain(..));
         for host in gone {
             let live = state.members.live_hosts(&state);
-            let home = limits::home_of(&host, live.iter().map(String::as_str));
+            let home = limits::owner_of(&host, live.iter().map(String::as_str));
             if home == Some(state.options.host.as_str()) {
                 remove_row(&state, &host).await;
             }
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -193,7 +193,7 @@
     near.retain(|host| !state.rows.is_left(host, now));
     let mut readers = Vec::new();
     while readers.len() < READERS {
-        let next = limits::home_of(READERS_KEY, near.iter().map(String::as_str));
+        let next = limits::owner_of(READERS_KEY, near.iter().map(String::as_str));
         let next = match next {
             Some(host) => host.to_owned(),
             None => break,
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -13,15 +13,15 @@
 use basaltarch_core::resources::ServerState;
 use basaltarch_core::routes::RouteEntry;
 use basaltarch_core::services::{PackedService, ServiceEntry};
-use basaltarch_decide::allowance::LongWork;
-use basaltarch_decide::balance::places::PlaceRequest;
+use basaltarch_decide::adaptive_timeout::SlowRequests;
+use basaltarch_decide::balance::reservations::ReservationRequest;
 use basaltarch_decide::balance::{ChoiceRequest, LoadView, ServiceView, UpstreamChoice};
 use basaltarch_decide::baseline::{RecentAnswers, RouteBaseline};
 use basaltarch_decide::budget::{BudgetTerms, RetryBudget};
 use basaltarch_decide::distance::ByteMean;
 use basaltarch_decide::evidence::ServiceBaseline;
-use basaltarch_decide::look::LookGain;
-use basaltarch_decide::poison::{CountedFailures, PoisonMemory, RequestMark};
+use basaltarch_decide::poison::{CountedFailures, PoisonTable, RequestHash};
+use basaltarch_decide::probing::ProbeYield;
 use basaltarch_decide::split::WeightedSplit;
 use basaltarch_peer::protocol::LoadReport;
 use fnv::FnvHashMap;
@@ -49,15 +49,15 @@
     draining_until: Vec<Cell<Duration>>,
     view: RefCell<ServiceView>,
     /// What each upstream last told of long work, and when.
-    long_work: RefCell<Vec<(LongWork, Duration)>>,
+    slow_requests: RefCell<Vec<(SlowRequests, Duration)>>,
     baselines: RefCell<FnvHashMap<Rc<str>, RouteBaseline>>,
     /// Sizes of the requests of each route, with their answers.
     bytes: RefCell<FnvHashMap<Rc<str>, ByteMean>>,
     recent: RefCell<RecentAnswers>,
     budget: Rc<RefCell<RetryBudget>>,
-    poison: Rc<RefCell<PoisonMemory<Rc<str>>>>,
+    poison: Rc<RefCell<PoisonTable<Rc<str>>>>,
     violations: Cell<u64>,
-    look_gain: Cell<LookGain>,
+    look_gain: Cell<ProbeYield>,
     used_at: Cell<Duration>,
 }
 
@@ -181,7 +181,7 @@
             view: RefCell::new(
                 ServiceView::new(entry.spec.floor, views).with_queue(entry.spec.queue),
             ),
-            long_work: RefCell::new(vec![Default::default(); entry.upstreams.len()]),
+            slow_requests: RefCell::new(vec![Default::default(); entry.upstreams.len()]),
             baselines: RefCell::default(),
             bytes: RefCell::default(),
             recent: RefCell::default(),
@@ -204,20 +204,20 @@
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
-        let is_out = upstream.health.borrow().is_out();
-        let was_out = self.with_view(|view| view.is_out(index));
-        if is_out || was_out {
+        let is_ejected_or_doubted = upstream.health.borrow().is_ejected_or_doubted();
+        let was_out = self.with_view(|view| view.is_ejected_or_doubted(index));
+        if is_ejected_or_doubted || was_out {
             let report = upstream.report(state, route, None);
             self.note_report(index, route, &report, None, state.now());
         }
     }
 
     /// Says whether the next request looks at upstreams before it is sent to one.
-    pub fn looks(&self) -> bool {
+    pub fn should_probe(&self) -> bool {
         let mut gain = self.look_gain.get();
-        let looks = gain.looks();
+        let should_probe = gain.should_probe();
         self.look_gain.set(gain);
-        looks
+        should_probe
     }
 
     /// Takes in whether a look found an upstream that would take the work.
@@ -238,14 +238,14 @@
     }
 
     /// Draws upstreams before whose slots work may wait, of those that `fits`.
-    pub fn draw_places(
+    pub fn draw_reservations(
         &self,
         now: Duration,
-        request: &PlaceRequest,
+        request: &ReservationRequest,
         fits: impl Fn(usize) -> bool,
     ) -> Vec<usize> {
         self.refresh(now);
-        self.view.borrow_mut().draw_places(now, request, fits, &mut rand::rng())
+        self.view.borrow_mut().draw_reservations(now, request, fits, &mut rand::rng())
     }
 
     /// Returns how many rounds of work an upstream last said to have before new work.
@@ -278,7 +278,7 @@
         let (load, health) = wire::report_of(note);
         let until = if load.draining { now + DRAIN_WORD_LIFE } else { Duration::ZERO };
         self.draining_until[index].set(until);
-        self.long_work.borrow_mut()[index] = (load.long_work, now);
+        self.slow_requests.borrow_mut()[index] = (load.slow_requests, now);
         let mut baselines = self.baselines.borrow_mut();
         if !baselines.contains_key(route) {
             baselines.insert(route.clone(), RouteBaseline::default());
@@ -322,7 +322,7 @@
 
     /// Returns the rounds of work for which a request of a route waits in this failure domain, where a megabyte
     /// across is worth waiting for `worth`.
-    pub fn near_rounds(&self, route: &str, worth: Duration) -> f64 {
+    pub fn local_wait_rounds(&self, route: &str, worth: Duration) -> f64 {
         if worth.is_zero() {
             return 0.0;
         }
@@ -334,11 +334,11 @@
     }
 
     /// Returns what the other upstreams saw of long work.
-    pub fn siblings_work(&self, index: usize, now: Duration) -> LongWork {
-        let told = self.long_work.borrow();
+    pub fn siblings_work(&self, index: usize, now: Duration) -> SlowRequests {
+        let told = self.slow_requests.borrow();
         let others = told.iter().enumerate().filter(|(other, _)| *other != index);
-        let faded = others.map(|(_, (work, at))| work.faded(now.saturating_sub(*at)));
-        faded.fold(LongWork::default(), |sum, work| sum.with(&work))
+        let decayed = others.map(|(_, (work, at))| work.decayed(now.saturating_sub(*at)));
+        decayed.fold(SlowRequests::default(), |sum, work| sum.with(&work))
     }
 
     /// Notes that a request was sent to an upstream, for as long as the guard lives.
@@ -354,7 +354,7 @@
 
     /// Notes that a request came which repeats another, as the work that makes it does.
     pub fn note_repeated(&self, now: Duration) {
-        self.budget.borrow_mut().note_repeat(now);
+        self.budget.borrow_mut().note_retry(now);
     }
 
     /// Says whether the budget has a repeat left.
@@ -387,7 +387,7 @@
         let mut poison = self.poison.borrow_mut();
         poison.forget_old(now);
         if !poison.is_empty() {
-            poison.note_success(RequestMark::of(method, target));
+            poison.note_success(RequestHash::of(method, target));
         }
     }
 
@@ -401,21 +401,21 @@
         counted: bool,
         now: Duration,
     ) -> Vec<CountedFailures<Rc<str>>> {
-        let mark = RequestMark::of(method, target);
+        let mark = RequestHash::of(method, target);
         let upstream = self.entry.upstreams[index].name.clone();
         self.poison.borrow_mut().note_failure(mark, upstream, counted, now)
     }
 
     /// Takes in that a failure at an upstream was taken back since a repeat failed too.
     pub fn note_withdrawn(&self, method: &str, target: &str, index: usize) {
-        let mark = RequestMark::of(method, target);
+        let mark = RequestHash::of(method, target);
         self.poison.borrow_mut().note_withdrawn(mark, &self.entry.upstreams[index].name);
     }
 
     /// Says whether a failure of this request would be no evidence against an upstream.
     pub fn spares_failure(&self, method: &str, target: &str, now: Duration) -> bool {
         let poison = self.poison.borrow();
-        let spared = !poison.is_empty() && poison.spares(RequestMark::of(method, target), now);
+        let spared = !poison.is_empty() && poison.is_poison(RequestHash::of(method, target), now);
         if spared {
             metrics::POISON_SPARED.add_one();
         }
@@ -427,14 +427,14 @@
         let poison = self.poison.borrow();
         match poison.is_empty() {
             true => 0,
-            false => poison.failed_at(RequestMark::of(method, target), now),
+            false => poison.failed_at(RequestHash::of(method, target), now),
         }
     }
 
     /// Says whether repeating this request would only spend the budget of repeats.
-    pub fn forbids_repeat(&self, method: &str, target: &str, now: Duration) -> bool {
+    pub fn forbids_retry(&self, method: &str, target: &str, now: Duration) -> bool {
         let poison = self.poison.borrow();
-        !poison.is_empty() && poison.forbids_repeat(RequestMark::of(method, target), now)
+        !poison.is_empty() && poison.forbids_retry(RequestHash::of(method, target), now)
     }
 
     /// Calls `read` with the view.
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -16,7 +16,7 @@
 use basaltarch_base::metrics;
 use basaltarch_core::fingerprint::RequestFingerprint;
 use basaltarch_decide::limits;
-use basaltarch_decide::suspects::{CopyVerdict, CrashTally, SuspectTable, SuspectWord};
+use basaltarch_decide::suspects::{CopyVerdict, CrashTally, SuspectNotice, SuspectTable};
 use basaltarch_events::servers::{RequestCleared, RequestSuspected};
 use basaltarch_peer::frames::FrameSender;
 use basaltarch_peer::handshake::PeerIdentity;
@@ -68,10 +68,10 @@
     }
 
     /// Returns all that is known, the gravest first.
-    pub fn words(&self, now: Duration) -> Vec<SuspectWord> {
-        let mut words = self.table.borrow().words(now);
-        words.sort_by_key(|word| (u32::MAX - word.tally.crashes, word.seen_ago));
-        words
+    pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
+        let mut notices = self.table.borrow().notices(now);
+        notices.sort_by_key(|word| (u32::MAX - word.tally.crashes, word.seen_ago));
+        notices
     }
 
     /// Returns the digest of what is known, for heartbeats; none if nothing is.
@@ -88,8 +88,8 @@
     /// Returns what the own row tells: refused requests whose last crash was seen here.
     pub fn own_records(&self, now: Duration) -> Vec<RefusedRecord> {
         let seen_here = self.seen_here.borrow();
-        let words = self.words(now).into_iter();
-        let own = words
+        let notices = self.notices(now).into_iter();
+        let own = notices
             .filter(|word| word.tally.is_refused() && seen_here.contains(&word.fingerprint))
             .take(RECORDED_MAX);
         own.map(|word| RefusedRecord {
@@ -107,7 +107,7 @@
     let is_home = || {
         let live = state.members.live_hosts(state);
         let key = fingerprint.to_string();
-        limits::home_of(&key, live.iter().map(String::as_str)) == Some(&*state.options.host)
+        limits::owner_of(&key, live.iter().map(String::as_str)) == Some(&*state.options.host)
     };
     state.suspects.table.borrow_mut().judge(fingerprint, is_home, state.now())
 }
@@ -126,11 +126,15 @@
         Some(tally) => tally,
         None => return,
     };
-    let word =
-        SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream: Rc::from(upstream) };
+    let word = SuspectNotice {
+        fingerprint,
+        tally,
+        seen_ago: Duration::ZERO,
+        upstream: Rc::from(upstream),
+    };
     tell_suspected(&word, &state.options.host);
     state.suspects.note_changed(now);
-    tell(state, &word, word.told_to(before));
+    tell(state, &word, word.notify_count(before));
     if tally.is_refused() {
         remember(state, fingerprint);
     }
@@ -154,14 +158,14 @@
         Some(tally) => tally,
         None => return false,
     };
-    if !before.allows_repeat() {
+    if !before.allows_retry() {
         let from = &state.options.host;
         RequestCleared { fingerprint: &fingerprint.to_string(), cause, from }.log();
     }
     state.suspects.note_changed(now);
     let (fingerprint, upstream) = (*fingerprint, Rc::from(""));
-    let word = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-    tell(state, &word, word.told_to(before));
+    let word = SuspectNotice { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
+    tell(state, &word, word.notify_count(before));
     roster::refresh_refused(state);
     true
 }
@@ -178,7 +182,7 @@
 
 /// Logs what is new here of a request, against which `before` counted. What another daemon told is logged
 /// only if it has copies refused or let in: the daemon that saw a crash logs every suspect of it.
-fn tell_heard(word: &SuspectWord, before: CrashTally, from: &str) {
+fn tell_heard(word: &SuspectNotice, before: CrashTally, from: &str) {
     if word.tally.is_refused() {
         tell_suspected(word, from);
     } else if before.is_refused() {
@@ -187,7 +191,7 @@
     }
 }
 
-fn tell_suspected(word: &SuspectWord, from: &str) {
+fn tell_suspected(word: &SuspectNotice, from: &str) {
     RequestSuspected {
         fingerprint: &word.fingerprint.to_string(),
         crashes: word.tally.crashes.into(),
@@ -199,14 +203,14 @@
 }
 
 /// Tells some of the daemons that are linked.
-fn tell(state: &DaemonState, word: &SuspectWord, links: usize) {
+fn tell(state: &DaemonState, word: &SuspectNotice, links: usize) {
     for sender in membership::some_senders(state, links) {
         send(&sender, std::slice::from_ref(word));
     }
 }
 
-fn send(sender: &FrameSender, words: &[SuspectWord]) {
-    let suspects = words.iter().map(wire::suspect_note).collect();
+fn send(sender: &FrameSender, notices: &[SuspectNotice]) {
+    let suspects = notices.iter().map(wire::suspect_note).collect();
     // A link that ends is made anew, and the first heartbeat on it shows what is missing.
     let _ = sender.send(NO_EXCHANGE, FrameBody::SuspectNews(SuspectNews { suspects }));
 }
@@ -218,13 +222,13 @@
     peer: &PeerIdentity,
     news: &SuspectNews,
 ) {
-    let words: Vec<SuspectWord> = news.suspects.iter().filter_map(wire::suspect_word).collect();
-    for word in note_words(state, &words, &peer.host) {
-        tell(state, &word, word.passed_to());
+    let notices: Vec<SuspectNotice> = news.suspects.iter().filter_map(wire::suspect_word).collect();
+    for word in note_words(state, &notices, &peer.host) {
+        tell(state, &word, word.forward_count());
     }
     let (table, now) = (state.suspects.table.borrow(), state.now());
-    let answers: Vec<SuspectWord> =
-        words.iter().filter_map(|word| table.answer(word, now)).collect();
+    let answers: Vec<SuspectNotice> =
+        notices.iter().filter_map(|word| table.answer(word, now)).collect();
     drop(table);
     if !answers.is_empty() {
         send(sender, &answers);
@@ -234,29 +238,33 @@
 /// Takes in what the row of a host tells.
 pub fn take_records(state: &Rc<DaemonState>, host: &str, records: &[RefusedRecord]) {
     let word = |record: &RefusedRecord| {
-        Some(SuspectWord {
+        Some(SuspectNotice {
             fingerprint: RequestFingerprint::parse(&record.fingerprint)?,
             tally: CrashTally { round: record.round, crashes: record.crashes },
             seen_ago: Duration::ZERO,
             upstream: Rc::from(record.upstream.as_str()),
         })
     };
-    let words: Vec<SuspectWord> = records.iter().filter_map(word).collect();
-    note_words(state, &words, host);
+    let notices: Vec<SuspectNotice> = records.iter().filter_map(word).collect();
+    note_words(state, &notices, host);
     // What an earlier start of this daemon saw stays in its row.
     if host == state.options.host {
-        words.iter().for_each(|word| remember(state, word.fingerprint));
+        notices.iter().for_each(|word| remember(state, word.fingerprint));
     }
 }
 
 /// Takes words in and returns those that are new here.
-fn note_words(state: &Rc<DaemonState>, words: &[SuspectWord], from: &str) -> Vec<SuspectWord> {
+fn note_words(
+    state: &Rc<DaemonState>,
+    notices: &[SuspectNotice],
+    from: &str,
+) -> Vec<SuspectNotice> {
     let now = state.now();
     let mut table = state.suspects.table.borrow_mut();
     let mut fresh = Vec::new();
-    for word in words {
+    for word in notices {
         let before = table.tally(&word.fingerprint);
-        if table.note_word(word, now) {
+        if table.apply_notice(word, now) {
             tell_heard(word, before, from);
             fresh.push(word.clone());
         }
@@ -272,7 +280,7 @@
 /// Takes in the digest of what a peer knows: it hears all that is known here if it knows something else.
 pub fn note_peer_digest(state: &DaemonState, sender: &FrameSender, digest: Option<i64>) {
     if state.suspects.digest() != digest && !state.suspects.is_empty() {
-        send(sender, &state.suspects.words(state.now()));
+        send(sender, &state.suspects.notices(state.now()));
     }
 }
 
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -8,10 +8,10 @@
 
 use basaltarch_core::fingerprint::RequestFingerprint;
 use basaltarch_core::resources::{WorkClass, WorkMode};
-use basaltarch_decide::allowance::LongWork;
+use basaltarch_decide::adaptive_timeout::SlowRequests;
 use basaltarch_decide::evidence::ServiceBaseline;
 use basaltarch_decide::health::HealthReport;
-use basaltarch_decide::suspects::{CrashTally, SuspectWord};
+use basaltarch_decide::suspects::{CrashTally, SuspectNotice};
 use basaltarch_http::writer;
 use basaltarch_peer::protocol::{BaselineNote, LoadReport, SuspectNote, TallyNote};
 use bytes::BytesMut;
@@ -86,7 +86,7 @@
 }
 
 /// Writes what is known of a request that ran at servers when they crashed.
-pub fn suspect_note(word: &SuspectWord) -> SuspectNote {
+pub fn suspect_note(word: &SuspectNotice) -> SuspectNote {
     SuspectNote {
         fingerprint: word.fingerprint.bytes().to_vec(),
         tally: tally_note(word.tally),
@@ -96,8 +96,8 @@
 }
 
 /// Reads what is known of such a request; `None` if it is named in another way.
-pub fn suspect_word(note: &SuspectNote) -> Option<SuspectWord> {
-    Some(SuspectWord {
+pub fn suspect_word(note: &SuspectNote) -> Option<SuspectNotice> {
+    Some(SuspectNotice {
         fingerprint: RequestFingerprint::from_bytes(&note.fingerprint)?,
         tally: tally_of(&note.tally),
         seen_ago: Duration::from_millis(note.seen_ms_ago.max(0) as u64),
@@ -120,23 +120,23 @@
 }
 
 /// Writes a baseline with what the other upstreams saw of long work.
-pub fn baseline_with(baseline: &ServiceBaseline, long_work: &LongWork) -> BaselineNote {
+pub fn baseline_with(baseline: &ServiceBaseline, slow_requests: &SlowRequests) -> BaselineNote {
     BaselineNote {
-        hung_milli: Some(milli(long_work.hung)),
-        late_milli: Some(milli(long_work.late)),
+        hung_milli: Some(milli(slow_requests.hung)),
+        late_milli: Some(milli(slow_requests.late)),
         ..baseline_note(baseline)
     }
 }
 
 /// Reads what other upstreams saw of long work, nothing where it is not told.
-pub fn siblings_work(note: Option<&BaselineNote>) -> LongWork {
+pub fn siblings_work(note: Option<&BaselineNote>) -> SlowRequests {
     let told = note.and_then(|note| Some((note.hung_milli?, note.late_milli?)));
-    told.map_or_else(LongWork::default, |(hung, late)| long_work(hung, late))
+    told.map_or_else(SlowRequests::default, |(hung, late)| slow_requests(hung, late))
 }
 
-fn long_work(hung_milli: i32, late_milli: i32) -> LongWork {
+fn slow_requests(hung_milli: i32, late_milli: i32) -> SlowRequests {
     let count = |told: i32| of_milli(told.max(0));
-    LongWork { hung: count(hung_milli), late: count(late_milli) }
+    SlowRequests { hung: count(hung_milli), late: count(late_milli) }
 }
 
 /// Reads a baseline.
@@ -169,7 +169,7 @@
     /// Time that the answer took, if there is one.
     pub took: Option<Duration>,
     /// What was seen of long work.
-    pub long_work: LongWork,
+    pub slow_requests: SlowRequests,
 }
 
 /// Writes a report.
@@ -190,8 +190,8 @@
         ejected: health.ejected,
         doubtful: health.doubtful,
         took_us: load.took.map_or(0, |took| took.as_micros().clamp(1, i32::MAX as u128) as i32),
-        hung_milli: Some(milli(load.long_work.hung)),
-        late_milli: Some(milli(load.long_work.late)),
+        hung_milli: Some(milli(load.slow_requests.hung)),
+        late_milli: Some(milli(load.slow_requests.late)),
     }
 }
 
@@ -203,7 +203,7 @@
         draining: note.draining,
         revision: note.revision.max(0) as u64,
         took: (note.took_us > 0).then(|| Duration::from_micros(note.took_us as u64)),
-        long_work: long_work(note.hung_milli.unwrap_or(0), note.late_milli.unwrap_or(0)),
+        slow_requests: slow_requests(note.hung_milli.unwrap_or(0), note.late_milli.unwrap_or(0)),
     };
     let health = HealthReport {
         sickness: of_milli(note.sickness_milli),
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -10,7 +10,7 @@
 
 use std::time::Instant;
 
-use basaltarch_decide::look::FRESH_FOR;
+use basaltarch_decide::probing::FRESH_FOR;
 use basaltarch_platform::headers;
 use common::forwarder::Forwarder;
 use common::registered::{RegisteredFleet, SERVICE};
--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -13,7 +13,7 @@
 use basaltarch_core::resources::PreferChoice;
 use basaltarch_decide::balance::{ChoiceRequest, LoadView, ServiceView};
 use basaltarch_decide::baseline::RouteBaseline;
-use basaltarch_decide::evidence::{ServiceBaseline, WorkEvidence};
+use basaltarch_decide::evidence::{RequestEvidence, ServiceBaseline};
 use basaltarch_decide::health::{DispatchTerms, HealthReport, UpstreamHealth};
 use basaltarch_decide::suspects::{CrashTally, SuspectTable, SUSPECTS_MAX};
 use divan::Bencher;
@@ -134,7 +134,7 @@
     bencher.bench_local(|| {
         now += REQUEST_INTERVAL;
         health.admit(&terms, now);
-        health.note("puzzle", WorkEvidence::Answered(Duration::from_millis(20)), false, now);
+        health.note("puzzle", RequestEvidence::Answered(Duration::from_millis(20)), false, now);
         health.report("puzzle", now)
     });
 }
--- a/crates/decide/src/allowance.rs
+++ b/crates/decide/src/adaptive_timeout.rs
@@ -38,18 +38,18 @@
 /// slots are free: a slot is free only until a request that hangs has taken it.
 const SERVICE_HUNG_MIN: f64 = 10.0;
 
-/// `LongWork` holds decaying counts of requests that ran longer than nearly all sound ones.
+/// `SlowRequests` holds decaying counts of requests that ran longer than nearly all sound ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct LongWork {
+pub struct SlowRequests {
     /// Requests that made no progress, less those that were answered after all.
     pub hung: f64,
     /// Requests that were answered late.
     pub late: f64,
 }
 
-impl LongWork {
+impl SlowRequests {
     /// Returns the counts after they decayed for `age`.
-    pub fn faded(&self, age: Duration) -> Self {
+    pub fn decayed(&self, age: Duration) -> Self {
         let left = (-age.as_secs_f64() / EVIDENCE_LIFE.as_secs_f64()).exp();
         Self { hung: self.hung * left, late: self.late * left }
     }
@@ -65,9 +65,9 @@
     }
 }
 
-/// `AllowanceTerms` is what is known about a request that is about to start.
+/// `TimeoutTerms` is what is known about a request that is about to start.
 #[derive(Debug, Clone, Copy)]
-pub struct AllowanceTerms {
+pub struct TimeoutTerms {
     /// Time that is left until its deadline.
     pub left: Duration,
     /// Time that is left until its objective; zero if that has passed or none was declared.
@@ -77,12 +77,12 @@
     /// Whether the server has no free slot besides that of this request.
     pub full: bool,
     /// Slow requests at the other servers of the service, as far as reported.
-    pub siblings: LongWork,
+    pub siblings: SlowRequests,
 }
 
-/// `GivenTime` is the timeout of one attempt.
+/// `AttemptTimeout` is the timeout of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GivenTime {
+pub struct AttemptTimeout {
     /// Timeout that the server is given.
     pub time: Duration,
     /// Time after which an answer counts as late: it shows that sound requests run longer than is
@@ -90,22 +90,22 @@
     pub late_after: Duration,
 }
 
-/// `TimeAllowance` sets the timeouts of the requests at one backend server.
+/// `AdaptiveTimeout` sets the timeouts of the requests at one backend server.
 #[derive(Debug, Clone, Default)]
-pub struct TimeAllowance {
+pub struct AdaptiveTimeout {
     bounded: u32,
-    slow: LongWork,
+    slow: SlowRequests,
     counted_at: Duration,
 }
 
-impl TimeAllowance {
+impl AdaptiveTimeout {
     /// Returns the timeout of a request that starts at `now`. A request whose objective has not
     /// passed always has until its objective at least.
-    pub fn give(&mut self, terms: &AllowanceTerms, now: Duration) -> GivenTime {
+    pub fn timeout_for(&mut self, terms: &TimeoutTerms, now: Duration) -> AttemptTimeout {
         let usual = terms.usual.map(|usual| usual.at(ALLOWED_DEVIATIONS).max(terms.objective_left));
         let late_after = usual.unwrap_or(terms.left);
-        let all = GivenTime { time: terms.left, late_after };
-        let slow = self.long_work(now).with(&terms.siblings);
+        let all = AttemptTimeout { time: terms.left, late_after };
+        let slow = self.slow_requests(now).with(&terms.siblings);
         let is_bounded = terms.full || slow.hung >= SERVICE_HUNG_MIN;
         if !is_bounded || late_after >= terms.left || !slow.is_hanging() {
             return all;
@@ -114,20 +114,20 @@
         if self.bounded.is_multiple_of(UNBOUNDED_EVERY) {
             return all;
         }
-        GivenTime { time: late_after, late_after }
+        AttemptTimeout { time: late_after, late_after }
     }
 
     /// Records that a request still runs after its `late_after` and makes no progress.
-    pub fn note_passed(&mut self, now: Duration) {
+    pub fn note_overrun(&mut self, now: Duration) {
         self.decay(now);
         self.slow.hung += 1.0;
     }
 
     /// Records that a sound request was answered after this time; `overrun` says whether
-    /// [`Self::note_passed`] was called for it.
+    /// [`Self::note_overrun`] was called for it.
     pub fn note_answered(
         &mut self,
-        given: &GivenTime,
+        given: &AttemptTimeout,
         took: Duration,
         overrun: bool,
         now: Duration,
@@ -143,12 +143,12 @@
     }
 
     /// Returns the slow requests seen at this server.
-    pub fn long_work(&self, now: Duration) -> LongWork {
-        self.slow.faded(now.saturating_sub(self.counted_at))
+    pub fn slow_requests(&self, now: Duration) -> SlowRequests {
+        self.slow.decayed(now.saturating_sub(self.counted_at))
     }
 
     fn decay(&mut self, now: Duration) {
-        self.slow = self.long_work(now);
+        self.slow = self.slow_requests(now);
         self.counted_at = now;
     }
 }
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -10,7 +10,7 @@
 use crate::floor::{self, CapacityEntry, FloorPlan};
 use crate::health::{self, HealthReport};
 
-pub mod places;
+pub mod reservations;
 
 /// Time constant with which a load report decays towards the assumed load, and the age up to which
 /// it counts as fresh: many requests start and end at an upstream within it.
@@ -201,7 +201,7 @@
     pub is_last: bool,
     /// Service rounds for which the request waits in its own failure domain rather than send its
     /// bytes to another one.
-    pub near_rounds: f64,
+    pub local_wait_rounds: f64,
 }
 
 impl ChoiceRequest<'_> {
@@ -354,7 +354,7 @@
     }
 
     /// Says whether an upstream last reported that it is ejected or doubted.
-    pub fn is_out(&self, index: usize) -> bool {
+    pub fn is_ejected_or_doubted(&self, index: usize) -> bool {
         let health = self.upstreams.get(index).and_then(|view| view.health);
         health.is_some_and(|health| health.ejected || health.doubtful)
     }
@@ -556,9 +556,9 @@
         let local_waiting = |index: usize, view: &LoadView| {
             let is_trusted = view.is_local && !view.is_suspect(terms) && has_room(view);
             let in_service = self.in_service(index) && !request.excluded.contains(&index);
-            is_trusted && in_service && load(view) < 1.0 + request.near_rounds
+            is_trusted && in_service && load(view) < 1.0 + request.local_wait_rounds
         };
-        let waits_locally = request.near_rounds > 0.0;
+        let waits_locally = request.local_wait_rounds > 0.0;
         if let Some(drawn) =
             waits_locally.then(|| self.draw(terms, rng, candidates, local_waiting)).flatten()
         {
--- a/crates/decide/src/balance/places.rs
+++ b/crates/decide/src/balance/reservations.rs
@@ -17,16 +17,16 @@
 /// cross over once the slot is offered, and a request that waits there is not served any sooner.
 const REMOTE_WEIGHT_ROUNDS: f64 = 0.5;
 
-/// `PlaceRequest` asks for the upstreams at which a request may make reservations.
+/// `ReservationRequest` asks for the upstreams at which a request may make reservations.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PlaceRequest {
+pub struct ReservationRequest {
     /// Maximum number of upstreams.
     pub count: usize,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Service rounds for which the request waits in its own failure domain rather than send its
     /// bytes to another one.
-    pub near_rounds: f64,
+    pub local_wait_rounds: f64,
 }
 
 impl ServiceView {
@@ -38,15 +38,15 @@
     /// Suspects are drawn only when no other upstream is eligible: one that fails requests at once
     /// has a free slot again at once, and would offer more slots than the sound ones. Their hosts
     /// learn of most doubts first and refuse the reservations.
-    pub fn draw_places(
+    pub fn draw_reservations(
         &mut self,
         now: Duration,
-        request: &PlaceRequest,
+        request: &ReservationRequest,
         fits: impl Fn(usize) -> bool,
         rng: &mut impl Rng,
     ) -> Vec<usize> {
         self.refresh(now);
-        let PlaceRequest { count, repeatable, near_rounds } = *request;
+        let ReservationRequest { count, repeatable, local_wait_rounds } = *request;
         let suspect_threshold = self.suspect_threshold(now);
         let terms = ChoiceTerms { now, suspect_threshold, repeatable };
         let eligible = |index: &usize| self.in_service(*index) && fits(*index);
@@ -63,7 +63,8 @@
         drawn.extend(of_all.into_iter().filter(|index| !self.is_local(*index)));
         let cost = |index: &usize| {
             let view = &self.upstreams[*index];
-            let distance = if view.is_local { 0.0 } else { REMOTE_WEIGHT_ROUNDS + near_rounds };
+            let distance =
+                if view.is_local { 0.0 } else { REMOTE_WEIGHT_ROUNDS + local_wait_rounds };
             view.load_cost(now, self.median_ln) + distance
         };
         drawn.sort_by(|left, right| cost(left).total_cmp(&cost(right)));
@@ -72,7 +73,7 @@
     }
 
     /// Builds the choice of an upstream that offered a slot to a waiting request.
-    pub fn called_in(&self, index: usize, now: Duration) -> UpstreamChoice {
+    pub fn offered_choice(&self, index: usize, now: Duration) -> UpstreamChoice {
         self.choice_of(index, ChoiceGround::Waiting, now)
     }
 }
--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -126,7 +126,7 @@
     ) {
         let deviations = took.filter(|_| baseline.is_usable()).map(|took| {
             let distance = evidence::log_micros(took) - baseline.median_ln;
-            distance / baseline.spread.max(crate::track::SPREAD_MIN)
+            distance / baseline.spread.max(crate::estimates::SPREAD_MIN)
         });
         let kept = KeptAnswer { upstream, at: now, failed, deviations };
         if self.answers.len() < ANSWERS_MAX {
--- a/crates/decide/src/caution.rs
+++ b/crates/decide/src/breaker.rs
@@ -30,19 +30,19 @@
 /// repeatable requests must recover as well.
 const ANY_REQUEST_AFTER: Duration = Duration::from_secs(3);
 
-/// `FailureSort` classifies failures by how rare they are on a healthy upstream.
+/// `FailureKind` classifies failures by how rare they are on a healthy upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FailureSort {
+pub enum FailureKind {
     /// The connection broke, or the server sent something that is not an answer.
     Broken,
     /// The answer was an error, or late.
     Answered,
 }
 
-/// `FailureCaution` is the circuit breaker of one upstream; the upstream is doubted while it is
+/// `FailureBreaker` is the circuit breaker of one upstream; the upstream is doubted while it is
 /// open.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct FailureCaution {
+pub struct FailureBreaker {
     doubted_at: Option<Duration>,
     trial_at: Duration,
     hold: Duration,
@@ -53,7 +53,7 @@
     is_hang: bool,
 }
 
-impl FailureCaution {
+impl FailureBreaker {
     /// Says whether the upstream is doubted.
     pub fn is_doubtful(&self) -> bool {
         self.doubted_at.is_some()
@@ -83,7 +83,7 @@
 
     /// Records that requests run too long; says whether the upstream is doubted from now on.
     pub fn note_hang(&mut self, now: Duration) -> bool {
-        let doubted = self.note_failure(FailureSort::Broken, now);
+        let doubted = self.note_failure(FailureKind::Broken, now);
         self.is_hang = doubted;
         doubted
     }
@@ -104,10 +104,10 @@
     }
 
     /// Records a failure; says whether the upstream is doubted from now on.
-    pub fn note_failure(&mut self, kind: FailureSort, now: Duration) -> bool {
+    pub fn note_failure(&mut self, kind: FailureKind, now: Duration) -> bool {
         self.successes = 0;
         self.failures += 1;
-        if kind == FailureSort::Answered && self.failures < ANSWERED_FAILURES {
+        if kind == FailureKind::Answered && self.failures < ANSWERED_FAILURES {
             return false;
         }
         self.is_hang = false;
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -55,7 +55,7 @@
 
     /// Records a retry that was made without asking the budget: a nested call of a request that was
     /// itself retried.
-    pub fn note_repeat(&mut self, now: Duration) {
+    pub fn note_retry(&mut self, now: Duration) {
         self.slot_mut(now).repeats += 1;
     }
 
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -11,8 +11,8 @@
 
 use std::time::Duration;
 
-use crate::evidence::{self, ServiceBaseline, WorkEvidence};
-use crate::track::SPREAD_MIN;
+use crate::estimates::SPREAD_MIN;
+use crate::evidence::{self, RequestEvidence, ServiceBaseline};
 
 /// Lowest failure rate that is assumed of a healthy upstream: callers and networks fail too.
 const ASSUMED_FAILURE_RATE: f64 = 0.01;
@@ -94,11 +94,16 @@
 
     /// Records the end of a request. `was_overdue` says that [`Self::note_overdue`] was already
     /// called for it.
-    pub fn note(&mut self, evidence: WorkEvidence, was_overdue: bool, baseline: &ServiceBaseline) {
+    pub fn note(
+        &mut self,
+        evidence: RequestEvidence,
+        was_overdue: bool,
+        baseline: &ServiceBaseline,
+    ) {
         match evidence {
-            WorkEvidence::Neutral => {}
-            WorkEvidence::Failed => self.note_failure(true, baseline),
-            WorkEvidence::Answered(latency) => {
+            RequestEvidence::Neutral => {}
+            RequestEvidence::Failed => self.note_failure(true, baseline),
+            RequestEvidence::Answered(latency) => {
                 self.note_failure(false, baseline);
                 self.note_latency(latency, was_overdue, baseline);
             }
@@ -106,11 +111,11 @@
     }
 
     /// Records the end of a request without its service time, as for a server that is still cold.
-    pub fn note_untimed(&mut self, evidence: WorkEvidence, baseline: &ServiceBaseline) {
+    pub fn note_untimed(&mut self, evidence: RequestEvidence, baseline: &ServiceBaseline) {
         match evidence {
-            WorkEvidence::Neutral => {}
-            WorkEvidence::Failed => self.note_failure(true, baseline),
-            WorkEvidence::Answered(_) => self.note_failure(false, baseline),
+            RequestEvidence::Neutral => {}
+            RequestEvidence::Failed => self.note_failure(true, baseline),
+            RequestEvidence::Answered(_) => self.note_failure(false, baseline),
         }
     }
 
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -5,12 +5,12 @@
 
 use std::time::Duration;
 
+use crate::estimates::SPREAD_MIN;
 use crate::hang::UsualTime;
-use crate::track::SPREAD_MIN;
 
-/// `WorkEvidence` is what one request tells about the upstream that served it.
+/// `RequestEvidence` is what one request tells about the upstream that served it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WorkEvidence {
+pub enum RequestEvidence {
     /// A complete answer that is no server error came this long after the request was offered.
     Answered(Duration),
     /// A server error, a broken connection or an answer cut short.
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -16,16 +16,16 @@
 /// bounds the cost of unknown routes to one question a second.
 pub const CERTAIN_FOR: Duration = Duration::from_secs(1);
 
-/// `WordSource` is who confirmed that nothing later was accepted.
+/// `ConfirmationSource` is who confirmed that nothing later was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WordSource {
+pub enum ConfirmationSource {
     /// The platform's store.
     Store,
     /// Another daemon, by what it knew.
     Peer,
 }
 
-impl WordSource {
+impl ConfirmationSource {
     /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -35,19 +35,19 @@
     }
 }
 
-/// `FreshWord` confirms that nothing later than the configuration in force was accepted.
+/// `FreshConfirmation` confirms that nothing later than the configuration in force was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FreshWord {
+pub struct FreshConfirmation {
     /// Time for which it holds.
     pub as_of: Duration,
     /// Who confirmed it.
-    pub source: WordSource,
+    pub source: ConfirmationSource,
 }
 
 /// `ConfigFreshness` keeps the last confirmation and its age.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConfigFreshness {
-    word: Option<FreshWord>,
+    confirmation: Option<FreshConfirmation>,
     /// Whether a later configuration is known that can't be put in force.
     outdated: bool,
 }
@@ -55,9 +55,10 @@
 impl ConfigFreshness {
     /// Records a confirmation. It also holds for any later configuration that comes in force; one
     /// that is older than the known confirmation changes nothing.
-    pub fn note_word(&mut self, word: FreshWord) {
-        if !self.outdated && self.word.is_none_or(|known| word.as_of > known.as_of) {
-            self.word = Some(word);
+    pub fn note_confirmation(&mut self, confirmation: FreshConfirmation) {
+        if !self.outdated && self.confirmation.is_none_or(|known| confirmation.as_of > known.as_of)
+        {
+            self.confirmation = Some(confirmation);
         }
     }
 
@@ -65,7 +66,7 @@
     /// confirmation makes this daemon certain until a later one is in force.
     pub fn note_outdated(&mut self) {
         self.outdated = true;
-        self.word = None;
+        self.confirmation = None;
     }
 
     /// Records that the latest configuration can be put in force after all, or that another came
@@ -80,13 +81,13 @@
     }
 
     /// Returns the last confirmation, if there was any.
-    pub fn word(&self) -> Option<FreshWord> {
-        self.word
+    pub fn confirmation(&self) -> Option<FreshConfirmation> {
+        self.confirmation
     }
 
     /// Returns the age of the last confirmation, if there was any.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.word.map(|word| now.saturating_sub(word.as_of))
+        self.confirmation.map(|confirmation| now.saturating_sub(confirmation.as_of))
     }
 
     /// Says whether a refusal by the configuration would be right.
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -67,20 +67,20 @@
     }
 }
 
-/// `GrantQuestion` is a request for tokens from an ingress to the owner of a limit.
+/// `TokenRequest` is a request for tokens from an ingress to the owner of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct GrantQuestion<'a> {
+pub struct TokenRequest<'a> {
     /// Host of the ingress.
-    pub asker: &'a str,
+    pub requester: &'a str,
     /// Requests that it would admit.
     pub wanted: f64,
     /// Requests that it admitted ahead and pays for now.
     pub spent: f64,
 }
 
-/// `GrantAnswer` is the answer of the owner or its backup.
+/// `TokenGrant` is the answer of the owner or its backup.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct GrantAnswer {
+pub struct TokenGrant {
     /// Requests that the ingress may admit.
     pub granted: f64,
     /// Its part of the limit, in requests a second, for as long as it can't reach the owner.
@@ -89,9 +89,9 @@
     pub ahead: u32,
 }
 
-/// `LimitHome` counts one limit for the whole fleet, as its owner or the backup of it.
+/// `LimitOwner` counts one limit for the whole fleet, as its owner or the backup of it.
 #[derive(Debug, Clone)]
-pub struct LimitHome {
+pub struct LimitOwner {
     bucket: TokenBucket,
     burst: f64,
     requesters: FnvHashMap<Box<str>, LimitRequester>,
@@ -125,7 +125,7 @@
     }
 }
 
-impl LimitHome {
+impl LimitOwner {
     /// Builds the first owner of a limit.
     pub fn new(rate: f64, burst: f64, now: Duration) -> Self {
         Self::with_bucket(TokenBucket::new(rate, burst, now), burst)
@@ -164,9 +164,9 @@
         rate: f64,
         burst: f64,
         tolerance: &LimitTolerance,
-        question: &GrantQuestion<'_>,
+        question: &TokenRequest<'_>,
         now: Duration,
-    ) -> GrantAnswer {
+    ) -> TokenGrant {
         let excess = tolerance.excess(rate, burst);
         self.recount_requesters(now);
         self.burst = burst + excess * BURST_SHARE;
@@ -179,16 +179,16 @@
         self.admitted.note(admitted, now);
         let ahead_most = excess * AHEAD_SHARE;
         let has_headroom = self.bucket.left(now) >= self.burst * AHEAD_BURST_MIN;
-        let asker = self.requesters.entry(question.asker.into()).or_default();
-        self.ahead_total -= asker.ahead;
-        asker.asked_at = now;
-        asker.admitted.note(admitted, now);
-        asker.share = rate * asker.admitted.per_second(now)
+        let requester = self.requesters.entry(question.requester.into()).or_default();
+        self.ahead_total -= requester.ahead;
+        requester.asked_at = now;
+        requester.admitted.note(admitted, now);
+        requester.share = rate * requester.admitted.per_second(now)
             / self.admitted.per_second(now).max(rate * DEMAND_SHARE_MIN);
-        let share = asker.share;
+        let share = requester.share;
         let ahead = if has_headroom { self.ahead(ahead_most) } else { 0 };
-        self.note_ahead(question.asker, ahead);
-        GrantAnswer { granted, share, ahead }
+        self.note_ahead(question.requester, ahead);
+        TokenGrant { granted, share, ahead }
     }
 
     /// Recounts the ingresses that ask, and drops those that have not asked for long. Not at each
@@ -198,10 +198,11 @@
             return;
         }
         self.counted_at = Some(now);
-        self.requesters.retain(|_, asker| now.saturating_sub(asker.asked_at) < REQUESTER_LIFE);
-        self.ahead_total = self.requesters.values().map(|asker| asker.ahead).sum();
-        let silent = self.requesters.values().filter(|asker| asker.is_silent(now));
-        self.silent_share = silent.map(|asker| asker.share).sum();
+        self.requesters
+            .retain(|_, requester| now.saturating_sub(requester.asked_at) < REQUESTER_LIFE);
+        self.ahead_total = self.requesters.values().map(|requester| requester.ahead).sum();
+        let silent = self.requesters.values().filter(|requester| requester.is_silent(now));
+        self.silent_share = silent.map(|requester| requester.share).sum();
     }
 
     /// Returns how many requests one more ingress may run ahead by, of `most` over the fleet.
@@ -210,29 +211,30 @@
         (most - f64::from(self.ahead_total)).min(fair).max(0.0) as u32
     }
 
-    fn note_ahead(&mut self, asker: &str, ahead: u32) {
-        if let Some(known) = self.requesters.get_mut(asker) {
+    fn note_ahead(&mut self, requester: &str, ahead: u32) {
+        if let Some(known) = self.requesters.get_mut(requester) {
             known.ahead = ahead;
             self.ahead_total += ahead;
         }
     }
 
     /// Answers as the backup of the owner, for an ingress that claims this many requests a second.
-    pub fn answer_as_deputy(
+    pub fn answer_as_backup(
         &mut self,
         rate: f64,
         burst: f64,
         claim: f64,
-        question: &GrantQuestion<'_>,
+        question: &TokenRequest<'_>,
         now: Duration,
-    ) -> GrantAnswer {
-        self.requesters.retain(|_, asker| now.saturating_sub(asker.asked_at) < REQUESTER_LIFE);
-        let is_new = !self.requesters.contains_key(question.asker);
-        let asker = self.requesters.entry(question.asker.into()).or_default();
-        asker.asked_at = now;
-        asker.share = claim.clamp(0.0, rate);
-        let claim = asker.share;
-        let claimed: f64 = self.requesters.values().map(|asker| asker.share).sum();
+    ) -> TokenGrant {
+        self.requesters
+            .retain(|_, requester| now.saturating_sub(requester.asked_at) < REQUESTER_LIFE);
+        let is_new = !self.requesters.contains_key(question.requester);
+        let requester = self.requesters.entry(question.requester.into()).or_default();
+        requester.asked_at = now;
+        requester.share = claim.clamp(0.0, rate);
+        let claim = requester.share;
+        let claimed: f64 = self.requesters.values().map(|requester| requester.share).sum();
         let claimed = claimed.min(rate);
         self.burst = (burst * claimed / rate).max(1.0);
         self.bucket.set_rate(claimed, self.burst, now);
@@ -240,6 +242,6 @@
             self.bucket.put(BACKUP_FIRST_GRANT, now);
         }
         let granted = self.bucket.take_up_to(question.wanted.clamp(0.0, self.burst), now);
-        GrantAnswer { granted, share: claim, ahead: 0 }
+        TokenGrant { granted, share: claim, ahead: 0 }
     }
 }
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -110,16 +110,16 @@
     }
 }
 
-/// `HangWatch` sums up the evidence of a hang at one upstream.
+/// `HangDetector` sums up the evidence of a hang at one upstream.
 #[derive(Debug, Clone, Default)]
-pub struct HangWatch {
+pub struct HangDetector {
     running: Vec<RunningRequest>,
     ended_evidence: f64,
     ended_at: Duration,
     next: u64,
 }
 
-impl HangWatch {
+impl HangDetector {
     /// Records that a request started; returns its number.
     pub fn start(&mut self, usual: UsualTime, now: Duration) -> u64 {
         self.next += 1;
@@ -176,11 +176,11 @@
 }
 
 /// Returns the age at which a request is first checked.
-pub fn first_look(usual: &UsualTime) -> Duration {
+pub fn first_check(usual: &UsualTime) -> Duration {
     usual.at(FIRST_CHECK_DEVIATIONS).max(CHECK_MIN)
 }
 
 /// Returns the time between two checks of a request.
-pub fn look_every(usual: &UsualTime) -> Duration {
+pub fn check_interval(usual: &UsualTime) -> Duration {
     usual.at(0.0).mul_f64(CHECK_SHARE).max(CHECK_MIN)
 }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -9,12 +9,12 @@
 use basaltarch_core::resources::PreferChoice;
 use fnv::FnvHashMap;
 
-use crate::caution::{FailureCaution, FailureSort};
+use crate::breaker::{FailureBreaker, FailureKind};
 use crate::detector::{EvidenceKind, SicknessDetector};
-use crate::evidence::{self, ServiceBaseline, WorkEvidence, OVERDUE_DEVIATIONS};
-use crate::hang::{HangWatch, UsualTime};
+use crate::estimates::{DecayingPeak, LatencyEstimate, RateEstimate};
+use crate::evidence::{self, RequestEvidence, ServiceBaseline, OVERDUE_DEVIATIONS};
+use crate::hang::{HangDetector, UsualTime};
 use crate::recovery::{RecoveryPlan, TrialVerdict, RAMP};
-use crate::track::{DecayingPeak, LatencyEstimate, RateEstimate};
 
 /// Threshold for `detection`: a healthy upstream is ejected at most once in e^9 (8,000) requests of
 /// the worst case that the bound covers; measured rates are far lower (docs/MEASUREMENTS.md).
@@ -157,11 +157,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchEnd {
     /// The request was answered, or made a nested call.
-    Lives,
+    Progressed,
     /// It was given up before it was overdue.
     GivenUp,
     /// It ended without an answer, or was given up after it was recorded as overdue.
-    Noted,
+    Recorded,
 }
 
 /// `UpstreamHealth` is the health of one upstream.
@@ -178,8 +178,8 @@
     cold_until: Duration,
     stands_out_since: Option<Duration>,
     confirm: Duration,
-    caution: FailureCaution,
-    hang: HangWatch,
+    breaker: FailureBreaker,
+    hang: HangDetector,
 }
 
 impl UpstreamHealth {
@@ -197,8 +197,8 @@
             cold_until: if cold { now + RAMP } else { Duration::ZERO },
             stands_out_since: None,
             confirm: confirm_time(prefer),
-            caution: FailureCaution::default(),
-            hang: HangWatch::default(),
+            breaker: FailureBreaker::default(),
+            hang: HangDetector::default(),
         }
     }
 
@@ -222,11 +222,11 @@
 
     /// Says whether the upstream is doubted.
     pub fn is_doubtful(&self) -> bool {
-        self.caution.is_doubtful()
+        self.breaker.is_doubtful()
     }
 
     /// Says whether the upstream is ejected or doubted.
-    pub fn is_out(&self) -> bool {
+    pub fn is_ejected_or_doubted(&self) -> bool {
         self.is_doubtful() || self.recovery.is_ejected()
     }
 
@@ -244,7 +244,7 @@
 
     fn admit_verdict(&mut self, terms: &DispatchTerms<'_>, now: Duration) -> AdmitVerdict {
         if !self.recovery.is_ejected() {
-            let admitted = self.caution.admit(terms.repeatable, now) || !terms.passable;
+            let admitted = self.breaker.admit(terms.repeatable, now) || !terms.passable;
             return if admitted { AdmitVerdict::Admit } else { AdmitVerdict::Refuse };
         }
         if self.recovery.start_trial(now, terms.repeatable) {
@@ -308,7 +308,7 @@
     pub fn note(
         &mut self,
         route: &str,
-        evidence: WorkEvidence,
+        evidence: RequestEvidence,
         was_overdue: bool,
         now: Duration,
     ) -> Option<HealthChange> {
@@ -322,11 +322,11 @@
         self.judge(now)
     }
 
-    fn update_estimates(&mut self, route: &str, evidence: WorkEvidence, was_overdue: bool) {
-        if evidence != WorkEvidence::Neutral {
-            self.failures.note(evidence == WorkEvidence::Failed);
+    fn update_estimates(&mut self, route: &str, evidence: RequestEvidence, was_overdue: bool) {
+        if evidence != RequestEvidence::Neutral {
+            self.failures.note(evidence == RequestEvidence::Failed);
         }
-        if let WorkEvidence::Answered(latency) = evidence {
+        if let RequestEvidence::Answered(latency) = evidence {
             let stats = self.route_mut(route);
             if !was_overdue {
                 let late = stats.baseline.is_usable() && latency > stats.baseline.overdue_after();
@@ -340,7 +340,7 @@
     pub fn note_trial(
         &mut self,
         route: &str,
-        evidence: WorkEvidence,
+        evidence: RequestEvidence,
         now: Duration,
     ) -> Option<HealthChange> {
         let verdict = self.judge_trial(route, evidence);
@@ -356,11 +356,11 @@
         Some(HealthChange::Returned { out })
     }
 
-    fn judge_trial(&self, route: &str, evidence: WorkEvidence) -> TrialVerdict {
+    fn judge_trial(&self, route: &str, evidence: RequestEvidence) -> TrialVerdict {
         let latency = match evidence {
-            WorkEvidence::Neutral => return TrialVerdict::Inconclusive,
-            WorkEvidence::Failed => return TrialVerdict::Failed,
-            WorkEvidence::Answered(latency) => latency,
+            RequestEvidence::Neutral => return TrialVerdict::Inconclusive,
+            RequestEvidence::Failed => return TrialVerdict::Failed,
+            RequestEvidence::Answered(latency) => latency,
         };
         let baseline = self.baseline(route);
         if !baseline.is_usable() {
@@ -379,17 +379,17 @@
     /// Records how a request ended in the circuit breaker, which decides on the next ones.
     pub fn note_end(
         &mut self,
-        failure: Option<FailureSort>,
+        failure: Option<FailureKind>,
         started: Duration,
         now: Duration,
     ) -> Option<HealthChange> {
         match failure {
             Some(kind) => {
-                let doubted = self.caution.note_failure(kind, now);
+                let doubted = self.breaker.note_failure(kind, now);
                 doubted.then_some(HealthChange::Doubted)
             }
             None => {
-                let after = self.caution.note_success(started, now)?;
+                let after = self.breaker.note_success(started, now)?;
                 self.hang.forget();
                 Some(HealthChange::Trusted { after })
             }
@@ -424,30 +424,35 @@
 
     /// Records that a request with this typical service time was sent to the upstream; returns its
     /// number.
-    pub fn start_work(&mut self, usual: UsualTime, now: Duration) -> u64 {
+    pub fn start_request(&mut self, usual: UsualTime, now: Duration) -> u64 {
         self.hang.start(usual, now)
     }
 
     /// Records that a request ended, made a nested call or was given up.
-    pub fn end_work(&mut self, number: u64, end: WatchEnd, now: Duration) -> Option<HealthChange> {
-        let evidence = self.hang.end(number, end == WatchEnd::Lives, now);
+    pub fn end_request(
+        &mut self,
+        number: u64,
+        end: WatchEnd,
+        now: Duration,
+    ) -> Option<HealthChange> {
+        let evidence = self.hang.end(number, end == WatchEnd::Progressed, now);
         if end == WatchEnd::GivenUp && now >= self.cold_until {
             self.detector.note_given_up(evidence);
         }
         if let Some(change) = self.judge(now) {
             return Some(change);
         }
-        if !self.caution.is_doubtful() {
-            return self.look(now);
+        if !self.breaker.is_doubtful() {
+            return self.check_running(now);
         }
-        if end == WatchEnd::Lives {
+        if end == WatchEnd::Progressed {
             // The slow requests that caused the doubt were answered.
-            let after = self.hang.is_over(now).then(|| self.caution.retract(now)).flatten()?;
+            let after = self.hang.is_over(now).then(|| self.breaker.retract(now)).flatten()?;
             return Some(HealthChange::Trusted { after });
         }
         if evidence > 0.0 {
             // The trial request hung as well.
-            self.caution.note_failure(FailureSort::Broken, now);
+            self.breaker.note_failure(FailureKind::Broken, now);
         }
         None
     }
@@ -459,11 +464,11 @@
     }
 
     /// Checks the running requests: an upstream whose requests run too long is doubted.
-    pub fn look(&mut self, now: Duration) -> Option<HealthChange> {
-        if self.caution.is_doubtful() || now < self.cold_until || !self.hang.is_doubtful(now) {
+    pub fn check_running(&mut self, now: Duration) -> Option<HealthChange> {
+        if self.breaker.is_doubtful() || now < self.cold_until || !self.hang.is_doubtful(now) {
             return None;
         }
-        let doubted = self.caution.note_hang(now);
+        let doubted = self.breaker.note_hang(now);
         doubted.then_some(HealthChange::Doubted)
     }
 
@@ -534,8 +539,8 @@
             overdue_rate: stats.overdue.rate(),
             samples: stats.latency.samples(),
             ramp: self.recovery.ramp(now),
-            trial_in: self.recovery.trial_in(now).unwrap_or(self.caution.trial_in(now)),
-            doubtful: self.caution.is_doubtful(),
+            trial_in: self.recovery.trial_in(now).unwrap_or(self.breaker.trial_in(now)),
+            doubtful: self.breaker.is_doubtful(),
         }
     }
 }
--- a/crates/decide/src/patience.rs
+++ b/crates/decide/src/hedge.rs
@@ -24,7 +24,7 @@
 
 /// Returns how long an attempt may run before a hedged one is made beside it, where `left` remains
 /// of the objective, if there is one.
-pub fn of(usual: &UsualTime, left: Option<Duration>) -> Duration {
+pub fn due_after(usual: &UsualTime, left: Option<Duration>) -> Duration {
     let latest = usual.at(DELAY_MAX);
     let left = match left {
         Some(left) => left,
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -31,17 +31,17 @@
 const ASK_LIFE_SHARE: f64 = 0.25;
 
 /// Finds the owner of a limit among `hosts`; all daemons with the same hosts find the same.
-pub fn home_of<'a>(limit: &str, hosts: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+pub fn owner_of<'a>(limit: &str, hosts: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     hosts.max_by_key(|host| (weight(limit, host), *host))
 }
 
 /// Finds the backup of a limit's owner, which counts for ingresses that can't reach the owner.
-pub fn deputy_of<'a>(
+pub fn backup_of<'a>(
     limit: &str,
     owner: &str,
     hosts: impl Iterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    home_of(limit, hosts.filter(|host| *host != owner))
+    owner_of(limit, hosts.filter(|host| *host != owner))
 }
 
 /// Returns the weight of a host for a limit, the same in all daemons.
@@ -170,9 +170,9 @@
     Ask(f64),
 }
 
-/// `AloneTerms` is what an ingress enforces while it reaches neither the owner nor the backup.
+/// `StandaloneTerms` is what an ingress enforces while it reaches neither the owner nor the backup.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AloneTerms {
+pub struct StandaloneTerms {
     /// Requests a second of the limit.
     pub rate: f64,
     /// Burst of the limit.
@@ -183,9 +183,9 @@
     pub since: Option<Duration>,
 }
 
-/// `LimitLedger` enforces one limit at one ingress.
+/// `LocalLimiter` enforces one limit at one ingress.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitLedger {
+pub struct LocalLimiter {
     borrowed: f64,
     valid_until: Duration,
     refused_until: Duration,
@@ -202,7 +202,7 @@
     standalone: Option<TokenBucket>,
 }
 
-impl LimitLedger {
+impl LocalLimiter {
     /// Builds a limiter without tokens.
     pub fn new(now: Duration) -> Self {
         Self {
@@ -283,7 +283,7 @@
 
     /// Records the answer of the owner: how many requests may be admitted ahead of the next
     /// question, and this ingress's part of the limit, in requests a second.
-    pub fn note_home(&mut self, ahead: u32, share: f64, now: Duration) {
+    pub fn note_owner(&mut self, ahead: u32, share: f64, now: Duration) {
         self.standalone = None;
         self.claim = None;
         self.share = share;
@@ -305,7 +305,7 @@
     /// here until it can: the part that the owner gave, or an equal one if it gave none. The parts
     /// follow the demand of the callers, so that these are still served, and their sum is the
     /// limit.
-    pub fn note_home_lost(&mut self, rate: f64, daemons: usize) -> f64 {
+    pub fn note_owner_lost(&mut self, rate: f64, daemons: usize) -> f64 {
         let equal = rate / daemons.max(1) as f64;
         let given = if self.share > 0.0 { self.share } else { equal };
         self.ahead = 0;
@@ -313,15 +313,15 @@
     }
 
     /// Records that the backup of the owner answered: it counts the claims.
-    pub fn note_deputy(&mut self) {
+    pub fn note_backup(&mut self) {
         self.standalone = None;
     }
 
     /// Records that neither the owner nor its backup can be reached: from now on the ingress
     /// enforces its claim by itself.
-    pub fn go_alone(&mut self, terms: AloneTerms, now: Duration) {
-        let AloneTerms { rate, burst, daemons, since } = terms;
-        let claim = self.note_home_lost(rate, daemons);
+    pub fn start_standalone(&mut self, terms: StandaloneTerms, now: Duration) {
+        let StandaloneTerms { rate, burst, daemons, since } = terms;
+        let claim = self.note_owner_lost(rate, daemons);
         if self.standalone.is_none() {
             let burst = (burst / daemons.max(1) as f64).max(STANDALONE_BURST);
             self.standalone = Some(match since {
@@ -332,7 +332,7 @@
     }
 
     /// Says whether the ingress enforces its claim by itself.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_standalone(&self) -> bool {
         self.standalone.is_some()
     }
 }
--- a/crates/decide/src/neighbours.rs
+++ b/crates/decide/src/neighbours.rs
@@ -30,7 +30,7 @@
         let rotating = chosen.len() + 1 == NEIGHBOURS;
         let rotation = if rotating { round / ROTATION_ROUNDS } else { 0 };
         let seed = format!("{own}#{rotation}#{}", chosen.len());
-        let next = limits::home_of(&seed, hosts.iter().map(String::as_str));
+        let next = limits::owner_of(&seed, hosts.iter().map(String::as_str));
         let next = match next {
             Some(next) => next.to_owned(),
             None => break,
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// `WaitingWork` is what the scheduling needs to know about a queued request.
+/// `QueuedRequest` is what the scheduling needs to know about a queued request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct WaitingWork {
+pub struct QueuedRequest {
     /// Class of the request.
     pub class: WorkClass,
     /// Whether it is a nested call of a running request, which fails with it.
@@ -54,14 +54,14 @@
     pub most: Option<Duration>,
 }
 
-impl WaitingWork {
+impl QueuedRequest {
     /// Returns the priority among requests that can meet their objectives; the highest goes first.
     pub fn urgency(&self) -> (bool, WorkClass) {
         (self.is_call, self.class)
     }
 
     /// Says whether a request that starts at `start` usually meets its objective.
-    pub fn is_in_time(&self, start: Duration) -> bool {
+    pub fn meets_objective(&self, start: Duration) -> bool {
         match (self.objective, self.most) {
             (Some(objective), Some(most)) => start + most <= objective,
             _ => true,
@@ -69,7 +69,7 @@
     }
 
     /// Says whether a request that starts at `start` is usually answered by its deadline.
-    pub fn can_end(&self, start: Duration) -> bool {
+    pub fn meets_deadline(&self, start: Duration) -> bool {
         start + self.usual.unwrap_or_default() <= self.deadline
     }
 }
@@ -77,13 +77,13 @@
 /// Returns the position of the request that gets a slot now, among requests in the order of their
 /// arrival. `turn` counts the slots that were given to requests that had waited.
 pub fn first(
-    waiting: impl Iterator<Item = WaitingWork>,
+    waiting: impl Iterator<Item = QueuedRequest>,
     turn: u32,
     now: Duration,
 ) -> Option<usize> {
     let goes_by_age = turn % LONGEST_EVERY == LONGEST_EVERY - 1;
     let ranks = waiting.enumerate().map(|(index, request)| {
-        let in_time = request.is_in_time(now);
+        let in_time = request.meets_objective(now);
         let urgency = if goes_by_age { None } else { Some(request.urgency()) };
         // A nested call that misses its objective blocks its parent's slot no less than one that
         // meets it.
@@ -96,7 +96,7 @@
 /// Says whether a request that will miss its objective may wait for one of `slots` slots: not
 /// behind a whole round of requests that meet theirs, since more arrive before it is served. Its
 /// caller is told so while there is time to turn elsewhere.
-pub fn keeps_late(in_time: f64, slots: u32) -> bool {
+pub fn accepts_late(in_time: f64, slots: u32) -> bool {
     in_time < f64::from(slots)
 }
 
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -7,7 +7,7 @@
 
 /// Silence on a link with open exchanges after which the peer is probed: the typical service time
 /// is as long, so that an answer often comes first.
-pub const ASK_AFTER: Duration = Duration::from_millis(150);
+pub const PROBE_AFTER: Duration = Duration::from_millis(150);
 /// Time without any frame after a probe from which a path counts as cut while its round trip is not
 /// known: four times the round trip between far regions (0.3 s). A cut of either direction looks
 /// the same from here, and makes the path useless.
@@ -66,8 +66,8 @@
     }
 
     /// Says whether the peer should be probed, and records the probe if so.
-    pub fn ask(&mut self, now: Duration, in_use: bool) -> bool {
-        let silent = now.saturating_sub(self.heard_at) >= ASK_AFTER;
+    pub fn probe(&mut self, now: Duration, in_use: bool) -> bool {
+        let silent = now.saturating_sub(self.heard_at) >= PROBE_AFTER;
         let wanted = self.was_cut || ((in_use || self.was_late) && silent);
         if wanted && self.probed_at.is_none() {
             self.probed_at = Some(now);
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -15,7 +15,7 @@
 
 /// Requests remembered for one service: poison requests are rare, and one that is evicted is
 /// detected again from two failures.
-pub const MARKS_MAX: usize = 32;
+pub const POISON_MAX: usize = 32;
 /// Distinct upstreams at which a request must have failed before its failures are no evidence; a
 /// second one is also what withdraws the first failure of a retried request.
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
@@ -24,13 +24,13 @@
 const NO_RETRY_UPSTREAMS: usize = 3;
 /// Time after its last failure for which a request is remembered; a caller that repeats a poison
 /// request by itself does so within seconds.
-pub const MARK_LIFE: Duration = Duration::from_secs(10);
+pub const POISON_LIFE: Duration = Duration::from_secs(10);
 
-/// `RequestMark` identifies requests for the same resource: a hash of method and target.
+/// `RequestHash` identifies requests for the same resource: a hash of method and target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RequestMark(u64);
+pub struct RequestHash(u64);
 
-impl RequestMark {
+impl RequestHash {
     /// Returns the hash of a request.
     pub fn of(method: &str, target: &str) -> Self {
         let mut hasher = FnvHasher::default();
@@ -51,7 +51,7 @@
 
 #[derive(Debug, Clone)]
 struct FailedRequest<U> {
-    request: RequestMark,
+    request: RequestHash,
     failures: Vec<CountedFailures<U>>,
     at: Duration,
 }
@@ -81,21 +81,21 @@
     }
 }
 
-/// `PoisonMemory` remembers the requests to one service that recently failed, until one succeeds.
+/// `PoisonTable` remembers the requests to one service that recently failed, until one succeeds.
 /// It identifies upstreams in a way that stays valid when others come and go, as they do while
 /// servers fail.
 #[derive(Debug, Clone)]
-pub struct PoisonMemory<U> {
+pub struct PoisonTable<U> {
     requests: Vec<FailedRequest<U>>,
 }
 
-impl<U> Default for PoisonMemory<U> {
+impl<U> Default for PoisonTable<U> {
     fn default() -> Self {
         Self { requests: Vec::new() }
     }
 }
 
-impl<U: Clone + PartialEq> PoisonMemory<U> {
+impl<U: Clone + PartialEq> PoisonTable<U> {
     /// Says whether the table is empty, so that no hash need be computed.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
@@ -103,10 +103,10 @@
 
     /// Drops expired requests, so that no hashes are computed long after the last failure.
     pub fn forget_old(&mut self, now: Duration) {
-        self.requests.retain(|each| now.saturating_sub(each.at) < MARK_LIFE);
+        self.requests.retain(|each| now.saturating_sub(each.at) < POISON_LIFE);
     }
 
-    /// Returns the number of requests remembered, at most [`MARKS_MAX`].
+    /// Returns the number of requests remembered, at most [`POISON_MAX`].
     pub fn len(&self) -> usize {
         self.requests.len()
     }
@@ -115,7 +115,7 @@
     /// returns the failures to withdraw, now that the request is known to fail at any upstream.
     pub fn note_failure(
         &mut self,
-        request: RequestMark,
+        request: RequestHash,
         upstream: U,
         counted: bool,
         now: Duration,
@@ -125,7 +125,7 @@
             known.add(upstream, counted, now);
             return known.take_counted();
         }
-        if self.requests.len() >= MARKS_MAX {
+        if self.requests.len() >= POISON_MAX {
             self.evict_weakest();
         }
         let failures = vec![CountedFailures { upstream, count: u32::from(counted) }];
@@ -134,7 +134,7 @@
     }
 
     /// Records that one failure at an upstream was already withdrawn.
-    pub fn note_withdrawn(&mut self, request: RequestMark, upstream: &U) {
+    pub fn note_withdrawn(&mut self, request: RequestHash, upstream: &U) {
         let known = self.requests.iter_mut().filter(|each| each.request == request);
         let failures = known.flat_map(|each| each.failures.iter_mut());
         for failure in failures.filter(|failure| failure.upstream == *upstream) {
@@ -152,25 +152,25 @@
     }
 
     /// Records that a request succeeded: it did not cause its failures.
-    pub fn note_success(&mut self, request: RequestMark) {
+    pub fn note_success(&mut self, request: RequestHash) {
         self.requests.retain(|each| each.request != request);
     }
 
     /// Says whether a failure of the request is no evidence against an upstream.
-    pub fn spares(&self, request: RequestMark, now: Duration) -> bool {
+    pub fn is_poison(&self, request: RequestHash, now: Duration) -> bool {
         self.failed_at(request, now) >= NO_EVIDENCE_UPSTREAMS
     }
 
     /// Says whether a retry of the request would only spend the retry budget.
-    pub fn forbids_repeat(&self, request: RequestMark, now: Duration) -> bool {
+    pub fn forbids_retry(&self, request: RequestHash, now: Duration) -> bool {
         self.failed_at(request, now) >= NO_RETRY_UPSTREAMS
     }
 
     /// Returns the number of upstreams at which the request recently failed.
-    pub fn failed_at(&self, request: RequestMark, now: Duration) -> usize {
+    pub fn failed_at(&self, request: RequestHash, now: Duration) -> usize {
         let known = self.requests.iter().find(|each| each.request == request);
         known
-            .filter(|each| now.saturating_sub(each.at) < MARK_LIFE)
+            .filter(|each| now.saturating_sub(each.at) < POISON_LIFE)
             .map_or(0, |each| each.failures.len())
     }
 }
--- a/crates/decide/src/look.rs
+++ b/crates/decide/src/probing.rs
@@ -32,29 +32,29 @@
 const FOUND_WEIGHT: f64 = 1.0 / 16.0;
 /// Of the requests that would not probe, one in this many does, to find out whether probing pays
 /// again.
-pub const TRY_EACH: u32 = 16;
+pub const PROBE_EVERY: u32 = 16;
 
-/// `LookGain` estimates how often probes of a service find an upstream that would accept the
+/// `ProbeYield` estimates how often probes of a service find an upstream that would accept the
 /// request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LookGain {
+pub struct ProbeYield {
     found: f64,
     skipped: u32,
 }
 
-impl Default for LookGain {
+impl Default for ProbeYield {
     fn default() -> Self {
         Self { found: 1.0, skipped: 0 }
     }
 }
 
-impl LookGain {
+impl ProbeYield {
     /// Says whether the next request probes.
-    pub fn looks(&mut self) -> bool {
+    pub fn should_probe(&mut self) -> bool {
         if self.found >= FOUND_SHARE_MIN {
             return true;
         }
-        self.skipped = (self.skipped + 1) % TRY_EACH;
+        self.skipped = (self.skipped + 1) % PROBE_EVERY;
         self.skipped == 0
     }
 
@@ -65,9 +65,9 @@
     }
 }
 
-/// `UpstreamLook` is the current state of an upstream, as answered to a probe.
+/// `ProbedLoad` is the current state of an upstream, as answered to a probe.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct UpstreamLook {
+pub struct ProbedLoad {
     /// Requests in its slots.
     pub in_flight: u32,
     /// Requests that wait for a slot.
@@ -82,9 +82,9 @@
     pub ejected: bool,
 }
 
-impl UpstreamLook {
+impl ProbedLoad {
     /// Says whether its daemon would decline a request that can go elsewhere.
-    pub fn passes_on(&self) -> bool {
+    pub fn declines(&self) -> bool {
         self.doubtful || self.draining || self.ejected || self.is_full()
     }
 
@@ -112,15 +112,15 @@
 }
 
 /// Returns the timeout of a probe.
-pub fn wait_for(round_trip: Option<Duration>) -> Duration {
+pub fn probe_timeout(round_trip: Option<Duration>) -> Duration {
     round_trip
         .map_or(TIMEOUT_MAX, |took| (took * TIMEOUT_ROUND_TRIPS).clamp(TIMEOUT_MIN, TIMEOUT_MAX))
 }
 
 /// Returns the position of the best probed upstream: one that would accept the request, of those
 /// the least loaded.
-pub fn best(probed: &[UpstreamLook]) -> Option<usize> {
-    let rank = |load: &UpstreamLook| (load.passes_on(), load.load());
+pub fn best(probed: &[ProbedLoad]) -> Option<usize> {
+    let rank = |load: &ProbedLoad| (load.declines(), load.load());
     let ranked = probed.iter().enumerate().map(|(position, load)| (rank(load), position));
     let least = ranked.min_by(|((is_declined, load), _), ((other_declined, other_load), _)| {
         is_declined.cmp(other_declined).then(load.total_cmp(other_load))
--- a/crates/decide/src/proof.rs
+++ b/crates/decide/src/progress.rs
@@ -14,9 +14,9 @@
 /// counts as unproven: of sound servers, one in seven is as quiet.
 const QUIET_INTERVALS: f64 = 2.0;
 
-/// `ProofTerms` is what is known about the progress of a backend server.
+/// `ProgressTerms` is what is known about the progress of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ProofTerms {
+pub struct ProgressTerms {
     /// Requests that run there.
     pub running: u32,
     /// Time since a request last succeeded there, if any did.
@@ -25,7 +25,7 @@
     pub usual: Option<Duration>,
 }
 
-impl ProofTerms {
+impl ProgressTerms {
     /// Says whether non-repeatable requests should go elsewhere for now, if they can. A server
     /// without running requests is not unproven: one request tests it, and no server stands idle
     /// for lack of recent progress.
--- a/crates/decide/src/start.rs
+++ b/crates/decide/src/server_incarnation.rs
@@ -18,18 +18,18 @@
 /// the other, and short enough that a clock set back costs callers one server for a few seconds.
 const TAKEOVER_TIME: Duration = Duration::from_secs(2);
 
-/// `StartWord` is what a heartbeat tells about the incarnation that sent it.
+/// `IncarnationClaim` is what a heartbeat tells about the incarnation that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StartWord {
+pub struct IncarnationClaim {
     /// Unix time of the start in milliseconds, if it is reported.
     pub born: Option<u64>,
     /// Sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
 }
 
-/// `StartVerdict` says how a heartbeat counts.
+/// `IncarnationVerdict` says how a heartbeat counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StartVerdict {
+pub enum IncarnationVerdict {
     /// It is from the current incarnation.
     Current,
     /// It is from an incarnation that replaces the current one.
@@ -49,39 +49,39 @@
     sequence: u64,
 }
 
-/// `StartTrack` follows the incarnations of one backend server.
+/// `IncarnationTracker` follows the incarnations of one backend server.
 #[derive(Debug, Clone, Default)]
-pub struct StartTrack {
+pub struct IncarnationTracker {
     current: Option<u64>,
     earlier: Vec<u64>,
     older: Option<OlderIncarnation>,
 }
 
-impl StartTrack {
+impl IncarnationTracker {
     /// Returns the start time of the current incarnation, if the server reports it.
     pub fn current(&self) -> Option<u64> {
         self.current
     }
 
     /// Records a heartbeat and says how it counts.
-    pub fn judge(&mut self, claim: StartWord, now: Duration) -> StartVerdict {
+    pub fn judge(&mut self, claim: IncarnationClaim, now: Duration) -> IncarnationVerdict {
         let (current, born) = match (self.current, claim.born) {
-            (None, None) => return StartVerdict::Current,
-            (Some(_), None) => return StartVerdict::Unnamed,
+            (None, None) => return IncarnationVerdict::Current,
+            (Some(_), None) => return IncarnationVerdict::Unnamed,
             (None, Some(born)) => return self.replace(born),
             (Some(current), Some(born)) => (current, born),
         };
         if born == current {
             self.older = None;
-            return StartVerdict::Current;
+            return IncarnationVerdict::Current;
         }
         if self.earlier.contains(&born) {
-            return StartVerdict::Late;
+            return IncarnationVerdict::Late;
         }
         if born > current || self.has_taken_over(born, claim.sequence, now) {
             return self.replace(born);
         }
-        StartVerdict::Late
+        IncarnationVerdict::Late
     }
 
     /// Records that an incarnation has ended. The next heartbeat is of another one, whatever its
@@ -93,15 +93,15 @@
         self.note_earlier(born);
     }
 
-    fn replace(&mut self, born: u64) -> StartVerdict {
+    fn replace(&mut self, born: u64) -> IncarnationVerdict {
         if self.earlier.contains(&born) {
-            return StartVerdict::Late;
+            return IncarnationVerdict::Late;
         }
         if let Some(before) = self.current.replace(born) {
             self.note_earlier(before);
         }
         self.older = None;
-        StartVerdict::Replaces
+        IncarnationVerdict::Replaces
     }
 
     fn note_earlier(&mut self, born: u64) {
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -65,7 +65,7 @@
     }
 
     /// Says whether a daemon may retry the request by itself.
-    pub fn allows_repeat(self) -> bool {
+    pub fn allows_retry(self) -> bool {
         self.crashes < NO_RETRY_CRASHES
     }
 }
@@ -84,9 +84,9 @@
     },
 }
 
-/// `SuspectWord` is what one daemon tells another about a suspect request.
+/// `SuspectNotice` is what one daemon tells another about a suspect request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SuspectWord {
+pub struct SuspectNotice {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// What is known against it.
@@ -106,19 +106,19 @@
     upstream: Rc<str>,
 }
 
-impl SuspectWord {
+impl SuspectNotice {
     /// Returns how many daemons are notified by one that saw the event itself, when `before` was
     /// known. A successful run of a popular request is seen by many daemons at the same moment;
     /// where the next crash would have the request refused, all must learn of it.
-    pub fn told_to(&self, before: CrashTally) -> usize {
-        match self.tally.crashes > 0 || !before.allows_repeat() {
+    pub fn notify_count(&self, before: CrashTally) -> usize {
+        match self.tally.crashes > 0 || !before.allows_retry() {
             true => usize::MAX,
             false => NOTIFIED_DAEMONS,
         }
     }
 
     /// Returns how many daemons this is forwarded to by one that was notified of it.
-    pub fn passed_to(&self) -> usize {
+    pub fn forward_count(&self) -> usize {
         match self.tally.is_refused() {
             true => NOTIFIED_DAEMONS,
             false => FORWARDED_DAEMONS,
@@ -131,8 +131,8 @@
         now.saturating_sub(self.seen_at) >= SUSPECT_LIFE
     }
 
-    fn notice(&self, fingerprint: RequestFingerprint, now: Duration) -> SuspectWord {
-        SuspectWord {
+    fn notice(&self, fingerprint: RequestFingerprint, now: Duration) -> SuspectNotice {
+        SuspectNotice {
             fingerprint,
             tally: self.tally,
             seen_ago: now.saturating_sub(self.seen_at),
@@ -180,8 +180,8 @@
     ) -> Option<CrashTally> {
         let tally = CrashTally { crashes: before.crashes + 1, ..before };
         let upstream = Rc::from(upstream);
-        let notice = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-        self.note_word(&notice, now).then_some(tally)
+        let notice = SuspectNotice { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
+        self.apply_notice(&notice, now).then_some(tally)
     }
 
     /// Records that a request ran successfully. Returns the tally of the new round, if anything was
@@ -202,7 +202,7 @@
     }
 
     /// Records the notice of a daemon; says whether it is new, so that it is forwarded.
-    pub fn note_word(&mut self, notice: &SuspectWord, now: Duration) -> bool {
+    pub fn apply_notice(&mut self, notice: &SuspectNotice, now: Duration) -> bool {
         let seen_at = now.saturating_sub(notice.seen_ago);
         if notice.seen_ago >= SUSPECT_LIFE {
             return false;
@@ -229,10 +229,10 @@
 
     /// Returns the answer to a daemon whose notice counts crashes from before a successful run that
     /// it has not learnt of, if they would soon have the request refused.
-    pub fn answer(&self, notice: &SuspectWord, now: Duration) -> Option<SuspectWord> {
+    pub fn answer(&self, notice: &SuspectNotice, now: Duration) -> Option<SuspectNotice> {
         let record = self.records.get(&notice.fingerprint)?;
         let is_outdated = record.tally.round > notice.tally.round;
-        (is_outdated && !notice.tally.allows_repeat())
+        (is_outdated && !notice.tally.allows_retry())
             .then(|| record.notice(notice.fingerprint, now))
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// Returns all records as notices to another daemon.
-    pub fn words(&self, now: Duration) -> Vec<SuspectWord> {
+    pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
         let known = self.records.iter().filter(|(_, record)| !record.is_old(now));
         known.map(|(fingerprint, record)| record.notice(*fingerprint, now)).collect()
     }
--- a/crates/decide/tests/allowance.rs
+++ b/crates/decide/tests/allowance.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::allowance::{AllowanceTerms, LongWork, TimeAllowance};
+use basaltarch_decide::adaptive_timeout::{AdaptiveTimeout, SlowRequests, TimeoutTerms};
 use basaltarch_decide::hang::UsualTime;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -18,30 +18,30 @@
 const DEADLINE: Duration = Duration::from_secs(10);
 const OBJECTIVE: Duration = Duration::from_millis(800);
 
-fn terms() -> AllowanceTerms {
-    AllowanceTerms {
+fn terms() -> TimeoutTerms {
+    TimeoutTerms {
         left: DEADLINE,
         objective_left: OBJECTIVE,
         usual: Some(UsualTime { median_ln: (MEDIAN_MS * 1000.0).ln(), spread: SPREAD }),
         full: true,
-        siblings: LongWork::default(),
+        siblings: SlowRequests::default(),
     }
 }
 
 // 99 in 100 requests usually take at most 961 ms.
 #[test_case(terms(), 961 ; "the time of nearly all healthy requests")]
-#[test_case(AllowanceTerms { full: false, ..terms() }, 10_000
+#[test_case(TimeoutTerms { full: false, ..terms() }, 10_000
             ; "all the time left where a slot is free")]
-#[test_case(AllowanceTerms { usual: None, ..terms() }, 10_000
+#[test_case(TimeoutTerms { usual: None, ..terms() }, 10_000
             ; "all the time left without a known usual time")]
-#[test_case(AllowanceTerms { left: Duration::from_millis(500), ..terms() }, 500
+#[test_case(TimeoutTerms { left: Duration::from_millis(500), ..terms() }, 500
             ; "never more than the time left")]
-#[test_case(AllowanceTerms { objective_left: Duration::from_secs(3), ..terms() }, 3000
+#[test_case(TimeoutTerms { objective_left: Duration::from_secs(3), ..terms() }, 3000
             ; "at least until the objective")]
-fn verify_the_timeout_of_a_request(terms: AllowanceTerms, wanted_ms: u64) {
-    let mut allowance = TimeAllowance::default();
-    (0..4).for_each(|_| allowance.note_passed(Duration::ZERO));
-    let given = allowance.give(&terms, Duration::ZERO);
+fn verify_the_timeout_of_a_request(terms: TimeoutTerms, wanted_ms: u64) {
+    let mut adaptive_timeout = AdaptiveTimeout::default();
+    (0..4).for_each(|_| adaptive_timeout.note_overrun(Duration::ZERO));
+    let given = adaptive_timeout.timeout_for(&terms, Duration::ZERO);
     assert_eq!(given.time.as_millis() as u64, wanted_ms);
 }
 
@@ -52,7 +52,7 @@
     const SLOTS: usize = 10;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let usual = LogNormal::new((MEDIAN_MS / 1000.0).ln(), SPREAD).expect("a distribution");
-    let mut allowance = TimeAllowance::default();
+    let mut adaptive_timeout = AdaptiveTimeout::default();
     let mut free_at = [Duration::ZERO; SLOTS];
     let mut completed = 0;
     loop {
@@ -61,16 +61,17 @@
         if now >= Duration::from_secs(60) {
             return completed;
         }
-        let given = allowance.give(&AllowanceTerms { full: is_adaptive, ..terms() }, now);
+        let given =
+            adaptive_timeout.timeout_for(&TimeoutTerms { full: is_adaptive, ..terms() }, now);
         let needs = Duration::from_secs_f64(slowdown * usual.sample(&mut rng));
         let answered = !rng.random_bool(hangs) && needs <= given.time;
         let took = if answered { needs } else { given.time };
         let passed = took > given.late_after;
         if passed {
-            allowance.note_passed(now + given.late_after);
+            adaptive_timeout.note_overrun(now + given.late_after);
         }
         if answered {
-            allowance.note_answered(&given, took, passed, now + took);
+            adaptive_timeout.note_answered(&given, took, passed, now + took);
             completed += 1;
         }
         free_at[slot] = now + took;
--- a/crates/decide/tests/caution.rs
+++ b/crates/decide/tests/caution.rs
@@ -7,7 +7,7 @@
 
 use basaltarch_core::resources::PreferChoice;
 use basaltarch_decide::balance::{ChoiceRequest, LoadView, ServiceView};
-use basaltarch_decide::caution::{FailureCaution, FailureSort};
+use basaltarch_decide::breaker::{FailureBreaker, FailureKind};
 use basaltarch_decide::evidence::ServiceBaseline;
 use basaltarch_decide::health::{AdmitVerdict, DispatchTerms, HealthReport, UpstreamHealth};
 use rand::SeedableRng;
@@ -21,23 +21,23 @@
 /// Offers a repeatable request every 50 ms until the breaker closes; returns how long that took and
 /// how many requests failed, when the upstream fails for `faulty_for`.
 fn run_trials(
-    caution: &mut FailureCaution,
+    breaker: &mut FailureBreaker,
     from: Duration,
     faulty_for: Duration,
 ) -> (Duration, u32) {
     let mut failed = 0;
     let mut now = from;
-    while caution.is_doubtful() {
+    while breaker.is_doubtful() {
         now += millis(50);
         assert!(now < from + Duration::from_secs(30), "never trusted again");
-        if !caution.admit(true, now) {
+        if !breaker.admit(true, now) {
             continue;
         }
         if now < from + faulty_for {
-            caution.note_failure(FailureSort::Broken, now);
+            breaker.note_failure(FailureKind::Broken, now);
             failed += 1;
         } else {
-            caution.note_success(now, now);
+            breaker.note_success(now, now);
         }
     }
     (now - from, failed)
@@ -52,38 +52,38 @@
     trusted_ms: u64,
     failed_most: u32,
 ) {
-    let mut caution = FailureCaution::default();
-    assert!(caution.admit(false, millis(0)));
+    let mut breaker = FailureBreaker::default();
+    assert!(breaker.admit(false, millis(0)));
     assert!(
-        caution.note_failure(FailureSort::Broken, millis(0)),
+        breaker.note_failure(FailureKind::Broken, millis(0)),
         "one broken connection is enough"
     );
-    assert!(!caution.admit(false, millis(10)), "non-repeatable requests are refused");
-    let (took, failed) = run_trials(&mut caution, millis(0), millis(fault_ms));
+    assert!(!breaker.admit(false, millis(10)), "non-repeatable requests are refused");
+    let (took, failed) = run_trials(&mut breaker, millis(0), millis(fault_ms));
     assert!(took <= millis(trusted_ms), "{took:?}");
     assert!(failed <= failed_most, "{failed}");
-    assert!(caution.admit(false, took));
+    assert!(breaker.admit(false, took));
 }
 
 #[test]
 fn verify_one_error_does_not_open_the_breaker_but_two_in_a_row_do() {
-    let mut caution = FailureCaution::default();
+    let mut breaker = FailureBreaker::default();
     for number in 0..10 {
-        assert!(!caution.note_failure(FailureSort::Answered, millis(number)));
-        caution.note_success(millis(number), millis(number));
+        assert!(!breaker.note_failure(FailureKind::Answered, millis(number)));
+        breaker.note_success(millis(number), millis(number));
     }
-    caution.note_failure(FailureSort::Answered, millis(20));
-    assert!(caution.note_failure(FailureSort::Answered, millis(21)));
-    assert!(caution.is_doubtful());
+    breaker.note_failure(FailureKind::Answered, millis(20));
+    assert!(breaker.note_failure(FailureKind::Answered, millis(21)));
+    assert!(breaker.is_doubtful());
 }
 
 #[test]
 fn verify_a_non_repeatable_request_becomes_the_trial_where_no_other_comes() {
-    let mut caution = FailureCaution::default();
-    caution.note_failure(FailureSort::Broken, millis(0));
-    assert!(!caution.admit(false, millis(1000)));
-    assert!(caution.admit(false, millis(4000)));
-    assert!(!caution.admit(false, millis(4010)), "one at a time");
+    let mut breaker = FailureBreaker::default();
+    breaker.note_failure(FailureKind::Broken, millis(0));
+    assert!(!breaker.admit(false, millis(1000)));
+    assert!(breaker.admit(false, millis(4000)));
+    assert!(!breaker.admit(false, millis(4010)), "one at a time");
 }
 
 fn terms(repeatable: bool, passable: bool) -> DispatchTerms<'static> {
@@ -95,7 +95,7 @@
 #[test]
 fn verify_a_doubted_upstream_declines_requests_but_the_last_one_tried_admits_them() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
-    health.note_end(Some(FailureSort::Broken), millis(0), millis(0));
+    health.note_end(Some(FailureKind::Broken), millis(0), millis(0));
     let mut verdict =
         |repeatable, passable| health.admit(&terms(repeatable, passable), millis(10)).0;
     assert_eq!(verdict(false, true), AdmitVerdict::Refuse);
--- a/crates/decide/tests/freshness.rs
+++ b/crates/decide/tests/freshness.rs
@@ -5,18 +5,20 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::freshness::{ConfigFreshness, FreshWord, WordSource, CERTAIN_FOR};
+use basaltarch_decide::freshness::{
+    ConfigFreshness, ConfirmationSource, FreshConfirmation, CERTAIN_FOR,
+};
 use proptest::prelude::*;
 
-fn confirmation(millis: u64) -> FreshWord {
-    FreshWord { as_of: Duration::from_millis(millis), source: WordSource::Store }
+fn confirmation(millis: u64) -> FreshConfirmation {
+    FreshConfirmation { as_of: Duration::from_millis(millis), source: ConfirmationSource::Store }
 }
 
 #[test]
 fn verify_a_daemon_is_uncertain_before_a_confirmation_and_after_it_expires() {
     let mut freshness = ConfigFreshness::default();
     assert!(!freshness.is_certain(Duration::ZERO));
-    freshness.note_word(confirmation(5000));
+    freshness.note_confirmation(confirmation(5000));
     let until = Duration::from_millis(5000) + CERTAIN_FOR;
     assert!(freshness.is_certain(until));
     assert!(!freshness.is_certain(until + Duration::from_millis(1)));
@@ -25,16 +27,16 @@
 #[test]
 fn verify_a_later_configuration_that_cannot_be_read_overrides_confirmations() {
     let mut freshness = ConfigFreshness::default();
-    freshness.note_word(confirmation(1000));
+    freshness.note_confirmation(confirmation(1000));
     freshness.note_outdated();
-    freshness.note_word(confirmation(1100));
+    freshness.note_confirmation(confirmation(1100));
     assert!(!freshness.is_certain(Duration::from_millis(1100)));
     freshness.note_readable();
     assert!(
         !freshness.is_certain(Duration::from_millis(1100)),
         "earlier confirmations no longer count"
     );
-    freshness.note_word(confirmation(1200));
+    freshness.note_confirmation(confirmation(1200));
     assert!(freshness.is_certain(Duration::from_millis(1200)));
 }
 
@@ -47,7 +49,7 @@
     ) {
         let mut freshness = ConfigFreshness::default();
         for moment in &moments {
-            freshness.note_word(confirmation(*moment));
+            freshness.note_confirmation(confirmation(*moment));
         }
         let latest = moments.iter().max().copied().unwrap_or(0);
         let now = Duration::from_millis(100_000);
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -7,8 +7,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use basaltarch_decide::grants::{GrantQuestion, LimitHome, LimitTolerance};
-use basaltarch_decide::limits::{AloneTerms, LimitLedger, LimitVerdict, GRANT_LIFE};
+use basaltarch_decide::grants::{LimitOwner, LimitTolerance, TokenRequest};
+use basaltarch_decide::limits::{LimitVerdict, LocalLimiter, StandaloneTerms, GRANT_LIFE};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -25,8 +25,8 @@
     rate: f64,
     burst: f64,
     tolerance: LimitTolerance,
-    owner: LimitHome,
-    limiters: Vec<LimitLedger>,
+    owner: LimitOwner,
+    limiters: Vec<LocalLimiter>,
     unreported: VecDeque<(Duration, usize, f64)>,
     admitted: Vec<Duration>,
     waited: usize,
@@ -39,8 +39,8 @@
             rate,
             burst,
             tolerance,
-            owner: LimitHome::new(rate, burst, Duration::ZERO),
-            limiters: vec![LimitLedger::new(Duration::ZERO); ingresses],
+            owner: LimitOwner::new(rate, burst, Duration::ZERO),
+            limiters: vec![LocalLimiter::new(Duration::ZERO); ingresses],
             unreported: VecDeque::new(),
             admitted: Vec::new(),
             waited: 0,
@@ -49,10 +49,10 @@
     }
 
     fn ask(&mut self, ingress: usize, wanted: f64, spent: f64, now: Duration) {
-        let asker = format!("host-{ingress}");
-        let question = GrantQuestion { asker: &asker, wanted, spent };
+        let requester = format!("host-{ingress}");
+        let question = TokenRequest { requester: &requester, wanted, spent };
         let answer = self.owner.answer(self.rate, self.burst, &self.tolerance, &question, now);
-        self.limiters[ingress].note_home(answer.ahead, answer.share, now);
+        self.limiters[ingress].note_owner(answer.ahead, answer.share, now);
         if wanted > 0.0 {
             let wait = Duration::from_secs_f64(1.0 / self.rate).min(GRANT_LIFE);
             self.limiters[ingress].note_grant(answer.granted, wait, now);
@@ -157,7 +157,7 @@
 #[test]
 fn verify_a_token_that_is_given_back_does_not_count() {
     let now = Duration::from_secs(1);
-    let mut limiter = LimitLedger::new(now);
+    let mut limiter = LocalLimiter::new(now);
     limiter.note_grant(1.0, GRANT_LIFE, now);
     assert_eq!(limiter.admit(now), LimitVerdict::Pass);
     limiter.give_back(now);
@@ -168,16 +168,17 @@
 #[test]
 fn verify_requests_admitted_ahead_are_paid_even_if_the_owner_was_unreachable() {
     let now = Duration::from_secs(9);
-    let mut limiter = LimitLedger::new(now);
-    limiter.note_home(2, 1.0, now);
+    let mut limiter = LocalLimiter::new(now);
+    limiter.note_owner(2, 1.0, now);
     assert_eq!(limiter.admit(now), LimitVerdict::PassAhead);
     let spent = limiter.take_spent();
     limiter.note_unpaid(spent);
-    limiter.go_alone(AloneTerms { rate: 1.0, burst: 1.0, daemons: 10, since: None }, now);
-    limiter.note_home(0, 1.0, now);
+    limiter
+        .start_standalone(StandaloneTerms { rate: 1.0, burst: 1.0, daemons: 10, since: None }, now);
+    limiter.note_owner(0, 1.0, now);
     assert_eq!(limiter.take_spent(), 1.0);
-    let mut owner = LimitHome::new(1.0, 4.0, Duration::ZERO);
-    let question = GrantQuestion { asker: "host-1", wanted: 10.0, spent: 3.0 };
+    let mut owner = LimitOwner::new(1.0, 4.0, Duration::ZERO);
+    let question = TokenRequest { requester: "host-1", wanted: 10.0, spent: 3.0 };
     let answer = owner.answer(1.0, 4.0, &EXACT, &question, now);
     assert_eq!((answer.granted, answer.ahead), (1.0, 0));
 }
@@ -185,8 +186,8 @@
 /// `OwnerlessPart` is a partition: ingresses that can't reach the owner, and the backup owner that
 /// counts for them.
 struct OwnerlessPart {
-    backup: LimitHome,
-    limiters: Vec<LimitLedger>,
+    backup: LimitOwner,
+    limiters: Vec<LocalLimiter>,
     rate: f64,
     burst: f64,
     daemons: usize,
@@ -198,29 +199,29 @@
     /// Takes over ingresses of a simulation that can't reach the owner from now on.
     fn new(
         simulation: &LimitSimulation,
-        limiters: Vec<LimitLedger>,
+        limiters: Vec<LocalLimiter>,
         daemons: usize,
         now: Duration,
     ) -> Self {
         let (rate, burst) = (simulation.rate, simulation.burst);
-        let backup = LimitHome::following(rate, burst, now);
+        let backup = LimitOwner::following(rate, burst, now);
         Self { backup, limiters, rate, burst, daemons, admitted: Vec::new(), refused: 0 }
     }
 
     fn request(&mut self, ingress: usize, now: Duration) {
         let limiter = &mut self.limiters[ingress];
-        let claim = limiter.note_home_lost(self.rate, self.daemons);
+        let claim = limiter.note_owner_lost(self.rate, self.daemons);
         for _ in 0..2 {
             match limiter.admit(now) {
                 LimitVerdict::Pass | LimitVerdict::PassAhead => return self.admitted.push(now),
                 LimitVerdict::Refuse(_) => break,
                 LimitVerdict::Ask(wanted) => {
-                    let asker = format!("host-{ingress}");
-                    let question = GrantQuestion { asker: &asker, wanted, spent: 0.0 };
+                    let requester = format!("host-{ingress}");
+                    let question = TokenRequest { requester: &requester, wanted, spent: 0.0 };
                     let (rate, burst) = (self.rate, self.burst);
-                    let answer = self.backup.answer_as_deputy(rate, burst, claim, &question, now);
+                    let answer = self.backup.answer_as_backup(rate, burst, claim, &question, now);
                     let wait = Duration::from_secs_f64(1.0 / rate).min(GRANT_LIFE);
-                    limiter.note_deputy();
+                    limiter.note_backup();
                     limiter.note_grant(answer.granted, wait, now);
                 }
             }
--- a/crates/decide/tests/hang.rs
+++ b/crates/decide/tests/hang.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use basaltarch_core::resources::PreferChoice;
-use basaltarch_decide::evidence::{ServiceBaseline, WorkEvidence};
-use basaltarch_decide::hang::{HangWatch, UsualTime};
+use basaltarch_decide::evidence::{RequestEvidence, ServiceBaseline};
+use basaltarch_decide::hang::{HangDetector, UsualTime};
 use basaltarch_decide::health::{
     AdmitVerdict, DispatchTerms, HealthChange, UpstreamHealth, WatchEnd,
 };
@@ -31,7 +31,7 @@
 /// Starts a request at each of `starts`, in ms, and returns when the upstream is first doubted if
 /// none of them completes.
 fn doubted_after(starts: &[u64]) -> u64 {
-    let mut watch = HangWatch::default();
+    let mut watch = HangDetector::default();
     let mut starts = starts.iter().peekable();
     for now in 0..20_000 {
         while starts.next_if(|start| **start <= now).is_some() {
@@ -59,7 +59,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let times = LogNormal::new((MEDIAN_MS / 1000.0).ln(), SPREAD).expect("a distribution");
     let gaps = Exp::new(rate).expect("a distribution");
-    let mut watch = HangWatch::default();
+    let mut watch = HangDetector::default();
     let (mut next, mut running) = (0.0, Vec::<(f64, u64)>::new());
     let (mut doubted, mut checks) = (0_u32, 0_u32);
     for step in 0..360_000_u32 {
@@ -108,9 +108,9 @@
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let usual = health.usual_time("r", None).expect("the baseline of the siblings");
-    health.start_work(usual, millis(0));
+    health.start_request(usual, millis(0));
     for now in 0..5000 {
-        if health.look(millis(now)) == Some(HealthChange::Doubted) {
+        if health.check_running(millis(now)) == Some(HealthChange::Doubted) {
             return (health, millis(now));
         }
     }
@@ -126,7 +126,7 @@
     for number in 0..2 {
         let (sent, now) = (at + millis(1000 + number), at + millis(1200 + number));
         let took = now - sent;
-        health.note("r", WorkEvidence::Answered(took), false, now);
+        health.note("r", RequestEvidence::Answered(took), false, now);
         health.note_end(None, sent, now);
     }
     let verdict = health.admit(&terms("r", false), at + millis(1300)).0;
@@ -146,9 +146,10 @@
 fn verify_the_doubt_ends_when_the_late_request_makes_progress() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
-    let work = health.start_work(usual(), millis(0));
-    let doubted = (0..5000).find(|now| health.look(millis(*now)).is_some()).expect("doubted");
-    let change = health.end_work(work, WatchEnd::Lives, millis(doubted + 5));
+    let work = health.start_request(usual(), millis(0));
+    let doubted =
+        (0..5000).find(|now| health.check_running(millis(*now)).is_some()).expect("doubted");
+    let change = health.end_request(work, WatchEnd::Progressed, millis(doubted + 5));
     assert_eq!(change, Some(HealthChange::Trusted { after: millis(5) }));
 }
 
@@ -156,9 +157,9 @@
 fn verify_a_request_that_made_a_nested_call_raises_no_doubt() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
-    let work = health.start_work(usual(), millis(0));
-    health.end_work(work, WatchEnd::Lives, millis(200));
-    assert!((200..9000).all(|now| health.look(millis(now)).is_none()));
+    let work = health.start_request(usual(), millis(0));
+    health.end_request(work, WatchEnd::Progressed, millis(200));
+    assert!((200..9000).all(|now| health.check_running(millis(now)).is_none()));
 }
 
 #[test]
@@ -175,14 +176,14 @@
 #[test]
 fn verify_the_objective_replaces_the_usual_time_until_answers_are_known() {
     let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
-    health.note("r", WorkEvidence::Answered(millis(10)), false, millis(10));
+    health.note("r", RequestEvidence::Answered(millis(10)), false, millis(10));
     let median = |health: &UpstreamHealth| {
         health.usual_time("r", Some(millis(900))).expect("assumed").at(0.0)
     };
     let first = median(&health);
     assert!(first > millis(100) && first <= millis(300), "{first:?}: a third of the objective");
     for number in 0..100 {
-        health.note("r", WorkEvidence::Answered(millis(10)), false, millis(20 + number));
+        health.note("r", RequestEvidence::Answered(millis(10)), false, millis(20 + number));
     }
     assert!(median(&health) < millis(15), "{:?}: the measured time", median(&health));
 }
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use basaltarch_core::resources::PreferChoice;
-use basaltarch_decide::evidence::{ServiceBaseline, WorkEvidence};
+use basaltarch_decide::evidence::{RequestEvidence, ServiceBaseline};
 use basaltarch_decide::health::{AdmitVerdict, DispatchTerms, HealthChange, UpstreamHealth};
 use basaltarch_decide::recovery::{HOLD_OFF_MAX, TRIALS_NEEDED};
 use rand::{RngExt, SeedableRng};
@@ -52,7 +52,7 @@
     }
 
     /// Dispatches one request 20 ms after the last; returns whether it was admitted.
-    fn request(&mut self, terms: &DispatchTerms<'_>, evidence: WorkEvidence) -> bool {
+    fn request(&mut self, terms: &DispatchTerms<'_>, evidence: RequestEvidence) -> bool {
         self.now += Duration::from_millis(20);
         let (verdict, change) = self.health.admit(terms, self.now);
         self.note_change(change);
@@ -66,8 +66,8 @@
     }
 }
 
-fn good() -> WorkEvidence {
-    WorkEvidence::Answered(Duration::from_millis(20))
+fn good() -> RequestEvidence {
+    RequestEvidence::Answered(Duration::from_millis(20))
 }
 
 #[test_case(PreferChoice::Detection, 15 ; "detection")]
@@ -82,7 +82,7 @@
     }
     let mut count = 0;
     while upstream.ejected.is_empty() {
-        upstream.request(&terms(true, true), WorkEvidence::Failed);
+        upstream.request(&terms(true, true), RequestEvidence::Failed);
         count += 1;
         assert!(count <= most, "not ejected after {most} failures");
     }
@@ -95,7 +95,7 @@
         let mut upstream = Upstream::new(PreferChoice::Precision);
         for _ in 0..400 {
             let took = Duration::from_millis(20).mul_f64(factor);
-            upstream.request(&terms(true, true), WorkEvidence::Answered(took));
+            upstream.request(&terms(true, true), RequestEvidence::Answered(took));
         }
         assert_eq!(!upstream.ejected.is_empty(), ejected, "factor {factor}");
     }
@@ -129,8 +129,8 @@
     assert_eq!(verdict, AdmitVerdict::Refuse);
 }
 
-#[test_case(WorkEvidence::Neutral ; "faults of callers")]
-fn verify_neutral_evidence_changes_nothing(evidence: WorkEvidence) {
+#[test_case(RequestEvidence::Neutral ; "faults of callers")]
+fn verify_neutral_evidence_changes_nothing(evidence: RequestEvidence) {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     for _ in 0..2000 {
         assert!(upstream.request(&terms(true, true), evidence));
@@ -144,7 +144,7 @@
     let mut shared = terms(true, true);
     shared.baseline.sickness = 1.2;
     for _ in 0..300 {
-        assert!(upstream.request(&shared, WorkEvidence::Failed));
+        assert!(upstream.request(&shared, RequestEvidence::Failed));
     }
     assert!(upstream.ejected.is_empty());
 }
@@ -157,7 +157,7 @@
     for number in 0..2000 {
         // One ingress in four sees the siblings fail as often, the others send to too few of them.
         let terms = if number % 4 == 0 { &seen } else { &terms(true, true) };
-        let evidence = if number % 10 < 3 { WorkEvidence::Failed } else { good() };
+        let evidence = if number % 10 < 3 { RequestEvidence::Failed } else { good() };
         assert!(upstream.request(terms, evidence), "request {number}");
     }
     assert!(upstream.ejected.is_empty());
@@ -167,7 +167,7 @@
 fn verify_a_withdrawn_failure_does_not_count() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     for _ in 0..500 {
-        upstream.request(&terms(true, true), WorkEvidence::Failed);
+        upstream.request(&terms(true, true), RequestEvidence::Failed);
         upstream.health.withdraw_failure(ROUTE);
     }
     assert!(upstream.ejected.is_empty());
@@ -177,7 +177,7 @@
 fn verify_an_ejected_upstream_admits_requests_that_are_not_refusable() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     while upstream.ejected.is_empty() {
-        upstream.request(&terms(true, false), WorkEvidence::Failed);
+        upstream.request(&terms(true, false), RequestEvidence::Failed);
     }
     assert!(!upstream.request(&terms(true, false), good()), "a refusable request is refused");
     assert!(upstream.request(&terms(false, false), good()), "another is admitted");
@@ -187,7 +187,7 @@
 fn verify_a_recovered_upstream_returns_within_the_longest_hold_off() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     while upstream.ejected.len() < 6 {
-        upstream.request(&terms(true, true), WorkEvidence::Failed);
+        upstream.request(&terms(true, true), RequestEvidence::Failed);
         if upstream.now > Duration::from_secs(600) {
             break;
         }
@@ -210,7 +210,7 @@
     for _ in 0..4 {
         let ejections = upstream.ejected.len();
         while upstream.ejected.len() == ejections {
-            upstream.request(&terms(true, true), WorkEvidence::Failed);
+            upstream.request(&terms(true, true), RequestEvidence::Failed);
         }
         let ejected_at = upstream.now;
         let returns = upstream.returned.len();
@@ -226,7 +226,7 @@
 fn verify_one_trial_at_a_time() {
     let mut upstream = Upstream::new(PreferChoice::Detection);
     while upstream.ejected.is_empty() {
-        upstream.request(&terms(true, true), WorkEvidence::Failed);
+        upstream.request(&terms(true, true), RequestEvidence::Failed);
     }
     upstream.now += Duration::from_secs(5);
     let admit = |upstream: &mut Upstream| upstream.health.admit(&terms(true, true), upstream.now).0;
@@ -249,7 +249,7 @@
             upstream.health.note_restart(upstream.now);
         }
         for _ in 0..200 {
-            let slow = WorkEvidence::Answered(Duration::from_millis(120));
+            let slow = RequestEvidence::Answered(Duration::from_millis(120));
             upstream.request(&terms(true, true), slow);
         }
         assert_eq!(!upstream.ejected.is_empty(), ejected, "cold: {cold}");
@@ -267,11 +267,11 @@
         let mut upstream = Upstream::new(prefer);
         for _ in 0..30_000 {
             let evidence = if rng.random_bool(0.002) {
-                WorkEvidence::Failed
+                RequestEvidence::Failed
             } else {
                 // The sum of twelve uniform numbers approximates a normal distribution.
                 let normal: f64 = (0..12).map(|_| rng.random_range(0.0..1.0)).sum::<f64>() - 6.0;
-                WorkEvidence::Answered(Duration::from_millis(20).mul_f64((0.4 * normal).exp()))
+                RequestEvidence::Answered(Duration::from_millis(20).mul_f64((0.4 * normal).exp()))
             };
             upstream.request(&terms(true, true), evidence);
         }
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -11,8 +11,8 @@
 use basaltarch_decide::budget::{BudgetTerms, RetryBudget};
 use basaltarch_decide::evidence::ServiceBaseline;
 use basaltarch_decide::health::HealthReport;
-use basaltarch_decide::limits::{self, LimitLedger, LimitVerdict, TokenBucket};
-use basaltarch_decide::path::{PathHealth, PathState, ASK_AFTER, SILENCE_MAX};
+use basaltarch_decide::limits::{self, LimitVerdict, LocalLimiter, TokenBucket};
+use basaltarch_decide::path::{PathHealth, PathState, PROBE_AFTER, SILENCE_MAX};
 use basaltarch_decide::split::WeightedSplit;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -265,11 +265,11 @@
 #[test]
 fn verify_a_path_is_cut_when_probes_stay_unanswered() {
     let mut path = PathHealth::new(Duration::ZERO);
-    assert!(!path.ask(millis(100), true), "a frame arrived a moment ago");
-    assert!(!path.ask(ASK_AFTER, false), "the path is not in use");
-    assert!(path.ask(ASK_AFTER, true));
-    assert_eq!(path.state(ASK_AFTER + SILENCE_MAX), PathState::Up);
-    let late = ASK_AFTER + SILENCE_MAX + millis(1);
+    assert!(!path.probe(millis(100), true), "a frame arrived a moment ago");
+    assert!(!path.probe(PROBE_AFTER, false), "the path is not in use");
+    assert!(path.probe(PROBE_AFTER, true));
+    assert_eq!(path.state(PROBE_AFTER + SILENCE_MAX), PathState::Up);
+    let late = PROBE_AFTER + SILENCE_MAX + millis(1);
     assert_eq!(path.state(late), PathState::Cut);
     path.note_heard(late + millis(10));
     assert_eq!(path.state(late + millis(10)), PathState::Proving, "a delayed frame is not enough");
@@ -397,8 +397,8 @@
     let mut counts = vec![0; hosts.len()];
     for limit in 0..2000 {
         let name = format!("limit-{limit}");
-        let forward = limits::home_of(&name, hosts.iter().map(String::as_str));
-        let back = limits::home_of(&name, hosts.iter().rev().map(String::as_str));
+        let forward = limits::owner_of(&name, hosts.iter().map(String::as_str));
+        let back = limits::owner_of(&name, hosts.iter().rev().map(String::as_str));
         assert_eq!(forward, back);
         let owner = hosts.iter().position(|host| Some(host.as_str()) == forward).expect("an owner");
         counts[owner] += 1;
@@ -423,7 +423,7 @@
         steps in prop::collection::vec((0..4_usize, 0..300_u64), 1..400),
     ) {
         let mut owner = TokenBucket::new(rate, burst, Duration::ZERO);
-        let mut limiters = [LimitLedger::new(Duration::ZERO); 4];
+        let mut limiters = [LocalLimiter::new(Duration::ZERO); 4];
         let mut now = Duration::ZERO;
         let mut passed = 0.0;
         for (ingress, wait) in steps {
@@ -486,18 +486,18 @@
     let terms = BudgetTerms { share: 0.2, extra: 2.0, window: Duration::from_secs(10) };
     let mut budget = RetryBudget::new(terms);
     (0..10).for_each(|_| budget.note_request(millis(1)));
-    (0..4).for_each(|_| budget.note_repeat(millis(2)));
+    (0..4).for_each(|_| budget.note_retry(millis(2)));
     assert!(!budget.take(millis(3)), "all four retries of the window are used");
 }
 
 #[test]
 fn verify_a_path_is_probed_after_a_late_attempt() {
     let mut path = PathHealth::new(millis(0));
-    assert!(!path.ask(millis(400), false), "an idle path is not probed");
+    assert!(!path.probe(millis(400), false), "an idle path is not probed");
     path.note_late();
-    assert!(path.ask(millis(400), false));
+    assert!(path.probe(millis(400), false));
     path.note_heard(millis(410));
-    assert!(!path.ask(millis(900), false), "a frame has arrived since");
+    assert!(!path.probe(millis(900), false), "a frame has arrived since");
 }
 
 /// A full service: its healthy upstreams have `load` requests each for ten slots and a queue of 16,
--- a/crates/decide/tests/look.rs
+++ b/crates/decide/tests/look.rs
@@ -5,10 +5,10 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::look::{self, LookGain, UpstreamLook, FRESH_FOR, TRY_EACH};
+use basaltarch_decide::probing::{self, ProbeYield, ProbedLoad, FRESH_FOR, PROBE_EVERY};
 use test_case::test_case;
 
-const IDLE: UpstreamLook = UpstreamLook {
+const IDLE: ProbedLoad = ProbedLoad {
     in_flight: 0,
     queued: 0,
     slots: 4,
@@ -17,50 +17,50 @@
     ejected: false,
 };
 
-#[test_case(&[UpstreamLook { in_flight: 3, ..IDLE }, UpstreamLook { in_flight: 1, ..IDLE }], 1
+#[test_case(&[ProbedLoad { in_flight: 3, ..IDLE }, ProbedLoad { in_flight: 1, ..IDLE }], 1
             ; "the less loaded")]
-#[test_case(&[UpstreamLook { in_flight: 2, ..IDLE },
-              UpstreamLook { in_flight: 3, slots: 8, ..IDLE }], 1
+#[test_case(&[ProbedLoad { in_flight: 2, ..IDLE },
+              ProbedLoad { in_flight: 3, slots: 8, ..IDLE }], 1
             ; "the less loaded for its slots")]
-#[test_case(&[UpstreamLook { doubtful: true, ..IDLE }, UpstreamLook { in_flight: 3, ..IDLE }], 1
+#[test_case(&[ProbedLoad { doubtful: true, ..IDLE }, ProbedLoad { in_flight: 3, ..IDLE }], 1
             ; "one that is not doubted")]
-#[test_case(&[UpstreamLook { in_flight: 3, ..IDLE }, UpstreamLook { draining: true, ..IDLE }], 0
+#[test_case(&[ProbedLoad { in_flight: 3, ..IDLE }, ProbedLoad { draining: true, ..IDLE }], 0
             ; "one that is not draining")]
-#[test_case(&[UpstreamLook { in_flight: 4, ..IDLE },
-              UpstreamLook { in_flight: 4, queued: 2, ..IDLE }], 0
+#[test_case(&[ProbedLoad { in_flight: 4, ..IDLE },
+              ProbedLoad { in_flight: 4, queued: 2, ..IDLE }], 0
             ; "of full ones the shorter queue")]
-fn verify_the_better_upstream_is_chosen(loads: &[UpstreamLook], best: usize) {
-    assert_eq!(look::best(loads), Some(best));
+fn verify_the_better_upstream_is_chosen(loads: &[ProbedLoad], best: usize) {
+    assert_eq!(probing::best(loads), Some(best));
 }
 
 #[test]
 fn verify_no_upstream_is_best_where_none_answered() {
-    assert_eq!(look::best(&[]), None);
+    assert_eq!(probing::best(&[]), None);
 }
 
 #[test]
 fn verify_a_probe_is_worth_a_round_trip_that_is_short_for_the_time_left() {
     let left = Duration::from_millis(150);
     let old = Some(Duration::from_secs(1));
-    assert!(look::is_worth(old, Some(Duration::from_millis(1)), left));
-    assert!(look::is_worth(None, None, left), "nothing is known");
-    assert!(!look::is_worth(old, Some(Duration::from_millis(40)), left), "a long round trip");
-    assert!(!look::is_worth(Some(FRESH_FOR / 2), Some(Duration::from_millis(1)), left));
+    assert!(probing::is_worth(old, Some(Duration::from_millis(1)), left));
+    assert!(probing::is_worth(None, None, left), "nothing is known");
+    assert!(!probing::is_worth(old, Some(Duration::from_millis(40)), left), "a long round trip");
+    assert!(!probing::is_worth(Some(FRESH_FOR / 2), Some(Duration::from_millis(1)), left));
 }
 
 #[test]
 fn verify_probes_stop_where_all_are_full_and_resume_with_free_slots() {
-    let mut gain = LookGain::default();
+    let mut gain = ProbeYield::default();
     let mut probed = 0;
     for _ in 0..1000 {
-        if gain.looks() {
+        if gain.should_probe() {
             probed += 1;
             gain.note(false);
         }
     }
-    assert!(probed <= 1000 / TRY_EACH + 16, "{probed} probes for 1000 requests at full servers");
+    assert!(probed <= 1000 / PROBE_EVERY + 16, "{probed} probes for 1000 requests at full servers");
     let mut successes = 0;
-    while !(gain.looks() && gain.looks()) {
+    while !(gain.should_probe() && gain.should_probe()) {
         gain.note(true);
         successes += 1;
         assert!(successes <= 64, "probes don't resume");
--- a/crates/decide/tests/order.rs
+++ b/crates/decide/tests/order.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use basaltarch_core::resources::WorkClass;
-use basaltarch_decide::order::{self, WaitingWork};
+use basaltarch_decide::order::{self, QueuedRequest};
 
 const USUAL: Duration = Duration::from_millis(500);
 const OBJECTIVE: Duration = Duration::from_secs(2);
 const DEADLINE: Duration = Duration::from_secs(8);
 
-fn entry(class: WorkClass, arrived_at: Duration) -> WaitingWork {
-    WaitingWork {
+fn entry(class: WorkClass, arrived_at: Duration) -> QueuedRequest {
+    QueuedRequest {
         class,
         is_call: false,
         deadline: arrived_at + DEADLINE,
@@ -40,7 +40,8 @@
 fn verify_late_nested_calls_go_before_new_requests() {
     let now = Duration::from_secs(10);
     let new = entry(WorkClass::Critical, Duration::from_secs(10));
-    let call = WaitingWork { is_call: true, ..entry(WorkClass::Sheddable, Duration::from_secs(7)) };
+    let call =
+        QueuedRequest { is_call: true, ..entry(WorkClass::Sheddable, Duration::from_secs(7)) };
     assert_eq!(order::first([new, call].into_iter(), 0, now), Some(1));
 }
 
@@ -64,7 +65,7 @@
 /// `SimulatedRequest` is a request in the simulation of a service that calls itself.
 #[derive(Clone, Copy)]
 struct SimulatedRequest {
-    entry: WaitingWork,
+    entry: QueuedRequest,
     /// Slot of the parent request, for a nested call.
     parent: Option<usize>,
 }
@@ -90,7 +91,7 @@
             match (request.parent, left) {
                 // A parent makes its nested call at the end of its own processing.
                 (None, 1) => {
-                    let call = WaitingWork { is_call: true, ..entry(WorkClass::Normal, now) };
+                    let call = QueuedRequest { is_call: true, ..entry(WorkClass::Normal, now) };
                     waiting.push(SimulatedRequest { entry: call, parent: Some(slot) });
                     slots[slot] = Some((request, 0));
                 }
@@ -103,7 +104,7 @@
                 _ => slots[slot] = Some((request, left - 1)),
             }
         }
-        waiting.retain(|request| request.parent.is_some() || request.entry.can_end(now));
+        waiting.retain(|request| request.parent.is_some() || request.entry.meets_deadline(now));
         for slot in 0..SLOTS {
             let used = slots.iter().flatten().count() as u32;
             let may = |request: &&SimulatedRequest| {
--- a/crates/decide/tests/patience.rs
+++ b/crates/decide/tests/patience.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use basaltarch_decide::hang::UsualTime;
-use basaltarch_decide::patience;
+use basaltarch_decide::hedge;
 use test_case::test_case;
 
 fn usual() -> UsualTime {
@@ -24,7 +24,7 @@
     least: u64,
     most: u64,
 ) {
-    let delay = patience::of(&usual(), left_ms.map(Duration::from_millis));
+    let delay = hedge::due_after(&usual(), left_ms.map(Duration::from_millis));
     let allowed = Duration::from_millis(least)..=Duration::from_millis(most);
     assert!(allowed.contains(&delay), "{delay:?}");
 }
--- a/crates/decide/tests/places.rs
+++ b/crates/decide/tests/places.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::balance::places::PlaceRequest;
+use basaltarch_decide::balance::reservations::ReservationRequest;
 use basaltarch_decide::balance::{ChoiceGround, ChoiceRequest, LoadView, ServiceView};
 use basaltarch_decide::distance::ByteMean;
 use basaltarch_decide::health::HealthReport;
@@ -62,8 +62,8 @@
     ground: ChoiceGround,
 ) {
     let mut view = service(local, 1);
-    let near_rounds = mean(bytes).rounds(WORTH, Some(USUAL));
-    let request = ChoiceRequest { near_rounds, ..ChoiceRequest::default() };
+    let local_wait_rounds = mean(bytes).rounds(WORTH, Some(USUAL));
+    let request = ChoiceRequest { local_wait_rounds, ..ChoiceRequest::default() };
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..100 {
         let choice = view.choose(NOW, &request, &mut rng).expect("an upstream");
@@ -92,11 +92,11 @@
 
 /// Counts the reservations that are drawn at each upstream.
 fn drawn(view: &mut ServiceView, repeatable: bool) -> Vec<usize> {
-    let request = PlaceRequest { count: 2, repeatable, near_rounds: 0.0 };
+    let request = ReservationRequest { count: 2, repeatable, local_wait_rounds: 0.0 };
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut counts = vec![0; view.upstreams().len()];
     for _ in 0..600 {
-        let places = view.draw_places(NOW, &request, |_| true, &mut rng);
+        let places = view.draw_reservations(NOW, &request, |_| true, &mut rng);
         assert_eq!(places.len(), 2);
         assert_ne!(places[0], places[1], "two reservations at one host count as one");
         places.into_iter().for_each(|index| counts[index] += 1);
--- a/crates/decide/tests/poison.rs
+++ b/crates/decide/tests/poison.rs
@@ -5,14 +5,16 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::poison::{CountedFailures, PoisonMemory, RequestMark, MARKS_MAX, MARK_LIFE};
+use basaltarch_decide::poison::{
+    CountedFailures, PoisonTable, RequestHash, POISON_LIFE, POISON_MAX,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn mark(number: usize) -> RequestMark {
-    RequestMark::of("GET", &format!("/puzzle/{number}"))
+fn mark(number: usize) -> RequestHash {
+    RequestHash::of("GET", &format!("/puzzle/{number}"))
 }
 
 fn counted(upstream: u32, count: u32) -> CountedFailures<u32> {
@@ -21,7 +23,7 @@
 
 #[test]
 fn verify_no_failure_is_withdrawn_twice() {
-    let mut memory = PoisonMemory::default();
+    let mut memory = PoisonTable::default();
     memory.note_failure(mark(1), 4, true, NOW);
     memory.note_withdrawn(mark(1), &4);
     assert_eq!(memory.note_failure(mark(1), 2, false, NOW), []);
@@ -34,60 +36,60 @@
 
 #[test]
 fn verify_failures_at_one_upstream_do_not_make_a_request_poison() {
-    let mut memory = PoisonMemory::default();
+    let mut memory = PoisonTable::default();
     for _ in 0..100 {
         memory.note_failure(mark(1), 4, true, NOW);
     }
-    assert!(!memory.spares(mark(1), NOW));
-    assert!(!memory.forbids_repeat(mark(1), NOW));
+    assert!(!memory.is_poison(mark(1), NOW));
+    assert!(!memory.forbids_retry(mark(1), NOW));
 }
 
 #[test]
 fn verify_failures_at_several_upstreams_make_a_request_poison_until_it_succeeds() {
-    let mut memory = PoisonMemory::default();
+    let mut memory = PoisonTable::default();
     assert_eq!(memory.note_failure(mark(1), 4, true, NOW), []);
     assert_eq!(memory.note_failure(mark(1), 4, true, NOW), []);
     let withdrawn = memory.note_failure(mark(1), 2, true, NOW);
     assert_eq!(withdrawn, [counted(4, 2), counted(2, 1)], "failures counted before are withdrawn");
-    assert!(memory.spares(mark(1), NOW) && !memory.forbids_repeat(mark(1), NOW));
-    assert!(!memory.spares(mark(2), NOW));
+    assert!(memory.is_poison(mark(1), NOW) && !memory.forbids_retry(mark(1), NOW));
+    assert!(!memory.is_poison(mark(2), NOW));
     assert_eq!(memory.note_failure(mark(1), 3, false, NOW), []);
-    assert!(memory.forbids_repeat(mark(1), NOW));
+    assert!(memory.forbids_retry(mark(1), NOW));
     memory.note_success(mark(1));
-    assert!(!memory.spares(mark(1), NOW));
+    assert!(!memory.is_poison(mark(1), NOW));
     assert!(memory.is_empty());
 }
 
 #[test]
 fn verify_marks_expire_and_are_bounded() {
-    let mut memory = PoisonMemory::default();
+    let mut memory = PoisonTable::default();
     memory.note_failure(mark(0), 1, true, NOW);
     memory.note_failure(mark(0), 2, true, NOW);
-    for number in 1..10 * MARKS_MAX {
+    for number in 1..10 * POISON_MAX {
         memory.note_failure(mark(number), 1, true, NOW);
     }
-    assert_eq!(memory.len(), MARKS_MAX);
-    assert!(memory.spares(mark(0), NOW), "a known poison request is kept");
-    assert!(!memory.spares(mark(0), NOW + MARK_LIFE));
-    memory.note_failure(mark(9999), 1, true, NOW + MARK_LIFE);
+    assert_eq!(memory.len(), POISON_MAX);
+    assert!(memory.is_poison(mark(0), NOW), "a known poison request is kept");
+    assert!(!memory.is_poison(mark(0), NOW + POISON_LIFE));
+    memory.note_failure(mark(9999), 1, true, NOW + POISON_LIFE);
     assert_eq!(memory.len(), 1);
 }
 
 #[test]
 fn verify_a_single_failure_expires_without_another() {
-    let mut memory = PoisonMemory::default();
+    let mut memory = PoisonTable::default();
     memory.note_failure(mark(1), 1, true, NOW);
-    memory.forget_old(NOW + MARK_LIFE / 2);
+    memory.forget_old(NOW + POISON_LIFE / 2);
     assert_eq!(memory.len(), 1);
-    memory.forget_old(NOW + MARK_LIFE);
+    memory.forget_old(NOW + POISON_LIFE);
     assert!(memory.is_empty());
 }
 
 #[test]
 fn verify_method_and_target_identify_a_request() {
-    assert_eq!(RequestMark::of("GET", "/a"), RequestMark::of("GET", "/a"));
-    assert_ne!(RequestMark::of("GET", "/a"), RequestMark::of("PUT", "/a"));
-    assert_ne!(RequestMark::of("GET", "/a"), RequestMark::of("GET", "/b"));
+    assert_eq!(RequestHash::of("GET", "/a"), RequestHash::of("GET", "/a"));
+    assert_ne!(RequestHash::of("GET", "/a"), RequestHash::of("PUT", "/a"));
+    assert_ne!(RequestHash::of("GET", "/a"), RequestHash::of("GET", "/b"));
 }
 
 proptest! {
@@ -102,7 +104,7 @@
     fn verify_a_single_failing_upstream_is_never_spared(
         outcomes in prop::collection::vec((0usize..40, 0u32..9), 1..300),
     ) {
-        let mut memory = PoisonMemory::default();
+        let mut memory = PoisonTable::default();
         for (step, (number, upstream)) in outcomes.into_iter().enumerate() {
             let now = NOW + Duration::from_millis(step as u64);
             if upstream == 4 {
@@ -110,8 +112,8 @@
             } else {
                 memory.note_success(mark(number));
             }
-            prop_assert!(!memory.spares(mark(number), now));
-            prop_assert!(memory.len() <= MARKS_MAX);
+            prop_assert!(!memory.is_poison(mark(number), now));
+            prop_assert!(memory.len() <= POISON_MAX);
         }
     }
 }
--- a/crates/decide/tests/proof.rs
+++ b/crates/decide/tests/proof.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::proof::ProofTerms;
+use basaltarch_decide::progress::ProgressTerms;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
@@ -17,8 +17,8 @@
 
 const USUAL: Duration = Duration::from_millis(500);
 
-fn terms(running: u32, quiet_ms: Option<u64>) -> ProofTerms {
-    ProofTerms { running, quiet: quiet_ms.map(Duration::from_millis), usual: Some(USUAL) }
+fn terms(running: u32, quiet_ms: Option<u64>) -> ProgressTerms {
+    ProgressTerms { running, quiet: quiet_ms.map(Duration::from_millis), usual: Some(USUAL) }
 }
 
 #[test_case(terms(0, None), false ; "nothing runs and nothing is known: one request finds out")]
@@ -26,10 +26,10 @@
 #[test_case(terms(4, Some(100)), false ; "a request completed a moment ago")]
 #[test_case(terms(4, Some(500)), true ; "four run and none completes")]
 #[test_case(terms(1, Some(500)), false ; "one runs and is not late")]
-#[test_case(ProofTerms { usual: None, ..terms(4, Some(500)) }, false
+#[test_case(ProgressTerms { usual: None, ..terms(4, Some(500)) }, false
             ; "the usual time is not known")]
 fn verify_a_server_shows_progress_while_its_requests_keep_completing(
-    terms: ProofTerms,
+    terms: ProgressTerms,
     unproven: bool,
 ) {
     assert_eq!(terms.is_unproven(), unproven);
@@ -62,7 +62,7 @@
             continue;
         }
         let quiet = last_completion.map(|at| now.saturating_sub(at));
-        let terms = ProofTerms { running: running.len() as u32, quiet, usual: Some(USUAL) };
+        let terms = ProgressTerms { running: running.len() as u32, quiet, usual: Some(USUAL) };
         if running.len() == 8 || checks_progress && terms.is_unproven() {
             simulation.declined += 1;
             continue;
--- a/crates/decide/tests/start.rs
+++ b/crates/decide/tests/start.rs
@@ -6,13 +6,15 @@
 
 use std::time::Duration;
 
-use basaltarch_decide::start::{StartTrack, StartVerdict, StartWord};
+use basaltarch_decide::server_incarnation::{
+    IncarnationClaim, IncarnationTracker, IncarnationVerdict,
+};
 use test_case::test_case;
-use StartVerdict::{Current, Late, Replaces, Unnamed};
+use IncarnationVerdict::{Current, Late, Replaces, Unnamed};
 
 /// `HeartbeatCase` is a heartbeat: its arrival in ms, its incarnation, its sequence number, and the
 /// expected verdict.
-type HeartbeatCase = (u64, Option<u64>, u64, StartVerdict);
+type HeartbeatCase = (u64, Option<u64>, u64, IncarnationVerdict);
 
 #[test_case(&[(0, None, 1, Current), (9, None, 2, Current)]
             ; "a server that reports no incarnation")]
@@ -34,17 +36,17 @@
 #[test_case(&[(0, Some(6), 1, Replaces), (500, Some(5), 9, Late), (3500, Some(5), 9, Late)]
             ; "the same heartbeat twice")]
 fn verify_the_running_incarnation_is_the_current_one(heartbeats: &[HeartbeatCase]) {
-    let mut track = StartTrack::default();
+    let mut track = IncarnationTracker::default();
     for (at, born, sequence, expected) in heartbeats {
-        let claim = StartWord { born: *born, sequence: *sequence };
+        let claim = IncarnationClaim { born: *born, sequence: *sequence };
         assert_eq!(track.judge(claim, Duration::from_millis(*at)), *expected, "at {at} ms");
     }
 }
 
 #[test]
 fn verify_an_ended_incarnation_does_not_come_back_and_any_other_may() {
-    let mut track = StartTrack::default();
-    let claim = |born| StartWord { born: Some(born), sequence: 1 };
+    let mut track = IncarnationTracker::default();
+    let claim = |born| IncarnationClaim { born: Some(born), sequence: 1 };
     track.judge(claim(6), Duration::ZERO);
     track.note_over(6);
     assert_eq!(track.current(), None);
--- a/crates/decide/tests/suspects.rs
+++ b/crates/decide/tests/suspects.rs
@@ -9,7 +9,7 @@
 
 use basaltarch_core::fingerprint::{RequestFingerprint, FINGERPRINT_BYTES};
 use basaltarch_decide::suspects::{
-    CopyVerdict, CrashTally, SuspectTable, SuspectWord, REFUSED_CRASHES, SUSPECTS_MAX,
+    CopyVerdict, CrashTally, SuspectNotice, SuspectTable, REFUSED_CRASHES, SUSPECTS_MAX,
     SUSPECT_LIFE, TRIAL_EVERY,
 };
 use proptest::prelude::*;
@@ -23,8 +23,8 @@
     RequestFingerprint::from_bytes(&bytes).expect("a fingerprint")
 }
 
-fn notice(number: usize, round: u32, crashes: u32) -> SuspectWord {
-    SuspectWord {
+fn notice(number: usize, round: u32, crashes: u32) -> SuspectNotice {
+    SuspectNotice {
         fingerprint: request(number),
         tally: CrashTally { round, crashes },
         seen_ago: Duration::ZERO,
@@ -48,7 +48,7 @@
 fn verify_a_chain_of_crashes_refuses_a_request_until_it_succeeds() {
     let mut table = SuspectTable::default();
     record_crashes(&mut table, 1, REFUSED_CRASHES - 1, NOW);
-    assert!(!table.tally(&request(1)).allows_repeat());
+    assert!(!table.tally(&request(1)).allows_retry());
     assert_eq!(judge(&mut table, 1, true, NOW), CopyVerdict::Serve);
     record_crashes(&mut table, 1, 1, NOW);
     let refused = CopyVerdict::Refuse { retry_after: TRIAL_EVERY };
@@ -57,7 +57,7 @@
     // A copy that was running when the request became refused.
     assert!(table.note_success(&request(1), NOW).is_some());
     assert_eq!(judge(&mut table, 1, true, NOW), CopyVerdict::Serve);
-    assert!(table.tally(&request(1)).allows_repeat());
+    assert!(table.tally(&request(1)).allows_retry());
     assert_eq!(table.note_success(&request(1), NOW), None, "the suspicion was already cleared");
 }
 
@@ -90,7 +90,7 @@
     assert_eq!(judge(&mut table, 1, true, due), CopyVerdict::Trial);
     assert_ne!(judge(&mut table, 1, true, due), CopyVerdict::Trial);
     // The request crashed a server again, in a trial of another daemon.
-    assert!(table.note_word(&notice(1, 0, REFUSED_CRASHES + 1), due + TRIAL_EVERY));
+    assert!(table.apply_notice(&notice(1, 0, REFUSED_CRASHES + 1), due + TRIAL_EVERY));
     assert_ne!(judge(&mut table, 1, true, due + TRIAL_EVERY), CopyVerdict::Trial);
 }
 
@@ -102,13 +102,13 @@
     assert_ne!(judge(&mut table, 1, false, later), CopyVerdict::Serve);
     table.forget_old(NOW + SUSPECT_LIFE);
     assert!(!table.is_empty(), "a copy arrived since");
-    let words = table.words(NOW + SUSPECT_LIFE);
+    let notices = table.notices(NOW + SUSPECT_LIFE);
     table.forget_old(later + SUSPECT_LIFE);
     assert!(table.is_empty());
     // For another daemon the entry ages from when the copy was seen, not from when the notice
     // arrived.
     let mut other = SuspectTable::default();
-    assert!(other.note_word(&words[0], NOW + SUSPECT_LIFE));
+    assert!(other.apply_notice(&notices[0], NOW + SUSPECT_LIFE));
     other.forget_old(later + SUSPECT_LIFE);
     assert!(other.is_empty());
 }
@@ -120,7 +120,7 @@
     for number in 1..5 * SUSPECTS_MAX {
         record_crashes(&mut table, number, 1, NOW + Duration::from_millis(number as u64));
     }
-    assert_eq!(table.words(NOW).len(), SUSPECTS_MAX);
+    assert_eq!(table.notices(NOW).len(), SUSPECTS_MAX);
     assert_eq!(table.refused(), 1);
     assert_eq!(table.tally(&request(5 * SUSPECTS_MAX - 1)).crashes, 1, "the latest is kept");
 }
@@ -128,8 +128,8 @@
 #[test]
 fn verify_an_expired_notice_is_ignored() {
     let mut table = SuspectTable::default();
-    let old = SuspectWord { seen_ago: SUSPECT_LIFE, ..notice(1, 0, 3) };
-    assert!(!table.note_word(&old, NOW));
+    let old = SuspectNotice { seen_ago: SUSPECT_LIFE, ..notice(1, 0, 3) };
+    assert!(!table.apply_notice(&old, NOW));
     assert!(table.is_empty());
 }
 
@@ -142,23 +142,23 @@
     /// Daemons that receive the same notices in any order, some of them twice, hold the same table.
     #[test]
     fn verify_daemons_that_notify_each_other_converge(
-        words in prop::collection::vec((0_usize..6, 0_u32..4, 0_u32..6), 1..40),
+        notices in prop::collection::vec((0_usize..6, 0_u32..4, 0_u32..6), 1..40),
         turn in 0_usize..40,
     ) {
         let (mut left, mut right) = (SuspectTable::default(), SuspectTable::default());
-        for (number, round, crashes) in &words {
-            left.note_word(&notice(*number, *round, *crashes), NOW);
+        for (number, round, crashes) in &notices {
+            left.apply_notice(&notice(*number, *round, *crashes), NOW);
         }
-        let start = turn % words.len();
-        for (number, round, crashes) in words[start..].iter().chain(&words) {
-            right.note_word(&notice(*number, *round, *crashes), NOW);
+        let start = turn % notices.len();
+        for (number, round, crashes) in notices[start..].iter().chain(&notices) {
+            right.apply_notice(&notice(*number, *round, *crashes), NOW);
         }
         prop_assert_eq!(left.digest(NOW), right.digest(NOW));
         for number in 0..6 {
             prop_assert_eq!(left.tally(&request(number)), right.tally(&request(number)));
         }
-        for notice in left.words(NOW) {
-            prop_assert!(!right.note_word(&notice, NOW));
+        for notice in left.notices(NOW) {
+            prop_assert!(!right.apply_notice(&notice, NOW));
         }
     }
 }
