--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -17,8 +17,8 @@
 use basaltarch_base::clock::DaemonClock;
 use basaltarch_core::outcome::NotRunReason;
 use basaltarch_core::resources::WorkClass;
-use basaltarch_decide::order::{self, WaitingWork};
-use basaltarch_decide::proof::ProofTerms;
+use basaltarch_decide::order::{self, QueuedRequest};
+use basaltarch_decide::progress::ProgressTerms;
 
 /// Share of the time left until its deadline that a queued request may wait for a slot. One that
 /// has waited for longer seldom completes in time, and a caller that is refused by then can still
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SlotRequest {
     /// Properties that decide the order of waiting requests.
-    pub work: WaitingWork,
+    pub work: QueuedRequest,
     /// Whether the ingress can send the request elsewhere without taking the service below its
     /// capacity floor.
     pub refusable: bool,
@@ -133,7 +133,7 @@
     /// Says whether a request should go elsewhere for now, as no recent completion shows that the
     /// backend server doesn't hang.
     fn lacks_recent_progress(&self, request: &SlotRequest, now: Duration) -> bool {
-        let terms = ProofTerms {
+        let terms = ProgressTerms {
             running: self.used.get() + self.offered.get(),
             quiet: self.completed_at.get().map(|at| now.saturating_sub(at)),
             usual: request.work.usual,
@@ -294,9 +294,9 @@
         }
         // Elsewhere it may meet its objective; if it misses it anyway, it must not make others miss
         // theirs.
-        let late = !work.is_in_time(start);
+        let late = !work.meets_objective(start);
         let declines = request.passable && kind == WaitKind::Queued;
-        if late && (declines || !order::keeps_late(ahead, self.slots.get())) {
+        if late && (declines || !order::accepts_late(ahead, self.slots.get())) {
             return Err(NotRunReason::QueueFull);
         }
         Ok(())
@@ -377,7 +377,7 @@
     /// Refuses all waiting requests that can no longer complete by their deadline.
     pub fn refuse_dead(&self) {
         let now = self.clock.now();
-        let is_refused = |waiter: &QueueWaiter| !waiter.request.work.can_end(now);
+        let is_refused = |waiter: &QueueWaiter| !waiter.request.work.meets_deadline(now);
         self.refuse_where(NotRunReason::DeadlinePassed, is_refused);
     }
 
@@ -452,18 +452,18 @@
 /// reservations of requests that miss their objective and would wait too long behind those that
 /// meet it.
 fn refuse_unservable(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
-    let is_in_time = |waiter: &&Rc<QueueWaiter>| waiter.request.work.is_in_time(now);
-    let in_time = weight_of(waiting.iter().filter(is_in_time));
-    let keeps_late = order::keeps_late(in_time, slots);
+    let meets_objective = |waiter: &&Rc<QueueWaiter>| waiter.request.work.meets_objective(now);
+    let in_time = weight_of(waiting.iter().filter(meets_objective));
+    let accepts_late = order::accepts_late(in_time, slots);
     waiting.retain(|waiter| {
         let work = &waiter.request.work;
-        let expired = !work.can_end(now);
+        let expired = !work.meets_deadline(now);
         let is_kept = match waiter.kind {
             WaitKind::Queued => in_time == 0.0,
-            WaitKind::Reservation => keeps_late || work.is_call,
+            WaitKind::Reservation => accepts_late || work.is_call,
             WaitKind::Offered => true,
         };
-        let late = !is_kept && !work.is_in_time(now);
+        let late = !is_kept && !work.meets_objective(now);
         if expired {
             waiter.resolve(WaitState::Refused(NotRunReason::DeadlinePassed));
         } else if late {
--- a/crates/waiting/tests/slots.rs
+++ b/crates/waiting/tests/slots.rs
@@ -11,7 +11,7 @@
 use basaltarch_base::clock::DaemonClock;
 use basaltarch_core::outcome::NotRunReason;
 use basaltarch_core::resources::WorkClass;
-use basaltarch_decide::order::WaitingWork;
+use basaltarch_decide::order::QueuedRequest;
 use basaltarch_telemetry::runtime;
 use basaltarch_waiting::slots::{SlotGuard, SlotQueue, SlotRequest};
 
@@ -59,7 +59,7 @@
 
     fn request(&self, class: WorkClass, within_ms: u64) -> SlotRequest {
         let now = self.clock.now();
-        let work = WaitingWork {
+        let work = QueuedRequest {
             class,
             is_call: false,
             deadline: now + Duration::from_secs(60),
@@ -165,7 +165,7 @@
         }
         let deadline = queue.clock.now() + Duration::from_secs(2);
         let mut request = queue.request(WorkClass::Normal, 60_000);
-        request.work = WaitingWork { deadline, usual: None, most: None, ..request.work };
+        request.work = QueuedRequest { deadline, usual: None, most: None, ..request.work };
         queue.acquire_as("waits", request).await;
         while queue.outcome_of("waits").is_none() {
             assert!(queue.clock.now() < deadline, "the request waited until its deadline");
