--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -258,7 +258,7 @@
             work,
             refusable: self.head.refusable,
             passable: self.head.passable,
-            wants_proof: self.state.live().prove_once_only && !is_repeatable,
+            needs_recent_progress: self.state.live().prove_once_only && !is_repeatable,
         }
     }
 
--- a/crates/daemon/src/host/places.rs
+++ b/crates/daemon/src/host/places.rs
@@ -38,7 +38,7 @@
         if self.upstream.is_down() {
             return Err(FailureOutcome::NotRun(NotRunReason::Sick));
         }
-        let waiting = self.upstream.slots.wait_turn(self.slot_request());
+        let waiting = self.upstream.slots.await_offer(self.slot_request());
         let turn = exchange::unless_cancelled(body, waiting).await;
         let turn = turn.map_err(FailureOutcome::NotRun)?;
         body.call_in();
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -106,7 +106,7 @@
     /// was started anew.
     pub fn note_connected(&self, connected: bool, now: Duration) {
         if !connected {
-            self.slots.refuse_places(NotRunReason::Sick);
+            self.slots.refuse_reservations(NotRunReason::Sick);
         }
         if self.was_down.replace(!connected) && connected {
             servers::ServerRestarted { upstream: &self.name }.log();
@@ -116,7 +116,7 @@
 
     /// Takes in that the backend server crashed; says whether that is new.
     pub fn note_crashed(&self) -> bool {
-        self.slots.refuse_places(NotRunReason::Sick);
+        self.slots.refuse_reservations(NotRunReason::Sick);
         !self.was_down.replace(true)
     }
 
@@ -169,7 +169,7 @@
     pub fn note_slept(&self) {
         self.health.borrow_mut().forget_running();
         self.pool.clear();
-        self.slots.refuse_dead();
+        self.slots.refuse_expired();
     }
 
     /// Looks at the running work, whether it lasts too long.
@@ -190,14 +190,14 @@
             None => {}
             Some(HealthChange::Ejected { reason, sickness, after }) => {
                 metrics::EJECTIONS[reason as usize].add_one();
-                self.slots.refuse_waiting();
+                self.slots.refuse_refusable();
                 metrics::DETECTION.record(after);
                 let (evidence, after_ms) = (reason.name(), after.as_millis() as u64);
                 servers::UpstreamEjected { upstream, service, evidence, sickness, after_ms }.log();
             }
             Some(HealthChange::Doubted) => {
                 metrics::DOUBTS.add_one();
-                self.slots.pass_waiting();
+                self.slots.refuse_passable();
                 servers::UpstreamDoubted { upstream, service }.log();
             }
             Some(HealthChange::Trusted { after }) => {
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -115,7 +115,7 @@
         };
         let (choice, asked, dispatched) = if attempts.waits(&choice) {
             match attempts.wait_for_slot(stream, body.is_done()).await {
-                SlotEnd::CalledIn(choice, live) => {
+                SlotEnd::SlotOffered(choice, live) => {
                     (choice, attempts.ask(&choice), DispatchEnd::Sent(live))
                 }
                 SlotEnd::NoPlace => continue,
--- a/crates/daemon/src/ingress/places.rs
+++ b/crates/daemon/src/ingress/places.rs
@@ -19,7 +19,9 @@
 use basaltarch_peer::link::{DialledLink, OutboundExchange};
 use basaltarch_peer::protocol::{DispatchHead, ExchangeFailure};
 use basaltarch_peer::stream::StreamEvent;
-use basaltarch_waiting::places::{HeldPlace, PlaceBook, PlacePlan, PlaceWord};
+use basaltarch_waiting::reservations::{
+    HeldReservation, ReservationPlan, ReservationReply, ReservationSet,
+};
 use futures_util::{select_biased, FutureExt};
 
 use crate::host;
@@ -41,7 +43,7 @@
 /// `SlotEnd` is how the wait for a slot ended.
 pub enum SlotEnd {
     /// A host called the request in, and it was sent there.
-    CalledIn(UpstreamChoice, LiveExchange),
+    SlotOffered(UpstreamChoice, LiveExchange),
     /// No place can be held; the request may still go out whole.
     NoPlace,
     /// Nobody called it in.
@@ -52,7 +54,7 @@
 
 /// `WaitStep` is the next thing that happens while a request waits.
 enum WaitStep {
-    Word(HeldPlace<OutboundExchange>, PlaceWord<ExchangeFailure>),
+    Word(HeldReservation<OutboundExchange>, ReservationReply<ExchangeFailure>),
     Widen,
     GiveUp(NotRunReason),
     CallerGone,
@@ -72,12 +74,12 @@
     /// Waits until a host calls the request in, and sends it there.
     pub async fn wait_for_slot(&mut self, stream: &mut HttpStream, body_is_done: bool) -> SlotEnd {
         let began = self.state.now();
-        let mut book = PlaceBook::new(PlacePlan::default());
+        let mut book = ReservationSet::new(ReservationPlan::default());
         metrics::WAITING.add(1);
         let end = self.hold_places(&mut book, stream, body_is_done).await;
         metrics::WAITING.add(-1);
         let failure = match &end {
-            SlotEnd::CalledIn(..) => {
+            SlotEnd::SlotOffered(..) => {
                 metrics::CALLED_IN.add_one();
                 None
             }
@@ -106,7 +108,7 @@
 
     async fn hold_places(
         &mut self,
-        book: &mut PlaceBook<OutboundExchange>,
+        book: &mut ReservationSet<OutboundExchange>,
         stream: &mut HttpStream,
         body_is_done: bool,
     ) -> SlotEnd {
@@ -137,10 +139,10 @@
                 WaitStep::GiveUp(reason) => {
                     return SlotEnd::Failed(CallerFailure::not_run(reason));
                 }
-                WaitStep::Word(place, PlaceWord::CalledIn) => {
+                WaitStep::Word(place, ReservationReply::SlotOffered) => {
                     return self.send_called_in(place, body_is_done);
                 }
-                WaitStep::Word(place, PlaceWord::Refused(failure)) => {
+                WaitStep::Word(place, ReservationReply::Refused(failure)) => {
                     let index = place.index;
                     let reason = self.note_refused(place, &failure);
                     match reason {
@@ -173,7 +175,7 @@
     /// Returns an upstream that was drawn and is not linked, if there is one.
     fn ask_for_places(
         &mut self,
-        book: &mut PlaceBook<OutboundExchange>,
+        book: &mut ReservationSet<OutboundExchange>,
         full: &[usize],
     ) -> Option<usize> {
         let held: Vec<usize> = book.indexes().collect();
@@ -195,11 +197,11 @@
                 PlaceLink::Own => {
                     let head = self.place_head(index);
                     let handle = host::dispatch_local(self.state, head);
-                    book.push(HeldPlace { index, handle });
+                    book.push(HeldReservation { index, handle });
                 }
                 PlaceLink::Linked(link) => {
                     let Ok(handle) = link.dispatch(self.place_head(index)) else { continue };
-                    book.push(HeldPlace { index, handle });
+                    book.push(HeldReservation { index, handle });
                 }
                 PlaceLink::Unable => continue,
                 PlaceLink::Missing => {
@@ -258,7 +260,7 @@
 
     async fn next_step(
         &self,
-        book: &mut PlaceBook<OutboundExchange>,
+        book: &mut ReservationSet<OutboundExchange>,
         stream: &mut HttpStream,
         until: Duration,
     ) -> WaitStep {
@@ -266,7 +268,7 @@
         let mut word = std::pin::pin!(book.next(poll_place).fuse());
         let mut over = std::pin::pin!(monoio::time::sleep(left).fuse());
         let mut slept = std::pin::pin!(self.state.clock.passed(self.request.deadline).fuse());
-        let widen_every = PlacePlan::default().widen_every;
+        let widen_every = ReservationPlan::default().widen_every;
         let mut widen = std::pin::pin!(monoio::time::sleep(widen_every).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
         let mut watching = std::pin::pin!(waiting::caller_gone(stream).fuse());
@@ -283,7 +285,7 @@
     /// Takes in that a host has no place for the request any more, and returns why.
     fn note_refused(
         &mut self,
-        mut place: HeldPlace<OutboundExchange>,
+        mut place: HeldReservation<OutboundExchange>,
         failure: &ExchangeFailure,
     ) -> NotRunReason {
         place.handle.finish();
@@ -302,7 +304,7 @@
     /// Sends the request to the host that called it in, unless it may not be sent any more.
     fn send_called_in(
         &mut self,
-        place: HeldPlace<OutboundExchange>,
+        place: HeldReservation<OutboundExchange>,
         body_is_done: bool,
     ) -> SlotEnd {
         if !self.is_taken() {
@@ -311,7 +313,7 @@
         if let Err(failure) = self.refuse_taken_away().and_then(|()| self.refuse_suspect()) {
             return SlotEnd::Failed(failure);
         }
-        let HeldPlace { index, handle: exchange } = place;
+        let HeldReservation { index, handle: exchange } = place;
         self.note_dispatch();
         let now = self.state.now();
         let service = &self.request.service;
@@ -332,7 +334,7 @@
             counts: !self.spares_failure(),
             sent: service.count_sent(index),
         };
-        SlotEnd::CalledIn(choice, live)
+        SlotEnd::SlotOffered(choice, live)
     }
 }
 
@@ -349,16 +351,16 @@
 fn poll_place(
     exchange: &OutboundExchange,
     context: &mut Context<'_>,
-) -> Poll<PlaceWord<ExchangeFailure>> {
+) -> Poll<ReservationReply<ExchangeFailure>> {
     if let Poll::Ready(event) = exchange.answer.poll_next(context) {
-        return Poll::Ready(PlaceWord::Refused(match event {
+        return Poll::Ready(ReservationReply::Refused(match event {
             StreamEvent::Failed(failure) => failure,
             _ => lost_place(),
         }));
     }
     exchange.body.poll_ready(context).map(|ready| match ready {
-        Ok(()) => PlaceWord::CalledIn,
-        Err(_) => PlaceWord::Refused(lost_place()),
+        Ok(()) => ReservationReply::SlotOffered,
+        Err(_) => ReservationReply::Refused(lost_place()),
     })
 }
 
--- a/crates/waiting/src/lib.rs
+++ b/crates/waiting/src/lib.rs
@@ -4,7 +4,7 @@
 //! Requests that wait for a slot of a backend server.
 //!
 //! [`slots`] assigns the slots of one backend server to the requests that wait for them, in the
-//! daemon on its host. [`places`] is the side of the ingress: a request that found no free
+//! daemon on its host. [`reservations`] is the side of the ingress: a request that found no free
 //! slot holds reservations with several backend servers, and goes to the first that offers it a
 //! slot (late binding: K. Ousterhout and others, "Sparrow: Distributed, Low Latency Scheduling",
 //! 2013, section 3.5). Until then the request has not been sent and can't have run, so that the
@@ -13,5 +13,5 @@
 //! Neither module depends on links, services or the daemon: callers pass in what is needed of them
 //! as functions. The order of the waiting requests is decided in `basaltarch_decide::order`.
 
-pub mod places;
+pub mod reservations;
 pub mod slots;
--- a/crates/waiting/src/places.rs
+++ b/crates/waiting/src/reservations.rs
@@ -11,9 +11,9 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// `PlacePlan` sets how many reservations a request holds.
+/// `ReservationPlan` sets how many reservations a request holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct PlacePlan {
+pub struct ReservationPlan {
     /// Reservations held from the start. With two, the better host is chosen only when a slot is
     /// free.
     pub initial: usize,
@@ -26,44 +26,44 @@
     pub widen_every: Duration,
 }
 
-impl Default for PlacePlan {
+impl Default for ReservationPlan {
     fn default() -> Self {
         Self { initial: 2, max_held: 3, tries: 8, widen_every: Duration::from_millis(500) }
     }
 }
 
-/// `PlaceWord` is the answer of the host to a reservation, with its reason `R` for a
+/// `ReservationReply` is the answer of the host to a reservation, with its reason `R` for a
 /// refusal.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PlaceWord<R> {
+pub enum ReservationReply<R> {
     /// The host offers a slot: a free one, or the next that becomes free.
-    CalledIn,
+    SlotOffered,
     /// The reservation is over.
     Refused(R),
 }
 
-/// `HeldPlace` is a reservation for a slot of one backend server; dropping its handle `P`
+/// `HeldReservation` is a reservation for a slot of one backend server; dropping its handle `P`
 /// releases it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct HeldPlace<P> {
+pub struct HeldReservation<P> {
     /// Position of the backend server among the upstreams of its service.
     pub index: usize,
     /// Handle that keeps the reservation.
     pub handle: P,
 }
 
-/// `PlaceBook` is the set of reservations of one request.
+/// `ReservationSet` is the set of reservations of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct PlaceBook<P> {
-    plan: PlacePlan,
-    held: Vec<HeldPlace<P>>,
+pub struct ReservationSet<P> {
+    plan: ReservationPlan,
+    held: Vec<HeldReservation<P>>,
     wanted: usize,
     tries_left: usize,
 }
 
-impl<P> PlaceBook<P> {
+impl<P> ReservationSet<P> {
     /// Builds an empty set.
-    pub fn new(plan: PlacePlan) -> Self {
+    pub fn new(plan: ReservationPlan) -> Self {
         Self { plan, held: Vec::new(), wanted: plan.initial, tries_left: plan.tries }
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Adds a reservation for which a host was just asked.
-    pub fn push(&mut self, reservation: HeldPlace<P>) {
+    pub fn push(&mut self, reservation: HeldReservation<P>) {
         self.tries_left = self.tries_left.saturating_sub(1);
         self.held.push(reservation);
     }
@@ -99,7 +99,7 @@
     }
 
     /// Removes the reservation at one position from the set, after an offer or a refusal.
-    pub fn take(&mut self, index: usize) -> Option<HeldPlace<P>> {
+    pub fn take(&mut self, index: usize) -> Option<HeldReservation<P>> {
         let position = self.held.iter().position(|reservation| reservation.index == index)?;
         Some(self.held.swap_remove(position))
     }
@@ -108,8 +108,8 @@
     /// the set.
     pub async fn next<R>(
         &mut self,
-        mut poll: impl FnMut(&P, &mut Context<'_>) -> Poll<PlaceWord<R>>,
-    ) -> (HeldPlace<P>, PlaceWord<R>) {
+        mut poll: impl FnMut(&P, &mut Context<'_>) -> Poll<ReservationReply<R>>,
+    ) -> (HeldReservation<P>, ReservationReply<R>) {
         poll_fn(|context| {
             for position in 0..self.held.len() {
                 if let Poll::Ready(reply) = poll(&self.held[position].handle, context) {
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -98,7 +98,7 @@
     pub passable: bool,
     /// Whether the request is not repeatable and should, if possible, go to a server that completed
     /// one lately.
-    pub wants_proof: bool,
+    pub needs_recent_progress: bool,
 }
 
 impl SlotQueue {
@@ -138,7 +138,7 @@
             quiet: self.completed_at.get().map(|at| now.saturating_sub(at)),
             usual: request.work.usual,
         };
-        request.wants_proof && terms.is_unproven()
+        request.needs_recent_progress && terms.is_unproven()
     }
 
     /// Says whether a request may get a slot, or a reservation be offered one, now.
@@ -207,7 +207,7 @@
     }
 
     /// Holds a reservation until a slot is offered to it.
-    pub async fn wait_turn(
+    pub async fn await_offer(
         self: &Rc<Self>,
         request: SlotRequest,
     ) -> Result<OfferGuard, NotRunReason> {
@@ -345,13 +345,13 @@
 
     /// Refuses all waiting requests that can be served elsewhere, when the backend server is
     /// ejected.
-    pub fn refuse_waiting(&self) {
+    pub fn refuse_refusable(&self) {
         self.refuse_where(NotRunReason::Sick, |waiter| waiter.request.refusable);
     }
 
     /// Refuses all waiting requests that can try another upstream, when the backend server is
     /// doubted.
-    pub fn pass_waiting(&self) {
+    pub fn refuse_passable(&self) {
         let is_refused = |waiter: &QueueWaiter| match waiter.kind {
             WaitKind::Queued | WaitKind::Reservation => waiter.request.passable,
             WaitKind::Offered => true,
@@ -361,7 +361,7 @@
 
     /// Refuses all reservations, and all requests that came for an offer and have no slot yet: they
     /// lose nothing by it.
-    pub fn refuse_places(&self, reason: NotRunReason) {
+    pub fn refuse_reservations(&self, reason: NotRunReason) {
         self.refuse_where(reason, |waiter| waiter.kind != WaitKind::Queued);
     }
 
@@ -375,7 +375,7 @@
     }
 
     /// Refuses all waiting requests that can no longer complete by their deadline.
-    pub fn refuse_dead(&self) {
+    pub fn refuse_expired(&self) {
         let now = self.clock.now();
         let is_refused = |waiter: &QueueWaiter| !waiter.request.work.meets_deadline(now);
         self.refuse_where(NotRunReason::DeadlinePassed, is_refused);
--- a/crates/waiting/tests/places.rs
+++ b/crates/waiting/tests/reservations.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use basaltarch_waiting::places::{HeldPlace, PlaceBook, PlacePlan};
+use basaltarch_waiting::reservations::{HeldReservation, ReservationPlan, ReservationSet};
 
 const HOSTS: usize = 2;
 
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct ModelState {
     /// The reservations held; none once the request was sent or given up.
-    set: Option<PlaceBook<()>>,
+    set: Option<ReservationSet<()>>,
     hosts: [HostReservation; HOSTS],
     is_up: [bool; HOSTS],
     to_host: [VecDeque<HostMessage>; HOSTS],
@@ -52,9 +52,9 @@
 
 impl ModelState {
     fn new() -> Self {
-        let plan = PlacePlan { tries: HOSTS, ..PlacePlan::default() };
+        let plan = ReservationPlan { tries: HOSTS, ..ReservationPlan::default() };
         Self {
-            set: Some(PlaceBook::new(plan)),
+            set: Some(ReservationSet::new(plan)),
             hosts: [HostReservation::None; HOSTS],
             is_up: [true; HOSTS],
             to_host: Default::default(),
@@ -64,7 +64,7 @@
     }
 
     /// Cancels all reservations that are left in a set.
-    fn cancel_all(&mut self, set: &PlaceBook<()>) {
+    fn cancel_all(&mut self, set: &ReservationSet<()>) {
         for index in set.indexes() {
             self.to_host[index].push_back(HostMessage::Cancel);
         }
@@ -81,9 +81,9 @@
         if let Some(set) = &self.set {
             if set.missing() > 0 {
                 add(&|state| {
-                    let index = state.set.as_ref().map_or(0, PlaceBook::tries);
+                    let index = state.set.as_ref().map_or(0, ReservationSet::tries);
                     let set = state.set.as_mut().expect("a set");
-                    set.push(HeldPlace { index, handle: () });
+                    set.push(HeldReservation { index, handle: () });
                     state.to_host[index].push_back(HostMessage::Reserve);
                 });
             }
@@ -208,19 +208,19 @@
 
 #[test]
 fn verify_reservations_are_requested_as_planned() {
-    let plan = PlacePlan { initial: 2, max_held: 3, tries: 4, ..PlacePlan::default() };
-    let mut set = PlaceBook::new(plan);
+    let plan = ReservationPlan { initial: 2, max_held: 3, tries: 4, ..ReservationPlan::default() };
+    let mut set = ReservationSet::new(plan);
     assert_eq!(set.missing(), 2);
-    (0..2).for_each(|index| set.push(HeldPlace { index, handle: () }));
+    (0..2).for_each(|index| set.push(HeldReservation { index, handle: () }));
     assert_eq!(set.missing(), 0);
     set.widen();
     set.widen();
     assert_eq!(set.missing(), 1, "never more than the maximum");
-    set.push(HeldPlace { index: 2, handle: () });
+    set.push(HeldReservation { index: 2, handle: () });
     assert!(set.take(0).is_some());
     assert!(set.take(0).is_none(), "a reservation ends once");
     assert_eq!(set.missing(), 1);
-    set.push(HeldPlace { index: 3, handle: () });
+    set.push(HeldReservation { index: 3, handle: () });
     assert!(set.take(1).is_some());
     assert_eq!(set.missing(), 0, "no host is left to ask");
 }
--- a/crates/waiting/tests/slots.rs
+++ b/crates/waiting/tests/slots.rs
@@ -67,7 +67,7 @@
             usual: Some(USUAL),
             most: Some(USUAL),
         };
-        SlotRequest { work, refusable: false, passable: false, wants_proof: false }
+        SlotRequest { work, refusable: false, passable: false, needs_recent_progress: false }
     }
 
     fn outcome_of(&self, name: &str) -> Option<Result<(), NotRunReason>> {
@@ -199,12 +199,13 @@
     run(async {
         let queue = TestQueue::new();
         queue.acquire_as("first", queue.request(WorkClass::Normal, 60_000)).await;
-        let once = SlotRequest { wants_proof: true, ..queue.request(WorkClass::Normal, 60_000) };
+        let once =
+            SlotRequest { needs_recent_progress: true, ..queue.request(WorkClass::Normal, 60_000) };
         queue.acquire_as("declined", SlotRequest { passable: true, ..once }).await;
         assert_eq!(queue.outcome_of("declined"), Some(Err(NotRunReason::Unproven)));
         let (waiting, outcomes) = (queue.queue.clone(), queue.outcomes.clone());
         let offer = monoio::spawn(async move {
-            let offer = waiting.wait_turn(once).await;
+            let offer = waiting.await_offer(once).await;
             outcomes.borrow_mut().push(SlotOutcome {
                 name: "offered",
                 end: offer.as_ref().map(drop).map_err(|e| *e),
@@ -235,7 +236,7 @@
             queue.acquire_as(name, queue.request(WorkClass::Normal, 60_000)).await;
         }
         let request = queue.request(WorkClass::Normal, 60_000);
-        let offer = queue.queue.wait_turn(request).await.expect("an offer ahead");
+        let offer = queue.queue.await_offer(request).await.expect("an offer ahead");
         queue.acquire_as("waits", request).await;
         let outcomes = queue.outcomes.clone();
         let held = queue.held.clone();
