--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Passes an answer on to the caller, piece by piece as the caller takes it.
+//! Relays an answer to the caller, piece by piece as the caller reads it.
 
 use basaltarch_base::metrics;
 use basaltarch_core::units;
@@ -18,17 +18,17 @@
 use monoio::io::OwnedWriteHalf;
 use monoio::net::TcpStream;
 
-use crate::ingress::caller::{AfterRequest, WRITE_STALL};
+use crate::ingress::caller::{AfterRequest, WRITE_TIMEOUT};
 use crate::ingress::dispatch::LiveExchange;
 use crate::ingress::request::CallerRequest;
 use crate::ingress::trail;
 use crate::state::DaemonState;
 
-/// Most bytes of an answer of unknown length that are gathered for a caller of HTTP/1.0, who could
-/// not tell a cut answer from a whole one.
-const GATHERED_BYTES_MAX: usize = 1024 * units::KIB;
+/// Most bytes of an answer of unknown length that are buffered for an HTTP/1.0 caller, which could
+/// not tell a truncated answer from a complete one.
+const BUFFERED_BYTES_MAX: usize = 1024 * units::KIB;
 
-/// Passes an answer on; what is left of the request's body is sent meanwhile.
+/// Relays an answer, and meanwhile sends the rest of the request's body.
 pub async fn relay(
     state: &DaemonState,
     stream: &mut HttpStream,
@@ -69,16 +69,16 @@
         Ok(close) => {
             live.exchange.finish();
             metrics::COMPLETE.add_one();
-            trail::tell_answered(state, request, status);
+            trail::log_answered(state, request, status);
             if close {
                 AfterRequest::Close
             } else {
                 AfterRequest::Keep
             }
         }
-        // The caller sees the connection end before the answer does.
+        // The caller sees the connection close before the end of the answer.
         Err(error) => {
-            trail::tell_cut(state, request, &error);
+            trail::log_cut(state, request, &error);
             AfterRequest::Abort
         }
     }
@@ -92,15 +92,15 @@
     mut head: AnswerHead,
 ) -> Result<bool, HttpError> {
     if request.version == Version::HTTP_10 && head.content_length < 0 && !head.last {
-        gather(answer, &mut head).await?;
+        buffer_answer(answer, &mut head).await?;
     }
     let status = StatusCode::from_u16(head.status as u16).unwrap_or(StatusCode::BAD_GATEWAY);
-    let bare = framing::never_has_body(status) || request.method == Method::HEAD;
-    let framing = answer_framing(&head, bare);
+    let bodiless = framing::never_has_body(status) || request.method == Method::HEAD;
+    let framing = answer_framing(&head, bodiless);
     let mut buffer = BytesMut::with_capacity(512 + head.body.len());
     put_head(&mut buffer, status, &head, framing, request.close);
     if head.last {
-        let piece = if bare { Bytes::new() } else { Bytes::from(head.body) };
+        let piece = if bodiless { Bytes::new() } else { Bytes::from(head.body) };
         send(writer, &mut buffer, framing, piece, true).await?;
         return Ok(request.close);
     }
@@ -113,16 +113,16 @@
                     return Ok(request.close);
                 }
             }
-            // The head is with the caller already; all that is left is to cut the answer short.
+            // The head is already sent; the failure can only be shown by truncating the answer.
             _ => return Err(HttpError::Truncated),
         }
     }
 }
 
-fn answer_framing(head: &AnswerHead, bare: bool) -> BodyFraming {
+fn answer_framing(head: &AnswerHead, bodiless: bool) -> BodyFraming {
     match head.content_length {
         length if length >= 0 => BodyFraming::Length(length as u64),
-        _ if bare => BodyFraming::Empty,
+        _ if bodiless => BodyFraming::Empty,
         _ if head.last => BodyFraming::Length(head.body.len() as u64),
         _ => BodyFraming::Chunked,
     }
@@ -154,14 +154,14 @@
     last: bool,
 ) -> Result<(), HttpError> {
     let sending = writer::send_piece(writer, buffer, framing, piece, last);
-    match monoio::time::timeout(WRITE_STALL, sending).await {
+    match monoio::time::timeout(WRITE_TIMEOUT, sending).await {
         Ok(result) => result,
         Err(_) => Err(HttpError::TimedOut { what: "a slow caller" }),
     }
 }
 
-/// Gathers the whole answer into its head.
-async fn gather(answer: &EventPipe, head: &mut AnswerHead) -> Result<(), HttpError> {
+/// Buffers the complete answer in its head.
+async fn buffer_answer(answer: &EventPipe, head: &mut AnswerHead) -> Result<(), HttpError> {
     loop {
         match answer.next().await {
             StreamEvent::Data(data, last) => {
@@ -171,8 +171,8 @@
                     head.content_length = head.body.len() as i64;
                     return Ok(());
                 }
-                if head.body.len() > GATHERED_BYTES_MAX {
-                    return Err(HttpError::BodyTooLarge { allowed: GATHERED_BYTES_MAX as u64 });
+                if head.body.len() > BUFFERED_BYTES_MAX {
+                    return Err(HttpError::BodyTooLarge { allowed: BUFFERED_BYTES_MAX as u64 });
                 }
             }
             _ => return Err(HttpError::Truncated),
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -1,11 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The attempts at one request: choosing, dispatching, and what may be tried again.
+//! The attempts at one request: choosing an upstream, dispatching, and deciding what may be tried
+//! again.
 //!
-//! What certainly did not run may go elsewhere without harm, at most twice, the last time not
-//! refusable. What may have run is repeated only if its route allows that, out of the service's
-//! budget. Once the answer's head went to the caller, nothing is repeated.
+//! A request that certainly did not run may be sent to another upstream without harm, at most
+//! twice; the last dispatch is not refusable. A request that may have run is retried only if its
+//! route allows that, out of the retry budget of its service. Nothing is retried once the head of
+//! an answer went to the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,32 +24,32 @@
 
 use crate::ingress::dispatch::{DispatchEnd, LiveExchange, DISPATCHES_MAX};
 use crate::ingress::failure::CallerFailure;
-use crate::ingress::late::{LateAttempt, LateAttempts};
-use crate::ingress::look::{self as ingress_look, LookedUpstream};
+use crate::ingress::late::{SlowAttempt, SlowAttempts};
+use crate::ingress::look::{self as ingress_look, ProbedUpstream};
 use crate::ingress::places::SlotEnd;
 use crate::ingress::request::CallerRequest;
-use crate::ingress::trail::{self, NextStep, StepEnd, StepLoad, TrailStep};
+use crate::ingress::trail::{self, NextStep, StepEnd, StepLoad, TraceStep};
 use crate::ingress::waiting::{self, FirstEvent};
 use crate::state::DaemonState;
 use crate::stop;
 use crate::suspects;
 use crate::wire;
 
-/// Upstreams that may pass work on as they are doubted: with a third of them doubted, the fifth is
-/// reached once in 80 times.
-const PASSES_MAX: usize = 4;
+/// Upstreams that may decline one request because they are doubted: with a third of the upstreams
+/// doubted, the fifth is reached once in 80 times.
+const DECLINES_MAX: usize = 4;
 
 /// `AttemptEnd` is how the attempts at a request ended.
 pub enum AttemptEnd {
     /// The head of an answer came, and the exchange it came from.
     Answer(LiveExchange, AnswerHead),
-    /// There is no answer.
+    /// No attempt brought an answer.
     Failed(CallerFailure),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// `RequestAttempts` is the state over the attempts at one request.
+/// `RequestAttempts` is the state of the attempts at one request.
 pub struct RequestAttempts<'a> {
     /// The daemon.
     pub state: &'a Rc<DaemonState>,
@@ -55,28 +57,28 @@
     pub request: &'a CallerRequest,
     /// Upstreams that it must not go to.
     pub excluded: Vec<usize>,
-    /// Upstreams that passed it on as they were full.
+    /// Upstreams that declined it because they were full.
     pub full: Vec<usize>,
     /// Dispatches so far.
     pub dispatches: usize,
-    /// Backend servers that the request reached, or may have.
-    pub arrivals: usize,
-    passes: usize,
-    /// Whether the request is refused everywhere and this copy tries it out.
-    is_tried: bool,
-    /// Whether no upstream that is trusted has a place for it.
-    pub has_waited: bool,
-    /// Until when it may wait for a slot, once it has begun to.
+    /// Attempts that reached a backend server, or may have.
+    pub server_attempts: usize,
+    decline_count: usize,
+    /// Whether the request is refused fleet-wide for crashing servers, and this one is its trial.
+    is_crash_trial: bool,
+    /// Whether no trusted upstream accepts a reservation for it.
+    pub is_unreservable: bool,
+    /// Time until which it may wait for a slot, set when that wait begins.
     pub wait_until: Option<Duration>,
     /// How the last attempt ended.
-    pub last: FailureOutcome,
+    pub last_outcome: FailureOutcome,
     /// Why it is not known whether an earlier attempt ran, if one may have.
     may_have_run: Option<UnknownReason>,
     /// Upstream at which an earlier attempt failed.
     pub failed_at: Option<usize>,
 }
 
-/// Runs the attempts at a request until one brings an answer or none may follow.
+/// Runs the attempts at a request until one brings an answer or no further attempt is allowed.
 pub async fn run(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
@@ -89,77 +91,82 @@
         excluded: Vec::new(),
         full: Vec::new(),
         dispatches: 0,
-        arrivals: 0,
-        passes: 0,
-        is_tried: false,
-        has_waited: false,
+        server_attempts: 0,
+        decline_count: 0,
+        is_crash_trial: false,
+        is_unreservable: false,
         wait_until: None,
-        last: FailureOutcome::NotRun(NotRunReason::NoUpstream),
+        last_outcome: FailureOutcome::NotRun(NotRunReason::NoUpstream),
         may_have_run: None,
         failed_at: None,
     };
     let mut fallback: Option<(LiveExchange, AnswerHead)> = None;
-    let mut earlier = LateAttempts::default();
+    let mut slow = SlowAttempts::default();
     loop {
         let choice = match attempts.choose() {
             Ok(choice) => choice,
             Err(failure) => {
-                return attempts.end_with(stream, &mut earlier, fallback, failure).await;
+                return attempts.end_with(stream, &mut slow, fallback, failure).await;
             }
         };
-        let choice = match waiting::unless_gone(stream, attempts.look(choice)).await {
+        let choice = match waiting::unless_gone(stream, attempts.probe(choice)).await {
             Some(Some(choice)) => choice,
-            // None of those that were looked at would take it.
+            // None of the probed upstreams would accept the request.
             Some(None) => continue,
             None => return AttemptEnd::CallerGone,
         };
-        let (choice, asked, dispatched) = if attempts.waits(&choice) {
+        let (choice, start, dispatched) = if attempts.needs_reservation(&choice) {
             match attempts.wait_for_slot(stream, body.is_done()).await {
-                SlotEnd::CalledIn(choice, live) => {
-                    (choice, attempts.ask(&choice), DispatchEnd::Sent(live))
+                SlotEnd::Sent(choice, live) => {
+                    (choice, attempts.log_start(&choice), DispatchEnd::Sent(live))
                 }
-                SlotEnd::NoPlace => continue,
+                SlotEnd::NoReservation => continue,
                 SlotEnd::Failed(failure) => {
-                    return attempts.end_with(stream, &mut earlier, fallback, failure).await;
+                    return attempts.end_with(stream, &mut slow, fallback, failure).await;
                 }
                 SlotEnd::CallerGone => return AttemptEnd::CallerGone,
             }
         } else {
-            let asked = attempts.ask(&choice);
+            let start = attempts.log_start(&choice);
             let dispatched = attempts.dispatch(stream, choice, body.is_done()).await;
-            (choice, asked, dispatched)
+            (choice, start, dispatched)
         };
         let mut live = match dispatched {
             DispatchEnd::Sent(live) => live,
             DispatchEnd::Unreachable => {
-                attempts.tell(&asked, StepEnd::Failed(attempts.last), None, NextStep::Elsewhere);
+                attempts.log_end(
+                    &start,
+                    StepEnd::Failed(attempts.last_outcome),
+                    None,
+                    NextStep::Elsewhere,
+                );
                 continue;
             }
             DispatchEnd::CallerGone => {
-                attempts.tell(&asked, StepEnd::CallerGone, None, NextStep::End);
+                attempts.log_end(&start, StepEnd::CallerGone, None, NextStep::End);
                 return AttemptEnd::CallerGone;
             }
         };
         let left = attempts.left();
         let first =
-            waiting::first_event(state, request, left, stream, body, &live, &mut earlier).await;
+            waiting::first_event(state, request, left, stream, body, &live, &mut slow).await;
         match first {
             FirstEvent::CallerGone => {
-                attempts.tell(&asked, StepEnd::CallerGone, None, NextStep::End);
+                attempts.log_end(&start, StepEnd::CallerGone, None, NextStep::End);
                 return AttemptEnd::CallerGone;
             }
-            FirstEvent::Overtaken(late, head) => return attempts.end_late(late, head),
+            FirstEvent::SlowAnswer(attempt, head) => return attempts.end_slow(attempt, head),
             FirstEvent::Stopping => {
                 let outcome = FailureOutcome::Unknown(UnknownReason::DaemonStopped);
-                attempts.tell(&asked, StepEnd::Failed(outcome), None, NextStep::End);
+                attempts.log_end(&start, StepEnd::Failed(outcome), None, NextStep::End);
                 if let Some((live, head)) = fallback {
                     return AttemptEnd::Answer(live, head);
                 }
-                trail::tell_given_up(state, request);
+                trail::log_given_up(state, request);
                 return AttemptEnd::Failed(CallerFailure::new(outcome));
             }
             FirstEvent::Head(head) => {
-                attempts.arrivals += 1;
+                attempts.server_attempts += 1;
                 let end = StepEnd::Answered(head.status as u16);
                 let load = Some(StepLoad::of(&head.report));
                 let failed = wire::is_server_error(head.status as u16);
@@ -172,31 +179,31 @@
                 }
                 attempts.note_end(choice.index, &live, failed);
                 let is_final = !failed || !head.last;
-                let again = !is_final && fallback.is_none() && attempts.may_repeat(body);
-                if is_final || !again && earlier.is_empty() {
-                    attempts.tell(&asked, end, load, NextStep::Answer);
+                let again = !is_final && fallback.is_none() && attempts.may_retry(body);
+                if is_final || !again && slow.is_empty() {
+                    attempts.log_end(&start, end, load, NextStep::Answer);
                     return AttemptEnd::Answer(live, head);
                 }
                 live.exchange.finish();
                 if !again {
-                    attempts.tell(&asked, end, load, NextStep::End);
-                    let failure = CallerFailure::new(attempts.last);
+                    attempts.log_end(&start, end, load, NextStep::End);
+                    let failure = CallerFailure::new(attempts.last_outcome);
                     let fallback = Some((live, head));
-                    return attempts.end_with(stream, &mut earlier, fallback, failure).await;
+                    return attempts.end_with(stream, &mut slow, fallback, failure).await;
                 }
-                attempts.tell(&asked, end, load, NextStep::Repeat);
+                attempts.log_end(&start, end, load, NextStep::Retry);
                 attempts.failed_at = Some(choice.index);
                 attempts.excluded.push(choice.index);
                 fallback = Some((live, head));
             }
-            FirstEvent::Late => {
-                // The attempt that follows is already paid for.
-                attempts.tell(&asked, StepEnd::Late, None, NextStep::Repeat);
-                attempts.arrivals += 1;
+            FirstEvent::HedgeDue => {
+                // The retry budget is already charged for the hedge that follows.
+                attempts.log_end(&start, StepEnd::Hedged, None, NextStep::Retry);
+                attempts.server_attempts += 1;
                 attempts.request.service.note_late(choice.index, state.now());
                 attempts.excluded.push(choice.index);
                 attempts.note_outcome(FailureOutcome::Unknown(UnknownReason::TimedOut));
-                earlier.push(LateAttempt { asked, live });
+                slow.push(SlowAttempt { start, live });
             }
             FirstEvent::Failed(outcome, report) => {
                 live.exchange.finish();
@@ -209,21 +216,21 @@
                 }
                 let end = StepEnd::Failed(outcome);
                 let load = report.as_ref().map(StepLoad::of);
-                if attempts.has_passed(choice.index, outcome) {
-                    attempts.tell(&asked, end, load, NextStep::Elsewhere);
+                if attempts.has_declined(choice.index, outcome) {
+                    attempts.log_end(&start, end, load, NextStep::Elsewhere);
                     continue;
                 }
                 attempts.excluded.push(choice.index);
                 attempts.note_outcome(outcome);
-                attempts.arrivals += usize::from(has_arrived(outcome));
+                attempts.server_attempts += usize::from(may_have_reached_server(outcome));
                 let again = match outcome {
                     FailureOutcome::NotRun(reason) => attempts.may_go_elsewhere(reason),
-                    FailureOutcome::Unknown(_) => attempts.may_repeat(body),
+                    FailureOutcome::Unknown(_) => attempts.may_retry(body),
                 };
-                attempts.tell(&asked, end, load, next_of(outcome, again));
+                attempts.log_end(&start, end, load, next_step(outcome, again));
                 if !again {
                     let failure = CallerFailure::new(outcome);
-                    return attempts.end_with(stream, &mut earlier, fallback, failure).await;
+                    return attempts.end_with(stream, &mut slow, fallback, failure).await;
                 }
             }
         }
@@ -231,63 +238,63 @@
 }
 
 /// Returns what follows a failed attempt.
-fn next_of(outcome: FailureOutcome, again: bool) -> NextStep {
+fn next_step(outcome: FailureOutcome, again: bool) -> NextStep {
     match outcome {
         _ if !again => NextStep::End,
         FailureOutcome::NotRun(reason) if reason != NotRunReason::Shed => NextStep::Elsewhere,
-        _ => NextStep::Repeat,
+        _ => NextStep::Retry,
     }
 }
 
-/// `AskedUpstream` is an upstream that was asked, for the log.
-pub struct AskedUpstream {
+/// `AttemptStart` is the number, the upstream and the start of an attempt, for its log lines.
+pub struct AttemptStart {
     attempt: usize,
     index: usize,
     began: Duration,
 }
 
 impl RequestAttempts<'_> {
-    /// Logs the choice of an upstream.
-    fn ask(&mut self, choice: &UpstreamChoice) -> AskedUpstream {
+    /// Counts an attempt and logs the choice of its upstream.
+    fn log_start(&mut self, choice: &UpstreamChoice) -> AttemptStart {
         let attempts = &self.request.trail.attempts;
         attempts.set(attempts.get() + 1);
         let attempt = attempts.get() as usize;
         let passable = self.is_passable();
-        let step = TrailStep::Chosen { attempt, choice: *choice, passable };
+        let step = TraceStep::Chosen { attempt, choice: *choice, passable };
         trail::note(self.state, self.request, step);
-        AskedUpstream { attempt, index: choice.index, began: self.state.now() }
+        AttemptStart { attempt, index: choice.index, began: self.state.now() }
     }
 
     /// Logs the end of an attempt.
-    fn tell(&self, asked: &AskedUpstream, end: StepEnd, load: Option<StepLoad>, next: NextStep) {
-        let AskedUpstream { attempt, index, began } = *asked;
-        let step = TrailStep::Ended { attempt, index, end, began, load, next };
+    fn log_end(&self, start: &AttemptStart, end: StepEnd, load: Option<StepLoad>, next: NextStep) {
+        let AttemptStart { attempt, index, began } = *start;
+        let step = TraceStep::Ended { attempt, index, end, began, load, next };
         trail::note(self.state, self.request, step);
     }
 
-    /// Ends with the good answer of an attempt that was late.
-    fn end_late(&self, late: LateAttempt, head: AnswerHead) -> AttemptEnd {
-        let LateAttempt { asked, live } = late;
-        self.note_report(asked.index, &head.report, Some(false));
-        self.note_end(asked.index, &live, false);
+    /// Ends with the successful answer of a slow attempt.
+    fn end_slow(&self, attempt: SlowAttempt, head: AnswerHead) -> AttemptEnd {
+        let SlowAttempt { start, live } = attempt;
+        self.note_report(start.index, &head.report, Some(false));
+        self.note_end(start.index, &live, false);
         let end = StepEnd::Answered(head.status as u16);
-        self.tell(&asked, end, Some(StepLoad::of(&head.report)), NextStep::Answer);
+        self.log_end(&start, end, Some(StepLoad::of(&head.report)), NextStep::Answer);
         AttemptEnd::Answer(live, head)
     }
 
-    /// Ends without another attempt: with the good answer of one that is late, else with the complete
-    /// answer of an earlier attempt if there is one, though it was an error.
+    /// Ends without another attempt: with the successful answer of a slow attempt, else with the
+    /// complete answer of an earlier attempt if there is one, though it was a server error.
     async fn end_with(
         &self,
         stream: &mut HttpStream,
-        earlier: &mut LateAttempts,
+        slow: &mut SlowAttempts,
         fallback: Option<(LiveExchange, AnswerHead)>,
         failure: CallerFailure,
     ) -> AttemptEnd {
-        if !earlier.is_empty() {
+        if !slow.is_empty() {
             let (left, outcome) = (self.left(), failure.outcome);
-            match waiting::last_event(self.state, left, stream, earlier, outcome).await {
-                FirstEvent::Overtaken(late, head) => return self.end_late(late, head),
+            match waiting::last_event(self.state, left, stream, slow, outcome).await {
+                FirstEvent::SlowAnswer(attempt, head) => return self.end_slow(attempt, head),
                 FirstEvent::CallerGone => return AttemptEnd::CallerGone,
                 _ => {}
             }
@@ -298,8 +305,8 @@
         self.failed(failure)
     }
 
-    /// Builds the end of a request without an answer: what may have run at any attempt is not called
-    /// "not run".
+    /// Builds the end of a request without an answer. If any attempt may have run, the request is
+    /// not reported as not run.
     fn failed(&self, failure: CallerFailure) -> AttemptEnd {
         match (self.may_have_run, failure.outcome) {
             (Some(reason), FailureOutcome::NotRun(_)) => {
@@ -310,7 +317,7 @@
     }
 
     fn note_outcome(&mut self, outcome: FailureOutcome) {
-        self.last = outcome;
+        self.last_outcome = outcome;
         if let FailureOutcome::Unknown(reason) = outcome {
             self.may_have_run = Some(reason);
         }
@@ -321,30 +328,32 @@
         self.request.route.rule.mode == WorkMode::Repeatable
     }
 
-    /// Returns the time left until the request must be answered.
+    /// Returns the time left until the deadline of the request.
     pub fn left(&self) -> Duration {
         self.request.deadline.saturating_sub(self.state.now())
     }
 
-    /// Returns the time left in which an answer is worth most; zero if none was declared.
+    /// Returns the time left of the route's objective, in which an answer is worth most; zero if
+    /// none was declared.
     pub fn objective_left(&self) -> Duration {
         self.request.objective.map_or(Duration::ZERO, |at| at.saturating_sub(self.state.now()))
     }
 
-    /// Returns the rounds of work for which the request waits in this failure domain rather than go far.
+    /// Returns the service rounds that the request may wait in the local failure domain before a
+    /// remote one is preferred.
     pub fn near_rounds(&self) -> f64 {
         let worth = self.state.live().far_megabyte;
         self.request.service.near_rounds(&self.request.route.name, worth)
     }
 
     fn choose(&mut self) -> Result<UpstreamChoice, CallerFailure> {
-        if !self.is_taken() {
+        if !self.may_dispatch() {
             return Err(CallerFailure::not_run(NotRunReason::Draining));
         }
         if self.left().is_zero() && self.dispatches == 0 {
             return Err(CallerFailure::not_run(NotRunReason::DeadlinePassed));
         }
-        self.refuse_taken_away()?;
+        self.refuse_revoked_key()?;
         self.refuse_suspect()?;
         let must_take = self.dispatches + 1 >= DISPATCHES_MAX;
         let now = self.state.now();
@@ -352,89 +361,91 @@
         let request = ChoiceRequest {
             excluded: &self.excluded,
             full: &self.full,
-            repeatable: self.finds_out(),
+            repeatable: self.may_be_trial(),
             must_take,
-            is_last: self.passes >= PASSES_MAX,
+            is_last: self.decline_count >= DECLINES_MAX,
             near_rounds: self.near_rounds(),
         };
         service.refresh_own(self.state, &self.request.route.name);
         service
             .choose(now, &request)
             .filter(|_| self.dispatches < DISPATCHES_MAX)
-            .ok_or_else(|| CallerFailure::new(self.last))
+            .ok_or_else(|| CallerFailure::new(self.last_outcome))
     }
 
-    /// Looks at the chosen upstream and its rival, and returns the choice of the better one; nothing if both would
-    /// pass the work on, or are silent, and others can be asked.
-    async fn look(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
-        if !self.is_look_worth(&choice) {
+    /// Probes the load of the chosen upstream and its rival, and returns the choice of the better
+    /// one; `None` if both would decline the request, or don't answer, and others can be tried.
+    async fn probe(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
+        if !self.is_probe_useful(&choice) {
             return Some(choice);
         }
         let rival = choice.rival.map(|rival| rival.index);
         let indexes: Vec<usize> = std::iter::once(choice.index).chain(rival).collect();
-        let looked = ingress_look::look_at(self.state, self.request, &indexes).await;
-        if looked.is_empty() {
+        let probed = ingress_look::probe_all(self.state, self.request, &indexes).await;
+        if probed.is_empty() {
             return Some(choice);
         }
-        for each in &looked {
+        for each in &probed {
             if let Some(report) = &each.report {
                 self.note_report(each.index, report, None);
             }
         }
-        let best = ingress_look::best_of(&looked);
-        let takes = best.is_some_and(|best| !best.passes_on());
-        self.request.service.note_look(takes);
-        if !takes && self.is_passable() {
-            self.pass_by(&looked);
+        let best = ingress_look::best_of(&probed);
+        let accepts = best.is_some_and(|best| !best.passes_on());
+        self.request.service.note_look(accepts);
+        if !accepts && self.is_passable() {
+            self.skip_probed(&probed);
             return None;
         }
         Some(UpstreamChoice { index: best.map_or(choice.index, |best| best.index), ..choice })
     }
 
-    /// Says whether a look may change where the request goes: elsewhere than at sound upstreams it waits, finds
-    /// out, or takes what is left.
-    fn is_look_worth(&self, choice: &UpstreamChoice) -> bool {
-        let is_choosy = matches!(choice.ground, ChoiceGround::Near | ChoiceGround::Sound);
+    /// Says whether a load probe may change where the request goes. On grounds other than `Near`
+    /// and `Sound` it waits, is a trial, or takes an upstream that is left.
+    fn is_probe_useful(&self, choice: &UpstreamChoice) -> bool {
+        let is_open_choice = matches!(choice.ground, ChoiceGround::Near | ChoiceGround::Sound);
         let path = self.request.service.path(choice.index);
         let left = Some(self.objective_left()).filter(|left| !left.is_zero());
         let left = left.unwrap_or_else(|| self.left());
         let is_worth = look::is_worth(choice.report_age, path.round_trip(), left);
-        is_choosy && !path.is_self && is_worth && self.request.service.looks()
+        is_open_choice && !path.is_self && is_worth && self.request.service.looks()
     }
 
-    /// Leaves out upstreams that were looked at and would pass the work on, or did not answer.
-    fn pass_by(&mut self, looked: &[LookedUpstream]) {
-        self.passes += 1;
-        for each in looked {
-            let is_full = each.look().is_some_and(|look| look.is_full() && !look.doubtful);
+    /// Leaves out upstreams that would decline the request by their load probe, or did not answer
+    /// it.
+    fn skip_probed(&mut self, probed: &[ProbedUpstream]) {
+        self.decline_count += 1;
+        for each in probed {
+            let is_full = each.load().is_some_and(|load| load.is_full() && !load.doubtful);
             let list = if is_full { &mut self.full } else { &mut self.excluded };
             list.push(each.index);
         }
     }
 
-    /// Refuses a request whose caller's key went away after it was let in. It is asked before each dispatch,
-    /// so that what waited for a repeat doesn't begin with a key that is gone.
-    pub fn refuse_taken_away(&self) -> Result<(), CallerFailure> {
+    /// Refuses a request whose caller's key was revoked after the request was admitted. This is
+    /// checked before each dispatch, so that a request that waited for a retry doesn't start under
+    /// a revoked key.
+    pub fn refuse_revoked_key(&self) -> Result<(), CallerFailure> {
         let caller = &self.request.caller;
         let is_same = self.state.config.revision() == self.request.revision;
-        if is_same || caller.still_holds(&self.state.config.active()) {
+        if is_same || caller.is_key_valid(&self.state.config.active()) {
             return Ok(());
         }
-        Err(caller.taken_away())
+        Err(caller.revoked())
     }
 
-    /// Refuses a request that crashes the servers that run it, unless this copy tries it out. It is asked
-    /// before each dispatch: another daemon's word may have come since the last.
+    /// Refuses a request that crashes the servers that run it, unless this one is its trial. This
+    /// is checked before each dispatch: another daemon may have reported a crash since the last.
     pub fn refuse_suspect(&mut self) -> Result<(), CallerFailure> {
-        if self.is_tried || self.state.suspects.is_empty() {
+        if self.is_crash_trial || self.state.suspects.is_empty() {
             return Ok(());
         }
         let fingerprint = self.request.fingerprint(self.state);
         match suspects::judge(self.state, &fingerprint) {
             CopyVerdict::Serve => Ok(()),
             CopyVerdict::Trial => {
-                self.is_tried = true;
-                trail::tell_tried(self.state, self.request);
+                self.is_crash_trial = true;
+                trail::log_trial(self.state, self.request);
                 Ok(())
             }
             CopyVerdict::Refuse { retry_after } => Err(CallerFailure {
@@ -444,18 +455,18 @@
         }
     }
 
-    /// Says whether the request may be passed on although the daemon stops. The first time that is asked
-    /// anew: reading its body took time.
-    pub fn is_taken(&self) -> bool {
-        if self.dispatches + self.passes == 0 {
+    /// Says whether the request may still be dispatched while the daemon stops. Before the first
+    /// dispatch the admission is checked again, because reading the body took time.
+    pub fn may_dispatch(&self) -> bool {
+        if self.dispatches + self.decline_count == 0 {
             return stop::takes(self.state, &self.request.trail.id);
         }
         !self.state.stop.giving_up.is_raised()
     }
 
-    /// Says whether what did not run may be sent to another upstream.
+    /// Says whether a request that did not run may be sent to another upstream.
     fn may_go_elsewhere(&self, reason: NotRunReason) -> bool {
-        let would_repeat = matches!(
+        let would_recur = matches!(
             reason,
             NotRunReason::DeadlinePassed
                 | NotRunReason::CallerGone
@@ -463,22 +474,23 @@
                 | NotRunReason::LedgerUnavailable
                 | NotRunReason::CrashesServers
         );
-        let may = !would_repeat && self.dispatches < DISPATCHES_MAX && !self.left().is_zero();
-        // What a backend server turned away costs it work, so that sending it on counts as a repeat.
+        let may = !would_recur && self.dispatches < DISPATCHES_MAX && !self.left().is_zero();
+        // A request that a backend server shed has cost it work, so sending it elsewhere counts as
+        // a retry.
         let is_free = reason != NotRunReason::Shed;
-        may && (is_free || self.has_arrivals_left() && self.take_repeat())
+        may && (is_free || self.has_server_attempts_left() && self.take_repeat())
     }
 
-    /// Says whether another upstream can be asked if this one is doubted.
+    /// Says whether another upstream can be tried if this one declines the request.
     pub fn is_passable(&self) -> bool {
-        let asked = [&self.excluded[..], &self.full].concat();
-        let others = self.request.service.with_view(|view| view.count_others(&asked));
-        self.passes < PASSES_MAX && others > 1
+        let tried = [&self.excluded[..], &self.full].concat();
+        let others = self.request.service.with_view(|view| view.count_others(&tried));
+        self.decline_count < DECLINES_MAX && others > 1
     }
 
-    /// Takes in that an upstream passed the work on, as it is doubted, full or leaving; that costs a
-    /// way there and back.
-    fn has_passed(&mut self, index: usize, outcome: FailureOutcome) -> bool {
+    /// Records that an upstream declined the request because it is doubted, full or draining, and
+    /// says whether it did and another may be tried; a decline costs a round trip.
+    fn has_declined(&mut self, index: usize, outcome: FailureOutcome) -> bool {
         let reasons = [
             NotRunReason::Sick,
             NotRunReason::Unproven,
@@ -486,17 +498,17 @@
             NotRunReason::Draining,
         ];
         let is_down = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
-        // A host calls work in before it knows whether its backend server takes a connection.
-        let came_for_nothing = is_down && self.state.live().waiting == WaitingMode::Places;
-        let passed = reasons.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason));
-        let passed = passed || came_for_nothing;
-        if !passed || !self.is_passable() || self.left().is_zero() {
+        // A host offers a slot before it knows whether its backend server accepts a connection.
+        let offer_was_void = is_down && self.state.live().waiting == WaitingMode::Places;
+        let declined = reasons.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason));
+        let declined = declined || offer_was_void;
+        if !declined || !self.is_passable() || self.left().is_zero() {
             return false;
         }
         self.dispatches -= 1;
-        self.passes += 1;
-        let waits = [NotRunReason::QueueFull, NotRunReason::Unproven];
-        if waits.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason)) {
+        self.decline_count += 1;
+        let full_reasons = [NotRunReason::QueueFull, NotRunReason::Unproven];
+        if full_reasons.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason)) {
             self.full.push(index);
         } else {
             self.excluded.push(index);
@@ -504,25 +516,29 @@
         true
     }
 
-    /// Says whether the request may find out which upstreams work: its failure would be repeated. A
-    /// second try should succeed, and so should one that the budget would not let be repeated.
-    fn finds_out(&self) -> bool {
-        self.is_repeatable() && self.arrivals == 0 && self.request.service.has_repeat(self.state)
+    /// Says whether the request may be a trial of an upstream that may not work: its failure would
+    /// be retried. A retry itself should succeed, and so should a request that the budget would not
+    /// let be retried.
+    fn may_be_trial(&self) -> bool {
+        self.is_repeatable()
+            && self.server_attempts == 0
+            && self.request.service.has_repeat(self.state)
     }
 
-    /// Returns the mode that the host's daemon is told.
+    /// Returns the mode that is sent to the host's daemon: a repeatable request that may not be a
+    /// trial is sent as `Plain`.
     pub fn dispatch_mode(&self) -> WorkMode {
         match self.request.route.rule.mode {
-            WorkMode::Repeatable if !self.finds_out() => WorkMode::Plain,
+            WorkMode::Repeatable if !self.may_be_trial() => WorkMode::Plain,
             mode => mode,
         }
     }
 
     /// Says whether the route lets the request reach one more backend server.
-    fn has_arrivals_left(&self) -> bool {
+    fn has_server_attempts_left(&self) -> bool {
         match self.request.route.rule.attempts {
             0 => true,
-            most => self.arrivals < most as usize,
+            most => self.server_attempts < most as usize,
         }
     }
 
@@ -530,25 +546,26 @@
         self.request.service.take_repeat(self.state)
     }
 
-    /// Says whether what may have run may be sent again, and takes that from the budget.
-    fn may_repeat(&self, body: &BodyReader) -> bool {
+    /// Says whether a request that may have run may be sent again, and charges the retry budget for
+    /// it.
+    fn may_retry(&self, body: &BodyReader) -> bool {
         self.is_repeatable()
             && body.is_done()
             && self.dispatches < DISPATCHES_MAX
             && !self.left().is_zero()
-            && self.has_arrivals_left()
-            && !self.is_hopeless()
+            && self.has_server_attempts_left()
+            && !self.fails_everywhere()
             && self.request.tally(self.state).is_none_or(CrashTally::allows_repeat)
             && self.take_repeat()
     }
 }
 
 /// Says whether the request reached a backend server, or may have.
-fn has_arrived(outcome: FailureOutcome) -> bool {
+fn may_have_reached_server(outcome: FailureOutcome) -> bool {
     matches!(outcome, FailureOutcome::Unknown(_) | FailureOutcome::NotRun(NotRunReason::Shed))
 }
 
-/// Says whether the backend server broke over the request, rather than the way to it.
+/// Says whether the failure is the backend server's, rather than that of the path to it.
 fn failed_at_server(outcome: FailureOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one caller's connection: its requests one after another, answers in the same order.
+//! Serves one caller's connection: its requests one after another, with the answers in the same
+//! order.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
@@ -29,20 +30,20 @@
 use crate::stop;
 
 /// Longest time that a caller may take to accept what is written to it before its connection is
-/// given up.
-pub const WRITE_STALL: Duration = Duration::from_secs(30);
-/// `AfterRequest` says what becomes of the connection.
+/// closed.
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// `AfterRequest` says what happens to the connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterRequest {
-    /// The next request may come.
+    /// It stays open for the next request.
     Keep,
-    /// The connection ends once the caller has read the answer.
+    /// It is closed once the caller has read the answer.
     Close,
-    /// The connection ends at once, so that the caller sees that the answer was cut short.
+    /// It is closed at once, so that the caller sees that the answer was cut short.
     Abort,
 }
 
-/// Takes callers' connections for ever.
+/// Accepts callers' connections for ever.
 pub async fn accept(state: Rc<DaemonState>, listener: TcpListener) {
     let most = state.options.connections;
     let count = ConnectionCount::default();
@@ -56,7 +57,7 @@
         async move {
             match callers.enter(from.ip(), state.options.connections_each) {
                 Some(_entered) => serve(&state, stream, from).await,
-                None => refuse_connection(from.ip(), state.options.connections_each),
+                None => log_refused_connection(from.ip(), state.options.connections_each),
             }
             metrics::CALLER_CONNECTIONS.set(open.get() as i64 - 1);
         }
@@ -64,8 +65,8 @@
     connection::accept_all(listener, most, count, serve).await;
 }
 
-/// Logs that a connection was refused, as its address has too many.
-fn refuse_connection(caller: IpAddr, allowed: usize) {
+/// Logs that a connection was refused, because its address has too many open.
+fn log_refused_connection(caller: IpAddr, allowed: usize) {
     process::CallerRefused { caller: &caller.to_string(), allowed: allowed as u64 }.log();
 }
 
@@ -114,24 +115,26 @@
             Err(error) => {
                 if let Some(failure) = CallerFailure::unreadable(&error) {
                     metrics::count_failure(failure.outcome);
-                    trail::tell_rejected(state, "", &failure);
+                    trail::log_rejected(state, "", &failure);
                     refuse(&mut stream, &failure).await;
                 }
                 return;
             }
         };
         let id = request::id_of(state, &head);
-        // Refused requests aren't counted: callers that come again and again would keep the stop busy.
+        // Refused requests aren't counted: callers that keep retrying would delay the end of a
+        // stop.
         let counted = stop::takes(state, &id).then(|| state.stop.count_in_flight());
         metrics::REQUESTS.add_one();
         metrics::IN_FLIGHT.add(1);
-        // Boxed, so that an idle connection does not hold room for a request's whole state.
+        // Boxed, so that an idle connection does not hold memory for a request's whole state.
         let after = Box::pin(request::serve(state, &mut stream, head, &id, from)).await;
         metrics::IN_FLIGHT.add(-1);
         match after {
             AfterRequest::Keep => {}
             AfterRequest::Close => {
-                // The request is over: a caller that keeps its connection must not hold a stop.
+                // The request is complete: a caller that keeps its connection open must not delay a
+                // stop.
                 drop(counted);
                 let _lingering = state.stop.count_lingering();
                 return stream.linger().await;
@@ -144,9 +147,9 @@
     }
 }
 
-/// Reads the next head; gives nothing when the connection ends, or is idle as the daemon ends. A
-/// daemon that stops reads on until then: its callers hear of it late, and a refusal says that the
-/// request did not run.
+/// Reads the next head; returns `None` when the connection ends, or is idle as the daemon ends. A
+/// daemon that stops keeps reading until then: callers learn of the stop late, and a refusal tells
+/// them that the request did not run.
 async fn next_head(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
@@ -156,7 +159,8 @@
         let filling = stream.reader.fill_within(HEAD_READ_BYTES, limits.idle, "a request");
         let mut filling = std::pin::pin!(filling.fuse());
         let mut ending = std::pin::pin!(state.stop.ending.raised().fuse());
-        // What was already sent is read first, so that a stop cuts no request that arrived.
+        // Data that has arrived is read first, so that a stop drops no request that was already
+        // sent.
         let filled = select_biased! {
             filled = filling => filled,
             () = ending => return Ok(None),
@@ -178,7 +182,7 @@
     let mut buffer = BytesMut::new();
     failure.put(&mut buffer, &Method::GET, true);
     let writing = writer::flush(&mut stream.writer, &mut buffer);
-    if let Ok(Ok(())) = monoio::time::timeout(WRITE_STALL, writing).await {
+    if let Ok(Ok(())) = monoio::time::timeout(WRITE_TIMEOUT, writing).await {
         stream.linger().await;
     }
 }
--- a/crates/daemon/src/ingress/caller_key.rs
+++ b/crates/daemon/src/ingress/caller_key.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Finds out who asks: the organisation that holds the caller's API key.
+//! Identifies callers: finds the organisation that holds the API key of a request.
 //!
-//! The key ends here. What goes on to hosts, backend servers and logs is the organisation's name and the public
-//! part of the key's digest.
+//! The key itself is not passed on. Hosts, backend servers and logs get the organisation's name and
+//! the public part of the key's digest.
 
 use std::rc::Rc;
 
@@ -16,21 +16,21 @@
 
 use crate::ingress::failure::CallerFailure;
 
-/// `CallerIdentity` is who asks.
+/// `CallerIdentity` is the identity of a request's caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallerIdentity {
     /// Name of the organisation, if it is known.
     pub organisation: Option<Rc<str>>,
-    /// Class of its work, if it goes before that of the route.
+    /// Class of its requests, if it overrides that of the route.
     pub class: Option<WorkClass>,
-    /// The key by which it is known; none for calls of work that runs here.
+    /// The key that identified it; none for nested calls made by requests that run on this host.
     key: Option<KeyDigest>,
 }
 
-/// `GivenKey` is what a request holds in the place of its key.
+/// `GivenKey` is the API key that a request carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GivenKey {
-    /// Nothing.
+    /// No key.
     Missing,
     /// More than one key, so that none of them counts.
     Several,
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Returns what a refusal tells of it.
-    fn told(&self) -> String {
+    /// Returns the message of a refusal.
+    fn refusal_message(&self) -> String {
         match self {
             Self::Missing => "the route asks for an API key".to_owned(),
             Self::Several => "more than one API key".to_owned(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Finds the owner of a key. A route that asks for none is served whatever key is given.
+/// Finds the owner of a key. A route that needs no key is served whatever key is given.
 pub fn identify(
     active: &ActiveConfig,
     given: &GivenKey,
@@ -75,38 +75,38 @@
             class: owner.class,
             key: Some(digest),
         }),
-        None if needs_key => Err(unknown(given.told())),
+        None if needs_key => Err(unknown_key(given.refusal_message())),
         None => Ok(CallerIdentity::default()),
     }
 }
 
 impl CallerIdentity {
-    /// Builds the identity of a call that work of an organisation makes.
+    /// Builds the identity of a nested call made by a request of an organisation.
     pub fn of_call(organisation: Option<Rc<str>>) -> Self {
         Self { organisation, ..Self::default() }
     }
 
-    /// Returns the organisation towards whose limit the request counts. Calls count towards none: the work that
-    /// makes them was counted.
-    pub fn counted(&self) -> Option<&str> {
+    /// Returns the organisation against whose limit the request counts. Nested calls count against
+    /// none: the request that makes them was counted.
+    pub fn limited_organisation(&self) -> Option<&str> {
         self.organisation.as_deref().filter(|_| self.key.is_some())
     }
 
-    /// Says whether the caller's key still belongs to the same organisation: one that was taken away while the
-    /// request waited lets nothing begin any more.
-    pub fn still_holds(&self, active: &ActiveConfig) -> bool {
+    /// Says whether the caller's key still belongs to the same organisation: a request whose key
+    /// was revoked while it waited is not started any more.
+    pub fn is_key_valid(&self, active: &ActiveConfig) -> bool {
         let Some(digest) = &self.key else { return true };
         let owner = active.keys.find(digest);
         owner.is_some_and(|owner| Some(owner.name) == self.organisation)
     }
 
-    /// Builds the refusal of a request whose key was taken away.
-    pub fn taken_away(&self) -> CallerFailure {
+    /// Builds the refusal of a request whose key was revoked.
+    pub fn revoked(&self) -> CallerFailure {
         let key = self.key.as_ref().map(KeyDigest::public_part).unwrap_or_default();
-        unknown(format!("the API key {key} was taken away"))
+        unknown_key(format!("the API key {key} was taken away"))
     }
 }
 
-fn unknown(message: String) -> CallerFailure {
+fn unknown_key(message: String) -> CallerFailure {
     CallerFailure { message, ..CallerFailure::not_run(NotRunReason::KeyUnknown) }
 }
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Sends one attempt at a request to the daemon beside the chosen upstream.
+//! Dispatches one attempt at a request to the daemon of the chosen upstream.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,32 +29,32 @@
 
 /// Dispatches of one request at the most: the first and two more.
 pub const DISPATCHES_MAX: usize = 3;
-/// Bytes of a body from which it is worth a way there and back to send it only when it is wanted.
+/// Size above which withholding a body until it is asked for is worth a round trip.
 const WITHHELD_BYTES_MIN: usize = 256;
 
-/// `LiveExchange` is an exchange whose answer is being passed on.
+/// `LiveExchange` is the exchange of an attempt that was dispatched.
 pub struct LiveExchange {
     /// The exchange.
     pub exchange: OutboundExchange,
-    /// Start of the body, if it goes out only once the host's daemon has started the work.
+    /// Start of the body, if it is sent only once the host's daemon has started the request.
     pub withheld: Option<Bytes>,
-    /// Path to another daemon that it runs over, if it may be given up when that is cut.
+    /// Path to the other daemon, if the attempt may be hedged when that path is cut.
     pub path: Option<Rc<PeerPath>>,
-    /// How long it is waited for before another attempt is made.
-    pub patience: Option<Duration>,
+    /// Time after which the attempt is hedged, if it may be.
+    pub hedging_delay: Option<Duration>,
     /// Whether a failure counts as evidence against the upstream.
-    pub counts: bool,
-    /// Counts the request at the upstream.
+    pub is_evidence: bool,
+    /// Counts the request as in flight at the upstream.
     pub sent: SentGuard,
 }
 
-/// `DispatchEnd` is what became of a dispatch.
+/// `DispatchEnd` is the result of a dispatch.
 pub enum DispatchEnd {
     /// It was sent.
     Sent(LiveExchange),
     /// The upstream's daemon can't be reached; nothing was sent.
     Unreachable,
-    /// The caller went away before it was sent.
+    /// The caller disconnected before it was sent.
     CallerGone,
 }
 
@@ -79,9 +79,9 @@
         let service = &self.request.service;
         let path = service.path(choice.index).clone();
         let sent = service.count_sent(choice.index);
-        // Making a link takes time off the deadline, so the head is written after it.
+        // Establishing a link uses up part of the deadline, so the head is built after it.
         let link = match waiting::unless_gone(stream, self.link(&path)).await {
-            // While it was made the daemon may have given up: nothing is begun any more then.
+            // The daemon may have begun to give up requests meanwhile; it starts none then.
             Some(Ok(Some(_))) if self.state.stop.giving_up.is_raised() => {
                 return DispatchEnd::Unreachable;
             }
@@ -100,7 +100,7 @@
             head.body = Vec::new();
             head.last = false;
         }
-        let counts = !head.after_failure;
+        let is_evidence = !head.after_failure;
         let exchange = match link {
             None => host::dispatch_local(self.state, head),
             Some(link) => match link.dispatch(head) {
@@ -109,13 +109,21 @@
             },
         };
         let queued = service.queued_rounds(choice.index, self.state.now());
-        let patience = self.patience(&baseline, queued);
+        let hedging_delay = self.hedging_delay(&baseline, queued);
         let withheld = withheld.then(|| self.request.prefix.clone());
-        let path = self.path_to_leave(path, body_is_done);
-        DispatchEnd::Sent(LiveExchange { exchange, withheld, path, patience, counts, sent })
+        let path = self.path_to_watch(path, body_is_done);
+        DispatchEnd::Sent(LiveExchange {
+            exchange,
+            withheld,
+            path,
+            hedging_delay,
+            is_evidence,
+            sent,
+        })
     }
 
-    /// Returns the link to an upstream's daemon, making it if need be; none is needed to this one.
+    /// Returns the link to an upstream's daemon, establishing it if needed; `None` if that is this
+    /// daemon.
     pub async fn link(&self, path: &Rc<PeerPath>) -> Result<Option<Rc<DialledLink>>, LinkError> {
         if path.is_self {
             return Ok(None);
@@ -124,22 +132,22 @@
         links::link_to(self.state, path).await.map(Some)
     }
 
-    /// Says whether the body waits until the work has started: bytes between failure domains are dear,
-    /// and a dispatch that may be refused would carry them for nothing.
+    /// Says whether the body is withheld until the request has started: traffic between failure
+    /// domains is expensive, and a dispatch that may be refused would carry the body for nothing.
     pub fn withholds_body(&self, index: usize, head: &DispatchHead) -> bool {
         let is_local = self.request.service.with_view(|view| view.is_local(index));
         let may_be_refused = head.passable || head.refusable;
         !is_local && may_be_refused && head.body.len() > WITHHELD_BYTES_MIN
     }
 
-    /// Takes in that the daemon beside an upstream can't be reached.
+    /// Records that the daemon of an upstream can't be reached.
     pub fn note_unreachable(&mut self, index: usize) -> DispatchEnd {
         self.excluded.push(index);
-        self.last = FailureOutcome::NotRun(NotRunReason::PeerUnreachable);
+        self.last_outcome = FailureOutcome::NotRun(NotRunReason::PeerUnreachable);
         DispatchEnd::Unreachable
     }
 
-    /// Builds the head by which the request goes to an upstream.
+    /// Builds the head that dispatches the request to an upstream.
     pub fn head(
         &self,
         choice: UpstreamChoice,
@@ -171,7 +179,7 @@
             passable: choice.ground != ChoiceGround::Waiting && self.is_passable(),
             objective_ms: self.objective_left().as_millis().min(i32::MAX as u128) as i32,
             logged: Some(self.request.trail.is_logged),
-            repeated: self.arrivals > 0,
+            repeated: self.server_attempts > 0,
             fingerprint: None,
             tally: self.request.tally(self.state).map(wire::tally_note),
             reserved: None,
@@ -179,14 +187,16 @@
         }
     }
 
-    /// Says whether the request is a call of work that runs here, for hosts that let such calls go first.
+    /// Says whether the request is a nested call made by a request that runs on this host, for
+    /// hosts that let such calls go first.
     fn is_call(&self) -> Option<bool> {
-        let is_told = self.state.live().waiting == WaitingMode::Places;
-        is_told.then(|| self.state.host.calls.caller_of(&self.request.trail.id).is_some())
+        let is_sent = self.state.live().waiting == WaitingMode::Places;
+        is_sent.then(|| self.state.host.calls.caller_of(&self.request.trail.id).is_some())
     }
 
-    /// Writes what is known of the service for the host's daemon. What its upstreams saw of long work bounds the time
-    /// of work there, so that it is told only where work waits for the slots that get free.
+    /// Builds the baseline of the service for the host's daemon. What the other upstreams saw of
+    /// slow requests bounds the service time there, so it is sent only where requests wait for
+    /// slots with reservations.
     fn baseline_note(&self, index: usize, baseline: &ServiceBaseline) -> Option<BaselineNote> {
         if self.state.live().waiting == WaitingMode::Places {
             let long_work = self.request.service.siblings_work(index, self.state.now());
@@ -196,24 +206,24 @@
     }
 
     /// Says whether another attempt may follow the one that was just dispatched.
-    pub fn may_follow(&self) -> bool {
-        // That attempt will be an arrival itself.
+    pub fn may_hedge(&self) -> bool {
+        // The attempt that was just dispatched may reach a server too.
         let most = self.request.route.rule.attempts as usize;
-        let arrivals_left = most == 0 || self.arrivals + 1 < most;
-        let may = self.is_repeatable() && self.dispatches < DISPATCHES_MAX && arrivals_left;
+        let has_attempts_left = most == 0 || self.server_attempts + 1 < most;
+        let may = self.is_repeatable() && self.dispatches < DISPATCHES_MAX && has_attempts_left;
         may && !self.state.is_stopping()
     }
 
-    /// Returns the path of an attempt if it is given up when the path is cut.
-    pub fn path_to_leave(&self, path: Rc<PeerPath>, body_is_done: bool) -> Option<Rc<PeerPath>> {
-        let may_leave = self.may_follow() && body_is_done && !path.is_self;
-        may_leave.then_some(path)
+    /// Returns the path of an attempt if the attempt may be hedged when the path is cut.
+    pub fn path_to_watch(&self, path: Rc<PeerPath>, body_is_done: bool) -> Option<Rc<PeerPath>> {
+        let is_watched = self.may_hedge() && body_is_done && !path.is_self;
+        is_watched.then_some(path)
     }
 
-    /// Returns how long an attempt is waited for before another is made, if another may be.
-    /// Rounds of work that are `queued` before it are not the upstream's fault.
-    pub fn patience(&self, baseline: &ServiceBaseline, queued: f64) -> Option<Duration> {
-        if !self.may_follow() {
+    /// Returns the hedging delay of an attempt, if it may be hedged. Service rounds that are
+    /// `queued` before it are not the upstream's fault and extend the delay.
+    pub fn hedging_delay(&self, baseline: &ServiceBaseline, queued: f64) -> Option<Duration> {
+        if !self.may_hedge() {
             return None;
         }
         let left = Some(self.objective_left()).filter(|left| !left.is_zero());
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the ends of a request's attempts say about the request and about upstreams.
+//! Records the results of a request's attempts, as evidence about the request and about upstreams.
 
 use basaltarch_peer::link::NO_EXCHANGE;
 use basaltarch_peer::protocol::{AnswerHead, FrameBody, LoadReport, WithdrawNote};
@@ -10,13 +10,14 @@
 use crate::ingress::dispatch::LiveExchange;
 
 impl RequestAttempts<'_> {
-    /// Says whether the request lately failed wherever it went.
-    pub fn is_hopeless(&self) -> bool {
+    /// Says whether the request recently failed at every upstream it was sent to.
+    pub fn fails_everywhere(&self) -> bool {
         let request = self.request;
         request.service.forbids_repeat(request.method.as_str(), &request.target, self.state.now())
     }
 
-    /// Says whether a failure of the request is no evidence: it failed elsewhere, now or lately.
+    /// Says whether a failure of the request is no evidence against its upstream: the request
+    /// failed at another one, now or recently.
     pub fn spares_failure(&self) -> bool {
         let request = self.request;
         self.failed_at.is_some()
@@ -27,7 +28,7 @@
             )
     }
 
-    /// Takes in the size of the request and its answer.
+    /// Records the size of the request and its answer.
     pub fn note_bytes(&self, head: &AnswerHead) {
         let request = self.request;
         let answer = head.content_length.max(head.body.len() as i64) as u64;
@@ -35,14 +36,16 @@
         request.service.note_bytes(&request.route.name, bytes);
     }
 
-    /// Takes in what the daemon beside an upstream reports.
+    /// Records the report of an upstream's daemon; `failed` says whether the request failed there,
+    /// if it ran.
     pub fn note_report(&self, index: usize, report: &LoadReport, failed: Option<bool>) {
         let route = &self.request.route.name;
         let now = self.state.now();
         self.request.service.note_report(index, route, report, failed, now);
     }
 
-    /// Takes in how the request ended at an upstream, to find out whether it fails wherever it goes.
+    /// Records how the request ended at an upstream, to detect requests that fail at every
+    /// upstream.
     pub fn note_end(&self, index: usize, live: &LiveExchange, failed: bool) {
         let request = self.request;
         let method = request.method.as_str();
@@ -52,10 +55,10 @@
             return;
         }
         let target = &request.target;
-        let counted = request.service.note_failure(method, target, index, live.counts, now);
+        let counted = request.service.note_failure(method, target, index, live.is_evidence, now);
         let upstreams = &request.service.entry.upstreams;
         for failures in counted {
-            // One that has gone since has nothing to take back.
+            // An upstream that was removed meanwhile has no failure to withdraw.
             let index = upstreams.iter().position(|each| each.name == failures.upstream);
             for index in index.into_iter().cycle().take(failures.count as usize) {
                 self.withdraw_at(index);
@@ -63,8 +66,8 @@
         }
     }
 
-    /// Takes the first failure back: the same request failed on a second upstream, so the request
-    /// is at fault rather than the servers.
+    /// Withdraws the first failure: the same request failed on a second upstream, so the request is
+    /// at fault rather than the servers.
     pub fn withdraw(&self) {
         let index = match self.failed_at {
             Some(index) => index,
@@ -75,7 +78,7 @@
         request.service.note_withdrawn(request.method.as_str(), &request.target, index);
     }
 
-    /// Takes a failure at an upstream back.
+    /// Withdraws a failure at an upstream.
     pub fn withdraw_at(&self, index: usize) {
         let upstream = &self.request.service.entry.upstreams[index].name;
         let path = self.request.service.path(index);
--- a/crates/daemon/src/ingress/failure.rs
+++ b/crates/daemon/src/ingress/failure.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Tells callers of requests that got no complete answer.
+//! Replies to callers whose requests got no complete answer.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 use bytes::BytesMut;
 use http::{header, Method, StatusCode};
 
-/// Shortest time that a caller is told to wait: a `Retry-After` has whole seconds (RFC 9110).
+/// Shortest wait in a `Retry-After`, which has whole seconds (RFC 9110).
 const RETRY_AFTER_MIN: u64 = 1;
 
-/// What a caller without a known key is asked for; RFC 9110 wants a challenge with the status.
+/// Challenge sent to a caller without a known key; RFC 9110 requires one with this status.
 const CHALLENGE: &str = "ApiKey";
 
-/// `CallerFailure` is what a caller is told in place of an answer.
+/// `CallerFailure` is the reply that a caller gets in place of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerFailure {
     /// Status of the reply.
     pub status: StatusCode,
     /// Outcome of the exchange.
     pub outcome: FailureOutcome,
-    /// Time after which to come back, if that makes sense.
+    /// Time after which the caller may retry, if that makes sense.
     pub retry_after: Option<Duration>,
-    /// Text for people.
+    /// Human-readable message.
     pub message: String,
-    /// Methods that would be accepted, where that is what is wrong.
+    /// Methods that are accepted, if the request's is not one of them.
     pub allow: Option<String>,
 }
 
@@ -39,7 +39,7 @@
         Self {
             status: status_of(outcome),
             outcome,
-            retry_after: wait_of(outcome),
+            retry_after: retry_after_of(outcome),
             message: outcome.to_string(),
             allow: None,
         }
@@ -50,12 +50,13 @@
         Self::new(FailureOutcome::NotRun(reason))
     }
 
-    /// Builds the failure of a request that is itself at fault.
+    /// Builds the failure of an invalid request.
     pub fn bad_request(status: StatusCode, message: impl ToString) -> Self {
         Self { status, message: message.to_string(), ..Self::not_run(NotRunReason::BadRequest) }
     }
 
-    /// Builds the failure of a request that can't be read, if the caller can still be told.
+    /// Builds the failure of a request that can't be parsed, if the caller can still be sent a
+    /// reply.
     pub fn unreadable(error: &HttpError) -> Option<Self> {
         let status = error.status()?;
         Some(Self::bad_request(status, error))
@@ -141,7 +142,7 @@
     }
 }
 
-fn wait_of(outcome: FailureOutcome) -> Option<Duration> {
+fn retry_after_of(outcome: FailureOutcome) -> Option<Duration> {
     let later = status_of(outcome) == StatusCode::SERVICE_UNAVAILABLE;
     later.then(|| Duration::from_secs(RETRY_AFTER_MIN))
 }
--- a/crates/daemon/src/ingress/late.rs
+++ b/crates/daemon/src/ingress/late.rs
@@ -1,9 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Attempts that were late, so that another was made beside them: whichever answers well first wins.
+//! Slow attempts: those that outlasted their hedging delay or whose path was cut, and that run on
+//! beside their hedge. The first successful answer wins.
 //!
-//! Breaking a late attempt off would throw away work that may be about to end, and ask for it anew.
+//! Cancelling a slow attempt would discard a run that may be about to end, and start the request
+//! over.
 
 use std::future::poll_fn;
 use std::task::{Context, Poll};
@@ -11,27 +13,27 @@
 use basaltarch_peer::protocol::AnswerHead;
 use basaltarch_peer::stream::StreamEvent;
 
-use crate::ingress::attempt::AskedUpstream;
+use crate::ingress::attempt::AttemptStart;
 use crate::ingress::dispatch::LiveExchange;
 use crate::wire;
 
-/// `LateAttempt` is an attempt that still runs although another was made.
-pub struct LateAttempt {
-    /// Where and when it was made.
-    pub asked: AskedUpstream,
-    /// Its exchange; dropping it cancels the work.
+/// `SlowAttempt` is an attempt that still runs beside its hedge.
+pub struct SlowAttempt {
+    /// Its number, its upstream and its start.
+    pub start: AttemptStart,
+    /// Its exchange; dropping it cancels the request at the host.
     pub live: LiveExchange,
 }
 
-/// `LateAttempts` are the late attempts at one request.
+/// `SlowAttempts` are the slow attempts at one request.
 #[derive(Default)]
-pub struct LateAttempts {
-    attempts: Vec<LateAttempt>,
+pub struct SlowAttempts {
+    attempts: Vec<SlowAttempt>,
 }
 
-impl LateAttempts {
-    /// Takes in one more.
-    pub fn push(&mut self, attempt: LateAttempt) {
+impl SlowAttempts {
+    /// Adds an attempt.
+    pub fn push(&mut self, attempt: SlowAttempt) {
         self.attempts.push(attempt);
     }
 
@@ -40,13 +42,14 @@
         self.attempts.is_empty()
     }
 
-    /// Waits until one of them answers well, for ever if none does; those that end badly are dropped.
-    pub async fn answered(&mut self) -> (LateAttempt, AnswerHead) {
+    /// Waits until one of them answers successfully, for ever if none does; those that fail are
+    /// dropped.
+    pub async fn answered(&mut self) -> (SlowAttempt, AnswerHead) {
         poll_fn(|context| self.poll_answered(context)).await
     }
 
-    /// Waits until one answers well, or gives nothing once all ended badly.
-    pub async fn last_answered(&mut self) -> Option<(LateAttempt, AnswerHead)> {
+    /// Waits until one of them answers successfully; returns `None` once all have failed.
+    pub async fn answered_if_any(&mut self) -> Option<(SlowAttempt, AnswerHead)> {
         poll_fn(|context| match self.poll_answered(context) {
             Poll::Ready(answered) => Poll::Ready(Some(answered)),
             Poll::Pending if self.attempts.is_empty() => Poll::Ready(None),
@@ -55,12 +58,12 @@
         .await
     }
 
-    fn poll_answered(&mut self, context: &mut Context<'_>) -> Poll<(LateAttempt, AnswerHead)> {
+    fn poll_answered(&mut self, context: &mut Context<'_>) -> Poll<(SlowAttempt, AnswerHead)> {
         let mut index = 0;
         while let Some(attempt) = self.attempts.get(index) {
             match attempt.live.exchange.answer.poll_next(context) {
                 Poll::Pending => index += 1,
-                Poll::Ready(StreamEvent::Head(head)) if is_good(&head) => {
+                Poll::Ready(StreamEvent::Head(head)) if is_success(&head) => {
                     return Poll::Ready((self.attempts.swap_remove(index), head));
                 }
                 Poll::Ready(_) => drop(self.attempts.swap_remove(index)),
@@ -70,6 +73,6 @@
     }
 }
 
-fn is_good(head: &AnswerHead) -> bool {
+fn is_success(head: &AnswerHead) -> bool {
     !wire::is_server_error(head.status as u16)
 }
--- a/crates/daemon/src/ingress/look.rs
+++ b/crates/daemon/src/ingress/look.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Asks the daemons beside upstreams how these are, before work is sent to one of them.
+//! Probes the load of upstreams at their daemons, before a request is sent to one of them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use crate::ingress::request::CallerRequest;
 use crate::state::DaemonState;
 
-/// `LookBoard` holds the questions that have no answer yet.
+/// `LookBoard` holds the load probes that have no answer yet.
 #[derive(Default)]
 pub struct LookBoard {
     waiting: RefCell<FnvHashMap<i64, oneshot::Sender<Option<LoadReport>>>>,
@@ -28,7 +28,7 @@
 }
 
 impl LookBoard {
-    /// Takes an answer in.
+    /// Delivers an answer to the probe that waits for it.
     pub fn take(&self, answer: LoadAnswer) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&answer.sequence) {
             let _ = waiting.send(answer.report);
@@ -36,18 +36,18 @@
     }
 }
 
-/// `LookedUpstream` is an upstream that was looked at.
-pub struct LookedUpstream {
+/// `ProbedUpstream` is an upstream whose load was probed.
+pub struct ProbedUpstream {
     /// Its position.
     pub index: usize,
-    /// What its daemon said; nothing if it did not answer in time or knows no such upstream.
+    /// Report of its daemon; none if it did not answer in time or knows no such upstream.
     pub report: Option<LoadReport>,
     slots: u32,
 }
 
-impl LookedUpstream {
-    /// Returns how it is, if its daemon answered.
-    pub fn look(&self) -> Option<UpstreamLook> {
+impl ProbedUpstream {
+    /// Returns its load, if its daemon answered.
+    pub fn load(&self) -> Option<UpstreamLook> {
         let report = self.report.as_ref()?;
         Some(UpstreamLook {
             in_flight: report.in_flight.max(0) as u32,
@@ -59,35 +59,35 @@
         })
     }
 
-    /// Says whether its daemon would pass the work on.
+    /// Says whether its daemon would decline a request, or did not answer.
     pub fn passes_on(&self) -> bool {
-        self.look().is_none_or(|look| look.passes_on())
+        self.load().is_none_or(|load| load.passes_on())
     }
 }
 
 /// Returns the best of the upstreams whose daemons answered.
-pub fn best_of(looked: &[LookedUpstream]) -> Option<&LookedUpstream> {
-    let answered = || looked.iter().filter(|each| each.report.is_some());
-    let looks: Vec<UpstreamLook> = answered().filter_map(LookedUpstream::look).collect();
-    look::best(&looks).and_then(|position| answered().nth(position))
+pub fn best_of(probed: &[ProbedUpstream]) -> Option<&ProbedUpstream> {
+    let answered = || probed.iter().filter(|each| each.report.is_some());
+    let loads: Vec<UpstreamLook> = answered().filter_map(ProbedUpstream::load).collect();
+    look::best(&loads).and_then(|position| answered().nth(position))
 }
 
-/// Looks at some upstreams of a request's service together; those of this host and those without a link are left
-/// out.
-pub async fn look_at(
+/// Probes some upstreams of a request's service at once; those of this host and those without a
+/// link are left out.
+pub async fn probe_all(
     state: &Rc<DaemonState>,
     request: &CallerRequest,
     indexes: &[usize],
-) -> Vec<LookedUpstream> {
-    let asked = indexes.iter().map(|index| look_one(state, request, *index));
-    future::join_all(asked).await.into_iter().flatten().collect()
+) -> Vec<ProbedUpstream> {
+    let probes = indexes.iter().map(|index| probe_one(state, request, *index));
+    future::join_all(probes).await.into_iter().flatten().collect()
 }
 
-async fn look_one(
+async fn probe_one(
     state: &Rc<DaemonState>,
     request: &CallerRequest,
     index: usize,
-) -> Option<LookedUpstream> {
+) -> Option<ProbedUpstream> {
     let path = request.service.path(index).clone();
     let link = path.link().filter(|link| !path.is_self && link.peer.answers_looks)?;
     metrics::LOOKS.add_one();
@@ -97,7 +97,7 @@
     state.looks.sequence.set(sequence);
     let (sender, receiver) = oneshot::channel();
     state.looks.waiting.borrow_mut().insert(sequence, sender);
-    let _guard = LookGuard { state, sequence };
+    let _guard = ProbeGuard { state, sequence };
     let upstream = &request.service.entry.upstreams[index];
     let question = LoadQuestion {
         upstream: upstream.name.to_string(),
@@ -108,10 +108,10 @@
     let wait = look::wait_for(path.round_trip());
     let answer = monoio::time::timeout(wait, receiver).await;
     let report = note_answer(&path, answer.ok().map(Result::ok), state.now() - began);
-    Some(LookedUpstream { index, report, slots: upstream.server.slots })
+    Some(ProbedUpstream { index, report, slots: upstream.server.slots })
 }
 
-/// Takes in what a look says of the path.
+/// Records what the answer to a probe, or its absence, says about the path.
 fn note_answer(
     path: &PeerPath,
     answer: Option<Option<Option<LoadReport>>>,
@@ -130,19 +130,19 @@
     }
 }
 
-/// Forgets a question that is no longer waited for.
-struct LookGuard<'a> {
+/// Removes a probe whose answer is no longer awaited.
+struct ProbeGuard<'a> {
     state: &'a DaemonState,
     sequence: i64,
 }
 
-impl Drop for LookGuard<'_> {
+impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
         self.state.looks.waiting.borrow_mut().remove(&self.sequence);
     }
 }
 
-/// Answers an ingress that looks at an upstream of this host.
+/// Answers an ingress that probes the load of an upstream of this host.
 pub fn answer_question(state: &DaemonState, sender: &FrameSender, question: &LoadQuestion) {
     let upstream = state.host.get(&question.upstream);
     let report = upstream.map(|upstream| upstream.report(state, &question.route, None));
--- a/crates/daemon/src/ingress/mod.rs
+++ b/crates/daemon/src/ingress/mod.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The ingress role: takes callers' requests, chooses the upstream of each, and passes the answer
-//! back whole.
+//! The ingress role: accepts callers' requests, chooses the upstream of each, and relays its
+//! complete answer.
 
 pub mod answer;
 pub mod attempt;
--- a/crates/daemon/src/ingress/places.rs
+++ b/crates/daemon/src/ingress/places.rs
@@ -1,9 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Lets a request that finds no free slot wait here, with places before the slots of several hosts.
+//! Lets a request that finds no free slot wait here, with reservations for the slots of several
+//! hosts.
 //!
-//! The request is sent once a host calls it in; until then it has not run, whatever becomes of the hosts.
+//! The request is sent once a host offers it a slot; until then it has not run, whatever happens to
+//! the hosts.
 
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -26,64 +28,67 @@
 use crate::ingress::attempt::RequestAttempts;
 use crate::ingress::dispatch::LiveExchange;
 use crate::ingress::failure::CallerFailure;
-use crate::ingress::trail::{self, TrailStep};
+use crate::ingress::trail::{self, TraceStep};
 use crate::ingress::waiting;
 use crate::links;
 
-/// Share of the time left that a request may wait for a slot: a caller that is refused after it has time to turn
-/// elsewhere or to come back.
+/// Share of the time left that a request may wait for a slot: a caller that is refused after it
+/// still has time to go elsewhere or to retry.
 const WAIT_SHARE_MAX: f64 = 0.6;
-/// Links that are waited for before a request without a place goes out whole.
+/// Links that a request without a reservation waits for before it is dispatched without one.
 const LINKS_MAX: usize = 2;
-/// Hosts that say that the work can't be done in time there, after which no other is asked.
-const HOPELESS_MAX: usize = 2;
+/// Hosts that refuse because they can't run the request within its deadline, after which no other
+/// is asked.
+const DEADLINE_REFUSALS_MAX: usize = 2;
 
 /// `SlotEnd` is how the wait for a slot ended.
 pub enum SlotEnd {
-    /// A host called the request in, and it was sent there.
-    CalledIn(UpstreamChoice, LiveExchange),
-    /// No place can be held; the request may still go out whole.
-    NoPlace,
-    /// Nobody called it in.
+    /// A host offered a slot, and the request was sent there.
+    Sent(UpstreamChoice, LiveExchange),
+    /// No host accepts a reservation; the request may still be dispatched without one.
+    NoReservation,
+    /// No host offered a slot.
     Failed(CallerFailure),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// `WaitStep` is the next thing that happens while a request waits.
+/// `WaitStep` is the next event while a request waits.
 enum WaitStep {
-    Word(HeldPlace<OutboundExchange>, PlaceWord<ExchangeFailure>),
+    Reply(HeldPlace<OutboundExchange>, PlaceWord<ExchangeFailure>),
     Widen,
     GiveUp(NotRunReason),
     CallerGone,
 }
 
 impl RequestAttempts<'_> {
-    /// Says whether the request waits for a slot rather than go out whole: all trusted upstreams are full, or one
-    /// just said that it is. Once none has a place for it, it goes out whole to what is left. What keeps a row in
-    /// the ledger is sent whole, as its row comes before its slot.
-    pub fn waits(&self, choice: &UpstreamChoice) -> bool {
+    /// Says whether the request waits for a slot with reservations rather than be dispatched at
+    /// once: all trusted upstreams are full, or one has just reported that it is. Once no host
+    /// accepts a reservation, it is dispatched to one of the upstreams that are left. A request
+    /// that has a row in the ledger is dispatched at once, as its row is written before it takes a
+    /// slot.
+    pub fn needs_reservation(&self, choice: &UpstreamChoice) -> bool {
         let is_set = self.state.live().waiting == WaitingMode::Places;
         let is_full = matches!(choice.ground, ChoiceGround::Waiting | ChoiceGround::Any);
-        let may_wait = !self.has_waited && self.request.once_key.is_none();
+        let may_wait = !self.is_unreservable && self.request.once_key.is_none();
         is_set && may_wait && (is_full || !self.full.is_empty())
     }
 
-    /// Waits until a host calls the request in, and sends it there.
+    /// Waits until a host offers the request a slot, and sends it there.
     pub async fn wait_for_slot(&mut self, stream: &mut HttpStream, body_is_done: bool) -> SlotEnd {
         let began = self.state.now();
-        let mut book = PlaceBook::new(PlacePlan::default());
+        let mut set = PlaceBook::new(PlacePlan::default());
         metrics::WAITING.add(1);
-        let end = self.hold_places(&mut book, stream, body_is_done).await;
+        let end = self.hold_reservations(&mut set, stream, body_is_done).await;
         metrics::WAITING.add(-1);
         let failure = match &end {
-            SlotEnd::CalledIn(..) => {
+            SlotEnd::Sent(..) => {
                 metrics::CALLED_IN.add_one();
                 None
             }
-            SlotEnd::NoPlace => {
-                self.has_waited = true;
-                Some(self.last)
+            SlotEnd::NoReservation => {
+                self.is_unreservable = true;
+                Some(self.last_outcome)
             }
             SlotEnd::Failed(failure) => Some(failure.outcome),
             SlotEnd::CallerGone => Some(FailureOutcome::NotRun(NotRunReason::CallerGone)),
@@ -95,63 +100,66 @@
         let waited = self.state.now().saturating_sub(began);
         metrics::PLACE_WAIT_SECONDS.record_as(waited, [("result", result)]);
         let attempt = self.request.trail.attempts.get() as usize + 1;
-        let places = book.tries();
+        let hosts_asked = set.tries();
         trail::note(
             self.state,
             self.request,
-            TrailStep::Awaited { attempt, began, places, failure },
+            TraceStep::Awaited { attempt, began, hosts_asked, failure },
         );
         end
     }
 
-    async fn hold_places(
+    async fn hold_reservations(
         &mut self,
-        book: &mut PlaceBook<OutboundExchange>,
+        set: &mut PlaceBook<OutboundExchange>,
         stream: &mut HttpStream,
         body_is_done: bool,
     ) -> SlotEnd {
         let now = self.state.now();
         let until = *self.wait_until.get_or_insert(now + self.left().mul_f64(WAIT_SHARE_MAX));
-        let mut hopeless = 0;
+        let mut deadline_refusals = 0;
         let mut links = 0;
         let mut full = Vec::new();
         let mut doubted = Vec::new();
         loop {
-            let unlinked = self.ask_for_places(book, &[&full[..], &doubted].concat());
-            if book.is_empty() {
-                // Right after a start nobody is linked yet.
+            let unlinked = self.request_reservations(set, &[&full[..], &doubted].concat());
+            if set.is_empty() {
+                // Right after the daemon's start no host is linked yet.
                 let Some(index) = unlinked.filter(|_| links < LINKS_MAX) else {
-                    // Nor would they take it whole.
+                    // The hosts that are full would not queue the request itself either.
                     self.excluded.append(&mut full);
-                    return SlotEnd::NoPlace;
+                    return SlotEnd::NoReservation;
                 };
                 links += 1;
-                if !self.make_link(stream, index).await {
+                if !self.establish_link(stream, index).await {
                     return SlotEnd::CallerGone;
                 }
                 continue;
             }
-            match self.next_step(book, stream, until).await {
-                WaitStep::Widen => book.widen(),
+            match self.next_step(set, stream, until).await {
+                WaitStep::Widen => set.widen(),
                 WaitStep::CallerGone => return SlotEnd::CallerGone,
                 WaitStep::GiveUp(reason) => {
                     return SlotEnd::Failed(CallerFailure::not_run(reason));
                 }
-                WaitStep::Word(place, PlaceWord::CalledIn) => {
-                    return self.send_called_in(place, body_is_done);
+                WaitStep::Reply(place, PlaceWord::CalledIn) => {
+                    return self.send_offered(place, body_is_done);
                 }
-                WaitStep::Word(place, PlaceWord::Refused(failure)) => {
+                WaitStep::Reply(place, PlaceWord::Refused(failure)) => {
                     let index = place.index;
                     let reason = self.note_refused(place, &failure);
                     match reason {
-                        // Should it be called in and come for nothing, there may be room by then.
+                        // They are not excluded: if a slot is offered elsewhere and the request
+                        // fails there, these may have room by then.
                         NotRunReason::QueueFull | NotRunReason::Unproven => full.push(index),
-                        // Whole work still goes there when nothing else is left.
+                        // The request itself is still sent there when no other upstream is left.
                         NotRunReason::Sick => doubted.push(index),
                         _ => self.excluded.push(index),
                     }
-                    hopeless += usize::from(reason == NotRunReason::DeadlinePassed);
-                    if hopeless >= HOPELESS_MAX || reason == NotRunReason::CrashesServers {
+                    deadline_refusals += usize::from(reason == NotRunReason::DeadlinePassed);
+                    if deadline_refusals >= DEADLINE_REFUSALS_MAX
+                        || reason == NotRunReason::CrashesServers
+                    {
                         return SlotEnd::Failed(CallerFailure::not_run(reason));
                     }
                 }
@@ -159,8 +167,9 @@
         }
     }
 
-    /// Makes the link to the daemon beside an upstream; says whether the caller is still there.
-    async fn make_link(&mut self, stream: &mut HttpStream, index: usize) -> bool {
+    /// Establishes the link to the daemon of an upstream; says whether the caller is still
+    /// connected.
+    async fn establish_link(&mut self, stream: &mut HttpStream, index: usize) -> bool {
         let path = self.request.service.path(index).clone();
         let linked = waiting::unless_gone(stream, self.link(&path)).await;
         if matches!(linked, Some(Err(_))) {
@@ -169,15 +178,16 @@
         linked.is_some()
     }
 
-    /// Asks for as many places as are missing, at hosts that are linked and not `full`: the others are linked meanwhile.
-    /// Returns an upstream that was drawn and is not linked, if there is one.
-    fn ask_for_places(
+    /// Requests as many reservations as are missing, at hosts that are linked and not `full`; links
+    /// to the others are established meanwhile. Returns an upstream that was drawn and is not
+    /// linked, if there is one.
+    fn request_reservations(
         &mut self,
-        book: &mut PlaceBook<OutboundExchange>,
+        set: &mut PlaceBook<OutboundExchange>,
         full: &[usize],
     ) -> Option<usize> {
-        let held: Vec<usize> = book.indexes().collect();
-        let missing = book.missing();
+        let held: Vec<usize> = set.indexes().collect();
+        let missing = set.missing();
         let mut unlinked = None;
         if missing == 0 {
             return None;
@@ -191,18 +201,18 @@
             near_rounds: self.near_rounds(),
         };
         for index in service.draw_places(self.state.now(), &request, fits) {
-            match self.place_link(index) {
-                PlaceLink::Own => {
-                    let head = self.place_head(index);
+            match self.reservation_link(index) {
+                ReservationLink::Own => {
+                    let head = self.reservation_head(index);
                     let handle = host::dispatch_local(self.state, head);
-                    book.push(HeldPlace { index, handle });
+                    set.push(HeldPlace { index, handle });
                 }
-                PlaceLink::Linked(link) => {
-                    let Ok(handle) = link.dispatch(self.place_head(index)) else { continue };
-                    book.push(HeldPlace { index, handle });
+                ReservationLink::Linked(link) => {
+                    let Ok(handle) = link.dispatch(self.reservation_head(index)) else { continue };
+                    set.push(HeldPlace { index, handle });
                 }
-                PlaceLink::Unable => continue,
-                PlaceLink::Missing => {
+                ReservationLink::Unsupported => continue,
+                ReservationLink::Missing => {
                     unlinked = Some(index);
                     continue;
                 }
@@ -212,30 +222,32 @@
         unlinked
     }
 
-    /// Returns the way by which a place is asked for; a link that is missing is made for the next who asks.
-    fn place_link(&self, index: usize) -> PlaceLink {
+    /// Returns how a reservation is requested at an upstream; a missing link is established for
+    /// later requests.
+    fn reservation_link(&self, index: usize) -> ReservationLink {
         let path = self.request.service.path(index).clone();
         if path.is_self {
-            return PlaceLink::Own;
+            return ReservationLink::Own;
         }
         path.note_used(self.state.now());
         match path.link() {
-            Some(link) if link.peer.takes_reservations => PlaceLink::Linked(link),
-            Some(_) => PlaceLink::Unable,
+            Some(link) if link.peer.takes_reservations => ReservationLink::Linked(link),
+            Some(_) => ReservationLink::Unsupported,
             None => {
                 let state = self.state.clone();
                 monoio::spawn(async move {
-                    // One that can't be made shows as such at the next choice.
+                    // The next choice sees that a link can't be established.
                     let _ = links::link_to(&state, &path).await;
                 });
-                PlaceLink::Missing
+                ReservationLink::Missing
             }
         }
     }
 
-    /// Builds the head by which a place is asked for. What only the work needs comes with it: most places are given
-    /// up, and bytes between failure domains are dear.
-    fn place_head(&self, index: usize) -> DispatchHead {
+    /// Builds the head that requests a reservation. What only the request itself needs is sent with
+    /// the request: most reservations are released unused, and traffic between failure domains is
+    /// expensive.
+    fn reservation_head(&self, index: usize) -> DispatchHead {
         let now = self.state.now();
         let choice = self.request.service.with_view(|view| view.called_in(index, now));
         let attempt = self.request.trail.attempts.get() as i8 + 1;
@@ -258,29 +270,30 @@
 
     async fn next_step(
         &self,
-        book: &mut PlaceBook<OutboundExchange>,
+        set: &mut PlaceBook<OutboundExchange>,
         stream: &mut HttpStream,
         until: Duration,
     ) -> WaitStep {
         let left = until.saturating_sub(self.state.now());
-        let mut word = std::pin::pin!(book.next(poll_place).fuse());
-        let mut over = std::pin::pin!(monoio::time::sleep(left).fuse());
-        let mut slept = std::pin::pin!(self.state.clock.passed(self.request.deadline).fuse());
+        let mut reply = std::pin::pin!(set.next(poll_reservation).fuse());
+        let mut wait_over = std::pin::pin!(monoio::time::sleep(left).fuse());
+        let mut deadline_passed =
+            std::pin::pin!(self.state.clock.passed(self.request.deadline).fuse());
         let widen_every = PlacePlan::default().widen_every;
         let mut widen = std::pin::pin!(monoio::time::sleep(widen_every).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
-        let mut watching = std::pin::pin!(waiting::caller_gone(stream).fuse());
+        let mut gone = std::pin::pin!(waiting::caller_gone(stream).fuse());
         select_biased! {
-            (place, word) = word => WaitStep::Word(place, word),
+            (place, reply) = reply => WaitStep::Reply(place, reply),
             () = stopping => WaitStep::GiveUp(NotRunReason::Draining),
-            () = over => WaitStep::GiveUp(NotRunReason::QueueFull),
-            () = slept => WaitStep::GiveUp(NotRunReason::DeadlinePassed),
+            () = wait_over => WaitStep::GiveUp(NotRunReason::QueueFull),
+            () = deadline_passed => WaitStep::GiveUp(NotRunReason::DeadlinePassed),
             () = widen => WaitStep::Widen,
-            () = watching => WaitStep::CallerGone,
+            () = gone => WaitStep::CallerGone,
         }
     }
 
-    /// Takes in that a host has no place for the request any more, and returns why.
+    /// Records that a host refused or ended a reservation, and returns why.
     fn note_refused(
         &mut self,
         mut place: HeldPlace<OutboundExchange>,
@@ -292,23 +305,19 @@
         }
         let reason = match FailureOutcome::from_wire(failure.outcome) {
             FailureOutcome::NotRun(reason) => reason,
-            // The work was never sent there, whatever became of the host.
+            // The request was never sent there, whatever happened to the host.
             FailureOutcome::Unknown(_) => NotRunReason::PeerUnreachable,
         };
-        self.last = FailureOutcome::NotRun(reason);
+        self.last_outcome = FailureOutcome::NotRun(reason);
         reason
     }
 
-    /// Sends the request to the host that called it in, unless it may not be sent any more.
-    fn send_called_in(
-        &mut self,
-        place: HeldPlace<OutboundExchange>,
-        body_is_done: bool,
-    ) -> SlotEnd {
-        if !self.is_taken() {
+    /// Sends the request to the host that offered it a slot, unless it may not be sent any more.
+    fn send_offered(&mut self, place: HeldPlace<OutboundExchange>, body_is_done: bool) -> SlotEnd {
+        if !self.may_dispatch() {
             return SlotEnd::Failed(CallerFailure::not_run(NotRunReason::Draining));
         }
-        if let Err(failure) = self.refuse_taken_away().and_then(|()| self.refuse_suspect()) {
+        if let Err(failure) = self.refuse_revoked_key().and_then(|()| self.refuse_suspect()) {
             return SlotEnd::Failed(failure);
         }
         let HeldPlace { index, handle: exchange } = place;
@@ -320,50 +329,50 @@
         let choice = service.with_view(|view| view.called_in(index, now));
         let head = self.head(choice, body_is_done, &baseline);
         if exchange.begin(head).is_err() {
-            // Its link ended in this moment, before anything was sent.
+            // Its link was lost just now, before anything was sent.
             self.excluded.push(index);
             return SlotEnd::Failed(CallerFailure::not_run(NotRunReason::PeerUnreachable));
         }
         let live = LiveExchange {
             exchange,
             withheld: None,
-            path: self.path_to_leave(path, body_is_done),
-            patience: self.patience(&baseline, 0.0),
-            counts: !self.spares_failure(),
+            path: self.path_to_watch(path, body_is_done),
+            hedging_delay: self.hedging_delay(&baseline, 0.0),
+            is_evidence: !self.spares_failure(),
             sent: service.count_sent(index),
         };
-        SlotEnd::CalledIn(choice, live)
+        SlotEnd::Sent(choice, live)
     }
 }
 
-/// `PlaceLink` is the way by which a place is asked for.
-enum PlaceLink {
+/// `ReservationLink` is how a reservation is requested at an upstream.
+enum ReservationLink {
     Own,
     Linked(Rc<DialledLink>),
     Missing,
-    /// The daemon there is of a version that takes no places.
-    Unable,
+    /// The daemon there is of a version without reservations.
+    Unsupported,
 }
 
-/// Polls for the word of the host of a place.
-fn poll_place(
+/// Polls a reservation for the reply of its host.
+fn poll_reservation(
     exchange: &OutboundExchange,
     context: &mut Context<'_>,
 ) -> Poll<PlaceWord<ExchangeFailure>> {
     if let Poll::Ready(event) = exchange.answer.poll_next(context) {
         return Poll::Ready(PlaceWord::Refused(match event {
             StreamEvent::Failed(failure) => failure,
-            _ => lost_place(),
+            _ => lost_reservation(),
         }));
     }
     exchange.body.poll_ready(context).map(|ready| match ready {
         Ok(()) => PlaceWord::CalledIn,
-        Err(_) => PlaceWord::Refused(lost_place()),
+        Err(_) => PlaceWord::Refused(lost_reservation()),
     })
 }
 
-/// Builds the refusal of a place whose host said nothing that can be understood.
-fn lost_place() -> ExchangeFailure {
+/// Builds the refusal of a reservation whose host sent no valid reply.
+fn lost_reservation() -> ExchangeFailure {
     let outcome = FailureOutcome::NotRun(NotRunReason::PeerUnreachable);
     ExchangeFailure { outcome: outcome.wire_number(), retry_after_ms: 0, report: None }
 }
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -28,19 +28,19 @@
 
 use crate::ingress::answer;
 use crate::ingress::attempt::{self, AttemptEnd};
-use crate::ingress::caller::{self, AfterRequest, WRITE_STALL};
+use crate::ingress::caller::{self, AfterRequest, WRITE_TIMEOUT};
 use crate::ingress::caller_key::CallerIdentity;
 use crate::ingress::failure::CallerFailure;
-use crate::ingress::target::{self, RequestTarget, TargetQuestion};
-use crate::ingress::trail::{self, RequestTrail};
+use crate::ingress::target::{self, RequestTarget, TargetQuery};
+use crate::ingress::trail::{self, RequestTrace};
 use crate::limits::{self, LimitSubject};
 use crate::services::ServiceState;
 use crate::state::DaemonState;
 use crate::stop;
 use crate::wire;
 
-/// Bytes of a body that are read before the request is dispatched, and kept for a repeat. Shorter
-/// bodies go out in the first frame, and a slow caller holds no slot while it sends them.
+/// Bytes of a body that are read before the request is dispatched, and kept for a retry. Shorter
+/// bodies are sent in the first frame, and a slow caller holds no slot while it sends them.
 pub const PREFIX_BYTES: usize = 64 * units::KIB;
 /// Characters of a request's id that the logs keep.
 const REQUEST_ID_MAX: usize = 128;
@@ -61,11 +61,11 @@
     pub version: Version,
     /// Its header fields as the backend server gets them.
     pub field_lines: Vec<u8>,
-    /// Who asks.
+    /// Its caller.
     pub caller: CallerIdentity,
-    /// Revision of the configuration that let it in.
+    /// Revision of the configuration that admitted it.
     pub revision: FleetRevision,
-    /// Idempotency key of once-only work.
+    /// Idempotency key of an at-most-once request.
     pub once_key: Option<String>,
     /// Time by which it must be answered.
     pub deadline: Duration,
@@ -77,44 +77,45 @@
     pub prefix: Bytes,
     /// Whether the connection ends after it.
     pub close: bool,
-    /// What is logged of it.
-    pub trail: RequestTrail,
+    /// Its trace.
+    pub trail: RequestTrace,
     fingerprint: OnceCell<RequestFingerprint>,
 }
 
 impl CallerRequest {
-    /// Returns the number of servers at which copies of it are remembered to have failed.
+    /// Returns the number of servers at which requests like it are remembered to have failed.
     pub fn failed_servers(&self, now: Duration) -> usize {
         self.service.failed_servers(self.method.as_str(), &self.target, now)
     }
 
-    /// Returns what it counts towards.
+    /// Returns what it is limited by.
     fn limit_subject(&self) -> LimitSubject<'_> {
         LimitSubject {
-            organisation: self.caller.counted(),
+            organisation: self.caller.limited_organisation(),
             route: &self.route.name,
             service: &self.service.entry.name,
         }
     }
 
-    /// Returns the class of its work: its organisation's goes before that of the route.
+    /// Returns its class: that of its organisation overrides that of the route.
     pub fn class(&self) -> WorkClass {
         self.caller.class.unwrap_or(self.route.rule.criticality)
     }
 
-    /// Says whether all of its body was read before it is sent on.
+    /// Says whether its whole body was read before it is dispatched.
     pub fn has_whole_body(&self) -> bool {
         self.prefix.len() < PREFIX_BYTES
     }
 
-    /// Returns what counts against it, if anything is known against any request.
+    /// Returns its crash tally, if any request is suspected and something counts against this one.
     pub fn tally(&self, state: &DaemonState) -> Option<CrashTally> {
         let known = !state.suspects.is_empty();
         let tally = known.then(|| state.suspects.tally(&self.fingerprint(state)));
         tally.filter(|tally| *tally != CrashTally::default())
     }
 
-    /// Returns what its copies share and no other request has, once its body was read so far.
+    /// Returns its fingerprint, which identical requests share and no other has. The prefix of its
+    /// body must have been read.
     pub fn fingerprint(&self, state: &DaemonState) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let parts = RequestParts {
@@ -148,19 +149,19 @@
             return refuse_unreadable(state, stream, &method, "", &error).await;
         }
     };
-    let waits = fields::expects_continue(&head);
+    let awaits_continue = fields::expects_continue(&head);
     let admitted = admit(state, head, framing, from, close, id).await;
     let mut request = match admitted {
         Ok(request) => request,
         Err(failure) => {
-            trail::tell_rejected(state, id, &failure);
-            // An unread body would be taken for the next request.
+            trail::log_rejected(state, id, &failure);
+            // An unread body would be parsed as the next request.
             let close = close || framing != BodyFraming::Empty;
             return refuse(stream, &method, &failure, close).await;
         }
     };
     let mut body = BodyReader::new(framing, state.body_limits());
-    if waits && !body.is_done() && stream.reader.buffer.is_empty() {
+    if awaits_continue && !body.is_done() && stream.reader.buffer.is_empty() {
         let mut line = BytesMut::from(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]);
         if writer::flush(&mut stream.writer, &mut line).await.is_err() {
             return AfterRequest::Abort;
@@ -174,15 +175,15 @@
         }
         Err(PrefixFault::Refused) => {
             let failure = CallerFailure::not_run(NotRunReason::Draining);
-            trail::tell_rejected(state, id, &failure);
+            trail::log_rejected(state, id, &failure);
             return refuse(stream, &method, &failure, true).await;
         }
     }
-    trail::tell_received(state, &request);
+    trail::log_received(state, &request);
     if request.once_key.is_some() && !body.is_done() {
         let message = "once-only work with a key has a body of at most 65536 bytes";
         let failure = CallerFailure::bad_request(StatusCode::PAYLOAD_TOO_LARGE, message);
-        trail::tell_rejected(state, id, &failure);
+        trail::log_rejected(state, id, &failure);
         return refuse(stream, &method, &failure, true).await;
     }
     finish(state, stream, &request, &mut body).await
@@ -228,13 +229,13 @@
             if let FailureOutcome::NotRun(_) = failure.outcome {
                 limits::give_back(state, &state.config.active(), request.limit_subject());
             }
-            trail::tell_failed(state, request, &failure);
+            trail::log_failed(state, request, &failure);
             record(failure.outcome.header_value());
             let close = request.close || !body.is_done();
             refuse(stream, &request.method, &failure, close).await
         }
         AttemptEnd::CallerGone => {
-            trail::tell_caller_gone(state, request);
+            trail::log_caller_gone(state, request);
             record("caller-gone");
             AfterRequest::Abort
         }
@@ -250,7 +251,7 @@
 ) -> AfterRequest {
     match CallerFailure::unreadable(error) {
         Some(failure) => {
-            trail::tell_rejected(state, id, &failure);
+            trail::log_rejected(state, id, &failure);
             refuse(stream, method, &failure, true).await
         }
         None => AfterRequest::Abort,
@@ -267,7 +268,7 @@
     let mut buffer = BytesMut::new();
     failure.put(&mut buffer, method, close);
     let writing = writer::flush(&mut stream.writer, &mut buffer);
-    match monoio::time::timeout(WRITE_STALL, writing).await {
+    match monoio::time::timeout(WRITE_TIMEOUT, writing).await {
         Ok(Ok(())) if close => AfterRequest::Close,
         Ok(Ok(())) => AfterRequest::Keep,
         _ => AfterRequest::Abort,
@@ -278,12 +279,12 @@
 enum PrefixFault {
     /// It can't be read.
     Unreadable(HttpError),
-    /// It did not come before the daemon's stop closed.
+    /// It did not arrive before the stopping daemon closed to new requests.
     Refused,
 }
 
-/// Reads the body until its end or [`PREFIX_BYTES`], unless a stop takes its request no longer: a body that
-/// doesn't come would hold the stop to its end.
+/// Reads the body until its end or [`PREFIX_BYTES`], unless the stopping daemon no longer admits
+/// the request: a body that doesn't arrive would delay the stop to its end.
 async fn read_open_prefix(
     state: &DaemonState,
     stream: &mut HttpStream,
@@ -299,7 +300,7 @@
     }
 }
 
-/// Waits until a stop takes this request no longer.
+/// Waits until a stopping daemon no longer admits this request.
 async fn refused_by_stop(state: &DaemonState, id: &str) {
     state.stop.closing.raised().await;
     if stop::takes(state, id) {
@@ -348,12 +349,13 @@
         return Err(CallerFailure::not_run(NotRunReason::NoConfiguration));
     }
     let host = target::caller_host(&head)?;
-    let question = TargetQuestion { head: &head, host: &host, id };
-    let (active, target) = target::settle(state, &question).await?;
+    let query = TargetQuery { head: &head, host: &host, id };
+    let (active, target) = target::resolve(state, &query).await?;
     let RequestTarget { route, caller } = target;
     let once_key = once_key(&route, &head)?;
     let service = state.services.service_of(&route);
-    let subject = LimitSubject { organisation: caller.counted(), route: &route.name, service };
+    let subject =
+        LimitSubject { organisation: caller.limited_organisation(), route: &route.name, service };
     limits::admit(state, &active, subject).await.map_err(|refusal| CallerFailure {
         retry_after: Some(refusal.wait),
         message: refusal.message,
@@ -369,7 +371,7 @@
     let objective = (objective > 0).then(|| now + Duration::from_millis(objective.into()));
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
     forward_fields(state, &mut head, &host, from);
-    tell_organisation(state, &mut head.headers, caller.organisation.as_deref());
+    set_organisation(state, &mut head.headers, caller.organisation.as_deref());
     Ok(CallerRequest {
         route,
         service,
@@ -385,12 +387,13 @@
         framing,
         prefix: Bytes::new(),
         close,
-        trail: RequestTrail::start(state, id.to_owned()),
+        trail: RequestTrace::start(state, id.to_owned()),
         fingerprint: OnceCell::new(),
     })
 }
 
-/// Returns the id by which the logs name a request: the caller's, else one of this daemon.
+/// Returns the id by which the logs name a request: the caller's, else one that this daemon
+/// assigns.
 pub fn id_of(state: &DaemonState, head: &request::Parts) -> String {
     let own = fields::REQUEST_ID;
     let name = state.fields.request.as_ref().unwrap_or(&own);
@@ -423,7 +426,7 @@
     }
 }
 
-/// Returns the time for a request: the route's, or less if the caller says so.
+/// Returns the timeout of a request: the route's, or a shorter one that the caller asks for.
 fn caller_timeout(
     state: &DaemonState,
     route: &RouteEntry,
@@ -435,8 +438,8 @@
         Some(value) => value,
         None => return Ok(most),
     };
-    let asked = value.to_str().ok().and_then(|text| text.parse().ok());
-    match asked {
+    let requested = value.to_str().ok().and_then(|text| text.parse().ok());
+    match requested {
         Some(millis) => Ok(most.min(Duration::from_millis(millis))),
         None => {
             let message = format!("{name} must be a number of milliseconds");
@@ -445,8 +448,9 @@
     }
 }
 
-/// Takes the caller's key out and tells the backend server whose it is, whatever the caller claims.
-fn tell_organisation(state: &DaemonState, headers: &mut HeaderMap, organisation: Option<&str>) {
+/// Removes the caller's key and names its organisation to the backend server, whatever the caller
+/// claims.
+fn set_organisation(state: &DaemonState, headers: &mut HeaderMap, organisation: Option<&str>) {
     headers.remove(&state.fields.api_key);
     headers.remove(&state.fields.organisation);
     let value = organisation.and_then(|name| HeaderValue::from_str(name).ok());
@@ -455,7 +459,7 @@
     }
 }
 
-/// Removes what concerns this connection only and adds where the request came from.
+/// Removes the hop-by-hop fields and adds where the request came from.
 fn forward_fields(state: &DaemonState, head: &mut request::Parts, host: &str, from: SocketAddr) {
     let headers = &mut head.headers;
     fields::remove_hop_fields(headers);
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Finds what the configuration says of a request: its route, and who asks.
+//! Resolves a request against the configuration: its route and its caller.
 
 use std::rc::Rc;
 
@@ -15,33 +15,34 @@
 use crate::ingress::failure::CallerFailure;
 use crate::state::DaemonState;
 
-/// `RequestTarget` is what the configuration says of a request.
+/// `RequestTarget` is the route and the caller of a request.
 pub struct RequestTarget {
     /// Its route.
     pub route: Rc<RouteEntry>,
-    /// Who asks.
+    /// Its caller.
     pub caller: CallerIdentity,
 }
 
-/// `TargetQuestion` is what a request asks the configuration for.
-pub struct TargetQuestion<'a> {
+/// `TargetQuery` is what the route and the caller of a request are resolved from.
+pub struct TargetQuery<'a> {
     /// Its head.
     pub head: &'a request::Parts,
-    /// The host that it asks for.
+    /// The host name that it is addressed to.
     pub host: &'a str,
-    /// Its id: a call of work that runs on this host needs no key.
+    /// Its id: a nested call made by a request that runs on this host needs no key.
     pub id: &'a str,
 }
 
-/// Finds where a request goes. A refusal by the configuration says that something isn't there, which holds for
-/// good; so it is given only by a configuration that is known to be the newest. Who asked for an added
-/// route at a daemon that had no news for 5.6 s was told that there is none.
-pub async fn settle(
+/// Resolves the route and the caller of a request. A refusal says that something isn't configured,
+/// which the caller takes as permanent; so it is given only if the configuration is known to be the
+/// newest. Without this rule, a daemon that had heard of no changes for 5.6 s denied a route that
+/// had been added.
+pub async fn resolve(
     state: &Rc<DaemonState>,
-    question: &TargetQuestion<'_>,
+    query: &TargetQuery<'_>,
 ) -> Result<(Rc<ActiveConfig>, RequestTarget), CallerFailure> {
     let active = state.config.active();
-    let failure = match find_target(state, &active, question) {
+    let failure = match find_target(state, &active, query) {
         Ok(target) => return Ok((active, target)),
         Err(failure) => failure,
     };
@@ -52,18 +53,18 @@
     if newest.revision == active.revision {
         return Err(failure);
     }
-    find_target(state, &newest, question).map(|target| (newest, target))
+    find_target(state, &newest, query).map(|target| (newest, target))
 }
 
 fn find_target(
     state: &DaemonState,
     active: &ActiveConfig,
-    question: &TargetQuestion<'_>,
+    query: &TargetQuery<'_>,
 ) -> Result<RequestTarget, CallerFailure> {
-    let route = find_route(active, question.head, question.host)?;
-    let given = GivenKey::of(&question.head.headers, &state.fields.api_key);
+    let route = find_route(active, query.head, query.host)?;
+    let given = GivenKey::of(&query.head.headers, &state.fields.api_key);
     let parent = match given {
-        GivenKey::Missing => state.host.calls.caller_of(question.id),
+        GivenKey::Missing => state.host.calls.caller_of(query.id),
         _ => None,
     };
     let caller = match parent {
@@ -90,7 +91,8 @@
     }
 }
 
-/// Returns the host asked for: of an absolute target, or of the one `Host` field.
+/// Returns the host name that a request is addressed to: that of an absolute target, or of the one
+/// `Host` field.
 pub fn caller_host(head: &request::Parts) -> Result<String, CallerFailure> {
     let bad = |message: &str| CallerFailure::bad_request(StatusCode::BAD_REQUEST, message);
     if head.method == Method::CONNECT {
--- a/crates/daemon/src/ingress/trail.rs
+++ b/crates/daemon/src/ingress/trail.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The log lines of one request at the ingress.
+//! Traces one request at the ingress: the log lines of its steps.
 //!
 //! Of as many requests a second as the settings allow, every line is written when it happens, here
-//! and at the hosts that work on them. Of the others the steps are kept, a few dozen bytes each, and
-//! written only if the request fails, out of a bound of their own.
+//! and at the hosts that run them. Of the others the steps are buffered, a few dozen bytes each,
+//! and written only if the request fails, within a rate limit of their own.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -30,12 +30,12 @@
 use crate::state::DaemonState;
 use crate::wire;
 
-/// Time between lines that tell what was not logged.
+/// Time between lines that report what was not logged.
 const LOSSES_EVERY: Duration = Duration::from_secs(5);
-/// Steps of one request that are kept at the most: those of every attempt and every pass.
+/// Most steps of one request that are buffered: those of every attempt and every decline.
 const STEPS_MAX: usize = 32;
 
-/// `LogBudget` bounds how many requests are logged.
+/// `LogBudget` limits how many requests are logged.
 pub struct LogBudget {
     requests: RefCell<TokenBucket>,
     failures: RefCell<TokenBucket>,
@@ -44,7 +44,8 @@
 }
 
 impl LogBudget {
-    /// Builds the budget of `requests` whole and `failures` failed ones a second.
+    /// Builds the budget of `requests` logged from their start and `failures` logged only as they
+    /// fail, a second.
     pub fn new(requests: u32, failures: u32) -> Self {
         let bucket = |rate: u32| {
             let rate = f64::from(rate);
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Changes the numbers a second.
+    /// Changes both rates, in requests a second.
     pub fn set(&self, requests: u32, failures: u32, now: Duration) {
         let (requests, failures) = (f64::from(requests), f64::from(failures));
         self.requests.borrow_mut().set_rate(requests, requests, now);
@@ -75,7 +76,7 @@
         takes
     }
 
-    /// Says whether one more failure of a request that was not logged so far is.
+    /// Says whether one more failed request is logged that was not logged from its start.
     pub fn takes_failure(&self, now: Duration) -> bool {
         let takes = self.failures.borrow_mut().take(now);
         if !takes {
@@ -94,13 +95,13 @@
 /// `SkippedRequests` counts requests that were not logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SkippedRequests {
-    /// Those not logged from their start.
+    /// Requests that were not logged from their start.
     pub all: u64,
-    /// Those that failed and were not logged even so.
+    /// Failed requests that were not logged at all.
     pub failed: u64,
 }
 
-/// Logs what could not be logged, for ever.
+/// Reports how many requests and lines were not logged, for ever.
 pub async fn report_losses(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(LOSSES_EVERY).await;
@@ -116,13 +117,13 @@
     }
 }
 
-/// `RequestTrail` is what is logged of one request.
-pub struct RequestTrail {
+/// `RequestTrace` is the trace of one request.
+pub struct RequestTrace {
     /// Id of the request.
     pub id: String,
     /// Whether its lines are written as they happen.
     pub is_logged: bool,
-    /// Attempts that were made so far, those included that were passed on.
+    /// Attempts that were made so far, including those that were declined.
     pub attempts: Cell<u64>,
     began: Duration,
     steps: RefCell<Vec<TimedStep>>,
@@ -132,30 +133,30 @@
 #[derive(Debug, Clone, Copy)]
 struct TimedStep {
     at: Duration,
-    step: TrailStep,
+    step: TraceStep,
 }
 
-/// `TrailStep` is one decision about a request.
+/// `TraceStep` is one step in the trace of a request.
 #[derive(Debug, Clone, Copy)]
-pub enum TrailStep {
+pub enum TraceStep {
     /// An upstream was chosen for an attempt.
     Chosen {
         /// Number of the attempt.
         attempt: usize,
         /// The choice.
         choice: UpstreamChoice,
-        /// Whether the upstream may pass the work on.
+        /// Whether the upstream's daemon may decline the request.
         passable: bool,
     },
-    /// Work waited at this ingress for a slot.
+    /// The request waited at this ingress for a slot.
     Awaited {
         /// Number of the attempt that the slot was for.
         attempt: usize,
         /// When it began to wait, since the daemon's start.
         began: Duration,
-        /// Hosts that were asked for a place.
-        places: usize,
-        /// Why nobody called it in, if nobody did.
+        /// Hosts that were asked for a reservation.
+        hosts_asked: usize,
+        /// Why no host offered a slot, if none did.
         failure: Option<FailureOutcome>,
     },
     /// An attempt ended.
@@ -180,11 +181,11 @@
 pub enum StepEnd {
     /// With the head of an answer of this status.
     Answered(u16),
-    /// It is late, and another is made beside it.
-    Late,
+    /// It is slow, and a hedge is sent beside it.
+    Hedged,
     /// Without an answer.
     Failed(FailureOutcome),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
@@ -197,7 +198,7 @@
 }
 
 impl StepLoad {
-    /// Takes the part from a report.
+    /// Extracts this part of a report.
     pub fn of(report: &LoadReport) -> Self {
         Self {
             in_flight: report.in_flight.max(0) as u64,
@@ -212,9 +213,9 @@
 pub enum NextStep {
     /// The answer goes to the caller.
     Answer,
-    /// Another attempt, out of the budget of repeats.
-    Repeat,
-    /// Another upstream, free of that budget.
+    /// Another attempt, charged to the retry budget.
+    Retry,
+    /// Another upstream, not charged to that budget.
     Elsewhere,
     /// Nothing.
     End,
@@ -225,7 +226,7 @@
     fn texts(self) -> (&'static str, Option<u64>) {
         match self {
             Self::Answered(status) => ("answered", Some(status.into())),
-            Self::Late => ("late", None),
+            Self::Hedged => ("late", None),
             Self::Failed(outcome) => (outcome.reason(), None),
             Self::CallerGone => ("caller-gone", None),
         }
@@ -236,15 +237,15 @@
     fn name(self) -> &'static str {
         match self {
             Self::Answer => "answer",
-            Self::Repeat => "repeat",
+            Self::Retry => "repeat",
             Self::Elsewhere => "elsewhere",
             Self::End => "end",
         }
     }
 }
 
-impl RequestTrail {
-    /// Starts the trail of a request that was taken in just now.
+impl RequestTrace {
+    /// Starts the trace of a request that was just admitted.
     pub fn start(state: &DaemonState, id: String) -> Self {
         let now = state.now();
         let is_logged = state.log_budget.takes_request(now);
@@ -257,8 +258,8 @@
     }
 }
 
-/// Logs that a request was taken in.
-pub fn tell_received(state: &DaemonState, request: &CallerRequest) {
+/// Logs that a request was admitted.
+pub fn log_received(state: &DaemonState, request: &CallerRequest) {
     if request.trail.is_logged {
         write_received(state, request);
     }
@@ -281,7 +282,7 @@
 }
 
 /// Logs a request that was refused before an upstream was chosen.
-pub fn tell_rejected(state: &DaemonState, id: &str, failure: &CallerFailure) {
+pub fn log_rejected(state: &DaemonState, id: &str, failure: &CallerFailure) {
     if !state.log_budget.takes_failure(state.now()) {
         return;
     }
@@ -300,8 +301,8 @@
     .log();
 }
 
-/// Logs a step, or keeps it.
-pub fn note(state: &DaemonState, request: &CallerRequest, step: TrailStep) {
+/// Logs a step, or buffers it.
+pub fn note(state: &DaemonState, request: &CallerRequest, step: TraceStep) {
     let step = TimedStep { at: state.now(), step };
     if request.trail.is_logged {
         return write_step(request, &step);
@@ -314,19 +315,19 @@
 
 fn write_step(request: &CallerRequest, timed: &TimedStep) {
     match timed.step {
-        TrailStep::Chosen { attempt, choice, passable } => {
+        TraceStep::Chosen { attempt, choice, passable } => {
             write_chosen(request, timed.at, attempt, &choice, passable);
         }
-        TrailStep::Awaited { attempt, began, places, failure } => SlotAwaited {
+        TraceStep::Awaited { attempt, began, hosts_asked, failure } => SlotAwaited {
             request: &request.trail.id,
             at_ms: request.trail.at_ms(timed.at),
             attempt: attempt as u64,
             waited_ms: millis(timed.at.saturating_sub(began)),
-            places: places as u64,
+            places: hosts_asked as u64,
             end: failure.map_or("called-in", |outcome| outcome.reason()),
         }
         .log(),
-        TrailStep::Ended { attempt, index, end, began, load, next } => {
+        TraceStep::Ended { attempt, index, end, began, load, next } => {
             let (outcome, status) = end.texts();
             AttemptEnded {
                 request: &request.trail.id,
@@ -373,14 +374,14 @@
     .log();
 }
 
-/// Logs that the caller got a whole answer; a server's error with all that led there.
-pub fn tell_answered(state: &DaemonState, request: &CallerRequest, status: u16) {
-    let is_told = if wire::is_server_error(status) {
-        write_kept(state, request)
+/// Logs that the caller got a complete answer; if that is a server error, with the buffered steps.
+pub fn log_answered(state: &DaemonState, request: &CallerRequest, status: u16) {
+    let should_log = if wire::is_server_error(status) {
+        write_buffered(state, request)
     } else {
         request.trail.is_logged
     };
-    if !is_told {
+    if !should_log {
         return;
     }
     let now = state.now();
@@ -395,9 +396,9 @@
     .log();
 }
 
-/// Logs that the caller got no answer of a backend server, with all that led there.
-pub fn tell_failed(state: &DaemonState, request: &CallerRequest, failure: &CallerFailure) {
-    if !write_kept(state, request) {
+/// Logs that the caller got no answer of a backend server, with the buffered steps.
+pub fn log_failed(state: &DaemonState, request: &CallerRequest, failure: &CallerFailure) {
+    if !write_buffered(state, request) {
         return;
     }
     let now = state.now();
@@ -418,14 +419,14 @@
     .log();
 }
 
-/// Logs that a request that is refused everywhere is tried out.
-pub fn tell_tried(state: &DaemonState, request: &CallerRequest) {
+/// Logs that a request that is refused fleet-wide is served as a trial.
+pub fn log_trial(state: &DaemonState, request: &CallerRequest) {
     let fingerprint = &request.fingerprint(state).to_string();
     RefusedTried { request: &request.trail.id, fingerprint }.log();
 }
 
 /// Logs that the daemon ends before the answer came.
-pub fn tell_given_up(state: &DaemonState, request: &CallerRequest) {
+pub fn log_given_up(state: &DaemonState, request: &CallerRequest) {
     let trail = &request.trail;
     RequestGivenUp {
         request: &trail.id,
@@ -436,9 +437,9 @@
     .log();
 }
 
-/// Logs that the caller went away.
-pub fn tell_caller_gone(state: &DaemonState, request: &CallerRequest) {
-    if !write_kept(state, request) {
+/// Logs that the caller disconnected.
+pub fn log_caller_gone(state: &DaemonState, request: &CallerRequest) {
+    if !write_buffered(state, request) {
         return;
     }
     CallerGone {
@@ -451,8 +452,8 @@
 }
 
 /// Logs that the answer was cut short on its way to the caller.
-pub fn tell_cut(state: &DaemonState, request: &CallerRequest, error: &HttpError) {
-    if !write_kept(state, request) {
+pub fn log_cut(state: &DaemonState, request: &CallerRequest, error: &HttpError) {
+    if !write_buffered(state, request) {
         return;
     }
     AnswerCut {
@@ -464,8 +465,9 @@
     .log();
 }
 
-/// Writes the kept steps of a request that ends badly; says whether its end is to be logged too.
-fn write_kept(state: &DaemonState, request: &CallerRequest) -> bool {
+/// Writes the buffered steps of a request that did not succeed; says whether its end is to be
+/// logged too.
+fn write_buffered(state: &DaemonState, request: &CallerRequest) -> bool {
     if request.trail.is_logged {
         return true;
     }
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Waits for the first thing that an attempt brings, while the rest of the request is sent.
+//! Waits for the first event of an attempt, while the rest of the request is sent.
 
 use std::future::{self, Future};
 use std::time::Duration;
@@ -17,31 +17,33 @@
 use futures_util::{select_biased, FutureExt};
 
 use crate::ingress::dispatch::LiveExchange;
-use crate::ingress::late::{LateAttempt, LateAttempts};
+use crate::ingress::late::{SlowAttempt, SlowAttempts};
 use crate::ingress::request::CallerRequest;
 use crate::state::DaemonState;
 
-/// Time that the answer may take beyond the deadline given to the host's daemon, which times the
-/// work out itself; after it the path is at fault.
+/// Time that the answer may take beyond the deadline: the host's daemon enforces the deadline by
+/// itself, so if it is silent for longer the path is at fault.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
-/// Time between looks at the path of work that is waited for.
-const PATH_LOOK: Duration = Duration::from_millis(150);
-/// Bytes of further requests that are read while one is served.
+/// Time between checks of the path of an attempt in flight.
+const PATH_CHECK_EVERY: Duration = Duration::from_millis(150);
+/// Bytes of pipelined requests that are read while one is served.
 const PIPELINE_BYTES_MAX: usize = 64 * 1024;
 
-/// `FirstEvent` is the first thing that an attempt brought.
+/// `FirstEvent` is the first event of an attempt.
 pub enum FirstEvent {
     /// The head of an answer.
     Head(AnswerHead),
-    /// The end of the exchange without an answer, and what the host's daemon reported with it.
+    /// The end of the exchange without an answer, and the report that the host's daemon sent with
+    /// it.
     Failed(FailureOutcome, Option<LoadReport>),
-    /// The attempt is late, and the budget pays for another beside it.
-    Late,
-    /// An earlier attempt that was late answered well.
-    Overtaken(LateAttempt, AnswerHead),
-    /// The caller went away.
+    /// The attempt outlasted its hedging delay or its path was cut, and the retry budget allows a
+    /// hedge.
+    HedgeDue,
+    /// A slow attempt made earlier answered successfully.
+    SlowAnswer(SlowAttempt, AnswerHead),
+    /// The caller disconnected.
     CallerGone,
-    /// The daemon ends before an answer can be waited for.
+    /// The daemon ends before an answer can be awaited.
     Stopping,
 }
 
@@ -53,42 +55,43 @@
     stream: &mut HttpStream,
     body: &mut BodyReader,
     live: &LiveExchange,
-    earlier: &mut LateAttempts,
+    slow: &mut SlowAttempts,
 ) -> FirstEvent {
     let answer = live.exchange.answer.clone();
     let mut event = std::pin::pin!(answer.next().fuse());
     let wait = left + DEADLINE_GRACE;
-    let mut late = std::pin::pin!(monoio::time::sleep(wait).fuse());
-    let patience = live.patience.filter(|_| body.is_done()).unwrap_or(wait * 2);
-    let mut patient = std::pin::pin!(monoio::time::sleep(patience).fuse());
+    let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
+    let hedging_delay = live.hedging_delay.filter(|_| body.is_done()).unwrap_or(wait * 2);
+    let mut hedging = std::pin::pin!(monoio::time::sleep(hedging_delay).fuse());
     let mut cut = std::pin::pin!(path_cut(state, live).fuse());
     let mut sending = std::pin::pin!(send_body(stream, body, live).fuse());
-    let mut slept = std::pin::pin!(passed_asleep(state, request.deadline).fuse());
-    let mut overtaking = std::pin::pin!(earlier.answered().fuse());
+    let mut resumed = std::pin::pin!(passed_while_suspended(state, request.deadline).fuse());
+    let mut slow_answer = std::pin::pin!(slow.answered().fuse());
     let mut stopping = std::pin::pin!(state.stop.giving_up.raised().fuse());
     loop {
         select_biased! {
-            event = event => return first_of(event),
-            (late, head) = overtaking => return FirstEvent::Overtaken(late, head),
+            event = event => return first_event_of(event),
+            (attempt, head) = slow_answer => return FirstEvent::SlowAnswer(attempt, head),
             outcome = sending => match outcome {
                 SendEnd::Done => {}
                 SendEnd::CallerGone => return FirstEvent::CallerGone,
             },
-            () = late => return timed_out(),
-            () = slept => return timed_out(),
+            () = overdue => return timed_out(),
+            () = resumed => return timed_out(),
             () = stopping => return FirstEvent::Stopping,
             () = cut => if request.service.take_repeat(state) {
-                return FirstEvent::Late;
+                return FirstEvent::HedgeDue;
             },
-            () = patient => if request.service.take_repeat(state) {
-                return FirstEvent::Late;
+            () = hedging => if request.service.take_repeat(state) {
+                return FirstEvent::HedgeDue;
             },
         }
     }
 }
 
-/// Waits for what an attempt needs before it can be sent, unless the caller goes away: work whose caller has
-/// left is of use to nobody, and once it is sent its cancel may come too late. Gives nothing then.
+/// Waits for what an attempt needs before it can be sent, unless the caller disconnects; returns
+/// `None` then. A request whose caller is gone is of no use, and once it is sent a cancel may come
+/// too late.
 pub async fn unless_gone<T>(stream: &mut HttpStream, needed: impl Future<Output = T>) -> Option<T> {
     let mut needed = std::pin::pin!(needed.fuse());
     let mut watching = std::pin::pin!(watch_caller(stream).fuse());
@@ -103,29 +106,29 @@
     }
 }
 
-/// Waits for the answer of attempts that were late, when no other is made any longer; gives the end
-/// that `failure` is if none of them answers well.
+/// Waits for the answer of slow attempts when no further attempt is made; ends with `failure` if
+/// none of them succeeds.
 pub async fn last_event(
     state: &DaemonState,
     left: Duration,
     stream: &mut HttpStream,
-    earlier: &mut LateAttempts,
+    slow: &mut SlowAttempts,
     failure: FailureOutcome,
 ) -> FirstEvent {
-    let mut answered = std::pin::pin!(earlier.last_answered().fuse());
+    let mut answered = std::pin::pin!(slow.answered_if_any().fuse());
     let wait = left + DEADLINE_GRACE;
-    let mut late = std::pin::pin!(monoio::time::sleep(wait).fuse());
-    let mut slept = std::pin::pin!(passed_asleep(state, state.now() + left).fuse());
+    let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
+    let mut resumed = std::pin::pin!(passed_while_suspended(state, state.now() + left).fuse());
     let mut watching = std::pin::pin!(watch_caller(stream).fuse());
     let mut stopping = std::pin::pin!(state.stop.giving_up.raised().fuse());
     loop {
         select_biased! {
             answered = answered => return match answered {
-                Some((late, head)) => FirstEvent::Overtaken(late, head),
+                Some((attempt, head)) => FirstEvent::SlowAnswer(attempt, head),
                 None => FirstEvent::Failed(failure, None),
             },
-            () = late => return timed_out(),
-            () = slept => return timed_out(),
+            () = overdue => return timed_out(),
+            () = resumed => return timed_out(),
             () = stopping => return FirstEvent::Stopping,
             outcome = watching => match outcome {
                 SendEnd::Done => {}
@@ -135,18 +138,19 @@
     }
 }
 
-/// Waits until the host has woken from a sleep in which the deadline passed, and as long for the word of the
-/// host's daemon as after one that passes awake: it knows whether the work ran.
-async fn passed_asleep(state: &DaemonState, deadline: Duration) {
+/// Waits until the machine has resumed from a suspend in which the deadline passed, and then for
+/// the same grace period as after a deadline that passes awake: the host's daemon may still report
+/// whether the request ran.
+async fn passed_while_suspended(state: &DaemonState, deadline: Duration) {
     state.clock.passed(deadline).await;
     monoio::time::sleep(DEADLINE_GRACE).await;
 }
 
-/// Waits until the path to the upstream's daemon is cut, for work that may then be sent elsewhere.
+/// Waits until the path to the upstream's daemon is cut, for an attempt that may then be hedged.
 async fn path_cut(state: &DaemonState, live: &LiveExchange) {
     match &live.path {
         Some(path) => loop {
-            monoio::time::sleep(PATH_LOOK).await;
+            monoio::time::sleep(PATH_CHECK_EVERY).await;
             if path.state(state.now()) == PathState::Cut {
                 return;
             }
@@ -159,7 +163,7 @@
     FirstEvent::Failed(FailureOutcome::Unknown(UnknownReason::TimedOut), None)
 }
 
-fn first_of(event: StreamEvent) -> FirstEvent {
+fn first_event_of(event: StreamEvent) -> FirstEvent {
     match event {
         StreamEvent::Head(head) => FirstEvent::Head(head),
         StreamEvent::Failed(failure) => {
@@ -177,7 +181,7 @@
     CallerGone,
 }
 
-/// Sends the rest of the body, then watches whether the caller goes away.
+/// Sends the rest of the body, then waits until the caller disconnects.
 async fn send_body(stream: &mut HttpStream, body: &mut BodyReader, live: &LiveExchange) -> SendEnd {
     let sink = &live.exchange.body;
     if let Some(prefix) = &live.withheld {
@@ -191,8 +195,8 @@
         }
     }
     while !body.is_done() {
-        // Nothing is read before the host's daemon has started the work, so that what a refusal
-        // leaves unread can go to another upstream.
+        // The body is not read before the host's daemon has started the request, so that what a
+        // refusal leaves unread can be sent to another upstream.
         if sink.ready().await.is_err() {
             break;
         }
@@ -209,16 +213,17 @@
     watch_caller(stream).await
 }
 
-/// Waits until the caller goes away.
+/// Waits until the caller disconnects.
 pub async fn caller_gone(stream: &mut HttpStream) {
     match watch_caller(stream).await {
         SendEnd::CallerGone => {}
-        // More was sent than is kept for later: whether the caller is there shows at its answer.
+        // The buffer for pipelined requests is full, so a disconnect only shows when the answer is
+        // written.
         SendEnd::Done => future::pending().await,
     }
 }
 
-/// Waits until the caller goes away; further requests are kept for later.
+/// Waits until the caller disconnects, or the buffer for pipelined requests is full.
 async fn watch_caller(stream: &mut HttpStream) -> SendEnd {
     loop {
         if stream.reader.buffer.len() > PIPELINE_BYTES_MAX {
