--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -25,7 +25,7 @@
 use crate::ingress::dispatch::{DispatchEnd, LiveExchange, DISPATCHES_MAX};
 use crate::ingress::failure::CallerFailure;
 use crate::ingress::late::{SlowAttempt, SlowAttempts};
-use crate::ingress::look::{self as ingress_look, ProbedUpstream};
+use crate::ingress::look::{self as ingress_probe, ProbedUpstream};
 use crate::ingress::places::SlotEnd;
 use crate::ingress::request::CallerRequest;
 use crate::ingress::trail::{self, NextStep, StepEnd, StepLoad, TraceStep};
@@ -381,7 +381,7 @@
         }
         let rival = choice.rival.map(|rival| rival.index);
         let indexes: Vec<usize> = std::iter::once(choice.index).chain(rival).collect();
-        let probed = ingress_look::probe_all(self.state, self.request, &indexes).await;
+        let probed = ingress_probe::probe_all(self.state, self.request, &indexes).await;
         if probed.is_empty() {
             return Some(choice);
         }
@@ -390,7 +390,7 @@
                 self.note_report(each.index, report, None);
             }
         }
-        let best = ingress_look::best_of(&probed);
+        let best = ingress_probe::best_of(&probed);
         let accepts = best.is_some_and(|best| !best.passes_on());
         self.request.service.note_look(accepts);
         if !accepts && self.is_passable() {
@@ -455,8 +455,8 @@
         }
     }
 
-    /// Says whether the request may still be dispatched while the daemon stops. Before the first
-    /// dispatch the admission is checked again, because reading the body took time.
+    /// Says whether the request may still be dispatched while the daemon shuts down. Before the
+    /// first dispatch the admission is checked again, because reading the body took time.
     pub fn may_dispatch(&self) -> bool {
         if self.dispatches + self.decline_count == 0 {
             return stop::takes(self.state, &self.request.trail.id);
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -122,8 +122,7 @@
             }
         };
         let id = request::id_of(state, &head);
-        // Refused requests aren't counted: callers that keep retrying would delay the end of a
-        // stop.
+        // Refused requests aren't counted: callers that keep retrying would delay the shutdown.
         let counted = stop::takes(state, &id).then(|| state.stop.count_in_flight());
         metrics::REQUESTS.add_one();
         metrics::IN_FLIGHT.add(1);
@@ -134,7 +133,7 @@
             AfterRequest::Keep => {}
             AfterRequest::Close => {
                 // The request is complete: a caller that keeps its connection open must not delay a
-                // stop.
+                // shutdown.
                 drop(counted);
                 let _lingering = state.stop.count_lingering();
                 return stream.linger().await;
@@ -148,7 +147,7 @@
 }
 
 /// Reads the next head; returns `None` when the connection ends, or is idle as the daemon ends. A
-/// daemon that stops keeps reading until then: callers learn of the stop late, and a refusal tells
+/// daemon that shuts down keeps reading until then: callers learn of it late, and a refusal tells
 /// them that the request did not run.
 async fn next_head(
     state: &Rc<DaemonState>,
@@ -159,7 +158,7 @@
         let filling = stream.reader.fill_within(HEAD_READ_BYTES, limits.idle, "a request");
         let mut filling = std::pin::pin!(filling.fuse());
         let mut ending = std::pin::pin!(state.stop.ending.raised().fuse());
-        // Data that has arrived is read first, so that a stop drops no request that was already
+        // Data that has arrived is read first, so that a shutdown drops no request that was already
         // sent.
         let filled = select_biased! {
             filled = filling => filled,
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -279,12 +279,12 @@
 enum PrefixFault {
     /// It can't be read.
     Unreadable(HttpError),
-    /// It did not arrive before the stopping daemon closed to new requests.
+    /// It did not arrive before the daemon that shuts down closed to new requests.
     Refused,
 }
 
-/// Reads the body until its end or [`PREFIX_BYTES`], unless the stopping daemon no longer admits
-/// the request: a body that doesn't arrive would delay the stop to its end.
+/// Reads the body until its end or [`PREFIX_BYTES`], unless the daemon shuts down and no longer
+/// admits the request: a body that doesn't arrive would delay the shutdown to its end.
 async fn read_open_prefix(
     state: &DaemonState,
     stream: &mut HttpStream,
@@ -300,7 +300,7 @@
     }
 }
 
-/// Waits until a stopping daemon no longer admits this request.
+/// Waits until the daemon shuts down and no longer admits this request.
 async fn refused_by_stop(state: &DaemonState, id: &str) {
     state.stop.closing.raised().await;
     if stop::takes(state, id) {
