--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -12,58 +12,59 @@
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
 
-/// Longest time for a connection to a backend server of the same host (the brief's cost is 1 ms).
+/// Longest time for connecting to a backend server of the same host; the requirements put the cost
+/// at 1 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time of a look whether anything listens: a host answers its own processes within a
+/// Longest time of a check whether a process listens: a host answers its own processes within a
 /// millisecond, and the ingress waits for the outcome.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time after which a connection that could be made is looked at: a process that ends closes its sockets one
-/// after the other, and the one that it listens on need not be the first.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(2);
+/// Time after which a new connection is checked again: a process that exits closes its sockets one
+/// after the other, and its listening socket is not necessarily the first.
+const RECHECK_AFTER: Duration = Duration::from_millis(2);
 
-/// Longest rest after which a connection is used again: servers close idle ones after ten seconds and
-/// more, and a request that meets such a close is lost if it must not be repeated.
-const REST_MAX: Duration = Duration::from_secs(5);
-/// Time before the end of the rest that a server names in which a connection is not used: its seconds
-/// are whole, and a request takes time to arrive.
-const REST_MARGIN: Duration = Duration::from_millis(1200);
+/// Longest idle time after which a connection is reused: servers close idle connections after ten
+/// seconds or more, and a non-repeatable request that races with such a close is lost.
+const IDLE_TIME_MAX: Duration = Duration::from_secs(5);
+/// Margin by which a connection is retired before the keep-alive timeout that the server announced:
+/// the timeout is in whole seconds, and a request takes time to arrive.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1200);
 
 /// `BackendPool` keeps connections to one backend server.
 pub struct BackendPool {
     address: Cell<SocketAddr>,
-    most: Cell<usize>,
+    limit: Cell<usize>,
     open: Cell<usize>,
-    idle: RefCell<Vec<RestingStream>>,
+    idle: RefCell<Vec<IdleStream>>,
 }
 
-/// `RestingStream` is a kept connection with the time until which it can be trusted.
-struct RestingStream {
+/// `IdleStream` is an idle connection with the time until which it may be reused.
+struct IdleStream {
     stream: HttpStream,
-    good_until: Instant,
+    usable_until: Instant,
 }
 
 impl BackendPool {
-    /// Builds a pool of at most `most` connections.
-    pub fn new(address: SocketAddr, most: usize) -> Self {
+    /// Builds a pool of at most `limit` connections.
+    pub fn new(address: SocketAddr, limit: usize) -> Self {
         Self {
             address: Cell::new(address),
-            most: Cell::new(most),
+            limit: Cell::new(limit),
             open: Cell::new(0),
             idle: RefCell::default(),
         }
     }
 
-    /// Takes a changed address or bound over.
-    pub fn configure(&self, address: SocketAddr, most: usize) {
+    /// Applies a changed address or limit.
+    pub fn configure(&self, address: SocketAddr, limit: usize) {
         if self.address.replace(address) != address {
             self.clear();
         }
-        self.most.set(most);
+        self.limit.set(limit);
     }
 
-    /// Closes the connections at rest.
+    /// Closes the idle connections.
     pub fn clear(&self) {
         let closed = self.idle.borrow_mut().drain(..).count();
         self.open.set(self.open.get() - closed);
@@ -74,17 +75,17 @@
         self.open.get()
     }
 
-    /// Says whether nothing listens at the address. A connection that can be made is kept for the next
-    /// request, in place of one that broke.
+    /// Says whether nothing listens at the address. If a connection can be made, it is kept for the
+    /// next request, in place of the one that broke.
     pub async fn is_refused(&self) -> bool {
-        if self.open.get() >= self.most.get() {
+        if self.open.get() >= self.limit.get() {
             return false;
         }
         self.open.set(self.open.get() + 1);
         let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
         match HttpStream::connect(pooled.address, CHECK_TIMEOUT).await {
             Ok(mut stream) => {
-                monoio::time::sleep(LOOK_AGAIN_AFTER).await;
+                monoio::time::sleep(RECHECK_AFTER).await;
                 if client::is_quiet(&mut stream) {
                     pooled.stream = Some(stream);
                     pooled.give_back(None);
@@ -96,15 +97,15 @@
         }
     }
 
-    /// Takes a kept connection that is still good, or makes one.
+    /// Takes an idle connection that is still usable, or opens one.
     pub async fn take(&self) -> Result<PooledStream<'_>, HttpError> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            let RestingStream { mut stream, good_until } = match kept {
-                Some(resting) => resting,
+            let idle = self.idle.borrow_mut().pop();
+            let IdleStream { mut stream, usable_until } = match idle {
+                Some(stream) => stream,
                 None => break,
             };
-            if Instant::now() < good_until && client::is_quiet(&mut stream) {
+            if Instant::now() < usable_until && client::is_quiet(&mut stream) {
                 return Ok(PooledStream {
                     pool: self,
                     address: self.address.get(),
@@ -113,10 +114,10 @@
             }
             self.open.set(self.open.get() - 1);
         }
-        if self.open.get() >= self.most.get() {
+        if self.open.get() >= self.limit.get() {
             return Err(HttpError::TimedOut { what: "a free connection" });
         }
-        // Counted before it is made, so that the bound holds while several are being made.
+        // Counted before it is opened, so that the limit holds while several are being opened.
         self.open.set(self.open.get() + 1);
         let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
         pooled.stream = Some(HttpStream::connect(pooled.address, CONNECT_TIMEOUT).await?);
@@ -131,7 +132,7 @@
     }
 }
 
-/// `PooledStream` is a connection in use; unless given back, it is closed.
+/// `PooledStream` is a connection in use; it is closed unless it is given back.
 pub struct PooledStream<'a> {
     pool: &'a BackendPool,
     address: SocketAddr,
@@ -141,21 +142,24 @@
 impl PooledStream<'_> {
     /// Returns the connection.
     pub fn stream(&mut self) -> &mut HttpStream {
-        self.stream.as_mut().unwrap_or_else(|| unreachable!("set until given back"))
+        self.stream
+            .as_mut()
+            .unwrap_or_else(|| unreachable!("taken only when the connection is given back"))
     }
 
-    /// Gives the connection back after a clean exchange; `rest` is how long the server says it keeps
-    /// it open.
-    pub fn give_back(mut self, rest: Option<Duration>) {
+    /// Returns the connection to the pool after a complete exchange; `keep_alive` is the keep-alive
+    /// timeout that the server announced.
+    pub fn give_back(mut self, keep_alive: Option<Duration>) {
         let pool = self.pool;
         if pool.address.get() != self.address {
             return;
         }
         if let Some(mut stream) = self.stream.take() {
             stream.reader.release();
-            let trusted = rest.map_or(REST_MAX, |rest| rest.saturating_sub(REST_MARGIN));
-            let good_until = Instant::now() + trusted.min(REST_MAX);
-            pool.idle.borrow_mut().push(RestingStream { stream, good_until });
+            let usable = keep_alive
+                .map_or(IDLE_TIME_MAX, |timeout| timeout.saturating_sub(KEEP_ALIVE_MARGIN));
+            let usable_until = Instant::now() + usable.min(IDLE_TIME_MAX);
+            pool.idle.borrow_mut().push(IdleStream { stream, usable_until });
             pool.open.set(pool.open.get() + 1);
         }
     }
@@ -163,7 +167,7 @@
 
 impl Drop for PooledStream<'_> {
     fn drop(&mut self) {
-        // A connection that was given back was counted once more there.
+        // `give_back` counts a connection that it keeps once more, so that one count remains.
         self.pool.open.set(self.pool.open.get() - 1);
     }
 }
--- a/crates/daemon/src/host/calls.rs
+++ b/crates/daemon/src/host/calls.rs
@@ -1,77 +1,79 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Calls that the work of this host's backend servers makes through this daemon.
+//! Nested calls: requests that this host's backend servers send through this daemon while they
+//! serve other requests.
 //!
-//! A server that passes the id of a request on puts its own behind it, so that a call names the work
-//! it belongs to. Work that makes a call does not hang; and where the call is lost, the error that
-//! follows is not the server's own.
+//! A server that forwards the id of a request appends its own id to it, so that a nested call names
+//! its parent request. A request that makes a nested call is not hung. If the nested call fails, an
+//! error of the parent is not attributed to its server.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use fnv::FnvHashMap;
 
-/// Sign between the id of a request and what a call of it adds.
-const CALL_SIGN: char = '.';
+/// Separator between the id of a request and the suffix of a nested call.
+const CALL_SEPARATOR: char = '.';
 
-/// `WorkCalls` is what is known of the calls of one piece of work.
+/// `NestedCalls` is the state of the nested calls of one request.
 #[derive(Debug, Default)]
-pub struct WorkCalls {
-    /// Whether the work repeats other work, so that its calls do as well.
+pub struct NestedCalls {
+    /// Whether the parent request is a retry, which makes its nested calls retries too.
     pub repeated: bool,
-    /// Organisation that the work is for, and so are its calls.
+    /// Organisation of the parent request, which its nested calls inherit.
     pub organisation: Option<Rc<str>>,
     made: Cell<bool>,
-    lost: Cell<bool>,
+    failed: Cell<bool>,
 }
 
-impl WorkCalls {
-    /// Says whether the work made a call.
+impl NestedCalls {
+    /// Says whether the request made a nested call.
     pub fn has_called(&self) -> bool {
         self.made.get()
     }
 
-    /// Says whether a call of the work got no good answer.
-    pub fn has_lost(&self) -> bool {
-        self.lost.get()
+    /// Says whether a nested call got no successful response.
+    pub fn has_failed_call(&self) -> bool {
+        self.failed.get()
     }
 
-    /// Takes in that a call got no good answer.
+    /// Records that a nested call got no successful response.
     pub fn note_lost(&self) {
-        self.lost.set(true);
+        self.failed.set(true);
     }
 }
 
-/// `CallTable` holds the work that runs on this host, by the id of its request.
+/// `CallTable` holds the requests that run on this host, by their ids.
 #[derive(Debug, Default)]
 pub struct CallTable {
-    works: RefCell<FnvHashMap<String, Rc<WorkCalls>>>,
+    running: RefCell<FnvHashMap<String, Rc<NestedCalls>>>,
 }
 
 impl CallTable {
-    /// Takes in that work for a request runs.
+    /// Records that a request starts to run.
     pub fn begin(
         &self,
         request: &str,
         repeated: bool,
         organisation: Option<&str>,
-    ) -> Rc<WorkCalls> {
+    ) -> Rc<NestedCalls> {
         let organisation = organisation.map(Rc::from);
-        let calls = Rc::new(WorkCalls { repeated, organisation, ..WorkCalls::default() });
-        self.works.borrow_mut().insert(request.to_owned(), calls.clone());
+        let calls = Rc::new(NestedCalls { repeated, organisation, ..NestedCalls::default() });
+        self.running.borrow_mut().insert(request.to_owned(), calls.clone());
         calls
     }
 
-    /// Takes in that the work is over.
+    /// Records that a request has ended.
     pub fn end(&self, request: &str) {
-        self.works.borrow_mut().remove(request);
+        self.running.borrow_mut().remove(request);
     }
 
-    /// Returns the work that made the call with this id, if it runs here, and notes the call.
-    pub fn caller_of(&self, call: &str) -> Option<Rc<WorkCalls>> {
-        let (request, _) = call.rsplit_once(CALL_SIGN)?;
-        let calls = self.works.borrow().get(request).cloned()?;
+    /// Returns the parent request of the nested call with this id, if it runs here, and records the
+    /// call.
+    pub fn caller_of(&self, call: &str) -> Option<Rc<NestedCalls>> {
+        let (request, _) = call.rsplit_once(CALL_SEPARATOR)?;
+        let calls = self.running.borrow().get(request).cloned()?;
         calls.made.set(true);
         Some(calls)
     }
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one exchange at the host role: admission, once-only claim, the work itself, evidence.
+//! Serves one exchange at the host role: admission, the ledger claim of an at-most-once request,
+//! the exchange with the backend server, and the evidence for its health.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -29,24 +30,24 @@
 use bytes::BytesMut;
 use futures_util::{select_biased, FutureExt};
 
-use crate::host::relay::{AnswerRelay, WorkFault, WorkProgress};
+use crate::host::relay::{AnswerRelay, AttemptFault, AttemptProgress};
 use crate::host::sending;
-use crate::host::upstream::{HostUpstream, WorkNote};
-use crate::host::watch::WorkWatch;
+use crate::host::upstream::{AttemptResult, HostUpstream};
+use crate::host::watch::AttemptWatch;
 use crate::registration;
 use crate::state::DaemonState;
 use crate::stop;
 use crate::suspects;
 use crate::wire;
 
-/// Time after which a caller may come back when a backend server was full or out.
+/// Time after which a caller may retry when a backend server was full or out of service.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Deviations above the usual time in which five of six pieces of work end.
-const MOST_DEVIATIONS: f64 = 1.0;
-/// Wait that stands for "never overdue".
+/// Standard deviations above the typical service time within which five of six requests complete.
+const RESERVED_DEVIATIONS: f64 = 1.0;
+/// Timer that stands for "never overdue".
 const NEVER: Duration = Duration::from_secs(3600);
 
-/// Serves one exchange to its end and tells the ingress how it went.
+/// Serves one exchange to its end and reports a failure to the ingress.
 pub async fn serve(
     state: &Rc<DaemonState>,
     head: DispatchHead,
@@ -68,7 +69,7 @@
             retry_after_ms: RETRY_AFTER.as_millis() as i32,
             report: upstream.map(|upstream| upstream.report(state, &head.route, None)),
         };
-        // An ingress that is gone needs no word.
+        // An ingress that is gone needs no report.
         let _ = answer.send(StreamEvent::Failed(failure)).await;
     }
 }
@@ -83,47 +84,47 @@
     let deadline = state.now() + Duration::from_millis(head.deadline_ms.max(0) as u64);
     let within = Duration::from_millis(head.objective_ms.max(0) as u64);
     let objective = (head.objective_ms > 0).then(|| state.now() + within);
-    let came_at = state.now();
+    let arrived_at = state.now();
     let (is_trial, tally) = (false, Cell::default());
-    let mut work =
-        HostWork { state, upstream, head, deadline, objective, came_at, is_trial, tally };
-    let admitted = match work.admit() {
-        Ok(()) if work.is_place() => work.run_called_in(body, answer).await,
-        Ok(()) => work.run(body, answer).await,
+    let mut attempt =
+        HostAttempt { state, upstream, head, deadline, objective, arrived_at, is_trial, tally };
+    let result = match attempt.admit() {
+        Ok(()) if attempt.is_reservation() => attempt.run_reserved(body, answer).await,
+        Ok(()) => attempt.run(body, answer).await,
         Err(reason) => Err(FailureOutcome::NotRun(reason)),
     };
-    if let Err(FailureOutcome::NotRun(reason)) = admitted {
-        work.tell_refused(reason);
+    if let Err(FailureOutcome::NotRun(reason)) = result {
+        attempt.log_refused(reason);
     }
-    if work.is_trial && admitted.is_err() {
-        // A trial that never reached the server says nothing, but another may start.
-        work.note(WorkEvidence::Neutral, false, None);
+    if attempt.is_trial && result.is_err() {
+        // A trial that never reached the server proves nothing, but lets another one start.
+        attempt.record_result(WorkEvidence::Neutral, false, None);
     }
-    admitted
+    result
 }
 
-/// `HostWork` is one piece of work at one backend server.
-pub struct HostWork<'a> {
+/// `HostAttempt` is one attempt to run a request at one backend server.
+pub struct HostAttempt<'a> {
     /// The daemon.
     pub state: &'a Rc<DaemonState>,
     /// The backend server.
     pub upstream: &'a Rc<HostUpstream>,
-    /// What is asked.
+    /// The request, as the ingress dispatched it.
     pub head: &'a DispatchHead,
     deadline: Duration,
     objective: Option<Duration>,
-    came_at: Duration,
-    /// Whether it tries out a server that is out of service.
+    arrived_at: Duration,
+    /// Whether it is the trial of a server that is out of service.
     pub is_trial: bool,
-    /// What counted against the request when it was last looked at before its run.
+    /// Crash tally of the request at the last check before it was sent.
     tally: Cell<CrashTally>,
 }
 
-impl HostWork<'_> {
-    /// Returns the work that was called in, which came with a head of its own. What it says of the server counts from now:
-    /// while it held a place, it was not there.
-    pub fn called_in_with<'b>(&'b self, head: &'b DispatchHead) -> HostWork<'b> {
-        HostWork { head, tally: self.tally.clone(), came_at: self.state.now(), ..*self }
+impl HostAttempt<'_> {
+    /// Returns the attempt for the request that was dispatched after a slot offer, with its own
+    /// head. Its evidence about the server counts from now on: before, only a reservation was here.
+    pub fn with_dispatch_head<'b>(&'b self, head: &'b DispatchHead) -> HostAttempt<'b> {
+        HostAttempt { head, tally: self.tally.clone(), arrived_at: self.state.now(), ..*self }
     }
 
     fn admit(&mut self) -> Result<(), NotRunReason> {
@@ -149,52 +150,57 @@
         }
     }
 
-    /// Refuses work that crashes the servers that run it, and notes what counts against it otherwise. An
-    /// ingress that knows as much lets a copy through to try it.
+    /// Refuses a request that crashes the servers that run it; otherwise stores its crash tally. An
+    /// ingress that knows of as many crashes sends a copy deliberately, as a trial.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
-        let told = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
+        let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
         let known = match self.state.suspects.is_empty() {
             true => CrashTally::default(),
             false => self.state.suspects.tally(&self.fingerprint()),
         };
-        if known.is_refused() && known > told {
+        if known.is_refused() && known > reported {
             return Err(NotRunReason::CrashesServers);
         }
-        self.tally.set(known.max(told));
+        self.tally.set(known.max(reported));
         Ok(())
     }
 
-    /// Says whether the host slept since the work came.
-    pub fn slept(&self) -> bool {
-        self.state.clock.slept_since(self.came_at)
+    /// Says whether the host was suspended since the request arrived.
+    pub fn was_suspended(&self) -> bool {
+        self.state.clock.slept_since(self.arrived_at)
     }
 
-    /// Takes in that the work ran well.
-    pub fn note_good(&self) {
+    /// Records that the request succeeded, which clears its crash tally.
+    pub fn clear_suspicion(&self) {
         if !self.state.suspects.is_empty() {
             suspects::note_success(self.state, &self.fingerprint());
         }
     }
 
-    /// Returns the time that is left.
-    pub fn left(&self) -> Duration {
+    /// Returns the time that is left until the deadline.
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.state.now())
     }
 
-    /// Takes the end of the work in.
-    pub fn note(&self, evidence: WorkEvidence, was_overdue: bool, failure: Option<FailureSort>) {
-        // What failed elsewhere before may be the request's own fault, and work that a sleep of the host
-        // fell into neither failed nor was quick or slow.
-        let slept = self.slept();
+    /// Records how the attempt ended.
+    pub fn record_result(
+        &self,
+        evidence: WorkEvidence,
+        was_overdue: bool,
+        failure: Option<FailureSort>,
+    ) {
+        // A request that failed elsewhere before may be at fault itself. An attempt during which
+        // the host was suspended counts neither as failed nor as fast or slow.
+        let suspended = self.was_suspended();
         let evidence = match evidence {
             WorkEvidence::Failed if self.head.after_failure => WorkEvidence::Neutral,
-            _ if slept => WorkEvidence::Neutral,
+            _ if suspended => WorkEvidence::Neutral,
             other => other,
         };
-        let (was_overdue, failure) = (was_overdue && !slept, failure.filter(|_| !slept));
-        let (is_trial, started) = (self.is_trial, self.came_at);
-        let note = WorkNote { evidence, was_overdue, is_trial, started, failure };
-        self.upstream.note(&self.head.route, &note, self.state.now());
+        let (was_overdue, failure) = (was_overdue && !suspended, failure.filter(|_| !suspended));
+        let (is_trial, started) = (self.is_trial, self.arrived_at);
+        let result = AttemptResult { evidence, was_overdue, is_trial, started, failure };
+        self.upstream.record_result(&self.head.route, &result, self.state.now());
     }
 
     async fn run(&self, body: &EventPipe, answer: &EventSink) -> Result<(), FailureOutcome> {
@@ -202,13 +208,14 @@
         if !self.upstream.slots.has_room(class) {
             return Err(FailureOutcome::NotRun(NotRunReason::QueueFull));
         }
-        // The row comes before the slot: a slow store must not hold slots that others need.
+        // The ledger row is written before the slot is taken: a slow store must not occupy slots
+        // that other requests need.
         let claim = match self.claim(body).await? {
             ClaimStep::Run(claim) => claim,
-            ClaimStep::Answered(kept) => return self.replay(answer, kept).await,
+            ClaimStep::Answered(stored) => return self.replay(answer, stored).await,
         };
         let result = match unless_cancelled(body, self.take_slot()).await {
-            Ok(slot) => self.work(slot, body, answer, claim.clone()).await,
+            Ok(slot) => self.forward(slot, body, answer, claim.clone()).await,
             Err(reason) => Err(FailureOutcome::NotRun(reason)),
         };
         if let (Err(FailureOutcome::NotRun(_)), Some(token)) = (&result, claim) {
@@ -217,8 +224,8 @@
         result
     }
 
-    /// Takes the claim of work that did not run back; the refusal doesn't wait for it beyond the moment at
-    /// which a stop gives up: it would never be told.
+    /// Releases the claim of a request that did not run. The refusal does not wait for this once a
+    /// shutdown gives up its pending requests, since it would never be sent.
     async fn release(&self, token: ClaimToken) {
         let mut releasing = std::pin::pin!(self.state.ledger.release(token).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
@@ -229,22 +236,22 @@
     }
 
     async fn take_slot(&self) -> Result<SlotGuard, NotRunReason> {
-        // The claim may have taken until the daemon hands over.
+        // While the claim was written, the daemon may have begun to hand over.
         if !self.may_start() {
             return Err(NotRunReason::Draining);
         }
         self.upstream.slots.acquire(self.slot_request()).await
     }
 
-    /// Says whether the work may still start although the daemon stops.
+    /// Says whether the request may still start if the daemon is shutting down.
     pub fn may_start(&self) -> bool {
         stop::starts(self.state, self.deadline)
     }
 
-    /// Asks for a slot.
+    /// Builds the request for a slot.
     pub fn slot_request(&self) -> SlotRequest {
         let usual = self.usual_time();
-        let deviations = if self.is_place() { MOST_DEVIATIONS } else { 0.0 };
+        let deviations = if self.is_reservation() { RESERVED_DEVIATIONS } else { 0.0 };
         let work = WaitingWork {
             class: wire::class_of(self.head.work_class),
             is_call: self.head.called == Some(true),
@@ -262,19 +269,19 @@
         }
     }
 
-    /// Returns the distribution of the time that this work usually takes, if it is known or assumed.
+    /// Returns the distribution of the service time of such requests, if it is known or assumed.
     pub fn usual_time(&self) -> Option<UsualTime> {
         let objective = self.objective.map(|at| at.saturating_sub(self.state.now()));
         let objective = objective.filter(|left| !left.is_zero());
         self.upstream.health.borrow().usual_time(&self.head.route, objective)
     }
 
-    /// Returns the time that the server is given for this work.
-    fn give_time(&self) -> GivenTime {
+    /// Returns the timeout that the server is given for this attempt.
+    fn attempt_timeout(&self) -> GivenTime {
         let now = self.state.now();
         let objective_left = self.objective.map_or(Duration::ZERO, |at| at.saturating_sub(now));
         let terms = AllowanceTerms {
-            left: self.left(),
+            left: self.time_left(),
             objective_left,
             usual: self.upstream.health.borrow().usual_time(&self.head.route, None),
             full: self.upstream.slots.is_full(),
@@ -283,7 +290,7 @@
         self.upstream.allowance.borrow_mut().give(&terms, now)
     }
 
-    /// Writes the ledger's row of once-only work with a key.
+    /// Writes the ledger row of an at-most-once request that has a key.
     async fn claim(&self, body: &EventPipe) -> Result<ClaimStep, FailureOutcome> {
         let key = match &self.head.once_key {
             Some(key) => key,
@@ -292,7 +299,7 @@
         let key = self.once_key(key);
         let mut claiming = std::pin::pin!(self.state.ledger.claim(&key).fuse());
         let mut cancelled = std::pin::pin!(body.cancelled().fuse());
-        let mut late = std::pin::pin!(monoio::time::sleep(self.left()).fuse());
+        let mut late = std::pin::pin!(monoio::time::sleep(self.time_left()).fuse());
         let outcome = select_biased! {
             outcome = claiming => outcome,
             () = cancelled => return Err(FailureOutcome::NotRun(NotRunReason::CallerGone)),
@@ -300,26 +307,26 @@
         };
         match outcome {
             ClaimOutcome::Granted(token) => Ok(ClaimStep::Run(Some(token))),
-            ClaimOutcome::Answered(kept) => {
+            ClaimOutcome::Answered(stored) => {
                 metrics::ONCE_REPEATS.add_one();
-                Ok(ClaimStep::Answered(kept))
+                Ok(ClaimStep::Answered(stored))
             }
             ClaimOutcome::Started => {
                 metrics::ONCE_REPEATS.add_one();
                 Err(FailureOutcome::Unknown(UnknownReason::AlreadyStarted))
             }
             ClaimOutcome::OtherRequest => Err(FailureOutcome::NotRun(NotRunReason::KeyReused)),
-            // Whether or not the row was written, this attempt did not run the work.
+            // Whether or not the row was written, this attempt did not run the request.
             ClaimOutcome::Unavailable | ClaimOutcome::Unsettled => {
                 Err(FailureOutcome::NotRun(NotRunReason::LedgerUnavailable))
             }
         }
     }
 
-    /// Returns what the copies of the request share and no other request has.
+    /// Returns the fingerprint of the request, which its copies share with no other request.
     pub fn fingerprint(&self) -> RequestFingerprint {
-        let told = self.head.fingerprint.as_deref().and_then(RequestFingerprint::from_bytes);
-        told.unwrap_or_else(|| {
+        let reported = self.head.fingerprint.as_deref().and_then(RequestFingerprint::from_bytes);
+        reported.unwrap_or_else(|| {
             let parts = RequestParts {
                 organisation: self.head.organisation.as_deref().unwrap_or_default(),
                 service: &self.head.service_name,
@@ -334,9 +341,9 @@
         })
     }
 
-    /// Finds out, after a connection broke, whether the backend server crashed. One that leaves ends by
-    /// plan, and so does one that is no longer of this host.
-    async fn find_crash(&self) -> bool {
+    /// Checks, after a connection broke, whether the backend server crashed. A server that is
+    /// draining, or that no longer belongs to this host, ends as planned.
+    async fn detect_crash(&self) -> bool {
         let upstream = self.upstream;
         let is_own = self.state.host.get(&upstream.name).is_some();
         if !is_own || upstream.is_draining(self.state.now()) {
@@ -365,16 +372,16 @@
         }
     }
 
-    /// Answers a later attempt with the kept answer of the first.
-    async fn replay(&self, answer: &EventSink, kept: KeptAnswer) -> Result<(), FailureOutcome> {
+    /// Answers a later attempt with the stored response of the first.
+    async fn replay(&self, answer: &EventSink, stored: KeptAnswer) -> Result<(), FailureOutcome> {
         let mut lines = BytesMut::new();
-        writer::put_field(&mut lines, b"content-type", kept.media_type.as_bytes());
+        writer::put_field(&mut lines, b"content-type", stored.media_type.as_bytes());
         writer::put_field(&mut lines, b"basaltarch-replayed", b"1");
         let head = AnswerHead {
-            status: kept.status as i16,
+            status: stored.status as i16,
             field_lines: lines.into(),
-            content_length: kept.body.len() as i64,
-            body: kept.body.into_bytes(),
+            content_length: stored.body.len() as i64,
+            body: stored.body.into_bytes(),
             last: true,
             report: self.upstream.report(self.state, &self.head.route, None),
         };
@@ -382,15 +389,15 @@
         Ok(())
     }
 
-    /// Sends the work to the backend server and passes its answer on.
-    pub async fn work(
+    /// Sends the request to the backend server and relays its response.
+    pub async fn forward(
         &self,
         slot: SlotGuard,
         body: &EventPipe,
         answer: &EventSink,
         claim: Option<ClaimToken>,
     ) -> Result<(), FailureOutcome> {
-        if self.left().is_zero() {
+        if self.time_left().is_zero() {
             return Err(FailureOutcome::NotRun(NotRunReason::DeadlinePassed));
         }
         let connecting = async { Ok(self.upstream.pool.take().await) };
@@ -399,54 +406,54 @@
         let mut pooled = match taken {
             Ok(pooled) => pooled,
             Err(_) => {
-                self.note(WorkEvidence::Failed, false, Some(FailureSort::Broken));
+                self.record_result(WorkEvidence::Failed, false, Some(FailureSort::Broken));
                 return Err(FailureOutcome::NotRun(NotRunReason::ConnectFailed));
             }
         };
-        // An acknowledged drain binds also while a connection was being made, and so does a stop.
+        // A drain or shutdown that was acknowledged while the connection was opened must hold.
         if self.upstream.is_draining(self.state.now()) || !stop::starts(self.state, self.deadline) {
             pooled.give_back(None);
             return Err(FailureOutcome::NotRun(NotRunReason::Draining));
         }
-        // The word of a crash may have come while it waited for its slot.
+        // News of a crash may have arrived while the request waited for its slot.
         if let Err(reason) = self.refuse_suspect() {
             pooled.give_back(None);
             return Err(FailureOutcome::NotRun(reason));
         }
         metrics::WORKED.add_one();
-        let waited = self.state.now().saturating_sub(self.came_at);
+        let waited = self.state.now().saturating_sub(self.arrived_at);
         metrics::WAIT_SECONDS.record(waited);
-        self.tell_started(waited);
-        let progress = WorkProgress::new(slot, self.give_time());
-        let result = self.converse(pooled.stream(), &progress, body, answer, claim).await;
+        self.log_started(waited);
+        let progress = AttemptProgress::new(slot, self.attempt_timeout());
+        let result = self.run_exchange(pooled.stream(), &progress, body, answer, claim).await;
         let was_overdue = progress.was_overdue.get();
         let ending = if result.is_ok() { "answered" } else { "broke" };
         metrics::WORK_SECONDS.record_as(progress.elapsed(), [("result", ending)]);
         match result {
             Ok(reusable) => {
-                self.tell_ended(&progress);
+                self.log_ended(&progress);
                 if reusable {
-                    pooled.give_back(progress.rest.get());
+                    pooled.give_back(progress.keep_alive.get());
                 }
                 Ok(())
             }
-            Err(WorkFault::Shed) => {
+            Err(AttemptFault::Shed) => {
                 if progress.reusable.get() {
                     pooled.give_back(None);
                 }
-                Err(WorkFault::Shed.outcome())
+                Err(AttemptFault::Shed.outcome())
             }
-            Err(WorkFault::Moved) => {
+            Err(AttemptFault::Moved) => {
                 registration::note_gone(self.state, &self.upstream.name);
-                Err(WorkFault::Moved.outcome())
+                Err(AttemptFault::Moved.outcome())
             }
             Err(fault) => {
-                // The slot is free once the connection is closed, not before.
+                // The slot is released after the connection is closed, not before.
                 drop(pooled);
-                let crashed = fault.breaks_off() && self.find_crash().await;
-                self.tell_broke(fault, crashed, &progress);
-                if !progress.noted.get() {
-                    self.note(fault.evidence(was_overdue), was_overdue, fault.failure());
+                let crashed = fault.is_connection_failure() && self.detect_crash().await;
+                self.log_broke(fault, crashed, &progress);
+                if !progress.is_recorded.get() {
+                    self.record_result(fault.evidence(was_overdue), was_overdue, fault.failure());
                 }
                 drop(progress);
                 Err(fault.outcome())
@@ -454,62 +461,64 @@
         }
     }
 
-    /// Runs the exchange within its deadline; says whether the connection can be used again.
-    async fn converse(
+    /// Runs the HTTP exchange within its deadline; says whether the connection can be reused.
+    async fn run_exchange(
         &self,
         stream: &mut HttpStream,
-        progress: &WorkProgress,
+        progress: &AttemptProgress,
         body: &EventPipe,
         answer: &EventSink,
         claim: Option<ClaimToken>,
-    ) -> Result<bool, WorkFault> {
+    ) -> Result<bool, AttemptFault> {
         let now = self.state.now();
         let overdue_after = self.upstream.health.borrow().overdue_after(&self.head.route, now);
-        let watch = WorkWatch::start(self, progress);
+        let watch = AttemptWatch::start(self, progress);
         let calls = watch.calls().clone();
         let HttpStream { reader, writer } = stream;
         let sent = Cell::new(false);
         let mut sending =
             std::pin::pin!(
-                sending::send_request(self, progress.given.time, writer, body, &sent).fuse()
+                sending::send_request(self, progress.timeout.time, writer, body, &sent).fuse()
             );
-        let relay = AnswerRelay { work: self, progress, answer, claim, calls };
+        let relay = AnswerRelay { attempt: self, progress, answer, claim, calls };
         let mut answering = std::pin::pin!(relay.run(reader).fuse());
         let mut cancelled = std::pin::pin!(body.cancelled().fuse());
-        let mut late = std::pin::pin!(monoio::time::sleep(self.left()).fuse());
-        let mut slept = std::pin::pin!(self.state.clock.passed(self.deadline).fuse());
+        let mut timed_out = std::pin::pin!(monoio::time::sleep(self.time_left()).fuse());
+        let mut deadline_passed = std::pin::pin!(self.state.clock.passed(self.deadline).fuse());
         let overdue_after = overdue_after.unwrap_or(NEVER);
         let mut overdue = std::pin::pin!(monoio::time::sleep(overdue_after).fuse());
-        let mut looking = std::pin::pin!(watch.look().fuse());
+        let mut watching = std::pin::pin!(watch.check_until_settled().fuse());
         loop {
             select_biased! {
                 result = answering => return result.map(|clean| clean && sent.get()),
-                () = looking => {}
+                () = watching => {}
                 result = sending => match result {
-                    // A server may answer without reading all; its answer decides.
-                    Ok(()) | Err(WorkFault::Broken) => {}
+                    // A server may respond before it has read the whole request; its response
+                    // decides.
+                    Ok(()) | Err(AttemptFault::Broken) => {}
                     Err(fault) => return Err(fault),
                 },
-                () = cancelled => return Err(WorkFault::Cancelled),
-                () = overdue => if !progress.head_seen.get() && !self.slept() {
+                () = cancelled => return Err(AttemptFault::Cancelled),
+                () = overdue => if !progress.head_seen.get() && !self.was_suspended() {
                     progress.was_overdue.set(true);
                     if !self.is_trial {
                         self.upstream.note_overdue(&self.head.route, self.state.now());
                     }
                 },
-                () = late => if !progress.head_seen.get() {
-                    return Err(WorkFault::TimedOut);
+                () = timed_out => if !progress.head_seen.get() {
+                    return Err(AttemptFault::TimedOut);
                 },
-                () = slept => if !progress.head_seen.get() {
-                    return Err(WorkFault::TimedOut);
+                () = deadline_passed => if !progress.head_seen.get() {
+                    return Err(AttemptFault::TimedOut);
                 },
             }
         }
     }
 }
 
-/// Waits for what work needs before it can be sent to its backend server, unless the ingress cancels it: a
-/// caller that has left has no use for it. A cancel that came together with the work is seen before it starts.
+/// Waits for what a request needs before it can be sent to its backend server, unless the ingress
+/// cancels it because the caller has left. A cancel that arrived together with the request takes
+/// effect before the request starts.
 pub async fn unless_cancelled<T>(
     body: &EventPipe,
     needed: impl Future<Output = Result<T, NotRunReason>>,
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The host role: the only process that sends work to the backend servers of its host.
+//! The host role: the only process that sends requests to the backend servers of its host.
 //!
-//! Slots are counted here and nowhere else; refusals made here are provable, since the work would
-//! have started here.
+//! Slots are counted here and nowhere else. A refusal made here proves that the request did not
+//! run, since this is the only place where it could have started.
 
 pub mod backend;
 pub mod calls;
@@ -39,12 +39,12 @@
 pub struct HostRole {
     upstreams: RefCell<FnvHashMap<Rc<str>, Rc<HostUpstream>>>,
     configured: Cell<bool>,
-    /// Work that runs here, for the calls that it makes.
+    /// Requests that run here, to which nested calls are attributed.
     pub calls: CallTable,
 }
 
 impl HostRole {
-    /// Returns a backend server of this host.
+    /// Returns the backend server of this name if it runs on this host.
     pub fn get(&self, name: &str) -> Option<Rc<HostUpstream>> {
         self.upstreams.borrow().get(name).cloned()
     }
@@ -56,9 +56,10 @@
         all
     }
 
-    /// Brings the backend servers in line with a configuration; what was learnt is kept.
+    /// Applies a configuration to the backend servers. Those that stay keep their health state.
     pub fn configure(&self, state: &DaemonState, active: &ActiveConfig, touched: &TouchedServices) {
-        // At the first configuration nobody is cold: the daemon was replaced, not the servers.
+        // No server counts as cold at the first configuration: the daemon was replaced, not the
+        // servers.
         let cold = self.configured.replace(true);
         match touched {
             TouchedServices::Some(names) => {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Takes back a failure that followed its request to another upstream.
+    /// Withdraws a failure after the same request also failed at another upstream.
     pub fn withdraw_failure(&self, upstream: &str, route: &str) {
         if let Some(upstream) = self.get(upstream) {
             upstream.health.borrow_mut().withdraw_failure(route);
@@ -128,7 +129,7 @@
     }
 }
 
-/// Serves an exchange that came over a link.
+/// Serves an exchange that arrived over a peer link.
 pub async fn serve_remote(
     state: Rc<DaemonState>,
     link: Rc<AcceptedLink>,
@@ -140,7 +141,7 @@
     link.forget(exchange);
 }
 
-/// Starts an exchange with a backend server of this very host, by the same code.
+/// Starts an exchange with a backend server of this host, by the code that serves remote ones.
 pub fn dispatch_local(state: &Rc<DaemonState>, head: DispatchHead) -> OutboundExchange {
     let body = Rc::new(EventPipe::default());
     body.shut_window();
@@ -155,7 +156,7 @@
     });
     let cancel_body = body.clone();
     let cancel = Box::new(move || {
-        // An exchange that is over has nobody left to cancel.
+        // The push fails only when the exchange has ended, and then there is nothing to cancel.
         let _ = cancel_body.push(StreamEvent::Cancelled);
     });
     OutboundExchange::new(EventSink::Local(body), answer, cancel)
--- a/crates/daemon/src/host/places.rs
+++ b/crates/daemon/src/host/places.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Work that holds a place before the slots here, while it waits at its ingress.
+//! Reservations for the slots here, held for requests that wait at their ingress.
 //!
-//! Once it is its turn, when a slot is free or about to be, the work is called in. It comes then or never. Until then
-//! there is nothing here that could be sent to the backend server, so that whatever ends a place, the work has not run.
+//! When a slot is free or about to become free, the ingress is offered it and either dispatches the
+//! request or loses the reservation. Until then nothing of the request is here that could be sent
+//! to the backend server, so that the request has not run, however the reservation ends.
 
 use std::time::Duration;
 
@@ -13,21 +14,21 @@
 use basaltarch_peer::protocol::DispatchHead;
 use basaltarch_peer::stream::{EventPipe, EventSink, StreamEvent};
 
-use crate::host::exchange::{self, HostWork};
+use crate::host::exchange::{self, HostAttempt};
 
-/// Time for which work that was called in is waited for: several ways there and back between failure domains,
-/// with a pause of a busy daemon. A call to an ingress that was killed or is cut off one way keeps the next one back for
-/// as long.
-const CALL_WAIT: Duration = Duration::from_millis(150);
+/// Time for which a slot offer waits for its dispatch: several round trips between failure domains,
+/// plus a pause of a busy daemon. An offer to an ingress that was killed, or that is cut off in one
+/// direction, holds back the next offer for as long.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(150);
 
-impl HostWork<'_> {
-    /// Says whether only a place is asked for.
-    pub fn is_place(&self) -> bool {
+impl HostAttempt<'_> {
+    /// Says whether the exchange only asks for a reservation.
+    pub fn is_reservation(&self) -> bool {
         self.head.reserved == Some(true)
     }
 
-    /// Waits for a slot, calls the work in and runs it.
-    pub async fn run_called_in(
+    /// Waits for a slot, offers it to the ingress and runs the request that is dispatched for it.
+    pub async fn run_reserved(
         &self,
         body: &EventPipe,
         answer: &EventSink,
@@ -35,27 +36,27 @@
         if !self.may_start() {
             return Err(FailureOutcome::NotRun(NotRunReason::Draining));
         }
-        if self.upstream.is_down() {
+        if self.upstream.is_unreachable() {
             return Err(FailureOutcome::NotRun(NotRunReason::Sick));
         }
         let waiting = self.upstream.slots.wait_turn(self.slot_request());
-        let turn = exchange::unless_cancelled(body, waiting).await;
-        let turn = turn.map_err(FailureOutcome::NotRun)?;
+        let offer = exchange::unless_cancelled(body, waiting).await;
+        let offer = offer.map_err(FailureOutcome::NotRun)?;
         body.call_in();
-        let head = self.called_in(body).await.map_err(FailureOutcome::NotRun)?;
-        // The window opens anew once the backend server takes the body.
+        let head = self.await_dispatch(body).await.map_err(FailureOutcome::NotRun)?;
+        // The window opens again once the backend server reads the body.
         body.shut_window();
-        let work = self.called_in_with(&head);
-        let starting = exchange::unless_cancelled(body, turn.start(work.slot_request()));
+        let attempt = self.with_dispatch_head(&head);
+        let starting = exchange::unless_cancelled(body, offer.start(attempt.slot_request()));
         let slot = starting.await.map_err(FailureOutcome::NotRun)?;
-        work.work(slot, body, answer, None).await
+        attempt.forward(slot, body, answer, None).await
     }
 
-    /// Waits for the work, which a place was held for.
-    async fn called_in(&self, body: &EventPipe) -> Result<DispatchHead, NotRunReason> {
-        match monoio::time::timeout(CALL_WAIT, body.next()).await {
+    /// Waits for the dispatch of the request that holds the reservation.
+    async fn await_dispatch(&self, body: &EventPipe) -> Result<DispatchHead, NotRunReason> {
+        match monoio::time::timeout(OFFER_TIMEOUT, body.next()).await {
             Ok(StreamEvent::Begin(head)) => Ok(*head),
-            // It was called in elsewhere, or its caller left.
+            // It took an offer of another host, or its caller left.
             Ok(_) => Err(NotRunReason::CallerGone),
             Err(_) => {
                 metrics::CALLS_UNANSWERED.add_one();
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Passes the answer of a backend server on to the ingress, and takes from it what it says.
+//! Relays the response of a backend server to the ingress, and derives from it the evidence for the
+//! server's health.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,41 +25,43 @@
 use bytes::{Bytes, BytesMut};
 use http::{header, response, Method, StatusCode};
 
-use crate::host::calls::WorkCalls;
-use crate::host::exchange::HostWork;
+use crate::host::calls::NestedCalls;
+use crate::host::exchange::HostAttempt;
 use crate::host::verify::{self, AnswerVerdict};
 use crate::wire;
 
-/// Informational answers that a backend server may send before the real one.
+/// Informational (1xx) responses that a backend server may send before the final one.
 const INFORMATIONAL_MAX: usize = 8;
-/// Answers with these many bytes or fewer go to the ingress in one frame.
+/// Responses with a body of up to this many bytes go to the ingress in one frame.
 const INLINE_BYTES_MAX: u64 = 32 * 1024;
-/// Time for which the rest of a short answer is waited for before its start goes out: a body that
-/// was ready with its head takes a few milliseconds, and one that is being made must not be held.
-const GATHER_TIME: Duration = Duration::from_millis(150);
-/// Answers read before the right one must have come: one late answer, and one more for chance.
+/// Time for which a short body is awaited before its start is sent: a body that was ready together
+/// with its head takes a few milliseconds, and one that is still being produced must not be held
+/// back.
+const BUFFER_TIME: Duration = Duration::from_millis(150);
+/// Responses read until one must match the request: one late response, the expected one, and one
+/// more as a margin.
 const SURPLUS_MAX: usize = 3;
 
-/// `WorkFault` says how the work broke.
+/// `AttemptFault` says how an attempt failed after the request was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WorkFault {
-    /// The ingress gave it up.
+pub enum AttemptFault {
+    /// The ingress cancelled it.
     Cancelled,
-    /// The deadline passed before the head of the answer.
+    /// The deadline passed before the response head arrived.
     TimedOut,
-    /// The connection broke before the head of the answer.
+    /// The connection broke before the response head arrived.
     Broken,
-    /// The answer was malformed or cut short.
+    /// The response was malformed or truncated.
     BadAnswer,
-    /// The backend server refused the work by its documented word.
+    /// The backend server refused the request by a shed notice.
     Shed,
-    /// Another backend server has taken its place; it refused the work.
+    /// Another backend server now listens at this address; it refused the request.
     Moved,
-    /// The ingress no longer takes the answer.
+    /// The ingress no longer reads the response.
     SinkGone,
 }
 
-impl WorkFault {
+impl AttemptFault {
     /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Returns the outcome that the ingress is told.
+    /// Returns the outcome that is reported to the ingress.
     pub fn outcome(self) -> FailureOutcome {
         match self {
             Self::Cancelled | Self::SinkGone => FailureOutcome::Unknown(UnknownReason::CallerGone),
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Says whether the connection to the server broke, or the answer on it.
-    pub fn breaks_off(self) -> bool {
+    /// Says whether the connection to the server broke, or the response on it.
+    pub fn is_connection_failure(self) -> bool {
         matches!(self, Self::Broken | Self::BadAnswer)
     }
 
@@ -98,82 +101,83 @@
         }
     }
 
-    /// Returns what the fault says about the server.
+    /// Returns the evidence that the fault gives about the server.
     pub fn evidence(self, was_overdue: bool) -> WorkEvidence {
         match self {
             Self::Broken | Self::BadAnswer => WorkEvidence::Failed,
-            // A time-out is a censored time: it says something only if the work was overdue.
+            // A timeout only bounds the service time from below (a censored observation), so that
+            // it is evidence only if the request was overdue.
             Self::TimedOut if was_overdue => WorkEvidence::Failed,
             _ => WorkEvidence::Neutral,
         }
     }
 }
 
-/// `WorkProgress` is how far the work got.
-pub struct WorkProgress {
+/// `AttemptProgress` is how far an attempt got.
+pub struct AttemptProgress {
     slot: Cell<Option<SlotGuard>>,
     started: Instant,
-    /// Time that the server was given.
-    pub given: GivenTime,
-    /// Whether it passed what such work is allowed without a sign of life.
-    pub has_passed: Cell<bool>,
-    /// Whether the head of the answer came.
+    /// Timeout that the server was given.
+    pub timeout: GivenTime,
+    /// Whether it was counted as hung, having passed `late_after` without progress.
+    pub counted_as_hung: Cell<bool>,
+    /// Whether the response head arrived.
     pub head_seen: Cell<bool>,
-    /// Whether an answer came that is no error.
-    pub has_answered: Cell<bool>,
-    /// Whether the work was noted as overdue.
+    /// Whether a successful response arrived.
+    pub has_succeeded: Cell<bool>,
+    /// Whether the request was recorded as overdue.
     pub was_overdue: Cell<bool>,
-    /// Whether its end was noted.
-    pub noted: Cell<bool>,
-    /// Whether the connection can be used again after a refusal.
+    /// Whether its end was recorded.
+    pub is_recorded: Cell<bool>,
+    /// Whether the connection can be reused after a refusal.
     pub reusable: Cell<bool>,
-    /// Time for which the server says it keeps the connection at rest.
-    pub rest: Cell<Option<Duration>>,
+    /// Keep-alive timeout that the server announced.
+    pub keep_alive: Cell<Option<Duration>>,
 }
 
-impl WorkProgress {
-    /// Returns the time since the work started.
+impl AttemptProgress {
+    /// Returns the time since the attempt started.
     pub fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Builds the progress of work that starts now in this slot and for which the server is given this time.
-    pub fn new(slot: SlotGuard, given: GivenTime) -> Self {
+    /// Builds the progress of an attempt that starts now in this slot with this timeout.
+    pub fn new(slot: SlotGuard, timeout: GivenTime) -> Self {
         Self {
             slot: Cell::new(Some(slot)),
             started: Instant::now(),
-            given,
-            has_passed: Cell::new(false),
+            timeout,
+            counted_as_hung: Cell::new(false),
             head_seen: Cell::new(false),
-            has_answered: Cell::new(false),
+            has_succeeded: Cell::new(false),
             was_overdue: Cell::new(false),
-            noted: Cell::new(false),
+            is_recorded: Cell::new(false),
             reusable: Cell::new(false),
-            rest: Cell::new(None),
+            keep_alive: Cell::new(None),
         }
     }
 }
 
-/// `AnswerRelay` passes the answer of a backend server on to the ingress.
+/// `AnswerRelay` relays the response of a backend server to the ingress.
 pub struct AnswerRelay<'a> {
-    /// The work.
-    pub work: &'a HostWork<'a>,
+    /// The attempt.
+    pub attempt: &'a HostAttempt<'a>,
     /// How far it got.
-    pub progress: &'a WorkProgress,
-    /// Where the answer goes.
+    pub progress: &'a AttemptProgress,
+    /// Where the response goes.
     pub answer: &'a EventSink,
-    /// Row of once-only work.
+    /// Claim of the ledger row of an at-most-once request.
     pub claim: Option<ClaimToken>,
-    /// Calls that the work made.
-    pub calls: Rc<WorkCalls>,
+    /// Nested calls of the request.
+    pub calls: Rc<NestedCalls>,
 }
 
-/// `AnswerStart` is the head of an answer and what it is.
+/// `AnswerStart` is a response head and its classification.
 struct AnswerStart {
     head: response::Parts,
     framing: BodyFraming,
     verdict: AnswerVerdict,
-    /// Whether nothing else came before it on the connection.
+    /// Whether nothing else preceded it on the connection.
     clean: bool,
 }
 
@@ -181,36 +185,36 @@
     basaltarch_http::reader::ByteReader<monoio::io::OwnedReadHalf<monoio::net::TcpStream>>;
 
 impl AnswerRelay<'_> {
-    /// Passes the answer on; says whether it left the connection clean.
-    pub async fn run(self, reader: &mut BackendReader) -> Result<bool, WorkFault> {
+    /// Relays the response; says whether the connection can be reused after it.
+    pub async fn run(self, reader: &mut BackendReader) -> Result<bool, AttemptFault> {
         let AnswerStart { mut head, framing, verdict, clean } = self.start(reader).await?;
         self.progress.head_seen.set(true);
-        let now = self.work.state.now();
-        let drain = &self.work.state.fields.drain;
-        self.work.upstream.note_drain_word(head.headers.contains_key(drain), now);
+        let now = self.attempt.state.now();
+        let drain = &self.attempt.state.fields.drain;
+        self.attempt.upstream.note_drain_notice(head.headers.contains_key(drain), now);
         match verdict {
             AnswerVerdict::Shed => {
                 let close = fields::wants_close(head.version, &head.headers) || !clean;
                 return self.finish_shed(reader, framing, close).await;
             }
-            AnswerVerdict::Moved => return Err(WorkFault::Moved),
-            AnswerVerdict::Wrong | AnswerVerdict::Surplus => return Err(WorkFault::BadAnswer),
-            AnswerVerdict::Ours => {}
+            AnswerVerdict::Moved => return Err(AttemptFault::Moved),
+            AnswerVerdict::Invalid | AnswerVerdict::Surplus => return Err(AttemptFault::BadAnswer),
+            AnswerVerdict::Matching => {}
         }
         let close = framing == BodyFraming::UntilClose
             || fields::wants_close(head.version, &head.headers)
             || !clean;
         let length = declared_length(&head, framing);
-        let rest = fields::keep_alive_time(&head.headers);
-        self.progress.rest.set(rest);
+        let keep_alive = fields::keep_alive_time(&head.headers);
+        self.progress.keep_alive.set(keep_alive);
         fields::remove_hop_fields(&mut head.headers);
         let mut body = BodyReader::new(framing, BodyLimits::default());
-        let inline = self.gather(&mut body, reader, framing).await?;
+        let inline = self.buffer_start(&mut body, reader, framing).await?;
         if body.is_done() {
-            self.note_end(head.status, self.progress.started.elapsed());
-            self.keep(&head, &inline);
+            self.record_end(head.status, self.progress.started.elapsed());
+            self.store_answer(&head, &inline);
             self.send_head(&head, length, inline, true).await?;
-            // Bytes behind the whole answer belong to no request.
+            // Bytes after the complete response belong to no request.
             return Ok(!close && reader.buffer.is_empty());
         }
         self.send_head(&head, length, inline, false).await?;
@@ -218,77 +222,80 @@
         Ok(!close && reader.buffer.is_empty())
     }
 
-    /// Reads heads until one belongs to the request; answers to earlier requests are read past.
-    async fn start(&self, reader: &mut BackendReader) -> Result<AnswerStart, WorkFault> {
-        let method = self.work.head.method.parse().unwrap_or(Method::GET);
+    /// Reads heads until one belongs to the request; responses to earlier requests are discarded.
+    async fn start(&self, reader: &mut BackendReader) -> Result<AnswerStart, AttemptFault> {
+        let method = self.attempt.head.method.parse().unwrap_or(Method::GET);
         let mut clean = true;
         for _ in 0..SURPLUS_MAX {
             let head = self.read_head(reader).await?;
-            let framing = framing::of_response(&head, &method).map_err(|_| WorkFault::BadAnswer)?;
-            let names = &self.work.state.fields;
-            let verdict = verify::judge(names, &self.work.head.field_lines, &head);
+            let framing =
+                framing::of_response(&head, &method).map_err(|_| AttemptFault::BadAnswer)?;
+            let names = &self.attempt.state.fields;
+            let verdict = verify::classify(names, &self.attempt.head.field_lines, &head);
             if verdict != AnswerVerdict::Surplus {
                 return Ok(AnswerStart { head, framing, verdict, clean });
             }
             clean = false;
             metrics::SURPLUS_ANSWERS.add_one();
-            self.work.tell_surplus(head.status.as_u16());
-            self.read_past(reader, framing).await?;
+            self.attempt.log_surplus(head.status.as_u16());
+            self.discard_body(reader, framing).await?;
         }
-        Err(WorkFault::BadAnswer)
+        Err(AttemptFault::BadAnswer)
     }
 
-    /// Reads past the body of an answer to an earlier request.
-    async fn read_past(
+    /// Reads and discards the body of a response that is not relayed.
+    async fn discard_body(
         &self,
         reader: &mut BackendReader,
         framing: BodyFraming,
-    ) -> Result<(), WorkFault> {
+    ) -> Result<(), AttemptFault> {
         if framing == BodyFraming::UntilClose {
-            return Err(WorkFault::BadAnswer);
+            return Err(AttemptFault::BadAnswer);
         }
         let mut body = BodyReader::new(framing, BodyLimits::default());
-        while body.next(reader).await.map_err(|_| WorkFault::BadAnswer)?.is_some() {}
+        while body.next(reader).await.map_err(|_| AttemptFault::BadAnswer)?.is_some() {}
         Ok(())
     }
 
-    async fn read_head(&self, reader: &mut BackendReader) -> Result<response::Parts, WorkFault> {
+    async fn read_head(&self, reader: &mut BackendReader) -> Result<response::Parts, AttemptFault> {
         let limits = HeadLimits {
             bytes: 32 * 1024,
-            idle: self.work.left() + Duration::from_secs(1),
-            time: self.work.left() + Duration::from_secs(1),
+            idle: self.attempt.time_left() + Duration::from_secs(1),
+            time: self.attempt.time_left() + Duration::from_secs(1),
             ..HeadLimits::default()
         };
         for _ in 0..INFORMATIONAL_MAX {
             match head::read_response(reader, &limits).await {
                 Ok(head) if head.status.is_informational() => continue,
                 Ok(head) => return Ok(head),
-                Err(HttpError::Closed | HttpError::Broken { .. }) => return Err(WorkFault::Broken),
-                Err(_) => return Err(WorkFault::BadAnswer),
+                Err(HttpError::Closed | HttpError::Broken { .. }) => {
+                    return Err(AttemptFault::Broken)
+                }
+                Err(_) => return Err(AttemptFault::BadAnswer),
             }
         }
-        Err(WorkFault::BadAnswer)
+        Err(AttemptFault::BadAnswer)
     }
 
-    /// Takes the start of a body: all of a short one, if it comes within [`GATHER_TIME`], so that one
-    /// that breaks off reaches no caller and can be repeated.
-    async fn gather(
+    /// Buffers the start of a body: all of a short one, if it arrives within [`BUFFER_TIME`], so
+    /// that a truncated one reaches no caller and the request can be retried.
+    async fn buffer_start(
         &self,
         body: &mut BodyReader,
         reader: &mut BackendReader,
         framing: BodyFraming,
-    ) -> Result<Bytes, WorkFault> {
+    ) -> Result<Bytes, AttemptFault> {
         if matches!(framing, BodyFraming::Length(bytes) if bytes > INLINE_BYTES_MAX) {
             return Ok(Bytes::new());
         }
         let mut inline = BytesMut::new();
         let begin = Instant::now();
         while inline.len() < INLINE_BYTES_MAX as usize && !body.is_done() {
-            let left = GATHER_TIME.saturating_sub(begin.elapsed());
+            let left = BUFFER_TIME.saturating_sub(begin.elapsed());
             match monoio::time::timeout(left, body.next(reader)).await {
                 Ok(Ok(Some(piece))) => inline.extend_from_slice(&piece),
                 Ok(Ok(None)) => break,
-                Ok(Err(_)) => return Err(WorkFault::BadAnswer),
+                Ok(Err(_)) => return Err(AttemptFault::BadAnswer),
                 Err(_) => break,
             }
         }
@@ -300,39 +307,39 @@
         reader: &mut BackendReader,
         framing: BodyFraming,
         close: bool,
-    ) -> Result<bool, WorkFault> {
-        // The word was in the head; a broken body only spoils the connection.
-        let whole = self.read_past(reader, framing).await.is_ok();
-        self.progress.reusable.set(whole && !close && reader.buffer.is_empty());
-        self.work.note(WorkEvidence::Neutral, false, None);
-        self.progress.noted.set(true);
-        Err(WorkFault::Shed)
+    ) -> Result<bool, AttemptFault> {
+        // The shed notice was in the head; a broken body only makes the connection unusable.
+        let complete = self.discard_body(reader, framing).await.is_ok();
+        self.progress.reusable.set(complete && !close && reader.buffer.is_empty());
+        self.attempt.record_result(WorkEvidence::Neutral, false, None);
+        self.progress.is_recorded.set(true);
+        Err(AttemptFault::Shed)
     }
 
-    /// Notes the end of the work and frees its slot, so that the report tells of both.
-    fn note_end(&self, status: StatusCode, took: Duration) {
+    /// Records the end of the attempt and releases its slot, so that the load report covers both.
+    fn record_end(&self, status: StatusCode, took: Duration) {
         let was_overdue = self.progress.was_overdue.get();
         let failed = wire::is_server_error(status.as_u16());
         let evidence = match status {
-            // An error that follows a lost call is not the server's own.
-            _ if failed && self.calls.has_lost() => WorkEvidence::Neutral,
-            // The server ended with its time, which says no more than that the time was too short.
-            StatusCode::GATEWAY_TIMEOUT => WorkFault::TimedOut.evidence(was_overdue),
+            // An error after a failed nested call is not attributed to this server.
+            _ if failed && self.calls.has_failed_call() => WorkEvidence::Neutral,
+            // The server gave up at its timeout, which shows no more than that it was too short.
+            StatusCode::GATEWAY_TIMEOUT => AttemptFault::TimedOut.evidence(was_overdue),
             _ if failed => WorkEvidence::Failed,
             _ => WorkEvidence::Answered(took),
         };
         let failure = (evidence == WorkEvidence::Failed).then_some(FailureSort::Answered);
-        self.progress.has_answered.set(!failed);
-        if !failed && !self.work.slept() {
-            let mut allowance = self.work.upstream.allowance.borrow_mut();
-            let passed = self.progress.has_passed.get();
-            let now = self.work.state.now();
-            allowance.note_answered(&self.progress.given, took, passed, now);
+        self.progress.has_succeeded.set(!failed);
+        if !failed && !self.attempt.was_suspended() {
+            let mut allowance = self.attempt.upstream.allowance.borrow_mut();
+            let counted = self.progress.counted_as_hung.get();
+            let now = self.attempt.state.now();
+            allowance.note_answered(&self.progress.timeout, took, counted, now);
         }
-        self.work.note(evidence, was_overdue, failure);
-        self.progress.noted.set(true);
+        self.attempt.record_result(evidence, was_overdue, failure);
+        self.progress.is_recorded.set(true);
         if !failed {
-            self.work.note_good();
+            self.attempt.clear_suspicion();
         }
         drop(self.progress.slot.take());
     }
@@ -343,21 +350,21 @@
         length: i64,
         body: Bytes,
         last: bool,
-    ) -> Result<(), WorkFault> {
+    ) -> Result<(), AttemptFault> {
         let answer = AnswerHead {
             status: head.status.as_u16() as i16,
             field_lines: wire::field_lines(&head.headers),
             content_length: length,
             body: body.to_vec(),
             last,
-            report: self.work.upstream.report(
-                self.work.state,
-                &self.work.head.route,
+            report: self.attempt.upstream.report(
+                self.attempt.state,
+                &self.attempt.head.route,
                 Some(self.progress.started.elapsed()),
             ),
         };
         let sending = self.answer.send(StreamEvent::Head(answer));
-        sending.await.map_err(|_| WorkFault::SinkGone)
+        sending.await.map_err(|_| AttemptFault::SinkGone)
     }
 
     async fn stream_body(
@@ -365,19 +372,19 @@
         body: &mut BodyReader,
         reader: &mut BackendReader,
         status: StatusCode,
-    ) -> Result<(), WorkFault> {
-        // Time that the caller takes to read is not the server's.
+    ) -> Result<(), AttemptFault> {
+        // Time that the caller takes to read does not count as the server's.
         let mut waited = Duration::ZERO;
         loop {
-            let piece = body.next(reader).await.map_err(|_| WorkFault::BadAnswer)?;
+            let piece = body.next(reader).await.map_err(|_| AttemptFault::BadAnswer)?;
             let last = piece.is_none();
             if last {
-                self.note_end(status, self.progress.started.elapsed().saturating_sub(waited));
+                self.record_end(status, self.progress.started.elapsed().saturating_sub(waited));
             }
             let data = piece.unwrap_or_default();
             let before = Instant::now();
             let sending = self.answer.send(StreamEvent::Data(data, last));
-            sending.await.map_err(|_| WorkFault::SinkGone)?;
+            sending.await.map_err(|_| AttemptFault::SinkGone)?;
             waited += before.elapsed();
             if last {
                 return Ok(());
@@ -385,8 +392,8 @@
         }
     }
 
-    /// Keeps a short text answer of once-only work for later attempts.
-    fn keep(&self, head: &response::Parts, body: &Bytes) {
+    /// Stores a short text response to an at-most-once request for later attempts.
+    fn store_answer(&self, head: &response::Parts, body: &Bytes) {
         let token = match &self.claim {
             Some(token) => token.clone(),
             None => return,
@@ -399,12 +406,12 @@
                 media_type: media_type.to_owned(),
                 body: text.to_owned(),
             };
-            self.work.state.ledger.finish(token, answer);
+            self.attempt.state.ledger.finish(token, answer);
         }
     }
 }
 
-/// Returns the length that the answer declares; also when it has no body, as to `HEAD`.
+/// Returns the length that the response declares, even if it has no body, as in reply to `HEAD`.
 fn declared_length(head: &response::Parts, framing: BodyFraming) -> i64 {
     match framing {
         BodyFraming::Empty => match framing::content_length(&head.headers) {
--- a/crates/daemon/src/host/sending.rs
+++ b/crates/daemon/src/host/sending.rs
@@ -13,23 +13,23 @@
 use basaltarch_peer::stream::{EventPipe, StreamEvent};
 use bytes::BytesMut;
 
-use crate::host::exchange::HostWork;
-use crate::host::relay::WorkFault;
+use crate::host::exchange::HostAttempt;
+use crate::host::relay::AttemptFault;
 
-/// Sends the request, for which the server is `given` this time; `sent` tells whether all of it was.
+/// Sends the request with the server's `timeout`; sets `sent` once all of it is sent.
 pub async fn send_request(
-    work: &HostWork<'_>,
-    given: Duration,
+    attempt: &HostAttempt<'_>,
+    timeout: Duration,
     writer: &mut monoio::io::OwnedWriteHalf<monoio::net::TcpStream>,
     body: &EventPipe,
     sent: &Cell<bool>,
-) -> Result<(), WorkFault> {
-    let head = work.head;
+) -> Result<(), AttemptFault> {
+    let head = attempt.head;
     let framing = request_framing(head);
     let mut buffer = BytesMut::with_capacity(1024 + head.body.len());
-    put_request(work, given, framing, &mut buffer);
+    put_request(attempt, timeout, framing, &mut buffer);
     writer::put_piece(&mut buffer, framing, &head.body, head.last);
-    writer::flush(writer, &mut buffer).await.map_err(|_| WorkFault::Broken)?;
+    writer::flush(writer, &mut buffer).await.map_err(|_| AttemptFault::Broken)?;
     if head.last {
         sent.set(true);
         return Ok(());
@@ -39,13 +39,13 @@
         match body.next().await {
             StreamEvent::Data(data, last) => {
                 let sending = writer::send_piece(writer, &mut buffer, framing, data, last);
-                sending.await.map_err(|_| WorkFault::Broken)?;
+                sending.await.map_err(|_| AttemptFault::Broken)?;
                 if last {
                     sent.set(true);
                     return Ok(());
                 }
             }
-            _ => return Err(WorkFault::Cancelled),
+            _ => return Err(AttemptFault::Cancelled),
         }
     }
 }
@@ -59,18 +59,23 @@
     }
 }
 
-fn put_request(work: &HostWork<'_>, given: Duration, framing: BodyFraming, buffer: &mut BytesMut) {
-    let head = work.head;
+fn put_request(
+    attempt: &HostAttempt<'_>,
+    timeout: Duration,
+    framing: BodyFraming,
+    buffer: &mut BytesMut,
+) {
+    let head = attempt.head;
     buffer.extend_from_slice(head.method.as_bytes());
     buffer.extend_from_slice(b" ");
     buffer.extend_from_slice(head.target.as_bytes());
     buffer.extend_from_slice(b" HTTP/1.1\r\n");
     buffer.extend_from_slice(&head.field_lines);
-    let given = given.as_millis().to_string();
-    let names = &work.state.fields;
-    writer::put_field(buffer, names.deadline.as_str().as_bytes(), given.as_bytes());
+    let timeout = timeout.as_millis().to_string();
+    let names = &attempt.state.fields;
+    writer::put_field(buffer, names.deadline.as_str().as_bytes(), timeout.as_bytes());
     if let Some(name) = &names.expected_server {
-        let server = incarnation::server_of(&work.upstream.name);
+        let server = incarnation::server_of(&attempt.upstream.name);
         writer::put_field(buffer, name.as_str().as_bytes(), server.as_bytes());
     }
     writer::put_framing(buffer, framing);
--- a/crates/daemon/src/host/trail.rs
+++ b/crates/daemon/src/host/trail.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The log lines of one piece of work at the host role.
+//! The log lines of one attempt at the host role.
 //!
-//! The ingress says whether a request is logged from its start; then so is its work. Work that broke
-//! at the backend server is logged in any case, within the bound on failures.
+//! The ingress decides whether a request is logged from its start; its attempts are then logged
+//! too. An attempt that failed at the backend server is logged in any case, within the limit on
+//! logged failures.
 
 use std::time::Duration;
 
@@ -13,8 +14,8 @@
 use basaltarch_events::requests::{SurplusDropped, WorkBroke, WorkEnded, WorkRefused, WorkStarted};
 use basaltarch_peer::protocol::DispatchHead;
 
-use crate::host::exchange::HostWork;
-use crate::host::relay::{WorkFault, WorkProgress};
+use crate::host::exchange::HostAttempt;
+use crate::host::relay::{AttemptFault, AttemptProgress};
 use crate::state::DaemonState;
 use crate::wire;
 
@@ -30,12 +31,12 @@
     time.as_millis() as u64
 }
 
-impl HostWork<'_> {
+impl HostAttempt<'_> {
     fn is_logged(&self) -> bool {
         self.head.logged == Some(true)
     }
 
-    fn attempt(&self) -> u64 {
+    fn attempt_number(&self) -> u64 {
         self.head.attempt.max(0) as u64
     }
 
@@ -44,15 +45,15 @@
         health.report(&self.head.route, self.state.now()).sickness
     }
 
-    /// Logs that the work goes to the backend server.
-    pub fn tell_started(&self, waited: Duration) {
+    /// Logs that the request is sent to the backend server.
+    pub fn log_started(&self, waited: Duration) {
         if !self.is_logged() {
             return;
         }
         WorkStarted {
             request: &request_id(self.state, self.head),
             upstream: &self.upstream.name,
-            attempt: self.attempt(),
+            attempt: self.attempt_number(),
             waited_ms: millis(waited),
             service: &self.upstream.service,
             in_flight: self.upstream.slots.used().into(),
@@ -60,40 +61,40 @@
             queued: self.upstream.slots.queued().into(),
             trial: self.is_trial,
             sickness: self.sickness(),
-            left_ms: millis(self.left()),
+            left_ms: millis(self.time_left()),
         }
         .log();
     }
 
-    /// Logs that the work is refused and nothing of it was sent.
-    pub fn tell_refused(&self, reason: NotRunReason) {
+    /// Logs that the request is refused and nothing of it was sent.
+    pub fn log_refused(&self, reason: NotRunReason) {
         if !self.is_logged() {
             return;
         }
         WorkRefused {
             request: &request_id(self.state, self.head),
             upstream: &self.upstream.name,
-            attempt: self.attempt(),
+            attempt: self.attempt_number(),
             reason: reason.name(),
             service: &self.upstream.service,
             in_flight: self.upstream.slots.used().into(),
             slots: self.upstream.slots.slots().into(),
             queued: self.upstream.slots.queued().into(),
             sickness: self.sickness(),
-            left_ms: millis(self.left()),
+            left_ms: millis(self.time_left()),
         }
         .log();
     }
 
-    /// Logs that the backend server answered.
-    pub fn tell_ended(&self, progress: &WorkProgress) {
+    /// Logs that the backend server responded.
+    pub fn log_ended(&self, progress: &AttemptProgress) {
         if !self.is_logged() {
             return;
         }
         WorkEnded {
             request: &request_id(self.state, self.head),
             upstream: &self.upstream.name,
-            attempt: self.attempt(),
+            attempt: self.attempt_number(),
             service: &self.upstream.service,
             took_ms: millis(progress.elapsed()),
             in_flight: self.upstream.slots.used().into(),
@@ -103,8 +104,8 @@
         .log();
     }
 
-    /// Logs that no usable answer came.
-    pub fn tell_broke(&self, fault: WorkFault, crashed: bool, progress: &WorkProgress) {
+    /// Logs that no usable response arrived.
+    pub fn log_broke(&self, fault: AttemptFault, crashed: bool, progress: &AttemptProgress) {
         if !self.is_logged() && !self.state.log_budget.takes_failure(self.state.now()) {
             return;
         }
@@ -112,10 +113,10 @@
             request: &request_id(self.state, self.head),
             upstream: &self.upstream.name,
             route: &self.head.route,
-            attempt: self.attempt(),
+            attempt: self.attempt_number(),
             repeatable: wire::mode_of(self.head.work_mode) == WorkMode::Repeatable,
             fault: fault.name(),
-            trusted_ms: millis(self.upstream.trusted_for(self.state.now())),
+            trusted_ms: millis(self.upstream.since_last_success(self.state.now())),
             took_ms: millis(progress.elapsed()),
             fingerprint: &self.fingerprint().to_string(),
             crashed,
@@ -123,8 +124,8 @@
         .log();
     }
 
-    /// Logs that an answer to an earlier request was dropped.
-    pub fn tell_surplus(&self, status: u16) {
+    /// Logs that a response to an earlier request was discarded.
+    pub fn log_surplus(&self, status: u16) {
         if !self.is_logged() && !self.state.log_budget.takes_failure(self.state.now()) {
             return;
         }
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! One backend server of this host, as its daemon knows it.
+//! The state of one backend server of this host at its daemon.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -26,8 +26,8 @@
 use crate::state::DaemonState;
 use crate::wire::{self, HostLoad};
 
-/// Time for which a backend server's word that it is leaving counts without being renewed.
-const DRAIN_WORD_LIFE: Duration = Duration::from_secs(30);
+/// Time for which a backend server's drain notice holds without being renewed.
+const DRAIN_NOTICE_LIFE: Duration = Duration::from_secs(30);
 
 /// `HostUpstream` is one backend server of this host.
 pub struct HostUpstream {
@@ -43,15 +43,15 @@
     pub health: RefCell<UpstreamHealth>,
     /// Connections to it.
     pub pool: BackendPool,
-    /// How long work may take at it.
+    /// Adaptive timeout of its requests.
     pub allowance: RefCell<TimeAllowance>,
     draining_until: Cell<Duration>,
-    was_down: Cell<bool>,
-    answered_at: Cell<Duration>,
+    unreachable: Cell<bool>,
+    last_success_at: Cell<Duration>,
 }
 
 impl HostUpstream {
-    /// Builds a backend server; a `cold` one gets work slowly at first.
+    /// Builds a backend server; the share of requests that a `cold` one gets ramps up slowly.
     pub fn new(
         upstream: &UpstreamEntry,
         service: &ServiceEntry,
@@ -69,12 +69,12 @@
             pool: BackendPool::new(server.address, server.connections as usize),
             allowance: RefCell::default(),
             draining_until: Cell::new(Duration::ZERO),
-            was_down: Cell::new(false),
-            answered_at: Cell::new(Duration::ZERO),
+            unreachable: Cell::new(false),
+            last_success_at: Cell::new(Duration::ZERO),
         }
     }
 
-    /// Takes a changed resource over.
+    /// Applies a changed resource.
     pub fn configure(&self, server: &Rc<BackendServer>, spec: &ServiceSpec) {
         self.slots.configure(server.slots, spec.queue);
         self.health.borrow_mut().set_prefer(spec.prefer);
@@ -85,106 +85,108 @@
         }
     }
 
-    /// Lets go of the backend server: who waits for it goes elsewhere.
+    /// Stops serving the backend server: requests that wait for it are refused and go elsewhere.
     pub fn release(&self) {
         self.slots.refuse_all(NotRunReason::Draining);
     }
 
-    /// Takes in whether the backend server says that it is leaving.
-    pub fn note_drain_word(&self, draining: bool, now: Duration) {
-        let until = if draining { now + DRAIN_WORD_LIFE } else { Duration::ZERO };
+    /// Records whether a response of the backend server carried a drain notice.
+    pub fn note_drain_notice(&self, draining: bool, now: Duration) {
+        let until = if draining { now + DRAIN_NOTICE_LIFE } else { Duration::ZERO };
         self.draining_until.set(until);
     }
 
-    /// Says whether the backend server could not be connected to when that was tried last. Its slots get free at once, so
-    /// that it would call in all work that waits, one piece after the other.
-    pub fn is_down(&self) -> bool {
-        self.was_down.get()
+    /// Says whether the last attempt to connect to the backend server failed, or it crashed since.
+    /// Its slots become free at once, so that they would be offered to all waiting requests, one
+    /// after the other.
+    pub fn is_unreachable(&self) -> bool {
+        self.unreachable.get()
     }
 
-    /// Takes in whether the backend server could be connected to; one that could not and can again
-    /// was started anew.
+    /// Records whether a connection to the backend server could be opened. A server that becomes
+    /// reachable again was restarted.
     pub fn note_connected(&self, connected: bool, now: Duration) {
         if !connected {
             self.slots.refuse_places(NotRunReason::Sick);
         }
-        if self.was_down.replace(!connected) && connected {
+        if self.unreachable.replace(!connected) && connected {
             servers::ServerRestarted { upstream: &self.name }.log();
             self.health.borrow_mut().note_restart(now);
         }
     }
 
-    /// Takes in that the backend server crashed; says whether that is new.
+    /// Records that the backend server crashed; says whether that was not known.
     pub fn note_crashed(&self) -> bool {
         self.slots.refuse_places(NotRunReason::Sick);
-        !self.was_down.replace(true)
+        !self.unreachable.replace(true)
     }
 
-    /// Says whether the backend server takes no new work, by its resource or its own word.
+    /// Says whether the backend server takes no new requests, by its resource or its drain notice.
     pub fn is_draining(&self, now: Duration) -> bool {
         self.server.borrow().state == ServerState::Draining || self.draining_until.get() > now
     }
 
-    /// Returns the time since the backend server last answered well.
-    pub fn trusted_for(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.answered_at.get())
+    /// Returns the time since the last successful response of the backend server.
+    pub fn since_last_success(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.last_success_at.get())
     }
 
     /// Says whether the backend server takes a dispatch.
     pub fn admit(&self, terms: &DispatchTerms<'_>, now: Duration) -> AdmitVerdict {
         let (verdict, change) = self.health.borrow_mut().admit(terms, now);
-        self.tell(change);
+        self.log_change(change);
         verdict
     }
 
-    /// Takes the end of a request in.
-    pub fn note(&self, route: &str, work: &WorkNote, now: Duration) {
+    /// Records how an attempt ended.
+    pub fn record_result(&self, route: &str, result: &AttemptResult, now: Duration) {
         let mut health = self.health.borrow_mut();
-        let change = if work.is_trial {
-            health.note_trial(route, work.evidence, now)
+        let change = if result.is_trial {
+            health.note_trial(route, result.evidence, now)
         } else {
-            health.note(route, work.evidence, work.was_overdue, now)
+            health.note(route, result.evidence, result.was_overdue, now)
         };
-        if matches!(work.evidence, WorkEvidence::Answered(_)) {
-            self.answered_at.set(now);
+        if matches!(result.evidence, WorkEvidence::Answered(_)) {
+            self.last_success_at.set(now);
             self.slots.note_end();
         }
-        let caution = match (work.failure, work.evidence) {
+        let breaker = match (result.failure, result.evidence) {
             (None, WorkEvidence::Neutral) => None,
-            (failure, _) => health.note_end(failure, work.started, now),
+            (failure, _) => health.note_end(failure, result.started, now),
         };
         drop(health);
-        self.tell(change);
-        self.tell(caution);
+        self.log_change(change);
+        self.log_change(breaker);
     }
 
-    /// Takes in that a running request is overdue.
+    /// Records that a running request is overdue.
     pub fn note_overdue(&self, route: &str, now: Duration) {
         let change = self.health.borrow_mut().note_overdue(route, now);
-        self.tell(change);
+        self.log_change(change);
     }
 
-    /// Takes in that the host slept: running work is no sign of a hang, connections kept at rest may be long
-    /// closed, and who waits too long for a slot hears so now.
+    /// Handles the resume of the host from a suspend: the age of running requests is no evidence of
+    /// a hang, idle connections may have been closed long ago, and waiting requests that can no
+    /// longer meet their deadline are refused now.
     pub fn note_slept(&self) {
         self.health.borrow_mut().forget_running();
         self.pool.clear();
         self.slots.refuse_dead();
     }
 
-    /// Looks at the running work, whether it lasts too long.
-    pub fn look(&self, now: Duration) {
+    /// Checks whether the running requests take so long that the upstream seems to hang.
+    pub fn detect_hang(&self, now: Duration) {
         let change = self.health.borrow_mut().look(now);
-        self.tell(change);
+        self.log_change(change);
     }
 
-    /// Takes in that watched work ended.
+    /// Records that a watched request ended.
     pub fn end_work(&self, number: u64, end: WatchEnd, now: Duration) {
         let change = self.health.borrow_mut().end_work(number, end, now);
-        self.tell(change);
+        self.log_change(change);
     }
 
-    fn tell(&self, change: Option<HealthChange>) {
+    fn log_change(&self, change: Option<HealthChange>) {
         let (upstream, service) = (&*self.name, &*self.service);
         match change {
             None => {}
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Returns the report for a dispatch of `route`, with the time that its answer took.
+    /// Returns the load report for a dispatch of `route`, with the time that its response took.
     pub fn report(&self, state: &DaemonState, route: &str, took: Option<Duration>) -> LoadReport {
         let now = state.now();
         let load = HostLoad {
@@ -227,16 +229,16 @@
     }
 }
 
-/// `WorkNote` is what one request said about its upstream.
+/// `AttemptResult` is the result of one attempt, as evidence about its upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct WorkNote {
+pub struct AttemptResult {
     /// The evidence.
     pub evidence: WorkEvidence,
-    /// Whether the request was noted as overdue while it ran.
+    /// Whether the request was recorded as overdue while it ran.
     pub was_overdue: bool,
     /// Whether the request was a trial.
     pub is_trial: bool,
-    /// When the work came to the host.
+    /// When the request arrived at the host.
     pub started: Duration,
     /// How the request failed, if the backend server failed it.
     pub failure: Option<FailureSort>,
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Watches work at a backend server for as long as it runs, since work that hangs makes no event.
+//! Watches each request while a backend server processes it, since a hung request causes no event.
 
 use std::future;
 use std::rc::Rc;
@@ -9,76 +9,76 @@
 use basaltarch_decide::hang::{self, UsualTime};
 use basaltarch_decide::health::WatchEnd;
 
-use crate::host::calls::WorkCalls;
-use crate::host::exchange::HostWork;
-use crate::host::relay::WorkProgress;
+use crate::host::calls::NestedCalls;
+use crate::host::exchange::HostAttempt;
+use crate::host::relay::AttemptProgress;
 use crate::host::trail;
 
-/// `WorkWatch` watches whether a piece of work lasts too long.
-pub struct WorkWatch<'a> {
-    work: &'a HostWork<'a>,
+/// `AttemptWatch` watches whether a request runs for too long.
+pub struct AttemptWatch<'a> {
+    attempt: &'a HostAttempt<'a>,
     request: String,
-    calls: Rc<WorkCalls>,
+    calls: Rc<NestedCalls>,
     usual: Option<UsualTime>,
     number: u64,
-    progress: &'a WorkProgress,
+    progress: &'a AttemptProgress,
 }
 
-impl<'a> WorkWatch<'a> {
-    /// Starts to watch work that is about to be sent.
-    pub fn start(work: &'a HostWork<'a>, progress: &'a WorkProgress) -> Self {
-        let now = work.state.now();
-        let request = trail::request_id(work.state, work.head);
-        let organisation = work.head.organisation.as_deref();
-        let calls = work.state.host.calls.begin(&request, work.head.repeated, organisation);
-        let usual = work.usual_time();
-        let mut health = work.upstream.health.borrow_mut();
+impl<'a> AttemptWatch<'a> {
+    /// Starts to watch a request that is about to be sent.
+    pub fn start(attempt: &'a HostAttempt<'a>, progress: &'a AttemptProgress) -> Self {
+        let now = attempt.state.now();
+        let request = trail::request_id(attempt.state, attempt.head);
+        let organisation = attempt.head.organisation.as_deref();
+        let calls = attempt.state.host.calls.begin(&request, attempt.head.repeated, organisation);
+        let usual = attempt.usual_time();
+        let mut health = attempt.upstream.health.borrow_mut();
         let number = usual.map_or(0, |usual| health.start_work(usual, now));
-        Self { work, request, calls, usual, number, progress }
+        Self { attempt, request, calls, usual, number, progress }
     }
 
-    /// Returns the calls that the work makes.
-    pub fn calls(&self) -> &Rc<WorkCalls> {
+    /// Returns the nested calls of the request.
+    pub fn calls(&self) -> &Rc<NestedCalls> {
         &self.calls
     }
 
-    /// Looks at the work for as long as it runs and makes no call.
-    pub async fn look(&self) {
+    /// Checks the request periodically for as long as it runs and makes no nested call.
+    pub async fn check_until_settled(&self) {
         let usual = match &self.usual {
             Some(usual) => usual,
             None => return future::pending().await,
         };
         monoio::time::sleep(hang::first_look(usual)).await;
         while !self.calls.has_called() {
-            self.look_once();
+            self.check_once();
             monoio::time::sleep(hang::look_every(usual)).await;
         }
         self.end(WatchEnd::Lives);
         future::pending().await
     }
 
-    fn look_once(&self) {
-        let now = self.work.state.now();
-        self.work.upstream.look(now);
-        let is_long = self.progress.elapsed() > self.progress.given.late_after;
-        if is_long && !self.progress.has_passed.replace(true) {
-            self.work.upstream.allowance.borrow_mut().note_passed(now);
+    fn check_once(&self) {
+        let now = self.attempt.state.now();
+        self.attempt.upstream.detect_hang(now);
+        let is_long = self.progress.elapsed() > self.progress.timeout.late_after;
+        if is_long && !self.progress.counted_as_hung.replace(true) {
+            self.attempt.upstream.allowance.borrow_mut().note_passed(now);
         }
     }
 
     fn end(&self, end: WatchEnd) {
         if self.usual.is_some() {
-            self.work.upstream.end_work(self.number, end, self.work.state.now());
+            self.attempt.upstream.end_work(self.number, end, self.attempt.state.now());
         }
     }
 }
 
-impl Drop for WorkWatch<'_> {
+impl Drop for AttemptWatch<'_> {
     fn drop(&mut self) {
-        self.work.state.host.calls.end(&self.request);
-        let lives = self.progress.has_answered.get() || self.calls.has_called();
-        let seen = self.progress.was_overdue.get() || self.progress.head_seen.get();
-        self.end(match (lives, seen) {
+        self.attempt.state.host.calls.end(&self.request);
+        let progressed = self.progress.has_succeeded.get() || self.calls.has_called();
+        let recorded = self.progress.was_overdue.get() || self.progress.head_seen.get();
+        self.end(match (progressed, recorded) {
             (true, _) => WatchEnd::Lives,
             (false, true) => WatchEnd::Noted,
             (false, false) => WatchEnd::GivenUp,
