--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Takes operators' changes: one resource, or many in one transaction.
+//! Handles operators' changes: of one resource, or of many in one transaction.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 use crate::spread;
 use crate::state::DaemonState;
 
-/// Field by which an operator says who it is.
+/// Header field that names the operator.
 const ACTOR: HeaderName = HeaderName::from_static("basaltarch-actor");
 
 /// `ApplyRequest` is a transaction of many resources.
@@ -42,11 +42,11 @@
     kind: String,
     name: String,
     value: Option<Value>,
-    /// Revision that the resource must be at; 0 for a new one; absent for whatever is there.
+    /// Revision that the resource must be at; 0 if it must not exist; absent if any state will do.
     at: Option<u64>,
 }
 
-/// Changes or makes one resource.
+/// Creates or replaces one resource.
 pub async fn put(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
@@ -88,7 +88,7 @@
             let reply = ServerReply::json(StatusCode::OK, &body);
             reply.with_field(header::ETAG, &format!("\"{}\"", record.revision))
         }
-        Err(error) => refuse(&error),
+        Err(error) => error_reply(&error),
     }
 }
 
@@ -121,20 +121,20 @@
 
 /// Applies many resources in one transaction.
 pub async fn apply(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
-    let wanted: ApplyRequest = match serde_json::from_slice(&request.body) {
-        Ok(wanted) => wanted,
+    let transaction: ApplyRequest = match serde_json::from_slice(&request.body) {
+        Ok(transaction) => transaction,
         Err(error) => {
             return admin::problem(StatusCode::UNPROCESSABLE_ENTITY, format!("body: {error}"))
         }
     };
-    let mut edits = Vec::with_capacity(wanted.changes.len());
-    for entry in wanted.changes {
+    let mut edits = Vec::with_capacity(transaction.changes.len());
+    for entry in transaction.changes {
         match edit_of(entry) {
             Ok(edit) => edits.push(edit),
-            Err(error) => return refuse(&ChangeError::Invalid { source: error }),
+            Err(error) => return error_reply(&ChangeError::Invalid { source: error }),
         }
     }
-    let result = if wanted.dry_run {
+    let result = if transaction.dry_run {
         plan(state, request, &edits)
     } else {
         commit(state, request, &edits).await
@@ -144,11 +144,11 @@
             let body = json!({
                 "revision": record.revision,
                 "changed": record.changes.len(),
-                "changes": if wanted.dry_run { json!(record.changes) } else { Value::Null },
+                "changes": if transaction.dry_run { json!(record.changes) } else { Value::Null },
             });
             ServerReply::json(StatusCode::OK, &body)
         }
-        Err(error) => refuse(&error),
+        Err(error) => error_reply(&error),
     }
 }
 
@@ -166,7 +166,7 @@
     })
 }
 
-/// Returns who makes a change, by the request.
+/// Returns the author of a change, as its request names it.
 pub fn author(request: &ServerRequest) -> ChangeAuthor {
     let actor = fields::single(&request.head.headers, &ACTOR).unwrap_or("operator");
     ChangeAuthor { actor: actor.to_owned(), from: request.from.to_string() }
@@ -181,7 +181,7 @@
     state.config.with_fleet(|fleet| changes::plan_change(fleet, edits, &author, ""))
 }
 
-/// Gets a change accepted and puts it in force here at once.
+/// Commits a change to the store and applies it here at once.
 async fn commit(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
@@ -194,9 +194,9 @@
         metrics::STORE_FAILURES.add_one();
     }
     let record = result?;
-    let others_first = record.revision > state.config.revision().next();
-    if others_first {
-        // Changes of others came in between; they are read before this one is put in force.
+    let has_gap = record.revision > state.config.revision().next();
+    if has_gap {
+        // Other daemons committed changes in between; these are read and applied first.
         if let Ok(missing) = state.changes.changes_after(state.config.revision()).await {
             state.config.apply(&missing, state.now());
         }
@@ -207,7 +207,7 @@
     }
     let [record] = fresh;
     if record.revision.0.is_multiple_of(changes::SNAPSHOT_EVERY) {
-        monoio::spawn(keep_snapshot(state.clone()));
+        monoio::spawn(write_snapshot(state.clone()));
     }
     fleet::ChangeAccepted {
         revision: record.revision.0,
@@ -218,9 +218,9 @@
     Ok(record)
 }
 
-/// Writes the configuration in force as a snapshot, for newcomers. A snapshot that is missed costs
-/// them time only: every change has a row of its own.
-async fn keep_snapshot(state: Rc<DaemonState>) {
+/// Writes the configuration in force as a snapshot, for daemons that join later. A missing snapshot
+/// only makes their start slower, since every change has a row of its own.
+async fn write_snapshot(state: Rc<DaemonState>) {
     let config = state.config.with_fleet(FleetConfig::clone);
     let pause = async || spread::give_way(&state).await;
     match state.changes.put_snapshot(&config, &pause).await {
@@ -229,7 +229,7 @@
     }
 }
 
-fn refuse(error: &ChangeError) -> ServerReply {
+fn error_reply(error: &ChangeError) -> ServerReply {
     let status = match error {
         ChangeError::Invalid { .. } => StatusCode::UNPROCESSABLE_ENTITY,
         ChangeError::GuardFailed { .. } => StatusCode::PRECONDITION_FAILED,
--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Gauges that are worked out when somebody asks for the metrics.
+//! Gauges that are computed when the metrics are scraped.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use crate::host::upstream::HostUpstream;
 use crate::state::DaemonState;
 
-/// Brings the gauges up to date.
+/// Updates the gauges.
 pub fn refresh(state: &DaemonState) {
     refresh_upstreams(state);
     refresh_services(state);
@@ -55,12 +55,12 @@
     let now = state.now();
     let (mut spare, mut left) = (i64::MAX, i64::MAX);
     state.services.for_each(|service| {
-        let over = service
+        let surplus = service
             .with_view(|view| i64::from(view.plan().in_service) - i64::from(view.plan().floor));
-        spare = spare.min(over);
+        spare = spare.min(surplus);
         left = left.min(service.repeats_left(now) as i64);
     });
-    // Without a service in use there is nothing to run short of.
+    // Without a service in use there is no shortage, so that both gauges are 0.
     metrics::FLOOR_SPARE.set(if spare == i64::MAX { 0 } else { spare });
     metrics::RETRIES_LEFT.set(if left == i64::MAX { 0 } else { left });
 }
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -22,12 +22,12 @@
 
 use crate::state::DaemonState;
 
-/// Connections of operators: people, scripts and watches.
+/// Maximum number of operators' connections: people, scripts and watches.
 const CONNECTIONS_MAX: usize = 512;
 /// Largest request: one transaction of 20,000 resources.
 const BODY_BYTES_MAX: u64 = 16 << 20;
 
-/// Takes operators' connections for ever.
+/// Accepts operators' connections for as long as the daemon runs.
 pub async fn accept(state: Rc<DaemonState>, listener: TcpListener) {
     let limits = ServerLimits::with_body_bytes(BODY_BYTES_MAX);
     let answer = move |request| {
@@ -73,7 +73,7 @@
         let reply = problem(StatusCode::METHOD_NOT_ALLOWED, message);
         return reply.with_field(header::ALLOW, "GET");
     }
-    // A stop waits for changes under way, so that the operator hears how they ended.
+    // A shutdown waits for changes in progress, so that the operator gets their results.
     let _counted = writes.then(|| state.stop.count_in_flight());
     match (method.as_str(), path.as_str()) {
         ("GET", "status") => status::fleet(state),
@@ -130,7 +130,7 @@
     reply.with_field(header::ALLOW, allow)
 }
 
-/// Answers whether the daemon is ready to take callers' requests.
+/// Reports whether the daemon is ready to accept callers' requests.
 pub fn ready(state: &DaemonState) -> ServerReply {
     if state.is_stopping() {
         return ServerReply::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n");
@@ -146,16 +146,16 @@
     let value = request.head.headers.get(header::AUTHORIZATION);
     let token =
         value.and_then(|value| value.to_str().ok()).and_then(|value| value.strip_prefix("Bearer "));
-    token.is_some_and(|token| same_token(token.as_bytes(), state.options.admin_token.as_bytes()))
+    token.is_some_and(|token| tokens_match(token.as_bytes(), state.options.admin_token.as_bytes()))
 }
 
-/// Compares in a time that does not tell how much was right.
-fn same_token(given: &[u8], wanted: &[u8]) -> bool {
-    let differences = given.iter().zip(wanted).fold(0, |sum, (left, right)| sum | (left ^ right));
-    given.len() == wanted.len() && differences == 0
+/// Compares in constant time, so that timing does not reveal a matching prefix.
+fn tokens_match(given: &[u8], expected: &[u8]) -> bool {
+    let differences = given.iter().zip(expected).fold(0, |sum, (left, right)| sum | (left ^ right));
+    given.len() == expected.len() && differences == 0
 }
 
-/// Builds the reply that says what is wrong.
+/// Builds an error reply with this message.
 pub fn problem(status: StatusCode, message: impl ToString) -> ServerReply {
     ServerReply::json(status, &json!({ "error": message.to_string() }))
 }
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -17,11 +17,11 @@
 use crate::document;
 use crate::state::DaemonState;
 
-/// Records that one reply of the audit trail holds.
+/// Maximum number of records in one reply of the audit trail.
 const AUDIT_LIMIT: usize = 1000;
 
-/// Calls `read` with the resources in force: those declared, or those that the operator's document and
-/// the backend servers' registrations amount to.
+/// Calls `read` with the resources in force: those declared, or those derived from the operator's
+/// document and the backend servers' registrations.
 fn with_resources<T>(state: &DaemonState, read: impl FnOnce(&FleetConfig) -> T) -> T {
     match state.options.source {
         ConfigSource::Resources => state.config.with_fleet(read),
@@ -54,7 +54,7 @@
     })
 }
 
-/// Reads the audit trail: from the store, or what is kept here while the store is away.
+/// Reads the audit trail from the store, or the records cached here while the store is unavailable.
 pub async fn audit(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     let filter = match AuditFilter::try_new(request) {
         Ok(filter) => filter,
@@ -68,7 +68,7 @@
             Ok(records) => records,
             Err(_) => {
                 complete = false;
-                kept(state, after)
+                cached_records(state, after)
             }
         };
         let last = match records.last() {
@@ -87,12 +87,13 @@
     ServerReply::json(StatusCode::OK, &json!({"records": found, "source": source}))
 }
 
-fn kept(state: &DaemonState, after: FleetRevision) -> Vec<ChangeRecord> {
+/// Returns the change records that are cached here.
+fn cached_records(state: &DaemonState, after: FleetRevision) -> Vec<ChangeRecord> {
     let records = state.config.records_after(after).unwrap_or_default();
     records.iter().map(|record| (**record).clone()).collect()
 }
 
-/// Returns a record as operators see it.
+/// Returns a record in the form that operators read.
 pub fn audit_json(record: &ChangeRecord) -> Value {
     json!({
         "revision": record.revision,
@@ -133,14 +134,14 @@
 
     /// Returns the part of a record that was asked for.
     fn select(&self, mut record: ChangeRecord) -> Option<ChangeRecord> {
-        let same = |wanted: &Option<String>, value: &str| {
-            wanted.as_deref().is_none_or(|wanted| wanted == value)
+        let matches = |expected: &Option<String>, value: &str| {
+            expected.as_deref().is_none_or(|expected| expected == value)
         };
-        record
-            .changes
-            .retain(|change| same(&self.kind, &change.kind) && same(&self.name, &change.name));
-        let wanted = same(&self.actor, &record.actor)
+        record.changes.retain(|change| {
+            matches(&self.kind, &change.kind) && matches(&self.name, &change.name)
+        });
+        let is_selected = matches(&self.actor, &record.actor)
             && (self.since_ms..=self.until_ms).contains(&record.at_ms);
-        (wanted && !record.changes.is_empty()).then_some(record)
+        (is_selected && !record.changes.is_empty()).then_some(record)
     }
 }
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Status of the fleet and health of upstreams, as this daemon sees them.
+//! Status of the fleet and health of upstreams, as known to this daemon.
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
 use crate::services::ServiceState;
 use crate::state::DaemonState;
 
-/// Tells which revision each daemon has in force, and what is thought of it.
+/// Reports the state of each daemon and the revision that it has in force.
 pub fn fleet(state: &Rc<DaemonState>) -> ServerReply {
     let now = state.now();
     let mut members = vec![own_status(state)];
@@ -46,13 +46,13 @@
     ServerReply::json(StatusCode::OK, &body)
 }
 
-/// Tells how the requests of this daemon's callers ended since its start.
+/// Reports the outcomes of the requests of this daemon's callers since its start.
 fn outcomes() -> Value {
     let not_run = NOT_RUN_REASONS.iter().map(|reason| reason.name()).zip(&metrics::NOT_RUN);
     let unknown = UNKNOWN_REASONS.iter().map(|reason| reason.name()).zip(&metrics::UNKNOWN);
     let counts = |cells: Vec<(&str, &CounterCell)>| -> Map<String, Value> {
-        let seen = cells.into_iter().filter(|(_, cell)| cell.get() > 0);
-        seen.map(|(name, cell)| (name.to_owned(), json!(cell.get()))).collect()
+        let nonzero = cells.into_iter().filter(|(_, cell)| cell.get() > 0);
+        nonzero.map(|(name, cell)| (name.to_owned(), json!(cell.get()))).collect()
     };
     json!({
         "requests": metrics::REQUESTS.get(),
@@ -80,7 +80,7 @@
     })
 }
 
-/// Tells the health of the upstreams of a service, or of all services known here.
+/// Reports the health of the upstreams of a service, or of all services known here.
 pub fn health(state: &Rc<DaemonState>, service: Option<&str>) -> ServerReply {
     let active = state.config.active();
     let mut names: Vec<String> = match service {
@@ -115,7 +115,7 @@
         .enumerate()
         .map(|(index, upstream)| {
             let view = &views[index];
-            let mut value = seen_health(state, view, avoided.get(index).copied());
+            let mut value = reported_health(state, view, avoided.get(index).copied());
             value["upstream"] = json!(&*upstream.name);
             value["host"] = json!(upstream.server.host);
             value["failure_domain"] = json!(upstream.server.failure_domain);
@@ -133,11 +133,11 @@
     })
 }
 
-fn seen_health(state: &DaemonState, view: &LoadView, avoided: Option<bool>) -> Value {
+fn reported_health(state: &DaemonState, view: &LoadView, avoided: Option<bool>) -> Value {
     let now = state.now();
     let sickness = view.health.map(|health| health.sickness);
     let ejected = view.health.map(|health| health.ejected);
-    let word = match (view.reachable, view.draining, avoided, ejected) {
+    let state_name = match (view.reachable, view.draining, avoided, ejected) {
         (false, ..) => "unreachable",
         (_, true, ..) => "draining",
         (.., Some(true), _) => "avoided",
@@ -147,7 +147,7 @@
     };
     let age = view.health.map(|_| now.saturating_sub(view.reported_at).as_millis() as u64);
     json!({
-        "state": word,
+        "state": state_name,
         "score": sickness,
         "load": view.load,
         "slots": view.slots,
@@ -157,7 +157,7 @@
     })
 }
 
-/// Returns what the daemon beside an upstream knows of it.
+/// Returns the health of an upstream of this host, which only its own daemon knows in full.
 fn own_health(state: &DaemonState, own: &HostUpstream) -> Value {
     let now = state.now();
     let health = own.health.borrow();
--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Lists the requests that ran at backend servers when they crashed, and lets one in again.
+//! Lists the requests that ran at backend servers when they crashed, and lifts their refusal.
 
 use std::rc::Rc;
 
@@ -15,19 +15,19 @@
 use crate::state::DaemonState;
 use crate::suspects;
 
-/// Tells all that is known here, the gravest first.
+/// Lists all suspect requests known here, those with the most crashes first.
 pub fn list(state: &DaemonState) -> ServerReply {
-    let words = state.suspects.words(state.now());
-    let suspects: Vec<Value> = words
+    let notices = state.suspects.words(state.now());
+    let suspects: Vec<Value> = notices
         .iter()
-        .map(|word| {
+        .map(|notice| {
             json!({
-                "fingerprint": word.fingerprint.to_string(),
-                "refused": word.tally.is_refused(),
-                "crashes": word.tally.crashes,
-                "good_runs": word.tally.round,
-                "upstream": &*word.upstream,
-                "seen_ms_ago": word.seen_ago.as_millis() as u64,
+                "fingerprint": notice.fingerprint.to_string(),
+                "refused": notice.tally.is_refused(),
+                "crashes": notice.tally.crashes,
+                "good_runs": notice.tally.round,
+                "upstream": &*notice.upstream,
+                "seen_ms_ago": notice.seen_ago.as_millis() as u64,
             })
         })
         .collect();
@@ -35,8 +35,8 @@
     ServerReply::json(StatusCode::OK, &body)
 }
 
-/// Lets a request in again in the whole fleet. Nothing of the configuration changes, so that it may be
-/// done whatever the configuration comes from; the log says who did it.
+/// Lifts the refusal of a request in the whole fleet. It changes no configuration, so that it is
+/// allowed whatever the source of the configuration is; the log records who did it.
 pub fn lift(state: &Rc<DaemonState>, request: &ServerRequest, text: &str) -> ServerReply {
     let fingerprint = match RequestFingerprint::parse(text) {
         Some(fingerprint) => fingerprint,
--- a/crates/daemon/src/admin/watch.rs
+++ b/crates/daemon/src/admin/watch.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Watches: accepted changes as JSON lines, from any revision still kept.
+//! Watches: streams of accepted changes as JSON lines, from any revision that is still cached.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 use crate::admin::{self, read};
 use crate::state::DaemonState;
 
-/// Time between bookmarks on a quiet watch, by which its reader sees that it still stands.
+/// Time between bookmarks on an idle watch, which show its reader that the stream is alive.
 const BOOKMARK_EVERY: Duration = Duration::from_secs(10);
 
 struct WatchState {
     daemon: Rc<DaemonState>,
     kind: Option<ResourceKind>,
     seen: FleetRevision,
-    over: bool,
+    ended: bool,
 }
 
-/// Starts a watch; `watch=` or `after=` gives the last revision that the reader has.
+/// Starts a watch; `watch=` or `after=` gives the last revision that the reader has seen.
 pub fn start(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
@@ -50,7 +50,7 @@
         });
         return ServerReply::json(StatusCode::GONE, &body);
     }
-    let watch = WatchState { daemon: state.clone(), kind, seen, over: false };
+    let watch = WatchState { daemon: state.clone(), kind, seen, ended: false };
     let lines = stream::unfold(watch, next_lines).boxed_local();
     let mut reply = ServerReply::whole(StatusCode::OK, "application/jsonlines", Bytes::new());
     reply.body = ReplyBody::Stream(lines);
@@ -58,7 +58,7 @@
 }
 
 async fn next_lines(mut watch: WatchState) -> Option<(Bytes, WatchState)> {
-    if watch.over {
+    if watch.ended {
         return None;
     }
     loop {
@@ -81,11 +81,11 @@
         let daemon = watch.daemon.clone();
         let mut changed = std::pin::pin!(daemon.config.changed().above(count).fuse());
         let mut stopping = std::pin::pin!(daemon.stop.asked.raised().fuse());
-        let mut quiet = std::pin::pin!(monoio::time::sleep(BOOKMARK_EVERY).fuse());
+        let mut idle = std::pin::pin!(monoio::time::sleep(BOOKMARK_EVERY).fuse());
         select_biased! {
             _ = changed => {}
             () = stopping => {}
-            () = quiet => {
+            () = idle => {
                 let line = line_of(&json!({ "bookmark": watch.seen }));
                 return Some((line, watch));
             }
@@ -113,7 +113,7 @@
     }
 
     fn end(mut self, reason: &str) -> (Bytes, Self) {
-        self.over = true;
+        self.ended = true;
         let revision = self.daemon.config.revision();
         let value = json!({"error": reason, "seen": self.seen, "start_again_at": revision});
         (line_of(&value), self)
