--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -17,8 +17,8 @@
 
 /// Lists all suspect requests known here, those with the most crashes first.
 pub fn list(state: &DaemonState) -> ServerReply {
-    let notices = state.suspects.words(state.now());
-    let suspects: Vec<Value> = notices
+    let words = state.suspects.words(state.now());
+    let suspects: Vec<Value> = words
         .iter()
         .map(|notice| {
             json!({
