--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -150,13 +150,13 @@
             self.last_success_at.set(now);
             self.slots.note_end();
         }
-        let breaker = match (result.failure, result.evidence) {
+        let caution = match (result.failure, result.evidence) {
             (None, WorkEvidence::Neutral) => None,
             (failure, _) => health.note_end(failure, result.started, now),
         };
         drop(health);
         self.log_change(change);
-        self.log_change(breaker);
+        self.log_change(caution);
     }
 
     /// Records that a running request is overdue.
