--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -38,7 +38,7 @@
         FrameBody::GrantRequest(request) => {
             limit_homes::answer_request(state, sender, &peer.host, &request);
         }
-        FrameBody::GrantReply(reply) => state.limits.take_reply(&reply),
+        FrameBody::GrantReply(reply) => state.limits.handle_reply(&reply),
         FrameBody::LoadQuestion(question) => look::answer_question(state, sender, &question),
         FrameBody::LoadAnswer(answer) => state.looks.take(answer),
         FrameBody::Withdraw(note) => state.host.withdraw_failure(&note.upstream, &note.route),
@@ -72,7 +72,7 @@
         freshness::note_answer(state, &note);
     }
     spread::note_peer_revision(state, sender, revision);
-    suspects::note_peer_digest(state, sender, note.suspects);
+    suspects::handle_digest(state, sender, note.suspects);
     if note.reply {
         return;
     }
@@ -89,7 +89,7 @@
 }
 
 fn answer_heartbeat(state: &DaemonState, sender: &FrameSender, note: &HeartbeatNote) {
-    let answer = membership::answer(state, note);
+    let reply = membership::heartbeat_reply(state, note);
     // A link that ended answers nothing.
-    let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(answer));
+    let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(reply));
 }
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -122,7 +122,7 @@
 }
 
 /// Asks the store whether there is a later document, and takes it over.
-pub async fn ask_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
+pub async fn query_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
     // One that could not be read may be readable now, and its change will not be told again.
     let is_outdated = state.freshness.known().is_outdated();
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -1,13 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! How fresh the configuration of this daemon is: who last said that there is nothing later, and as of when; and
-//! the question whether it is the newest, before a request is refused by it.
+//! How fresh the configuration of this daemon is: who last confirmed that there is no later one,
+//! and as of when; and the query whether it is the newest, before a request is refused because of
+//! it.
 //!
-//! One question at a time serves all requests that wait, so that callers who ask for what never was cost a
-//! question a second, however many they are. It goes to the two daemons of the failure domain that read the store
-//! for the others, and to the store itself only where neither has word. While nobody answers, requests are refused
-//! as not run at once.
+//! One query at a time serves all waiting requests, so that callers who ask for unknown routes cost
+//! one query a second, however many they are. It goes to the two daemons of the failure domain that
+//! read the store for the others, and to the store itself only if neither confirms. While nobody
+//! answers, requests are refused at once as not run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,151 +30,156 @@
 use crate::spread;
 use crate::state::DaemonState;
 
-/// Longest wait for word: the store answers within a few milliseconds when it is well, a peer in as many, and who
-/// asks for a route that was just added is served well within the time of most requests.
-const WORD_WAIT: Duration = Duration::from_millis(300);
-/// Time for which those who ask the store for the failure domain are waited for: the store answers them within a
-/// few milliseconds, and a request that asks for what isn't there waits as long.
-const READER_WAIT: Duration = Duration::from_millis(100);
-/// Time after a question without word for which the next is not asked: who waits then is refused at once.
-const ASK_PAUSE: Duration = Duration::from_millis(500);
-/// Peers that are asked beside the store: one may be silent, and one may know no more.
+/// Longest wait for a confirmation. The store answers within a few milliseconds when it is healthy,
+/// and so does a peer; a request for a route that was just added is still served well within the
+/// time of most requests.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest wait for the daemons that read the store for the failure domain. The store answers them
+/// within a few milliseconds, and a request for an unknown route waits as long.
+const READER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time after a query without a confirmation within which no other is made. Requests that need one
+/// are refused at once.
+const QUERY_PAUSE: Duration = Duration::from_millis(500);
+/// Peers that are queried along with the store: one may be silent, and one may know of nothing
+/// newer.
 const ASKED_PEERS: usize = 3;
 
-/// `FreshnessRole` is what this daemon knows of its configuration's age.
+/// `FreshnessTracker` is how recently the configuration of this daemon was confirmed as the newest.
 #[derive(Default)]
-pub struct FreshnessRole {
+pub struct FreshnessTracker {
     known: RefCell<ConfigFreshness>,
-    /// Raised with each word, and when a question is over.
-    heard: RisingSignal,
-    asking: Cell<bool>,
-    /// Until when no question is asked, as nobody answered the last.
-    pause_until: Cell<Duration>,
+    /// Raised at each confirmation, and at the end of a query.
+    confirmed: RisingSignal,
+    is_querying: Cell<bool>,
+    /// Until when no query is made, as the last got no answer.
+    paused_until: Cell<Duration>,
 }
 
-impl FreshnessRole {
+impl FreshnessTracker {
     /// Returns what is known.
     pub fn known(&self) -> ConfigFreshness {
         *self.known.borrow()
     }
 
-    /// Takes in the word of the store, as of a moment.
+    /// Records a confirmation by the store, as of a moment.
     pub fn note_store(&self, as_of: Duration) {
         self.note(FreshWord { as_of, source: WordSource::Store });
     }
 
-    /// Takes in that the store has a later configuration that can't be put in force here.
+    /// Records that the store has a later configuration that can't be put in force here.
     pub fn note_outdated(&self) {
         self.known.borrow_mut().note_outdated();
     }
 
-    /// Takes in that the latest configuration can be put in force after all, or another came after it.
+    /// Records that the latest configuration can be put in force after all, or that another came
+    /// after it.
     pub fn note_readable(&self) {
         self.known.borrow_mut().note_readable();
     }
 
-    fn note(&self, word: FreshWord) {
-        self.known.borrow_mut().note_word(word);
-        self.heard.raise();
+    fn note(&self, confirmation: FreshWord) {
+        self.known.borrow_mut().note_word(confirmation);
+        self.confirmed.raise();
     }
 }
 
-/// Says whether the configuration in force is known to be the newest, or was a moment ago; asks if need be. A
-/// later configuration may come in force meanwhile.
+/// Says whether the configuration in force is confirmed as the newest, or was a moment ago; makes a
+/// query if necessary. A later configuration may come in force meanwhile.
 pub async fn is_certain(state: &Rc<DaemonState>) -> bool {
-    let role = &state.freshness;
-    let give_up_at = state.now() + WORD_WAIT;
-    while !role.known().is_certain(state.now()) {
-        let seen = role.heard.get();
+    let tracker = &state.freshness;
+    let give_up_at = state.now() + ANSWER_TIMEOUT;
+    while !tracker.known().is_certain(state.now()) {
+        let seen = tracker.confirmed.get();
         let left = give_up_at.saturating_sub(state.now());
-        if left.is_zero() || !(role.asking.get() || start_asking(state)) {
+        if left.is_zero() || !(tracker.is_querying.get() || start_query(state)) {
             return false;
         }
-        let _ = monoio::time::timeout(left, role.heard.above(seen)).await;
+        let _ = monoio::time::timeout(left, tracker.confirmed.above(seen)).await;
     }
     true
 }
 
-/// Starts a question in a task of its own, unless the last was in vain a moment ago.
-fn start_asking(state: &Rc<DaemonState>) -> bool {
-    let role = &state.freshness;
-    if state.now() < role.pause_until.get() {
+/// Starts a query in a task of its own, unless the last one failed a moment ago.
+fn start_query(state: &Rc<DaemonState>) -> bool {
+    let tracker = &state.freshness;
+    if state.now() < tracker.paused_until.get() {
         return false;
     }
-    role.asking.set(true);
+    tracker.is_querying.set(true);
     metrics::CONFIG_QUESTIONS.add_one();
     let state = state.clone();
-    monoio::spawn(async move { ask(&state).await });
+    monoio::spawn(async move { run_query(&state).await });
     true
 }
 
-async fn ask(state: &Rc<DaemonState>) {
-    if !ask_readers(state).await {
-        ask_around(state).await;
+async fn run_query(state: &Rc<DaemonState>) {
+    if !query_readers(state).await {
+        query_store_and_peers(state).await;
     }
     if !state.freshness.known().is_certain(state.now()) {
-        state.freshness.pause_until.set(state.now() + ASK_PAUSE);
+        state.freshness.paused_until.set(state.now() + QUERY_PAUSE);
     }
-    state.freshness.asking.set(false);
-    state.freshness.heard.raise();
+    state.freshness.is_querying.set(false);
+    state.freshness.confirmed.raise();
 }
 
-/// Asks those who read the store for the failure domain, and says whether their word came: the calls to the store
-/// then grow with the failure domains and not with the daemons.
-async fn ask_readers(state: &Rc<DaemonState>) -> bool {
+/// Queries the daemons that read the store for the failure domain, and says whether they confirmed.
+/// The calls to the store thus grow with the number of failure domains and not of daemons.
+async fn query_readers(state: &Rc<DaemonState>) -> bool {
     let readers = rows::readers(state);
     if readers.contains(&state.options.host) {
         return false;
     }
-    let mut question = membership::question(state, Vec::new());
-    question.wants_word = Some(true);
+    let mut request = membership::heartbeat_request(state, Vec::new());
+    request.wants_word = Some(true);
     for host in &readers {
-        // One that is not linked is not waited for; the other may be.
+        // A reader without a link is not waited for; the other may have one.
         if let Some(link) = state.peers.path(host).link() {
-            let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(question.clone()));
+            let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(request.clone()));
         }
     }
-    let until = state.now() + READER_WAIT;
+    let until = state.now() + READER_TIMEOUT;
     loop {
         let now = state.now();
-        let seen = state.freshness.heard.get();
+        let seen = state.freshness.confirmed.get();
         if state.freshness.known().is_certain(now) || now >= until {
             return state.freshness.known().is_certain(now);
         }
-        let _ = monoio::time::timeout(until - now, state.freshness.heard.above(seen)).await;
+        let _ = monoio::time::timeout(until - now, state.freshness.confirmed.above(seen)).await;
     }
 }
 
-/// Asks the store and some peers.
-async fn ask_around(state: &Rc<DaemonState>) {
-    ask_peers(state);
+/// Queries the store and some peers.
+async fn query_store_and_peers(state: &Rc<DaemonState>) {
+    query_peers(state);
     metrics::STORE_QUESTIONS.add_one();
-    let answer = monoio::time::timeout(WORD_WAIT, ask_store(state)).await;
+    let answer = monoio::time::timeout(ANSWER_TIMEOUT, query_store(state)).await;
     if let Ok(Err(error)) = answer {
         let error = &error.to_string();
-        process::StoreFailed { call: "ask for the newest configuration", error }.log();
+        process::StoreFailed { call: "query the newest configuration", error }.log();
     }
 }
 
-/// Asks some peers; their answers come with those to heartbeats.
-fn ask_peers(state: &DaemonState) {
+/// Queries some peers. Their answers are replies to heartbeats.
+fn query_peers(state: &DaemonState) {
     for sender in membership::some_senders(state, ASKED_PEERS) {
-        let question = membership::question(state, Vec::new());
-        // A link that ended answers nothing.
-        let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(question));
+        let request = membership::heartbeat_request(state, Vec::new());
+        // A link that ended brings no reply.
+        let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(request));
     }
 }
 
-async fn ask_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
+async fn query_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     match state.options.source {
-        ConfigSource::Document => document::ask_store(state).await,
+        ConfigSource::Document => document::query_store(state).await,
         ConfigSource::Resources => spread::poll_once(state).await,
     }
 }
 
-/// Takes in what a peer's answer to a question of this daemon says. The answer was made after the question was
-/// asked, so that what the peer knew is no older than that and the age it tells; a question of another start of
-/// this daemon would count from another clock, and ends with its link.
+/// Records what a peer's reply to a heartbeat of this daemon confirms. The reply was sent after the
+/// request, so that what the peer knew is no older than the time of the request less the age that
+/// it reports. A request of another incarnation of this daemon would count by another clock, but
+/// its reply is lost with its link.
 pub fn note_answer(state: &DaemonState, answer: &HeartbeatNote) {
     let (Some(asked), Some(age)) = (millis(answer.asked_ms), millis(answer.fresh_ms)) else {
         return;
@@ -182,14 +188,14 @@
     if asked > state.now() || theirs > state.config.revision() || !state.config.is_loaded() {
         return;
     }
-    let word = FreshWord { as_of: asked.saturating_sub(age), source: WordSource::Peer };
-    state.freshness.note(word);
+    let confirmation = FreshWord { as_of: asked.saturating_sub(age), source: WordSource::Peer };
+    state.freshness.note(confirmation);
 }
 
-/// Returns the age of the last word as peers are told it.
-pub fn told_age(state: &DaemonState) -> Option<i64> {
+/// Returns the age of the last confirmation as it is reported to peers.
+pub fn reported_age(state: &DaemonState) -> Option<i64> {
     let age = state.freshness.known().age(state.now())?;
-    // Rounded up: what is told must not be fresher than what is known.
+    // Rounded up, as what is reported must not be fresher than what is known.
     Some(age.as_millis() as i64 + 1)
 }
 
--- a/crates/daemon/src/limit_homes.rs
+++ b/crates/daemon/src/limit_homes.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Who counts a limit for the whole fleet, and this daemon's answers as the home or the deputy of limits.
+//! Which daemon counts a limit for the whole fleet, and this daemon's replies as the owner or the
+//! backup owner of limits.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,198 +21,204 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Time after the first start of a host's daemon in which it is the first home of a limit: a fleet that starts
-/// must not refuse.
-const HOME_SETTLE: Duration = Duration::from_secs(3);
-/// Time for which a look at who is there counts: homes move when a daemon leaves or has been silent for seconds.
-const LIVE_FOR: Duration = Duration::from_millis(200);
+/// Time after the first start of a host's daemon within which it counts as one of a fleet that
+/// starts for the first time. Such a fleet grants the whole burst at once, so that it does not
+/// refuse requests.
+const FIRST_START_WINDOW: Duration = Duration::from_secs(3);
+/// Time for which the list of eligible hosts is kept. Owners change only when a daemon leaves or
+/// has been silent for seconds.
+const ELIGIBLE_TTL: Duration = Duration::from_millis(200);
 
-/// Age from which a daemon may count limits, if there are daemons of that age: who is new is known to some sooner
-/// than to others, and two homes at once would grant a limit twice.
-const HOME_AGE: Duration = Duration::from_secs(15);
+/// Least age of an owner, if any daemon is that old. A new daemon is known to some daemons sooner
+/// than to others, and two owners at once would grant a limit twice.
+const OWNER_AGE_MIN: Duration = Duration::from_secs(15);
 
-/// `LimitPlaces` is who counts a limit.
+/// `OwnerAssignment` is the owner of a limit and its backup.
 #[derive(Debug, Clone, Default)]
-pub struct LimitPlaces {
-    /// Host that counts it.
-    pub home: Option<Rc<str>>,
-    /// Host that counts it for those who can't reach the home.
-    pub deputy: Option<Rc<str>>,
-    /// Number of the look at the members that it goes by.
-    look: u64,
+pub struct OwnerAssignment {
+    /// Host that counts the limit.
+    pub owner: Option<Rc<str>>,
+    /// Host that counts the limit for ingresses that can't reach the owner.
+    pub backup: Option<Rc<str>>,
+    /// Generation of the eligible hosts from which this follows.
+    generation: u64,
 }
 
-/// `LiveLook` is who was there when it was looked last; to look for each request would cost more than the request.
+/// `EligibleHosts` is the cached list of hosts that may own limits. To build it for each request
+/// would cost more than the request itself.
 #[derive(Default)]
-struct LiveLook {
+struct EligibleHosts {
     hosts: Vec<String>,
-    number: u64,
-    looked_at: Duration,
+    generation: u64,
+    refreshed_at: Duration,
     changed_at: Duration,
 }
 
-/// `LimitHomes` holds the limits that this daemon counts.
+/// `OwnedLimits` holds the limits that this daemon counts.
 #[derive(Default)]
-pub struct LimitHomes {
-    homes: RefCell<FnvHashMap<String, LimitHome>>,
-    deputies: RefCell<FnvHashMap<String, LimitHome>>,
-    /// Who counts the limits that this daemon was asked for.
-    asked: RefCell<FnvHashMap<String, LimitPlaces>>,
-    live: RefCell<LiveLook>,
+pub struct OwnedLimits {
+    owned: RefCell<FnvHashMap<String, LimitHome>>,
+    backed_up: RefCell<FnvHashMap<String, LimitHome>>,
+    /// Assignments of the limits that peers asked this daemon about.
+    assignments: RefCell<FnvHashMap<String, OwnerAssignment>>,
+    eligible: RefCell<EligibleHosts>,
 }
 
-impl LimitHomes {
-    /// Brings up to date who counts a limit.
-    pub fn update(&self, state: &DaemonState, limit: &str, places: &mut LimitPlaces) {
-        self.look(state);
-        let live = self.live.borrow();
-        if places.look == live.number {
+impl OwnedLimits {
+    /// Updates the assignment of a limit, if the eligible hosts have changed.
+    pub fn update(&self, state: &DaemonState, limit: &str, assignment: &mut OwnerAssignment) {
+        self.refresh(state);
+        let eligible = self.eligible.borrow();
+        if assignment.generation == eligible.generation {
             return;
         }
-        let hosts = || live.hosts.iter().map(String::as_str);
-        let home = limits::home_of(limit, hosts());
-        let deputy = home.and_then(|home| limits::deputy_of(limit, home, hosts()));
-        places.home = home.map(Rc::from);
-        places.deputy = deputy.map(Rc::from);
-        places.look = live.number;
+        let hosts = || eligible.hosts.iter().map(String::as_str);
+        let owner = limits::home_of(limit, hosts());
+        let backup = owner.and_then(|owner| limits::deputy_of(limit, owner, hosts()));
+        assignment.owner = owner.map(Rc::from);
+        assignment.backup = backup.map(Rc::from);
+        assignment.generation = eligible.generation;
     }
 
-    /// Returns the number of daemons that are there.
+    /// Returns the number of daemons that may own limits.
     pub fn daemons(&self, state: &DaemonState) -> usize {
-        self.look(state);
-        self.live.borrow().hosts.len()
+        self.refresh(state);
+        self.eligible.borrow().hosts.len()
     }
 
-    /// Looks who is there, unless that was done a moment ago.
-    fn look(&self, state: &DaemonState) {
+    /// Rebuilds the list of eligible hosts, unless it is recent.
+    fn refresh(&self, state: &DaemonState) {
         let now = state.now();
-        let mut live = self.live.borrow_mut();
-        if live.number > 0 && now.saturating_sub(live.looked_at) < LIVE_FOR {
+        let mut eligible = self.eligible.borrow_mut();
+        if eligible.generation > 0 && now.saturating_sub(eligible.refreshed_at) < ELIGIBLE_TTL {
             return;
         }
-        live.looked_at = now;
-        let hosts = old_hosts(state);
-        if live.number == 0 || hosts != live.hosts {
-            // Who was there before the first look is not known: it counts from this daemon's start.
-            live.changed_at = if live.number == 0 { Duration::ZERO } else { now };
-            live.number += 1;
-            live.hosts = hosts;
+        eligible.refreshed_at = now;
+        let hosts = eligible_hosts(state);
+        if eligible.generation == 0 || hosts != eligible.hosts {
+            // Which hosts were eligible before the first list is not known, so that it counts as
+            // unchanged since this daemon's start.
+            eligible.changed_at = if eligible.generation == 0 { Duration::ZERO } else { now };
+            eligible.generation += 1;
+            eligible.hosts = hosts;
         }
     }
 
-    /// Returns who counts a limit that this daemon was asked for.
-    pub fn places(&self, state: &DaemonState, limit: &str) -> LimitPlaces {
-        let mut asked = self.asked.borrow_mut();
-        let places = match asked.get_mut(limit) {
-            Some(places) => places,
-            None => asked.entry(limit.to_owned()).or_default(),
+    /// Returns the assignment of a limit that a peer asked this daemon about.
+    pub fn assignment(&self, state: &DaemonState, limit: &str) -> OwnerAssignment {
+        let mut assignments = self.assignments.borrow_mut();
+        let assignment = match assignments.get_mut(limit) {
+            Some(assignment) => assignment,
+            None => assignments.entry(limit.to_owned()).or_default(),
         };
-        self.update(state, limit, places);
-        places.clone()
+        self.update(state, limit, assignment);
+        assignment.clone()
     }
 
-    /// Says whether this daemon is the home of a limit, as it sees the fleet.
-    fn is_home(&self, state: &DaemonState, limit: &str) -> bool {
-        self.places(state, limit).home.as_deref() == Some(&*state.options.host)
+    /// Says whether this daemon owns a limit, by its own view of the fleet.
+    fn is_owner(&self, state: &DaemonState, limit: &str) -> bool {
+        self.assignment(state, limit).owner.as_deref() == Some(&*state.options.host)
     }
 
-    /// Answers as the home of a limit, or as its deputy for who claims a part; not at all where another is the
-    /// home: what two homes grant would be twice the limit, and who asked turns to the deputy.
+    /// Answers as the owner of a limit, or as its backup if the request carries a claim. Returns
+    /// `None` where another daemon is the owner: two owners would together grant twice the limit,
+    /// and the requester turns to the backup instead.
     pub fn answer(
         &self,
         state: &DaemonState,
         limit: &str,
         claim: Option<f64>,
-        question: &GrantQuestion<'_>,
+        token_request: &GrantQuestion<'_>,
     ) -> Option<GrantAnswer> {
         let active = state.config.active();
         let Some(entry) = active.limit(limit) else {
             return Some(GrantAnswer { granted: 0.0, share: 0.0, ahead: 0 });
         };
-        if claim.is_none() && !self.is_home(state, limit) {
+        if claim.is_none() && !self.is_owner(state, limit) {
             return None;
         }
         let (rate, burst) = (entry.rule.rate, entry.rule.burst);
         let now = state.now();
         if let Some(claim) = claim {
-            let mut deputies = self.deputies.borrow_mut();
-            let deputy = deputies
+            let mut backed_up = self.backed_up.borrow_mut();
+            let backup = backed_up
                 .entry(limit.to_owned())
                 .or_insert_with(|| LimitHome::following(rate, burst, now));
-            return Some(deputy.answer_as_deputy(rate, burst, claim, question, now));
+            return Some(backup.answer_as_deputy(rate, burst, claim, token_request, now));
         }
-        let since = self.live.borrow().changed_at;
+        let since = self.eligible.borrow().changed_at;
         let tolerance = state.live().limit_tolerance;
-        let mut homes = self.homes.borrow_mut();
-        let home = homes.entry(limit.to_owned()).or_insert_with(|| match fleet_start(state) {
+        let mut owned = self.owned.borrow_mut();
+        let owner = owned.entry(limit.to_owned()).or_insert_with(|| match fleet_start(state) {
             FleetStart::First => LimitHome::new(rate, burst, now),
-            FleetStart::Again => LimitHome::restarted(rate, burst, &tolerance, since),
-            FleetStart::Past => LimitHome::following(rate, burst, since),
+            FleetStart::Restart => LimitHome::restarted(rate, burst, &tolerance, since),
+            FleetStart::Settled => LimitHome::following(rate, burst, since),
         });
-        Some(home.answer(rate, burst, &tolerance, question, now))
+        Some(owner.answer(rate, burst, &tolerance, token_request, now))
     }
 }
 
-/// `FleetStart` says whether this daemon may have started together with all others.
+/// `FleetStart` says whether this daemon may have started together with all other daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetStart {
-    /// A moment ago and for the first time, so that nobody was granted anything before.
+    /// It started a moment ago and for the first time, so that no tokens were granted before.
     First,
-    /// A moment ago, and not for the first time: where all daemons were killed at once, what they granted before is
-    /// not known any more, and a whole burst would be a second one.
-    Again,
-    /// Longer ago.
-    Past,
+    /// It started a moment ago, and not for the first time. If all daemons were killed at once,
+    /// their earlier grants are no longer known, and a whole burst would be a second one.
+    Restart,
+    /// It started longer ago.
+    Settled,
 }
 
-/// Says how the daemon started. A host whose daemon started before has a row that tells so.
+/// Returns how the daemon started. The row of a host whose daemon started before shows this.
 pub fn fleet_start(state: &DaemonState) -> FleetStart {
-    if state.now() >= HOME_SETTLE {
-        return FleetStart::Past;
+    if state.now() >= FIRST_START_WINDOW {
+        return FleetStart::Settled;
     }
     match state.rows.is_known() && !state.roster.started_before() {
         true => FleetStart::First,
-        false => FleetStart::Again,
+        false => FleetStart::Restart,
     }
 }
 
-/// Returns the hosts whose daemons may count limits: live ones that can be linked, and of these, where there are
-/// any, those that started long enough ago.
+/// Returns the hosts whose daemons may own limits: live ones that can be reached, and of these, if
+/// there are any, those that started long enough ago.
 ///
-/// A daemon that itself started again a moment ago knows of the others' starts by their rows alone. Where all were
-/// killed at once, those rows tell of starts that are over, so that it doesn't go by them.
-fn old_hosts(state: &DaemonState) -> Vec<String> {
-    let started_by = units::wall_millis() as i64 - HOME_AGE.as_millis() as i64;
+/// A daemon that itself restarted a moment ago knows the start times of the others only from their
+/// rows. If all daemons were killed at once, those rows describe starts that are over, so that they
+/// are ignored.
+fn eligible_hosts(state: &DaemonState) -> Vec<String> {
+    let started_by = units::wall_millis() as i64 - OWNER_AGE_MIN.as_millis() as i64;
     let now = state.now();
     let own = &state.options.host;
     let mut hosts = state.members.live_hosts(state);
     hosts.retain(|host| host == own || !state.peers.path(host).is_lost(now));
-    let is_old = |host: &String| match host == own {
+    let is_old_enough = |host: &String| match host == own {
         true => state.identity.incarnation <= started_by,
         false => state.members.incarnation(host) <= started_by,
     };
-    if fleet_start(state) != FleetStart::Again && hosts.iter().any(is_old) {
-        hosts.retain(is_old);
+    if fleet_start(state) != FleetStart::Restart && hosts.iter().any(is_old_enough) {
+        hosts.retain(is_old_enough);
     }
     hosts
 }
 
-/// Finds out whether the home of a limit is there, after a peer took this daemon for it: the peer may know that the
-/// other one is lost.
-fn find_out(state: &Rc<DaemonState>, limit: &str) {
-    let Some(home) = state.limits.homes.places(state, limit).home else { return };
-    let path = state.peers.path(&home);
+/// Checks whether the owner of a limit is reachable, after a peer took this daemon for the owner:
+/// the peer may know that the owner is lost.
+fn check_owner(state: &Rc<DaemonState>, limit: &str) {
+    let Some(owner) = state.limits.owned.assignment(state, limit).owner else { return };
+    let path = state.peers.path(&owner);
     if path.is_self || path.link().is_some() {
         return;
     }
     let state = state.clone();
     monoio::spawn(async move {
-        // One that can't be made is counted on its path.
+        // A link that can't be established is recorded as a failure of its path.
         let _ = links::link_to(&state, &path).await;
     });
 }
 
-/// Answers a peer that asks this daemon as the home or the deputy of a limit.
+/// Answers a peer that asks this daemon for tokens as the owner or the backup of a limit.
 pub fn answer_request(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
@@ -219,13 +226,14 @@
     request: &GrantRequest,
 ) {
     let spent = request.spent.map_or(0.0, |spent| spent.0);
-    let question = GrantQuestion { asker, wanted: request.wanted.0, spent };
+    let token_request = GrantQuestion { asker, wanted: request.wanted.0, spent };
     let claim = request.claim.map(|claim| claim.0);
-    let Some(answer) = state.limits.homes.answer(state, &request.limit, claim, &question) else {
-        return find_out(state, &request.limit);
+    let Some(answer) = state.limits.owned.answer(state, &request.limit, claim, &token_request)
+    else {
+        return check_owner(state, &request.limit);
     };
     if claim.is_some() {
-        ingress_limits::pay_home(state, &request.limit, answer.granted);
+        ingress_limits::charge_owner(state, &request.limit, answer.granted);
     }
     let reply = GrantReply {
         sequence: request.sequence,
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Rate limits: admits requests from what the home of a limit grants; `limit_homes` is the other side.
+//! Rate limits of the ingress: admits requests with the tokens that the owner of a limit grants.
+//! `limit_homes` is the owner's side.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,38 +22,41 @@
 use local_sync::oneshot;
 use thrift::OrderedFloat;
 
-use crate::limit_homes::{self, FleetStart, LimitHomes, LimitPlaces};
+use crate::limit_homes::{self, FleetStart, OwnedLimits, OwnerAssignment};
 use crate::links;
 use crate::state::DaemonState;
 
-/// Longest wait for the home's grant along a link that is there: two round trips between failure domains are 6 ms; a
-/// home that takes this long is treated as cut off. Right after a start links take longer than that to be made.
-const GRANT_WAIT: Duration = Duration::from_millis(100);
-/// Time for which an ingress keeps to its share before it asks the home again.
-const ALONE_FOR: Duration = Duration::from_secs(2);
+/// Longest wait for a grant of the owner along a link that is up. Two round trips between failure
+/// domains take 6 ms; an owner that takes this long is treated as cut off. Right after a start,
+/// links take longer than that to be established.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time for which an ingress without an owner keeps to its own share before it asks the owner
+/// again.
+const OWNER_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// `LimitState` is what this ingress knows of one limit.
 struct LimitState {
-    ledger: LimitLedger,
-    asking: Option<Rc<RisingSignal>>,
-    ask_again_at: Duration,
-    /// Until when the home, which could not be reached, is not asked again.
-    home_lost_until: Option<Duration>,
-    /// Who counts the limit.
-    places: LimitPlaces,
+    limiter: LimitLedger,
+    pending_request: Option<Rc<RisingSignal>>,
+    retry_owner_at: Duration,
+    /// Until when the owner, which could not be reached, is not asked again.
+    owner_lost_until: Option<Duration>,
+    /// The daemons that count the limit.
+    assignment: OwnerAssignment,
 }
 
-/// `LimitRole` is both sides of this daemon's part in the limits.
+/// `RateLimiter` is both sides of rate limiting in this daemon: the ingress, which admits requests,
+/// and the owner, which grants tokens.
 #[derive(Default)]
-pub struct LimitRole {
-    ledgers: RefCell<FnvHashMap<Rc<str>, LimitState>>,
+pub struct RateLimiter {
+    states: RefCell<FnvHashMap<Rc<str>, LimitState>>,
     /// Limits that this daemon counts for the fleet.
-    pub homes: LimitHomes,
-    waiting: RefCell<FnvHashMap<i64, oneshot::Sender<GrantAnswer>>>,
+    pub owned: OwnedLimits,
+    pending_replies: RefCell<FnvHashMap<i64, oneshot::Sender<GrantAnswer>>>,
     sequence: Cell<i64>,
 }
 
-/// `LimitSubject` is what a request counts towards.
+/// `LimitSubject` is what decides which limits a request counts towards.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitSubject<'a> {
     /// Organisation of the caller.
@@ -63,7 +67,7 @@
     pub service: &'a str,
 }
 
-/// Admits a request, or says when the caller may come back.
+/// Admits a request, or returns after what time the caller may retry.
 pub async fn admit(
     state: &Rc<DaemonState>,
     active: &ActiveConfig,
@@ -78,16 +82,16 @@
     Ok(())
 }
 
-/// Takes back a request that was admitted and then refused for another reason.
+/// Returns the tokens of a request that was admitted and then refused for another reason.
 pub fn give_back(state: &DaemonState, active: &ActiveConfig, subject: LimitSubject<'_>) {
     if active.has_no_limits() {
         return;
     }
     let now = state.now();
-    let mut ledgers = state.limits.ledgers.borrow_mut();
+    let mut states = state.limits.states.borrow_mut();
     for entry in subject.limits(active) {
-        if let Some(known) = ledgers.get_mut(&entry.name) {
-            known.ledger.give_back(now);
+        if let Some(known) = states.get_mut(&entry.name) {
+            known.limiter.give_back(now);
         }
     }
 }
@@ -103,211 +107,228 @@
     }
 }
 
-/// `LimitRefusal` is what is told of a request over a limit.
+/// `LimitRefusal` is the answer to a request over a limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LimitRefusal {
-    /// Time after which to come back.
+    /// Time after which the caller may retry.
     pub wait: Duration,
-    /// Which limit, and by whose count.
+    /// Which limit it was, and which daemon counts it.
     pub message: String,
 }
 
 impl LimitRefusal {
     fn new(state: &DaemonState, entry: &LimitEntry, wait: Duration) -> Self {
-        let ledgers = state.limits.ledgers.borrow();
-        let known = ledgers.get(&entry.name);
-        let is_alone = known.is_some_and(|known| known.ledger.is_alone());
-        let home = known.and_then(|known| known.places.home.as_deref()).unwrap_or("nobody");
+        let states = state.limits.states.borrow();
+        let known = states.get(&entry.name);
+        let is_alone = known.is_some_and(|known| known.limiter.is_alone());
+        let owner = known.and_then(|known| known.assignment.owner.as_deref()).unwrap_or("nobody");
         let count = if is_alone { "this daemon alone, without" } else { "all daemons at" };
         let LimitRule { rate, burst, .. } = &entry.rule;
         let name = &entry.name;
         let message =
-            format!("limit {name} of {rate} a second, burst {burst}; counted by {count} {home}");
+            format!("limit {name} of {rate} a second, burst {burst}; counted by {count} {owner}");
         Self { wait, message }
     }
 }
 
 async fn admit_one(state: &Rc<DaemonState>, entry: &LimitEntry) -> Result<(), LimitRefusal> {
-    // Others that wait for the same grant may use it up first, so ask a few times.
+    // Other requests that wait for the same grant may use it up first, so up to three requests for
+    // tokens are made.
     for _ in 0..3 {
-        if state.limits.tries_again(entry, state.now()) {
-            start_asking(state, entry, 0.0);
+        if state.limits.should_retry_owner(entry, state.now()) {
+            start_token_request(state, entry, 0.0);
         }
         match state.limits.check(entry, state.now()) {
             LimitVerdict::Pass => return Ok(()),
             LimitVerdict::PassAhead => {
-                start_asking(state, entry, 0.0);
+                start_token_request(state, entry, 0.0);
                 return Ok(());
             }
             LimitVerdict::Refuse(wait) => return Err(LimitRefusal::new(state, entry, wait)),
-            LimitVerdict::Ask(wanted) => ask(state, entry, wanted).await,
+            LimitVerdict::Ask(wanted) => request_tokens(state, entry, wanted).await,
         }
     }
     let wait = Duration::from_secs_f64((1.0 / entry.rule.rate).min(60.0));
     Err(LimitRefusal::new(state, entry, wait))
 }
 
-impl LimitRole {
+impl RateLimiter {
     fn check(&self, entry: &LimitEntry, now: Duration) -> LimitVerdict {
-        let mut ledgers = self.ledgers.borrow_mut();
-        let known = ledgers.entry(entry.name.clone()).or_insert_with(|| LimitState {
-            ledger: LimitLedger::new(now),
-            asking: None,
-            ask_again_at: Duration::ZERO,
-            home_lost_until: None,
-            places: LimitPlaces::default(),
+        let mut states = self.states.borrow_mut();
+        let known = states.entry(entry.name.clone()).or_insert_with(|| LimitState {
+            limiter: LimitLedger::new(now),
+            pending_request: None,
+            retry_owner_at: Duration::ZERO,
+            owner_lost_until: None,
+            assignment: OwnerAssignment::default(),
         });
-        known.ledger.admit(now)
+        known.limiter.admit(now)
     }
 
-    /// Calls `change` with what is known of a limit, if it was asked for.
-    fn with_state<T>(
+    /// Calls `change` with the state of a limit, if it has one.
+    fn with_limit<T>(
         &self,
         entry: &LimitEntry,
         change: impl FnOnce(&mut LimitState) -> T,
     ) -> Option<T> {
-        self.ledgers.borrow_mut().get_mut(&entry.name).map(change)
+        self.states.borrow_mut().get_mut(&entry.name).map(change)
     }
 
-    /// Says whether the home, which could not be reached, is to be tried again.
-    fn tries_again(&self, entry: &LimitEntry, now: Duration) -> bool {
-        let ledgers = self.ledgers.borrow();
-        ledgers.get(&entry.name).is_some_and(|known| {
-            known.ledger.is_alone() && known.asking.is_none() && now >= known.ask_again_at
+    /// Says whether the owner, which could not be reached, should be tried again.
+    fn should_retry_owner(&self, entry: &LimitEntry, now: Duration) -> bool {
+        let states = self.states.borrow();
+        states.get(&entry.name).is_some_and(|known| {
+            known.limiter.is_alone()
+                && known.pending_request.is_none()
+                && now >= known.retry_owner_at
         })
     }
 
-    /// Returns who counts a limit.
-    fn places(&self, state: &DaemonState, entry: &LimitEntry) -> Option<LimitPlaces> {
-        let mut ledgers = self.ledgers.borrow_mut();
-        let known = ledgers.get_mut(&entry.name)?;
-        self.homes.update(state, &entry.name, &mut known.places);
-        Some(known.places.clone())
+    /// Returns the daemons that count a limit.
+    fn assignment(&self, state: &DaemonState, entry: &LimitEntry) -> Option<OwnerAssignment> {
+        let mut states = self.states.borrow_mut();
+        let known = states.get_mut(&entry.name)?;
+        self.owned.update(state, &entry.name, &mut known.assignment);
+        Some(known.assignment.clone())
     }
 
-    /// Takes the home's reply in.
-    pub fn take_reply(&self, reply: &GrantReply) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&reply.sequence) {
+    /// Passes a reply of the owner to the request for tokens that it belongs to.
+    pub fn handle_reply(&self, reply: &GrantReply) {
+        if let Some(waiter) = self.pending_replies.borrow_mut().remove(&reply.sequence) {
             let ahead = reply.ahead.unwrap_or(0).max(0) as u32;
             let share = reply.share.map_or(0.0, |share| share.0);
-            let _ = waiting.send(GrantAnswer { granted: reply.granted.0, share, ahead });
+            let _ = waiter.send(GrantAnswer { granted: reply.granted.0, share, ahead });
         }
     }
 }
 
-/// Asks the home for tokens; requests that come meanwhile wait for the same answer.
-async fn ask(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
-    start_asking(state, entry, wanted).raised().await;
+/// Asks the owner for tokens. Requests that arrive meanwhile wait for the same reply.
+async fn request_tokens(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
+    start_token_request(state, entry, wanted).raised().await;
 }
 
-/// Asks the home for tokens and pays for what was let in ahead, unless a question runs; returns what is raised
-/// with the answer.
-fn start_asking(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) -> Rc<RisingSignal> {
-    let running = state.limits.ledgers.borrow().get(&entry.name).and_then(|l| l.asking.clone());
+/// Asks the owner for tokens and reports the requests admitted ahead, unless such a request is
+/// pending. Returns the signal that is raised once the reply is in.
+fn start_token_request(
+    state: &Rc<DaemonState>,
+    entry: &LimitEntry,
+    wanted: f64,
+) -> Rc<RisingSignal> {
+    let running =
+        state.limits.states.borrow().get(&entry.name).and_then(|l| l.pending_request.clone());
     if let Some(signal) = running {
         return signal;
     }
     let signal = Rc::new(RisingSignal::default());
-    set_asking(state, entry, Some(signal.clone()));
+    set_pending_request(state, entry, Some(signal.clone()));
     let state = state.clone();
     let entry = entry.clone();
     let done = signal.clone();
-    // A task of its own, so that a caller that goes away does not leave the others waiting.
+    // Runs in a task of its own, so that a caller that disconnects does not leave the other
+    // requests waiting.
     monoio::spawn(async move {
-        ask_somebody(&state, &entry, wanted).await;
-        set_asking(&state, &entry, None);
+        request_from_any(&state, &entry, wanted).await;
+        set_pending_request(&state, &entry, None);
         done.raise();
     });
     signal
 }
 
-fn set_asking(state: &DaemonState, entry: &LimitEntry, asking: Option<Rc<RisingSignal>>) {
-    state.limits.with_state(entry, |known| known.asking = asking);
+fn set_pending_request(
+    state: &DaemonState,
+    entry: &LimitEntry,
+    pending_request: Option<Rc<RisingSignal>>,
+) {
+    state.limits.with_limit(entry, |known| known.pending_request = pending_request);
 }
 
-/// Asks the home, or its deputy for as long as the home can't be reached; without both, keeps to its own claim.
-async fn ask_somebody(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
-    let is_lost = state.limits.with_state(entry, |known| known.home_lost_until).flatten();
-    match is_lost {
+/// Asks the owner, or the backup owner for as long as the owner can't be reached. Without both, the
+/// ingress keeps to its own share.
+async fn request_from_any(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
+    let lost_until = state.limits.with_limit(entry, |known| known.owner_lost_until).flatten();
+    match lost_until {
         Some(until) if state.now() < until => {}
-        // The request that waits is not held up by a home that may still be away.
+        // An owner that may still be unreachable does not delay the request that waits.
         Some(_) => {
             let (state, entry) = (state.clone(), entry.clone());
-            monoio::spawn(async move { ask_home(&state, &entry, 0.0).await });
+            monoio::spawn(async move { request_from_owner(&state, &entry, 0.0).await });
         }
-        None if ask_home(state, entry, wanted).await => return,
+        None if request_from_owner(state, entry, wanted).await => return,
         None => {}
     }
-    ask_deputy(state, entry, wanted).await;
+    request_from_backup(state, entry, wanted).await;
 }
 
-/// Asks the home and pays for what was let in ahead; says whether it answered.
-async fn ask_home(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) -> bool {
-    let spent = state.limits.with_state(entry, |known| known.ledger.take_spent()).unwrap_or(0.0);
-    let home = state.limits.places(state, entry).and_then(|places| places.home);
+/// Asks the owner for tokens and reports the requests admitted ahead. Says whether the owner
+/// replied.
+async fn request_from_owner(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) -> bool {
+    let spent = state.limits.with_limit(entry, |known| known.limiter.take_spent()).unwrap_or(0.0);
+    let owner = state.limits.assignment(state, entry).and_then(|assignment| assignment.owner);
     let terms = GrantTerms { wanted, spent, claim: None };
-    let answer = match home {
-        Some(home) => ask_at(state, &home, entry, terms).await,
+    let answer = match owner {
+        Some(owner) => request_from(state, &owner, entry, terms).await,
         None => None,
     };
     let now = state.now();
-    state.limits.with_state(entry, |known| match &answer {
+    state.limits.with_limit(entry, |known| match &answer {
         Some(answer) => {
-            known.home_lost_until = None;
-            known.ledger.note_home(answer.ahead, answer.share, now);
+            known.owner_lost_until = None;
+            known.limiter.note_home(answer.ahead, answer.share, now);
             note_grant(known, entry, wanted, answer, now);
         }
         None => {
-            known.home_lost_until = Some(now + ALONE_FOR);
-            known.ledger.note_unpaid(spent);
+            known.owner_lost_until = Some(now + OWNER_RETRY_INTERVAL);
+            known.limiter.note_unpaid(spent);
         }
     });
     answer.is_some()
 }
 
-async fn ask_deputy(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
+async fn request_from_backup(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
     let rule = &entry.rule;
-    let daemons = state.limits.homes.daemons(state);
+    let daemons = state.limits.owned.daemons(state);
     let claim =
-        state.limits.with_state(entry, |known| known.ledger.note_home_lost(rule.rate, daemons));
-    let deputy = state.limits.places(state, entry).and_then(|places| places.deputy);
-    let answer = match deputy {
-        Some(deputy) => {
+        state.limits.with_limit(entry, |known| known.limiter.note_home_lost(rule.rate, daemons));
+    let backup = state.limits.assignment(state, entry).and_then(|assignment| assignment.backup);
+    let answer = match backup {
+        Some(backup) => {
             let terms = GrantTerms { wanted, spent: 0.0, claim };
-            ask_at(state, &deputy, entry, terms).await
+            request_from(state, &backup, entry, terms).await
         }
         None => None,
     };
     let now = state.now();
-    state.limits.with_state(entry, |known| match &answer {
-        // The home may have come back meanwhile.
-        _ if known.home_lost_until.is_none() => {}
+    state.limits.with_limit(entry, |known| match &answer {
+        // The owner may have become reachable again in the meantime.
+        _ if known.owner_lost_until.is_none() => {}
         Some(answer) => {
-            known.ledger.note_deputy();
+            known.limiter.note_deputy();
             note_grant(known, entry, wanted, answer, now);
         }
         None => {
-            // Only of a fleet that starts for the first time the whole part of the burst is known to be left.
+            // Only in a fleet that starts for the first time is the whole share of the burst known
+            // to be left.
             let is_first = limit_homes::fleet_start(state) == FleetStart::First;
             let since = (!is_first).then_some(Duration::ZERO);
             let terms = AloneTerms { rate: rule.rate, burst: rule.burst, daemons, since };
-            known.ledger.go_alone(terms, now);
-            known.ask_again_at = now + ALONE_FOR;
+            known.limiter.go_alone(terms, now);
+            known.retry_owner_at = now + OWNER_RETRY_INTERVAL;
         }
     });
 }
 
-/// Tells the home what was granted as its deputy: where only some can't reach it, the sum stays with one count. A
-/// home that is away is told nothing, as the one that follows begins anew.
-pub fn pay_home(state: &Rc<DaemonState>, limit: &str, granted: f64) {
+/// Reports to the owner what this daemon granted as the backup owner. Where only some daemons can't
+/// reach the owner, one count then covers all grants. An owner that is gone is not told, as its
+/// successor starts with a new count.
+pub fn charge_owner(state: &Rc<DaemonState>, limit: &str, granted: f64) {
     let active = state.config.active();
     let Some(entry) = active.limit(limit).cloned().filter(|_| granted > 0.0) else { return };
     let state = state.clone();
     monoio::spawn(async move {
-        let home = state.limits.homes.places(&state, &entry.name).home;
+        let owner = state.limits.owned.assignment(&state, &entry.name).owner;
         let terms = GrantTerms { wanted: 0.0, spent: granted, claim: None };
-        if let Some(home) = home {
-            ask_at(&state, &home, &entry, terms).await;
+        if let Some(owner) = owner {
+            request_from(&state, &owner, &entry, terms).await;
         }
     });
 }
@@ -321,11 +342,11 @@
 ) {
     if wanted > 0.0 {
         let wait = Duration::from_secs_f64(1.0 / entry.rule.rate).min(GRANT_LIFE);
-        known.ledger.note_grant(answer.granted, wait, now);
+        known.limiter.note_grant(answer.granted, wait, now);
     }
 }
 
-/// `GrantTerms` is what an ingress asks for.
+/// `GrantTerms` is what an ingress asks for and reports.
 #[derive(Debug, Clone, Copy)]
 struct GrantTerms {
     wanted: f64,
@@ -333,8 +354,8 @@
     claim: Option<f64>,
 }
 
-/// Asks one daemon; returns nothing when it can't be reached.
-async fn ask_at(
+/// Asks one daemon for tokens. Returns `None` if it can't be reached.
+async fn request_from(
     state: &Rc<DaemonState>,
     host: &str,
     entry: &LimitEntry,
@@ -343,8 +364,8 @@
     metrics::GRANTS_ASKED.add_one();
     let GrantTerms { wanted, spent, claim } = terms;
     if *host == *state.options.host {
-        let question = GrantQuestion { asker: host, wanted, spent };
-        return state.limits.homes.answer(state, &entry.name, claim, &question);
+        let token_request = GrantQuestion { asker: host, wanted, spent };
+        return state.limits.owned.answer(state, &entry.name, claim, &token_request);
     }
     let path = state.peers.path(host);
     path.note_used(state.now());
@@ -358,10 +379,10 @@
         spent: (spent > 0.0).then_some(OrderedFloat(spent)),
         claim: claim.map(OrderedFloat),
     };
-    ask_peer(state, &path, request).await
+    request_from_peer(state, &path, request).await
 }
 
-async fn ask_peer(
+async fn request_from_peer(
     state: &Rc<DaemonState>,
     path: &Rc<PeerPath>,
     request: GrantRequest,
@@ -370,21 +391,21 @@
     let sequence = state.limits.sequence.get() + 1;
     state.limits.sequence.set(sequence);
     let (sender, receiver) = oneshot::channel();
-    state.limits.waiting.borrow_mut().insert(sequence, sender);
-    let _guard = WaitingGuard { state, sequence };
+    state.limits.pending_replies.borrow_mut().insert(sequence, sender);
+    let _guard = PendingReplyGuard { state, sequence };
     let request = GrantRequest { sequence, ..request };
     link.sender().send(NO_EXCHANGE, FrameBody::GrantRequest(request)).ok()?;
-    monoio::time::timeout(GRANT_WAIT, receiver).await.ok()?.ok()
+    monoio::time::timeout(GRANT_TIMEOUT, receiver).await.ok()?.ok()
 }
 
-/// Forgets a question whose asker no longer waits.
-struct WaitingGuard<'a> {
+/// `PendingReplyGuard` removes a pending request for tokens whose requester no longer waits.
+struct PendingReplyGuard<'a> {
     state: &'a DaemonState,
     sequence: i64,
 }
 
-impl Drop for WaitingGuard<'_> {
+impl Drop for PendingReplyGuard<'_> {
     fn drop(&mut self) {
-        self.state.limits.waiting.borrow_mut().remove(&self.sequence);
+        self.state.limits.pending_replies.borrow_mut().remove(&self.sequence);
     }
 }
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -291,7 +291,7 @@
     };
     let in_use = link.exchange_count() > 0;
     if path.should_ask(now, in_use) {
-        let note = membership::question(state, Vec::new());
+        let note = membership::heartbeat_request(state, Vec::new());
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
     tell_silence(path, link.exchange_count(), now);
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -368,24 +368,24 @@
 }
 
 /// Builds a heartbeat that tells of members and asks for an answer.
-pub fn question(state: &DaemonState, members: Vec<MemberEntry>) -> HeartbeatNote {
+pub fn heartbeat_request(state: &DaemonState, members: Vec<MemberEntry>) -> HeartbeatNote {
     HeartbeatNote {
         reply: false,
         revision: state.config.revision().0 as i64,
         members,
         suspects: state.suspects.digest(),
         asked_ms: Some(state.now().as_millis() as i64),
-        fresh_ms: freshness::told_age(state),
+        fresh_ms: freshness::reported_age(state),
         wants_word: None,
     }
 }
 
 /// Builds the answer to a heartbeat.
-pub fn answer(state: &DaemonState, asked: &HeartbeatNote) -> HeartbeatNote {
+pub fn heartbeat_reply(state: &DaemonState, asked: &HeartbeatNote) -> HeartbeatNote {
     HeartbeatNote {
         reply: true,
         asked_ms: asked.asked_ms,
-        ..question(state, vec![own_entry(state)])
+        ..heartbeat_request(state, vec![own_entry(state)])
     }
 }
 
@@ -455,7 +455,7 @@
             BeatNews::Own => vec![own_entry(state)],
             BeatNews::Members => state.members.some_entries(state, &[]),
         };
-        let note = question(state, members);
+        let note = heartbeat_request(state, members);
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
 }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -405,7 +405,7 @@
 /// Takes in records that a peer told of, where they are later than what is known.
 pub fn take_told(state: &Rc<DaemonState>, told: Vec<ToldRecord>) {
     for ToldRecord { host, record } in told {
-        suspects::take_records(state, &host, &record.refused);
+        suspects::apply_records(state, &host, &record.refused);
         if host == state.options.host {
             recover_own(state, &record);
             continue;
@@ -445,7 +445,7 @@
             return;
         }
     };
-    suspects::take_records(state, &row.key, &record.refused);
+    suspects::apply_records(state, &row.key, &record.refused);
     if row.key != state.options.host {
         return put_record(state, &row.key, Some(record));
     }
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the ingress knows of each service that it sends requests to.
+//! What the ingress knows of each service that it sends requests to: the load and health of its
+//! upstreams, the baselines of its routes and its retry budget.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,15 +30,16 @@
 use crate::state::DaemonState;
 use crate::wire;
 
-/// Time for which an upstream's own word that it is leaving counts without being renewed.
-const DRAIN_WORD_LIFE: Duration = Duration::from_secs(30);
+/// Time for which a report that an upstream is draining counts without being renewed.
+const DRAIN_REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// Part of the budget that is spent: what is taken now reaches a server a little later, in another
-/// window, and a server that turns an unexpected request away was reached as well, which no daemon
-/// charges. With 0.85 a service once had 217 repeats in a window that allowed 198.
-const BUDGET_USED: f64 = 0.7;
-/// Split routes whose turn is remembered; beyond it all begin anew, so that routes that are gone do
-/// not add up.
+/// Share of the retry budget that is used. A retry that is counted now reaches a server a little
+/// later, in another window, and a retry that a server refuses unexpectedly was received by it as
+/// well, although no daemon charges it. With 0.85 a service received 217 retries in a window that
+/// allowed 198.
+const BUDGET_FRACTION: f64 = 0.7;
+/// Most split routes whose state is kept. Beyond it the states of all are dropped, so that those of
+/// removed routes do not accumulate.
 const SPLITS_MAX: usize = 4096;
 
 /// `ServiceState` is what the ingress knows of one service.
@@ -48,10 +50,10 @@
     paths: Vec<Rc<PeerPath>>,
     draining_until: Vec<Cell<Duration>>,
     view: RefCell<ServiceView>,
-    /// What each upstream last told of long work, and when.
+    /// What each upstream last reported of slow requests, and when.
     long_work: RefCell<Vec<(LongWork, Duration)>>,
     baselines: RefCell<FnvHashMap<Rc<str>, RouteBaseline>>,
-    /// Sizes of the requests of each route, with their answers.
+    /// Mean size of a request and its response, by route.
     bytes: RefCell<FnvHashMap<Rc<str>, ByteMean>>,
     recent: RefCell<RecentAnswers>,
     budget: Rc<RefCell<RetryBudget>>,
@@ -61,8 +63,8 @@
     used_at: Cell<Duration>,
 }
 
-/// Forgets services that nobody asks for, for ever. What is learnt of a service costs about 400 bytes
-/// an upstream, and is learnt again from the first answers.
+/// Evicts services without recent requests, for ever. The state of a service takes about 400 bytes
+/// for each upstream, and is rebuilt from the first responses.
 pub async fn forget_idle(state: Rc<DaemonState>) {
     let life = state.options.service_idle;
     loop {
@@ -71,7 +73,7 @@
     }
 }
 
-/// `ServiceTable` holds the services that the ingress sent requests to.
+/// `ServiceTable` is the state of each service that the ingress has sent requests to.
 #[derive(Default)]
 pub struct ServiceTable {
     services: RefCell<FnvHashMap<Rc<str>, Rc<ServiceState>>>,
@@ -79,7 +81,8 @@
 }
 
 impl ServiceTable {
-    /// Returns the state of a service, made or renewed as the configuration says.
+    /// Returns the state of a service, built or rebuilt if the configuration of the service
+    /// changed.
     pub fn get(
         &self,
         state: &DaemonState,
@@ -115,8 +118,8 @@
         Some(Rc::new(ServiceState::new(state, entry, packed.clone(), known.as_deref())))
     }
 
-    /// Returns the service that a request of a route goes to: where the route is split, the one
-    /// whose turn it is.
+    /// Returns the service that a request of a route goes to. A route with a weighted split yields
+    /// its services in proportion to their weights.
     pub fn service_of<'a>(&self, route: &'a RouteEntry) -> &'a str {
         let split = &route.rule.split;
         if split.is_empty() {
@@ -125,29 +128,28 @@
         let weights: Vec<u32> = split.iter().map(|share| share.weight).collect();
         let mut splits = self.splits.borrow_mut();
         if splits.len() >= SPLITS_MAX {
-            // Beginning anew costs a part less than one request.
+            // Starting over shifts the share of a service by less than one request.
             splits.clear();
         }
         let state = splits.entry(route.name.clone()).or_default();
         &split[state.choose(&weights, &mut rand::rng())].service
     }
 
-    /// Calls `read` with each service in use.
+    /// Calls `read` with each service that has state.
     pub fn for_each(&self, mut read: impl FnMut(&ServiceState)) {
         for service in self.services.borrow().values() {
             read(service);
         }
     }
 
-    /// Forgets services that are no longer configured.
+    /// Removes services that are no longer configured.
     pub fn forget_gone(&self, active: &ActiveConfig) {
         let mut services = self.services.borrow_mut();
         services.retain(|name, _| active.services.contains_key(name));
         metrics::SERVICES.set(services.len() as i64);
     }
 
-    /// Forgets services that no request has asked for since `before`; those with requests under way
-    /// stay.
+    /// Evicts services that have had no request since `before` and have none in flight.
     fn forget_idle(&self, before: Duration) {
         let mut services = self.services.borrow_mut();
         services
@@ -194,13 +196,14 @@
         }
     }
 
-    /// Returns the path to the daemon beside an upstream.
+    /// Returns the network path to the daemon on an upstream's host.
     pub fn path(&self, index: usize) -> &Rc<PeerPath> {
         &self.paths[index]
     }
 
-    /// Brings what is known of the upstream beside this daemon up to date, while it is out of service or doubted: the
-    /// daemon beside it needs no answer to know when its next trial is due, and the others hear of it seldom.
+    /// Updates the view of the upstream on this host while it is ejected or doubted. The daemon of
+    /// that host knows without a response when the next trial is due; other daemons learn of it
+    /// from reports, which are rare.
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Says whether the next request looks at upstreams before it is sent to one.
+    /// Says whether the next request sends load probes to upstreams before it is dispatched.
     pub fn looks(&self) -> bool {
         let mut gain = self.look_gain.get();
         let looks = gain.looks();
@@ -220,7 +223,7 @@
         looks
     }
 
-    /// Takes in whether a look found an upstream that would take the work.
+    /// Records whether a load probe found an upstream that would admit the request.
     pub fn note_look(&self, found: bool) {
         let mut gain = self.look_gain.get();
         gain.note(found);
@@ -237,7 +240,7 @@
         choice
     }
 
-    /// Draws upstreams before whose slots work may wait, of those that `fits`.
+    /// Draws upstreams at which to reserve a slot, among those that `fits` accepts.
     pub fn draw_places(
         &self,
         now: Duration,
@@ -248,25 +251,26 @@
         self.view.borrow_mut().draw_places(now, request, fits, &mut rand::rng())
     }
 
-    /// Returns how many rounds of work an upstream last said to have before new work.
+    /// Returns how many service rounds of queued requests an upstream last reported to be ahead of
+    /// a new one.
     pub fn queued_rounds(&self, index: usize, now: Duration) -> f64 {
         let view = self.view.borrow();
         view.upstreams().get(index).map_or(0.0, |upstream| upstream.queued_rounds(now))
     }
 
-    /// Brings what is known of paths and of leaving up to date.
+    /// Updates which upstreams are reachable and which are draining.
     pub fn refresh(&self, now: Duration) {
         let mut view = self.view.borrow_mut();
         for (index, upstream) in self.entry.upstreams.iter().enumerate() {
             let path = &self.paths[index];
-            let told = upstream.server.state == ServerState::Draining;
-            let word = self.draining_until[index].get() > now;
+            let is_configured = upstream.server.state == ServerState::Draining;
+            let is_reported = self.draining_until[index].get() > now;
             view.note_reachable(index, path.is_usable(now), path.is_proving(now));
-            view.note_draining(index, told || word || path.is_leaving());
+            view.note_draining(index, is_configured || is_reported || path.is_leaving());
         }
     }
 
-    /// Takes a report of an upstream in; `failed` tells how the request went, if it ran.
+    /// Records a report of an upstream. `failed` says how the request went, if it ran.
     pub fn note_report(
         &self,
         index: usize,
@@ -276,7 +280,7 @@
         now: Duration,
     ) {
         let (load, health) = wire::report_of(note);
-        let until = if load.draining { now + DRAIN_WORD_LIFE } else { Duration::ZERO };
+        let until = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
         self.draining_until[index].set(until);
         self.long_work.borrow_mut()[index] = (load.long_work, now);
         let mut baselines = self.baselines.borrow_mut();
@@ -297,13 +301,13 @@
         view.note_report(index, load.in_flight + load.queued, health, now);
     }
 
-    /// Takes in that an attempt at an upstream is late.
+    /// Records that an attempt at an upstream takes longer than its hedging delay.
     pub fn note_late(&self, index: usize, now: Duration) {
         self.paths[index].note_late();
         self.view.borrow_mut().note_late(index, now);
     }
 
-    /// Returns the baseline of a route for a dispatch to an upstream.
+    /// Returns the baseline of a route to send along with a dispatch to an upstream.
     pub fn baseline(&self, route: &str, index: usize, now: Duration) -> ServiceBaseline {
         let baselines = self.baselines.borrow();
         let mut baseline = match baselines.get(route) {
@@ -315,13 +319,14 @@
         baseline
     }
 
-    /// Takes in the bytes of a request and its answer.
+    /// Records the bytes of a request and its response.
     pub fn note_bytes(&self, route: &Rc<str>, bytes: u64) {
         self.bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
     }
 
-    /// Returns the rounds of work for which a request of a route waits in this failure domain, where a megabyte
-    /// across is worth waiting for `worth`.
+    /// Returns how many service rounds a request of a route waits for an upstream in its own
+    /// failure domain, where sending a megabyte to another failure domain is worth a wait of
+    /// `worth`.
     pub fn near_rounds(&self, route: &str, worth: Duration) -> f64 {
         if worth.is_zero() {
             return 0.0;
@@ -333,31 +338,32 @@
         bytes.get(route).map_or(0.0, |mean| mean.rounds(worth, usual))
     }
 
-    /// Returns what the other upstreams saw of long work.
+    /// Returns what the other upstreams reported of slow requests, decayed to `now`.
     pub fn siblings_work(&self, index: usize, now: Duration) -> LongWork {
-        let told = self.long_work.borrow();
-        let others = told.iter().enumerate().filter(|(other, _)| *other != index);
-        let faded = others.map(|(_, (work, at))| work.faded(now.saturating_sub(*at)));
-        faded.fold(LongWork::default(), |sum, work| sum.with(&work))
+        let reports = self.long_work.borrow();
+        let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
+        let decayed = others.map(|(_, (work, at))| work.faded(now.saturating_sub(*at)));
+        decayed.fold(LongWork::default(), |sum, work| sum.with(&work))
     }
 
-    /// Notes that a request was sent to an upstream, for as long as the guard lives.
+    /// Counts a request as sent to an upstream for as long as the guard lives.
     pub fn count_sent(self: &Rc<Self>, index: usize) -> SentGuard {
         self.view.borrow_mut().note_sent(index);
         SentGuard { service: self.clone(), index }
     }
 
-    /// Notes that a request came, which earns a part of a repeat.
+    /// Records a request, which adds its share to the retry budget.
     pub fn note_request(&self, now: Duration) {
         self.budget.borrow_mut().note_request(now);
     }
 
-    /// Notes that a request came which repeats another, as the work that makes it does.
+    /// Records a request that counts as a retry, since it is a nested call of a request that is one
+    /// itself.
     pub fn note_repeated(&self, now: Duration) {
         self.budget.borrow_mut().note_repeat(now);
     }
 
-    /// Says whether the budget has a repeat left.
+    /// Says whether the budget allows another retry.
     pub fn has_repeat(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
@@ -365,12 +371,12 @@
         budget.has_room(state.now())
     }
 
-    /// Returns the repeats that the budget has left.
+    /// Returns the number of retries left in the budget.
     pub fn repeats_left(&self, now: Duration) -> f64 {
         self.budget.borrow_mut().left(now)
     }
 
-    /// Takes a repeat from the budget.
+    /// Takes a retry from the budget, and says whether there was one.
     pub fn take_repeat(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
@@ -382,7 +388,8 @@
         taken
     }
 
-    /// Takes in that a request was answered well: what failed before was not its own fault.
+    /// Records that a request succeeded: its earlier failures were not caused by the request
+    /// itself.
     pub fn note_success(&self, method: &str, target: &str, now: Duration) {
         let mut poison = self.poison.borrow_mut();
         poison.forget_old(now);
@@ -391,8 +398,8 @@
         }
     }
 
-    /// Takes in that a request failed at an upstream, and whether that `counted` as evidence there;
-    /// returns what must be taken back as the request fails wherever it goes.
+    /// Records that a request failed at an upstream, and whether that `counted` as evidence against
+    /// it. Returns the failures to withdraw if the request turns out to fail at every upstream.
     pub fn note_failure(
         &self,
         method: &str,
@@ -401,18 +408,18 @@
         counted: bool,
         now: Duration,
     ) -> Vec<CountedFailures<Rc<str>>> {
-        let mark = RequestMark::of(method, target);
+        let hash = RequestMark::of(method, target);
         let upstream = self.entry.upstreams[index].name.clone();
-        self.poison.borrow_mut().note_failure(mark, upstream, counted, now)
+        self.poison.borrow_mut().note_failure(hash, upstream, counted, now)
     }
 
-    /// Takes in that a failure at an upstream was taken back since a repeat failed too.
+    /// Records that a failure at an upstream was withdrawn because a retry failed as well.
     pub fn note_withdrawn(&self, method: &str, target: &str, index: usize) {
-        let mark = RequestMark::of(method, target);
-        self.poison.borrow_mut().note_withdrawn(mark, &self.entry.upstreams[index].name);
+        let hash = RequestMark::of(method, target);
+        self.poison.borrow_mut().note_withdrawn(hash, &self.entry.upstreams[index].name);
     }
 
-    /// Says whether a failure of this request would be no evidence against an upstream.
+    /// Says whether a failure of this request counts as no evidence against an upstream.
     pub fn spares_failure(&self, method: &str, target: &str, now: Duration) -> bool {
         let poison = self.poison.borrow();
         let spared = !poison.is_empty() && poison.spares(RequestMark::of(method, target), now);
@@ -422,7 +429,7 @@
         spared
     }
 
-    /// Returns the number of servers at which this request is remembered to have failed.
+    /// Returns the number of servers at which this request is known to have failed.
     pub fn failed_servers(&self, method: &str, target: &str, now: Duration) -> usize {
         let poison = self.poison.borrow();
         match poison.is_empty() {
@@ -431,19 +438,20 @@
         }
     }
 
-    /// Says whether repeating this request would only spend the budget of repeats.
+    /// Says whether a retry of this request would only use up the retry budget.
     pub fn forbids_repeat(&self, method: &str, target: &str, now: Duration) -> bool {
         let poison = self.poison.borrow();
         !poison.is_empty() && poison.forbids_repeat(RequestMark::of(method, target), now)
     }
 
-    /// Calls `read` with the view.
+    /// Calls `read` with the load balancer's view of the upstreams.
     pub fn with_view<T>(&self, read: impl FnOnce(&ServiceView) -> T) -> T {
         read(&self.view.borrow())
     }
 }
 
-/// Returns the budget of repeats: the known one, since what was repeated counts on.
+/// Returns the retry budget of a service. A rebuilt service keeps its budget, so that retries made
+/// before still count.
 fn budget_of(
     state: &DaemonState,
     entry: &ServiceEntry,
@@ -455,8 +463,8 @@
     }
 }
 
-/// Returns what this daemon may repeat. Its part of what the whole fleet may repeat beyond the share
-/// follows the number of daemons.
+/// Returns the retry budget of this daemon. The retries that the whole fleet may make beyond the
+/// share are divided by the number of daemons.
 fn budget_terms(state: &DaemonState, entry: &ServiceEntry) -> BudgetTerms {
     let live = state.live();
     let defaults = &live.defaults;
@@ -464,8 +472,8 @@
     let daemons = state.roster.daemons().max(state.members.count()) as f64;
     let extra = f64::from(defaults.retry_extra) / daemons;
     BudgetTerms {
-        share: share * BUDGET_USED,
-        extra: if share > 0.0 { extra * BUDGET_USED } else { 0.0 },
+        share: share * BUDGET_FRACTION,
+        extra: if share > 0.0 { extra * BUDGET_FRACTION } else { 0.0 },
         window: defaults.retry_window,
     }
 }
@@ -483,7 +491,7 @@
     }
 }
 
-/// `SentGuard` counts a request at an upstream.
+/// `SentGuard` counts a request that was sent to an upstream.
 pub struct SentGuard {
     service: Rc<ServiceState>,
     index: usize,
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -23,11 +23,11 @@
 use basaltarch_store::platform::PlatformClient;
 
 use crate::document::DocumentCell;
-use crate::freshness::FreshnessRole;
+use crate::freshness::FreshnessTracker;
 use crate::host::HostRole;
 use crate::ingress::look::LookBoard;
 use crate::ingress::trail::LogBudget;
-use crate::limits::LimitRole;
+use crate::limits::RateLimiter;
 use crate::membership::MemberTable;
 use crate::parts::SnapshotParts;
 use crate::registration::RegistrationTable;
@@ -35,7 +35,7 @@
 use crate::rows::RowsShare;
 use crate::services::ServiceTable;
 use crate::stop::StopState;
-use crate::suspects::SuspectRole;
+use crate::suspects::SuspectRegistry;
 
 /// `DaemonState` is what the roles of a daemon share. One thread owns it, so there are no locks.
 pub struct DaemonState {
@@ -52,7 +52,7 @@
     /// The operator's document, where the configuration comes from one.
     pub document: DocumentCell,
     /// How fresh the configuration is.
-    pub freshness: FreshnessRole,
+    pub freshness: FreshnessTracker,
     /// The rows of all hosts.
     pub roster: HostRoster,
     /// Who of the own failure domain reads these rows from the store and passes them on.
@@ -74,7 +74,7 @@
     /// Looks at upstreams that have no answer yet.
     pub looks: LookBoard,
     /// Rate limits.
-    pub limits: LimitRole,
+    pub limits: RateLimiter,
     /// Accepted changes in the platform's table.
     pub changes: ChangeStore,
     /// The platform.
@@ -82,7 +82,7 @@
     /// Ledger of once-only work.
     pub ledger: Rc<OnceLedger>,
     /// Requests that crash the backend servers that run them.
-    pub suspects: SuspectRole,
+    pub suspects: SuspectRegistry,
     /// How far the daemon is with its end.
     pub stop: StopState,
     /// Raised when the settings shall be read again.
@@ -117,7 +117,7 @@
             identity,
             config: ConfigCell::default(),
             document: DocumentCell::default(),
-            freshness: FreshnessRole::default(),
+            freshness: FreshnessTracker::default(),
             roster: HostRoster::default(),
             rows: RowsShare::default(),
             registrations: RegistrationTable::default(),
@@ -128,12 +128,12 @@
             members: MemberTable::default(),
             host: HostRole::default(),
             looks: LookBoard::default(),
-            limits: LimitRole::default(),
+            limits: RateLimiter::default(),
             changes: ChangeStore::new(platform.clone()),
             ledger: OnceLedger::new(platform.clone()),
             platform,
             stop: StopState::default(),
-            suspects: SuspectRole::default(),
+            suspects: SuspectRegistry::default(),
             reloading: RisingSignal::default(),
             log_budget: LogBudget::new(options.log_requests, options.log_failures),
             requests: Cell::new(0),
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -250,7 +250,7 @@
     for link in state.members.some_accepted(usize::MAX) {
         let members = state.members.some_entries(state, &[]);
         // It wants no answer.
-        let note = HeartbeatNote { reply: true, ..membership::question(state, members) };
+        let note = HeartbeatNote { reply: true, ..membership::heartbeat_request(state, members) };
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
 }
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -1,13 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! How the whole fleet knows of requests that crash the backend servers that run them.
+//! Distributes through the fleet which requests crash the backend servers that run them.
 //!
-//! The daemon beside a server sees it crash and tells all daemons that it has a link to, the ingress of the
-//! request among them, before that one hears that its work broke. Who hears something new passes it on to a
-//! few others. Heartbeats carry a digest, so that a daemon that was cut off, frozen or not there catches up
-//! with the first it hears of. What is refused also stands in the row of the host that saw the crash, for
-//! the case that every daemon ends at once.
+//! The daemon on a server's host observes the crash and notifies all daemons that it has a link to,
+//! among them the ingress of the request, before that ingress learns that its attempt failed. A
+//! daemon that receives something new forwards it to a few others. Heartbeats carry a digest, so
+//! that a daemon that was cut off, suspended or not running catches up with the first daemon it
+//! hears from. Refused requests are also recorded in the row of the host that saw the crash, in
+//! case every daemon ends at once.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,52 +30,52 @@
 use crate::state::DaemonState;
 use crate::wire;
 
-/// Time between looks for what is forgotten.
-const FORGET_EVERY: Duration = Duration::from_secs(30);
-/// Refused requests that a host's row tells of: a row is read by every daemon that starts.
-const RECORDED_MAX: usize = 16;
+/// Time between two evictions of old entries.
+const EVICTION_INTERVAL: Duration = Duration::from_secs(30);
+/// Most refused requests in a host's row, as every daemon that starts reads each row.
+const ROW_RECORDS_MAX: usize = 16;
 
-/// `SuspectRole` is this daemon's part in what the fleet knows of such requests.
+/// `SuspectRegistry` is what this daemon knows of requests that crash backend servers.
 #[derive(Default)]
-pub struct SuspectRole {
+pub struct SuspectRegistry {
     table: RefCell<SuspectTable>,
-    /// Requests whose last crash was seen here and that the own row tells of.
-    seen_here: RefCell<Vec<RequestFingerprint>>,
+    /// Requests whose last crash was on this host and which its row records.
+    crashed_here: RefCell<Vec<RequestFingerprint>>,
     digest: Cell<u64>,
 }
 
-/// `RefusedRecord` is a refused request as a host's row tells of it.
+/// `RefusedRecord` is a refused request in a host's row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedRecord {
-    /// The request, as text.
+    /// Fingerprint of the request, as text.
     pub fingerprint: String,
     /// Round of its tally.
     pub round: u32,
     /// Crashes of its tally.
     pub crashes: u32,
-    /// The backend server that crashed under it last.
+    /// The backend server that crashed last while it ran the request.
     pub upstream: String,
 }
 
-impl SuspectRole {
-    /// Says whether nothing is known against any request.
+impl SuspectRegistry {
+    /// Says whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.table.borrow().is_empty()
     }
 
-    /// Returns what counts against a request.
+    /// Returns the crashes that count against a request.
     pub fn tally(&self, fingerprint: &RequestFingerprint) -> CrashTally {
         self.table.borrow().tally(fingerprint)
     }
 
-    /// Returns all that is known, the gravest first.
+    /// Returns what is known of each suspected request, those with the most crashes first.
     pub fn words(&self, now: Duration) -> Vec<SuspectWord> {
         let mut words = self.table.borrow().words(now);
-        words.sort_by_key(|word| (u32::MAX - word.tally.crashes, word.seen_ago));
+        words.sort_by_key(|notice| (u32::MAX - notice.tally.crashes, notice.seen_ago));
         words
     }
 
-    /// Returns the digest of what is known, for heartbeats; none if nothing is.
+    /// Returns the digest of what is known, for heartbeats. Returns `None` if nothing is.
     pub fn digest(&self) -> Option<i64> {
         Some(self.digest.get() as i64).filter(|digest| *digest != 0)
     }
@@ -85,24 +86,26 @@
         metrics::REQUESTS_REFUSED.set(table.refused() as i64);
     }
 
-    /// Returns what the own row tells: refused requests whose last crash was seen here.
+    /// Returns the records for the own row: refused requests whose last crash was on this host.
     pub fn own_records(&self, now: Duration) -> Vec<RefusedRecord> {
-        let seen_here = self.seen_here.borrow();
+        let crashed_here = self.crashed_here.borrow();
         let words = self.words(now).into_iter();
         let own = words
-            .filter(|word| word.tally.is_refused() && seen_here.contains(&word.fingerprint))
-            .take(RECORDED_MAX);
-        own.map(|word| RefusedRecord {
-            fingerprint: word.fingerprint.to_string(),
-            round: word.tally.round,
-            crashes: word.tally.crashes,
-            upstream: word.upstream.to_string(),
+            .filter(|notice| {
+                notice.tally.is_refused() && crashed_here.contains(&notice.fingerprint)
+            })
+            .take(ROW_RECORDS_MAX);
+        own.map(|notice| RefusedRecord {
+            fingerprint: notice.fingerprint.to_string(),
+            round: notice.tally.round,
+            crashes: notice.tally.crashes,
+            upstream: notice.upstream.to_string(),
         })
         .collect()
     }
 }
 
-/// Says what becomes of a copy of a request that came to this daemon.
+/// Says whether a copy of a request that came to this daemon is served, tried or refused.
 pub fn judge(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
     let is_home = || {
         let live = state.members.live_hosts(state);
@@ -112,8 +115,8 @@
     state.suspects.table.borrow_mut().judge(fingerprint, is_home, state.now())
 }
 
-/// Takes in that a backend server of this host crashed under a run of a request, against which `before`
-/// counted when the run began.
+/// Records that a backend server of this host crashed while it ran a request. `before` is what
+/// counted against the request when that run began.
 pub fn note_crash(
     state: &Rc<DaemonState>,
     fingerprint: RequestFingerprint,
@@ -126,24 +129,25 @@
         Some(tally) => tally,
         None => return,
     };
-    let word =
+    let notice =
         SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream: Rc::from(upstream) };
-    tell_suspected(&word, &state.options.host);
+    log_suspected(&notice, &state.options.host);
     state.suspects.note_changed(now);
-    tell(state, &word, word.told_to(before));
+    notify_some(state, &notice, notice.told_to(before));
     if tally.is_refused() {
-        remember(state, fingerprint);
+        add_to_own_row(state, fingerprint);
     }
 }
 
-/// Takes in that a request ran well at a backend server of this host.
+/// Records that a request succeeded at a backend server of this host.
 pub fn note_success(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) {
-    clear(state, fingerprint, "a good run here");
+    clear(state, fingerprint, "succeeded at a backend server of this host");
 }
 
-/// Lets a request in again by an operator's word; says whether anything counted against it.
+/// Admits a request again because an operator lifted its refusal. Says whether anything counted
+/// against it.
 pub fn lift(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) -> bool {
-    clear(state, fingerprint, "an operator's word")
+    clear(state, fingerprint, "lifted by an operator")
 }
 
 fn clear(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint, cause: &str) -> bool {
@@ -160,80 +164,83 @@
     }
     state.suspects.note_changed(now);
     let (fingerprint, upstream) = (*fingerprint, Rc::from(""));
-    let word = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-    tell(state, &word, word.told_to(before));
+    let notice = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
+    notify_some(state, &notice, notice.told_to(before));
     roster::refresh_refused(state);
     true
 }
 
-/// Keeps a request that is refused in the own row.
-fn remember(state: &Rc<DaemonState>, fingerprint: RequestFingerprint) {
-    let mut seen_here = state.suspects.seen_here.borrow_mut();
-    if !seen_here.contains(&fingerprint) {
-        seen_here.push(fingerprint);
+/// Adds a refused request to the own row.
+fn add_to_own_row(state: &Rc<DaemonState>, fingerprint: RequestFingerprint) {
+    let mut crashed_here = state.suspects.crashed_here.borrow_mut();
+    if !crashed_here.contains(&fingerprint) {
+        crashed_here.push(fingerprint);
     }
-    drop(seen_here);
+    drop(crashed_here);
     roster::refresh_refused(state);
 }
 
-/// Logs what is new here of a request, against which `before` counted. What another daemon told is logged
-/// only if it has copies refused or let in: the daemon that saw a crash logs every suspect of it.
-fn tell_heard(word: &SuspectWord, before: CrashTally, from: &str) {
-    if word.tally.is_refused() {
-        tell_suspected(word, from);
+/// Logs what another daemon reported of a request, against which `before` counted. It is logged
+/// only if copies are now refused, or admitted again: the daemon that saw a crash logs every
+/// suspect of it.
+fn log_received(notice: &SuspectWord, before: CrashTally, from: &str) {
+    if notice.tally.is_refused() {
+        log_suspected(notice, from);
     } else if before.is_refused() {
-        let fingerprint = &word.fingerprint.to_string();
-        RequestCleared { fingerprint, cause: "another daemon's word", from }.log();
+        let fingerprint = &notice.fingerprint.to_string();
+        RequestCleared { fingerprint, cause: "reported by another daemon", from }.log();
     }
 }
 
-fn tell_suspected(word: &SuspectWord, from: &str) {
+fn log_suspected(notice: &SuspectWord, from: &str) {
     RequestSuspected {
-        fingerprint: &word.fingerprint.to_string(),
-        crashes: word.tally.crashes.into(),
-        refused: word.tally.is_refused(),
-        upstream: &word.upstream,
+        fingerprint: &notice.fingerprint.to_string(),
+        crashes: notice.tally.crashes.into(),
+        refused: notice.tally.is_refused(),
+        upstream: &notice.upstream,
         from,
     }
     .log();
 }
 
-/// Tells some of the daemons that are linked.
-fn tell(state: &DaemonState, word: &SuspectWord, links: usize) {
+/// Notifies up to `links` of the linked daemons.
+fn notify_some(state: &DaemonState, notice: &SuspectWord, links: usize) {
     for sender in membership::some_senders(state, links) {
-        send(&sender, std::slice::from_ref(word));
+        send(&sender, std::slice::from_ref(notice));
     }
 }
 
 fn send(sender: &FrameSender, words: &[SuspectWord]) {
     let suspects = words.iter().map(wire::suspect_note).collect();
-    // A link that ends is made anew, and the first heartbeat on it shows what is missing.
+    // After a link breaks, a new one is established, and the first heartbeat on it shows what is
+    // missing.
     let _ = sender.send(NO_EXCHANGE, FrameBody::SuspectNews(SuspectNews { suspects }));
 }
 
-/// Takes in what another daemon tells, and passes on what is new here. It hears what it has missed.
+/// Records what another daemon reports, and forwards what is new here. The sender gets what it
+/// lacks in return.
 pub fn take_news(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
     peer: &PeerIdentity,
     news: &SuspectNews,
 ) {
-    let words: Vec<SuspectWord> = news.suspects.iter().filter_map(wire::suspect_word).collect();
-    for word in note_words(state, &words, &peer.host) {
-        tell(state, &word, word.passed_to());
+    let words: Vec<SuspectWord> = news.suspects.iter().filter_map(wire::suspect_notice).collect();
+    for notice in record_notices(state, &words, &peer.host) {
+        notify_some(state, &notice, notice.passed_to());
     }
     let (table, now) = (state.suspects.table.borrow(), state.now());
     let answers: Vec<SuspectWord> =
-        words.iter().filter_map(|word| table.answer(word, now)).collect();
+        words.iter().filter_map(|notice| table.answer(notice, now)).collect();
     drop(table);
     if !answers.is_empty() {
         send(sender, &answers);
     }
 }
 
-/// Takes in what the row of a host tells.
-pub fn take_records(state: &Rc<DaemonState>, host: &str, records: &[RefusedRecord]) {
-    let word = |record: &RefusedRecord| {
+/// Records the refused requests in the row of a host.
+pub fn apply_records(state: &Rc<DaemonState>, host: &str, records: &[RefusedRecord]) {
+    let notice = |record: &RefusedRecord| {
         Some(SuspectWord {
             fingerprint: RequestFingerprint::parse(&record.fingerprint)?,
             tally: CrashTally { round: record.round, crashes: record.crashes },
@@ -241,45 +248,46 @@
             upstream: Rc::from(record.upstream.as_str()),
         })
     };
-    let words: Vec<SuspectWord> = records.iter().filter_map(word).collect();
-    note_words(state, &words, host);
-    // What an earlier start of this daemon saw stays in its row.
+    let words: Vec<SuspectWord> = records.iter().filter_map(notice).collect();
+    record_notices(state, &words, host);
+    // What an earlier incarnation of this daemon saw stays in its row.
     if host == state.options.host {
-        words.iter().for_each(|word| remember(state, word.fingerprint));
+        words.iter().for_each(|notice| add_to_own_row(state, notice.fingerprint));
     }
 }
 
-/// Takes words in and returns those that are new here.
-fn note_words(state: &Rc<DaemonState>, words: &[SuspectWord], from: &str) -> Vec<SuspectWord> {
+/// Records notices and returns those that are new here.
+fn record_notices(state: &Rc<DaemonState>, words: &[SuspectWord], from: &str) -> Vec<SuspectWord> {
     let now = state.now();
     let mut table = state.suspects.table.borrow_mut();
-    let mut fresh = Vec::new();
-    for word in words {
-        let before = table.tally(&word.fingerprint);
-        if table.note_word(word, now) {
-            tell_heard(word, before, from);
-            fresh.push(word.clone());
+    let mut added = Vec::new();
+    for notice in words {
+        let before = table.tally(&notice.fingerprint);
+        if table.note_word(notice, now) {
+            log_received(notice, before, from);
+            added.push(notice.clone());
         }
     }
     drop(table);
-    if !fresh.is_empty() {
+    if !added.is_empty() {
         state.suspects.note_changed(now);
         roster::refresh_refused(state);
     }
-    fresh
+    added
 }
 
-/// Takes in the digest of what a peer knows: it hears all that is known here if it knows something else.
-pub fn note_peer_digest(state: &DaemonState, sender: &FrameSender, digest: Option<i64>) {
+/// Compares the digest of a peer with the own one, and sends the peer all that is known here if
+/// they differ.
+pub fn handle_digest(state: &DaemonState, sender: &FrameSender, digest: Option<i64>) {
     if state.suspects.digest() != digest && !state.suspects.is_empty() {
         send(sender, &state.suspects.words(state.now()));
     }
 }
 
-/// Forgets for ever what nobody has asked for in a while.
+/// Evicts requests that have not been seen for a while, for ever.
 pub async fn forget(state: Rc<DaemonState>) {
     loop {
-        monoio::time::sleep(FORGET_EVERY).await;
+        monoio::time::sleep(EVICTION_INTERVAL).await;
         let now = state.now();
         state.suspects.table.borrow_mut().forget_old(now);
         state.suspects.note_changed(now);
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -96,7 +96,7 @@
 }
 
 /// Reads what is known of such a request; `None` if it is named in another way.
-pub fn suspect_word(note: &SuspectNote) -> Option<SuspectWord> {
+pub fn suspect_notice(note: &SuspectNote) -> Option<SuspectWord> {
     Some(SuspectWord {
         fingerprint: RequestFingerprint::from_bytes(&note.fingerprint)?,
         tally: tally_of(&note.tally),
