--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Handles the frames between daemons that belong to no exchange.
+//! Handles frames between daemons that belong to no request.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 use crate::state::DaemonState;
 use crate::suspects;
 
-/// Handles a frame that came from `peer`; `path` is given on links that this daemon dialled.
+/// Handles a frame from `peer`; `path` is set on links that this daemon dialled.
 pub fn handle(
     state: &Rc<DaemonState>,
     path: Option<&Rc<PeerPath>>,
@@ -34,7 +34,7 @@
     match body {
         FrameBody::Heartbeat(note) => handle_heartbeat(state, path, sender, peer, note),
         FrameBody::Pull(pull) => spread::answer_pull(state, sender, pull),
-        FrameBody::News(news) => spread::take_news(state, peer, news),
+        FrameBody::News(news) => spread::handle_news(state, peer, news),
         FrameBody::GrantRequest(request) => {
             limit_homes::answer_request(state, sender, &peer.host, &request);
         }
@@ -43,8 +43,8 @@
         FrameBody::LoadAnswer(answer) => state.looks.take(answer),
         FrameBody::Withdraw(note) => state.host.withdraw_failure(&note.upstream, &note.route),
         FrameBody::RowsRequest(request) => rows::answer_request(state, sender, peer, &request),
-        FrameBody::RowsNews(news) => rows::take_news(state, peer, news),
-        FrameBody::SuspectNews(news) => suspects::take_news(state, sender, peer, &news),
+        FrameBody::RowsNews(news) => rows::handle_news(state, peer, news),
+        FrameBody::SuspectNews(news) => suspects::handle_news(state, sender, peer, &news),
         other => {
             let frame = frames::frame_name(&other);
             fleet::UnexpectedFrame { host: &peer.host, frame }.log();
@@ -66,8 +66,8 @@
     let revision = FleetRevision(note.revision.max(0) as u64);
     state.members.note_heard(state, peer, revision);
     state.members.note_entries(state, &note.members);
-    // Before the answer to a daemon that asks for all that is known here.
-    roster::tell_past(state, sender, peer);
+    // Before the reply, as the peer may ask for all that is known here.
+    roster::send_previous_record(state, sender, peer);
     if note.reply {
         freshness::note_answer(state, &note);
     }
@@ -82,7 +82,7 @@
     }
     let (state, sender) = (state.clone(), sender.clone());
     monoio::spawn(async move {
-        // What is known by then is told, whether or not it is certain.
+        // The reply reports what is known by then, whether or not it is certain.
         freshness::is_certain(&state).await;
         answer_heartbeat(&state, &sender, &note);
     });
@@ -90,6 +90,6 @@
 
 fn answer_heartbeat(state: &DaemonState, sender: &FrameSender, note: &HeartbeatNote) {
     let reply = membership::heartbeat_reply(state, note);
-    // A link that ended answers nothing.
+    // A link that ended needs no reply.
     let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(reply));
 }
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -3,8 +3,9 @@
 
 //! The operator's document as the source of the configuration.
 //!
-//! The document is taken over whole, and only if its version is higher than the one in force. The
-//! upstreams of its services are those that registered, by the rows of the hosts.
+//! The document is adopted as a whole, and only if its version is higher than that of the one in
+//! force. The upstreams of its services are the backend servers that registered, by the rows of the
+//! hosts.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -35,28 +36,29 @@
 use serde_json::{json, Value};
 
 use crate::feed::{FeedNews, FeedPlan, FeedReader};
-use crate::roster::{self, ToldRecord};
+use crate::roster::{self, RelayedRecord};
 use crate::state::DaemonState;
 
-/// Longest wait of a call: every daemon makes one, and the store charges each call whether or not there is news.
-/// The store waits no longer than 30 s.
+/// Longest wait of a call: every daemon makes such calls, and the store charges each whether or not
+/// there is news. The store waits no longer than 30 s.
 const WAIT_MAX: Duration = Duration::from_secs(28);
-/// How the operator's rows are followed. Refused calls cost as much as others, and the first of many
-/// daemons that hears of a change after an outage tells the others, so that 1.5 s are soon enough.
+/// How the operator's table is followed. Failed calls cost as much as others, and after an outage
+/// the first of many daemons that learns of a change sends it to the others, so that retries every
+/// 1.5 s are enough.
 const FEED: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
-    between: Duration::ZERO,
+    batch_pause: Duration::ZERO,
     failure_max: Duration::from_millis(1500),
     wait_max: WAIT_MAX,
 };
-/// Time for which a daemon waits for the store to tell of a document that a peer already has: the
-/// feed brings it in milliseconds, and a whole document is large.
-const BEHIND_MAX: Duration = Duration::from_millis(250);
+/// Time for which a daemon waits for the store to deliver a document that a peer already has: the
+/// feed takes milliseconds, and a whole document is large.
+const STORE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for which the answer of a peer that was asked for its document is waited for before another may be
-/// asked: a document of some hundred kilobytes takes a few tens of milliseconds within a region.
-const PULL_WAIT: Duration = Duration::from_millis(500);
-/// Where a document came from, if not from a peer.
+/// Time for which a daemon waits for a document that it pulls from a peer before it may ask
+/// another: a document of some hundred kilobytes takes a few tens of milliseconds within a region.
+const PULL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Source of a document that came from the store, as named in logs; that of others is the peer.
 const STORE: &str = "store";
 
 /// `DocumentCell` holds the document in force, if there is one.
@@ -64,10 +66,10 @@
 pub struct DocumentCell {
     held: RefCell<Option<Rc<ConfigDocument>>>,
     pulling: Cell<bool>,
-    /// How far the operator's table was read, if it was.
+    /// Position up to which the operator's table was read, if it was.
     position: Cell<Option<TablePosition>>,
-    /// Raised when a peer has what the call that waits at the store did not bring.
-    doubt: RisingSignal,
+    /// Raised when a peer has a document that the pending call to the store did not bring.
+    stale_call: RisingSignal,
 }
 
 impl DocumentCell {
@@ -77,33 +79,33 @@
     }
 }
 
-/// `FleetSnapshot` is what a daemon tells a peer that can't reach the store. The document is told as it was read,
-/// with the digests of keys in place of the keys.
+/// `FleetSnapshot` is what a daemon sends a peer that can't reach the store. The document is sent
+/// as it was read, with the digests of keys in place of the keys.
 #[derive(Debug, Serialize, Deserialize)]
 struct FleetSnapshot<D> {
     document: D,
-    hosts: Vec<ToldRecord>,
+    hosts: Vec<RelayedRecord>,
 }
 
 /// Reads the document and follows its changes for ever.
 pub async fn follow(state: Rc<DaemonState>) {
     let mut reader = FeedReader::new(FEED);
     loop {
-        let Some(news) = next_undoubted(&state, &mut reader).await else { continue };
+        let Some(news) = next_unless_stale(&state, &mut reader).await else { continue };
         let (FeedNews::Whole(page) | FeedNews::Changes(page)) = news else { continue };
         state.document.position.set(reader.position());
-        take_answer(&state, &page, reader.as_of());
+        apply_answer(&state, &page, reader.as_of());
     }
 }
 
-/// Waits for the next news of the store. Gives the call up if a peer turns out to have what it did not bring:
-/// its connection may have fallen silent, and would hold it for up to 8.7 s.
-async fn next_undoubted(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedNews> {
+/// Waits for the next news from the store. Drops the call if a peer turns out to have what it did
+/// not bring: its connection may have fallen silent, and would hold the call for up to 8.7 s.
+async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedNews> {
     let began = state.now();
-    let doubted = state.document.doubt.above(state.document.doubt.get());
+    let became_stale = state.document.stale_call.above(state.document.stale_call.get());
     select_biased! {
         news = std::pin::pin!(reader.next(state).fuse()) => Some(news),
-        _ = std::pin::pin!(doubted.fuse()) => {
+        _ = std::pin::pin!(became_stale.fuse()) => {
             let waited_ms = state.now().saturating_sub(began).as_millis() as u64;
             fleet::CallGivenUp { table: OPERATOR_TABLE, waited_ms }.log();
             state.platform.forget_connections();
@@ -112,19 +114,20 @@
     }
 }
 
-/// Takes in an answer of the store that told all that there was as of a moment.
-fn take_answer(state: &Rc<DaemonState>, page: &RowsPage, as_of: Duration) {
-    let fates: Vec<_> = page.rows.iter().filter_map(|row| take_row(state, row)).collect();
-    // An answer from the past says nothing of what is the newest.
-    if fates.last() != Some(&DocumentFate::Past) {
+/// Applies a response of the store, which reported all that there was as of a moment.
+fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, as_of: Duration) {
+    let outcomes: Vec<_> = page.rows.iter().filter_map(|row| apply_row(state, row)).collect();
+    // A stale response does not confirm what is the newest.
+    if outcomes.last() != Some(&DocumentOutcome::Outdated) {
         state.freshness.note_store(as_of);
     }
 }
 
-/// Asks the store whether there is a later document, and takes it over.
+/// Queries the store for a later document, and adopts it.
 pub async fn query_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
-    // One that could not be read may be readable now, and its change will not be told again.
+    // A document that could not be read before may be readable now, and the feed will not report
+    // its change again.
     let is_outdated = state.freshness.known().is_outdated();
     let position = state.document.position.get().filter(|_| !is_outdated);
     let changes = match position {
@@ -135,79 +138,83 @@
         FeedReply::Changes(page, _) => page,
         FeedReply::Forgotten => state.platform.read_table(OPERATOR_TABLE).await?.0,
     };
-    take_answer(state, &page, asked_at);
+    apply_answer(state, &page, asked_at);
     Ok(())
 }
 
-/// `DocumentFate` is what became of a document that came here.
+/// `DocumentOutcome` is what became of a received document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum DocumentFate {
+enum DocumentOutcome {
     /// It is in force, or was already.
     InForce,
-    /// It is older than the one in force and was passed over.
-    Past,
+    /// It is older than the one in force and was ignored.
+    Outdated,
     /// It can't be read.
     Unreadable,
 }
 
-fn take_row(state: &Rc<DaemonState>, row: &StoredRow) -> Option<DocumentFate> {
+fn apply_row(state: &Rc<DaemonState>, row: &StoredRow) -> Option<DocumentOutcome> {
     if row.key != DOCUMENT_KEY {
         return None;
     }
     match &row.value {
         RowValue::Unreadable(_) => {
             state.freshness.note_outdated();
-            Some(DocumentFate::Unreadable)
+            Some(DocumentOutcome::Unreadable)
         }
         value => Some(read_document(state, value.bytes()?)),
     }
 }
 
-/// Reads the document that the store holds and takes it over if it is later than the one in force.
-fn read_document(state: &Rc<DaemonState>, bytes: &[u8]) -> DocumentFate {
+/// Reads the document that the store holds and adopts it if it is later than the one in force.
+fn read_document(state: &Rc<DaemonState>, bytes: &[u8]) -> DocumentOutcome {
     match document::read(bytes) {
         Ok(document) => {
             state.freshness.note_readable();
-            take_document(state, document, STORE)
+            adopt_document(state, document, STORE)
         }
         Err(error) => {
             let in_force = state.config.revision().0;
             fleet::ConfigUnreadable { error: &error.to_string(), from: STORE, in_force }.log();
             state.freshness.note_outdated();
-            DocumentFate::Unreadable
+            DocumentOutcome::Unreadable
         }
     }
 }
 
-/// Takes a document over if it is later than the one in force.
-fn take_document(state: &Rc<DaemonState>, document: ConfigDocument, from: &str) -> DocumentFate {
+/// Adopts a document if it is later than the one in force.
+fn adopt_document(
+    state: &Rc<DaemonState>,
+    document: ConfigDocument,
+    from: &str,
+) -> DocumentOutcome {
     let revision = FleetRevision(document.version);
     if state.config.is_loaded() && revision <= state.config.revision() {
-        return pass_over(state, revision, from);
+        return skip_document(state, revision, from);
     }
     let fresh = state.freshness.known().age(state.now());
     let fresh_ms = fresh.map(|age| age.as_millis() as u64);
     fleet::DocumentTaken { revision: revision.0, from, fresh_ms }.log();
     state.freshness.note_readable();
-    let next = lay_out(state, &document);
+    let next = build_layout(state, &document);
     *state.document.held.borrow_mut() = Some(Rc::new(document));
     state.config.replace_layout(next, TouchedServices::All, state.now());
     put_host_in_force(state);
-    DocumentFate::InForce
+    DocumentOutcome::InForce
 }
 
-/// Passes over a document that is no later than the one in force.
-fn pass_over(state: &DaemonState, revision: FleetRevision, from: &str) -> DocumentFate {
+/// Ignores a document that is no later than the one in force.
+fn skip_document(state: &DaemonState, revision: FleetRevision, from: &str) -> DocumentOutcome {
     if revision == state.config.revision() {
-        return DocumentFate::InForce;
+        return DocumentOutcome::InForce;
     }
     metrics::OLD_REVISIONS.add_one();
     let in_force = state.config.revision().0;
     fleet::ConfigOlder { revision: revision.0, in_force, from }.log();
-    DocumentFate::Past
+    DocumentOutcome::Outdated
 }
 
-fn lay_out(state: &DaemonState, document: &ConfigDocument) -> ActiveConfig {
+fn build_layout(state: &DaemonState, document: &ConfigDocument) -> ActiveConfig {
     let routes = document.routes.iter().map(|route| {
         let name: Rc<str> = Rc::from(route.name.as_str());
         (name, Rc::new(route.rule.clone()))
@@ -220,19 +227,19 @@
         next.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
     }
     for note in document.organisations.iter().flatten() {
-        lay_out_organisation(&mut next, note);
+        add_organisation(&mut next, note);
     }
     next
 }
 
-fn lay_out_organisation(next: &mut ActiveConfig, note: &OrganisationNote) {
+fn add_organisation(next: &mut ActiveConfig, note: &OrganisationNote) {
     next.keys.insert_all(&note.name, &organisation_spec(note));
     let Some(limit) = &note.limit else { return };
     let rule = LimitRule {
         scope: LimitScope::Organisation,
         target: note.name.clone(),
         rate: limit.rate,
-        // A limit without a burst lets through what comes one at a time.
+        // A limit without a burst admits requests that come one at a time.
         burst: limit.burst.max(1.0),
     };
     next.insert_limit(&Rc::from(note.name.as_str()), rule);
@@ -259,7 +266,7 @@
     }
 }
 
-/// Brings services in line with the rows of the hosts.
+/// Rebuilds services from the rows of the hosts.
 pub fn put_services_in_force(state: &Rc<DaemonState>, names: &[String]) {
     let document = match state.document.get() {
         Some(document) => document,
@@ -278,20 +285,21 @@
     }
 }
 
-/// Brings the host role in line at once, without waiting for the task that does so: an
-/// acknowledgement to a backend server must be true when it is sent.
+/// Applies the configuration to the host role at once, without waiting for the task that does so:
+/// an acknowledgement to a backend server must be true when it is sent.
 pub fn put_host_in_force(state: &Rc<DaemonState>) {
     let active = state.config.active();
     state.host.configure(state, &active, &TouchedServices::All);
 }
 
-/// Returns the configuration in force as resources. It is built for each call: only operators ask.
+/// Returns the configuration in force as resources. It is built for each call, as only operators
+/// ask for it.
 pub fn resources(state: &DaemonState) -> FleetConfig {
     let revision = state.config.revision();
     let mut builder = ConfigBuilder::default();
     let mut push = |kind: ResourceKind, name: &str, value: Value| {
         let resource = SnapshotResource(kind.name().to_owned(), name.to_owned(), revision, value);
-        // Names that the resource API would not take can't be shown by it.
+        // Names that are invalid in the resource API can't be shown by it.
         if let Err(error) = builder.push(&resource) {
             fleet::ResourceNotShown { error: &error.to_string() }.log();
         }
@@ -324,47 +332,48 @@
     })
 }
 
-/// Asks a peer that has a later revision in force for its document: at once when none is here, else
-/// if the store has not told of it a little later.
+/// Pulls the document of a peer that has a later revision in force: at once if there is none here,
+/// or else if the store has not delivered it a little later.
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let is_behind = move |state: &DaemonState| theirs > state.config.revision();
     if !is_behind(state) || state.document.pulling.replace(true) {
         return;
     }
-    let wait = if state.config.is_loaded() { BEHIND_MAX } else { Duration::ZERO };
+    let wait = if state.config.is_loaded() { STORE_TIMEOUT } else { Duration::ZERO };
     let state = state.clone();
     let sender = sender.clone();
     monoio::spawn(async move {
         monoio::time::sleep(wait).await;
         if is_behind(&state) {
-            state.document.doubt.raise();
+            state.document.stale_call.raise();
             let seen = state.config.changed().get();
             let pull = ChangePull { after: state.config.revision().0 as i64 };
-            // Who told of the revision tells it again until it is here; so a lost answer is asked for again.
+            // The peer announces its revision again until this daemon has it, so that a lost answer
+            // is asked for again.
             let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
-            let _ = monoio::time::timeout(PULL_WAIT, state.config.changed().above(seen)).await;
+            let _ = monoio::time::timeout(PULL_TIMEOUT, state.config.changed().above(seen)).await;
         }
         state.document.pulling.set(false);
     });
 }
 
-/// Returns what a peer that is behind is told, if there is a document.
+/// Returns the snapshot for a peer that is behind, if there is a document.
 pub fn snapshot(state: &DaemonState) -> Option<Vec<u8>> {
     let document = state.document.get()?;
     let mut hosts = Vec::new();
     state.roster.for_each(|host, record| {
-        hosts.push(ToldRecord { host: host.to_owned(), record: record.clone() });
+        hosts.push(RelayedRecord { host: host.to_owned(), record: record.clone() });
     });
-    // Texts and numbers only; there is nothing that could not be written.
+    // The snapshot holds texts and numbers only, so that its serialization can't fail.
     serde_json::to_vec(&FleetSnapshot { document: &*document, hosts }).ok()
 }
 
-/// Takes in what a peer told.
-pub fn take_snapshot(state: &Rc<DaemonState>, host: &str, bytes: &[u8]) {
+/// Adopts a snapshot that a peer sent.
+pub fn adopt_snapshot(state: &Rc<DaemonState>, host: &str, bytes: &[u8]) {
     match serde_json::from_slice::<FleetSnapshot<ConfigDocument>>(bytes) {
         Ok(snapshot) => {
-            roster::take_told(state, snapshot.hosts);
-            take_document(state, snapshot.document, host);
+            roster::apply_relayed(state, snapshot.hosts);
+            adopt_document(state, snapshot.document, host);
         }
         Err(error) => fleet::SnapshotUnreadable { host, error: &error.to_string() }.log(),
     }
--- a/crates/daemon/src/errors.rs
+++ b/crates/daemon/src/errors.rs
@@ -21,13 +21,13 @@
         /// What is wrong.
         source: SettingError,
     },
-    /// There is no clock.
+    /// There is no suitable clock.
     #[snafu(display("{source}"))]
     Clock {
         /// What is wrong.
         source: ClockError,
     },
-    /// The process's surroundings could not be started.
+    /// The runtime, the signals or the metrics could not be set up.
     #[snafu(display("{source}"))]
     Start {
         /// What failed.
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Follows a table of the platform's store: all of it once, then each change.
+//! Follows a table of the platform's store: reads all of it once, then each change.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 
 use crate::state::DaemonState;
 
-/// Longest wait of a call for each daemon of the fleet. A connection that fell silent holds its call until its
-/// wait is over, and the first daemon whose call ends tells the others; so the calls of a small fleet end
-/// as often as those of twelve daemons, one in half a second.
-const WAIT_FOR_EACH: Duration = Duration::from_millis(700);
+/// Longest wait of a call for each daemon of the fleet. A connection that fell silent holds its
+/// call until its wait is over, and the first daemon whose call ends informs the others. The calls
+/// of a small fleet therefore end as often as those of twelve daemons, one in half a second.
+const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
 /// Returns the longest wait of a call in a fleet of so many daemons.
 fn longest_wait(members: usize, most: Duration) -> Duration {
-    let wait = WAIT_FOR_EACH.saturating_mul(members as u32);
+    let wait = WAIT_PER_DAEMON.saturating_mul(members as u32);
     wait.min(most)
 }
 
@@ -29,15 +29,15 @@
 pub struct FeedPlan {
     /// The table.
     pub table: &'static str,
-    /// Pause after a call that brought changes, so that those that come together are read together.
-    pub between: Duration,
-    /// Longest pause after failed calls in a row.
+    /// Pause after a call that brought changes, so that changes close together are read together.
+    pub batch_pause: Duration,
+    /// Longest pause after consecutive failed calls.
     pub failure_max: Duration,
     /// Longest wait of a call.
     pub wait_max: Duration,
 }
 
-/// `FeedNews` is what one step of following a table brings.
+/// `FeedNews` is the result of one call.
 #[derive(Debug)]
 pub enum FeedNews {
     /// Every row of the table as of one moment.
@@ -45,15 +45,15 @@
     /// Rows that changed or were removed, oldest first; none if the wait for one was over.
     Changes(RowsPage),
     /// The store did not answer; the pause after it is over.
-    Nothing,
+    Failed,
 }
 
 /// `FeedReader` follows one table.
 pub struct FeedReader {
     plan: FeedPlan,
-    /// How far the table was read; none before all of it was.
+    /// Position up to which the table was read, `None` before all of it was.
     position: Option<TablePosition>,
-    /// As of when the store answered last: what it told was all that there was then.
+    /// As of when the store last answered: the answer included all that there was then.
     as_of: Duration,
     pause: RetryPause,
     lost_at: Option<Duration>,
@@ -68,17 +68,17 @@
         Self { plan, position: None, as_of, pause, lost_at: None, failures: 0 }
     }
 
-    /// Goes on from another version: somebody else told of the changes until there.
+    /// Continues from another version: a peer relayed the changes up to there.
     pub fn skip_to(&mut self, version: u64) {
         self.position = Some(TablePosition { version, ..self.position.unwrap_or_default() });
     }
 
-    /// Returns as of when the last answer told all that there was.
+    /// Returns as of when the last answer was complete.
     pub fn as_of(&self) -> Duration {
         self.as_of
     }
 
-    /// Returns the position from which the next call goes on, if the table was read.
+    /// Returns the position from which the next call continues, if the table was read.
     pub fn position(&self) -> Option<TablePosition> {
         self.position
     }
@@ -86,21 +86,21 @@
     /// Reads the whole table, or waits for the next changes.
     pub async fn next(&mut self, state: &DaemonState) -> FeedNews {
         let began = state.now();
-        match self.step(state).await {
+        match self.fetch(state).await {
             Ok(news) => {
                 self.note_answer(state);
-                self.tell_unreadable(&news);
+                self.log_unreadable(&news);
                 news
             }
             Err(error) => {
                 self.note_failure(state, &error, began).await;
-                FeedNews::Nothing
+                FeedNews::Failed
             }
         }
     }
 
-    /// Logs and counts what nobody can read; the rows beside it hold.
-    fn tell_unreadable(&self, news: &FeedNews) {
+    /// Logs and counts rows that can't be read; the other rows are used.
+    fn log_unreadable(&self, news: &FeedNews) {
         let (FeedNews::Whole(page) | FeedNews::Changes(page)) = news else { return };
         let table = self.plan.table;
         for row in &page.rows {
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Waits after a call that brought changes, so that those that come together are read together.
-    pub async fn rest(&self) {
-        monoio::time::sleep(self.plan.between).await;
+    /// Waits after a call that brought changes, so that changes close together are read together.
+    pub async fn pause_after_changes(&self) {
+        monoio::time::sleep(self.plan.batch_pause).await;
     }
 
-    async fn step(&mut self, state: &DaemonState) -> Result<FeedNews, StoreError> {
+    async fn fetch(&mut self, state: &DaemonState) -> Result<FeedNews, StoreError> {
         let position = match self.position {
             Some(position) => position,
             None => return self.read_whole(state).await,
@@ -130,8 +130,8 @@
         let wait = platform::draw_wait(longest_wait(state.members.count(), self.plan.wait_max));
         match state.platform.follow(self.plan.table, position, wait).await? {
             FeedReply::Changes(page, position) => {
-                // An answer may have been held up on its way; one without changes was made no sooner
-                // than its wait was over.
+                // An answer may have been delayed on its way; one without changes was sent no
+                // sooner than the end of its wait.
                 let waited = page.rows.is_empty() && state.now() >= began + wait;
                 self.as_of = if waited { began + wait } else { began };
                 self.position = Some(position);
@@ -155,7 +155,7 @@
         Ok(FeedNews::Whole(page))
     }
 
-    /// Takes in that a call was answered.
+    /// Records that a call was answered.
     fn note_answer(&mut self, state: &DaemonState) {
         self.pause.reset();
         if let Some(lost_at) = self.lost_at.take() {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Takes in that a call failed which began at `began`, and waits before the next.
+    /// Records that a call failed which began at `began`, and waits before the next.
     async fn note_failure(&mut self, state: &DaemonState, error: &StoreError, began: Duration) {
         metrics::STORE_FAILURES.add_one();
         self.failures += 1;
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -162,7 +162,7 @@
 
 /// Queries some peers. Their answers are replies to heartbeats.
 fn query_peers(state: &DaemonState) {
-    for sender in membership::some_senders(state, ASKED_PEERS) {
+    for sender in membership::sample_senders(state, ASKED_PEERS) {
         let request = membership::heartbeat_request(state, Vec::new());
         // A link that ended brings no reply.
         let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(request));
@@ -199,6 +199,6 @@
     Some(age.as_millis() as i64 + 1)
 }
 
-fn millis(told: Option<i64>) -> Option<Duration> {
-    told.map(|millis| Duration::from_millis(millis.max(0) as u64))
+fn millis(value: Option<i64>) -> Option<Duration> {
+    value.map(|millis| Duration::from_millis(millis.max(0) as u64))
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,12 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The daemon beside each backend server host.
+//! The proxy daemon that runs on each backend server host.
 //!
 //! Every daemon has the same three roles. The [`ingress`] takes callers' requests and chooses the
-//! upstream of each. The [`host`] role is the only one that sends work to the backend servers of
-//! its own host. The [`admin`] role serves the resource API, watches, status and metrics. What
-//! they share stands in [`state`].
+//! upstream of each. The [`host`] role is the only one that sends requests to the backend servers
+//! of its own host. The [`admin`] role serves the resource API, watches, status and metrics. Their
+//! shared state is in [`state`].
 
 pub mod admin;
 pub mod control;
--- a/crates/daemon/src/limit_homes.rs
+++ b/crates/daemon/src/limit_homes.rs
@@ -21,9 +21,8 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Time after the first start of a host's daemon within which it counts as one of a fleet that
-/// starts for the first time. Such a fleet grants the whole burst at once, so that it does not
-/// refuse requests.
+/// Time after a start within which a daemon may have started together with all others. On a first
+/// start the owner then grants the whole burst, as a fleet that starts must not refuse requests.
 const FIRST_START_WINDOW: Duration = Duration::from_secs(3);
 /// Time for which the list of eligible hosts is kept. Owners change only when a daemon leaves or
 /// has been silent for seconds.
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Makes and takes links, and keeps watch over them.
+//! Dials and accepts links to other daemons, and monitors them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -29,26 +29,28 @@
 
 /// Longest time for a connection to another daemon: far regions are 0.3 s away.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time that a request waits for a link to be made.
+/// Longest time that a request waits for a link to be established.
 ///
-/// Dialling goes on behind it, so that a far daemon is found by a later request.
+/// Dialling continues in the background, so that a later request finds a link to a distant daemon.
 const LINK_WAIT: Duration = Duration::from_millis(500);
-/// Time between looks at the links.
-const WATCH_EVERY: Duration = Duration::from_millis(100);
-/// Time without use after which a link is given up.
+/// Time between checks of the links.
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// Time without use after which a link is closed.
 const IDLE_MAX: Duration = Duration::from_secs(120);
-/// Time for which a path may be cut before its link is made anew.
+/// Time for which a path may be cut before its link is closed and established again.
 const CUT_MAX: Duration = Duration::from_secs(10);
-/// Silence of a path that is thought cut after which a new link is tried beside the old: a connection may
-/// be silent for good while new ones work. Work that waits for the old one is not lost by it.
+/// Silence of a path that is considered cut after which a second link is dialled beside the first:
+/// a connection may stay silent for good while new ones work. Requests that wait for the first are
+/// not lost by that.
 const RENEW_AFTER: Duration = Duration::from_secs(1);
-/// Most links taken: every other daemon at the two-year size, and room for restarts.
+/// Most accepted links: every other daemon at the fleet size expected in two years, and room for
+/// restarts.
 const LINKS_MAX: usize = 8192;
 
 type LinkReader = FrameReader<OwnedReadHalf<TcpStream>>;
 type LinkWriter = OwnedWriteHalf<TcpStream>;
 
-/// Returns the link along a path, making it if need be.
+/// Returns the link along a path, dialling it if necessary.
 pub async fn link_to(
     state: &Rc<DaemonState>,
     path: &Rc<PeerPath>,
@@ -81,7 +83,8 @@
     }
 }
 
-/// Starts to make a link in a task of its own, unless that is under way or must wait.
+/// Starts to dial a link in a task of its own, unless a dial is in progress or must wait for its
+/// back-off.
 fn start_dial(state: &Rc<DaemonState>, path: &Rc<PeerPath>) -> bool {
     let Some(dial) = path.start_dial(state.now()) else { return false };
     let state = state.clone();
@@ -93,8 +96,8 @@
     true
 }
 
-/// Makes a new link beside one that is silent, and waits for it no longer than a request would. What is
-/// in flight stays on the old link, as the silence may end; what comes goes along the new one.
+/// Dials a second link beside a silent one, and waits for it no longer than a request would.
+/// Requests in flight stay on the old link, as the silence may end; new ones use the new link.
 pub async fn renew(state: &Rc<DaemonState>, path: &Rc<PeerPath>) {
     let seen = path.change_count();
     if start_dial(state, path) || path.is_dialling() {
@@ -102,17 +105,17 @@
     }
 }
 
-/// Ends a link that was replaced once nothing is in flight on it, or after [`CUT_MAX`].
+/// Closes a replaced link once nothing is in flight on it, or after [`CUT_MAX`].
 async fn retire(link: Rc<DialledLink>) {
     let mut waited = Duration::ZERO;
     while link.exchange_count() > 0 && waited < CUT_MAX {
-        monoio::time::sleep(WATCH_EVERY).await;
-        waited += WATCH_EVERY;
+        monoio::time::sleep(WATCH_INTERVAL).await;
+        waited += WATCH_INTERVAL;
     }
     link.sender().close();
 }
 
-/// Makes a link and serves it to its end.
+/// Dials a link and runs it until it ends.
 async fn run_dialled(state: &Rc<DaemonState>, path: &Rc<PeerPath>, number: u64) {
     let (mut reader, writer, link) = match dial(state, path).await {
         Ok(parts) => parts,
@@ -152,7 +155,7 @@
     let key = &state.options.fleet_key;
     let side = LinkSide::Dialler;
     let peer = handshake::run(&mut reader, &mut writer, side, &state.identity, key).await?;
-    // An address may have passed to another host in the meantime.
+    // Another host may have taken over the address in the meantime.
     if *peer.host != *path.host {
         return Err(LinkError::OtherHost { host: peer.host });
     }
@@ -163,7 +166,7 @@
     Ok((reader, writer, link))
 }
 
-/// Finds out who listens at an address, by a handshake.
+/// Identifies the daemon that listens at an address, by a handshake.
 pub async fn identify(
     state: &Rc<DaemonState>,
     address: SocketAddr,
@@ -204,8 +207,9 @@
     }
 }
 
-/// Says whether a link crosses failure domains; both sides come to the same answer. Bytes there are
-/// dear, and within a failure domain the processor's time is.
+/// Says whether a link crosses failure domains, on which both sides agree. Frames are compressed
+/// there, as bytes between failure domains are expensive; within a failure domain the processor's
+/// time is.
 fn crosses_domains(state: &DaemonState, peer: &PeerIdentity) -> bool {
     state.options.failure_domain != peer.failure_domain
 }
@@ -218,7 +222,7 @@
     metrics::PEER_BYTES_SENT.add(bytes as u64);
 }
 
-/// Takes links from other daemons for ever.
+/// Accepts links from other daemons for ever.
 pub async fn accept(state: Rc<DaemonState>, listener: TcpListener) {
     let serve = move |stream, _| {
         let state = state.clone();
@@ -258,10 +262,10 @@
     fleet::AcceptedEnded { host: &link.peer.host, error: &error.to_string() }.log();
 }
 
-/// Watches over the dialled links for ever: asks for signs of life and gives idle links up.
+/// Monitors the dialled links for ever: probes silent ones and closes idle ones.
 pub async fn watch(state: Rc<DaemonState>) {
     loop {
-        monoio::time::sleep(WATCH_EVERY).await;
+        monoio::time::sleep(WATCH_INTERVAL).await;
         let now = state.now();
         for path in state.peers.linked() {
             watch_path(&state, &path, now);
@@ -269,8 +273,8 @@
     }
 }
 
-/// Logs when a link falls silent, and when it is heard of again.
-fn tell_silence(path: &PeerPath, in_flight: usize, now: Duration) {
+/// Logs when a link falls silent, and when it is heard on again.
+fn log_silence(path: &PeerPath, in_flight: usize, now: Duration) {
     let is_silent = path.state(now) == PathState::Cut;
     if path.note_silence(is_silent) == is_silent {
         return;
@@ -294,7 +298,7 @@
         let note = membership::heartbeat_request(state, Vec::new());
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
-    tell_silence(path, link.exchange_count(), now);
+    log_silence(path, link.exchange_count(), now);
     let idle = !in_use && now.saturating_sub(path.used_at()) > IDLE_MAX;
     let is_cut = path.state(now) == PathState::Cut;
     if idle || is_cut && path.silent_for(now) > CUT_MAX {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! `basaltarchd`: the daemon beside each backend server host.
+//! `basaltarchd`: the proxy daemon that runs on each backend server host.
 
 #![allow(missing_docs, reason = "the command-line macro makes items without doc comments")]
 
@@ -16,13 +16,13 @@
 
 mod flags {
     xflags::xflags! {
-        /// The daemon beside each backend server host. Each flag can also be given by the
-        /// environment variable in brackets; the flag wins.
+        /// The proxy daemon that runs on each backend server host. Each flag can also be given by
+        /// the environment variable in brackets; the flag takes precedence.
         cmd basaltarchd {
-            /// Path of a settings file with lines `flag = value`, which fill what neither a flag nor a
-            /// variable gives [BASALTARCH_CONFIG].
+            /// Path of a settings file with lines `flag = value`, used where neither a flag nor an
+            /// environment variable is given [BASALTARCH_CONFIG].
             optional --config path: String
-            /// Where the configuration comes from: `resources`, declared through the daemons' API, or
+            /// Source of the configuration: `resources`, declared through the daemons' API, or
             /// `document`, the operator's document in the platform's store [BASALTARCH_SOURCE],
             /// default resources.
             optional --source name: String
@@ -30,30 +30,31 @@
             optional --host name: String
             /// Failure domain of the host [BASALTARCH_FAILURE_DOMAIN].
             optional --failure-domain name: String
-            /// Address for callers [BASALTARCH_CALLERS], default 127.0.0.1:0.
+            /// Address that callers connect to [BASALTARCH_CALLERS], default 127.0.0.1:0.
             optional --callers address: String
-            /// Address for other daemons [BASALTARCH_PEERS], default 127.0.0.1:0.
+            /// Address that other daemons connect to [BASALTARCH_PEERS], default 127.0.0.1:0.
             optional --peers address: String
-            /// Address for operators [BASALTARCH_ADMIN], default 127.0.0.1:0.
+            /// Address of the operators' API [BASALTARCH_ADMIN], default 127.0.0.1:0.
             optional --admin address: String
-            /// Address at which the platform asks whether the daemon is ready [BASALTARCH_READY].
+            /// Address of the readiness check for the platform [BASALTARCH_READY].
             optional --ready address: String
-            /// Address at which the backend servers of this host register [BASALTARCH_REGISTRATION].
+            /// Address at which the backend servers of this host register
+            /// [BASALTARCH_REGISTRATION].
             optional --registration address: String
-            /// Service that runs on this host, told to backend servers of callers from here
-            /// [BASALTARCH_OWN_SERVICE].
+            /// Service that runs on this host, reported to backend servers as the caller of
+            /// requests that this daemon receives [BASALTARCH_OWN_SERVICE].
             optional --own-service name: String
-            /// Address at which other daemons reach this one, if not the one it listens on
-            /// [BASALTARCH_ADVERTISE_PEERS].
+            /// Address at which other daemons reach this one, if it differs from the one it listens
+            /// on [BASALTARCH_ADVERTISE_PEERS].
             optional --advertise-peers address: String
-            /// Address at which operators reach this daemon, if not the one it listens on
-            /// [BASALTARCH_ADVERTISE_ADMIN].
+            /// Address at which operators reach this daemon, if it differs from the one it listens
+            /// on [BASALTARCH_ADVERTISE_ADMIN].
             optional --advertise-admin address: String
-            /// Addresses of some other daemons, separated by commas, asked while the platform's store
-            /// is away [BASALTARCH_SEEDS].
+            /// Addresses of some other daemons, separated by commas, contacted while no other
+            /// daemon is known, as when the platform's store is unavailable [BASALTARCH_SEEDS].
             optional --seeds addresses: String
-            /// Whether the seeds are reached at this daemon's peer port instead of the ports given
-            /// [BASALTARCH_SEEDS_AT_PEER_PORT], default false.
+            /// Whether the seeds are contacted at this daemon's peer port instead of the ports
+            /// given [BASALTARCH_SEEDS_AT_PEER_PORT], default false.
             optional --seeds-at-peer-port flag: String
             /// Address of the platform [BASALTARCH_PLATFORM].
             optional --platform address: String
@@ -61,91 +62,99 @@
             optional --fleet-key key: String
             /// Token of operators [BASALTARCH_ADMIN_TOKEN].
             optional --admin-token token: String
-            /// Level of logs [BASALTARCH_LOG], default info.
+            /// Log level [BASALTARCH_LOG], default info.
             optional --log level: String
-            /// Requests a second that are logged from start to end [BASALTARCH_LOG_REQUESTS], default 20.
+            /// Requests per second that are logged from start to end [BASALTARCH_LOG_REQUESTS],
+            /// default 20.
             optional --log-requests count: String
-            /// Other requests a second that are logged since they failed [BASALTARCH_LOG_FAILURES],
-            /// default 50.
+            /// Further requests per second that are logged because they failed
+            /// [BASALTARCH_LOG_FAILURES], default 50.
             optional --log-failures count: String
             /// Longest drain in ms [BASALTARCH_DRAIN_MS], default 30000.
             optional --drain-ms ms: String
-            /// Time in ms from the first signal to stop to the platform's kill; the drain ends before
+            /// Time in ms from the first stop signal to the platform's kill; the drain ends before
             /// it [BASALTARCH_KILL_AFTER_MS], default 3600000.
             optional --kill-after-ms ms: String
-            /// Shortest drain in ms, for callers that hear late that the daemon leaves
+            /// Shortest drain in ms, for callers that learn late that the daemon is leaving
             /// [BASALTARCH_DRAIN_MIN_MS], default 500.
             optional --drain-min-ms ms: String
-            /// Connections of callers at most [BASALTARCH_CONNECTIONS], default 10000.
+            /// Maximum number of callers' connections [BASALTARCH_CONNECTIONS], default 10000.
             optional --connections count: String
-            /// Connections of one caller's address at most [BASALTARCH_CONNECTIONS_EACH], default 2000.
+            /// Maximum number of connections from one address of a caller
+            /// [BASALTARCH_CONNECTIONS_EACH], default 2000.
             optional --connections-each count: String
-            /// File descriptors that the platform lets the daemon have; callers' connections use half of
-            /// them at most [BASALTARCH_DESCRIPTORS], default 1048576.
+            /// File descriptors that the platform allows the daemon; callers' connections use at
+            /// most half of them [BASALTARCH_DESCRIPTORS], default 1048576.
             optional --descriptors count: String
-            /// Memory that the platform lets the daemon have, in MB; callers' connections use half of
-            /// it at most [BASALTARCH_MEMORY_MB], default 1048576.
+            /// Memory that the platform allows the daemon, in MB; callers' connections use at most
+            /// half of it [BASALTARCH_MEMORY_MB], default 1048576.
             optional --memory-mb megabytes: String
-            /// Largest head of a request in bytes [BASALTARCH_HEAD_BYTES], default 16384.
+            /// Largest request head in bytes [BASALTARCH_HEAD_BYTES], default 16384.
             optional --head-bytes bytes: String
-            /// Longest time for a head in ms [BASALTARCH_HEAD_MS], default 10000.
+            /// Longest time to receive a request head in ms [BASALTARCH_HEAD_MS], default 10000.
             optional --head-ms ms: String
-            /// Longest idle time of a caller's connection in ms [BASALTARCH_IDLE_MS], default 75000.
+            /// Longest idle time of a caller's connection in ms [BASALTARCH_IDLE_MS], default
+            /// 75000.
             optional --idle-ms ms: String
-            /// Largest body of a request in bytes [BASALTARCH_BODY_BYTES], default 4294967296.
+            /// Largest request body in bytes [BASALTARCH_BODY_BYTES], default 4294967296.
             optional --body-bytes bytes: String
-            /// Longest wait for a piece of a body in ms [BASALTARCH_BODY_IDLE_MS], default 30000.
+            /// Longest wait for the next bytes of a body in ms [BASALTARCH_BODY_IDLE_MS], default
+            /// 30000.
             optional --body-idle-ms ms: String
-            /// Reads of the platform a second over the fleet [BASALTARCH_STORE_READS], default 400.
+            /// Reads from the platform's store per second by the whole fleet
+            /// [BASALTARCH_STORE_READS], default 400.
             optional --store-reads count: String
-            /// Writes to the platform a second by this daemon [BASALTARCH_STORE_WRITES], default 50.
+            /// Writes to the platform's store per second by this daemon [BASALTARCH_STORE_WRITES],
+            /// default 50.
             optional --store-writes count: String
-            /// Hours for which a key of once-only work is remembered at least
+            /// Least number of hours for which the key of an at-most-once request is remembered
             /// [BASALTARCH_ONCE_KEEP_HOURS], default 24.
             optional --once-keep-hours hours: String
-            /// Time in ms after which what was learnt of a service that nobody asks for is
-            /// forgotten [BASALTARCH_SERVICE_IDLE_MS], default 600000.
+            /// Time in ms without requests after which the state of a service is evicted
+            /// [BASALTARCH_SERVICE_IDLE_MS], default 600000.
             optional --service-idle-ms ms: String
-            /// Time between heartbeats to a few other daemons in ms [BASALTARCH_HEARTBEAT_MS], default
-            /// 1000.
+            /// Time between heartbeats to a few other daemons in ms [BASALTARCH_HEARTBEAT_MS],
+            /// default 1000.
             optional --heartbeat-ms ms: String
-            /// Whether backend servers are not told where a request came from
+            /// Whether the addresses of callers are hidden from backend servers
             /// [BASALTARCH_HIDE_CALLERS], default false.
             optional --hide-callers flag: String
-            /// Share of a service's slots that ejection never goes below, where the configuration
-            /// says nothing [BASALTARCH_FLOOR], default 0.7.
+            /// Share of a service's slots below which ejection of upstreams never goes, if the
+            /// configuration does not set it [BASALTARCH_FLOOR], default 0.7.
             optional --floor share: String
-            /// Which error services would rather have where the configuration says nothing:
-            /// `detection` or `precision` [BASALTARCH_PREFER], default precision.
+            /// What outlier ejection prefers if the configuration does not set it: `detection`,
+            /// which may eject a healthy upstream, or `precision`, which may miss a faulty one
+            /// [BASALTARCH_PREFER], default precision.
             optional --prefer name: String
-            /// Requests that may wait before each backend server where the configuration says
-            /// nothing [BASALTARCH_QUEUE], default 16.
+            /// Requests that may queue at each backend server if the configuration does not set it
+            /// [BASALTARCH_QUEUE], default 16.
             optional --queue count: String
-            /// Share of a service's requests that may be repeated where the configuration says
-            /// nothing [BASALTARCH_RETRY_SHARE], default 0.1.
+            /// Share of a service's requests that may be retried if the configuration does not set
+            /// it [BASALTARCH_RETRY_SHARE], default 0.1.
             optional --retry-share share: String
-            /// Repeats of a service over the whole fleet in one window beyond that share
-            /// [BASALTARCH_RETRY_EXTRA], default 100.
+            /// Retries of a service by the whole fleet that are allowed in one window beyond that
+            /// share [BASALTARCH_RETRY_EXTRA], default 100.
             optional --retry-extra count: String
             /// Length of that window in ms [BASALTARCH_RETRY_WINDOW_MS], default 10000.
             optional --retry-window-ms ms: String
-            /// Share of a limit over the fleet by which requests beyond it are tolerated in a window
+            /// Share of a rate limit by which the fleet may exceed it in a window
             /// [BASALTARCH_LIMIT_OVER], default 0.
             optional --limit-over share: String
-            /// Requests beyond that share which are tolerated in a window [BASALTARCH_LIMIT_EXTRA],
+            /// Requests beyond that share that are tolerated in a window [BASALTARCH_LIMIT_EXTRA],
             /// default 0.
             optional --limit-extra count: String
             /// Length of that window in ms [BASALTARCH_LIMIT_WINDOW_MS], default 1000.
             optional --limit-window-ms ms: String
-            /// Whether work that must not be repeated goes elsewhere, if it can, from a backend server at which nothing
-            /// ended for a while [BASALTARCH_PROVE_ONCE_ONLY], default false.
+            /// Whether non-repeatable requests are sent elsewhere, if possible, than to a backend
+            /// server where no request has ended for a while [BASALTARCH_PROVE_ONCE_ONLY], default
+            /// false.
             optional --prove-once-only flag: String
-            /// Where work waits that finds no free slot: `one-host`, whole and in the queue of one, or
-            /// `places`, at the daemon that took it in and with places before the slots of several hosts
-            /// [BASALTARCH_WAITING], default one-host.
+            /// Where requests wait that find no free slot: `one-host`, in the queue of one host, or
+            /// `places`, at the daemon that received them, with reservations for slots of several
+            /// hosts [BASALTARCH_WAITING], default one-host.
             optional --waiting name: String
-            /// Time that work waits in its own failure domain rather than send a megabyte to another, in ms
-            /// [BASALTARCH_FAR_MEGABYTE_MS], default 0.
+            /// Time in ms that a request waits in its own failure domain rather than send a
+            /// megabyte to another [BASALTARCH_FAR_MEGABYTE_MS], default 0.
             optional --far-megabyte-ms ms: String
         }
     }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The soft view of the fleet: who is live, suspect or leaving.
+//! This daemon's view of the fleet's membership: which daemons are live, suspect or leaving.
 //!
-//! The rows of the hosts seed it and heartbeats between a few peers keep it. It is never agreed on,
-//! and nothing that must hold depends on it. A word of a later start of a daemon counts more.
+//! The view is seeded by the rows of the hosts and kept up to date by gossip, in heartbeats between
+//! a few peers. Daemons never agree on it, and nothing that must hold depends on it. What is known
+//! of a later incarnation of a daemon takes precedence.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -27,21 +28,22 @@
 use crate::roster::HostRecord;
 use crate::state::DaemonState;
 
-/// Time between looks for seeds while nobody is known.
-const SEEDS_EVERY: Duration = Duration::from_secs(1);
-/// Members told in one heartbeat: 64 entries a second keep the view fresh within the suspect time.
+/// Time between attempts to contact the seeds while no other daemon is known.
+const SEED_INTERVAL: Duration = Duration::from_secs(1);
+/// Most members in one heartbeat: 64 entries a second keep the view fresh within the suspect time.
 const ENTRIES_MAX: usize = 8;
-/// Heartbeats after which a member that was not heard of is suspect, in a small fleet.
+/// Heartbeat intervals after which a member that was not heard of is suspect, in a small fleet.
 const SUSPECT_HEARTBEATS: u32 = 12;
-/// Members whose news one round of heartbeats renews, by which the suspect time grows.
+/// Members whose entries one round of heartbeats renews. The suspect time grows by one interval for
+/// each so many members.
 const RENEWED_EACH_ROUND: usize = 40;
-/// Suspect times after which a member that is not listed either is forgotten.
-const FORGET_TIMES: u32 = 10;
-/// Numbers of the states between daemons.
+/// Number of suspect times after which a member without a row is removed.
+const FORGET_FACTOR: u32 = 10;
+/// Numbers of the states in the peer protocol.
 const STATE_LIVE: i8 = 0;
 const STATE_LEAVING: i8 = 1;
 
-/// `MemberState` is what is thought of a member.
+/// `MemberState` is the assumed state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
     /// It was heard of lately.
@@ -53,7 +55,7 @@
 }
 
 impl MemberState {
-    /// Returns the name in tables.
+    /// Returns the name in the operators' tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Live => "live",
@@ -68,15 +70,15 @@
 pub struct MemberView {
     /// Failure domain of its host.
     pub failure_domain: String,
-    /// Address at which it takes links.
+    /// Address at which it accepts links.
     pub peer_address: String,
     /// Address of its administration.
     pub admin_address: String,
-    /// Number of its start.
+    /// Number of its incarnation; that of a later start is higher.
     pub incarnation: i64,
-    /// When it was last heard of, by itself or through others.
+    /// When it was last heard of, directly or through others.
     pub heard_at: Duration,
-    /// Whether it said that it is leaving, in this incarnation.
+    /// Whether it announced that it is leaving, in this incarnation.
     pub leaving: bool,
     /// Whether it has a row in the platform's store.
     pub listed: bool,
@@ -84,7 +86,7 @@
     pub revision: FleetRevision,
 }
 
-/// `MemberTable` is the soft view of the fleet.
+/// `MemberTable` is this daemon's view of the fleet's membership.
 #[derive(Default)]
 pub struct MemberTable {
     members: RefCell<BTreeMap<String, MemberView>>,
@@ -98,7 +100,7 @@
 }
 
 impl MemberTable {
-    /// Returns what is thought of a member.
+    /// Returns the assumed state of a member.
     pub fn state_of(&self, state: &DaemonState, view: &MemberView) -> MemberState {
         let silent = state.now().saturating_sub(view.heard_at);
         let members = self.members.borrow().len();
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Returns the hosts whose daemons are live, with this one.
+    /// Returns the hosts whose daemons are live, including this one unless it is leaving.
     pub fn live_hosts(&self, state: &DaemonState) -> Vec<String> {
         let members = self.members.borrow();
         let live =
@@ -131,15 +133,15 @@
         hosts
     }
 
-    /// Returns the live hosts of the own failure domain, with this one.
-    pub fn live_near(&self, state: &DaemonState) -> Vec<String> {
+    /// Returns the live hosts of the own failure domain, including this one unless it is leaving.
+    pub fn live_in_domain(&self, state: &DaemonState) -> Vec<String> {
         let own = &state.options.failure_domain;
-        let mut near = self.live_hosts(state);
+        let mut local = self.live_hosts(state);
         let members = self.members.borrow();
-        let is_near =
+        let is_local =
             |host: &String| members.get(host).is_none_or(|view| view.failure_domain == *own);
-        near.retain(is_near);
-        near
+        local.retain(is_local);
+        local
     }
 
     /// Returns the number of members, with this daemon.
@@ -147,31 +149,32 @@
         self.members.borrow().len().max(1)
     }
 
-    /// Remembers a link that was taken, to pass news along it.
+    /// Records an accepted link, so that news can be sent along it.
     pub fn note_accepted(&self, link: &Rc<AcceptedLink>) {
         let mut accepted = self.accepted.borrow_mut();
         accepted.retain(|known| known.strong_count() > 0);
         accepted.push(Rc::downgrade(link));
     }
 
-    /// Returns some of the links that were taken.
-    pub fn some_accepted(&self, most: usize) -> Vec<Rc<AcceptedLink>> {
+    /// Returns a random sample of the open accepted links.
+    pub fn sample_accepted(&self, most: usize) -> Vec<Rc<AcceptedLink>> {
         let accepted = self.accepted.borrow();
         let open = accepted.iter().filter_map(Weak::upgrade);
         open.sample(&mut rand::rng(), most)
     }
 
-    /// Returns the number of the latest known start of a host's daemon, 0 if none is known.
+    /// Returns the latest known incarnation of a host's daemon, 0 if none is known.
     pub fn incarnation(&self, host: &str) -> i64 {
         self.members.borrow().get(host).map_or(0, |view| view.incarnation)
     }
 
-    /// Takes in the row of a host. A row is no sign of life: only one of a later start counts as one.
+    /// Records the row of a host. A row is no sign of life, unless it is that of a later
+    /// incarnation.
     pub fn note_record(&self, state: &DaemonState, host: &str, record: &HostRecord) {
         if host == state.options.host {
             return;
         }
-        let told = MemberView {
+        let reported = MemberView {
             failure_domain: record.failure_domain.clone(),
             peer_address: record.peer_address.clone(),
             admin_address: record.admin_address.clone(),
@@ -185,42 +188,43 @@
         match members.get_mut(host) {
             Some(view) => {
                 let heard_at = view.heard_at;
-                let news = told.incarnation > view.incarnation;
-                merge(view, told);
-                if !news {
+                let is_later = reported.incarnation > view.incarnation;
+                merge(view, reported);
+                if !is_later {
                     view.heard_at = heard_at;
                 }
             }
-            None => drop(members.insert(host.to_owned(), told)),
+            None => drop(members.insert(host.to_owned(), reported)),
         }
         if let Some(view) = members.get(host) {
-            tell_path(state, host, view);
+            update_path(state, host, view);
         }
         let now = state.now();
-        let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_TIMES;
+        let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_FACTOR;
         let silent = |view: &MemberView| now.saturating_sub(view.heard_at);
         members.retain(|_, view| view.listed || silent(view) < forget_after);
     }
 
-    /// Takes in that a host has no row any more; what is heard of it still counts.
+    /// Records that a host has no row any more. Heartbeats about it still count.
     pub fn note_removed(&self, host: &str) {
         if let Some(view) = self.members.borrow_mut().get_mut(host) {
             view.listed = false;
         }
     }
 
-    /// Returns the hosts with a row that have been silent for so long that they are taken for gone.
+    /// Returns the hosts with a row that have been silent for so long that they are considered
+    /// gone.
     pub fn silent_hosts(&self, state: &DaemonState) -> Vec<String> {
         let now = state.now();
         let members = self.members.borrow();
-        let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_TIMES;
+        let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_FACTOR;
         let gone = members
             .iter()
             .filter(|(_, view)| view.listed && now.saturating_sub(view.heard_at) > forget_after);
         gone.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Takes in who was found at the address of a seed.
+    /// Records which daemon answered at the address of a seed.
     fn note_seed(&self, state: &DaemonState, peer: PeerIdentity, address: SocketAddr) {
         if peer.host == state.options.host {
             return;
@@ -229,18 +233,19 @@
             failure_domain: String::new(),
             peer_address: address.to_string(),
             admin_address: String::new(),
-            // The daemon's own word, which comes next, has the same number and fills the gaps.
+            // The daemon's own entry, which comes next, has the actual incarnation and fills in the
+            // other fields.
             incarnation: peer.incarnation.saturating_sub(1),
             heard_at: state.now(),
             leaving: false,
             listed: false,
             revision: FleetRevision(0),
         };
-        tell_path(state, &peer.host, &view);
+        update_path(state, &peer.host, &view);
         self.members.borrow_mut().entry(peer.host).or_insert(view);
     }
 
-    /// Takes in that a peer was heard of directly.
+    /// Records that a peer was heard of directly.
     pub fn note_heard(&self, state: &DaemonState, peer: &PeerIdentity, revision: FleetRevision) {
         let mut members = self.members.borrow_mut();
         if let Some(view) = members.get_mut(&peer.host) {
@@ -250,12 +255,12 @@
                 }
                 view.heard_at = state.now();
                 view.revision = view.revision.max(revision);
-                tell_path(state, &peer.host, view);
+                update_path(state, &peer.host, view);
             }
         }
     }
 
-    /// Takes in what a peer tells of others.
+    /// Records what a peer reports of other members.
     pub fn note_entries(&self, state: &DaemonState, entries: &[MemberEntry]) {
         let now = state.now();
         let mut members = self.members.borrow_mut();
@@ -265,27 +270,33 @@
             }
             let age = Duration::from_millis(entry.age_ms.max(0) as u64);
             let heard_at = now.saturating_sub(age);
-            let told = told_view(entry, heard_at);
-            let view = members.entry(entry.host.clone()).or_insert_with(|| told.clone());
-            merge(view, told);
-            tell_path(state, &entry.host, view);
+            let reported = view_of(entry, heard_at);
+            let view = members.entry(entry.host.clone()).or_insert_with(|| reported.clone());
+            merge(view, reported);
+            update_path(state, &entry.host, view);
         }
     }
 
-    /// Chooses members to tell a peer of, this daemon first, after what it just told.
-    pub fn some_entries(&self, state: &DaemonState, told: &[MemberEntry]) -> Vec<MemberEntry> {
+    /// Returns the entries to send to a peer: this daemon's own, and a random sample of those that
+    /// are not in `reported`, which the peer has just sent.
+    pub fn sample_entries(
+        &self,
+        state: &DaemonState,
+        reported: &[MemberEntry],
+    ) -> Vec<MemberEntry> {
         let now = state.now();
         let members = self.members.borrow();
-        let others = members
-            .iter()
-            .filter(|(host, view)| view.incarnation > 0 && !told.iter().any(|e| e.host == **host));
+        let others = members.iter().filter(|(host, view)| {
+            view.incarnation > 0 && !reported.iter().any(|e| e.host == **host)
+        });
         let mut entries = vec![own_entry(state)];
         let chosen = others.sample(&mut rand::rng(), ENTRIES_MAX - 1);
         entries.extend(chosen.into_iter().map(|(host, view)| entry_of(host, view, now)));
         entries
     }
 
-    /// Returns this daemon's neighbours among the members that are not leaving.
+    /// Returns this daemon's neighbours for the next round of heartbeats, among the members that
+    /// are not leaving.
     pub fn neighbours(&self, state: &DaemonState) -> Vec<String> {
         let round = self.round.get();
         self.round.set(round + 1);
@@ -295,13 +306,13 @@
         neighbours::choose(&state.options.host, hosts, round)
     }
 
-    /// Returns the revision that a member was last heard to have.
+    /// Returns the latest revision that a member is known to have.
     pub fn revision_of(&self, host: &str) -> FleetRevision {
         self.members.borrow().get(host).map_or(FleetRevision(0), |view| view.revision)
     }
 }
 
-fn told_view(entry: &MemberEntry, heard_at: Duration) -> MemberView {
+fn view_of(entry: &MemberEntry, heard_at: Duration) -> MemberView {
     MemberView {
         failure_domain: entry.failure_domain.clone(),
         peer_address: entry.peer_address.clone(),
@@ -314,25 +325,25 @@
     }
 }
 
-/// Merges what is told into what is known: a later start counts more, then the later word. A daemon
-/// that said it is leaving does not come back within the same start.
-fn merge(view: &mut MemberView, told: MemberView) {
-    if told.incarnation < view.incarnation {
+/// Merges a reported view into the known one: a later incarnation replaces it, and within one the
+/// later report counts. A daemon that is leaving stays so within the same incarnation.
+fn merge(view: &mut MemberView, reported: MemberView) {
+    if reported.incarnation < view.incarnation {
         return;
     }
-    if told.incarnation > view.incarnation {
-        let listed = view.listed || told.listed;
-        *view = told;
+    if reported.incarnation > view.incarnation {
+        let listed = view.listed || reported.listed;
+        *view = reported;
         view.listed = listed;
         return;
     }
-    view.leaving |= told.leaving;
-    view.listed |= told.listed;
-    view.heard_at = view.heard_at.max(told.heard_at);
-    view.revision = view.revision.max(told.revision);
+    view.leaving |= reported.leaving;
+    view.listed |= reported.listed;
+    view.heard_at = view.heard_at.max(reported.heard_at);
+    view.revision = view.revision.max(reported.revision);
 }
 
-fn tell_path(state: &DaemonState, host: &str, view: &MemberView) {
+fn update_path(state: &DaemonState, host: &str, view: &MemberView) {
     let path = state.peers.path(host);
     if let Ok(address) = view.peer_address.parse() {
         path.note_address(address);
@@ -353,7 +364,7 @@
     }
 }
 
-/// Returns what this daemon says of itself.
+/// Returns this daemon's own entry.
 pub fn own_entry(state: &DaemonState) -> MemberEntry {
     MemberEntry {
         host: state.options.host.clone(),
@@ -367,7 +378,7 @@
     }
 }
 
-/// Builds a heartbeat that tells of members and asks for an answer.
+/// Builds a heartbeat that reports members and asks for a reply.
 pub fn heartbeat_request(state: &DaemonState, members: Vec<MemberEntry>) -> HeartbeatNote {
     HeartbeatNote {
         reply: false,
@@ -380,7 +391,7 @@
     }
 }
 
-/// Builds the answer to a heartbeat.
+/// Builds the reply to a heartbeat.
 pub fn heartbeat_reply(state: &DaemonState, asked: &HeartbeatNote) -> HeartbeatNote {
     HeartbeatNote {
         reply: true,
@@ -389,8 +400,8 @@
     }
 }
 
-/// Asks the seeds who they are, for as long as nobody else is known.
-pub async fn find_seeds(state: Rc<DaemonState>) {
+/// Contacts the seeds for as long as no other daemon is known.
+pub async fn contact_seeds(state: Rc<DaemonState>) {
     loop {
         if state.members.members.borrow().is_empty() {
             for address in &state.live().seeds {
@@ -403,39 +414,39 @@
                 }
             }
         }
-        monoio::time::sleep(SEEDS_EVERY).await;
+        monoio::time::sleep(SEED_INTERVAL).await;
     }
 }
 
 /// Sends heartbeats to the neighbours for ever.
 pub async fn run(state: Rc<DaemonState>) {
     loop {
-        beat(&state, BeatNews::Members);
+        send_heartbeats(&state, HeartbeatContent::Members);
         let pause = state.options.heartbeat.mul_f64(rand::random_range(0.9..1.1));
         monoio::time::sleep(pause).await;
     }
 }
 
-/// `BeatNews` is what a heartbeat tells.
+/// `HeartbeatContent` is what a heartbeat reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BeatNews {
-    /// This daemon's own entry, as when its revision or state changed.
+pub enum HeartbeatContent {
+    /// This daemon's own entry alone, such as when its revision or state changed.
     Own,
-    /// Some other members as well.
+    /// The own entry and some other members.
     Members,
 }
 
 /// Sends a heartbeat to each neighbour now.
-pub fn beat(state: &Rc<DaemonState>, news: BeatNews) {
+pub fn send_heartbeats(state: &Rc<DaemonState>, content: HeartbeatContent) {
     for host in state.members.neighbours(state) {
         let state = state.clone();
-        monoio::spawn(async move { beat_one(&state, &host, news).await });
+        monoio::spawn(async move { send_heartbeat(&state, &host, content).await });
     }
 }
 
-/// Returns some of the open links, whichever side made them.
-pub fn some_senders(state: &DaemonState, most: usize) -> Vec<FrameSender> {
-    let accepted = state.members.some_accepted(usize::MAX);
+/// Returns a random sample of the open links, whichever side dialled them.
+pub fn sample_senders(state: &DaemonState, most: usize) -> Vec<FrameSender> {
+    let accepted = state.members.sample_accepted(usize::MAX);
     let accepted = accepted.iter().map(|link| link.sender().clone());
     let linked = state.peers.linked();
     let dialled = linked.iter().filter_map(|path| path.link());
@@ -444,16 +455,16 @@
 }
 
 /// Sends a heartbeat to one host.
-pub async fn beat_one(state: &Rc<DaemonState>, host: &str, news: BeatNews) {
+pub async fn send_heartbeat(state: &Rc<DaemonState>, host: &str, content: HeartbeatContent) {
     let path = state.peers.path(host);
     if path.address().is_none() {
         return;
     }
     path.note_used(state.now());
     if let Ok(link) = links::link_to(state, &path).await {
-        let members = match news {
-            BeatNews::Own => vec![own_entry(state)],
-            BeatNews::Members => state.members.some_entries(state, &[]),
+        let members = match content {
+            HeartbeatContent::Own => vec![own_entry(state)],
+            HeartbeatContent::Members => state.members.sample_entries(state, &[]),
         };
         let note = heartbeat_request(state, members);
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -1,26 +1,27 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Snapshots on their way here from peers, in parts.
+//! Reassembles snapshots that peers send in parts.
 
 use std::cell::{Cell, RefCell};
 
 use basaltarch_core::units;
 use fnv::FnvHashMap;
 
-/// Largest snapshot taken from a peer, in bytes; one of the two-year size has about 10 MB.
+/// Largest snapshot accepted from a peer, in bytes; at the fleet size expected in two years it has
+/// about 10 MB.
 const SNAPSHOT_MAX: usize = 256 << 20;
 
-/// `SnapshotParts` holds the parts of snapshots that are being received, by host of the sender.
+/// `SnapshotParts` holds the parts of snapshots that are being received, by the host of the sender.
 #[derive(Debug, Default)]
 pub struct SnapshotParts {
     parts: RefCell<FnvHashMap<String, PartialSnapshot>>,
-    tellings: Cell<i64>,
-    /// Whether a whole one is being read.
+    transfers: Cell<i64>,
+    /// Whether a complete snapshot is being read.
     pub reading: Cell<bool>,
 }
 
-/// `PartialSnapshot` is what has come of one telling.
+/// `PartialSnapshot` is what has been received of one transfer.
 #[derive(Debug, Default)]
 struct PartialSnapshot {
     telling: i64,
@@ -28,12 +29,12 @@
     bytes: Vec<u8>,
 }
 
-/// `SnapshotPart` is a part of a snapshot as a peer tells it.
+/// `SnapshotPart` is a part of a snapshot as a peer sends it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SnapshotPart {
-    /// Which telling of the sender it belongs to.
+    /// Number of the sender's transfer that it belongs to.
     pub telling: i64,
-    /// Its place in that, from 0.
+    /// Its index in the transfer, from 0.
     pub place: i32,
     /// Its bytes.
     pub bytes: Vec<u8>,
@@ -42,15 +43,16 @@
 }
 
 impl SnapshotParts {
-    /// Numbers a telling of this daemon; a later start of it has higher numbers too.
-    pub fn next_telling(&self) -> i64 {
-        let number = (self.tellings.get() + 1).max(units::wall_millis() as i64);
-        self.tellings.set(number);
+    /// Numbers a transfer by this daemon; a later incarnation has higher numbers.
+    pub fn next_transfer(&self) -> i64 {
+        let number = (self.transfers.get() + 1).max(units::wall_millis() as i64);
+        self.transfers.set(number);
         number
     }
 
-    /// Takes a part in; returns the whole with the last one. A part that does not follow the one before
-    /// belongs to a telling that broke off, or that another has overtaken: it is joined to nothing.
+    /// Adds a part, and returns the whole snapshot with the last one. A part that does not follow
+    /// the one before belongs to a transfer that broke off, or that a later one replaced, and is
+    /// dropped.
     pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
         if part.place == 0 {
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Takes the word of the backend servers beside this daemon, and answers whether the daemon is ready.
+//! Registers the backend servers on this host, and answers whether the daemon is ready.
 //!
-//! An acknowledgement means that what was said is in force here. As only this daemon sends work to
-//! the backend servers of its host, nobody else has to be asked.
+//! An acknowledgement means that what the server reported is in force here. As only this daemon
+//! sends requests to the backend servers of its host, no other daemon has to be asked.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -27,76 +27,83 @@
 use crate::roster::{self, HostRecord, ServerRecord};
 use crate::state::DaemonState;
 
-/// Connections of backend servers of this host, and of the platform.
+/// Most connections of backend servers of this host, and of the platform.
 const CONNECTIONS_MAX: usize = 64;
-/// Largest heartbeat.
+/// Largest heartbeat, in bytes.
 const BODY_BYTES_MAX: u64 = 16 * 1024;
-/// Longest time for an answer about health: it waits for a slot, and a heartbeat comes soon.
+/// Longest time for a health check: it waits for a slot, and otherwise the next heartbeat comes
+/// soon.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Starts of backend servers that are gone, kept to know their late heartbeats.
+/// Most ended incarnations of backend servers that are remembered, to recognise their late
+/// heartbeats.
 const GONE_MAX: usize = 64;
-/// Backend servers whose starts are followed: a host has few, and whoever names more is none of them.
-const STARTS_MAX: usize = 256;
+/// Most backend servers whose incarnations are tracked: a host has few, and whoever names more of
+/// them is no backend server of this host.
+const TRACKERS_MAX: usize = 256;
 
-/// `RegistrationTable` is what this daemon knows of the backend servers beside it, apart from what it
-/// tells the others. All but the starts is kept by the name of the upstream, which is that of one start.
+/// `RegistrationTable` is what this daemon knows of the backend servers on its host, apart from
+/// what it publishes. Everything but `trackers` is keyed by the name of the upstream, which is
+/// specific to one incarnation.
 #[derive(Debug, Default)]
 pub struct RegistrationTable {
-    /// Starts of each backend server, by its own name.
-    starts: RefCell<FnvHashMap<String, StartTrack>>,
+    /// Incarnations of each backend server, by the server's own name.
+    trackers: RefCell<FnvHashMap<String, StartTrack>>,
     sequences: RefCell<FnvHashMap<String, u64>>,
     cold_until: RefCell<FnvHashMap<String, Duration>>,
     gone: RefCell<VecDeque<String>>,
-    /// Latest known record of an earlier start of the daemon.
+    /// Latest known record of an earlier incarnation of the daemon.
     recovered: RefCell<Option<HostRecord>>,
 }
 
 impl RegistrationTable {
-    /// Says whether an upstream is still slow from its start.
+    /// Says whether an upstream is still in the warm-up time after its start.
     pub fn is_cold(&self, upstream: &str, now: Duration) -> bool {
         self.cold_until.borrow().get(upstream).is_some_and(|until| *until > now)
     }
 
-    /// Says what a heartbeat counts for, and notes it.
+    /// Classifies a heartbeat, and records it.
     fn judge(&self, heartbeat: &ServerHeartbeat, now: Duration) -> StartVerdict {
         let ServerIncarnation { server, born } = &heartbeat.incarnation;
-        let word = StartWord { born: *born, sequence: heartbeat.sequence };
-        let mut starts = self.starts.borrow_mut();
-        if starts.len() >= STARTS_MAX && !starts.contains_key(server) {
-            starts.clear();
+        let claim = StartWord { born: *born, sequence: heartbeat.sequence };
+        let mut trackers = self.trackers.borrow_mut();
+        if trackers.len() >= TRACKERS_MAX && !trackers.contains_key(server) {
+            trackers.clear();
         }
-        let verdict = starts.entry(server.clone()).or_default().judge(word, now);
-        if verdict == StartVerdict::Current && !self.is_news(heartbeat) {
+        let verdict = trackers.entry(server.clone()).or_default().judge(claim, now);
+        if verdict == StartVerdict::Current && !self.is_newer(heartbeat) {
             return StartVerdict::Late;
         }
         verdict
     }
 
-    /// Says whether a heartbeat is later than those before it of its start, and notes it.
-    fn is_news(&self, heartbeat: &ServerHeartbeat) -> bool {
+    /// Says whether a heartbeat is later than the earlier ones of its incarnation, and records it.
+    fn is_newer(&self, heartbeat: &ServerHeartbeat) -> bool {
         let upstream = heartbeat.incarnation.upstream();
         if self.gone.borrow().contains(&upstream) {
             return false;
         }
         let mut sequences = self.sequences.borrow_mut();
         let last = sequences.entry(upstream).or_default();
-        let news = heartbeat.sequence >= *last;
+        let is_later = heartbeat.sequence >= *last;
         *last = heartbeat.sequence.max(*last);
-        news
+        is_later
     }
 
-    /// Returns the start that a word of leaving is about: the one it names, else the one known.
+    /// Returns the incarnation that a deregistration is about: the one it names, or else the known
+    /// one.
     fn leaving(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
-        let starts = self.starts.borrow();
-        let known = starts.get(&incarnation.server).and_then(StartTrack::current);
+        let trackers = self.trackers.borrow();
+        let known = trackers.get(&incarnation.server).and_then(StartTrack::current);
         ServerIncarnation { born: incarnation.born.or(known), ..incarnation }
     }
 
     fn note_gone(&self, upstream: &str) {
         let incarnation = ServerIncarnation::of_upstream(upstream);
-        let mut starts = self.starts.borrow_mut();
-        if let (Some(track), Some(born)) = (starts.get_mut(&incarnation.server), incarnation.born) {
-            track.note_over(born);
+        let mut trackers = self.trackers.borrow_mut();
+        if let (Some(tracker), Some(born)) =
+            (trackers.get_mut(&incarnation.server), incarnation.born)
+        {
+            tracker.note_over(born);
         }
         self.sequences.borrow_mut().remove(upstream);
         self.cold_until.borrow_mut().remove(upstream);
@@ -110,7 +117,7 @@
     }
 }
 
-/// Takes connections of backend servers for ever.
+/// Accepts connections of backend servers for ever.
 pub async fn accept(state: Rc<DaemonState>, listener: TcpListener) {
     let limits = ServerLimits::with_body_bytes(BODY_BYTES_MAX);
     let answer = move |request| {
@@ -121,8 +128,8 @@
 }
 
 fn answer_server(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
-    // What is acknowledged binds the next start too, and nobody would wait until that can know of it.
-    // The backend server calls again.
+    // What is acknowledged also binds the next incarnation of this daemon, and this one would not
+    // wait until that can learn of it. The backend server calls again.
     if state.stop.is_over(state.now()) {
         return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon ends");
     }
@@ -131,7 +138,7 @@
         registration::read_call(&request.head.method, uri.path(), uri.query(), &request.body);
     match call {
         Ok(Some(ServerCall::Heartbeat(heartbeat))) => {
-            if let Some(problem) = foreign_part(state, &heartbeat) {
+            if let Some(problem) = mismatch(state, &heartbeat) {
                 let from = &request.from.to_string();
                 servers::ServerCallRefused { error: problem, from }.log();
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
@@ -155,14 +162,15 @@
     ServerReply::whole(StatusCode::OK, "application/json", body)
 }
 
-/// Says what shows that a heartbeat is from another writer: a service that the operator names nowhere,
-/// unless its server is known with it, or a service or an address that a start has not had so far.
-fn foreign_part(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
+/// Returns why a heartbeat must come from another writer: its service is not configured and its
+/// server not registered with it, or its service or address differs from that registered for the
+/// same incarnation.
+fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
     let servers = state.roster.own_servers();
     if let Some(known) = servers.iter().find(|server| server.name == name) {
         let same = known.service == heartbeat.service && known.address == heartbeat.address;
-        // A server that tells no start may have started anew under its name.
+        // A server that does not report its incarnation may have restarted under its name.
         let may_differ = heartbeat.incarnation.born.is_none();
         return (!same && !may_differ).then_some("a start keeps its service and its address");
     }
@@ -171,12 +179,12 @@
     (!named).then_some("the service is not in the configuration")
 }
 
-/// Takes a heartbeat in and says what it counted for.
+/// Handles a heartbeat, and returns how it was classified.
 fn note_heartbeat(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) -> StartVerdict {
     let verdict = state.registrations.judge(heartbeat, state.now());
     match verdict {
         StartVerdict::Current => {}
-        StartVerdict::Replaces => drop(state.registrations.is_news(heartbeat)),
+        StartVerdict::Replaces => drop(state.registrations.is_newer(heartbeat)),
         StartVerdict::Late | StartVerdict::Unnamed => {
             let (upstream, sequence) = (&heartbeat.incarnation.upstream(), heartbeat.sequence);
             servers::HeartbeatLate { upstream, sequence }.log();
@@ -187,7 +195,7 @@
     verdict
 }
 
-/// Puts what a heartbeat says in force.
+/// Puts what a heartbeat reports in force.
 fn register(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) {
     let name = heartbeat.incarnation.upstream();
     let cold_until = state.now() + heartbeat.cold_for;
@@ -202,7 +210,8 @@
         service: heartbeat.service.clone(),
         address: heartbeat.address,
         slots: heartbeat.slots,
-        // A backend server that said it is leaving does not come back in the same incarnation.
+        // A backend server that announced that it is leaving does not come back in the same
+        // incarnation.
         draining: heartbeat.draining || known.is_some_and(|known| known.draining),
     };
     if known == Some(&record) {
@@ -217,8 +226,8 @@
         sequence: heartbeat.sequence,
     }
     .log();
-    // One that now listens on the address of another, or has its name, has taken its place, for good: a
-    // heartbeat of the other may have been held up on its way and come only now.
+    // A server that listens on the address of another or has its name replaces it for good: a
+    // heartbeat of the replaced one may be delayed and arrive only now.
     let is_replaced = |other: &ServerRecord| {
         let same_server = incarnation::server_of(&other.name) == heartbeat.incarnation.server;
         other.name != record.name && (same_server || other.address == record.address)
@@ -233,7 +242,8 @@
     roster::set_own_servers(state, servers);
 }
 
-/// Takes in that a start of a backend server is over, by its own word or as another answers in its place.
+/// Records that an incarnation of a backend server has ended, by its deregistration or because
+/// another server answers in its place.
 pub fn note_gone(state: &Rc<DaemonState>, name: &str) {
     state.registrations.note_gone(name);
     let mut servers = state.roster.own_servers();
@@ -243,33 +253,33 @@
         servers::ServerGone { upstream: name }.log();
         roster::set_own_servers(state, servers);
     }
-    // The row may tell of one that this start has not heard of.
-    roster::note_left(state);
+    // The row may list a server that this incarnation of the daemon has not heard of.
+    roster::note_departure(state);
 }
 
-/// Takes in what an earlier start of this daemon told of the backend servers beside it. Each that
-/// still answers by its name is in use again before its next heartbeat.
+/// Recovers the backend servers that an earlier incarnation of this daemon published. Each that
+/// still answers with its name is in use again before its next heartbeat.
 pub fn recover(state: &Rc<DaemonState>, record: &HostRecord) {
     let known = state.registrations.recovered.borrow().as_ref().map(HostRecord::order);
     if known >= Some(record.order()) {
         return;
     }
     *state.registrations.recovered.borrow_mut() = Some(record.clone());
-    give_up_left(state, record);
+    remove_departed(state, record);
     for server in record.servers.iter().filter(|server| !server.draining) {
         let state = state.clone();
         let server = server.clone();
         monoio::spawn(async move {
             if answers_as(&state, &server).await {
-                take_back(&state, server);
+                restore(&state, server);
             }
         });
     }
 }
 
-/// Gives up backend servers that an earlier record told of, which left by this later one; one that has
-/// sent a heartbeat since is there by its own word.
-fn give_up_left(state: &Rc<DaemonState>, record: &HostRecord) {
+/// Removes backend servers that an earlier record listed and this later one no longer does. A
+/// server that has sent a heartbeat since stays.
+fn remove_departed(state: &Rc<DaemonState>, record: &HostRecord) {
     let mut servers = state.roster.own_servers();
     let before = servers.len();
     servers.retain(|server| {
@@ -285,7 +295,7 @@
     }
 }
 
-/// Asks a backend server for its health; says whether it is well and still has its name.
+/// Checks the health of a backend server. Says whether it is healthy and still has its name.
 async fn answers_as(state: &Rc<DaemonState>, server: &ServerRecord) -> bool {
     let path = match health_path(state, &server.service).await {
         Some(path) => path,
@@ -307,7 +317,7 @@
     }
 }
 
-/// Returns the path of a service's health, once there is a document.
+/// Returns the path of a service's health check, once there is a document.
 async fn health_path(state: &Rc<DaemonState>, service: &str) -> Option<String> {
     let mut seen = state.config.changed().get();
     while state.document.get().is_none() {
@@ -318,17 +328,17 @@
     Some(note.health_path.clone())
 }
 
-fn take_back(state: &Rc<DaemonState>, server: ServerRecord) {
+fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
-    // Its own word, which may have come meanwhile, counts more.
+    // The server's own heartbeat, which may have come meanwhile, takes precedence.
     let own_name = incarnation::server_of(&server.name);
-    let told = servers.iter().any(|known| {
+    let is_known = servers.iter().any(|known| {
         incarnation::server_of(&known.name) == own_name || known.address == server.address
     });
-    if told || state.registrations.gone.borrow().contains(&server.name) {
+    if is_known || state.registrations.gone.borrow().contains(&server.name) {
         return;
     }
-    // A later record of the earlier start may have come meanwhile as well.
+    // A later record of the earlier incarnation may have come meanwhile as well.
     let recovered = state.registrations.recovered.borrow();
     if !recovered.as_ref().is_some_and(|record| record.is_in_use(&server.name)) {
         return;
@@ -340,7 +350,7 @@
     roster::set_own_servers(state, servers);
 }
 
-/// Answers for ever whether the daemon is ready.
+/// Serves the readiness check for ever.
 pub async fn accept_ready(state: Rc<DaemonState>, listener: TcpListener) {
     let limits = ServerLimits::with_body_bytes(BODY_BYTES_MAX);
     let answer = move |request| {
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Lets each daemon remove a part of the ledger's old rows now and then.
+//! Removes old rows of the at-most-once ledger: each daemon sweeps a part of it now and then.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 const ROUND_MIN: Duration = Duration::from_secs(30);
 /// Time between two rounds for each daemon of the fleet: 20 rounds a second over all of it, a tenth
 /// of the fleet's reads.
-const ROUND_EACH: Duration = Duration::from_millis(50);
-/// First round, so that rows soon carry an epoch.
+const ROUND_PER_DAEMON: Duration = Duration::from_millis(50);
+/// Time to the first round, short so that rows soon carry an epoch.
 const ROUND_FIRST: Duration = Duration::from_millis(500);
 
 /// Sweeps the ledger for ever.
@@ -41,6 +41,6 @@
             }
         }
         let daemons = state.members.count() as u32;
-        wait = (ROUND_EACH * daemons).max(ROUND_MIN);
+        wait = (ROUND_PER_DAEMON * daemons).max(ROUND_MIN);
     }
 }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -1,11 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Who is there: one row for each host in the platform's store.
+//! The hosts of the fleet: one row for each in the platform's store.
 //!
-//! A daemon writes its own row when something about it changes, and never to say that it lives. All
-//! daemons read the rows once and follow their feed. A row names the start of the daemon that wrote
-//! it; a later start replaces it. Rows do not lapse, so an outage of the store takes nothing away.
+//! A daemon writes its own row when something about it changes, and never as a sign of life. All
+//! daemons read the rows once and follow the table's feed. A row names the incarnation of the
+//! daemon that wrote it, and a later incarnation replaces it. Rows do not expire, so that an outage
+//! of the store removes no host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -38,35 +39,37 @@
 
 /// Table of the rows.
 pub const HOSTS_TABLE: &str = "hosts";
-/// Longest pause after failed calls in a row: what changed during an outage must be known within
+/// Longest pause after consecutive failed calls: what changed during an outage must be known within
 /// about two seconds of its end.
 pub const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(2000);
-/// Time that a starting daemon waits for the backend server beside it before it writes its row
-/// without one: a little longer than the usual time between two heartbeats.
-const FIRST_WRITE_WAIT: Duration = Duration::from_secs(2);
-/// Time after which the peers are told what the store has not taken: a slow store takes 250 ms for a write
-/// (trials of stops), and a stop that gives up waits 300 ms more.
-const TELL_AFTER: Duration = Duration::from_millis(200);
-/// Time between looks for rows of hosts that are gone.
-const SWEEP_EVERY: Duration = Duration::from_secs(20);
-/// Longest pause of such looks in multiples, so that not all daemons look at once.
-const SWEEP_SPREAD: f64 = 1.5;
-
-/// `HostRecord` is what a host's daemon says of itself and of the backend servers beside it.
+/// Time for which a starting daemon waits for the backend server on its host before it writes its
+/// row without one: a little longer than the usual time between two heartbeats.
+const FIRST_SERVER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which the peers are notified of what the store has not accepted. A slow store takes
+/// 250 ms for a write, and a daemon that gives up during its shutdown waits 300 ms more.
+const NOTIFY_AFTER: Duration = Duration::from_millis(200);
+/// Time between checks for rows of hosts that are gone.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
+/// Longest pause between such checks as a multiple of the shortest, so that not all daemons check
+/// at once.
+const SWEEP_JITTER: f64 = 1.5;
+
+/// `HostRecord` is what a host's daemon publishes about itself and the backend servers on its host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Name of the host: a copy of the record under another name is none of that host's.
+    /// Name of the host. A row that holds the record of another host is not valid.
     #[serde(default)]
     pub host: String,
-    /// Number of the daemon's start; a later start has a higher one.
+    /// Incarnation of the daemon; a later start has a higher one.
     pub incarnation: i64,
     /// Failure domain of the host.
     pub failure_domain: String,
-    /// Address at which the daemon takes links.
+    /// Address at which the daemon accepts links.
     pub peer_address: String,
     /// Address of its administration.
     pub admin_address: String,
-    /// Number of the changes of the servers in this start: of two records, that with more counts.
+    /// Number of changes of the servers in this incarnation: of two records, the one with more is
+    /// later.
     #[serde(default)]
     pub changes: u64,
     /// Whether the daemon is leaving.
@@ -74,7 +77,7 @@
     /// Backend servers that registered with the daemon.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub servers: Vec<ServerRecord>,
-    /// Requests that are refused and whose last crash was seen here.
+    /// Refused requests whose last crash was on this host.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub refused: Vec<RefusedRecord>,
 }
@@ -88,15 +91,15 @@
     pub service: String,
     /// Address that it listens on.
     pub address: SocketAddr,
-    /// Requests that it works on at once.
+    /// Requests that it handles at once.
     pub slots: u32,
     /// Whether it is leaving.
     pub draining: bool,
 }
 
-/// `ToldRecord` is a host's record as a peer tells of it.
+/// `RelayedRecord` is a host's record that a peer relays.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ToldRecord {
+pub struct RelayedRecord {
     /// Name of the host.
     pub host: String,
     /// Its record.
@@ -104,12 +107,13 @@
 }
 
 impl HostRecord {
-    /// Returns what tells the later of two records of a host: its start, then its changes.
+    /// Returns the sort key of a host's records, by which the later one is greater: the
+    /// incarnation, then the changes.
     pub fn order(&self) -> (i64, u64) {
         (self.incarnation, self.changes)
     }
 
-    /// Says whether a backend server of this name is told of as in use.
+    /// Says whether the record lists a backend server of this name that is not draining.
     pub fn is_in_use(&self, name: &str) -> bool {
         self.servers.iter().any(|server| server.name == name && !server.draining)
     }
@@ -147,12 +151,12 @@
     own_version: Cell<u64>,
     /// The own row as the store holds it, unless that is not known.
     written: RefCell<Option<HostRecord>>,
-    /// Whether a backend server left and the own row may not tell it yet.
+    /// Whether a backend server left and the own row in the store may still list it.
     has_unwritten: Cell<bool>,
     changed: RisingSignal,
-    /// Whether the store or a peer told of an earlier start of this host's daemon.
+    /// Whether the store or a peer reported an earlier incarnation of this host's daemon.
     started_before: Cell<bool>,
-    /// Hosts that were replaced at their address and whose rows are still there.
+    /// Hosts whose daemon was replaced at its address and whose rows still exist.
     stale: RefCell<Vec<String>>,
 }
 
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Returns the number of hosts whose daemons are there and not leaving.
+    /// Returns the number of hosts with a daemon that is not leaving, at least 1.
     pub fn daemons(&self) -> usize {
         self.records.borrow().values().filter(|record| !record.leaving).count().max(1)
     }
@@ -174,12 +178,13 @@
         self.own_servers.borrow().clone()
     }
 
-    /// Returns what the store last held about a host.
+    /// Returns the latest known record of a host.
     pub fn record(&self, host: &str) -> Option<HostRecord> {
         self.records.borrow().get(host).cloned()
     }
 
-    /// Returns the hosts whose daemon had the address before that of `record`, which started later.
+    /// Returns the hosts whose daemon had the address of `record` before its daemon, which started
+    /// later.
     fn replaced_by(&self, host: &str, record: &HostRecord) -> Vec<String> {
         let records = self.records.borrow();
         let replaced = records.iter().filter(|(other, known)| {
@@ -190,7 +195,8 @@
         replaced.map(|(other, _)| other.clone()).collect()
     }
 
-    /// Says whether a record is that of a host that another has replaced at its address.
+    /// Says whether a record is of a host whose daemon was replaced by another host's at its
+    /// address.
     fn is_replaced(&self, host: &str, record: &HostRecord) -> bool {
         let records = self.records.borrow();
         let mut others = records.iter().filter(|(other, _)| *other != host);
@@ -207,8 +213,8 @@
             upstreams.extend(servers.map(|server| server.upstream(host, record, connections)));
         }
         upstreams.sort_by(|left, right| left.name.cmp(&right.name));
-        // A name that two hosts claim belongs to one of them, that of the later start; a request that
-        // goes to the other is refused there as unknown.
+        // A name that two hosts list belongs to the one with the later start of the server; a
+        // request that goes to the other is refused there as for an unknown upstream.
         upstreams.dedup_by(|right, left| {
             let is_same = incarnation::server_of(&left.name) == incarnation::server_of(&right.name);
             if is_same && started(left) < started(right) {
@@ -219,43 +225,43 @@
         upstreams
     }
 
-    /// Says whether a backend server here has left by its acknowledged word, and the row in the store
-    /// may still tell of it as in use.
+    /// Says whether a backend server of this host has left with an acknowledgement while the row in
+    /// the store may still list it as in use.
     pub fn has_unwritten_servers(&self) -> bool {
         self.has_unwritten.get()
     }
 
-    /// Says whether the own row is known to tell of the backend servers as they are.
-    fn tells_servers(&self) -> bool {
+    /// Says whether the own row in the store is known to list the backend servers as they are.
+    fn is_row_current(&self) -> bool {
         let written = self.written.borrow();
         written.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
     }
 
-    /// Takes in what the store holds as the own row, `None` if that is not known.
+    /// Records what the store holds as the own row, `None` if that is not known.
     fn note_written(&self, record: Option<HostRecord>) {
         *self.written.borrow_mut() = record;
-        if self.tells_servers() {
+        if self.is_row_current() {
             self.has_unwritten.set(false);
         }
     }
 
-    /// Says whether an earlier start of this host's daemon was told of.
+    /// Says whether an earlier incarnation of this host's daemon is known of.
     pub fn started_before(&self) -> bool {
         self.started_before.get()
     }
 
-    /// Says that this daemon's own record may have changed.
+    /// Signals that this daemon's own record may have changed.
     pub fn touch(&self) {
         self.changed.raise();
     }
 }
 
-/// Returns when the backend server behind an upstream started, if that is known.
+/// Returns when the backend server of an upstream started, if that is known.
 fn started(upstream: &UpstreamEntry) -> Option<u64> {
     ServerIncarnation::of_upstream(&upstream.name).born
 }
 
-/// Returns what this daemon says of itself.
+/// Returns this daemon's own record.
 fn own_record(state: &DaemonState) -> HostRecord {
     HostRecord {
         host: state.options.host.clone(),
@@ -270,7 +276,7 @@
     }
 }
 
-/// Lets the own row tell the refused requests as they are known now.
+/// Schedules a write of the own row if the refused requests for it have changed.
 pub fn refresh_refused(state: &Rc<DaemonState>) {
     let refused = state.suspects.own_records(state.now());
     let known = state.roster.record(&state.options.host);
@@ -279,8 +285,8 @@
     }
 }
 
-/// Takes in which backend servers are registered here. They are in force in this daemon when this
-/// returns; the others hear of them through the store.
+/// Sets the backend servers that are registered here. They are in force in this daemon on return;
+/// the other daemons learn of them through the store.
 pub fn set_own_servers(state: &Rc<DaemonState>, servers: Vec<ServerRecord>) {
     if *state.roster.own_servers.borrow() == servers {
         return;
@@ -290,51 +296,51 @@
     let record = own_record(state);
     let is_draining = record.servers.iter().any(|server| server.draining);
     if is_draining || !before.iter().all(|server| record.is_in_use(&server.name)) {
-        note_left(state);
+        note_departure(state);
     }
-    put_record(state, &state.options.host, Some(record));
+    update_record(state, &state.options.host, Some(record));
     document::put_host_in_force(state);
     state.roster.touch();
 }
 
-/// Takes in that a backend server here has left, by a word that is acknowledged.
-pub fn note_left(state: &Rc<DaemonState>) {
-    if state.roster.tells_servers() {
+/// Records that a backend server of this host has left, which is acknowledged to it.
+pub fn note_departure(state: &Rc<DaemonState>) {
+    if state.roster.is_row_current() {
         return;
     }
     state.roster.has_unwritten.set(true);
     let state = state.clone();
     monoio::spawn(async move {
-        monoio::time::sleep(TELL_AFTER).await;
+        monoio::time::sleep(NOTIFY_AFTER).await;
         if state.roster.has_unwritten_servers() {
-            tell_peers(&state);
+            notify_peers(&state);
         }
     });
 }
 
-/// Tells the daemons that are linked the own record, which the store doesn't take.
-fn tell_peers(state: &DaemonState) {
-    let told = ToldRecord { host: state.options.host.clone(), record: own_record(state) };
-    for link in state.members.some_accepted(usize::MAX) {
-        rows::send_told(link.sender(), &told);
+/// Sends the own record, which the store has not accepted, to the linked daemons.
+fn notify_peers(state: &DaemonState) {
+    let relayed = RelayedRecord { host: state.options.host.clone(), record: own_record(state) };
+    for link in state.members.sample_accepted(usize::MAX) {
+        rows::send_relayed(link.sender(), &relayed);
     }
     for link in state.peers.linked().iter().filter_map(|path| path.link()) {
-        rows::send_told(link.sender(), &told);
+        rows::send_relayed(link.sender(), &relayed);
     }
 }
 
-/// Tells a daemon what is known of its earlier start, while nothing is known of this one.
-pub fn tell_past(state: &DaemonState, sender: &FrameSender, peer: &PeerIdentity) {
+/// Sends a daemon the record of its previous incarnation, while none of the current one is known.
+pub fn send_previous_record(state: &DaemonState, sender: &FrameSender, peer: &PeerIdentity) {
     let records = state.roster.records.borrow();
     let known = records.get(&peer.host);
     if let Some(record) = known.filter(|known| known.incarnation < peer.incarnation) {
-        let told = ToldRecord { host: peer.host.clone(), record: record.clone() };
-        rows::send_told(sender, &told);
+        let relayed = RelayedRecord { host: peer.host.clone(), record: record.clone() };
+        rows::send_relayed(sender, &relayed);
     }
 }
 
-/// Takes in a host's record, or that there is none; an earlier record is passed over.
-fn put_record(state: &Rc<DaemonState>, host: &str, record: Option<HostRecord>) {
+/// Updates a host's record, or removes it. An earlier record than the known one is ignored.
+fn update_record(state: &Rc<DaemonState>, host: &str, record: Option<HostRecord>) {
     let known = state.roster.record(host);
     if known == record {
         return;
@@ -350,7 +356,8 @@
             fleet::EarlierStart { host, incarnation, latest }.log();
             return;
         }
-        // Its daemon told a later one past the store, or changed while this one was written.
+        // A later record came directly from its daemon, or the daemon changed while this one was
+        // written.
         if known.as_ref().is_some_and(|known| known.order() > record.order()) {
             return;
         }
@@ -358,7 +365,7 @@
     if let Some(record) = &record {
         for replaced in state.roster.replaced_by(host, record) {
             fleet::HostReplaced { host: &replaced, by: host }.log();
-            put_record(state, &replaced, None);
+            update_record(state, &replaced, None);
             state.roster.stale.borrow_mut().push(replaced);
         }
     }
@@ -368,7 +375,7 @@
     }
     touched.sort();
     touched.dedup();
-    tell_record(host, record.as_ref());
+    log_record(host, record.as_ref());
     let mut records = state.roster.records.borrow_mut();
     match &record {
         Some(record) => drop(records.insert(host.to_owned(), record.clone())),
@@ -382,17 +389,17 @@
     document::put_services_in_force(state, &touched);
 }
 
-/// Logs what is now known of a host.
-fn tell_record(host: &str, record: Option<&HostRecord>) {
+/// Logs the record of a host, or that it is gone.
+fn log_record(host: &str, record: Option<&HostRecord>) {
     let record = match record {
         Some(record) => record,
         None => return fleet::HostGone { host }.log(),
     };
-    let word = |server: &ServerRecord| {
+    let describe = |server: &ServerRecord| {
         let leaving = if server.draining { " (draining)" } else { "" };
         format!("{}{leaving}", server.name)
     };
-    let servers: Vec<String> = record.servers.iter().map(word).collect();
+    let servers: Vec<String> = record.servers.iter().map(describe).collect();
     fleet::HostAdopted {
         host,
         incarnation: record.incarnation,
@@ -402,9 +409,9 @@
     .log();
 }
 
-/// Takes in records that a peer told of, where they are later than what is known.
-pub fn take_told(state: &Rc<DaemonState>, told: Vec<ToldRecord>) {
-    for ToldRecord { host, record } in told {
+/// Applies records that a peer relayed, where they are later than the known ones.
+pub fn apply_relayed(state: &Rc<DaemonState>, relayed: Vec<RelayedRecord>) {
+    for RelayedRecord { host, record } in relayed {
         suspects::apply_records(state, &host, &record.refused);
         if host == state.options.host {
             recover_own(state, &record);
@@ -412,44 +419,44 @@
         }
         let known = state.roster.record(&host);
         if known.is_none_or(|known| known.order() < record.order()) {
-            put_record(state, &host, Some(record));
+            update_record(state, &host, Some(record));
         }
     }
 }
 
-/// Takes the whole table in.
-pub fn take_table(state: &Rc<DaemonState>, page: &RowsPage) {
+/// Applies the whole table.
+pub fn apply_table(state: &Rc<DaemonState>, page: &RowsPage) {
     for row in &page.rows {
-        take_row(state, row);
+        apply_row(state, row);
     }
     let gone = |host: &String| !page.rows.iter().any(|row| row.key == *host);
     let hosts: Vec<String> = state.roster.records.borrow().keys().cloned().collect();
     for host in hosts.into_iter().filter(gone) {
-        take_removed(state, &host);
+        apply_removal(state, &host);
     }
     state.roster.touch();
 }
 
-/// Takes one row in, or that it was removed.
-pub fn take_row(state: &Rc<DaemonState>, row: &StoredRow) {
+/// Applies one row, or its removal.
+pub fn apply_row(state: &Rc<DaemonState>, row: &StoredRow) {
     let value = match &row.value {
         RowValue::Bytes(value) => value,
-        RowValue::Gone => return take_removed(state, &row.key),
-        RowValue::Unreadable(_) => return note_foreign(state, row),
+        RowValue::Gone => return apply_removal(state, &row.key),
+        RowValue::Unreadable(_) => return note_unreadable(state, row),
     };
     let record = match read_record(&row.key, value) {
         Ok(record) => record,
         Err(error) => {
             fleet::HostUnreadable { host: &row.key, error: &error.to_string() }.log();
-            note_foreign(state, row);
+            note_unreadable(state, row);
             return;
         }
     };
     suspects::apply_records(state, &row.key, &record.refused);
     if row.key != state.options.host {
-        return put_record(state, &row.key, Some(record));
+        return update_record(state, &row.key, Some(record));
     }
-    // The answer to a later write may have come before this.
+    // The response to a later write may have come before this row.
     if row.version > state.roster.own_version.get() {
         state.roster.own_version.set(row.version);
         state.roster.note_written(Some(record.clone()));
@@ -462,9 +469,9 @@
     state.roster.touch();
 }
 
-/// Takes in that another writer wrote a row that can't be read. What was known of its host holds, as its
-/// daemon writes the row anew.
-fn note_foreign(state: &DaemonState, row: &StoredRow) {
+/// Records that another writer wrote a row that can't be read. The known record of its host stays,
+/// as its daemon will write the row again.
+fn note_unreadable(state: &DaemonState, row: &StoredRow) {
     if row.key == state.options.host {
         state.roster.own_version.set(row.version);
         state.roster.note_written(None);
@@ -483,16 +490,16 @@
     }
     let refused = refused.into_iter();
     record.refused = refused.filter_map(|each| RefusedRecord::deserialize(each).ok()).collect();
-    let told = servers.len();
+    let listed = servers.len();
     record.servers = servers.into_iter().filter_map(readable_server).collect();
-    let servers = (told - record.servers.len()) as u64;
+    let servers = (listed - record.servers.len()) as u64;
     if servers > 0 {
         fleet::ServersUnreadable { host, servers }.log();
     }
     Ok(record)
 }
 
-/// Takes a list out of a record; what is no list reads as an empty one.
+/// Removes a list from a record. A value that is not a list counts as an empty one.
 fn take_list(record: &mut Value, name: &str) -> Vec<Value> {
     match record.as_object_mut().and_then(|fields| fields.remove(name)) {
         Some(Value::Array(list)) => list,
@@ -505,7 +512,7 @@
     (!server.name.is_empty() && server.slots > 0).then_some(server)
 }
 
-/// Takes in what an earlier start of this daemon said, as the store or a peer tells of it.
+/// Recovers what an earlier incarnation of this daemon published, from the store or a peer.
 fn recover_own(state: &Rc<DaemonState>, record: &HostRecord) {
     if record.incarnation >= state.identity.incarnation {
         return;
@@ -516,20 +523,20 @@
     }
 }
 
-fn take_removed(state: &Rc<DaemonState>, host: &str) {
+fn apply_removal(state: &Rc<DaemonState>, host: &str) {
     if host != state.options.host {
-        return put_record(state, host, None);
+        return update_record(state, host, None);
     }
-    // Others took this daemon for gone; its row is written anew.
+    // Other daemons took this one for gone. Its row is written again.
     state.roster.own_version.set(0);
     state.roster.note_written(None);
     state.roster.touch();
 }
 
-/// Writes this daemon's row whenever what it says has changed, for ever.
+/// Writes this daemon's row whenever its record has changed, for ever.
 pub async fn publish(state: Rc<DaemonState>) {
     let mut pause = RetryPause::up_to(FAILURE_PAUSE_MAX);
-    wait_first(&state).await;
+    await_first_server(&state).await;
     loop {
         let seen = state.roster.changed.get();
         let record = own_record(&state);
@@ -549,8 +556,8 @@
     }
 }
 
-/// Waits until a backend server registered, but not for long.
-async fn wait_first(state: &Rc<DaemonState>) {
+/// Waits until a backend server has registered, up to [`FIRST_SERVER_TIMEOUT`].
+async fn await_first_server(state: &Rc<DaemonState>) {
     if state.options.registration.is_none() {
         return;
     }
@@ -560,25 +567,26 @@
             seen = state.roster.changed.above(seen).await;
         }
     };
-    // Without one the row tells of the daemon alone.
-    let _ = monoio::time::timeout(FIRST_WRITE_WAIT, registered).await;
+    // Without a backend server the row describes the daemon alone.
+    let _ = monoio::time::timeout(FIRST_SERVER_TIMEOUT, registered).await;
 }
 
 async fn write_row(state: &Rc<DaemonState>, record: &HostRecord) -> Result<(), StoreError> {
     let key = row_key(&state.options.host);
     let check = RowCheck { key: key.clone(), version: state.roster.own_version.get() };
     let write = RowWrite { key, value: Some(json!(record)) };
-    // A call without an answer may have been done, or be done later: until one is answered nobody knows
-    // what the row tells.
+    // A write without a response may have been done, or may be done later: until a later one is
+    // answered, the content of the row is not known.
     state.roster.note_written(None);
     match state.platform.transact(vec![check], vec![write]).await {
         Ok(version) => {
             state.roster.own_version.set(version);
             state.roster.note_written(Some(record.clone()));
-            put_record(state, &state.options.host, Some(record.clone()));
+            update_record(state, &state.options.host, Some(record.clone()));
             Ok(())
         }
-        // The row as it is tells whose it is: one of an earlier start is replaced by the next try.
+        // The conflicting row shows who wrote it: one of an earlier incarnation is replaced by the
+        // next attempt.
         Err(StoreError::Conflict { rows }) => {
             for row in rows {
                 state.roster.own_version.set(row.version);
@@ -595,21 +603,21 @@
     format!("{HOSTS_TABLE}/{host}")
 }
 
-/// Removes the rows of hosts that have been silent for long, for ever.
+/// Removes the rows of hosts that have been silent for a long time, for ever.
 ///
-/// One daemon is responsible for each host, by rendezvous hashing over those that live. A row is
-/// removed only while the store answers and if it was not written since, and a daemon that lives
-/// writes its row again.
+/// One daemon is responsible for each host, by rendezvous hashing over the live ones. A row is
+/// removed only while the store answers and only if it has not been written since; a daemon that is
+/// alive writes its row again.
 pub async fn sweep(state: Rc<DaemonState>) {
     loop {
-        let pause = SWEEP_EVERY.mul_f64(rand::random_range(1.0..SWEEP_SPREAD));
+        let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER));
         monoio::time::sleep(pause).await;
         let mut gone = state.members.silent_hosts(&state);
         gone.extend(state.roster.stale.borrow_mut().drain(..));
         for host in gone {
             let live = state.members.live_hosts(&state);
-            let home = limits::home_of(&host, live.iter().map(String::as_str));
-            if home == Some(state.options.host.as_str()) {
+            let responsible = limits::home_of(&host, live.iter().map(String::as_str));
+            if responsible == Some(state.options.host.as_str()) {
                 remove_row(&state, &host).await;
             }
         }
@@ -620,7 +628,7 @@
     let key = row_key(host);
     let row = match state.platform.read(&key).await {
         Ok(Some(row)) => row,
-        Ok(None) => return put_record(state, host, None),
+        Ok(None) => return update_record(state, host, None),
         Err(_) => return,
     };
     let check = RowCheck { key: key.clone(), version: row.version };
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Starts a daemon, runs its tasks, and ends it without cutting what is in flight.
+//! Starts a daemon, runs its tasks, and shuts it down without cutting requests in flight.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,10 +37,10 @@
 /// Exit status of a stop that cut requests.
 pub const EXIT_CUT: i32 = 3;
 
-/// `StopRequests` is where a daemon hears that it shall stop.
+/// `StopRequests` is where a daemon is told to stop.
 pub enum StopRequests {
-    /// Signals of the system: SIGTERM drains, however often it comes; SIGINT does too, and ends at once
-    /// while the daemon stops already.
+    /// Signals of the system: SIGTERM drains, however often it comes. SIGINT does too, but ends the
+    /// daemon at once if it is stopping already.
     Signals,
     /// Only the admin API and [`stop::StopState::asked`].
     Api,
@@ -62,8 +62,8 @@
     Ok((listener, address))
 }
 
-/// Listens on an address that may not be wanted; puts the address as bound in its place.
-fn listen_if(address: &mut Option<SocketAddr>) -> Result<Option<TcpListener>, DaemonError> {
+/// Listens on an address if there is one, and puts the address as bound in its place.
+fn listen_optional(address: &mut Option<SocketAddr>) -> Result<Option<TcpListener>, DaemonError> {
     match address {
         Some(wanted) => {
             let (listener, bound) = listen(*wanted)?;
@@ -81,8 +81,8 @@
     options.peers = address;
     let (admin, address) = listen(options.admin)?;
     options.admin = address;
-    let ready = listen_if(&mut options.ready)?;
-    let registration = listen_if(&mut options.registration)?;
+    let ready = listen_optional(&mut options.ready)?;
+    let registration = listen_optional(&mut options.registration)?;
     Ok(DaemonListeners { callers, peers, admin, ready, registration })
 }
 
@@ -100,11 +100,11 @@
         let signals = SignalStream::stops().map_err(start)?;
         monoio::spawn(raise_on(signals, state.clone(), |state| &state.stop.asked));
         let signals = SignalStream::interrupts().map_err(start)?;
-        monoio::spawn(raise_on(signals, state.clone(), |state| state.stop.next_of_interrupt()));
+        monoio::spawn(raise_on(signals, state.clone(), |state| state.stop.interrupt_signal()));
         let signals = SignalStream::reloads().map_err(start)?;
         monoio::spawn(raise_on(signals, state.clone(), |state| &state.reloading));
     }
-    tell_listening(&state);
+    log_listening(&state);
     start_tasks(&state, listeners);
     monoio::spawn(reload::watch(state.clone()));
     on_start(&state);
@@ -113,7 +113,7 @@
 }
 
 /// Logs the addresses as bound.
-fn tell_listening(state: &DaemonState) {
+fn log_listening(state: &DaemonState) {
     let options = &state.options;
     let text = |address: Option<SocketAddr>| address.map(|address| address.to_string());
     process::DaemonListening {
@@ -153,9 +153,9 @@
     }
     monoio::spawn(links::watch(state.clone()));
     monoio::spawn(membership::run(state.clone()));
-    monoio::spawn(membership::find_seeds(state.clone()));
+    monoio::spawn(membership::contact_seeds(state.clone()));
     monoio::spawn(rows::follow(state.clone()));
-    monoio::spawn(rows::renew(state.clone()));
+    monoio::spawn(rows::renew_subscriptions(state.clone()));
     monoio::spawn(roster::publish(state.clone()));
     monoio::spawn(roster::sweep(state.clone()));
     match state.options.source {
@@ -174,19 +174,20 @@
     monoio::spawn(follow_configuration(state.clone()));
 }
 
-/// Brings the roles in line with each configuration that comes in force.
+/// Applies each configuration that comes in force to the roles.
 async fn follow_configuration(state: Rc<DaemonState>) {
     let mut seen = 0;
-    let mut told = None;
+    let mut announced = None;
     loop {
         seen = state.config.changed().above(seen).await;
         let active = state.config.active();
         let touched = state.config.take_touched();
         state.host.configure(&state, &active, &touched);
         state.services.forget_gone(&active);
-        // The neighbours hear of the revision at once, so that the fleet's status is fresh.
-        if told.replace(active.revision) != Some(active.revision) {
-            telling::tell_neighbours(&state);
+        // The revision is announced to the neighbours at once, so that the fleet's status is up to
+        // date.
+        if announced.replace(active.revision) != Some(active.revision) {
+            telling::announce_revision(&state);
         }
     }
 }
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -59,7 +59,7 @@
     budget: Rc<RefCell<RetryBudget>>,
     poison: Rc<RefCell<PoisonMemory<Rc<str>>>>,
     violations: Cell<u64>,
-    look_gain: Cell<LookGain>,
+    probe_yield: Cell<LookGain>,
     used_at: Cell<Duration>,
 }
 
@@ -178,7 +178,7 @@
         let hosts = entry.upstreams.iter().map(|upstream| upstream.server.host.as_str());
         Self {
             paths: hosts.map(|host| state.peers.path(host)).collect(),
-            look_gain: Cell::default(),
+            probe_yield: Cell::default(),
             draining_until: entry.upstreams.iter().map(|_| Cell::default()).collect(),
             view: RefCell::new(
                 ServiceView::new(entry.spec.floor, views).with_queue(entry.spec.queue),
@@ -217,17 +217,17 @@
 
     /// Says whether the next request sends load probes to upstreams before it is dispatched.
     pub fn looks(&self) -> bool {
-        let mut gain = self.look_gain.get();
-        let looks = gain.looks();
-        self.look_gain.set(gain);
+        let mut probe_yield = self.probe_yield.get();
+        let looks = probe_yield.looks();
+        self.probe_yield.set(probe_yield);
         looks
     }
 
     /// Records whether a load probe found an upstream that would admit the request.
     pub fn note_look(&self, found: bool) {
-        let mut gain = self.look_gain.get();
-        gain.note(found);
-        self.look_gain.set(gain);
+        let mut probe_yield = self.probe_yield.get();
+        probe_yield.note(found);
+        self.probe_yield.set(probe_yield);
     }
 
     /// Chooses an upstream for a request.
@@ -342,8 +342,8 @@
     pub fn siblings_work(&self, index: usize, now: Duration) -> LongWork {
         let reports = self.long_work.borrow();
         let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
-        let decayed = others.map(|(_, (work, at))| work.faded(now.saturating_sub(*at)));
-        decayed.fold(LongWork::default(), |sum, work| sum.with(&work))
+        let aged = others.map(|(_, (slow, at))| slow.faded(now.saturating_sub(*at)));
+        aged.fold(LongWork::default(), |sum, slow| sum.with(&slow))
     }
 
     /// Counts a request as sent to an upstream for as long as the guard lives.
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -1,10 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Spreads the configuration: bounded polling of the store, and passing of changes between peers.
+//! Keeps the configuration in sync: bounded polling of the store, and gossip of changes between
+//! peers.
 //!
-//! Revisions only rise. Whoever learns of changes passes them to its neighbours; heartbeats carry
-//! revisions, so that whoever was missed pulls. The poll is the backstop.
+//! Revisions only increase. A daemon that learns of changes forwards them to its neighbours.
+//! Heartbeats carry revisions, so that a daemon that missed a change pulls it. Polling covers the
+//! case that both fail.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,16 +34,16 @@
 const POLL_MIN: Duration = Duration::from_secs(1);
 /// Bytes of one part of a snapshot or of the records in one frame.
 const PART_BYTES: usize = 64 * units::KIB;
-/// Bytes that may wait on a link while a snapshot is sent.
-const SNAPSHOT_WAITING_MAX: u64 = 1024 * 1024;
-/// Pause while a snapshot's reader is behind.
+/// Most bytes that may be queued on a link while a snapshot is sent.
+const SNAPSHOT_BUFFER_MAX: u64 = 1024 * 1024;
+/// Pause while the receiver of a snapshot is behind.
 const SNAPSHOT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Pause between two turns of long work. At least as long as a turn, so that requests get half of the
-/// thread; timers can't be finer.
-const TURN_PAUSE: Duration = Duration::from_millis(1);
+/// Pause between two slices of a long task. It is at least as long as a slice, so that requests get
+/// half of the thread's time; timers have no finer resolution.
+const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
-/// Polls the store for ever, no more often than the fleet's share of reads allows.
+/// Polls the store for ever, no more often than this daemon's share of the fleet's reads allows.
 pub async fn poll(state: Rc<DaemonState>) {
     let mut pause = RetryPause::default();
     loop {
@@ -66,25 +68,25 @@
     Duration::from_secs_f64(each).max(POLL_MIN)
 }
 
-/// Reads the newest revision from the store, and what is missing here.
+/// Reads the newest revision from the store, and the changes that are missing here.
 pub async fn poll_once(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
     let (revision, _) = state.changes.head().await?;
     if revision > state.config.revision() {
         catch_up(state, revision).await?;
     } else if revision < state.config.revision() {
-        // An answer from the past: what is here was accepted and stays.
+        // The answer was stale: the configuration here was accepted, and stays.
         metrics::OLD_REVISIONS.add_one();
     }
     state.config.mark_loaded();
-    // One from the past says nothing of what is the newest.
+    // A stale answer does not confirm what is the newest.
     if state.config.revision() == revision {
         state.freshness.note_store(asked_at);
     }
     Ok(())
 }
 
-/// Reads what is missing from the store: a snapshot first when much is missing.
+/// Reads the missing changes from the store, a snapshot first if there are many.
 async fn catch_up(state: &Rc<DaemonState>, revision: FleetRevision) -> Result<(), StoreError> {
     let missing = revision.0 - state.config.revision().0;
     if missing > changes::SNAPSHOT_EVERY {
@@ -100,15 +102,16 @@
     }
 }
 
-/// Lets requests be served between two turns of long work, once there is something to serve them by.
+/// Lets requests be served between two slices of a long task, once there is a configuration to
+/// serve them by.
 pub async fn give_way(state: &DaemonState) {
     if state.config.is_loaded() {
-        monoio::time::sleep(TURN_PAUSE).await;
+        monoio::time::sleep(YIELD_PAUSE).await;
     }
 }
 
 async fn adopt_from_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
-    let _reading = match ReadingGuard::take(state) {
+    let _reading = match SnapshotReadGuard::take(state) {
         Some(guard) => guard,
         None => return Ok(()),
     };
@@ -119,31 +122,33 @@
     Ok(())
 }
 
-/// `ReadingGuard` is held while a snapshot is read: one at a time bounds the memory.
-struct ReadingGuard {
+/// `SnapshotReadGuard` is held while a snapshot is read: reading one at a time bounds the memory.
+struct SnapshotReadGuard {
     state: Rc<DaemonState>,
 }
 
-impl ReadingGuard {
+impl SnapshotReadGuard {
     fn take(state: &Rc<DaemonState>) -> Option<Self> {
         let taken = state.snapshots.reading.replace(true);
         (!taken).then(|| Self { state: state.clone() })
     }
 }
 
-impl Drop for ReadingGuard {
+impl Drop for SnapshotReadGuard {
     fn drop(&mut self) {
         self.state.snapshots.reading.set(false);
     }
 }
 
-/// Lays a whole configuration out in turns and takes it over if it is later than what is here by then.
+/// Builds the layout of a whole configuration in slices, and adopts it if it is later than the one
+/// in force by then.
 async fn adopt(state: &Rc<DaemonState>, config: FleetConfig) {
     let layout = ActiveConfig::build_in_turns(&config, &async || give_way(state).await).await;
     state.config.adopt(config, layout, state.now());
 }
 
-/// Passes changes that are new here to the neighbours and to some of those that linked to here.
+/// Forwards changes that are new here to the neighbours and to some of the daemons that dialled
+/// this one.
 pub fn pass_on(state: &Rc<DaemonState>, records: &[ChangeRecord]) {
     let mut senders: Vec<FrameSender> = Vec::new();
     for host in state.members.neighbours(state) {
@@ -151,7 +156,7 @@
             senders.push(link.sender().clone());
         }
     }
-    let accepted = state.members.some_accepted(NEIGHBOURS);
+    let accepted = state.members.sample_accepted(NEIGHBOURS);
     senders.extend(accepted.iter().map(|link| link.sender().clone()));
     for sender in senders {
         send_records(state, &sender, records.iter());
@@ -166,7 +171,7 @@
     for record in records {
         let text = match serde_json::to_vec(record) {
             Ok(text) if text.len() <= 2 * PART_BYTES => text,
-            // A change too large for a frame is read from the store by each daemon.
+            // A change that is too large for a frame is read from the store by each daemon.
             _ => return,
         };
         let news = ChangeNews {
@@ -181,7 +186,8 @@
     }
 }
 
-/// Takes in which revision a peer has: sends it what it lacks, or asks for what is missing here.
+/// Compares the revision of a peer: sends it the changes that it lacks, or asks for those that are
+/// missing here.
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let ours = state.config.revision();
     if state.options.source == ConfigSource::Document {
@@ -197,7 +203,8 @@
     }
 }
 
-/// Answers a peer that asks for changes: with them, or with a snapshot if they are not kept.
+/// Answers a peer that pulls changes: with the changes, or with a snapshot if they are no longer
+/// kept.
 pub fn answer_pull(state: &Rc<DaemonState>, sender: &FrameSender, pull: ChangePull) {
     let after = FleetRevision(pull.after.max(0) as u64);
     if !state.config.is_loaded() {
@@ -236,14 +243,14 @@
     send_parts(state, sender, &bytes).await;
 }
 
-/// Sends a snapshot in parts, no faster than the peer reads.
+/// Sends a snapshot in parts, no faster than the peer reads them.
 async fn send_parts(state: &DaemonState, sender: &FrameSender, bytes: &[u8]) {
     let revision = state.config.revision().0 as i64;
-    let telling = state.snapshots.next_telling();
+    let telling = state.snapshots.next_transfer();
     let parts = bytes.chunks(PART_BYTES);
     let count = parts.len();
     for (index, part) in parts.enumerate() {
-        while sender.bytes_waiting() > SNAPSHOT_WAITING_MAX {
+        while sender.bytes_waiting() > SNAPSHOT_BUFFER_MAX {
             monoio::time::sleep(SNAPSHOT_PAUSE).await;
         }
         let news = ChangeNews {
@@ -260,12 +267,12 @@
     }
 }
 
-/// Takes changes, or a part of a snapshot, from a peer.
-pub fn take_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: ChangeNews) {
+/// Applies changes, or a part of a snapshot, from a peer.
+pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: ChangeNews) {
     if let Some(bytes) = news.snapshot_part {
         let (telling, place) = (news.telling.unwrap_or(0), news.place.unwrap_or(0));
         let part = SnapshotPart { telling, place, bytes, last: news.last };
-        return take_part(state, peer, part);
+        return handle_part(state, peer, part);
     }
     let mut fresh = Vec::new();
     for text in &news.records {
@@ -283,15 +290,15 @@
     }
 }
 
-fn take_part(state: &Rc<DaemonState>, peer: &PeerIdentity, part: SnapshotPart) {
+fn handle_part(state: &Rc<DaemonState>, peer: &PeerIdentity, part: SnapshotPart) {
     let bytes = match state.snapshots.take(&peer.host, part) {
         Some(bytes) => bytes,
         None => return,
     };
     if state.options.source == ConfigSource::Document {
-        return document::take_snapshot(state, &peer.host, &bytes);
+        return document::adopt_snapshot(state, &peer.host, &bytes);
     }
-    let reading = match ReadingGuard::take(state) {
+    let reading = match SnapshotReadGuard::take(state) {
         Some(guard) => guard,
         None => return,
     };
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the roles of a daemon share.
+//! The state that the roles of a daemon share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -32,71 +32,73 @@
 use crate::parts::SnapshotParts;
 use crate::registration::RegistrationTable;
 use crate::roster::HostRoster;
-use crate::rows::RowsShare;
+use crate::rows::RowsRelay;
 use crate::services::ServiceTable;
 use crate::stop::StopState;
 use crate::suspects::SuspectRegistry;
 
-/// `DaemonState` is what the roles of a daemon share. One thread owns it, so there are no locks.
+/// `DaemonState` is the state that the roles of a daemon share. One thread owns it, so there are no
+/// locks.
 pub struct DaemonState {
-    /// The settings, with the addresses as bound.
+    /// The settings at the start, with the addresses as bound.
     pub options: DaemonOptions,
-    /// The settings as read last: those that may change while the daemon runs are read here.
+    /// The settings as last reloaded, for those that may change while the daemon runs.
     live: RefCell<Rc<DaemonOptions>>,
     /// Time since the start.
     pub clock: DaemonClock,
-    /// Who this daemon is to its peers.
+    /// The identity of this daemon to its peers.
     pub identity: PeerIdentity,
     /// The configuration in force.
     pub config: ConfigCell,
     /// The operator's document, where the configuration comes from one.
     pub document: DocumentCell,
-    /// How fresh the configuration is.
+    /// How recently the configuration was confirmed as the newest.
     pub freshness: FreshnessTracker,
     /// The rows of all hosts.
     pub roster: HostRoster,
-    /// Who of the own failure domain reads these rows from the store and passes them on.
-    pub rows: RowsShare,
-    /// What the backend servers beside this daemon said.
+    /// Which daemons of the own failure domain read these rows from the store, and what they relay.
+    pub rows: RowsRelay,
+    /// The registrations of backend servers on this host.
     pub registrations: RegistrationTable,
-    /// Names of the header fields that backend servers know.
+    /// Names of the header fields that are exchanged with backend servers.
     pub fields: ExchangeFields,
-    /// What the ingress knows of services.
+    /// The ingress's state of each service.
     pub services: ServiceTable,
     /// Paths and links to other daemons.
     pub peers: PeerTable,
-    /// Snapshots on their way here.
+    /// Snapshots that are being received.
     pub snapshots: SnapshotParts,
-    /// The soft view of the fleet.
+    /// This daemon's view of the fleet's membership.
     pub members: MemberTable,
     /// The backend servers of this host.
     pub host: HostRole,
-    /// Looks at upstreams that have no answer yet.
+    /// Load probes of upstreams that are not answered yet.
     pub looks: LookBoard,
     /// Rate limits.
     pub limits: RateLimiter,
-    /// Accepted changes in the platform's table.
+    /// Accepted changes of the configuration in the platform's table.
     pub changes: ChangeStore,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Rc<PlatformClient>,
-    /// Ledger of once-only work.
+    /// Ledger of at-most-once requests.
     pub ledger: Rc<OnceLedger>,
     /// Requests that crash the backend servers that run them.
     pub suspects: SuspectRegistry,
-    /// How far the daemon is with its end.
+    /// Progress of the daemon's shutdown.
     pub stop: StopState,
-    /// Raised when the settings shall be read again.
+    /// Raised when the settings should be reloaded.
     pub reloading: RisingSignal,
     /// Which routes have labels of their own in the metrics.
     pub route_labels: RouteLabels,
     /// How many requests are logged.
     pub log_budget: LogBudget,
-    /// Callers' requests that came without an id.
+    /// Number of callers' requests that came without an id.
     pub requests: Cell<u64>,
 }
 
 impl DaemonState {
-    /// Builds the state of a daemon that was just started, unless the system has no clock for it.
+    /// Builds the state of a daemon that was just started. Fails if the system has no suitable
+    /// clock.
     pub fn try_new(options: DaemonOptions) -> Result<Rc<Self>, ClockError> {
         let clock = DaemonClock::try_new()?;
         let platform = Rc::new(PlatformClient::new(
@@ -119,7 +121,7 @@
             document: DocumentCell::default(),
             freshness: FreshnessTracker::default(),
             roster: HostRoster::default(),
-            rows: RowsShare::default(),
+            rows: RowsRelay::default(),
             registrations: RegistrationTable::default(),
             fields: options.exchange_fields(),
             services: ServiceTable::default(),
@@ -142,18 +144,18 @@
         }))
     }
 
-    /// Returns the settings as read last.
+    /// Returns the settings as last reloaded.
     pub fn live(&self) -> Rc<DaemonOptions> {
         self.live.borrow().clone()
     }
 
-    /// Takes over settings that were read again.
+    /// Puts reloaded settings in force.
     pub fn set_live(&self, options: DaemonOptions) {
         self.log_budget.set(options.log_requests, options.log_failures, self.now());
         *self.live.borrow_mut() = Rc::new(options);
     }
 
-    /// Returns the bounds of heads of callers' requests: the document's, where there is one.
+    /// Returns the bounds of heads of callers' requests: those of the document, if there is one.
     pub fn head_limits(&self) -> HeadLimits {
         let set = self.options.head;
         match self.document.get() {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Returns the bounds of bodies of callers' requests: the document's, where there is one.
+    /// Returns the bounds of bodies of callers' requests: those of the document, if there is one.
     pub fn body_limits(&self) -> BodyLimits {
         let set = self.options.body;
         match self.document.get() {
@@ -176,13 +178,13 @@
         }
     }
 
-    /// Returns the time since the start, sleep of the host included.
+    /// Returns the time since the start, including time for which the host was suspended.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Returns the service that runs on this host: that of a backend server that registered, or the
-    /// one that the settings name.
+    /// Returns the service that runs on this host: that of a registered backend server, or the one
+    /// that the settings name.
     pub fn own_service(&self) -> Option<String> {
         let servers = self.roster.own_servers();
         let registered = servers.iter().find(|server| !server.draining).or(servers.first());
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Ends a daemon without cutting what is in flight.
+//! Shuts a daemon down gracefully, without cutting requests in flight.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,32 +13,32 @@
 use basaltarch_peer::link::NO_EXCHANGE;
 use basaltarch_peer::protocol::{FrameBody, HeartbeatNote};
 
-use crate::membership::{self, BeatNews};
+use crate::membership::{self, HeartbeatContent};
 use crate::state::DaemonState;
 
-/// Time between looks at what is still in flight while the daemon stops.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// Most looks whether callers have read their last answers: together a third of the time that the
-/// platform's kill comes after the longest drain.
-const LINGER_LOOKS: usize = 5;
+/// Time between checks for requests in flight during a shutdown.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Most checks whether callers have read their last responses: together a third of the time from
+/// the end of the longest drain to the platform's kill.
+const LINGER_CHECKS: usize = 5;
 
 /// `StopReport` says how a daemon ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopReport {
-    /// Requests that were cut, or answered before it was known how they end.
+    /// Requests that were cut, or answered before their outcome was known.
     pub cut: usize,
 }
 
-/// `StopState` is how far a daemon is with its end, and what it still waits for.
+/// `StopState` is the progress of a daemon's shutdown, and what it still waits for.
 #[derive(Debug, Default)]
 pub struct StopState {
     /// Raised when the daemon is asked to stop.
     pub asked: RisingSignal,
-    /// Raised when a daemon that stops is asked to end at once.
+    /// Raised when a daemon that is stopping is asked to end at once.
     pub interrupted: RisingSignal,
-    /// Raised when no more requests of callers are taken.
+    /// Raised when no more requests of callers are accepted.
     pub closing: RisingSignal,
-    /// Raised when a stop nears its end: requests that still wait get their final answer.
+    /// Raised shortly before the end of a stop: requests that still wait get their final response.
     pub giving_up: RisingSignal,
     /// Raised when the daemon ends: idle connections are closed.
     pub ending: RisingSignal,
@@ -48,8 +48,8 @@
     lingering: Cell<usize>,
 }
 
-/// `StopBegin` is when a stop began and on which terms: settings that are read again during it are for the
-/// next one.
+/// `StopBegin` is when a stop began and on which terms: settings that are reloaded during it apply
+/// to the next one.
 #[derive(Debug, Clone, Copy)]
 struct StopBegin {
     at: Duration,
@@ -62,11 +62,13 @@
         self.asked.is_raised()
     }
 
-    /// Returns what a person at a terminal asks for: a stop, or the end of one that lasts too long.
+    /// Returns the signal to raise when a person at a terminal interrupts the daemon: that of a
+    /// stop, or that of an immediate end if it is stopping already.
     ///
-    /// No other request does the second. Requests to stop come twice when planned work overlaps, or when
-    /// an operator drains a daemon that the platform then stops; the platform has its kill for the rest.
-    pub fn next_of_interrupt(&self) -> &RisingSignal {
+    /// No other request ends the daemon at once. Requests to stop come twice when planned
+    /// maintenance overlaps, or when an operator drains a daemon that the platform then stops;
+    /// beyond that the platform can kill it.
+    pub fn interrupt_signal(&self) -> &RisingSignal {
         if self.is_asked() {
             &self.interrupted
         } else {
@@ -74,22 +76,23 @@
         }
     }
 
-    /// Says whether the daemon takes no more work of other daemons.
+    /// Says whether the daemon accepts no more requests of other daemons.
     pub fn is_handing_over(&self) -> bool {
         self.phase.get() != StopPhase::Open
     }
 
-    /// Says whether the daemon starts no work any more.
+    /// Says whether the daemon starts no more requests.
     pub fn is_closed(&self) -> bool {
         !matches!(self.phase.get(), StopPhase::Open | StopPhase::HandingOver)
     }
 
-    /// Says whether the daemon waits for nothing new any more: it gives up what it waits for, or ends. One
-    /// that slept over its longest drain goes by the clock.
+    /// Says whether the daemon no longer waits for anything new: it gives up on what it waits for,
+    /// or ends. A daemon that was suspended past its longest drain goes by the clock.
     pub fn is_over(&self, now: Duration) -> bool {
-        let slept = |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
+        let is_past_longest =
+            |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
         matches!(self.phase.get(), StopPhase::GivingUp { .. } | StopPhase::Over(_))
-            || self.begun.get().is_some_and(slept)
+            || self.begun.get().is_some_and(is_past_longest)
     }
 
     /// Returns when the daemon began to stop, since its start.
@@ -97,17 +100,18 @@
         self.begun.get().map(|begin| begin.at)
     }
 
-    /// Returns the number of callers' requests and peers' dispatches that are not over.
+    /// Returns the number of callers' requests and peers' dispatches that have not ended.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Counts work in flight for as long as the guard lives.
+    /// Counts a request as in flight for as long as the guard lives.
     pub fn count_in_flight(&self) -> CountGuard<'_> {
         CountGuard::new(&self.in_flight)
     }
 
-    /// Counts a connection whose answer is written but may not be read yet, for as long as the guard lives.
+    /// Counts a connection whose response is written but may not have been read yet, for as long as
+    /// the guard lives.
     pub fn count_lingering(&self) -> CountGuard<'_> {
         CountGuard::new(&self.lingering)
     }
@@ -131,10 +135,10 @@
     }
 }
 
-/// Says whether a caller's request with this id is taken.
+/// Says whether a caller's request with this id is admitted.
 ///
-/// Between this and the moment at which the request is counted in flight nothing may be waited for: the
-/// daemon ends as soon as it is closed and nothing is in flight.
+/// Nothing may be awaited between this and the moment at which the request is counted as in flight:
+/// the daemon ends as soon as it is closed and nothing is in flight.
 pub fn takes(state: &DaemonState, request: &str) -> bool {
     let begin = match state.stop.begun.get() {
         Some(begin) => begin,
@@ -145,7 +149,8 @@
     begin.terms.takes(state.stop.phase.get(), elapsed, is_call)
 }
 
-/// Says whether work at a backend server of this host is started now that must end by `deadline`.
+/// Says whether a request that must end by `deadline` may still be started at a backend server of
+/// this host.
 pub fn starts(state: &DaemonState, deadline: Duration) -> bool {
     let begin = match state.stop.begun.get() {
         Some(begin) => begin,
@@ -154,8 +159,8 @@
     begin.terms.starts(state.stop.phase.get(), deadline.saturating_sub(begin.at))
 }
 
-/// Returns the deadline of a request that is taken now: a closed stop takes only calls of work that runs
-/// here, and gives that work up then.
+/// Returns the deadline of a request that is admitted now. After the stop has closed, only nested
+/// calls of requests that run here are admitted, and those requests are given up at that time.
 pub fn bounded_deadline(state: &DaemonState, deadline: Duration) -> Duration {
     match state.stop.begun.get() {
         Some(begin) if state.stop.is_closed() => {
@@ -165,7 +170,7 @@
     }
 }
 
-/// Refuses new work phase by phase, and waits until what is in flight has ended.
+/// Refuses new requests phase by phase, and waits until those in flight have ended.
 pub async fn run(state: &Rc<DaemonState>) -> StopReport {
     let stop = &state.stop;
     process::DaemonLeaving { in_flight: stop.in_flight() as u64 }.log();
@@ -191,39 +196,41 @@
             StopPhase::Over(cause) => return end(state, cause, given_up, elapsed).await,
             _ => {}
         }
-        monoio::time::sleep(DRAIN_LOOK).await;
+        monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-/// Returns the number of things that must be done before the process may end.
+/// Returns the number of conditions that must clear before the process may end.
 ///
-/// What was acknowledged of the backend servers is one of them until the row tells it: the next start of
-/// this daemon takes back whom the row tells of, and sends work to a server that has left.
+/// An acknowledged departure of a backend server is one of them until the row in the store shows
+/// it: the next incarnation of this daemon restores the servers that the row lists, and would send
+/// requests to a server that has left.
 fn unfinished(state: &DaemonState) -> usize {
     state.stop.in_flight() + usize::from(state.roster.has_unwritten_servers())
 }
 
-/// Takes no more work of other daemons from here on, and tells them. Of what waits for a slot here, what is
-/// not sure to end in time goes elsewhere at once.
+/// Accepts no more requests of other daemons from here on, and notifies them. Requests that wait
+/// for a slot here and are not sure to end in time are sent elsewhere at once.
 fn hand_over(state: &Rc<DaemonState>, elapsed: Duration) {
     let in_flight = state.stop.in_flight() as u64;
     process::DaemonHandingOver { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
-    membership::beat(state, BeatNews::Own);
-    tell_accepted(state);
+    membership::send_heartbeats(state, HeartbeatContent::Own);
+    notify_accepted(state);
     state.roster.touch();
     for upstream in state.host.all() {
         upstream.slots.refuse_late(|deadline| !starts(state, deadline));
     }
 }
 
-/// Takes no more callers' requests from here on, those included whose body has not come.
+/// Accepts no more callers' requests from here on, not even those whose body is still being
+/// received.
 fn close(state: &DaemonState, elapsed: Duration) {
     let in_flight = state.stop.in_flight() as u64;
     process::DaemonClosed { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
     state.stop.closing.raise();
 }
 
-/// Ends idle connections and says how the stop went.
+/// Closes idle connections and reports how the stop went.
 async fn end(
     state: &DaemonState,
     cause: StopCause,
@@ -231,25 +238,25 @@
     elapsed: Duration,
 ) -> StopReport {
     state.stop.ending.raise();
-    // Idle connections are closed by their tasks before the process is gone.
-    for _ in 0..LINGER_LOOKS {
-        monoio::time::sleep(DRAIN_LOOK).await;
+    // Gives the tasks of idle connections time to close them before the process ends.
+    for _ in 0..LINGER_CHECKS {
+        monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         if state.stop.lingering.get() == 0 {
             break;
         }
     }
-    // Counted anew: the process ends now, whatever a look before said.
+    // Counted again, as the process ends now, whatever an earlier check found.
     let cut = state.stop.in_flight().max(given_up);
     let elapsed_ms = elapsed.as_millis() as u64;
     process::DaemonStopped { cause: cause.name(), cut: cut as u64, elapsed_ms }.log();
     StopReport { cut }
 }
 
-/// Tells the daemons that dialled here, who send work here, that this one is leaving.
-fn tell_accepted(state: &Rc<DaemonState>) {
-    for link in state.members.some_accepted(usize::MAX) {
-        let members = state.members.some_entries(state, &[]);
-        // It wants no answer.
+/// Notifies the daemons that dialled this one, which send requests here, that it is leaving.
+fn notify_accepted(state: &Rc<DaemonState>) {
+    for link in state.members.sample_accepted(usize::MAX) {
+        let members = state.members.sample_entries(state, &[]);
+        // Marked as a reply, so that it asks for none.
         let note = HeartbeatNote { reply: true, ..membership::heartbeat_request(state, members) };
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -107,12 +107,12 @@
 
 /// Says whether a copy of a request that came to this daemon is served, tried or refused.
 pub fn judge(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
-    let is_home = || {
+    let is_owner = || {
         let live = state.members.live_hosts(state);
         let key = fingerprint.to_string();
         limits::home_of(&key, live.iter().map(String::as_str)) == Some(&*state.options.host)
     };
-    state.suspects.table.borrow_mut().judge(fingerprint, is_home, state.now())
+    state.suspects.table.borrow_mut().judge(fingerprint, is_owner, state.now())
 }
 
 /// Records that a backend server of this host crashed while it ran a request. `before` is what
@@ -205,7 +205,7 @@
 
 /// Notifies up to `links` of the linked daemons.
 fn notify_some(state: &DaemonState, notice: &SuspectWord, links: usize) {
-    for sender in membership::some_senders(state, links) {
+    for sender in membership::sample_senders(state, links) {
         send(&sender, std::slice::from_ref(notice));
     }
 }
@@ -219,7 +219,7 @@
 
 /// Records what another daemon reports, and forwards what is new here. The sender gets what it
 /// lacks in return.
-pub fn take_news(
+pub fn handle_news(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
     peer: &PeerIdentity,
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Turns values into the frames between daemons and back.
+//! Converts values to the frames between daemons and back.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use bytes::BytesMut;
 use http::HeaderMap;
 
-/// Bytes of a usual header field, to make room at once.
+/// Bytes of a typical header field, to allocate enough at once.
 const FIELD_BYTES: usize = 48;
-/// Parts of one in which fractions go between daemons.
+/// Fractions are sent between daemons in thousandths.
 const MILLI: f64 = 1000.0;
 
-/// Returns the number of a class of work.
+/// Returns the number of a request's class in the peer protocol.
 pub fn class_number(class: WorkClass) -> i8 {
     match class {
         WorkClass::Sheddable => 0,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Reads the number of a class of work.
+/// Reads the number of a request's class.
 pub fn class_of(number: i8) -> WorkClass {
     match number {
         0 => WorkClass::Sheddable,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns the number of a mode of work.
+/// Returns the number of a request's mode in the peer protocol.
 pub fn mode_number(mode: WorkMode) -> i8 {
     match mode {
         WorkMode::Plain => 0,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reads the number of a mode of work; what is not known is not repeated.
+/// Reads the number of a request's mode. A request of an unknown mode is not retried.
 pub fn mode_of(number: i8) -> WorkMode {
     match number {
         1 => WorkMode::Repeatable,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Writes header fields as the lines that go between daemons.
+/// Serializes header fields as the lines that are sent between daemons.
 pub fn field_lines(headers: &HeaderMap) -> Vec<u8> {
     let mut lines = BytesMut::with_capacity(FIELD_BYTES * headers.len());
     writer::put_fields(&mut lines, headers);
@@ -75,27 +75,27 @@
     values.next()
 }
 
-/// Writes what counts against a request.
+/// Converts the crashes that count against a request.
 pub fn tally_note(tally: CrashTally) -> TallyNote {
     TallyNote { round: tally.round as i32, crashes: tally.crashes as i32 }
 }
 
-/// Reads what counts against a request.
+/// Reads the crashes that count against a request.
 pub fn tally_of(note: &TallyNote) -> CrashTally {
     CrashTally { round: note.round.max(0) as u32, crashes: note.crashes.max(0) as u32 }
 }
 
-/// Writes what is known of a request that ran at servers when they crashed.
-pub fn suspect_note(word: &SuspectWord) -> SuspectNote {
+/// Converts what is known of a request that ran at servers when they crashed.
+pub fn suspect_note(notice: &SuspectWord) -> SuspectNote {
     SuspectNote {
-        fingerprint: word.fingerprint.bytes().to_vec(),
-        tally: tally_note(word.tally),
-        seen_ms_ago: word.seen_ago.as_millis() as i64,
-        upstream: word.upstream.to_string(),
+        fingerprint: notice.fingerprint.bytes().to_vec(),
+        tally: tally_note(notice.tally),
+        seen_ms_ago: notice.seen_ago.as_millis() as i64,
+        upstream: notice.upstream.to_string(),
     }
 }
 
-/// Reads what is known of such a request; `None` if it is named in another way.
+/// Reads what is known of such a request. Returns `None` if its fingerprint is of an unknown form.
 pub fn suspect_notice(note: &SuspectNote) -> Option<SuspectWord> {
     Some(SuspectWord {
         fingerprint: RequestFingerprint::from_bytes(&note.fingerprint)?,
@@ -105,7 +105,7 @@
     })
 }
 
-/// Writes a baseline.
+/// Converts a baseline.
 pub fn baseline_note(baseline: &ServiceBaseline) -> BaselineNote {
     BaselineNote {
         median_ln_milli: milli(baseline.median_ln),
@@ -119,7 +119,7 @@
     }
 }
 
-/// Writes a baseline with what the other upstreams saw of long work.
+/// Converts a baseline, with what the other upstreams reported of slow requests.
 pub fn baseline_with(baseline: &ServiceBaseline, long_work: &LongWork) -> BaselineNote {
     BaselineNote {
         hung_milli: Some(milli(long_work.hung)),
@@ -128,14 +128,14 @@
     }
 }
 
-/// Reads what other upstreams saw of long work, nothing where it is not told.
+/// Reads what other upstreams reported of slow requests, none if the note lacks it.
 pub fn siblings_work(note: Option<&BaselineNote>) -> LongWork {
-    let told = note.and_then(|note| Some((note.hung_milli?, note.late_milli?)));
-    told.map_or_else(LongWork::default, |(hung, late)| long_work(hung, late))
+    let counts = note.and_then(|note| Some((note.hung_milli?, note.late_milli?)));
+    counts.map_or_else(LongWork::default, |(hung, late)| long_work(hung, late))
 }
 
 fn long_work(hung_milli: i32, late_milli: i32) -> LongWork {
-    let count = |told: i32| of_milli(told.max(0));
+    let count = |thousandths: i32| of_milli(thousandths.max(0));
     LongWork { hung: count(hung_milli), late: count(late_milli) }
 }
 
@@ -155,7 +155,7 @@
     }
 }
 
-/// `HostLoad` is what a host's daemon tells beside an upstream's health.
+/// `HostLoad` is what a host's daemon reports of an upstream beside its health.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostLoad {
     /// Requests in the slots.
@@ -166,13 +166,13 @@
     pub draining: bool,
     /// Revision in force at the host's daemon.
     pub revision: u64,
-    /// Time that the answer took, if there is one.
+    /// Time that the response took, if there was one.
     pub took: Option<Duration>,
-    /// What was seen of long work.
+    /// Slow requests at the upstream.
     pub long_work: LongWork,
 }
 
-/// Writes a report.
+/// Converts a report.
 pub fn report_note(load: HostLoad, health: &HealthReport) -> LoadReport {
     LoadReport {
         in_flight: load.in_flight as i32,
@@ -220,12 +220,12 @@
     (load, health)
 }
 
-/// Says whether a status speaks against the server rather than the request.
+/// Says whether a status counts against the server rather than the request.
 pub fn is_server_error(status: u16) -> bool {
     matches!(status, 500 | 502 | 503 | 504)
 }
 
-/// Returns a fraction in thousandths; what is out of range is cut.
+/// Returns a fraction in thousandths, saturated at the range of `i32`.
 fn milli(value: f64) -> i32 {
     (value * MILLI).round() as i32
 }
