--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -20,7 +20,7 @@
 use serde_json::{json, Value};
 
 use crate::admin;
-use crate::spread;
+use crate::config_sync;
 use crate::state::DaemonState;
 
 /// Header field that names the operator.
@@ -203,7 +203,7 @@
     }
     let fresh = [record];
     if state.config.apply(&fresh, state.now()) > 0 {
-        spread::pass_on(state, &fresh);
+        config_sync::forward_changes(state, &fresh);
     }
     let [record] = fresh;
     if record.revision.0.is_multiple_of(changes::SNAPSHOT_EVERY) {
@@ -222,7 +222,7 @@
 /// only makes their start slower, since every change has a row of its own.
 async fn write_snapshot(state: Rc<DaemonState>) {
     let config = state.config.with_fleet(FleetConfig::clone);
-    let pause = async || spread::give_way(&state).await;
+    let pause = async || config_sync::yield_to_requests(&state).await;
     match state.changes.put_snapshot(&config, &pause).await {
         Ok(()) => fleet::SnapshotKept { revision: config.revision().0 }.log(),
         Err(error) => fleet::SnapshotNotKept { error: &error.to_string() }.log(),
--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -58,7 +58,7 @@
         let surplus = service
             .with_view(|view| i64::from(view.plan().in_service) - i64::from(view.plan().floor));
         spare = spare.min(surplus);
-        left = left.min(service.repeats_left(now) as i64);
+        left = left.min(service.retries_left(now) as i64);
     });
     // Without a service in use there is no shortage, so that both gauges are 0.
     metrics::FLOOR_SPARE.set(if spare == i64::MAX { 0 } else { spare });
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -98,13 +98,13 @@
         if state.config.apply(&records, state.now()) == 0 {
             return Ok(());
         }
-        pass_on(state, &records);
+        forward_changes(state, &records);
     }
 }
 
 /// Lets requests be served between two slices of a long task, once there is a configuration to
 /// serve them by.
-pub async fn give_way(state: &DaemonState) {
+pub async fn yield_to_requests(state: &DaemonState) {
     if state.config.is_loaded() {
         monoio::time::sleep(YIELD_PAUSE).await;
     }
@@ -115,7 +115,7 @@
         Some(guard) => guard,
         None => return Ok(()),
     };
-    let pause = async || give_way(state).await;
+    let pause = async || yield_to_requests(state).await;
     if let Some(config) = state.changes.snapshot(&pause).await? {
         adopt(state, config).await;
     }
@@ -143,13 +143,14 @@
 /// Builds the layout of a whole configuration in slices, and adopts it if it is later than the one
 /// in force by then.
 async fn adopt(state: &Rc<DaemonState>, config: FleetConfig) {
-    let layout = ActiveConfig::build_in_turns(&config, &async || give_way(state).await).await;
+    let layout =
+        ActiveConfig::build_in_turns(&config, &async || yield_to_requests(state).await).await;
     state.config.adopt(config, layout, state.now());
 }
 
 /// Forwards changes that are new here to the neighbours and to some of the daemons that dialled
 /// this one.
-pub fn pass_on(state: &Rc<DaemonState>, records: &[ChangeRecord]) {
+pub fn forward_changes(state: &Rc<DaemonState>, records: &[ChangeRecord]) {
     let mut senders: Vec<FrameSender> = Vec::new();
     for host in state.members.neighbours(state) {
         if let Some(link) = state.peers.path(&host).link() {
@@ -235,7 +236,7 @@
 
 async fn send_snapshot(state: &Rc<DaemonState>, sender: &FrameSender) {
     let config = state.config.with_fleet(FleetConfig::clone);
-    let pause = async || give_way(state).await;
+    let pause = async || yield_to_requests(state).await;
     let bytes = match snapshot::write(&config, &pause).await {
         Ok(bytes) => bytes,
         Err(_) => return,
@@ -286,7 +287,7 @@
         }
     }
     if state.config.apply(&fresh, state.now()) > 0 {
-        pass_on(state, &fresh);
+        forward_changes(state, &fresh);
     }
 }
 
@@ -305,7 +306,7 @@
     let host = peer.host.clone();
     monoio::spawn(async move {
         let state = &reading.state;
-        match snapshot::read(&bytes, &async || give_way(state).await).await {
+        match snapshot::read(&bytes, &async || yield_to_requests(state).await).await {
             Ok(config) => adopt(state, config).await,
             Err(error) => {
                 fleet::SnapshotUnreadable { host: &host, error: &error.to_string() }.log();
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -13,13 +13,13 @@
 use basaltarch_peer::link::NO_EXCHANGE;
 use basaltarch_peer::protocol::{FrameBody, HeartbeatNote};
 
+use crate::config_sync;
 use crate::freshness;
 use crate::ingress::look;
-use crate::limit_homes;
+use crate::limit_owners;
 use crate::membership;
 use crate::roster;
 use crate::rows;
-use crate::spread;
 use crate::state::DaemonState;
 use crate::suspects;
 
@@ -33,14 +33,14 @@
 ) {
     match body {
         FrameBody::Heartbeat(note) => handle_heartbeat(state, path, sender, peer, note),
-        FrameBody::Pull(pull) => spread::answer_pull(state, sender, pull),
-        FrameBody::News(news) => spread::handle_news(state, peer, news),
+        FrameBody::Pull(pull) => config_sync::answer_pull(state, sender, pull),
+        FrameBody::News(news) => config_sync::handle_news(state, peer, news),
         FrameBody::GrantRequest(request) => {
-            limit_homes::answer_request(state, sender, &peer.host, &request);
+            limit_owners::answer_request(state, sender, &peer.host, &request);
         }
         FrameBody::GrantReply(reply) => state.limits.handle_reply(&reply),
         FrameBody::LoadQuestion(question) => look::answer_question(state, sender, &question),
-        FrameBody::LoadAnswer(answer) => state.looks.take(answer),
+        FrameBody::LoadAnswer(answer) => state.pending_probes.take(answer),
         FrameBody::Withdraw(note) => state.host.withdraw_failure(&note.upstream, &note.route),
         FrameBody::RowsRequest(request) => rows::answer_request(state, sender, peer, &request),
         FrameBody::RowsNews(news) => rows::handle_news(state, peer, news),
@@ -71,7 +71,7 @@
     if note.reply {
         freshness::note_answer(state, &note);
     }
-    spread::note_peer_revision(state, sender, revision);
+    config_sync::note_peer_revision(state, sender, revision);
     suspects::handle_digest(state, sender, note.suspects);
     if note.reply {
         return;
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -24,10 +24,10 @@
 use basaltarch_peer::protocol::{FrameBody, HeartbeatNote};
 use basaltarch_store::errors::StoreError;
 
+use crate::config_sync;
 use crate::document;
 use crate::membership;
 use crate::rows;
-use crate::spread;
 use crate::state::DaemonState;
 
 /// Longest wait for a confirmation. The store answers within a few milliseconds when it is healthy,
@@ -172,7 +172,7 @@
 async fn query_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     match state.options.source {
         ConfigSource::Document => document::query_store(state).await,
-        ConfigSource::Resources => spread::poll_once(state).await,
+        ConfigSource::Resources => config_sync::poll_once(state).await,
     }
 }
 
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -245,7 +245,7 @@
 
     /// Says whether the request may still start if the daemon is shutting down.
     pub fn may_start(&self) -> bool {
-        stop::starts(self.state, self.deadline)
+        stop::allows_start(self.state, self.deadline)
     }
 
     /// Builds the request for a slot.
@@ -285,7 +285,7 @@
             objective_left,
             usual: self.upstream.health.borrow().usual_time(&self.head.route, None),
             full: self.upstream.slots.is_full(),
-            siblings: wire::siblings_work(self.head.baseline.as_ref()),
+            siblings: wire::siblings_slow_requests(self.head.baseline.as_ref()),
         };
         self.upstream.adaptive_timeout.borrow_mut().timeout_for(&terms, now)
     }
@@ -411,7 +411,9 @@
             }
         };
         // A drain or shutdown that was acknowledged while the connection was opened must hold.
-        if self.upstream.is_draining(self.state.now()) || !stop::starts(self.state, self.deadline) {
+        if self.upstream.is_draining(self.state.now())
+            || !stop::allows_start(self.state, self.deadline)
+        {
             pooled.give_back(None);
             return Err(FailureOutcome::NotRun(NotRunReason::Draining));
         }
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -392,7 +392,7 @@
         }
         let best = ingress_probe::best_of(&probed);
         let accepts = best.is_some_and(|best| !best.declines());
-        self.request.service.note_look(accepts);
+        self.request.service.note_probe(accepts);
         if !accepts && self.is_passable() {
             self.skip_probed(&probed);
             return None;
@@ -459,7 +459,7 @@
     /// first dispatch the admission is checked again, because reading the body took time.
     pub fn may_dispatch(&self) -> bool {
         if self.dispatches + self.decline_count == 0 {
-            return stop::takes(self.state, &self.request.trail.id);
+            return stop::admits_request(self.state, &self.request.trail.id);
         }
         !self.state.stop.giving_up.is_raised()
     }
@@ -478,7 +478,7 @@
         // A request that a backend server shed has cost it work, so sending it elsewhere counts as
         // a retry.
         let is_free = reason != NotRunReason::Shed;
-        may && (is_free || self.has_server_attempts_left() && self.take_repeat())
+        may && (is_free || self.has_server_attempts_left() && self.take_retry())
     }
 
     /// Says whether another upstream can be tried if this one declines the request.
@@ -522,7 +522,7 @@
     fn may_be_trial(&self) -> bool {
         self.is_repeatable()
             && self.server_attempts == 0
-            && self.request.service.has_repeat(self.state)
+            && self.request.service.has_retry(self.state)
     }
 
     /// Returns the mode that is sent to the host's daemon: a repeatable request that may not be a
@@ -542,8 +542,8 @@
         }
     }
 
-    fn take_repeat(&self) -> bool {
-        self.request.service.take_repeat(self.state)
+    fn take_retry(&self) -> bool {
+        self.request.service.take_retry(self.state)
     }
 
     /// Says whether a request that may have run may be sent again, and charges the retry budget for
@@ -556,7 +556,7 @@
             && self.has_server_attempts_left()
             && !self.fails_everywhere()
             && self.request.tally(self.state).is_none_or(CrashTally::allows_retry)
-            && self.take_repeat()
+            && self.take_retry()
     }
 }
 
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -123,7 +123,7 @@
         };
         let id = request::id_of(state, &head);
         // Refused requests aren't counted: callers that keep retrying would delay the shutdown.
-        let counted = stop::takes(state, &id).then(|| state.stop.count_in_flight());
+        let counted = stop::admits_request(state, &id).then(|| state.stop.count_in_flight());
         metrics::REQUESTS.add_one();
         metrics::IN_FLIGHT.add(1);
         // Boxed, so that an idle connection does not hold memory for a request's whole state.
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -175,7 +175,7 @@
             once_key: request.once_key.clone(),
             organisation: request.caller.organisation.as_deref().map(str::to_owned),
             revision: self.state.config.revision().0 as i64,
-            after_failure: self.spares_failure(),
+            after_failure: self.exempts_failure(),
             passable: choice.ground != ChoiceGround::Waiting && self.is_passable(),
             objective_ms: self.objective_left().as_millis().min(i32::MAX as u128) as i32,
             logged: Some(self.request.trail.is_logged),
@@ -199,7 +199,8 @@
     /// slots with reservations.
     fn baseline_note(&self, index: usize, baseline: &ServiceBaseline) -> Option<BaselineNote> {
         if self.state.live().waiting == WaitingMode::Places {
-            let slow_requests = self.request.service.siblings_work(index, self.state.now());
+            let slow_requests =
+                self.request.service.siblings_slow_requests(index, self.state.now());
             return Some(wire::baseline_with(baseline, &slow_requests));
         }
         (baseline.upstreams > 0).then(|| wire::baseline_note(baseline))
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -18,10 +18,10 @@
 
     /// Says whether a failure of the request is no evidence against its upstream: the request
     /// failed at another one, now or recently.
-    pub fn spares_failure(&self) -> bool {
+    pub fn exempts_failure(&self) -> bool {
         let request = self.request;
         self.failed_at.is_some()
-            || request.service.spares_failure(
+            || request.service.exempts_failure(
                 request.method.as_str(),
                 &request.target,
                 self.state.now(),
--- a/crates/daemon/src/ingress/look.rs
+++ b/crates/daemon/src/ingress/look.rs
@@ -93,10 +93,10 @@
     metrics::LOOKS.add_one();
     let began = state.now();
     path.note_used(began);
-    let sequence = state.looks.sequence.get() + 1;
-    state.looks.sequence.set(sequence);
+    let sequence = state.pending_probes.sequence.get() + 1;
+    state.pending_probes.sequence.set(sequence);
     let (sender, receiver) = oneshot::channel();
-    state.looks.waiting.borrow_mut().insert(sequence, sender);
+    state.pending_probes.waiting.borrow_mut().insert(sequence, sender);
     let _guard = ProbeGuard { state, sequence };
     let upstream = &request.service.entry.upstreams[index];
     let question = LoadQuestion {
@@ -138,7 +138,7 @@
 
 impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
-        self.state.looks.waiting.borrow_mut().remove(&self.sequence);
+        self.state.pending_probes.waiting.borrow_mut().remove(&self.sequence);
     }
 }
 
--- a/crates/daemon/src/ingress/places.rs
+++ b/crates/daemon/src/ingress/places.rs
@@ -344,7 +344,7 @@
             withheld: None,
             path: self.path_to_watch(path, body_is_done),
             hedging_delay: self.hedging_delay(&baseline, 0.0),
-            is_evidence: !self.spares_failure(),
+            is_evidence: !self.exempts_failure(),
             sent: service.count_sent(index),
         };
         SlotEnd::Sent(choice, live)
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -199,7 +199,7 @@
     request.service.note_request(began);
     let caller = state.host.calls.caller_of(&request.trail.id);
     if caller.as_ref().is_some_and(|caller| caller.repeated) {
-        request.service.note_repeated(began);
+        request.service.note_retried(began);
     }
     let note_lost = || {
         if let Some(caller) = &caller {
@@ -303,7 +303,7 @@
 /// Waits until the daemon shuts down and no longer admits this request.
 async fn refused_by_stop(state: &DaemonState, id: &str) {
     state.stop.closing.raised().await;
-    if stop::takes(state, id) {
+    if stop::admits_request(state, id) {
         future::pending().await
     }
 }
@@ -342,7 +342,7 @@
     close: bool,
     id: &str,
 ) -> Result<CallerRequest, CallerFailure> {
-    if !stop::takes(state, id) {
+    if !stop::admits_request(state, id) {
         return Err(CallerFailure::not_run(NotRunReason::Draining));
     }
     if !state.config.is_loaded() {
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -79,10 +79,10 @@
             () = overdue => return timed_out(),
             () = resumed => return timed_out(),
             () = stopping => return FirstEvent::Stopping,
-            () = cut => if request.service.take_repeat(state) {
+            () = cut => if request.service.take_retry(state) {
                 return FirstEvent::HedgeDue;
             },
-            () = hedging => if request.service.take_repeat(state) {
+            () = hedging => if request.service.take_retry(state) {
                 return FirstEvent::HedgeDue;
             },
         }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -9,6 +9,8 @@
 //! shared state is in [`state`].
 
 pub mod admin;
+pub mod announce;
+pub mod config_sync;
 pub mod control;
 pub mod document;
 pub mod errors;
@@ -16,22 +18,20 @@
 pub mod freshness;
 pub mod host;
 pub mod ingress;
-pub mod limit_homes;
+pub mod limit_owners;
 pub mod limits;
 pub mod links;
 pub mod membership;
 pub mod parts;
 pub mod registration;
 pub mod reload;
+pub mod resume;
 pub mod retention;
 pub mod roster;
 pub mod rows;
 pub mod run;
 pub mod services;
-pub mod spread;
 pub mod state;
 pub mod stop;
 pub mod suspects;
-pub mod telling;
-pub mod waking;
 pub mod wire;
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Rate limits of the ingress: admits requests with the tokens that the owner of a limit grants.
-//! `limit_homes` is the owner's side.
+//! `limit_owners` is the owner's side.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 use local_sync::oneshot;
 use thrift::OrderedFloat;
 
-use crate::limit_homes::{self, FleetStart, OwnedLimits, OwnerAssignment};
+use crate::limit_owners::{self, FleetStart, OwnedLimits, OwnerAssignment};
 use crate::links;
 use crate::state::DaemonState;
 
@@ -308,7 +308,7 @@
         None => {
             // Only in a fleet that starts for the first time is the whole share of the burst known
             // to be left.
-            let is_first = limit_homes::fleet_start(state) == FleetStart::First;
+            let is_first = limit_owners::fleet_start(state) == FleetStart::First;
             let since = (!is_first).then_some(Duration::ZERO);
             let terms = StandaloneTerms { rate: rule.rate, burst: rule.burst, daemons, since };
             known.limiter.start_standalone(terms, now);
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -15,6 +15,8 @@
 use monoio::net::TcpListener;
 
 use crate::admin;
+use crate::announce;
+use crate::config_sync;
 use crate::document;
 use crate::errors::DaemonError;
 use crate::ingress::caller;
@@ -23,16 +25,14 @@
 use crate::membership;
 use crate::registration;
 use crate::reload;
+use crate::resume;
 use crate::retention;
 use crate::roster;
 use crate::rows;
 use crate::services;
-use crate::spread;
 use crate::state::DaemonState;
 use crate::stop::{self, StopReport};
 use crate::suspects;
-use crate::telling;
-use crate::waking;
 
 /// Exit status of a stop that cut requests.
 pub const EXIT_CUT: i32 = 3;
@@ -160,7 +160,7 @@
     monoio::spawn(roster::sweep(state.clone()));
     match state.options.source {
         ConfigSource::Resources => {
-            monoio::spawn(spread::poll(state.clone()));
+            monoio::spawn(config_sync::poll(state.clone()));
             monoio::spawn(retention::run(state.clone()));
         }
         ConfigSource::Document => {
@@ -170,7 +170,7 @@
     monoio::spawn(trail::report_losses(state.clone()));
     monoio::spawn(services::forget_idle(state.clone()));
     monoio::spawn(suspects::forget(state.clone()));
-    monoio::spawn(waking::watch(state.clone()));
+    monoio::spawn(resume::watch(state.clone()));
     monoio::spawn(follow_configuration(state.clone()));
 }
 
@@ -187,7 +187,7 @@
         // The revision is announced to the neighbours at once, so that the fleet's status is up to
         // date.
         if announced.replace(active.revision) != Some(active.revision) {
-            telling::announce_revision(&state);
+            announce::announce_revision(&state);
         }
     }
 }
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -224,7 +224,7 @@
     }
 
     /// Records whether a load probe found an upstream that would admit the request.
-    pub fn note_look(&self, found: bool) {
+    pub fn note_probe(&self, found: bool) {
         let mut probe_yield = self.probe_yield.get();
         probe_yield.note(found);
         self.probe_yield.set(probe_yield);
@@ -339,7 +339,7 @@
     }
 
     /// Returns what the other upstreams reported of slow requests, decayed to `now`.
-    pub fn siblings_work(&self, index: usize, now: Duration) -> SlowRequests {
+    pub fn siblings_slow_requests(&self, index: usize, now: Duration) -> SlowRequests {
         let reports = self.slow_requests.borrow();
         let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
         let aged = others.map(|(_, (slow, at))| slow.decayed(now.saturating_sub(*at)));
@@ -359,12 +359,12 @@
 
     /// Records a request that counts as a retry, since it is a nested call of a request that is one
     /// itself.
-    pub fn note_repeated(&self, now: Duration) {
+    pub fn note_retried(&self, now: Duration) {
         self.budget.borrow_mut().note_retry(now);
     }
 
     /// Says whether the budget allows another retry.
-    pub fn has_repeat(&self, state: &DaemonState) -> bool {
+    pub fn has_retry(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
         budget.set_terms(terms);
@@ -372,12 +372,12 @@
     }
 
     /// Returns the number of retries left in the budget.
-    pub fn repeats_left(&self, now: Duration) -> f64 {
+    pub fn retries_left(&self, now: Duration) -> f64 {
         self.budget.borrow_mut().left(now)
     }
 
     /// Takes a retry from the budget, and says whether there was one.
-    pub fn take_repeat(&self, state: &DaemonState) -> bool {
+    pub fn take_retry(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
         budget.set_terms(terms);
@@ -420,7 +420,7 @@
     }
 
     /// Says whether a failure of this request counts as no evidence against an upstream.
-    pub fn spares_failure(&self, method: &str, target: &str, now: Duration) -> bool {
+    pub fn exempts_failure(&self, method: &str, target: &str, now: Duration) -> bool {
         let poison = self.poison.borrow();
         let spared = !poison.is_empty() && poison.is_poison(RequestHash::of(method, target), now);
         if spared {
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -73,7 +73,7 @@
     /// The backend servers of this host.
     pub host: HostRole,
     /// Load probes of upstreams that are not answered yet.
-    pub looks: LookBoard,
+    pub pending_probes: LookBoard,
     /// Rate limits.
     pub limits: RateLimiter,
     /// Accepted changes of the configuration in the platform's table.
@@ -129,7 +129,7 @@
             snapshots: SnapshotParts::default(),
             members: MemberTable::default(),
             host: HostRole::default(),
-            looks: LookBoard::default(),
+            pending_probes: LookBoard::default(),
             limits: RateLimiter::default(),
             changes: ChangeStore::new(platform.clone()),
             ledger: OnceLedger::new(platform.clone()),
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -139,24 +139,24 @@
 ///
 /// Nothing may be awaited between this and the moment at which the request is counted as in flight:
 /// the daemon ends as soon as it is closed and nothing is in flight.
-pub fn takes(state: &DaemonState, request: &str) -> bool {
+pub fn admits_request(state: &DaemonState, request: &str) -> bool {
     let begin = match state.stop.begun.get() {
         Some(begin) => begin,
         None => return true,
     };
     let elapsed = state.now().saturating_sub(begin.at);
     let is_call = state.host.calls.caller_of(request).is_some();
-    begin.terms.takes(state.stop.phase.get(), elapsed, is_call)
+    begin.terms.admits_request(state.stop.phase.get(), elapsed, is_call)
 }
 
 /// Says whether a request that must end by `deadline` may still be started at a backend server of
 /// this host.
-pub fn starts(state: &DaemonState, deadline: Duration) -> bool {
+pub fn allows_start(state: &DaemonState, deadline: Duration) -> bool {
     let begin = match state.stop.begun.get() {
         Some(begin) => begin,
         None => return true,
     };
-    begin.terms.starts(state.stop.phase.get(), deadline.saturating_sub(begin.at))
+    begin.terms.allows_start(state.stop.phase.get(), deadline.saturating_sub(begin.at))
 }
 
 /// Returns the deadline of a request that is admitted now. After the stop has closed, only nested
@@ -218,7 +218,7 @@
     notify_accepted(state);
     state.roster.touch();
     for upstream in state.host.all() {
-        upstream.slots.refuse_late(|deadline| !starts(state, deadline));
+        upstream.slots.refuse_late(|deadline| !allows_start(state, deadline));
     }
 }
 
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -129,7 +129,7 @@
 }
 
 /// Reads what other upstreams reported of slow requests, none if the note lacks it.
-pub fn siblings_work(note: Option<&BaselineNote>) -> SlowRequests {
+pub fn siblings_slow_requests(note: Option<&BaselineNote>) -> SlowRequests {
     let counts = note.and_then(|note| Some((note.hung_milli?, note.late_milli?)));
     counts.map_or_else(SlowRequests::default, |(hung, late)| slow_requests(hung, late))
 }
--- a/crates/decide/src/stop.rs
+++ b/crates/decide/src/stop.rs
@@ -113,7 +113,7 @@
     /// The phase is that of the last check. A daemon whose host was suspended since then goes by
     /// the clock; otherwise it would accept requests on resuming, run them, and give them up 40 ms
     /// later (tests with a stopped process).
-    pub fn takes(&self, phase: StopPhase, elapsed: Duration, is_call: bool) -> bool {
+    pub fn admits_request(&self, phase: StopPhase, elapsed: Duration, is_call: bool) -> bool {
         match phase {
             StopPhase::Open | StopPhase::HandingOver if elapsed < self.closes_after() => true,
             StopPhase::Open | StopPhase::HandingOver | StopPhase::Closed => {
@@ -128,7 +128,7 @@
     /// request that waits here for seconds is otherwise lost to a caller whose own daemon stops as
     /// well (8 requests in logs of 870 stops in series, on a fleet whose requests may last for 10
     /// s).
-    pub fn starts(&self, phase: StopPhase, ends: Duration) -> bool {
+    pub fn allows_start(&self, phase: StopPhase, ends: Duration) -> bool {
         phase == StopPhase::Open || ends <= self.gives_up_after()
     }
 
--- a/crates/decide/tests/stop.rs
+++ b/crates/decide/tests/stop.rs
@@ -59,7 +59,7 @@
     is_call: bool,
     admitted: bool,
 ) {
-    assert_eq!(TERMS.takes(phase, Duration::from_millis(elapsed_ms), is_call), admitted);
+    assert_eq!(TERMS.admits_request(phase, Duration::from_millis(elapsed_ms), is_call), admitted);
 }
 
 #[test_case(StopPhase::Open, 9000, true ; "open")]
@@ -71,7 +71,7 @@
     ends_ms: u64,
     started: bool,
 ) {
-    assert_eq!(TERMS.starts(phase, Duration::from_millis(ends_ms)), started);
+    assert_eq!(TERMS.allows_start(phase, Duration::from_millis(ends_ms)), started);
 }
 
 #[test_case(5700, 2199, 2200, 2600 ; "time for both")]
