--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -230,8 +230,8 @@
     }
 
     /// Takes in that the host slept: nobody was heard meanwhile, and what was asked says nothing.
-    pub fn note_slept(&self, now: Duration) {
-        self.health.borrow_mut().note_slept(now);
+    pub fn note_resumed(&self, now: Duration) {
+        self.health.borrow_mut().note_resumed(now);
     }
 
     /// Takes in that a frame came over the link.
--- a/crates/daemon/src/host/calls.rs
+++ b/crates/daemon/src/host/calls.rs
@@ -39,7 +39,7 @@
     }
 
     /// Records that a nested call got no successful response.
-    pub fn note_lost(&self) {
+    pub fn note_failed_call(&self) {
         self.failed.set(true);
     }
 }
@@ -71,7 +71,7 @@
 
     /// Returns the parent request of the nested call with this id, if it runs here, and records the
     /// call.
-    pub fn caller_of(&self, call: &str) -> Option<Rc<NestedCalls>> {
+    pub fn parent_of(&self, call: &str) -> Option<Rc<NestedCalls>> {
         let (request, _) = call.rsplit_once(CALL_SEPARATOR)?;
         let calls = self.running.borrow().get(request).cloned()?;
         calls.made.set(true);
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -9,10 +9,10 @@
 pub mod backend;
 pub mod calls;
 pub mod exchange;
-pub mod places;
 pub mod relay;
+pub mod reservations;
 pub mod sending;
-pub mod trail;
+pub mod trace;
 pub mod upstream;
 pub mod verify;
 pub mod watch;
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -168,7 +168,7 @@
     /// Handles the resume of the host from a suspend: the age of running requests is no evidence of
     /// a hang, idle connections may have been closed long ago, and waiting requests that can no
     /// longer meet their deadline are refused now.
-    pub fn note_slept(&self) {
+    pub fn note_resumed(&self) {
         self.health.borrow_mut().forget_running();
         self.pool.clear();
         self.slots.refuse_expired();
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -12,7 +12,7 @@
 use crate::host::calls::NestedCalls;
 use crate::host::exchange::HostAttempt;
 use crate::host::relay::AttemptProgress;
-use crate::host::trail;
+use crate::host::trace;
 
 /// `AttemptWatch` watches whether a request runs for too long.
 pub struct AttemptWatch<'a> {
@@ -28,7 +28,7 @@
     /// Starts to watch a request that is about to be sent.
     pub fn start(attempt: &'a HostAttempt<'a>, progress: &'a AttemptProgress) -> Self {
         let now = attempt.state.now();
-        let request = trail::request_id(attempt.state, attempt.head);
+        let request = trace::request_id(attempt.state, attempt.head);
         let organisation = attempt.head.organisation.as_deref();
         let calls = attempt.state.host.calls.begin(&request, attempt.head.repeated, organisation);
         let usual = attempt.usual_time();
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -191,7 +191,7 @@
     /// hosts that let such calls go first.
     fn is_call(&self) -> Option<bool> {
         let is_sent = self.state.live().waiting == WaitingMode::Places;
-        is_sent.then(|| self.state.host.calls.caller_of(&self.request.trail.id).is_some())
+        is_sent.then(|| self.state.host.calls.parent_of(&self.request.trail.id).is_some())
     }
 
     /// Builds the baseline of the service for the host's daemon. What the other upstreams saw of
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -197,13 +197,13 @@
 ) -> AfterRequest {
     let began = state.now();
     request.service.note_request(began);
-    let caller = state.host.calls.caller_of(&request.trail.id);
+    let caller = state.host.calls.parent_of(&request.trail.id);
     if caller.as_ref().is_some_and(|caller| caller.repeated) {
         request.service.note_retried(began);
     }
-    let note_lost = || {
+    let note_failed_call = || {
         if let Some(caller) = &caller {
-            caller.note_lost();
+            caller.note_failed_call();
         }
     };
     let record = |outcome: &str| {
@@ -215,7 +215,7 @@
         AttemptEnd::Answer(mut exchange, head) => {
             let whole = body.is_done();
             if wire::is_server_error(head.status as u16) {
-                note_lost();
+                note_failed_call();
             }
             let after = answer::relay(state, stream, request, body, &mut exchange, head).await;
             record(if after == AfterRequest::Abort { "cut-short" } else { "complete" });
@@ -225,7 +225,7 @@
             }
         }
         AttemptEnd::Failed(failure) => {
-            note_lost();
+            note_failed_call();
             if let FailureOutcome::NotRun(_) = failure.outcome {
                 limits::give_back(state, &state.config.active(), request.limit_subject());
             }
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -64,7 +64,7 @@
     let route = find_route(active, query.head, query.host)?;
     let given = GivenKey::of(&query.head.headers, &state.fields.api_key);
     let parent = match given {
-        GivenKey::Missing => state.host.calls.caller_of(query.id),
+        GivenKey::Missing => state.host.calls.parent_of(query.id),
         _ => None,
     };
     let caller = match parent {
--- a/crates/daemon/src/resume.rs
+++ b/crates/daemon/src/resume.rs
@@ -31,10 +31,10 @@
     metrics::WAKES.add_one();
     let now = state.now();
     for path in state.peers.linked() {
-        path.note_slept(now);
+        path.note_resumed(now);
     }
     for upstream in state.host.all() {
-        upstream.note_slept();
+        upstream.note_resumed();
     }
     // The replies report which revision is in force now, and carry the digest of the suspects.
     membership::send_heartbeats(state, HeartbeatContent::Own);
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -145,7 +145,7 @@
         None => return true,
     };
     let elapsed = state.now().saturating_sub(begin.at);
-    let is_call = state.host.calls.caller_of(request).is_some();
+    let is_call = state.host.calls.parent_of(request).is_some();
     begin.terms.admits_request(state.stop.phase.get(), elapsed, is_call)
 }
 
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -121,7 +121,7 @@
 
     /// Records that the host was suspended: until the peer answers, the path is not known to work,
     /// and a probe from before the suspension measures nothing.
-    pub fn note_slept(&mut self, now: Duration) {
+    pub fn note_resumed(&mut self, now: Duration) {
         self.probed_at = None;
         self.note_cut(now);
     }
