--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -15,7 +15,7 @@
 
 use crate::config_sync;
 use crate::freshness;
-use crate::ingress::look;
+use crate::ingress::load_probe;
 use crate::limit_owners;
 use crate::membership;
 use crate::roster;
@@ -39,7 +39,7 @@
             limit_owners::answer_request(state, sender, &peer.host, &request);
         }
         FrameBody::GrantReply(reply) => state.limits.handle_reply(&reply),
-        FrameBody::LoadQuestion(question) => look::answer_question(state, sender, &question),
+        FrameBody::LoadQuestion(question) => load_probe::answer_question(state, sender, &question),
         FrameBody::LoadAnswer(answer) => state.pending_probes.take(answer),
         FrameBody::Withdraw(note) => state.host.withdraw_failure(&note.upstream, &note.route),
         FrameBody::RowsRequest(request) => rows::answer_request(state, sender, peer, &request),
--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -21,7 +21,7 @@
 use crate::ingress::caller::{AfterRequest, WRITE_TIMEOUT};
 use crate::ingress::dispatch::LiveExchange;
 use crate::ingress::request::CallerRequest;
-use crate::ingress::trail;
+use crate::ingress::trace;
 use crate::state::DaemonState;
 
 /// Most bytes of an answer of unknown length that are buffered for an HTTP/1.0 caller, which could
@@ -69,7 +69,7 @@
         Ok(close) => {
             live.exchange.finish();
             metrics::COMPLETE.add_one();
-            trail::log_answered(state, request, status);
+            trace::log_answered(state, request, status);
             if close {
                 AfterRequest::Close
             } else {
@@ -78,7 +78,7 @@
         }
         // The caller sees the connection close before the end of the answer.
         Err(error) => {
-            trail::log_cut(state, request, &error);
+            trace::log_cut(state, request, &error);
             AfterRequest::Abort
         }
     }
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -24,11 +24,11 @@
 
 use crate::ingress::dispatch::{DispatchEnd, LiveExchange, DISPATCHES_MAX};
 use crate::ingress::failure::CallerFailure;
-use crate::ingress::late::{SlowAttempt, SlowAttempts};
-use crate::ingress::look::{self as ingress_probe, ProbedUpstream};
-use crate::ingress::places::SlotEnd;
+use crate::ingress::load_probe::{self as ingress_probe, ProbedUpstream};
 use crate::ingress::request::CallerRequest;
-use crate::ingress::trail::{self, NextStep, StepEnd, StepLoad, TraceStep};
+use crate::ingress::reservations::SlotEnd;
+use crate::ingress::slow_attempts::{SlowAttempt, SlowAttempts};
+use crate::ingress::trace::{self, NextStep, StepEnd, StepLoad, TraceStep};
 use crate::ingress::waiting::{self, FirstEvent};
 use crate::state::DaemonState;
 use crate::stop;
@@ -162,7 +162,7 @@
                 if let Some((live, head)) = fallback {
                     return AttemptEnd::Answer(live, head);
                 }
-                trail::log_given_up(state, request);
+                trace::log_given_up(state, request);
                 return AttemptEnd::Failed(CallerFailure::new(outcome));
             }
             FirstEvent::Head(head) => {
@@ -256,12 +256,12 @@
 impl RequestAttempts<'_> {
     /// Counts an attempt and logs the choice of its upstream.
     fn log_start(&mut self, choice: &UpstreamChoice) -> AttemptStart {
-        let attempts = &self.request.trail.attempts;
+        let attempts = &self.request.trace.attempts;
         attempts.set(attempts.get() + 1);
         let attempt = attempts.get() as usize;
         let passable = self.is_passable();
         let step = TraceStep::Chosen { attempt, choice: *choice, passable };
-        trail::note(self.state, self.request, step);
+        trace::note(self.state, self.request, step);
         AttemptStart { attempt, index: choice.index, began: self.state.now() }
     }
 
@@ -269,7 +269,7 @@
     fn log_end(&self, start: &AttemptStart, end: StepEnd, load: Option<StepLoad>, next: NextStep) {
         let AttemptStart { attempt, index, began } = *start;
         let step = TraceStep::Ended { attempt, index, end, began, load, next };
-        trail::note(self.state, self.request, step);
+        trace::note(self.state, self.request, step);
     }
 
     /// Ends with the successful answer of a slow attempt.
@@ -445,7 +445,7 @@
             CopyVerdict::Serve => Ok(()),
             CopyVerdict::Trial => {
                 self.is_crash_trial = true;
-                trail::log_trial(self.state, self.request);
+                trace::log_trial(self.state, self.request);
                 Ok(())
             }
             CopyVerdict::Refuse { retry_after } => Err(CallerFailure {
@@ -459,7 +459,7 @@
     /// first dispatch the admission is checked again, because reading the body took time.
     pub fn may_dispatch(&self) -> bool {
         if self.dispatches + self.decline_count == 0 {
-            return stop::admits_request(self.state, &self.request.trail.id);
+            return stop::admits_request(self.state, &self.request.trace.id);
         }
         !self.state.stop.giving_up.is_raised()
     }
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -25,7 +25,7 @@
 use monoio::net::{TcpListener, TcpStream};
 
 use crate::ingress::failure::CallerFailure;
-use crate::ingress::{request, trail};
+use crate::ingress::{request, trace};
 use crate::state::DaemonState;
 use crate::stop;
 
@@ -115,7 +115,7 @@
             Err(error) => {
                 if let Some(failure) = CallerFailure::unreadable(&error) {
                     metrics::count_failure(failure.outcome);
-                    trail::log_rejected(state, "", &failure);
+                    trace::log_rejected(state, "", &failure);
                     refuse(&mut stream, &failure).await;
                 }
                 return;
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -167,7 +167,7 @@
             refusable: choice.refusable,
             work_class: wire::class_number(request.class()),
             work_mode: wire::mode_number(self.dispatch_mode()),
-            attempt: self.request.trail.attempts.get() as i8,
+            attempt: self.request.trace.attempts.get() as i8,
             content_length: request.framing.wire_length(),
             body: request.prefix.to_vec(),
             last: body_is_done,
@@ -178,7 +178,7 @@
             after_failure: self.exempts_failure(),
             passable: choice.ground != ChoiceGround::Waiting && self.is_passable(),
             objective_ms: self.objective_left().as_millis().min(i32::MAX as u128) as i32,
-            logged: Some(self.request.trail.is_logged),
+            logged: Some(self.request.trace.is_logged),
             repeated: self.server_attempts > 0,
             fingerprint: None,
             tally: self.request.tally(self.state).map(wire::tally_note),
@@ -191,7 +191,7 @@
     /// hosts that let such calls go first.
     fn is_call(&self) -> Option<bool> {
         let is_sent = self.state.live().waiting == WaitingMode::Places;
-        is_sent.then(|| self.state.host.calls.parent_of(&self.request.trail.id).is_some())
+        is_sent.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
     }
 
     /// Builds the baseline of the service for the host's daemon. What the other upstreams saw of
--- a/crates/daemon/src/ingress/look.rs
+++ b/crates/daemon/src/ingress/load_probe.rs
@@ -20,14 +20,14 @@
 use crate::ingress::request::CallerRequest;
 use crate::state::DaemonState;
 
-/// `LookBoard` holds the load probes that have no answer yet.
+/// `PendingProbes` holds the load probes that have no answer yet.
 #[derive(Default)]
-pub struct LookBoard {
+pub struct PendingProbes {
     waiting: RefCell<FnvHashMap<i64, oneshot::Sender<Option<LoadReport>>>>,
     sequence: Cell<i64>,
 }
 
-impl LookBoard {
+impl PendingProbes {
     /// Delivers an answer to the probe that waits for it.
     pub fn take(&self, answer: LoadAnswer) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&answer.sequence) {
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -32,7 +32,7 @@
 use crate::ingress::caller_key::CallerIdentity;
 use crate::ingress::failure::CallerFailure;
 use crate::ingress::target::{self, RequestTarget, TargetQuery};
-use crate::ingress::trail::{self, RequestTrace};
+use crate::ingress::trace::{self, RequestTrace};
 use crate::limits::{self, LimitSubject};
 use crate::services::ServiceState;
 use crate::state::DaemonState;
@@ -78,7 +78,7 @@
     /// Whether the connection ends after it.
     pub close: bool,
     /// Its trace.
-    pub trail: RequestTrace,
+    pub trace: RequestTrace,
     fingerprint: OnceCell<RequestFingerprint>,
 }
 
@@ -154,7 +154,7 @@
     let mut request = match admitted {
         Ok(request) => request,
         Err(failure) => {
-            trail::log_rejected(state, id, &failure);
+            trace::log_rejected(state, id, &failure);
             // An unread body would be parsed as the next request.
             let close = close || framing != BodyFraming::Empty;
             return refuse(stream, &method, &failure, close).await;
@@ -175,15 +175,15 @@
         }
         Err(PrefixFault::Refused) => {
             let failure = CallerFailure::not_run(NotRunReason::Draining);
-            trail::log_rejected(state, id, &failure);
+            trace::log_rejected(state, id, &failure);
             return refuse(stream, &method, &failure, true).await;
         }
     }
-    trail::log_received(state, &request);
+    trace::log_received(state, &request);
     if request.once_key.is_some() && !body.is_done() {
         let message = "once-only work with a key has a body of at most 65536 bytes";
         let failure = CallerFailure::bad_request(StatusCode::PAYLOAD_TOO_LARGE, message);
-        trail::log_rejected(state, id, &failure);
+        trace::log_rejected(state, id, &failure);
         return refuse(stream, &method, &failure, true).await;
     }
     finish(state, stream, &request, &mut body).await
@@ -197,7 +197,7 @@
 ) -> AfterRequest {
     let began = state.now();
     request.service.note_request(began);
-    let caller = state.host.calls.parent_of(&request.trail.id);
+    let caller = state.host.calls.parent_of(&request.trace.id);
     if caller.as_ref().is_some_and(|caller| caller.repeated) {
         request.service.note_retried(began);
     }
@@ -229,13 +229,13 @@
             if let FailureOutcome::NotRun(_) = failure.outcome {
                 limits::give_back(state, &state.config.active(), request.limit_subject());
             }
-            trail::log_failed(state, request, &failure);
+            trace::log_failed(state, request, &failure);
             record(failure.outcome.header_value());
             let close = request.close || !body.is_done();
             refuse(stream, &request.method, &failure, close).await
         }
         AttemptEnd::CallerGone => {
-            trail::log_caller_gone(state, request);
+            trace::log_caller_gone(state, request);
             record("caller-gone");
             AfterRequest::Abort
         }
@@ -251,7 +251,7 @@
 ) -> AfterRequest {
     match CallerFailure::unreadable(error) {
         Some(failure) => {
-            trail::log_rejected(state, id, &failure);
+            trace::log_rejected(state, id, &failure);
             refuse(stream, method, &failure, true).await
         }
         None => AfterRequest::Abort,
@@ -387,7 +387,7 @@
         framing,
         prefix: Bytes::new(),
         close,
-        trail: RequestTrace::start(state, id.to_owned()),
+        trace: RequestTrace::start(state, id.to_owned()),
         fingerprint: OnceCell::new(),
     })
 }
--- a/crates/daemon/src/ingress/places.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -30,7 +30,7 @@
 use crate::ingress::attempt::RequestAttempts;
 use crate::ingress::dispatch::LiveExchange;
 use crate::ingress::failure::CallerFailure;
-use crate::ingress::trail::{self, TraceStep};
+use crate::ingress::trace::{self, TraceStep};
 use crate::ingress::waiting;
 use crate::links;
 
@@ -101,9 +101,9 @@
         let result = failure.map_or("called-in", |_| "refused");
         let waited = self.state.now().saturating_sub(began);
         metrics::PLACE_WAIT_SECONDS.record_as(waited, [("result", result)]);
-        let attempt = self.request.trail.attempts.get() as usize + 1;
+        let attempt = self.request.trace.attempts.get() as usize + 1;
         let hosts_asked = set.tries();
-        trail::note(
+        trace::note(
             self.state,
             self.request,
             TraceStep::Awaited { attempt, began, hosts_asked, failure },
@@ -144,12 +144,12 @@
                 WaitStep::GiveUp(reason) => {
                     return SlotEnd::Failed(CallerFailure::not_run(reason));
                 }
-                WaitStep::Reply(place, ReservationReply::SlotOffered) => {
-                    return self.send_offered(place, body_is_done);
+                WaitStep::Reply(reservation, ReservationReply::SlotOffered) => {
+                    return self.send_offered(reservation, body_is_done);
                 }
-                WaitStep::Reply(place, ReservationReply::Refused(failure)) => {
-                    let index = place.index;
-                    let reason = self.note_refused(place, &failure);
+                WaitStep::Reply(reservation, ReservationReply::Refused(failure)) => {
+                    let index = reservation.index;
+                    let reason = self.note_refused(reservation, &failure);
                     match reason {
                         // They are not excluded: if a slot is offered elsewhere and the request
                         // fails there, these may have room by then.
@@ -252,7 +252,7 @@
     fn reservation_head(&self, index: usize) -> DispatchHead {
         let now = self.state.now();
         let choice = self.request.service.with_view(|view| view.offered_choice(index, now));
-        let attempt = self.request.trail.attempts.get() as i8 + 1;
+        let attempt = self.request.trace.attempts.get() as i8 + 1;
         DispatchHead {
             method: String::new(),
             target: String::new(),
@@ -286,7 +286,7 @@
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
         let mut gone = std::pin::pin!(waiting::caller_gone(stream).fuse());
         select_biased! {
-            (place, reply) = reply => WaitStep::Reply(place, reply),
+            (reservation, reply) = reply => WaitStep::Reply(reservation, reply),
             () = stopping => WaitStep::GiveUp(NotRunReason::Draining),
             () = wait_over => WaitStep::GiveUp(NotRunReason::QueueFull),
             () = deadline_passed => WaitStep::GiveUp(NotRunReason::DeadlinePassed),
@@ -298,12 +298,12 @@
     /// Records that a host refused or ended a reservation, and returns why.
     fn note_refused(
         &mut self,
-        mut place: HeldReservation<OutboundExchange>,
+        mut reservation: HeldReservation<OutboundExchange>,
         failure: &ExchangeFailure,
     ) -> NotRunReason {
-        place.handle.finish();
+        reservation.handle.finish();
         if let Some(report) = &failure.report {
-            self.note_report(place.index, report, None);
+            self.note_report(reservation.index, report, None);
         }
         let reason = match FailureOutcome::from_wire(failure.outcome) {
             FailureOutcome::NotRun(reason) => reason,
@@ -317,7 +317,7 @@
     /// Sends the request to the host that offered it a slot, unless it may not be sent any more.
     fn send_offered(
         &mut self,
-        place: HeldReservation<OutboundExchange>,
+        reservation: HeldReservation<OutboundExchange>,
         body_is_done: bool,
     ) -> SlotEnd {
         if !self.may_dispatch() {
@@ -326,7 +326,7 @@
         if let Err(failure) = self.refuse_revoked_key().and_then(|()| self.refuse_suspect()) {
             return SlotEnd::Failed(failure);
         }
-        let HeldReservation { index, handle: exchange } = place;
+        let HeldReservation { index, handle: exchange } = reservation;
         self.note_dispatch();
         let now = self.state.now();
         let service = &self.request.service;
--- a/crates/daemon/src/ingress/trail.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -260,16 +260,16 @@
 
 /// Logs that a request was admitted.
 pub fn log_received(state: &DaemonState, request: &CallerRequest) {
-    if request.trail.is_logged {
+    if request.trace.is_logged {
         write_received(state, request);
     }
 }
 
 fn write_received(state: &DaemonState, request: &CallerRequest) {
-    let trail = &request.trail;
-    let until = |at: Duration| millis(at.saturating_sub(trail.began));
+    let trace = &request.trace;
+    let until = |at: Duration| millis(at.saturating_sub(trace.began));
     RequestReceived {
-        request: &trail.id,
+        request: &trace.id,
         method: request.method.as_str(),
         fingerprint: &request.fingerprint(state).to_string(),
         route: &request.route.name,
@@ -304,10 +304,10 @@
 /// Logs a step, or buffers it.
 pub fn note(state: &DaemonState, request: &CallerRequest, step: TraceStep) {
     let step = TimedStep { at: state.now(), step };
-    if request.trail.is_logged {
+    if request.trace.is_logged {
         return write_step(request, &step);
     }
-    let mut steps = request.trail.steps.borrow_mut();
+    let mut steps = request.trace.steps.borrow_mut();
     if steps.len() < STEPS_MAX {
         steps.push(step);
     }
@@ -319,8 +319,8 @@
             write_chosen(request, timed.at, attempt, &choice, passable);
         }
         TraceStep::Awaited { attempt, began, hosts_asked, failure } => SlotAwaited {
-            request: &request.trail.id,
-            at_ms: request.trail.at_ms(timed.at),
+            request: &request.trace.id,
+            at_ms: request.trace.at_ms(timed.at),
             attempt: attempt as u64,
             waited_ms: millis(timed.at.saturating_sub(began)),
             places: hosts_asked as u64,
@@ -330,8 +330,8 @@
         TraceStep::Ended { attempt, index, end, began, load, next } => {
             let (outcome, status) = end.texts();
             AttemptEnded {
-                request: &request.trail.id,
-                at_ms: request.trail.at_ms(timed.at),
+                request: &request.trace.id,
+                at_ms: request.trace.at_ms(timed.at),
                 attempt: attempt as u64,
                 upstream: &request.service.entry.upstreams[index].name,
                 outcome,
@@ -357,8 +357,8 @@
     let upstreams = &request.service.entry.upstreams;
     let chosen = &upstreams[choice.index];
     UpstreamChosen {
-        request: &request.trail.id,
-        at_ms: request.trail.at_ms(at),
+        request: &request.trace.id,
+        at_ms: request.trace.at_ms(at),
         attempt: attempt as u64,
         upstream: &chosen.name,
         host: &chosen.server.host,
@@ -379,18 +379,18 @@
     let should_log = if wire::is_server_error(status) {
         write_buffered(state, request)
     } else {
-        request.trail.is_logged
+        request.trace.is_logged
     };
     if !should_log {
         return;
     }
     let now = state.now();
     RequestAnswered {
-        request: &request.trail.id,
-        at_ms: request.trail.at_ms(now),
+        request: &request.trace.id,
+        at_ms: request.trace.at_ms(now),
         route: &request.route.name,
         status: status.into(),
-        attempts: request.trail.attempts.get(),
+        attempts: request.trace.attempts.get(),
         late: request.objective.is_some_and(|objective| now > objective),
     }
     .log();
@@ -403,8 +403,8 @@
     }
     let now = state.now();
     RequestFailed {
-        request: &request.trail.id,
-        at_ms: request.trail.at_ms(now),
+        request: &request.trace.id,
+        at_ms: request.trace.at_ms(now),
         route: &request.route.name,
         service: &request.service.entry.name,
         outcome: failure.outcome.header_value(),
@@ -413,7 +413,7 @@
         left_ms: millis(request.deadline.saturating_sub(now)),
         retry_after_ms: failure.retry_after.map(millis),
         failed_servers: request.failed_servers(now) as u64,
-        attempts: request.trail.attempts.get(),
+        attempts: request.trace.attempts.get(),
         revision: state.config.revision().0,
     }
     .log();
@@ -422,17 +422,17 @@
 /// Logs that a request that is refused fleet-wide is served as a trial.
 pub fn log_trial(state: &DaemonState, request: &CallerRequest) {
     let fingerprint = &request.fingerprint(state).to_string();
-    RefusedTried { request: &request.trail.id, fingerprint }.log();
+    RefusedTried { request: &request.trace.id, fingerprint }.log();
 }
 
 /// Logs that the daemon ends before the answer came.
 pub fn log_given_up(state: &DaemonState, request: &CallerRequest) {
-    let trail = &request.trail;
+    let trace = &request.trace;
     RequestGivenUp {
-        request: &trail.id,
-        at_ms: trail.at_ms(state.now()),
+        request: &trace.id,
+        at_ms: trace.at_ms(state.now()),
         route: &request.route.name,
-        came_ms: state.stop.asked_at().map_or(0, |asked| millis(trail.began.saturating_sub(asked))),
+        came_ms: state.stop.asked_at().map_or(0, |asked| millis(trace.began.saturating_sub(asked))),
     }
     .log();
 }
@@ -443,10 +443,10 @@
         return;
     }
     CallerGone {
-        request: &request.trail.id,
-        at_ms: request.trail.at_ms(state.now()),
+        request: &request.trace.id,
+        at_ms: request.trace.at_ms(state.now()),
         route: &request.route.name,
-        attempts: request.trail.attempts.get(),
+        attempts: request.trace.attempts.get(),
     }
     .log();
 }
@@ -457,8 +457,8 @@
         return;
     }
     AnswerCut {
-        request: &request.trail.id,
-        at_ms: request.trail.at_ms(state.now()),
+        request: &request.trace.id,
+        at_ms: request.trace.at_ms(state.now()),
         route: &request.route.name,
         error: &error.to_string(),
     }
@@ -468,14 +468,14 @@
 /// Writes the buffered steps of a request that did not succeed; says whether its end is to be
 /// logged too.
 fn write_buffered(state: &DaemonState, request: &CallerRequest) -> bool {
-    if request.trail.is_logged {
+    if request.trace.is_logged {
         return true;
     }
     if !state.log_budget.takes_failure(state.now()) {
         return false;
     }
     write_received(state, request);
-    for step in request.trail.steps.borrow().iter() {
+    for step in request.trace.steps.borrow().iter() {
         write_step(request, step);
     }
     true
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -17,8 +17,8 @@
 use futures_util::{select_biased, FutureExt};
 
 use crate::ingress::dispatch::LiveExchange;
-use crate::ingress::late::{SlowAttempt, SlowAttempts};
 use crate::ingress::request::CallerRequest;
+use crate::ingress::slow_attempts::{SlowAttempt, SlowAttempts};
 use crate::state::DaemonState;
 
 /// Time that the answer may take beyond the deadline: the host's daemon enforces the deadline by
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -20,7 +20,7 @@
 use crate::document;
 use crate::errors::DaemonError;
 use crate::ingress::caller;
-use crate::ingress::trail;
+use crate::ingress::trace;
 use crate::links;
 use crate::membership;
 use crate::registration;
@@ -167,7 +167,7 @@
             monoio::spawn(document::follow(state.clone()));
         }
     }
-    monoio::spawn(trail::report_losses(state.clone()));
+    monoio::spawn(trace::report_losses(state.clone()));
     monoio::spawn(services::forget_idle(state.clone()));
     monoio::spawn(suspects::forget(state.clone()));
     monoio::spawn(resume::watch(state.clone()));
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -25,8 +25,8 @@
 use crate::document::DocumentCell;
 use crate::freshness::FreshnessTracker;
 use crate::host::HostRole;
-use crate::ingress::look::LookBoard;
-use crate::ingress::trail::LogBudget;
+use crate::ingress::load_probe::PendingProbes;
+use crate::ingress::trace::LogBudget;
 use crate::limits::RateLimiter;
 use crate::membership::MemberTable;
 use crate::parts::SnapshotParts;
@@ -73,7 +73,7 @@
     /// The backend servers of this host.
     pub host: HostRole,
     /// Load probes of upstreams that are not answered yet.
-    pub pending_probes: LookBoard,
+    pub pending_probes: PendingProbes,
     /// Rate limits.
     pub limits: RateLimiter,
     /// Accepted changes of the configuration in the platform's table.
@@ -129,7 +129,7 @@
             snapshots: SnapshotParts::default(),
             members: MemberTable::default(),
             host: HostRole::default(),
-            pending_probes: LookBoard::default(),
+            pending_probes: PendingProbes::default(),
             limits: RateLimiter::default(),
             changes: ChangeStore::new(platform.clone()),
             ledger: OnceLedger::new(platform.clone()),
