--- a/crates/peer/src/coding.rs
+++ b/crates/peer/src/coding.rs
@@ -1,97 +1,99 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Compression of the bytes of a link between failure domains.
+//! Compression of links between failure domains.
 //!
-//! Most of what goes over a link was said before: names of services, routes and hosts, header fields,
-//! reports. Each side keeps the last bytes of each direction, and what stands there is said again in
-//! three bytes (LZ4 with a dictionary). A link keeps 32 KiB for it. Gained on a deployment of 30 hosts:
-//! a third of all bytes between failure domains. DEFLATE streams saved 3 in 100 more, but trebled the
-//! daemons' memory (15.9 in place of 5.5 GB seconds over a day of 32 hosts).
+//! Most of the data on a link repeats: names of services, routes and hosts, header fields, load
+//! reports. Each side keeps the last bytes of each direction as a dictionary for LZ4, which encodes
+//! a repeated sequence in three bytes. The dictionaries take 32 KiB per link. This saves a third of
+//! all bytes between failure domains in a deployment of 30 hosts. DEFLATE streams save 3 in 100
+//! more, but treble the memory of the daemons (15.9 instead of 5.5 GB seconds over a day of 32
+//! hosts).
 
 use bytes::{Buf, BufMut, BytesMut};
 use lz4_flex::block;
 
 use crate::errors::{self, LinkError};
 
-/// Bytes that are looked back at: the heads of some forty requests.
+/// Size of the dictionary in bytes: the heads of some forty requests.
 const HISTORY_BYTES: usize = 16 * 1024;
-/// Most bytes that are coded as one piece: the other side makes room for as many at once.
-const PIECE_BYTES_MAX: usize = 64 * 1024;
-/// Most bytes of a coded piece: LZ4 makes one that can't be shortened longer by a 255th.
-const CODED_BYTES_MAX: usize = PIECE_BYTES_MAX + PIECE_BYTES_MAX / 128;
-/// Bytes of a length before a piece: of the coded bytes, then of the plain ones.
+/// Maximum plain bytes of a block: the other side allocates as many at once.
+const BLOCK_BYTES_MAX: usize = 64 * 1024;
+/// Maximum compressed bytes of a block: LZ4 expands incompressible data by one part in 255.
+const COMPRESSED_BYTES_MAX: usize = BLOCK_BYTES_MAX + BLOCK_BYTES_MAX / 128;
+/// Bytes of each of the two lengths before a block: compressed, then plain.
 const LENGTH_BYTES: usize = 3;
 
-/// `LinkHistory` is what went over a link lately in one direction.
+/// `LinkHistory` holds the last plain bytes of one direction of a link, which are the dictionary.
 #[derive(Debug, Default)]
 struct LinkHistory {
     bytes: Vec<u8>,
 }
 
 impl LinkHistory {
-    fn push(&mut self, piece: &[u8]) {
-        let kept = piece.len().min(HISTORY_BYTES);
+    fn push(&mut self, plain: &[u8]) {
+        let kept = plain.len().min(HISTORY_BYTES);
         let surplus = (self.bytes.len() + kept).saturating_sub(HISTORY_BYTES);
         self.bytes.drain(..surplus);
-        self.bytes.extend_from_slice(&piece[piece.len() - kept..]);
+        self.bytes.extend_from_slice(&plain[plain.len() - kept..]);
     }
 }
 
-/// `LinkEncoder` compresses what goes over a link.
+/// `LinkEncoder` compresses one direction of a link.
 #[derive(Debug, Default)]
 pub struct LinkEncoder {
     history: LinkHistory,
 }
 
 impl LinkEncoder {
-    /// Writes a batch behind `coded`, to its last byte.
-    pub fn encode(&mut self, batch: &[u8], coded: &mut Vec<u8>) {
-        for piece in batch.chunks(PIECE_BYTES_MAX) {
-            let shortened = block::compress_with_dict(piece, &self.history.bytes);
-            coded.put_uint(shortened.len() as u64, LENGTH_BYTES);
-            coded.put_uint(piece.len() as u64, LENGTH_BYTES);
-            coded.extend_from_slice(&shortened);
-            self.history.push(piece);
+    /// Appends a compressed batch to `output`. The batch is flushed: the other side can decode it
+    /// whole without bytes of the next one.
+    pub fn encode(&mut self, batch: &[u8], output: &mut Vec<u8>) {
+        for plain in batch.chunks(BLOCK_BYTES_MAX) {
+            let compressed = block::compress_with_dict(plain, &self.history.bytes);
+            output.put_uint(compressed.len() as u64, LENGTH_BYTES);
+            output.put_uint(plain.len() as u64, LENGTH_BYTES);
+            output.extend_from_slice(&compressed);
+            self.history.push(plain);
         }
     }
 }
 
-/// `LinkDecoder` restores what came over a link.
+/// `LinkDecoder` decompresses one direction of a link.
 #[derive(Debug, Default)]
 pub struct LinkDecoder {
     history: LinkHistory,
-    coded: BytesMut,
+    input: BytesMut,
 }
 
 impl LinkDecoder {
-    /// Takes coded bytes in.
-    pub fn take(&mut self, coded: &[u8]) {
-        self.coded.extend_from_slice(coded);
+    /// Adds compressed bytes that were received.
+    pub fn feed(&mut self, received: &[u8]) {
+        self.input.extend_from_slice(received);
     }
 
-    /// Writes the next piece behind `plain`, if it is there as a whole; says whether it was. Fails if
-    /// the bytes are none that an encoder wrote.
-    pub fn decode(&mut self, plain: &mut BytesMut) -> Result<bool, LinkError> {
-        if self.coded.len() < 2 * LENGTH_BYTES {
+    /// Appends the next block, decompressed, to `output`; returns false if it is still incomplete.
+    /// Fails if the bytes are not the output of a [`LinkEncoder`].
+    pub fn decode(&mut self, output: &mut BytesMut) -> Result<bool, LinkError> {
+        if self.input.len() < 2 * LENGTH_BYTES {
             return Ok(false);
         }
-        let mut head = &self.coded[..2 * LENGTH_BYTES];
-        let coded_bytes = head.get_uint(LENGTH_BYTES) as usize;
+        let mut head = &self.input[..2 * LENGTH_BYTES];
+        let compressed_bytes = head.get_uint(LENGTH_BYTES) as usize;
         let plain_bytes = head.get_uint(LENGTH_BYTES) as usize;
-        if coded_bytes > CODED_BYTES_MAX || plain_bytes > PIECE_BYTES_MAX {
-            let message = format!("a piece of {coded_bytes} bytes for {plain_bytes}");
+        if compressed_bytes > COMPRESSED_BYTES_MAX || plain_bytes > BLOCK_BYTES_MAX {
+            let message = format!("block of {compressed_bytes} bytes, {plain_bytes} plain");
             return Err(errors::malformed(message));
         }
-        if self.coded.len() < 2 * LENGTH_BYTES + coded_bytes {
+        if self.input.len() < 2 * LENGTH_BYTES + compressed_bytes {
             return Ok(false);
         }
-        self.coded.advance(2 * LENGTH_BYTES);
-        let coded = self.coded.split_to(coded_bytes);
-        let piece = block::decompress_with_dict(&coded, plain_bytes, &self.history.bytes);
-        let piece = piece.map_err(errors::malformed)?;
-        self.history.push(&piece);
-        plain.extend_from_slice(&piece);
+        self.input.advance(2 * LENGTH_BYTES);
+        let compressed = self.input.split_to(compressed_bytes);
+        let plain = block::decompress_with_dict(&compressed, plain_bytes, &self.history.bytes);
+        let plain = plain.map_err(errors::malformed)?;
+        self.history.push(&plain);
+        output.extend_from_slice(&plain);
         Ok(true)
     }
 }
--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -7,14 +7,14 @@
 
 use snafu::Snafu;
 
-/// `LinkError` says why a peer link could not be made or ended.
+/// `LinkError` says why a peer link could not be established or why it ended.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum LinkError {
     /// The connection failed.
-    #[snafu(display("peer connection: {source}"))]
+    #[snafu(display("peer connection failed: {source}"))]
     Broken {
-        /// What the system reported.
+        /// Error that the operating system reported.
         source: io::Error,
     },
     /// The other side closed the connection.
@@ -28,20 +28,20 @@
         /// Longest length allowed.
         allowed: usize,
     },
-    /// A frame can't be read.
-    #[snafu(display("peer frame can't be read: {message}"))]
+    /// A frame could not be decoded.
+    #[snafu(display("peer frame could not be decoded: {message}"))]
     Malformed {
-        /// What the codec reported.
+        /// Error that the codec reported.
         message: String,
     },
-    /// A frame came that this side does not expect now.
+    /// A frame arrived that is not valid at this point of the protocol.
     #[snafu(display("peer sent an unexpected {frame} frame"))]
     Unexpected {
         /// Name of the frame.
         frame: &'static str,
     },
-    /// Another host listens at the address.
-    #[snafu(display("host {host} is at this address now"))]
+    /// Another host than the expected one answered at the address.
+    #[snafu(display("another host answered at this address: {host}"))]
     OtherHost {
         /// Host that answered.
         host: String,
@@ -53,20 +53,20 @@
         host: String,
     },
     /// The other side speaks another version of the protocol.
-    #[snafu(display("peer speaks protocol version {theirs}; here: {ours}"))]
+    #[snafu(display("peer speaks protocol version {theirs}; this daemon speaks {ours}"))]
     WrongVersion {
         /// Version of the other side.
         theirs: i32,
         /// Version of this side.
         ours: i32,
     },
-    /// The other side did not answer in time.
-    #[snafu(display("peer did not answer in time"))]
+    /// The other side did not answer within the timeout.
+    #[snafu(display("peer did not answer within the timeout"))]
     TimedOut,
-    /// More bytes wait to be sent than allowed.
-    #[snafu(display("peer does not take its frames; {bytes} bytes wait"))]
+    /// The send queue holds more bytes than allowed.
+    #[snafu(display("peer does not read its frames; {bytes} bytes are queued"))]
     Stalled {
-        /// Bytes that wait.
+        /// Bytes in the queue.
         bytes: usize,
     },
 }
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Frames on a peer link: encoding, decoding, and the queue of frames to send.
+//! Frames on a peer link: encoding, decoding and the send queue.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -21,23 +21,23 @@
 use crate::errors::{self, LinkError};
 use crate::protocol::{FrameBody, PeerFrame};
 
-/// Bytes of the length before each frame.
+/// Bytes of the length prefix of each frame.
 const LENGTH_BYTES: usize = 4;
-/// Longest frame: one body chunk ([`CHUNK_BYTES_MAX`]) beside the longest head the edge accepts
-/// (32 KiB), with as much again for what the daemons add.
+/// Maximum frame length: one body chunk ([`CHUNK_BYTES_MAX`]) and the longest head that the edge
+/// accepts (32 KiB), and the same amount again for what the daemons add.
 pub const FRAME_BYTES_MAX: usize = 256 * units::KIB;
-/// Most body bytes in one frame; half a window, so that a window holds two chunks.
+/// Maximum body bytes in one frame: half a window, so that a window holds two chunks.
 pub const CHUNK_BYTES_MAX: usize = 32 * units::KIB;
-/// Most bytes that may wait on one link. Windows bound what exchanges queue, so that more means
-/// that the other side takes nothing any longer.
+/// Maximum bytes in the send queue of one link. Flow-control windows bound what exchanges queue, so
+/// that more means that the other side no longer reads.
 pub const QUEUE_BYTES_MAX: usize = 32 * 1024 * units::KIB;
-/// Bytes asked of the system in one read.
+/// Buffer size requested for one read.
 const READ_BYTES: usize = 64 * units::KIB;
 
-/// Room below which the buffer is made larger before a read.
+/// Free capacity below which the buffer grows before a read.
 const READ_BYTES_MIN: usize = 8 * units::KIB;
 
-/// Writes a frame with its length at the end of `buffer`.
+/// Appends a frame with its length prefix to `buffer`.
 pub fn encode(frame: &PeerFrame, buffer: &mut BytesMut) -> Result<(), LinkError> {
     let start = buffer.len();
     buffer.put_u32(0);
@@ -49,12 +49,12 @@
         buffer.truncate(start);
         return Err(LinkError::FrameTooLong { bytes: length, allowed: FRAME_BYTES_MAX });
     }
-    let mut place = &mut buffer[start..start + LENGTH_BYTES];
-    place.write_all(&(length as u32).to_be_bytes()).map_err(errors::malformed)?;
+    let mut prefix = &mut buffer[start..start + LENGTH_BYTES];
+    prefix.write_all(&(length as u32).to_be_bytes()).map_err(errors::malformed)?;
     Ok(())
 }
 
-/// Takes the first whole frame from `buffer`, if there is one.
+/// Removes the first complete frame from `buffer`, if there is one.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<PeerFrame>, LinkError> {
     if buffer.len() < LENGTH_BYTES {
         return Ok(None);
@@ -109,31 +109,31 @@
 }
 
 impl<R: AsyncReadRent> FrameReader<R> {
-    /// Builds a reader over one half of a connection; `on_read` is told of bytes that came.
+    /// Builds a reader over one half of a connection; `on_read` gets the byte count of each read.
     pub fn new(io: R, on_read: fn(usize)) -> Self {
         Self { io, buffer: BytesMut::new(), decoder: None, on_read }
     }
 
-    /// Decodes what comes from now on.
+    /// Decompresses everything received from now on, including bytes that are already buffered.
     pub fn start_decoding(&mut self) {
         let mut decoder = LinkDecoder::default();
-        decoder.take(&self.buffer.split());
+        decoder.feed(&self.buffer.split());
         self.decoder = Some(decoder);
     }
 
-    /// Reads the next frame. Not to be dropped before it ends, or bytes read so far are lost.
+    /// Reads the next frame. Not cancel-safe: dropping the future loses the bytes read so far.
     pub async fn next(&mut self) -> Result<PeerFrame, LinkError> {
         loop {
             if let Some(frame) = decode(&mut self.buffer)? {
                 return Ok(frame);
             }
-            if !self.decode_more()? {
+            if !self.decompress_more()? {
                 self.fill().await?;
             }
         }
     }
 
-    fn decode_more(&mut self) -> Result<bool, LinkError> {
+    fn decompress_more(&mut self) -> Result<bool, LinkError> {
         match &mut self.decoder {
             Some(decoder) => decoder.decode(&mut self.buffer),
             None => Ok(false),
@@ -142,7 +142,7 @@
 
     async fn fill(&mut self) -> Result<(), LinkError> {
         if self.decoder.is_some() {
-            return self.fill_coded().await;
+            return self.fill_compressed().await;
         }
         let mut buffer = std::mem::take(&mut self.buffer);
         let begin = buffer.len();
@@ -160,15 +160,15 @@
         Ok(())
     }
 
-    async fn fill_coded(&mut self) -> Result<(), LinkError> {
-        let (result, coded) = self.io.read(BytesMut::with_capacity(READ_BYTES_MIN)).await;
+    async fn fill_compressed(&mut self) -> Result<(), LinkError> {
+        let (result, compressed) = self.io.read(BytesMut::with_capacity(READ_BYTES_MIN)).await;
         let count = result.map_err(|source| LinkError::Broken { source })?;
         if count == 0 {
             return Err(LinkError::Closed);
         }
         (self.on_read)(count);
         if let Some(decoder) = &mut self.decoder {
-            decoder.take(&coded);
+            decoder.feed(&compressed);
         }
         Ok(())
     }
@@ -178,19 +178,19 @@
 struct SendQueue {
     buffer: BytesMut,
     queued_total: u64,
-    offered_total: u64,
+    submitted_total: u64,
     closed: bool,
     writer: Option<Waker>,
 }
 
-/// `FrameSender` queues frames for the one task that writes to the connection.
+/// `FrameSender` is the send queue of a link; a single task writes it to the connection.
 #[derive(Debug, Clone, Default)]
 pub struct FrameSender {
     queue: Rc<RefCell<SendQueue>>,
 }
 
 impl FrameSender {
-    /// Queues a frame and returns the position of its first byte, to ask [`Self::was_offered`].
+    /// Queues a frame and returns the position of its first byte, for [`Self::was_submitted`].
     pub fn send(&self, exchange: i64, body: FrameBody) -> Result<u64, LinkError> {
         let mut queue = self.queue.borrow_mut();
         if queue.closed {
@@ -209,17 +209,17 @@
         Ok(position)
     }
 
-    /// Says whether any byte at or after `position` was handed to the system.
-    pub fn was_offered(&self, position: u64) -> bool {
-        self.queue.borrow().offered_total > position
+    /// Returns whether any byte at or after `position` was handed to the operating system.
+    pub fn was_submitted(&self, position: u64) -> bool {
+        self.queue.borrow().submitted_total > position
     }
 
-    /// Returns the bytes that wait to be handed to the system.
+    /// Returns the number of queued bytes not yet handed to the operating system.
     pub fn bytes_waiting(&self) -> u64 {
         self.queue.borrow().buffer.len() as u64
     }
 
-    /// Refuses all further frames and ends the writing task.
+    /// Rejects all further frames and ends the writing task once the queue is empty.
     pub fn close(&self) {
         let mut queue = self.queue.borrow_mut();
         queue.closed = true;
@@ -228,13 +228,13 @@
         }
     }
 
-    /// Says whether the queue is closed.
+    /// Returns whether the queue is closed.
     pub fn is_closed(&self) -> bool {
         self.queue.borrow().closed
     }
 
-    /// Writes queued frames to `io`, compressed or as they are, until the queue is closed and empty or
-    /// writing fails; `on_write` is told of bytes that went.
+    /// Writes queued frames to `io`, compressed if there is an `encoder`, until the queue is closed
+    /// and empty or writing fails; `on_write` gets the number of bytes of each write.
     pub async fn run<W: AsyncWriteRent>(
         &self,
         mut io: W,
@@ -249,9 +249,9 @@
             };
             spare = match &mut encoder {
                 Some(encoder) => {
-                    let mut coded = Vec::new();
-                    encoder.encode(&batch, &mut coded);
-                    write(&mut io, coded, on_write).await?;
+                    let mut compressed = Vec::new();
+                    encoder.encode(&batch, &mut compressed);
+                    write(&mut io, compressed, on_write).await?;
                     batch
                 }
                 None => write(&mut io, batch, on_write).await?,
@@ -265,7 +265,7 @@
         poll_fn(|context| {
             let mut queue = self.queue.borrow_mut();
             if !queue.buffer.is_empty() {
-                queue.offered_total = queue.queued_total;
+                queue.submitted_total = queue.queued_total;
                 let next = spare.take().unwrap_or_default();
                 return Poll::Ready(Some(std::mem::replace(&mut queue.buffer, next)));
             }
@@ -279,7 +279,7 @@
     }
 }
 
-/// Writes all of a buffer and gives it back.
+/// Writes a whole buffer and returns it for reuse.
 async fn write<W: AsyncWriteRent, B: IoBuf>(
     io: &mut W,
     buffer: B,
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Proves on connecting that both sides hold the fleet key.
+//! Mutual authentication on connecting: each side proves that it holds the fleet key.
 //!
 //! Each side sends a nonce and answers the other's with an HMAC-SHA-256 (RFC 2104) over its role,
-//! both nonces and both host names. The roles differ, so a proof can't be sent back as one's own.
+//! both nonces and both host names. The roles differ, so that a proof can't be reflected to its
+//! sender.
 
 use std::time::Duration;
 
@@ -19,25 +20,25 @@
 
 /// Version of the protocol between daemons.
 pub const PROTOCOL_VERSION: i32 = 2;
-/// Longest time for the whole handshake: several round trips between far regions (0.3 s each).
+/// Timeout of the whole handshake: several round trips between distant regions (0.3 s each).
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of a nonce, as long as the security level of SHA-256.
+/// Length of a nonce in bytes, which matches the security level of SHA-256.
 const NONCE_BYTES: usize = 32;
-/// Shortest fleet key, in bytes.
+/// Minimum length of the fleet key in bytes.
 pub const KEY_BYTES_MIN: usize = 16;
 
-/// `PeerIdentity` is what a daemon says of itself in the handshake.
+/// `PeerIdentity` is what a daemon announces of itself in the handshake.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerIdentity {
     /// Host of the daemon.
     pub host: String,
-    /// Number of this start of the daemon; a later start has a higher one.
+    /// Incarnation of the daemon; each restart has a higher number.
     pub incarnation: i64,
     /// Failure domain of the host.
     pub failure_domain: String,
-    /// Whether it tells how its upstreams are when it is asked.
+    /// Whether the daemon answers load probes for its upstreams.
     pub answers_looks: bool,
-    /// Whether it lets work reserve a place before the slots of its upstreams.
+    /// Whether the daemon accepts reservations in the queues of its upstreams.
     pub takes_reservations: bool,
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// Runs the handshake and returns who the other side is.
+/// Runs the handshake and returns the identity of the other side.
 pub async fn run<R: AsyncReadRent, W: AsyncWriteRent>(
     reader: &mut FrameReader<R>,
     writer: &mut W,
@@ -91,7 +92,7 @@
     let ours = HelloNote {
         host: identity.host.clone(),
         incarnation: identity.incarnation,
-        nonce: fresh_nonce(),
+        nonce: random_nonce(),
         failure_domain: identity.failure_domain.clone(),
         protocol_version: PROTOCOL_VERSION,
         answers_looks: Some(identity.answers_looks),
@@ -108,13 +109,13 @@
             ours: PROTOCOL_VERSION,
         });
     }
-    let mac = keyed(key, side, &ours, &theirs).finalize().into_bytes().to_vec();
+    let mac = proof_mac(key, side, &ours, &theirs).finalize().into_bytes().to_vec();
     write(writer, FrameBody::Proof(ProofNote { mac })).await?;
     let proof = match reader.next().await?.body {
         FrameBody::Proof(proof) => proof,
         other => return Err(unexpected(&other)),
     };
-    keyed(key, side.other(), &theirs, &ours)
+    proof_mac(key, side.other(), &theirs, &ours)
         .verify_slice(&proof.mac)
         .map_err(|_| LinkError::WrongKey { host: theirs.host.clone() })?;
     Ok(PeerIdentity {
@@ -130,13 +131,13 @@
     LinkError::Unexpected { frame: frames::frame_name(body) }
 }
 
-fn fresh_nonce() -> Vec<u8> {
+fn random_nonce() -> Vec<u8> {
     let mut nonce = vec![0; NONCE_BYTES];
     rand::rng().fill_bytes(&mut nonce);
     nonce
 }
 
-fn keyed(key: &[u8], side: LinkSide, prover: &HelloNote, verifier: &HelloNote) -> Hmac<Sha256> {
+fn proof_mac(key: &[u8], side: LinkSide, prover: &HelloNote, verifier: &HelloNote) -> Hmac<Sha256> {
     let mut mac =
         Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| unreachable!("any key length fits"));
     mac.update(side.label());
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -4,9 +4,9 @@
 //! The protocol between daemons.
 //!
 //! A link is one TCP connection between two daemons. The daemon that dialled it dispatches
-//! exchanges over it; any number run at once, told apart by number, each with a window of its own
-//! so that one slow caller stalls nobody else. The other daemon answers. Heartbeats and
-//! configuration go both ways.
+//! exchanges over it, and the other daemon answers. Any number of exchanges are multiplexed over
+//! one link, identified by number. Each has its own flow-control window, so that a slow caller
+//! doesn't stall the others. Heartbeats and configuration go both ways.
 
 pub mod coding;
 pub mod errors;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A link after its handshake: routes frames to the exchanges that they belong to.
+//! A link after its handshake: routes frames to their exchanges.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 };
 use crate::stream::{self, EventPipe, EventSink, RemoteSink, SendCredit, StreamEvent, StreamGone};
 
-/// Number that marks frames which belong to no exchange.
+/// Exchange number of frames that belong to no exchange.
 pub const NO_EXCHANGE: i64 = 0;
 
 struct DialledExchange {
@@ -30,18 +30,18 @@
 
 /// `DialledLink` is the dialling side of a link.
 pub struct DialledLink {
-    /// Who is at the other end.
+    /// Identity of the daemon at the other end.
     pub peer: PeerIdentity,
     sender: FrameSender,
     exchanges: RefCell<FnvHashMap<i64, DialledExchange>>,
     next: Cell<i64>,
 }
 
-/// `OutboundExchange` is an exchange as its ingress sees it; dropping it cancels what is not over.
+/// `OutboundExchange` is the ingress side of an exchange; dropping it cancels it if unfinished.
 pub struct OutboundExchange {
-    /// Where the rest of the request's body goes.
+    /// Sink for the rest of the request body.
     pub body: EventSink,
-    /// Where the answer comes from.
+    /// Pipe from which the answer is read.
     pub answer: Rc<EventPipe>,
     cancel: Option<Box<dyn FnOnce()>>,
 }
@@ -52,12 +52,12 @@
         Self { body, answer, cancel: Some(cancel) }
     }
 
-    /// Sends the work that was called in.
+    /// Sends the request to the host that offered its reservation a slot.
     pub fn begin(&self, head: DispatchHead) -> Result<(), StreamGone> {
         self.body.begin(head)
     }
 
-    /// Marks the exchange as over, so that dropping it cancels nothing.
+    /// Marks the exchange as finished, so that dropping it doesn't cancel it.
     pub fn finish(&mut self) {
         self.cancel = None;
     }
@@ -78,17 +78,17 @@
         Rc::new(Self { peer, sender, exchanges: RefCell::default(), next: Cell::new(1) })
     }
 
-    /// Returns the queue of the link.
+    /// Returns the send queue of the link.
     pub fn sender(&self) -> &FrameSender {
         &self.sender
     }
 
-    /// Returns the number of exchanges that are not over.
+    /// Returns the number of unfinished exchanges.
     pub fn exchange_count(&self) -> usize {
         self.exchanges.borrow().len()
     }
 
-    /// Starts an exchange.
+    /// Starts an exchange by sending the head of its request.
     pub fn dispatch(self: &Rc<Self>, head: DispatchHead) -> Result<OutboundExchange, LinkError> {
         let exchange = self.next.get();
         self.next.set(exchange + 1);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Reads frames until the link ends; `on_frame` is told of each, and `on_control` gets those
+    /// Reads frames until the link ends; `on_frame` is called for each, and `on_control` gets those
     /// that belong to no exchange.
     pub async fn run<R: AsyncReadRent>(
         &self,
@@ -148,7 +148,7 @@
             }
             other => return Err(LinkError::Unexpected { frame: frames::frame_name(&other) }),
         };
-        // An exchange that was given up is no longer known; its late answer goes nowhere.
+        // A cancelled exchange is no longer in the table; an answer that arrives late is dropped.
         let mut exchanges = self.exchanges.borrow_mut();
         if let Some(entry) = exchanges.get(&exchange) {
             let _ = entry.answer.push(event);
@@ -160,11 +160,12 @@
         Ok(())
     }
 
-    /// Ends the link: every open exchange fails, as not run if none of it was offered.
+    /// Ends the link and fails every open exchange: as not run if none of its bytes were handed to
+    /// the operating system, otherwise with an unknown outcome.
     pub fn end(&self) {
         self.sender.close();
         for (_, entry) in self.exchanges.borrow_mut().drain() {
-            let outcome = if self.sender.was_offered(entry.position) {
+            let outcome = if self.sender.was_submitted(entry.position) {
                 FailureOutcome::Unknown(UnknownReason::PeerLost)
             } else {
                 FailureOutcome::NotRun(NotRunReason::PeerUnreachable)
@@ -175,7 +176,7 @@
     }
 }
 
-/// Builds the failure of an exchange without a load report.
+/// Builds an [`ExchangeFailure`] without a load report.
 pub fn failure_of(outcome: FailureOutcome) -> ExchangeFailure {
     ExchangeFailure { outcome: outcome.wire_number(), retry_after_ms: 0, report: None }
 }
@@ -184,15 +185,15 @@
     StreamEvent::Data(Bytes::from(chunk.data), chunk.last)
 }
 
-/// `InboundExchange` is an exchange as the host's daemon sees it.
+/// `InboundExchange` is the host side of an exchange.
 pub struct InboundExchange {
     /// Number of the exchange on its link.
     pub exchange: i64,
-    /// The head of the request.
+    /// Head of the request.
     pub head: DispatchHead,
-    /// The rest of the request's body.
+    /// Pipe from which the rest of the request body is read.
     pub body: Rc<EventPipe>,
-    /// Where the answer goes.
+    /// Sink for the answer.
     pub answer: EventSink,
 }
 
@@ -203,7 +204,7 @@
 
 /// `AcceptedLink` is the accepting side of a link.
 pub struct AcceptedLink {
-    /// Who is at the other end.
+    /// Identity of the daemon at the other end.
     pub peer: PeerIdentity,
     sender: FrameSender,
     exchanges: Rc<RefCell<FnvHashMap<i64, AcceptedExchange>>>,
@@ -215,7 +216,7 @@
         Rc::new(Self { peer, sender, exchanges: Rc::default() })
     }
 
-    /// Returns the queue of the link.
+    /// Returns the send queue of the link.
     pub fn sender(&self) -> &FrameSender {
         &self.sender
     }
@@ -255,7 +256,7 @@
         InboundExchange { exchange, head, body, answer }
     }
 
-    /// Forgets an exchange whose answer is over.
+    /// Removes an exchange whose answer is complete.
     pub fn forget(&self, exchange: i64) {
         if let Some(entry) = self.exchanges.borrow_mut().remove(&exchange) {
             entry.body.close();
@@ -265,7 +266,7 @@
 
     fn route(&self, exchange: i64, body: FrameBody) -> Result<(), LinkError> {
         let exchanges = self.exchanges.borrow();
-        // Frames of an exchange that is over may still be on their way.
+        // Frames of a finished exchange may still be in transit; they are dropped.
         let entry = match exchanges.get(&exchange) {
             Some(entry) => entry,
             None => return Ok(()),
@@ -287,7 +288,7 @@
         Ok(())
     }
 
-    /// Ends the link: every open exchange is cancelled.
+    /// Ends the link and cancels every open exchange.
     pub fn end(&self) {
         self.sender.close();
         for (_, entry) in self.exchanges.borrow_mut().drain() {
--- a/crates/peer/src/stream.rs
+++ b/crates/peer/src/stream.rs
@@ -3,8 +3,8 @@
 
 //! The two directions of an exchange, within a process and over a link.
 //!
-//! Each direction has a window: a sender waits once that many body bytes are on their way, until
-//! the receiver has passed some on.
+//! Each direction has a flow-control window: a sender waits once that many body bytes are in
+//! flight, until the receiver has consumed some of them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -20,30 +20,30 @@
     AnswerHead, BodyChunk, CancelNotice, CreditGrant, DispatchHead, ExchangeFailure, FrameBody,
 };
 
-/// Body bytes that may be on their way in one direction of one exchange: 64 KiB keeps 20 MB/s
-/// going over the 3 ms round trip between failure domains.
+/// Body bytes that may be in flight in one direction of one exchange: 64 KiB sustains 20 MB/s over
+/// the 3 ms round trip between failure domains.
 pub const WINDOW_BYTES: usize = 64 * units::KIB;
-/// Credit that calls work in.
-const CALL_CREDIT: usize = 1;
-/// Consumed bytes after which credit is given back; half a window keeps the sender busy.
+/// Credit by which a host offers a slot to a reservation.
+const OFFER_CREDIT: usize = 1;
+/// Consumed bytes after which credit is returned; half a window keeps the sender busy.
 const CREDIT_STEP: usize = WINDOW_BYTES / 2;
 
-/// `StreamEvent` is one step of one direction of an exchange.
+/// `StreamEvent` is one event in one direction of an exchange.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StreamEvent {
     /// The head of an answer.
     Head(AnswerHead),
-    /// The work that was called in.
+    /// The request of a reservation that was offered a slot.
     Begin(Box<DispatchHead>),
-    /// Body bytes, the last ones if so marked; the last may be empty.
+    /// Body bytes and whether they are the last, which may be empty.
     Data(Bytes, bool),
     /// The exchange ended without a complete answer.
     Failed(ExchangeFailure),
-    /// The ingress gave the exchange up.
+    /// The ingress cancelled the exchange.
     Cancelled,
 }
 
-/// `StreamGone` says that the other end of a stream is no longer there.
+/// `StreamGone` says that the other end of a stream has closed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamGone;
 
@@ -57,7 +57,7 @@
     cancelled: bool,
     shut: bool,
     reader: Option<Waker>,
-    canceller: Option<Waker>,
+    cancel_watcher: Option<Waker>,
     writer: Option<Waker>,
     on_consumed: Option<ConsumedHook>,
 }
@@ -74,7 +74,7 @@
 }
 
 impl EventPipe {
-    /// Builds a pipe; `on_consumed` is told of consumed bytes, to give credit over a link.
+    /// Builds a pipe; `on_consumed` gets counts of consumed bytes, to return credit over a link.
     pub fn new(on_consumed: Option<ConsumedHook>) -> Self {
         let state = PipeState {
             events: VecDeque::new(),
@@ -84,19 +84,19 @@
             cancelled: false,
             shut: false,
             reader: None,
-            canceller: None,
+            cancel_watcher: None,
             writer: None,
             on_consumed,
         };
         Self { state: RefCell::new(state) }
     }
 
-    /// Keeps senders of body bytes waiting until [`Self::open_window`].
+    /// Blocks senders of body bytes until [`Self::open_window`].
     pub fn shut_window(&self) {
         self.state.borrow_mut().shut = true;
     }
 
-    /// Lets senders send the first window of body bytes.
+    /// Grants senders the first window of body bytes.
     pub fn open_window(&self) {
         let mut state = self.state.borrow_mut();
         state.shut = false;
@@ -106,13 +106,13 @@
         }
     }
 
-    /// Calls work in that holds a place: its sender is ready from now on, and sends [`StreamEvent::Begin`].
+    /// Offers a slot to a reservation: its sender becomes ready and sends [`StreamEvent::Begin`].
     pub fn call_in(&self) {
         let mut state = self.state.borrow_mut();
         state.shut = false;
         wake(&mut state.writer);
         if let Some(hook) = &state.on_consumed {
-            hook(CALL_CREDIT);
+            hook(OFFER_CREDIT);
         }
     }
 
@@ -121,7 +121,7 @@
         poll_fn(|context| self.poll_room(context)).await
     }
 
-    /// Adds an event without waiting for room.
+    /// Adds an event without waiting for the window.
     pub fn push(&self, event: StreamEvent) -> Result<(), StreamGone> {
         let mut state = self.state.borrow_mut();
         if state.reader_gone {
@@ -132,7 +132,7 @@
         }
         if matches!(event, StreamEvent::Cancelled | StreamEvent::Failed(_)) {
             state.cancelled = true;
-            wake(&mut state.canceller);
+            wake(&mut state.cancel_watcher);
         }
         state.events.push_back(event);
         wake(&mut state.reader);
@@ -159,7 +159,7 @@
         Poll::Pending
     }
 
-    /// Takes the next event.
+    /// Waits for the next event and removes it.
     pub async fn next(&self) -> StreamEvent {
         poll_fn(|context| self.poll_next(context)).await
     }
@@ -180,20 +180,20 @@
         Poll::Ready(event)
     }
 
-    /// Waits until the other side has cancelled or failed the exchange; events stay in the pipe.
+    /// Waits until the other side has cancelled or failed the exchange; removes no event.
     pub async fn cancelled(&self) {
         poll_fn(|context| {
             let mut state = self.state.borrow_mut();
             if state.cancelled {
                 return Poll::Ready(());
             }
-            state.canceller = Some(context.waker().clone());
+            state.cancel_watcher = Some(context.waker().clone());
             Poll::Pending
         })
         .await
     }
 
-    /// Marks the receiving end as gone; senders are told and queued events dropped.
+    /// Closes the receiving end: senders fail with [`StreamGone`] and queued events are dropped.
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
         state.reader_gone = true;
@@ -218,8 +218,8 @@
     }
 }
 
-fn wake(place: &mut Option<Waker>) {
-    if let Some(waker) = place.take() {
+fn wake(registered: &mut Option<Waker>) {
+    if let Some(waker) = registered.take() {
         waker.wake();
     }
 }
@@ -231,20 +231,20 @@
     waiter: Option<Waker>,
 }
 
-/// `SendCredit` is what may still be sent in one direction of one exchange.
+/// `SendCredit` counts the body bytes that may still be sent in one direction of one exchange.
 #[derive(Debug)]
 pub struct SendCredit {
     state: RefCell<CreditState>,
 }
 
 impl SendCredit {
-    /// Builds the credit of an answer: a whole window at once.
+    /// Builds the credit of an answer: a whole window from the start.
     pub fn of_answer() -> Self {
         Self::new(WINDOW_BYTES as i64)
     }
 
-    /// Builds the credit of a request: nothing until the host's daemon starts the work, so that
-    /// what a refused request still has to send was never sent.
+    /// Builds the credit of a request: none until the host's daemon starts the request, so that the
+    /// rest of the body of a refused request is never sent.
     pub fn of_request() -> Self {
         Self::new(0)
     }
@@ -254,14 +254,14 @@
         Self { state: RefCell::new(state) }
     }
 
-    /// Adds credit that the receiver gave.
+    /// Adds credit granted by the receiver.
     pub fn add(&self, bytes: i32) {
         let mut state = self.state.borrow_mut();
         state.left += i64::from(bytes.max(0));
         wake(&mut state.waiter);
     }
 
-    /// Ends the stream; whoever waits for credit is told.
+    /// Closes the stream; a sender that waits for credit fails with [`StreamGone`].
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
         state.closed = true;
@@ -287,7 +287,7 @@
         if state.closed {
             return Poll::Ready(Err(StreamGone));
         }
-        // The end of a body needs no window of its own.
+        // An empty last chunk needs no credit.
         if state.left > 0 || (bytes == 0 && last) {
             state.left -= bytes as i64;
             return Poll::Ready(Ok(()));
@@ -302,9 +302,9 @@
 pub struct RemoteSink {
     /// Number of the exchange on its link.
     pub exchange: i64,
-    /// Queue of the link.
+    /// Send queue of the link.
     pub sender: FrameSender,
-    /// What may still be sent.
+    /// Credit left for body bytes.
     pub credit: Rc<SendCredit>,
 }
 
@@ -356,7 +356,8 @@
         }
     }
 
-    /// Sends work that was called in; unlike body bytes it waits for no window.
+    /// Sends the request of a reservation that was offered a slot; unlike body bytes, it does not
+    /// wait for the window.
     pub fn begin(&self, head: DispatchHead) -> Result<(), StreamGone> {
         match self {
             Self::Local(pipe) => pipe.push(StreamEvent::Begin(Box::new(head))),
@@ -381,12 +382,12 @@
     }
 }
 
-/// Builds the pipe of a direction that comes over a link and gives credit as it is read.
+/// Builds the pipe of a direction received over a link, which returns credit as it is read.
 pub fn remote_pipe(exchange: i64, sender: &FrameSender) -> EventPipe {
     let sender = sender.clone();
     EventPipe::new(Some(Box::new(move |bytes| {
         let grant = CreditGrant { bytes: bytes as i32 };
-        // A closed link ends the exchange by itself; there is nobody left to give credit to.
+        // A closed link ends the exchange anyway, so that its credit no longer matters.
         let _ = sender.send(exchange, FrameBody::Credit(grant));
     })))
 }
--- a/crates/peer/tests/coding.rs
+++ b/crates/peer/tests/coding.rs
@@ -1,16 +1,17 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What was compressed is restored however the bytes are cut, and heads said again cost little.
+//! Compression of a link: data is restored however the stream is split, and repeated heads compress
+//! well.
 
 use basaltarch_peer::coding::{LinkDecoder, LinkEncoder};
 use bytes::BytesMut;
 use proptest::prelude::*;
 
 fn encode(encoder: &mut LinkEncoder, batch: &[u8]) -> Vec<u8> {
-    let mut coded = Vec::new();
-    encoder.encode(batch, &mut coded);
-    coded
+    let mut compressed = Vec::new();
+    encoder.encode(batch, &mut compressed);
+    compressed
 }
 
 fn decode_all(decoder: &mut LinkDecoder) -> Vec<u8> {
@@ -21,27 +22,27 @@
 
 proptest! {
     #[test]
-    fn verify_batches_are_restored_however_they_are_cut(
+    fn verify_batches_are_restored_however_the_stream_is_split(
         batches in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..3000), 1..12),
-        cut in 1..700_usize,
+        split in 1..700_usize,
     ) {
         let mut encoder = LinkEncoder::default();
         let mut decoder = LinkDecoder::default();
         for batch in &batches {
-            let coded = encode(&mut encoder, batch);
+            let compressed = encode(&mut encoder, batch);
             let mut plain = Vec::new();
-            for piece in coded.chunks(cut) {
-                decoder.take(piece);
+            for received in compressed.chunks(split) {
+                decoder.feed(received);
                 plain.extend(decode_all(&mut decoder));
             }
-            // Each batch is whole without waiting for the next.
+            // Each batch is complete without bytes of the next.
             prop_assert_eq!(&plain, batch);
         }
     }
 }
 
 #[test]
-fn verify_a_head_said_again_costs_a_fraction() {
+fn verify_a_repeated_head_takes_a_fraction_of_its_first_size() {
     let head = |number: u32| {
         format!(
             "solver-app puzzle GET /puzzle/{number} host: solver.example\r\naccept: */*\r\n\
@@ -55,22 +56,23 @@
 }
 
 #[test]
-fn verify_much_from_little_is_restored_in_parts() {
+fn verify_a_highly_compressible_batch_is_restored_in_blocks() {
     let batch = vec![7; 3_000_000];
-    let coded = encode(&mut LinkEncoder::default(), &batch);
-    assert!(coded.len() < 30_000);
+    let compressed = encode(&mut LinkEncoder::default(), &batch);
+    assert!(compressed.len() < 30_000);
     let mut decoder = LinkDecoder::default();
-    decoder.take(&coded);
+    decoder.feed(&compressed);
     let mut plain = BytesMut::new();
+    // One call decodes one block only, so that its frames are handled before the next.
     assert!(decoder.decode(&mut plain).expect("decoded"));
-    assert!(plain.len() < 100_000, "{}: frames are looked at in between", plain.len());
+    assert!(plain.len() < 100_000, "{} bytes in one block", plain.len());
     plain.extend(decode_all(&mut decoder));
     assert_eq!(&plain[..], &batch[..]);
 }
 
 #[test]
-fn verify_bytes_that_are_no_stream_are_an_error() {
+fn verify_bytes_that_no_encoder_wrote_are_an_error() {
     let mut decoder = LinkDecoder::default();
-    decoder.take(&[0xff; 64]);
+    decoder.feed(&[0xff; 64]);
     assert!(decoder.decode(&mut BytesMut::new()).is_err());
 }
--- a/crates/peer/tests/frames.rs
+++ b/crates/peer/tests/frames.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn verify_frames_over_the_bound_are_neither_sent_nor_read() {
+fn verify_frames_over_the_limit_are_neither_sent_nor_read() {
     let frame = PeerFrame {
         exchange: 1,
         body: FrameBody::Chunk(BodyChunk { data: vec![0; FRAME_BYTES_MAX], last: true }),
@@ -101,7 +101,7 @@
     let mut bytes = BytesMut::new();
     let error = frames::encode(&frame, &mut bytes).expect_err("too long");
     assert!(matches!(error, LinkError::FrameTooLong { .. }));
-    assert!(bytes.is_empty(), "nothing of it is left to be sent");
+    assert!(bytes.is_empty(), "no part of the rejected frame stays in the buffer");
     bytes.put_u32(u32::MAX);
     assert!(matches!(frames::decode(&mut bytes), Err(LinkError::FrameTooLong { .. })));
 }
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn verify_what_was_never_offered_did_not_run_when_the_link_ends() {
+fn verify_an_unsent_exchange_fails_as_not_run_when_the_link_ends() {
     use basaltarch_core::outcome::FailureOutcome;
     run(async {
         let (link, _) = link();
@@ -140,23 +140,23 @@
 }
 
 #[test]
-fn verify_what_was_offered_is_unknown_when_the_link_ends() {
+fn verify_a_submitted_exchange_fails_as_unknown_when_the_link_ends() {
     use basaltarch_core::outcome::FailureOutcome;
     run(async {
         let (link, sender) = link();
-        let offered = link.dispatch(dispatch(Vec::new())).expect("dispatch");
-        // A writer that takes the bytes and goes no further.
+        let submitted = link.dispatch(dispatch(Vec::new())).expect("dispatch");
+        // The writer task hands the bytes to the operating system; the listener never reads them.
         let writing = sender.clone();
         let listener = monoio::net::TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         let stream = monoio::net::TcpStream::connect_addr(address).await.expect("connect");
         let task = monoio::spawn(async move { writing.run(stream, None, |_| ()).await });
-        while !sender.was_offered(0) {
+        while !sender.was_submitted(0) {
             monoio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
         let later = link.dispatch(dispatch(Vec::new())).expect("dispatch");
         link.end();
-        let first = FailureOutcome::from_wire(failure(offered.answer.next().await).outcome);
+        let first = FailureOutcome::from_wire(failure(submitted.answer.next().await).outcome);
         let second = FailureOutcome::from_wire(failure(later.answer.next().await).outcome);
         assert!(matches!(first, FailureOutcome::Unknown(_)), "{first}");
         assert!(matches!(second, FailureOutcome::NotRun(_)), "{second}");
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn verify_a_request_body_waits_until_the_work_starts() {
+fn verify_a_request_body_waits_until_the_request_starts() {
     use futures_util::FutureExt;
     run(async {
         let pipe = Rc::new(EventPipe::default());
@@ -187,19 +187,19 @@
     run(async {
         let pipe = Rc::new(EventPipe::default());
         let sink = EventSink::Local(pipe.clone());
-        let piece = Bytes::from(vec![0; WINDOW_BYTES / 4]);
+        let chunk = Bytes::from(vec![0; WINDOW_BYTES / 4]);
         let mut sent = 0;
-        while sink.send(StreamEvent::Data(piece.clone(), false)).now_or_never().is_some() {
-            sent += piece.len();
-            assert!(sent <= 2 * WINDOW_BYTES, "no end of it");
+        while sink.send(StreamEvent::Data(chunk.clone(), false)).now_or_never().is_some() {
+            sent += chunk.len();
+            assert!(sent <= 2 * WINDOW_BYTES, "the window does not stop the sender");
         }
         assert_eq!(sent, WINDOW_BYTES);
         pipe.next().await;
-        assert!(sink.send(StreamEvent::Data(piece, false)).now_or_never().is_some());
+        assert!(sink.send(StreamEvent::Data(chunk, false)).now_or_never().is_some());
     });
 }
 
-/// Runs so many cases, the same ones each time.
+/// Returns a configuration for `cases` cases from a fixed seed.
 fn fixed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -208,7 +208,7 @@
 proptest! {
     #![proptest_config(fixed(500))]
 
-    /// Whatever a peer sends, decoding ends without a panic.
+    /// Decoding of arbitrary bytes from a peer must not panic.
     #[test]
     fn verify_any_bytes_decode_or_fail(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let mut buffer = BytesMut::new();
