--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -283,8 +283,8 @@
 
     /// Finds out whether a write whose answer was lost took effect.
     ///
-    /// The same write is retried, which its check makes idempotent. If the check fails, the token
-    /// in the row of that revision shows which writer committed it.
+    /// The same write is retried; its check ensures that it takes effect at most once. If the check
+    /// fails, the token in the row of that revision shows which writer committed it.
     async fn settle(
         &self,
         config: &mut FleetConfig,
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -31,8 +31,8 @@
 const GROUP_MAX: usize = wire::ENTRIES_MAX / 2;
 /// Maximum requests that wait for their row; further ones are refused immediately.
 const WAITING_MAX: usize = 4096;
-/// Time to find out whether a row whose answer was lost was written; after it the request fails
-/// with an unknown outcome.
+/// Time to find out whether a row was written whose answer was lost; after it the claim ends as
+/// [`ClaimOutcome::Unsettled`], an unknown outcome.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Maximum body of a recorded answer: receipts are small, and a row must stay small.
 pub const KEPT_BODY_MAX: usize = 4 * units::KIB;
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -22,7 +22,7 @@
     pub value: Value,
 }
 
-/// `RowCheck` is a condition of a transaction: it commits only if the row has this version.
+/// `RowCheck` is a condition of a transaction, which commits only if the row has this version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RowCheck {
     /// Key of the row.
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -192,9 +192,9 @@
 fn verify_a_stale_answer_never_takes_an_epoch_back() {
     run(async {
         let store = TestStore::start().await;
-        let late = TestStore::at(store.address);
+        let lagging = TestStore::at(store.address);
         assert_eq!(store.epoch_at(0).await, Some(1));
-        assert_eq!(late.epoch_at(0).await, Some(1));
+        assert_eq!(lagging.epoch_at(0).await, Some(1));
         let past = json!({"reads_from_past_ms": 3_600_000});
         store.faults(past.clone()).await;
         store.faults(json!({})).await;
@@ -202,7 +202,7 @@
         assert_eq!(store.epoch_at(2).await, Some(3));
         store.faults(past).await;
         // It reads the first epoch, which it has seen for hours, and tries to write the second.
-        assert_eq!(late.epoch_at(3).await, Some(1));
+        assert_eq!(lagging.epoch_at(3).await, Some(1));
         store.faults(json!({})).await;
         let newcomer = TestStore::at(store.address);
         assert_eq!(newcomer.epoch_at(0).await, Some(3));
