--- a/crates/options/src/check.rs
+++ b/crates/options/src/check.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Checks the settings and makes of them what the daemon runs with.
+//! Validates the settings and converts them to the options that the daemon runs with.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::{bounds, defaults, source, values, waiting};
 use crate::{ConfigSource, RawOptions, ServiceDefaults, WaitingMode};
 
-/// `DaemonOptions` are the checked settings.
+/// `DaemonOptions` is the set of validated settings.
 #[derive(Debug, Clone)]
 pub struct DaemonOptions {
-    /// The settings as flags gave them, to read the file again.
+    /// The settings as given by flags, kept for reloading the settings file.
     pub given: RawOptions,
-    /// Name of the host; backend servers with this host are this daemon's.
+    /// Name of the host; the backend servers declared on it belong to this daemon.
     pub host: String,
     /// Failure domain of the host.
     pub failure_domain: String,
@@ -37,7 +37,7 @@
     pub advertise_peers: Option<SocketAddr>,
     /// Address at which operators reach this daemon, if not the one it listens on.
     pub advertise_admin: Option<SocketAddr>,
-    /// Addresses of some other daemons, asked while the platform's host list is away.
+    /// Addresses of some other daemons, used while the platform's list of hosts is unavailable.
     pub seeds: Vec<SocketAddr>,
     /// Address of the platform.
     pub platform: SocketAddr,
@@ -47,56 +47,58 @@
     pub admin_token: String,
     /// Level of logs.
     pub log: String,
-    /// Requests a second that are logged from start to end.
+    /// Requests per second that are logged from start to end.
     pub log_requests: u32,
-    /// Other requests a second that are logged since they failed.
+    /// Further requests per second that are logged because they failed.
     pub log_failures: u32,
     /// Longest drain.
     pub drain: Duration,
-    /// Most connections of callers.
+    /// Maximum number of callers' connections.
     pub connections: usize,
-    /// Most connections of one caller's address.
+    /// Maximum number of connections from one caller's address.
     pub connections_each: usize,
     /// Bounds of requests' heads.
     pub head: HeadLimits,
     /// Bounds of requests' bodies.
     pub body: BodyLimits,
-    /// Reads of the platform a second over the whole fleet.
+    /// Reads from the platform per second over the whole fleet.
     pub store_reads: f64,
-    /// Writes to the platform a second by this daemon.
+    /// Writes to the platform per second by this daemon.
     pub store_writes: f64,
-    /// Hours for which rows of once-only work are kept at least.
+    /// Hours for which the rows of at-most-once requests are kept at least.
     pub once_keep_hours: u64,
-    /// Time after which a service that nobody asks for is forgotten.
+    /// Time without requests after which the state of a service is dropped.
     pub service_idle: Duration,
     /// Where the configuration comes from.
     pub source: ConfigSource,
-    /// Address at which the platform asks whether the daemon is ready, if it does.
+    /// Address of the readiness probe, if the platform makes one.
     pub ready: Option<SocketAddr>,
     /// Address at which the backend servers of this host register, if they do.
     pub registration: Option<SocketAddr>,
-    /// Service that runs on this host, if it is known beforehand.
+    /// Service that runs on this host, if it is known in advance.
     pub own_service: Option<String>,
-    /// What holds for services that declare nothing else.
+    /// Defaults of the settings that a service does not declare.
     pub defaults: ServiceDefaults,
     /// Shortest drain.
     pub drain_min: Duration,
-    /// How far beyond a limit requests are tolerated.
+    /// How far a limit may be exceeded.
     pub limit_tolerance: LimitTolerance,
     /// Time between heartbeats to the neighbours.
     pub heartbeat: Duration,
-    /// Whether backend servers are told where a request came from.
+    /// Whether backend servers are sent the origin of a request.
     pub forwarded: bool,
-    /// Whether work that must not be repeated wants proof that a backend server is well.
+    /// Whether a non-repeatable request needs recent progress of its backend server.
     pub prove_once_only: bool,
-    /// Where work waits that finds no free slot.
+    /// Where requests are queued that find no free slot.
     pub waiting: WaitingMode,
-    /// Time that work waits near by rather than send a megabyte to another failure domain.
+    /// Time that a request waits in its own failure domain rather than cause a transfer of one
+    /// megabyte to another one.
     pub far_megabyte: Duration,
 }
 
 impl DaemonOptions {
-    /// Reads and checks the settings; the settings file fills what flags and variables leave open.
+    /// Reads and validates the settings; the settings file fills what flags and environment
+    /// variables leave open.
     pub fn try_new(given: RawOptions) -> Result<Self, SettingError> {
         let raw = given.clone().with_file()?;
         let loopback = SocketAddr::from((IpAddr::from([127, 0, 0, 1]), 0));
@@ -200,7 +202,7 @@
         })
     }
 
-    /// Returns the names of the header fields that backend servers of this deployment know.
+    /// Returns the header fields that the backend servers of this deployment use.
     pub fn exchange_fields(&self) -> ExchangeFields {
         match self.source {
             ConfigSource::Resources => ExchangeFields::default(),
--- a/crates/options/src/defaults.rs
+++ b/crates/options/src/defaults.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What holds for services that declare nothing else.
+//! Defaults of the settings that a service does not declare.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use basaltarch_core::resources::PreferChoice;
 use basaltarch_core::settings;
 
-/// `ServiceDefaults` is what holds for services that declare nothing else.
+/// `ServiceDefaults` is the set of defaults for what a service does not declare.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceDefaults {
-    /// Share of the slots that ejection never goes below.
+    /// Share of the slots that ejection must leave in service.
     pub floor: f64,
-    /// Which error a service would rather have.
+    /// Which error of failure detection a service tolerates less.
     pub prefer: PreferChoice,
-    /// Requests that may wait before each backend server.
+    /// Requests that may be queued before each backend server.
     pub queue: u32,
-    /// Share of requests that may be repeated.
+    /// Share of requests that may be retried.
     pub retry_share: f64,
-    /// Repeats over the whole fleet in one window beyond that share.
+    /// Retries beyond that share, over the whole fleet in one window.
     pub retry_extra: u32,
     /// Length of that window.
     pub retry_window: Duration,
 }
 
-/// Reads which error services would rather have; precision when nothing is given.
+/// Reads which of detection and precision is preferred; precision is the default.
 pub fn prefer(given: Option<String>) -> Result<PreferChoice, SettingError> {
     let allowed = "detection or precision";
     let name = settings::checked("prefer", given, "precision".to_owned(), allowed, |name| {
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,12 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The settings of the daemon, checked at start.
+//! The settings of the daemon, validated at start.
 //!
-//! `raw` takes them as flags and the settings file give them, `check` makes of these what the daemon
-//! runs with, and `restart` tells what can't change while it runs. `values` reads one value of each
-//! form, `bounds` works out what depends on what the platform lets the daemon have. `source` and
-//! `defaults` are what the configuration starts from, `waiting` says where work waits.
+//! `raw` holds the settings as given by flags and the settings file, `check` validates them into
+//! the options that the daemon runs with, and `restart` lists the settings that can't change while
+//! it runs. `values` parses values by form, and `bounds` derives limits from the resources that the
+//! platform grants the daemon. `source` and `defaults` are the base of the configuration, and
+//! `waiting` says where requests are queued.
 
 mod bounds;
 mod check;
--- a/crates/options/src/raw.rs
+++ b/crates/options/src/raw.rs
@@ -1,14 +1,15 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The settings as flags, environment variables and the settings file give them.
+//! The settings as given by flags, environment variables and the settings file.
 
 use std::fs;
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings;
 
-/// `RawOptions` are the settings as given by flags; environment variables fill the gaps.
+/// `RawOptions` is the set of settings as given by flags, before environment variables and the
+/// settings file fill the gaps.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RawOptions {
     /// Name of the host.
@@ -31,19 +32,19 @@
     pub admin_token: Option<String>,
     /// Level of logs.
     pub log: Option<String>,
-    /// Requests a second that are logged from start to end.
+    /// Requests per second that are logged from start to end.
     pub log_requests: Option<String>,
-    /// Other requests a second that are logged since they failed.
+    /// Further requests per second that are logged because they failed.
     pub log_failures: Option<String>,
     /// Longest drain in milliseconds.
     pub drain_ms: Option<String>,
-    /// Connections of callers.
+    /// Maximum number of callers' connections.
     pub connections: Option<String>,
-    /// Connections of one caller's address.
+    /// Maximum number of connections from one caller's address.
     pub connections_each: Option<String>,
-    /// File descriptors that the platform lets the daemon have.
+    /// File descriptors that the platform grants the daemon.
     pub descriptors: Option<String>,
-    /// Memory that the platform lets the daemon have, in MB.
+    /// Memory that the platform grants the daemon, in MB.
     pub memory_mb: Option<String>,
     /// Largest head of a request in bytes.
     pub head_bytes: Option<String>,
@@ -59,62 +60,64 @@
     pub advertise_peers: Option<String>,
     /// Address at which operators reach this daemon.
     pub advertise_admin: Option<String>,
-    /// Reads of the platform a second over the whole fleet.
+    /// Reads from the platform per second over the whole fleet.
     pub store_reads: Option<String>,
-    /// Writes to the platform a second by this daemon.
+    /// Writes to the platform per second by this daemon.
     pub store_writes: Option<String>,
-    /// Hours for which rows of once-only work are kept at least.
+    /// Hours for which the rows of at-most-once requests are kept at least.
     pub once_keep_hours: Option<String>,
-    /// Time after which a service that nobody asks for is forgotten, in milliseconds.
+    /// Time without requests after which the state of a service is dropped, in milliseconds.
     pub service_idle_ms: Option<String>,
     /// Path of the settings file.
     pub config: Option<String>,
     /// Where the configuration comes from.
     pub source: Option<String>,
-    /// Address at which the platform asks whether the daemon is ready.
+    /// Address of the readiness probe of the platform.
     pub ready: Option<String>,
     /// Address at which the backend servers of this host register.
     pub registration: Option<String>,
-    /// Service that runs on this host, told to backend servers of callers from here.
+    /// Service that runs on this host; backend servers are sent it as the caller's service.
     pub own_service: Option<String>,
-    /// Whether the seeds are reached at this daemon's peer port instead of the ports given.
+    /// Whether the seeds are contacted at this daemon's peer port instead of the ports given.
     pub seeds_at_peer_port: Option<String>,
-    /// Floor of services that declare none.
+    /// Default floor: the share of the slots that ejection must leave in service.
     pub floor: Option<String>,
-    /// Which error services that say nothing would rather have.
+    /// Default preference between detection and precision.
     pub prefer: Option<String>,
-    /// Requests that may wait before each backend server of services that say nothing.
+    /// Default number of requests that may be queued before each backend server.
     pub queue: Option<String>,
-    /// Share of requests that may be repeated, for services that say nothing.
+    /// Default share of requests that may be retried.
     pub retry_share: Option<String>,
-    /// Repeats of a service over the whole fleet in one window beyond that share.
+    /// Default number of retries beyond that share, per service over the whole fleet in one window.
     pub retry_extra: Option<String>,
     /// Length of that window in milliseconds.
     pub retry_window_ms: Option<String>,
-    /// Share of a limit by which requests beyond it are tolerated.
+    /// Share of a limit by which it may be exceeded.
     pub limit_over: Option<String>,
-    /// Requests beyond that share which are tolerated in one window.
+    /// Requests beyond that share that are admitted in one window.
     pub limit_extra: Option<String>,
     /// Length of that window in milliseconds.
     pub limit_window_ms: Option<String>,
-    /// Time from the first signal to stop to the platform's kill, in milliseconds.
+    /// Time from the first stop signal to the platform's kill, in milliseconds.
     pub kill_after_ms: Option<String>,
     /// Shortest drain in milliseconds.
     pub drain_min_ms: Option<String>,
     /// Time between heartbeats to the neighbours in milliseconds.
     pub heartbeat_ms: Option<String>,
-    /// Whether backend servers are not told where a request came from.
+    /// Whether the origin of a request is hidden from backend servers.
     pub hide_callers: Option<String>,
-    /// Whether work that must not be repeated wants proof that a backend server is well.
+    /// Whether a non-repeatable request needs recent progress of its backend server.
     pub prove_once_only: Option<String>,
-    /// Where work waits that finds no free slot.
+    /// Where requests are queued that find no free slot.
     pub waiting: Option<String>,
-    /// Time that work waits near by rather than send a megabyte to another failure domain, in milliseconds.
+    /// Time that a request waits in its own failure domain rather than cause a transfer of one
+    /// megabyte to another one, in milliseconds.
     pub far_megabyte_ms: Option<String>,
 }
 
 impl RawOptions {
-    /// Takes the settings file in: it fills what neither a flag nor an environment variable gives.
+    /// Applies the settings file, which fills what neither a flag nor an environment variable
+    /// gives.
     pub fn with_file(mut self) -> Result<Self, SettingError> {
         let path = match self.file()? {
             Some(path) => path,
@@ -126,12 +129,12 @@
         };
         let text = fs::read_to_string(&path).map_err(unreadable)?;
         for line in settings::read_lines(&text)? {
-            let place = match self.place(&line.flag) {
-                Some(place) => place,
+            let field = match self.field(&line.flag) {
+                Some(field) => field,
                 None => return Err(SettingError::Unknown { flag: line.flag }),
             };
-            if place.is_none() && !settings::is_in_environment(&line.flag) {
-                *place = Some(line.value);
+            if field.is_none() && !settings::is_in_environment(&line.flag) {
+                *field = Some(line.value);
             }
         }
         Ok(self)
@@ -142,8 +145,8 @@
         settings::optional("config", self.config.clone(), "a path")
     }
 
-    /// Returns the place of a flag.
-    fn place(&mut self, flag: &str) -> Option<&mut Option<String>> {
+    /// Returns the field of a flag.
+    fn field(&mut self, flag: &str) -> Option<&mut Option<String>> {
         Some(match flag {
             "host" => &mut self.host,
             "failure-domain" => &mut self.failure_domain,
--- a/crates/options/src/restart.rs
+++ b/crates/options/src/restart.rs
@@ -1,19 +1,19 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The settings that only a restart changes.
+//! The settings that take effect only after a restart.
 
 use std::net::SocketAddr;
 
 use crate::DaemonOptions;
 
 impl DaemonOptions {
-    /// Names the settings in which `next` differs and that can't change while the daemon runs. An
-    /// address with port 0 was bound to some port and does not differ.
+    /// Returns the settings in which `next` differs and that can't change while the daemon runs. An
+    /// address with port 0 was bound to a port chosen by the system and does not differ.
     pub fn differences(&self, next: &Self) -> Vec<&'static str> {
-        let moved = |own: SocketAddr, next: SocketAddr| next.port() != 0 && own != next;
-        let moved_if = |own: Option<SocketAddr>, next: Option<SocketAddr>| match (own, next) {
-            (Some(own), Some(next)) => moved(own, next),
+        let address_changed = |own: SocketAddr, next: SocketAddr| next.port() != 0 && own != next;
+        let option_changed = |own: Option<SocketAddr>, next: Option<SocketAddr>| match (own, next) {
+            (Some(own), Some(next)) => address_changed(own, next),
             (own, next) => own.is_some() != next.is_some(),
         };
         let checks = [
@@ -23,16 +23,16 @@
             ("platform", self.platform != next.platform),
             ("fleet-key", self.fleet_key != next.fleet_key),
             ("admin-token", self.admin_token != next.admin_token),
-            ("callers", moved(self.callers, next.callers)),
-            ("peers", moved(self.peers, next.peers)),
-            ("admin", moved(self.admin, next.admin)),
-            ("ready", moved_if(self.ready, next.ready)),
-            ("registration", moved_if(self.registration, next.registration)),
+            ("callers", address_changed(self.callers, next.callers)),
+            ("peers", address_changed(self.peers, next.peers)),
+            ("admin", address_changed(self.admin, next.admin)),
+            ("ready", option_changed(self.ready, next.ready)),
+            ("registration", option_changed(self.registration, next.registration)),
         ];
         checks.iter().filter(|(_, differs)| *differs).map(|(name, _)| *name).collect()
     }
 
-    /// Puts the addresses as bound in place of those asked for.
+    /// Replaces the configured addresses by those that are bound.
     pub fn keep_bound(&mut self, bound: &Self) {
         self.callers = bound.callers;
         self.peers = bound.peers;
--- a/crates/options/src/source.rs
+++ b/crates/options/src/source.rs
@@ -12,11 +12,11 @@
     /// Operators declare resources through the daemons' API.
     Resources,
     /// The operator writes one document into the platform's store, and backend servers register
-    /// themselves with the daemon beside them.
+    /// themselves with the daemon on their host.
     Document,
 }
 
-/// Reads where the configuration comes from; the daemons' API when nothing is given.
+/// Reads where the configuration comes from; the daemons' API is the default.
 pub fn read(given: Option<String>) -> Result<ConfigSource, SettingError> {
     let allowed = "resources or document";
     let name = settings::checked("source", given, "resources".to_owned(), allowed, |name| {
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reads one value of each form: numbers, times, shares, names, addresses, keys.
+//! Parses setting values by form: numbers, times, shares, names, addresses, keys.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,25 +11,25 @@
 use basaltarch_peer::handshake::KEY_BYTES_MIN;
 use basaltarch_telemetry::logs;
 
-/// Allowed addresses, for error messages.
+/// Description of an allowed address, for error messages.
 pub const ADDRESS_ALLOWED: &str = "an IP address with port, such as 127.0.0.1:8080";
 
-/// Reads a part of a whole, from 0 to 1.
+/// Reads a share, from 0 to 1.
 pub fn share(name: &str, given: Option<String>, default: f64) -> Result<f64, SettingError> {
     settings::checked(name, given, default, "0 to 1", |value| (0.0..=1.0).contains(value))
 }
 
-/// Reads a ratio, which may be more than the whole.
+/// Reads a ratio, which may exceed 1.
 pub fn ratio(name: &str, given: Option<String>, default: f64) -> Result<f64, SettingError> {
     settings::checked(name, given, default, "0 to 10", |value| (0.0..=10.0).contains(value))
 }
 
-/// Reads a setting that is on or off; it is off when nothing is given.
+/// Reads a boolean setting; it is off by default.
 pub fn flag(name: &str, given: Option<String>) -> Result<bool, SettingError> {
     settings::checked(name, given, false, "true or false", |_| true)
 }
 
-/// Reads an address that may be left out.
+/// Reads an optional address.
 pub fn advertised(flag: &str, given: Option<String>) -> Result<Option<SocketAddr>, SettingError> {
     settings::optional(flag, given, ADDRESS_ALLOWED)
 }
@@ -43,7 +43,7 @@
     parts.map(|part| settings::required("seeds", Some(part.trim().to_owned()), allowed)).collect()
 }
 
-/// Reads a name that others know the daemon by.
+/// Reads a name by which other daemons identify this one.
 pub fn name(flag: &str, given: Option<String>) -> Result<String, SettingError> {
     let allowed = "1 to 128 of a-z, 0-9, '-', '.', '_'";
     let name: String = settings::required(flag, given, allowed)?;
@@ -54,14 +54,14 @@
     })
 }
 
-/// Reads the key shared by all daemons; a wrong one is told by its length alone.
+/// Reads the key shared by all daemons; an error about it shows only its length.
 pub fn fleet_key(given: Option<String>) -> Result<Vec<u8>, SettingError> {
     let allowed = "at least 16 characters";
     let key: String = settings::required("fleet-key", given, allowed)?;
     if key.len() >= KEY_BYTES_MIN {
         return Ok(key.into_bytes());
     }
-    // The key itself must not stand in logs.
+    // The key itself must not appear in logs.
     Err(SettingError::Invalid {
         flag: "fleet-key".to_owned(),
         variable: settings::variable_of("fleet-key"),
@@ -70,7 +70,7 @@
     })
 }
 
-/// Reads the level of logs, for all modules or by module.
+/// Reads the log level, for all modules or per module.
 pub fn log_level(given: Option<String>) -> Result<String, SettingError> {
     let allowed = "error, warn, info, debug, trace, or a list by module";
     settings::checked("log", given, "info".to_owned(), allowed, |level: &String| {
@@ -78,62 +78,62 @@
     })
 }
 
-/// Reads a number from `least` to `most`.
+/// Reads a number from `min` to `max`.
 pub fn count(
     flag: &str,
     given: Option<String>,
     default: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<u64, SettingError> {
-    let allowed = format!("{least} to {most}");
-    settings::checked(flag, given, default, &allowed, |value| (least..=most).contains(value))
+    let allowed = format!("{min} to {max}");
+    settings::checked(flag, given, default, &allowed, |value| (min..=max).contains(value))
 }
 
-/// Reads an amount from `least` to `most` that the platform may scale, so that it comes with a fraction. The
-/// fraction is left out: no amount that was granted is exceeded.
+/// Reads an amount from `min` to `max` that the platform may scale, so that it can have a fraction.
+/// It is rounded down, so that no granted amount is exceeded.
 pub fn amount(
     flag: &str,
     given: Option<String>,
     default: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<u64, SettingError> {
-    let allowed = format!("{least} to {most}");
-    let (bottom, top) = (least as f64, most as f64);
+    let allowed = format!("{min} to {max}");
+    let (bottom, top) = (min as f64, max as f64);
     let value = settings::checked(flag, given, default as f64, &allowed, |value: &f64| {
         (bottom..=top).contains(&value.floor())
     });
     value.map(|value| value as u64)
 }
 
-/// Reads a time of `least` to `most` milliseconds.
+/// Reads a time of `min` to `max` milliseconds.
 pub fn time(
     flag: &str,
     given: Option<String>,
     default: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<Duration, SettingError> {
-    let allowed = format!("{least} to {most} ms, or a number of seconds with an s behind it");
+    let allowed = format!("{min} to {max} ms, or a number of seconds with the suffix s");
     let given: Option<String> = settings::optional(flag, given, &allowed)?;
     let given = given.map(|text| seconds_as_millis(&text).unwrap_or(text));
     let value =
-        settings::checked(flag, given, default, &allowed, |value| (least..=most).contains(value));
+        settings::checked(flag, given, default, &allowed, |value| (min..=max).contains(value));
     value.map(Duration::from_millis)
 }
 
-/// Reads a time of at most `most` milliseconds that is not zero.
+/// Reads a time of 1 to `max` milliseconds.
 pub fn millis(
     flag: &str,
     given: Option<String>,
     default: u64,
-    most: u64,
+    max: u64,
 ) -> Result<Duration, SettingError> {
-    time(flag, given, default, 1, most)
+    time(flag, given, default, 1, max)
 }
 
-/// Turns `2.5s` into `2500`; gives nothing for a text of another form.
+/// Converts `2.5s` to `2500`; returns nothing for a text of another form.
 fn seconds_as_millis(text: &str) -> Option<String> {
     let seconds: f64 = text.strip_suffix('s')?.parse().ok()?;
     Some(format!("{}", (seconds * 1000.0).round()))
--- a/crates/options/src/waiting.rs
+++ b/crates/options/src/waiting.rs
@@ -1,21 +1,21 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where work waits that finds no free slot.
+//! Where requests are queued that find no free slot.
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings;
 
-/// `WaitingMode` says where work waits that finds no free slot.
+/// `WaitingMode` says where requests are queued that find no free slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitingMode {
-    /// Whole, in the queue of one host, and is lost with it.
+    /// In the queue of one host, and lost with it.
     OneHost,
-    /// At its ingress, with places before the slots of several hosts.
+    /// At the ingress, with reservations in the queues of several hosts.
     Places,
 }
 
-/// Reads where work waits; at one host when nothing is given.
+/// Reads where requests are queued; at one host by default.
 pub fn read(given: Option<String>) -> Result<WaitingMode, SettingError> {
     let allowed = "one-host or places";
     let name = settings::checked("waiting", given, "one-host".to_owned(), allowed, |name| {
