--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reads a body piece by piece.
+//! Streams message bodies.
 
 use std::time::Duration;
 
@@ -12,26 +12,26 @@
 use crate::framing::BodyFraming;
 use crate::reader::{ByteReader, BODY_READ_BYTES};
 
-/// Longest line before a chunk, with its extensions, and longest trailer line.
+/// Longest chunk header line, with its extensions, and longest trailer line.
 const CHUNK_LINE_MAX: usize = 1024;
-/// Most digits of a chunk's size that fit a `u64` without overflow.
+/// Maximum number of digits of a chunk size that fit a `u64` without overflow.
 const CHUNK_DIGITS_MAX: usize = 15;
-/// Most trailer lines that are read past.
+/// Maximum number of trailer lines that are discarded.
 const TRAILERS_MAX: usize = 64;
 
-/// `BodyLimits` bounds the bodies that are read.
+/// `BodyLimits` is the set of limits on the bodies that are read.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimits {
-    /// Most bytes of a body.
+    /// Maximum size of a body in bytes.
     pub bytes: u64,
-    /// Longest wait for the next piece.
+    /// Maximum wait for the next piece of the body.
     pub idle: Duration,
 }
 
 impl Default for BodyLimits {
     fn default() -> Self {
         Self {
-            // Bodies stream, so that the bound guards backend servers rather than memory.
+            // Bodies are streamed, so that this limit protects backend servers rather than memory.
             bytes: 4 << 30,
             idle: Duration::from_secs(30),
         }
@@ -49,7 +49,7 @@
     UntilClose,
 }
 
-/// `BodyReader` gives the pieces of one body.
+/// `BodyReader` is a reader of one body, which it returns in pieces.
 #[derive(Debug)]
 pub struct BodyReader {
     state: BodyState,
@@ -58,7 +58,7 @@
 }
 
 impl BodyReader {
-    /// Builds a reader of a body with this framing.
+    /// Builds a reader for a body with this framing.
     pub fn new(framing: BodyFraming, limits: BodyLimits) -> Self {
         let state = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => BodyState::Done,
@@ -69,12 +69,12 @@
         Self { state, limits, total: 0 }
     }
 
-    /// Says whether the whole body was given.
+    /// Says whether the whole body was returned.
     pub fn is_done(&self) -> bool {
         self.state == BodyState::Done
     }
 
-    /// Returns the next piece, or nothing at the end of the body.
+    /// Reads and returns the next piece, or nothing at the end of the body.
     pub async fn next<R: AsyncReadRent>(
         &mut self,
         reader: &mut ByteReader<R>,
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Takes the next piece that is already in `buffer`, if there is one.
+    /// Returns the next piece that is already in `buffer`, if there is one, without reading from
+    /// the connection.
     pub fn take(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         loop {
             match self.state {
@@ -138,11 +139,15 @@
         Ok(piece)
     }
 
-    fn take_data(&mut self, buffer: &mut BytesMut, most: u64) -> Result<Option<Bytes>, HttpError> {
-        if buffer.is_empty() || most == 0 {
+    fn take_data(
+        &mut self,
+        buffer: &mut BytesMut,
+        max_bytes: u64,
+    ) -> Result<Option<Bytes>, HttpError> {
+        if buffer.is_empty() || max_bytes == 0 {
             return Ok(None);
         }
-        let count = most.min(buffer.len() as u64).min(BODY_READ_BYTES as u64);
+        let count = max_bytes.min(buffer.len() as u64).min(BODY_READ_BYTES as u64);
         self.total += count;
         if self.total > self.limits.bytes {
             return Err(HttpError::BodyTooLarge { allowed: self.limits.bytes });
@@ -176,7 +181,8 @@
     u64::from_str_radix(text, 16).map_err(|_| HttpError::BadChunk)
 }
 
-/// Takes a line without its end; a line feed without carriage return is an error.
+/// Removes a line from the buffer and returns it without its CRLF; a line feed without a carriage
+/// return is an error.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, HttpError> {
     match buffer.iter().position(|byte| *byte == b'\n') {
         Some(end) if end > CHUNK_LINE_MAX => Err(HttpError::BadChunk),
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A small client for whole requests and replies, with a few kept connections.
+//! A small client for requests and replies that fit in memory, with a small connection pool.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 use crate::head::{self, HeadLimits};
 use crate::writer;
 
-/// Connections kept open between calls.
+/// Maximum number of idle connections in the pool.
 const IDLE_MAX: usize = 8;
 
-/// `ClientReply` is a whole reply.
+/// `ClientReply` is a reply with its complete body.
 #[derive(Debug)]
 pub struct ClientReply {
     /// Its status.
@@ -33,7 +33,7 @@
     pub body: Bytes,
 }
 
-/// `HttpClient` sends whole requests to one address.
+/// `HttpClient` is a client for one address; requests and replies are held in memory as a whole.
 #[derive(Debug)]
 pub struct HttpClient {
     address: SocketAddr,
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Lets the system find out that the other side is gone after about three times `silence`.
+    /// Enables TCP keep-alive, by which the system detects a dead peer after about three times
+    /// `silence`.
     pub fn keep_alive(mut self, silence: Duration) -> Self {
         self.keep_alive = Some(silence);
         self
@@ -66,12 +67,12 @@
         self.address
     }
 
-    /// Closes the connections that rest: where one was found dead, the others may be as dead.
+    /// Closes the idle connections: after one was found dead, the others are likely to be dead too.
     pub fn forget_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Sends a request and reads the reply.
+    /// Sends a request and reads the whole reply.
     pub async fn call(
         &self,
         method: Method,
@@ -110,15 +111,17 @@
 
     async fn connect(&self) -> Result<HttpStream, HttpError> {
         match self.keep_alive {
-            Some(silence) => HttpStream::connect_watched(self.address, self.timeout, silence).await,
+            Some(silence) => {
+                HttpStream::connect_with_keepalive(self.address, self.timeout, silence).await
+            }
             None => HttpStream::connect(self.address, self.timeout).await,
         }
     }
 
     async fn open(&self) -> Result<HttpStream, HttpError> {
         loop {
-            let kept = self.idle.borrow_mut().pop();
-            let mut stream = match kept {
+            let pooled = self.idle.borrow_mut().pop();
+            let mut stream = match pooled {
                 Some(stream) => stream,
                 None => return self.connect().await,
             };
@@ -129,13 +132,13 @@
     }
 }
 
-/// Says whether a kept connection is still open with nothing to read.
+/// Says whether an idle connection is still open and has no unexpected data to read.
 pub fn is_quiet(stream: &mut HttpStream) -> bool {
     let reading = stream.reader.fill(crate::reader::HEAD_READ_BYTES);
     reading.now_or_never().is_none()
 }
 
-/// Sends a whole request.
+/// Sends a request with its complete body.
 pub async fn send(
     stream: &mut HttpStream,
     method: &Method,
@@ -152,7 +155,7 @@
     writer::send_piece(&mut stream.writer, &mut buffer, framing, body, true).await
 }
 
-/// Reads a whole reply and says whether the connection ends with it.
+/// Reads a reply with its complete body, and says whether the connection ends with it.
 pub async fn receive(
     stream: &mut HttpStream,
     method: &Method,
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -18,28 +18,28 @@
 use crate::errors::{self, HttpError};
 use crate::reader::{ByteReader, HEAD_READ_BYTES};
 
-/// Pause after the system refused to accept, for instance for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next accept after one failed, for instance for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// `HttpStream` is a connection with its two halves.
+/// `HttpStream` is a connection split into its read and write halves.
 #[derive(Debug)]
 pub struct HttpStream {
-    /// The half that is read.
+    /// The read half.
     pub reader: ByteReader<OwnedReadHalf<TcpStream>>,
-    /// The half that is written.
+    /// The write half.
     pub writer: OwnedWriteHalf<TcpStream>,
 }
 
 impl HttpStream {
-    /// Builds the halves of a connection.
+    /// Splits a connection into its halves.
     pub fn new(stream: TcpStream) -> Self {
-        // Without this, small messages wait for the other side's acknowledgement.
+        // With Nagle's algorithm, small messages would wait for the peer's acknowledgement.
         let _ = stream.set_nodelay(true);
         let (read, writer) = stream.into_split();
         Self { reader: ByteReader::new(read), writer }
     }
 
-    /// Connects to `address` for no longer than `limit`.
+    /// Connects to `address` within `limit`.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, HttpError> {
         match monoio::time::timeout(limit, TcpStream::connect_addr(address)).await {
             Ok(Ok(stream)) => Ok(Self::new(stream)),
@@ -49,23 +49,24 @@
     }
 }
 
-/// Bytes of an unread message that are read past after a refusal, so that the other side can read it.
-const LINGER_BYTES: usize = 256 * 1024;
-/// Longest time of reading past.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Probes without an answer after which the system gives a connection up.
-const PROBES_MAX: u32 = 2;
+/// Maximum number of bytes discarded from an unread message after an early response, so that the
+/// peer can read that response.
+const LINGER_BYTES_MAX: usize = 256 * 1024;
+/// Maximum time spent on discarding input.
+const LINGER_TIME_MAX: Duration = Duration::from_secs(1);
+/// Number of unanswered TCP keep-alive probes after which the system drops a connection.
+const KEEPALIVE_PROBES: u32 = 2;
 
 impl HttpStream {
-    /// Ends the writing half and reads past what the other side still sends: closing with unread bytes
-    /// resets the connection, and the other side might lose the answer (RFC 9112 section 9.6).
+    /// Shuts down the write half and discards what the peer still sends: closing with unread bytes
+    /// resets the connection, and the peer might lose the response (RFC 9112 section 9.6).
     pub async fn linger(&mut self) {
-        // A connection that is broken already has nobody left to read.
+        // On a connection that is already broken, nobody is left to read the response.
         let _ = self.writer.shutdown().await;
         let reader = &mut self.reader;
         let reading = async {
             let mut read = reader.buffer.len();
-            while read < LINGER_BYTES {
+            while read < LINGER_BYTES_MAX {
                 reader.buffer.clear();
                 match reader.fill(HEAD_READ_BYTES).await {
                     Ok(count) if count > 0 => read += count,
@@ -73,12 +74,12 @@
                 }
             }
         };
-        let _ = monoio::time::timeout(LINGER_TIME, reading).await;
+        let _ = monoio::time::timeout(LINGER_TIME_MAX, reading).await;
     }
 
-    /// Connects as [`Self::connect`] does, and lets the system find out that the other side is gone:
-    /// it asks after `silence`, and gives the connection up after [`PROBES_MAX`] probes unanswered.
-    pub async fn connect_watched(
+    /// Connects as [`Self::connect`] does, with TCP keep-alive: the system sends the first probe
+    /// after `silence`, and drops the connection after [`KEEPALIVE_PROBES`] unanswered probes.
+    pub async fn connect_with_keepalive(
         address: SocketAddr,
         limit: Duration,
         silence: Duration,
@@ -87,15 +88,16 @@
             Ok(result) => result.map_err(errors::broken)?,
             Err(_) => return Err(HttpError::TimedOut { what: "a connection" }),
         };
-        let watched = stream.set_tcp_keepalive(Some(silence), Some(silence), Some(PROBES_MAX));
-        watched.map_err(errors::broken)?;
+        let enabled =
+            stream.set_tcp_keepalive(Some(silence), Some(silence), Some(KEEPALIVE_PROBES));
+        enabled.map_err(errors::broken)?;
         Ok(Self::new(stream))
     }
 }
 
-/// Listens on `address`; port 0 lets the system choose.
+/// Listens on `address`; with port 0 the system chooses the port.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    // Sharing a port between processes would hide that it is taken.
+    // Sharing a port between processes would hide that it is already in use.
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options)
 }
@@ -111,12 +113,13 @@
     }
 }
 
-/// Accepts connections for ever and runs `serve` on each in a task of its own.
+/// Accepts connections forever and runs `serve` on each in its own task.
 ///
-/// Connections over `most` are closed at once. A panic in a task ends that connection alone.
+/// Connections beyond `max_connections` are closed at once. A panic in a task ends only its own
+/// connection.
 pub async fn accept_all<F, Fut>(
     listener: TcpListener,
-    most: usize,
+    max_connections: usize,
     count: ConnectionCount,
     serve: F,
 ) where
@@ -128,13 +131,13 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 process::AcceptFailed { error: &error.to_string() }.log();
-                monoio::time::sleep(ACCEPT_PAUSE).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if count.get() >= most {
+        if count.get() >= max_connections {
             let address = &address.to_string();
-            process::ConnectionRefused { address, allowed: most as u64 }.log();
+            process::ConnectionRefused { address, allowed: max_connections as u64 }.log();
             continue;
         }
         count.0.set(count.get() + 1);
@@ -147,7 +150,7 @@
     }
 }
 
-/// Runs `task` and logs a panic in place of passing it on.
+/// Runs `task`, and catches and logs a panic instead of propagating it.
 pub async fn guard(what: &'static str, task: impl Future<Output = ()>) {
     let caught = std::panic::AssertUnwindSafe(task).catch_unwind().await;
     if caught.is_err() {
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of HTTP connections and the status that answers each.
+//! Errors of HTTP connections and the response status of each.
 
 use std::io;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum HttpError {
-    /// The other side closed the connection between messages.
+    /// The peer closed the connection between messages.
     #[snafu(display("the connection was closed"))]
     Closed,
     /// The connection ended within a message.
@@ -24,10 +24,10 @@
         /// What the system reported.
         source: io::Error,
     },
-    /// The other side was too slow.
+    /// The peer was too slow.
     #[snafu(display("timed out waiting for {what}"))]
     TimedOut {
-        /// What did not come.
+        /// What was awaited.
         what: &'static str,
     },
     /// The head is larger than allowed.
@@ -42,22 +42,22 @@
         /// Fields allowed.
         allowed: usize,
     },
-    /// The head can't be read.
+    /// The head is malformed.
     #[snafu(display("the head can't be read: {message}"))]
     BadHead {
         /// What is wrong.
         message: String,
     },
-    /// The length of the body is given in a way that can be read in two ways.
+    /// The length of the body is ambiguous.
     #[snafu(display("the length of the body is ambiguous: {message}"))]
     BadLength {
         /// What is wrong.
         message: &'static str,
     },
-    /// The transfer coding is not known.
+    /// The transfer coding is not supported.
     #[snafu(display("the transfer coding is not known; allowed: chunked"))]
     UnknownCoding,
-    /// A chunk can't be read.
+    /// A chunk is malformed.
     #[snafu(display("a chunk of the body can't be read"))]
     BadChunk,
     /// The body is larger than allowed.
@@ -69,7 +69,7 @@
 }
 
 impl HttpError {
-    /// Returns the status that tells a caller of this error, if one can still be told.
+    /// Returns the status of the response to this error, if a response can still be sent.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
             Self::Closed | Self::Truncated | Self::Broken { .. } => None,
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! How long a body is, by the rules of RFC 9112 section 6, without guessing.
+//! Message framing by the rules of RFC 9112 section 6; an ambiguous length is an error.
 
 use http::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use http::{request, response, HeaderMap, Method, StatusCode, Version};
@@ -15,14 +15,14 @@
     Empty,
     /// The body has this many bytes.
     Length(u64),
-    /// The body comes in chunks.
+    /// The body is sent in chunks.
     Chunked,
     /// The body ends with the connection.
     UntilClose,
 }
 
 impl BodyFraming {
-    /// Returns the length as it goes between daemons: -1 when it is not known beforehand.
+    /// Returns the length as daemons send it to each other: -1 when it is not known in advance.
     pub fn wire_length(self) -> i64 {
         match self {
             Self::Empty => 0,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the framing of the body of an answer to `method`.
+/// Returns the framing of the body of a response to `method`.
 pub fn of_response(head: &response::Parts, method: &Method) -> Result<BodyFraming, HttpError> {
     if never_has_body(head.status) || method == Method::HEAD {
         return Ok(BodyFraming::Empty);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Says whether an answer with this status never has a body.
+/// Says whether a response with this status never has a body.
 pub fn never_has_body(status: StatusCode) -> bool {
     status.is_informational()
         || status == StatusCode::NO_CONTENT
@@ -83,7 +83,7 @@
     Err(HttpError::UnknownCoding)
 }
 
-/// Reads `Content-Length`; more than one, even alike, is refused.
+/// Reads `Content-Length`; a repeated field is an error, even with equal values.
 pub fn content_length(headers: &HeaderMap) -> Result<Option<u64>, HttpError> {
     let mut values = headers.get_all(CONTENT_LENGTH).iter();
     let value = match values.next() {
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reads the head of a request or an answer within bounds.
+//! Reads the heads of requests and responses within limits.
 
 use std::time::{Duration, Instant};
 
@@ -15,16 +15,16 @@
 use crate::errors::{self, HttpError};
 use crate::reader::{ByteReader, HEAD_READ_BYTES};
 
-/// `HeadLimits` bounds the heads that are read.
+/// `HeadLimits` is the set of limits on the heads that are read.
 #[derive(Debug, Clone, Copy)]
 pub struct HeadLimits {
-    /// Most bytes of a head.
+    /// Maximum size of a head in bytes.
     pub bytes: usize,
-    /// Most fields of a head; the parser has 96 places.
+    /// Maximum number of fields of a head; the parser has room for 96.
     pub fields: usize,
-    /// Longest wait for the first byte.
+    /// Maximum wait for the first byte.
     pub idle: Duration,
-    /// Longest time from the first byte to the end of the head.
+    /// Maximum time from the first byte to the end of the head.
     pub time: Duration,
 }
 
@@ -49,7 +49,7 @@
     decoded(RequestHeadDecoder.decode(&mut head))
 }
 
-/// Reads the head of an answer.
+/// Reads the head of a response.
 pub async fn read_response<R: AsyncReadRent>(
     reader: &mut ByteReader<R>,
     limits: &HeadLimits,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Skips empty lines before a message, as RFC 9112 section 2.2 asks of servers.
+/// Skips empty lines before a message, as RFC 9112 section 2.2 recommends for servers.
 fn skip_empty_lines(buffer: &mut BytesMut) {
     while buffer.starts_with(b"\r\n") {
         buffer.advance(2);
@@ -103,8 +103,8 @@
 fn find_end(buffer: &[u8], limits: &HeadLimits) -> Result<Option<usize>, HttpError> {
     let mut fields = 0;
     let mut line_start = 0;
-    let most = buffer.len().min(limits.bytes);
-    for (index, _) in buffer[..most].iter().enumerate().filter(|(_, byte)| **byte == b'\n') {
+    let searched = buffer.len().min(limits.bytes);
+    for (index, _) in buffer[..searched].iter().enumerate().filter(|(_, byte)| **byte == b'\n') {
         if index == 0 || buffer[index - 1] != b'\r' {
             return Err(errors::bad_head("a line ends without a carriage return"));
         }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,12 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! HTTP/1.1 for every process of basaltarch.
+//! HTTP/1.1 for all basaltarch processes.
 //!
-//! Heads are parsed by `monoio-http`. What it leaves to its users stands here: the bound on a
-//! head's size and on its fields, the rules on how long a body is, and bodies that are passed on
-//! piece by piece. Its own payload types gather a fixed body whole, and so does its decoder of
-//! chunked bodies with each chunk; a daemon must pass on bodies larger than its memory.
+//! Heads are parsed by `monoio-http`. This crate adds what that leaves to its users: limits on the
+//! size and the number of fields of a head, the rules of message framing, and streamed bodies. The
+//! payload types of `monoio-http` hold a body of known length in memory as a whole, and its decoder
+//! of chunked bodies does the same with each chunk, while a daemon must forward bodies larger than
+//! its memory.
 
 pub mod body;
 pub mod client;
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A buffered reader whose reads may be abandoned without losing bytes.
+//! A buffered reader whose reads can be cancelled without losing bytes.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 
 use crate::errors::{self, HttpError};
 
-/// Bytes asked of the system while a head is awaited: most heads fit, and an idle connection
-/// holds no more than this.
+/// Buffer size of a read while a head is awaited: most heads fit, and an idle connection holds no
+/// more than this.
 pub const HEAD_READ_BYTES: usize = 4 * units::KIB;
-/// Bytes asked of the system while a body is read: one chunk between daemons.
+/// Buffer size of a read within a body: one chunk between daemons.
 pub const BODY_READ_BYTES: usize = 32 * units::KIB;
 
-/// `ByteReader` reads from one half of a connection into a buffer.
+/// `ByteReader` is a buffered reader of the read half of a connection.
 #[derive(Debug)]
 pub struct ByteReader<R> {
     io: R,
-    /// Bytes that were read and not yet taken.
+    /// Bytes that were read and not yet consumed.
     pub buffer: BytesMut,
     spare: Option<BytesMut>,
 }
@@ -32,14 +32,14 @@
         Self { io, buffer: BytesMut::new(), spare: None }
     }
 
-    /// Reads at least one byte into the buffer; returns 0 at the end of the connection.
+    /// Reads at least one byte and at most `max_bytes` into the buffer; returns 0 at the end of the
+    /// connection.
     ///
-    /// Dropping the future loses nothing: the epoll driver reads only when polled, and into a
-    /// spare buffer.
-    pub async fn fill(&mut self, most: usize) -> Result<usize, HttpError> {
+    /// The future is cancel safe: the epoll driver reads only when polled, and into a spare buffer.
+    pub async fn fill(&mut self, max_bytes: usize) -> Result<usize, HttpError> {
         let mut spare = self.spare.take().unwrap_or_default();
         spare.clear();
-        spare.reserve(most);
+        spare.reserve(max_bytes);
         let (result, filled) = self.io.read(spare).await;
         let count = result.map_err(errors::broken)?;
         if self.buffer.is_empty() {
@@ -52,20 +52,20 @@
         Ok(count)
     }
 
-    /// Reads as [`Self::fill`] does, for no longer than `limit`.
+    /// Reads as [`Self::fill`] does, within `limit`.
     pub async fn fill_within(
         &mut self,
-        most: usize,
+        max_bytes: usize,
         limit: Duration,
         what: &'static str,
     ) -> Result<usize, HttpError> {
-        match monoio::time::timeout(limit, self.fill(most)).await {
+        match monoio::time::timeout(limit, self.fill(max_bytes)).await {
             Ok(result) => result,
             Err(_) => Err(HttpError::TimedOut { what }),
         }
     }
 
-    /// Gives the buffers back while the connection is idle.
+    /// Frees the buffers while the connection is idle.
     pub fn release(&mut self) {
         self.spare = None;
         if self.buffer.is_empty() {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,8 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A small server for the administration API and for stand-ins: whole requests in, whole or
-//! streamed replies out. Callers' requests do not come through here; see the ingress role.
+//! A small server for the administration API and for simulated servers (`basaltarch-standin`).
+//! Requests are read as a whole; replies are sent as a whole or streamed. Callers' requests are not
+//! served here but by the ingress role.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -24,17 +25,17 @@
 use crate::head::{self, HeadLimits};
 use crate::writer;
 
-/// Longest time that a streamed reply waits for its reader to take a piece.
-const STREAM_STALL: Duration = Duration::from_secs(10);
+/// Maximum wait for the client to accept a piece of a streamed reply.
+const STREAM_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// `ServerRequest` is a whole request.
+/// `ServerRequest` is a request with its complete body.
 #[derive(Debug)]
 pub struct ServerRequest {
     /// Its head.
     pub head: request::Parts,
     /// Its body.
     pub body: Bytes,
-    /// Where it came from.
+    /// Address of the client.
     pub from: SocketAddr,
 }
 
@@ -57,9 +58,9 @@
 
 /// `ReplyBody` is the body of a reply.
 pub enum ReplyBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Pieces as they come; the reply ends with the stream.
+    /// Pieces that are sent as they become available; the reply ends with the stream.
     Stream(LocalBoxStream<'static, Bytes>),
 }
 
@@ -71,7 +72,7 @@
     pub headers: HeaderMap,
     /// Its body.
     pub body: ReplyBody,
-    /// Whether the connection is dropped without a reply; only stand-ins do so.
+    /// Whether the connection is closed without a reply, which only simulated servers do.
     pub hang_up: bool,
 }
 
@@ -99,7 +100,7 @@
         Self { status, headers, body: ReplyBody::Whole(body), hang_up: false }
     }
 
-    /// Adds a header field; a value that can't stand in a head is left out.
+    /// Adds a header field; a value that is not allowed in a header field is omitted.
     pub fn with_field(mut self, name: header::HeaderName, value: &str) -> Self {
         if let Ok(value) = HeaderValue::from_str(value) {
             self.headers.insert(name, value);
@@ -108,12 +109,12 @@
     }
 }
 
-/// `ServerLimits` bounds what a server reads.
+/// `ServerLimits` is the set of limits on the requests that a server reads.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServerLimits {
-    /// Bounds of heads.
+    /// Limits on heads.
     pub head: HeadLimits,
-    /// Bounds of bodies.
+    /// Limits on bodies.
     pub body: BodyLimits,
 }
 
@@ -126,9 +127,13 @@
     }
 }
 
-/// Accepts connections for ever, `most` at once, and serves the requests on each.
-pub async fn serve_all<F, Fut>(listener: TcpListener, most: usize, limits: ServerLimits, handle: F)
-where
+/// Accepts connections forever, at most `max_connections` at once, and serves the requests on each.
+pub async fn serve_all<F, Fut>(
+    listener: TcpListener,
+    max_connections: usize,
+    limits: ServerLimits,
+    handle: F,
+) where
     F: Fn(ServerRequest) -> Fut + 'static,
     Fut: Future<Output = ServerReply> + 'static,
 {
@@ -137,7 +142,7 @@
         let handle = handle.clone();
         serve(stream, from, limits, move |request| handle(request))
     };
-    connection::accept_all(listener, most, ConnectionCount::default(), serve_one).await;
+    connection::accept_all(listener, max_connections, ConnectionCount::default(), serve_one).await;
 }
 
 /// Serves requests on one connection until it ends.
@@ -218,7 +223,7 @@
             while let Some(piece) = pieces.next().await {
                 let send =
                     writer::send_piece(&mut stream.writer, &mut buffer, framing, piece, false);
-                match monoio::time::timeout(STREAM_STALL, send).await {
+                match monoio::time::timeout(STREAM_WRITE_TIMEOUT, send).await {
                     Ok(result) => result?,
                     Err(_) => return Err(HttpError::TimedOut { what: "a slow reader" }),
                 }
--- a/crates/http/src/writer.rs
+++ b/crates/http/src/writer.rs
@@ -12,7 +12,7 @@
 use crate::errors::{self, HttpError};
 use crate::framing::BodyFraming;
 
-/// Bodies up to this size are copied behind what waits, to save a system call.
+/// Pieces up to this size are copied behind the buffered bytes, which saves a system call.
 const COPY_BYTES_MAX: usize = 8 * 1024;
 
 /// Writes the head of a request.
@@ -32,7 +32,7 @@
     buffer.put_slice(b"\r\n");
 }
 
-/// Writes the status line of an answer.
+/// Writes the status line of a response.
 pub fn put_status_line(buffer: &mut BytesMut, status: StatusCode) {
     buffer.put_slice(b"HTTP/1.1 ");
     buffer.put_slice(status.as_str().as_bytes());
@@ -41,7 +41,7 @@
     buffer.put_slice(b"\r\n");
 }
 
-/// Writes the head of an answer.
+/// Writes the head of a response.
 pub fn put_response_head(
     buffer: &mut BytesMut,
     status: StatusCode,
@@ -76,7 +76,7 @@
     buffer.put_slice(b"\r\n");
 }
 
-/// Writes the field that tells where a body ends.
+/// Writes the header field that delimits the body.
 pub fn put_framing(buffer: &mut BytesMut, framing: BodyFraming) {
     match framing {
         BodyFraming::Empty | BodyFraming::UntilClose => {}
@@ -88,7 +88,7 @@
     }
 }
 
-/// Writes a piece of a body with this framing, and the end of the body if it is the last.
+/// Writes a piece of a body with this framing, and the end of the body after the last piece.
 pub fn put_piece(buffer: &mut BytesMut, framing: BodyFraming, piece: &[u8], last: bool) {
     if framing != BodyFraming::Chunked {
         buffer.put_slice(piece);
@@ -104,7 +104,7 @@
     }
 }
 
-/// Sends what waits in `buffer`, then `piece`, and leaves the buffer empty.
+/// Sends the buffered bytes, then `piece`, and leaves the buffer empty.
 pub async fn send_piece<W: AsyncWriteRent>(
     io: &mut W,
     buffer: &mut BytesMut,
@@ -121,7 +121,7 @@
     result.map(drop).map_err(errors::broken)
 }
 
-/// Sends what waits in `buffer` and leaves it empty.
+/// Sends the buffered bytes and leaves the buffer empty.
 pub async fn flush<W: AsyncWriteRent>(io: &mut W, buffer: &mut BytesMut) -> Result<(), HttpError> {
     if buffer.is_empty() {
         return Ok(());
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Listeners outlive what goes wrong on one connection.
+//! A panic while a connection is served must not end the listener or other connections, nor keep
+//! the connection in the count of open ones.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -31,7 +32,7 @@
             server::serve(stream, from, ServerLimits::default(), move |request| {
                 let seen = seen.clone();
                 async move {
-                    assert_ne!(request.path(), "/panic", "asked for");
+                    assert_ne!(request.path(), "/panic", "panic requested by the test");
                     seen.set(seen.get() + 1);
                     ServerReply::text(StatusCode::OK, "well")
                 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Heads and bodies: bounds, framing, and any splitting of the input gives the same result.
+//! Limits and framing of heads and bodies, whose results must not depend on how the input is split
+//! into reads.
 
 use std::time::Duration;
 
@@ -21,7 +22,7 @@
 use proptest::test_runner::RngSeed;
 use test_case::test_case;
 
-/// A connection whose bytes come in given pieces, then end.
+/// A connection that delivers its bytes in pieces of one size and then ends.
 struct PieceReader {
     pieces: std::collections::VecDeque<Vec<u8>>,
 }
@@ -39,7 +40,7 @@
             Some(piece) => piece,
             None => return (Ok(0), buf),
         };
-        // The slice reader copies into the buffer as a connection would.
+        // The slice reader copies into the buffer as a connection does.
         let mut source = piece.as_slice();
         let (result, buf) = AsyncReadRent::read(&mut source, buf).await;
         let rest = source.to_vec();
@@ -84,25 +85,25 @@
 
 #[test_case("", "closed" ; "nothing came")]
 #[test_case("GET / HT", "cut short" ; "half a head")]
-fn verify_a_head_that_ends_early_is_told_apart(text: &str, part: &str) {
+fn verify_a_closed_connection_and_a_truncated_head_give_different_errors(text: &str, part: &str) {
     let error = request(text, 3).expect_err("no head");
     assert!(error.to_string().contains(part), "{error}");
     assert!(error.status().is_none(), "nobody is left to answer");
 }
 
 #[test]
-fn verify_a_head_of_the_largest_size_passes_and_one_byte_more_does_not() {
+fn verify_the_size_limit_of_a_head_is_exact() {
     let limits = HeadLimits { bytes: 256, ..HeadLimits::default() };
     let text = |length: usize| {
         let rest = length - "GET / HTTP/1.1\r\na: \r\n\r\n".len();
         format!("GET / HTTP/1.1\r\na: {}\r\n\r\n", "x".repeat(rest))
     };
-    for (length, passes) in [(255, true), (256, true), (257, false)] {
+    for (length, is_accepted) in [(255, true), (256, true), (257, false)] {
         let result = run(async {
             let mut reader = PieceReader::new(text(length).as_bytes(), 50);
             head::read_request(&mut reader, &limits).await
         });
-        assert_eq!(result.is_ok(), passes, "{length}");
+        assert_eq!(result.is_ok(), is_accepted, "{length}");
     }
 }
 
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn verify_a_body_over_the_bound_is_refused() {
+fn verify_a_body_over_the_limit_is_rejected() {
     let limits = BodyLimits { bytes: 10, idle: Duration::from_secs(1) };
     let result = run(async {
         let mut reader = PieceReader::new(&[b'x'; 11], 4);
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn verify_hop_fields_are_removed_with_those_that_connection_names() {
+fn verify_hop_by_hop_fields_are_removed_with_those_that_connection_lists() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, X-One"),
@@ -165,18 +166,18 @@
     assert!(fields::wants_close(Version::HTTP_10, &headers));
 }
 
-/// Runs so many cases, the same ones each time.
-fn fixed(cases: u32) -> ProptestConfig {
+/// Runs `cases` cases with a fixed_config seed, so that each run has the same ones.
+fn fixed_config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(400))]
+    #![proptest_config(fixed_config(400))]
 
-    /// Whatever comes, reading ends without a panic.
+    /// Arbitrary bytes must not cause a panic.
     #[test]
-    fn verify_any_bytes_end_in_a_head_or_an_error(
+    fn verify_arbitrary_bytes_give_a_head_or_an_error(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         piece in 1..50_usize,
     ) {
@@ -194,9 +195,9 @@
         });
     }
 
-    /// Near-valid heads exercise more of the parser than random bytes do.
+    /// Nearly valid heads reach more of the parser than random bytes do.
     #[test]
-    fn verify_mangled_heads_end_in_a_head_or_an_error(
+    fn verify_corrupted_heads_give_a_head_or_an_error(
         position in 0..120_usize,
         byte in any::<u8>(),
         piece in 1..50_usize,
@@ -208,7 +209,7 @@
         run(async {
             let mut reader = PieceReader::new(&text, piece);
             if let Ok(head) = head::read_request(&mut reader, &HeadLimits::default()).await {
-                // Two lengths are never guessed between.
+                // A message with both lengths must be rejected: which one holds is ambiguous.
                 let framing = framing::of_request(&head);
                 let both = head.headers.contains_key("content-length")
                     && head.headers.contains_key("transfer-encoding");
@@ -217,7 +218,7 @@
         });
     }
 
-    /// What the writer writes in chunks, the reader reads, however it is split.
+    /// Chunks that the writer produces are read back, however the input is split.
     #[test]
     fn verify_written_chunks_are_read_back(
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 0..8),
