--- a/crates/telemetry/src/errors.rs
+++ b/crates/telemetry/src/errors.rs
@@ -1,13 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of starting a process.
+//! Errors of the start of a process.
 
 use std::io;
 
 use snafu::Snafu;
 
-/// `StartError` says why a process could not start its surroundings.
+/// `StartError` says why the runtime, signals or metrics of a process could not be set up.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StartError {
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -3,8 +3,8 @@
 
 //! Logs as JSON lines on standard output.
 //!
-//! Lines go through a bounded queue to a thread that writes them, so that nothing waits for whoever
-//! reads standard output. Lines that find the queue full are dropped and counted.
+//! Lines pass through a bounded queue to a thread that writes them, so that a slow reader of
+//! standard output blocks nothing. Lines that find the queue full are dropped and counted.
 
 use std::io;
 use std::sync::OnceLock;
@@ -12,20 +12,21 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Lines that may wait to be written: at about 300 bytes each, 1.2 MB.
+/// Capacity of the queue in lines: at about 300 bytes each, 1.2 MB.
 const LINES_MAX: usize = 4096;
 
 static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// `LogGuard` writes the lines that still wait when it is dropped, for about a second at the longest.
+/// `LogGuard` is the guard of the writing thread: dropping it flushes the queued lines, for at most
+/// about a second.
 pub struct LogGuard {
     _worker: Option<WorkerGuard>,
 }
 
-/// Starts logging as JSON lines; `filter` is a level (`info`) or a list as of `tracing`.
+/// Starts logging as JSON lines; `filter` is a level (`info`) or a list of `tracing` directives.
 ///
 /// A second call does nothing, so that tests may start several daemons in one process.
-#[must_use = "lines that wait are lost when the guard is gone"]
+#[must_use = "queued lines are lost once the guard is dropped"]
 pub fn start(filter: &str) -> LogGuard {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES_MAX);
@@ -46,12 +47,12 @@
     LogGuard { _worker: Some(worker) }
 }
 
-/// Returns the number of lines that were dropped so far.
+/// Returns the number of lines dropped since the start.
 pub fn dropped_lines() -> u64 {
     DROPPED.get().map_or(0, |counter| counter.dropped_lines() as u64)
 }
 
-/// Says whether `filter` can be read.
+/// Says whether `filter` can be parsed.
 pub fn is_valid(filter: &str) -> bool {
     EnvFilter::try_new(filter).is_ok()
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,9 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Metrics by OpenTelemetry, shown as text for Prometheus on the admin address.
+//! Metrics by OpenTelemetry, exposed in the Prometheus text format on the admin address.
 //!
-//! The request path only adds to atomic numbers; OpenTelemetry reads them when somebody asks.
+//! The request path only adds to atomic numbers, which OpenTelemetry reads when the metrics are
+//! scraped.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -16,7 +17,7 @@
 
 use crate::errors::StartError;
 
-/// `CounterCell` is a number that only rises.
+/// `CounterCell` is a monotonic counter.
 #[derive(Debug, Default)]
 pub struct CounterCell(AtomicU64);
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// `GaugeCell` is a number that rises and falls.
+/// `GaugeCell` is a value that rises and falls.
 #[derive(Debug, Default)]
 pub struct GaugeCell(AtomicI64);
 
@@ -68,11 +69,13 @@
     }
 }
 
-/// `HistogramCell` is a distribution of seconds. Each is recorded at once, in about 100 ns.
+/// `HistogramCell` is a distribution of durations in seconds. Each value is recorded at once, which
+/// takes about 100 ns.
 #[derive(Debug, Default)]
 pub struct HistogramCell(OnceLock<Histogram<f64>>);
 
-/// Bounds of the histograms' buckets, in seconds: from what nobody notices to a caller's time-out.
+/// Bucket bounds of the histograms in seconds, from an unnoticeable delay to the time-out of a
+/// caller.
 const SECONDS_BOUNDS: [f64; 13] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0];
 
@@ -82,12 +85,13 @@
         Self(OnceLock::new())
     }
 
-    /// Takes a time in; before the metrics are started it is not kept.
+    /// Records a duration; before the metrics are started it is discarded.
     pub fn record(&self, time: Duration) {
         self.record_as(time, []);
     }
 
-    /// Takes a time in under some labels; their values must be few, as each set is kept for good.
+    /// Records a duration with labels; their values must be few, as each set of them is kept for
+    /// the life of the process.
     pub fn record_as<const N: usize>(&self, time: Duration, labels: [(&'static str, &str); N]) {
         if let Some(histogram) = self.0.get() {
             let labels = labels.map(|(name, value)| KeyValue::new(name, value.to_owned()));
@@ -96,7 +100,7 @@
     }
 }
 
-/// `MetricSource` is where a metric's number comes from.
+/// `MetricSource` is the cell that a metric reads its value from.
 #[derive(Debug, Clone, Copy)]
 pub enum MetricSource {
     /// A counter.
@@ -107,16 +111,16 @@
     Histogram(&'static HistogramCell),
 }
 
-/// `MetricEntry` describes one metric, with one label at the most.
+/// `MetricEntry` describes one metric, with at most one label.
 #[derive(Debug, Clone, Copy)]
 pub struct MetricEntry {
-    /// Name without prefix.
+    /// Name without the `basaltarch_` prefix.
     pub name: &'static str,
-    /// What it counts.
+    /// Help text.
     pub help: &'static str,
-    /// Label and its value.
+    /// Name and value of the label.
     pub label: Option<(&'static str, &'static str)>,
-    /// Where the number comes from.
+    /// Where the value comes from.
     pub source: MetricSource,
 }
 
@@ -166,7 +170,7 @@
         MetricSource::Histogram(cell) => {
             let builder = meter.f64_histogram(full_name).with_description(help);
             let histogram = builder.with_boundaries(SECONDS_BOUNDS.to_vec()).build();
-            // A second start would make the same one again.
+            // A second start would register the same histogram again.
             let _ = cell.0.set(histogram);
         }
         MetricSource::Gauge(_) => {
@@ -189,7 +193,7 @@
     entry.label.iter().map(|(key, value)| KeyValue::new(*key, *value)).collect()
 }
 
-/// Returns all metrics as text for Prometheus.
+/// Returns all metrics in the Prometheus text format.
 pub fn render() -> String {
     let mut text = Vec::new();
     if let Some((registry, _)) = REGISTRY.get() {
--- a/crates/telemetry/src/runtime.rs
+++ b/crates/telemetry/src/runtime.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The runtime: one thread on epoll.
+//! The async runtime: one thread on epoll.
 //!
-//! `monoio` compiles its io_uring driver in, as `monoio-http` asks for its default features. Only
-//! the driver named here runs; a test looks for a ring among the process's files.
+//! The io_uring driver of `monoio` is compiled in, because `monoio-http` enables its default
+//! features. Only the driver named here runs; a test checks that the process has no io_uring
+//! descriptor open.
 
 use std::future::Future;
 
@@ -12,7 +13,7 @@
 
 use crate::errors::StartError;
 
-/// Runs a future on this thread to its end.
+/// Runs a future on this thread to completion.
 pub fn run<F: Future>(future: F) -> Result<F::Output, StartError> {
     let mut runtime = RuntimeBuilder::<LegacyDriver>::new()
         .enable_timer()
--- a/crates/telemetry/src/signals.rs
+++ b/crates/telemetry/src/signals.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Signals as bytes on a local pipe, which the runtime waits for as for any other input.
+//! Signals as bytes on a socket pair, which the runtime awaits like any other input.
 
 use std::os::unix::net::UnixStream as StdUnixStream;
 
@@ -12,23 +12,24 @@
 
 use crate::errors::StartError;
 
-/// `SignalStream` gives signals of the system one after another.
+/// `SignalStream` is a stream of received signals.
 pub struct SignalStream {
     receiver: UnixStream,
 }
 
 impl SignalStream {
-    /// Starts to receive the signal by which a platform asks a process to stop; call it within the runtime.
+    /// Subscribes to SIGTERM, by which a platform stops a process; must be called within the
+    /// runtime.
     pub fn stops() -> Result<Self, StartError> {
         Self::new(&[SIGTERM])
     }
 
-    /// Starts to receive the signal of a person at a terminal.
+    /// Subscribes to SIGINT, which an interactive user sends.
     pub fn interrupts() -> Result<Self, StartError> {
         Self::new(&[SIGINT])
     }
 
-    /// Starts to receive the signal that asks a process to read its settings again.
+    /// Subscribes to SIGHUP, which asks a process to reload its settings.
     pub fn reloads() -> Result<Self, StartError> {
         Self::new(&[SIGHUP])
     }
