--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -36,7 +36,7 @@
 pub const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 /// Protocol that the caller used.
 pub const FORWARDED_PROTO: HeaderName = HeaderName::from_static("x-forwarded-proto");
-/// Host that the caller asked for.
+/// Host that the caller requested.
 pub const FORWARDED_HOST: HeaderName = HeaderName::from_static("x-forwarded-host");
 
 /// `ExchangeFields` is the set of names of the header fields that daemons and backend servers use
