--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -18,7 +18,7 @@
     Rejected(String),
     /// No upstream accepted it.
     Refused {
-        /// Reason that the caller was told.
+        /// Reason that was reported to the caller.
         reason: String,
         /// Whether a trusted server had a free slot then.
         free_slot: bool,
--- a/crates/ctl/src/losses/record.rs
+++ b/crates/ctl/src/losses/record.rs
@@ -19,14 +19,14 @@
     Rejected {
         /// Status that the caller got.
         status: u64,
-        /// Reason that the caller was told.
+        /// Reason that was reported to the caller.
         reason: String,
     },
     /// Without an answer of a backend server.
     Failed {
         /// Whether it certainly did not run at a backend server.
         not_run: bool,
-        /// Reason that the caller was told.
+        /// Reason that was reported to the caller.
         reason: String,
     },
     /// The caller went away.
