--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -24,7 +24,7 @@
 use basaltarch_peer::protocol::{ChangeNews, ChangePull, FrameBody};
 use basaltarch_store::changes;
 use basaltarch_store::errors::StoreError;
-use basaltarch_store::platform::RetryPause;
+use basaltarch_store::platform::RetryBackoff;
 
 use crate::document;
 use crate::parts::SnapshotPart;
@@ -45,18 +45,18 @@
 
 /// Polls the store for ever, no more often than this daemon's share of the fleet's reads allows.
 pub async fn poll(state: Rc<DaemonState>) {
-    let mut pause = RetryPause::default();
+    let mut backoff = RetryBackoff::default();
     loop {
         let result = poll_once(&state).await;
         let wait = match result {
             Ok(()) => {
-                pause.reset();
+                backoff.reset();
                 poll_period(&state)
             }
             Err(error) => {
                 metrics::STORE_FAILURES.add_one();
                 process::StoreFailed { call: "read changes", error: &error.to_string() }.log();
-                pause.next_pause().max(Duration::from_millis(200))
+                backoff.next_delay().max(Duration::from_millis(200))
             }
         };
         monoio::time::sleep(wait.mul_f64(rand::random_range(0.8..1.2))).await;
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -9,7 +9,7 @@
 use basaltarch_events::process;
 use basaltarch_platform::rows::{RowValue, RowsPage};
 use basaltarch_store::errors::StoreError;
-use basaltarch_store::platform::{self, FeedReply, RetryPause, TablePosition};
+use basaltarch_store::platform::{self, FeedReply, RetryBackoff, TablePosition};
 
 use crate::state::DaemonState;
 
@@ -55,7 +55,7 @@
     position: Option<TablePosition>,
     /// As of when the store last answered: the answer included all that there was then.
     as_of: Duration,
-    pause: RetryPause,
+    backoff: RetryBackoff,
     lost_at: Option<Duration>,
     failures: u64,
 }
@@ -63,9 +63,9 @@
 impl FeedReader {
     /// Builds a reader that has read nothing yet.
     pub fn new(plan: FeedPlan) -> Self {
-        let pause = RetryPause::up_to(plan.failure_max);
+        let backoff = RetryBackoff::up_to(plan.failure_max);
         let as_of = Duration::ZERO;
-        Self { plan, position: None, as_of, pause, lost_at: None, failures: 0 }
+        Self { plan, position: None, as_of, backoff, lost_at: None, failures: 0 }
     }
 
     /// Continues from another version: a peer relayed the changes up to there.
@@ -157,7 +157,7 @@
 
     /// Records that a call was answered.
     fn note_answer(&mut self, state: &DaemonState) {
-        self.pause.reset();
+        self.backoff.reset();
         if let Some(lost_at) = self.lost_at.take() {
             let after_ms = state.now().saturating_sub(lost_at).as_millis() as u64;
             let failures = std::mem::take(&mut self.failures);
@@ -177,6 +177,6 @@
         } else {
             process::StoreFailed { call: "follow a table", error }.log();
         }
-        monoio::time::sleep(self.pause.next_pause()).await;
+        monoio::time::sleep(self.backoff.next_delay()).await;
     }
 }
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -42,7 +42,7 @@
         let waiting = self.upstream.slots.await_offer(self.slot_request());
         let offer = exchange::unless_cancelled(body, waiting).await;
         let offer = offer.map_err(FailureOutcome::NotRun)?;
-        body.call_in();
+        body.offer_slot();
         let head = self.await_dispatch(body).await.map_err(FailureOutcome::NotRun)?;
         // The window opens again once the backend server reads the body.
         body.shut_window();
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -12,7 +12,7 @@
 use basaltarch_decide::path::PathState;
 use basaltarch_events::fleet;
 use basaltarch_http::connection::{self, ConnectionCount};
-use basaltarch_peer::coding::LinkEncoder;
+use basaltarch_peer::compression::LinkEncoder;
 use basaltarch_peer::errors::LinkError;
 use basaltarch_peer::frames::{FrameReader, FrameSender};
 use basaltarch_peer::handshake::{self, LinkSide, PeerIdentity};
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -26,8 +26,8 @@
 use basaltarch_peer::handshake::PeerIdentity;
 use basaltarch_platform::rows::{RowValue, RowsPage, StoredRow};
 use basaltarch_store::errors::StoreError;
-use basaltarch_store::platform::RetryPause;
-use basaltarch_store::wire::{RowCheck, RowWrite};
+use basaltarch_store::platform::RetryBackoff;
+use basaltarch_store::transaction::{RowCheck, RowWrite};
 use serde::{de, Deserialize, Serialize};
 use serde_json::{json, Value};
 
@@ -535,19 +535,19 @@
 
 /// Writes this daemon's row whenever its record has changed, for ever.
 pub async fn publish(state: Rc<DaemonState>) {
-    let mut pause = RetryPause::up_to(FAILURE_PAUSE_MAX);
+    let mut backoff = RetryBackoff::up_to(FAILURE_PAUSE_MAX);
     await_first_server(&state).await;
     loop {
         let seen = state.roster.changed.get();
         let record = own_record(&state);
         if state.roster.written.borrow().as_ref() != Some(&record) {
             match write_row(&state, &record).await {
-                Ok(()) => pause.reset(),
+                Ok(()) => backoff.reset(),
                 Err(error) => {
                     metrics::STORE_FAILURES.add_one();
                     let error = &error.to_string();
                     process::StoreFailed { call: "write own row", error }.log();
-                    monoio::time::sleep(pause.next_pause()).await;
+                    monoio::time::sleep(backoff.next_delay()).await;
                 }
             }
             continue;
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -17,7 +17,7 @@
     TCompactInputProtocol, TCompactOutputProtocol, TOutputProtocol, TSerializable,
 };
 
-use crate::coding::{LinkDecoder, LinkEncoder};
+use crate::compression::{LinkDecoder, LinkEncoder};
 use crate::errors::{self, LinkError};
 use crate::protocol::{FrameBody, PeerFrame};
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -8,7 +8,7 @@
 //! one link, identified by number. Each has its own flow-control window, so that a slow caller
 //! doesn't stall the others. Heartbeats and configuration go both ways.
 
-pub mod coding;
+pub mod compression;
 pub mod errors;
 pub mod frames;
 pub mod handshake;
--- a/crates/peer/src/stream.rs
+++ b/crates/peer/src/stream.rs
@@ -107,7 +107,7 @@
     }
 
     /// Offers a slot to a reservation: its sender becomes ready and sends [`StreamEvent::Begin`].
-    pub fn call_in(&self) {
+    pub fn offer_slot(&self) {
         let mut state = self.state.borrow_mut();
         state.shut = false;
         wake(&mut state.writer);
--- a/crates/peer/tests/coding.rs
+++ b/crates/peer/tests/compression.rs
@@ -4,7 +4,7 @@
 //! Compression of a link: data is restored however the stream is split, and repeated heads compress
 //! well.
 
-use basaltarch_peer::coding::{LinkDecoder, LinkEncoder};
+use basaltarch_peer::compression::{LinkDecoder, LinkEncoder};
 use bytes::BytesMut;
 use proptest::prelude::*;
 
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -22,8 +22,8 @@
 use serde_json::{json, Value};
 
 use crate::errors::{malformed, ChangeError, StoreError};
-use crate::platform::{PlatformClient, RetryPause};
-use crate::wire::{self, RowCheck, RowWrite, TableRow};
+use crate::platform::{PlatformClient, RetryBackoff};
+use crate::transaction::{self, RowCheck, RowWrite, TableRow};
 
 /// Row that holds the revision of the fleet.
 pub const HEAD_KEY: &str = "config/head";
@@ -226,7 +226,7 @@
         author: &ChangeAuthor,
     ) -> Result<ChangeRecord, ChangeError> {
         let writer = fresh_token();
-        let mut backoff = RetryPause::up_to(CONTENDED_BACKOFF_MAX);
+        let mut backoff = RetryBackoff::up_to(CONTENDED_BACKOFF_MAX);
         for _ in 0..TRIES_MAX {
             let version = self.sync_to_head(config).await?;
             let record = plan_change(config, edits, author, &writer)?;
@@ -239,7 +239,7 @@
                     debug_assert_eq!(applied, Ok(true));
                     return Ok(record);
                 }
-                Err(StoreError::Conflict { .. }) => monoio::time::sleep(backoff.next_pause()).await,
+                Err(StoreError::Conflict { .. }) => monoio::time::sleep(backoff.next_delay()).await,
                 Err(error) if error.may_have_happened() => {
                     return self.settle(config, record, version).await
                 }
@@ -272,7 +272,7 @@
     /// Returns the row value of a change; a long change is written as an object first.
     async fn change_value(&self, record: &ChangeRecord) -> Result<Value, StoreError> {
         let text = serde_json::to_vec(record).map_err(malformed)?;
-        if text.len() <= wire::VALUE_BYTES_MAX {
+        if text.len() <= transaction::VALUE_BYTES_MAX {
             return Ok(json!(record));
         }
         // The name contains the writer's token, so that no writer overwrites the object of another.
@@ -291,9 +291,9 @@
         record: ChangeRecord,
         version: u64,
     ) -> Result<ChangeRecord, ChangeError> {
-        let mut backoff = RetryPause::default();
+        let mut backoff = RetryBackoff::default();
         for _ in 0..SETTLE_TRIES_MAX {
-            monoio::time::sleep(backoff.next_pause()).await;
+            monoio::time::sleep(backoff.next_delay()).await;
             match self.write(&record, version).await {
                 Ok(()) => {
                     let _ = config.apply(&record);
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -6,7 +6,7 @@
 use basaltarch_core::errors::ResourceError;
 use snafu::Snafu;
 
-use crate::wire::TableRow;
+use crate::transaction::TableRow;
 
 /// `StoreError` says why a call failed and whether it may have taken effect.
 #[derive(Debug, Clone, PartialEq, Snafu)]
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -22,13 +22,13 @@
 
 use crate::changes;
 use crate::errors::StoreError;
-use crate::platform::{PlatformClient, RetryPause};
-use crate::wire::{self, RowCheck, RowWrite, TableRow};
+use crate::platform::{PlatformClient, RetryBackoff};
+use crate::transaction::{self, RowCheck, RowWrite, TableRow};
 
 /// Prefix of the ledger's rows.
 pub const LEDGER_PREFIX: &str = "once/";
 /// Maximum rows in one transaction; each takes a check and a write.
-const GROUP_MAX: usize = wire::ENTRIES_MAX / 2;
+const GROUP_MAX: usize = transaction::ENTRIES_MAX / 2;
 /// Maximum requests that wait for their row; further ones are refused immediately.
 const WAITING_MAX: usize = 4096;
 /// Time to find out whether a row was written whose answer was lost; after it the claim ends as
@@ -221,7 +221,7 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let mut backoff = RetryPause::up_to(Duration::from_millis(400));
+        let mut backoff = RetryBackoff::up_to(Duration::from_millis(400));
         loop {
             self.release_abandoned().await;
             let group = self.next_group();
@@ -235,7 +235,7 @@
             if self.write_group(group).await {
                 backoff.reset();
             } else {
-                monoio::time::sleep(backoff.next_pause()).await;
+                monoio::time::sleep(backoff.next_delay()).await;
             }
         }
         self.running.set(false);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod ledger;
 pub mod platform;
 pub mod retention;
-pub mod wire;
+pub mod transaction;
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -17,7 +17,7 @@
 use serde_json::Value;
 
 use crate::errors::{self, StoreError};
-use crate::wire::{RowCheck, RowPath, RowWrite, TableRow};
+use crate::transaction::{RowCheck, RowPath, RowWrite, TableRow};
 
 /// Timeout of one call; a healthy platform answers in a few milliseconds.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -360,28 +360,28 @@
     page.rows.into_iter().map(read).collect()
 }
 
-/// `RetryPause` is an exponential backoff between failed calls, with jitter, so that a fleet does
+/// `RetryBackoff` is an exponential backoff between failed calls, with jitter, so that a fleet does
 /// not retry all at once.
 #[derive(Debug, Clone, Copy)]
-pub struct RetryPause {
+pub struct RetryBackoff {
     current: Duration,
     longest: Duration,
 }
 
-impl Default for RetryPause {
+impl Default for RetryBackoff {
     fn default() -> Self {
         Self::up_to(BACKOFF_MAX)
     }
 }
 
-impl RetryPause {
+impl RetryBackoff {
     /// Builds a backoff with delays of at most `longest`.
     pub fn up_to(longest: Duration) -> Self {
         Self { current: BACKOFF_MIN, longest }
     }
 
     /// Returns the next delay: between half and all of a time that doubles.
-    pub fn next_pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let delay = self.current.mul_f64(rand::random_range(0.5..=1.0));
         self.current = (self.current * 2).min(self.longest);
         delay
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -20,7 +20,7 @@
 use crate::errors::{self, StoreError};
 use crate::ledger::{LedgerEntry, OnceLedger, LEDGER_PREFIX};
 use crate::platform::PlatformClient;
-use crate::wire::{self, RowCheck, RowWrite, TableRow};
+use crate::transaction::{self, RowCheck, RowWrite, TableRow};
 
 /// Row that holds the current epoch.
 pub const EPOCH_KEY: &str = "once-epoch/current";
@@ -30,7 +30,7 @@
 /// Maximum rows of one scan.
 const SCAN_ROWS: usize = 200;
 /// Maximum rows changed in one transaction; each takes a check and a write.
-const BATCH_ROWS: usize = wire::ENTRIES_MAX / 2;
+const BATCH_ROWS: usize = transaction::ENTRIES_MAX / 2;
 /// Maximum scans of one round, so that it ends even if rows are added as fast as they are removed.
 const SCANS_MAX: usize = 20;
 /// Partitions of the ledger, by the first two digits of the hashed key; a round sweeps one.
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -16,7 +16,7 @@
 use basaltarch_store::changes::{ChangeAuthor, ChangeGuard, ChangeStore, ResourceEdit};
 use basaltarch_store::errors::StoreError;
 use basaltarch_store::platform::{FeedReply, PlatformClient, TablePosition, FEED_WAIT};
-use basaltarch_store::wire::{RowCheck, RowWrite, VALUE_BYTES_MAX};
+use basaltarch_store::transaction::{RowCheck, RowWrite, VALUE_BYTES_MAX};
 use basaltarch_telemetry::runtime;
 use bytes::Bytes;
 use http::{HeaderMap, Method};
