--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -223,7 +223,7 @@
 async fn open(state: &Rc<RefCell<TargetState>>) -> Result<(SocketAddr, HttpStream), HttpError> {
     let kept = state.borrow_mut().idle.pop();
     if let Some((address, mut stream)) = kept {
-        if client::is_quiet(&mut stream) {
+        if client::is_reusable(&mut stream) {
             return Ok((address, stream));
         }
     }
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -26,8 +26,8 @@
 use basaltarch_peer::frames::FrameSender;
 use basaltarch_peer::link::NO_EXCHANGE;
 use basaltarch_peer::protocol::{ChangePull, FrameBody};
-use basaltarch_platform::document::{self, ConfigDocument, ServiceNote};
-use basaltarch_platform::organisations::OrganisationNote;
+use basaltarch_platform::document::{self, ConfigDocument, ServiceDeclaration};
+use basaltarch_platform::organisations::OrganisationDeclaration;
 use basaltarch_platform::rows::{RowValue, RowsPage, StoredRow, DOCUMENT_KEY, OPERATOR_TABLE};
 use basaltarch_store::errors::StoreError;
 use basaltarch_store::platform::{FeedReply, TablePosition};
@@ -222,38 +222,42 @@
     let mut next = ActiveConfig::default();
     next.revision = FleetRevision(document.version);
     next.routes = RouteTable::build(routes);
-    for note in &document.services {
-        let entry = service_entry(state, note);
+    for declaration in &document.services {
+        let entry = service_entry(state, declaration);
         next.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
     }
-    for note in document.organisations.iter().flatten() {
-        add_organisation(&mut next, note);
+    for declaration in document.organisations.iter().flatten() {
+        add_organisation(&mut next, declaration);
     }
     next
 }
 
-fn add_organisation(next: &mut ActiveConfig, note: &OrganisationNote) {
-    next.keys.insert_all(&note.name, &organisation_spec(note));
-    let Some(limit) = &note.limit else { return };
+fn add_organisation(next: &mut ActiveConfig, declaration: &OrganisationDeclaration) {
+    next.keys.insert_all(&declaration.name, &organisation_spec(declaration));
+    let Some(limit) = &declaration.limit else { return };
     let rule = LimitRule {
         scope: LimitScope::Organisation,
-        target: note.name.clone(),
+        target: declaration.name.clone(),
         rate: limit.rate,
         // A limit without a burst admits requests that come one at a time.
         burst: limit.burst.max(1.0),
     };
-    next.insert_limit(&Rc::from(note.name.as_str()), rule);
+    next.insert_limit(&Rc::from(declaration.name.as_str()), rule);
 }
 
-fn organisation_spec(note: &OrganisationNote) -> OrganisationSpec {
-    OrganisationSpec { title: String::new(), keys: note.keys.clone(), criticality: note.class }
+fn organisation_spec(declaration: &OrganisationDeclaration) -> OrganisationSpec {
+    OrganisationSpec {
+        title: String::new(),
+        keys: declaration.keys.clone(),
+        criticality: declaration.class,
+    }
 }
 
-fn service_entry(state: &DaemonState, note: &ServiceNote) -> ServiceEntry {
+fn service_entry(state: &DaemonState, declaration: &ServiceDeclaration) -> ServiceEntry {
     ServiceEntry {
-        name: Rc::from(note.name.as_str()),
+        name: Rc::from(declaration.name.as_str()),
         spec: service_spec(&state.live().defaults),
-        upstreams: state.roster.upstreams(&note.name, note.connections),
+        upstreams: state.roster.upstreams(&declaration.name, declaration.connections),
     }
 }
 
@@ -274,8 +278,10 @@
     };
     let mut next = ActiveConfig::clone(&state.config.active());
     let mut touched = Vec::new();
-    for note in document.services.iter().filter(|note| names.contains(&note.name)) {
-        let entry = service_entry(state, note);
+    for declaration in
+        document.services.iter().filter(|declaration| names.contains(&declaration.name))
+    {
+        let entry = service_entry(state, declaration);
         touched.push(entry.name.clone());
         next.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
     }
@@ -320,10 +326,10 @@
     }
     let document = state.document.get();
     let organisations = document.iter().filter_map(|document| document.organisations.as_ref());
-    for note in organisations.flatten() {
-        push(ResourceKind::Organisation, &note.name, json!(organisation_spec(note)));
-        if let Some(entry) = active.limit(&note.name) {
-            push(ResourceKind::Limit, &note.name, json!(entry.rule));
+    for declaration in organisations.flatten() {
+        push(ResourceKind::Organisation, &declaration.name, json!(organisation_spec(declaration)));
+        if let Some(entry) = active.limit(&declaration.name) {
+            push(ResourceKind::Limit, &declaration.name, json!(entry.rule));
         }
     }
     builder.finish(revision).unwrap_or_else(|error| {
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -109,9 +109,9 @@
                 process::RowUnreadable { table, key: &row.key, error }.log();
             }
         }
-        if page.nameless > 0 {
-            metrics::ROWS_UNREADABLE.add(page.nameless as u64);
-            let error = &format!("{} entries have no key", page.nameless);
+        if page.keyless > 0 {
+            metrics::ROWS_UNREADABLE.add(page.keyless as u64);
+            let error = &format!("{} entries have no key", page.keyless);
             process::RowUnreadable { table, key: "", error }.log();
         }
     }
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -86,7 +86,7 @@
         match HttpStream::connect(pooled.address, CHECK_TIMEOUT).await {
             Ok(mut stream) => {
                 monoio::time::sleep(RECHECK_AFTER).await;
-                if client::is_quiet(&mut stream) {
+                if client::is_reusable(&mut stream) {
                     pooled.stream = Some(stream);
                     pooled.give_back(None);
                     return false;
@@ -105,7 +105,7 @@
                 Some(stream) => stream,
                 None => break,
             };
-            if Instant::now() < usable_until && client::is_quiet(&mut stream) {
+            if Instant::now() < usable_until && client::is_reusable(&mut stream) {
                 return Ok(PooledStream {
                     pool: self,
                     address: self.address.get(),
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -137,7 +137,7 @@
 ) {
     let exchange = inbound.exchange;
     let serving = exchange::serve(&state, inbound.head, &inbound.body, &inbound.answer);
-    basaltarch_http::connection::guard("exchange", serving).await;
+    basaltarch_http::connection::catch_panics("exchange", serving).await;
     link.forget(exchange);
 }
 
@@ -151,7 +151,7 @@
     let sink = EventSink::Local(answer.clone());
     monoio::spawn(async move {
         let serving = exchange::serve(&task_state, head, &task_body, &sink);
-        basaltarch_http::connection::guard("exchange", serving).await;
+        basaltarch_http::connection::catch_panics("exchange", serving).await;
         task_body.close();
     });
     let cancel_body = body.clone();
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -205,7 +205,7 @@
             || fields::wants_close(head.version, &head.headers)
             || !clean;
         let length = declared_length(&head, framing);
-        let keep_alive = fields::keep_alive_time(&head.headers);
+        let keep_alive = fields::keep_alive_timeout(&head.headers);
         self.progress.keep_alive.set(keep_alive);
         fields::remove_hop_fields(&mut head.headers);
         let mut body = BodyReader::new(framing, BodyLimits::default());
--- a/crates/daemon/src/host/verify.rs
+++ b/crates/daemon/src/host/verify.rs
@@ -35,7 +35,7 @@
         return AnswerVerdict::Shed;
     }
     // Callers take these statuses as proof that nothing ran, but this server sent no shed notice.
-    if fields.promises && implies_not_run(head.status) {
+    if fields.has_not_run_statuses && implies_not_run(head.status) {
         return AnswerVerdict::Invalid;
     }
     let unstamped = fields.stamp.as_ref().is_some_and(|name| !head.headers.contains_key(name));
@@ -65,7 +65,8 @@
 /// Says whether a response of this status may carry a shed notice.
 fn allows_shed(fields: &ExchangeFields, status: StatusCode) -> bool {
     let full = status == StatusCode::SERVICE_UNAVAILABLE;
-    full || fields.promises && (implies_not_run(status) || status == StatusCode::BAD_REQUEST)
+    full || fields.has_not_run_statuses
+        && (implies_not_run(status) || status == StatusCode::BAD_REQUEST)
 }
 
 /// Says whether callers may take this status as proof that nothing ran.
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -499,7 +499,7 @@
         ];
         let is_down = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
         // A host offers a slot before it knows whether its backend server accepts a connection.
-        let offer_was_void = is_down && self.state.live().waiting == WaitingMode::Places;
+        let offer_was_void = is_down && self.state.live().waiting == WaitingMode::Reservations;
         let declined = reasons.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason));
         let declined = declined || offer_was_void;
         if !declined || !self.is_passable() || self.left().is_zero() {
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -190,7 +190,7 @@
     /// Says whether the request is a nested call made by a request that runs on this host, for
     /// hosts that let such calls go first.
     fn is_call(&self) -> Option<bool> {
-        let is_sent = self.state.live().waiting == WaitingMode::Places;
+        let is_sent = self.state.live().waiting == WaitingMode::Reservations;
         is_sent.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
     }
 
@@ -198,7 +198,7 @@
     /// slow requests bounds the service time there, so it is sent only where requests wait for
     /// slots with reservations.
     fn baseline_note(&self, index: usize, baseline: &ServiceBaseline) -> Option<BaselineNote> {
-        if self.state.live().waiting == WaitingMode::Places {
+        if self.state.live().waiting == WaitingMode::Reservations {
             let slow_requests =
                 self.request.service.siblings_slow_requests(index, self.state.now());
             return Some(wire::baseline_with(baseline, &slow_requests));
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -70,7 +70,7 @@
     /// that has a row in the ledger is dispatched at once, as its row is written before it takes a
     /// slot.
     pub fn needs_reservation(&self, choice: &UpstreamChoice) -> bool {
-        let is_set = self.state.live().waiting == WaitingMode::Places;
+        let is_set = self.state.live().waiting == WaitingMode::Reservations;
         let is_full = matches!(choice.ground, ChoiceGround::Waiting | ChoiceGround::Any);
         let may_wait = !self.is_unreservable && self.request.once_key.is_none();
         is_set && may_wait && (is_full || !self.full.is_empty())
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -90,7 +90,7 @@
     let state = state.clone();
     let path = path.clone();
     monoio::spawn(async move {
-        connection::guard("dialled link", run_dialled(&state, &path, dial)).await;
+        connection::catch_panics("dialled link", run_dialled(&state, &path, dial)).await;
         path.note_unlinked(dial, state.now());
     });
     true
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -363,7 +363,7 @@
 }
 
 fn answer_ready(state: &DaemonState, request: &ServerRequest) -> ServerReply {
-    if registration::is_ready_question(&request.head.method, request.path()) {
+    if registration::is_readiness_probe(&request.head.method, request.path()) {
         return admin::ready(state);
     }
     admin::problem(StatusCode::NOT_FOUND, "no such call")
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -9,7 +9,9 @@
 
 use basaltarch_core::incarnation::ServerIncarnation;
 use basaltarch_core::resources::{RouteRule, WorkClass, WorkMode};
-use basaltarch_platform::document::{self, CallerLimits, ConfigDocument, NamedRoute, ServiceNote};
+use basaltarch_platform::document::{
+    self, CallerLimits, ConfigDocument, NamedRoute, ServiceDeclaration,
+};
 use basaltarch_platform::registration::{self, ServerHeartbeat};
 use basaltarch_platform::rows::StoreCall;
 use basaltarch_platform::{headers, rows};
@@ -33,7 +35,7 @@
 
 /// Returns a document with a route of each sort.
 pub fn document(version: u64) -> ConfigDocument {
-    let note = |name: &str| ServiceNote {
+    let declaration = |name: &str| ServiceDeclaration {
         name: name.to_owned(),
         health_path: "/health".to_owned(),
         connections: 300,
@@ -44,7 +46,7 @@
             route("r-safe", "/safe/", WorkMode::Repeatable),
             route("r-unsafe", "/unsafe/", WorkMode::Plain),
         ],
-        services: vec![note(SERVICE), note("other-app")],
+        services: vec![declaration(SERVICE), declaration("other-app")],
         limits: CallerLimits {
             head_bytes: 16_384,
             body_bytes: 1 << 20,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -40,7 +40,7 @@
     timeout: Duration,
     limits: BodyLimits,
     idle: RefCell<Vec<HttpStream>>,
-    keep_alive: Option<Duration>,
+    tcp_keepalive: Option<Duration>,
 }
 
 impl HttpClient {
@@ -51,14 +51,14 @@
             timeout,
             limits: BodyLimits::default(),
             idle: RefCell::default(),
-            keep_alive: None,
+            tcp_keepalive: None,
         }
     }
 
     /// Enables TCP keep-alive, by which the system detects a dead peer after about three times
     /// `silence`.
-    pub fn keep_alive(mut self, silence: Duration) -> Self {
-        self.keep_alive = Some(silence);
+    pub fn tcp_keepalive(mut self, silence: Duration) -> Self {
+        self.tcp_keepalive = Some(silence);
         self
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Closes the idle connections: after one was found dead, the others are likely to be dead too.
-    pub fn forget_idle(&self) {
+    pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -110,7 +110,7 @@
     }
 
     async fn connect(&self) -> Result<HttpStream, HttpError> {
-        match self.keep_alive {
+        match self.tcp_keepalive {
             Some(silence) => {
                 HttpStream::connect_with_keepalive(self.address, self.timeout, silence).await
             }
@@ -125,7 +125,7 @@
                 Some(stream) => stream,
                 None => return self.connect().await,
             };
-            if is_quiet(&mut stream) {
+            if is_reusable(&mut stream) {
                 return Ok(stream);
             }
         }
@@ -133,7 +133,7 @@
 }
 
 /// Says whether an idle connection is still open and has no unexpected data to read.
-pub fn is_quiet(stream: &mut HttpStream) -> bool {
+pub fn is_reusable(stream: &mut HttpStream) -> bool {
     let reading = stream.reader.fill(crate::reader::HEAD_READ_BYTES);
     reading.now_or_never().is_none()
 }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -144,14 +144,14 @@
         let open = count.clone();
         let task = serve(stream, address);
         monoio::spawn(async move {
-            guard("connection", task).await;
+            catch_panics("connection", task).await;
             open.0.set(open.get() - 1);
         });
     }
 }
 
 /// Runs `task`, and catches and logs a panic instead of propagating it.
-pub async fn guard(what: &'static str, task: impl Future<Output = ()>) {
+pub async fn catch_panics(what: &'static str, task: impl Future<Output = ()>) {
     let caught = std::panic::AssertUnwindSafe(task).catch_unwind().await;
     if caught.is_err() {
         process::TaskPanicked { what }.log();
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -65,7 +65,7 @@
     /// Whether callers take the statuses 408, 421, 429 and 503 as a promise that the request did
     /// not run, so that a backend server's own response with such a status and no shed notice must
     /// not reach them.
-    pub promises: bool,
+    pub has_not_run_statuses: bool,
 }
 
 impl Default for ExchangeFields {
@@ -80,7 +80,7 @@
             caller_service: None,
             api_key: API_KEY,
             organisation: ORGANISATION,
-            promises: false,
+            has_not_run_statuses: false,
         }
     }
 }
@@ -137,7 +137,7 @@
 }
 
 /// Returns the keep-alive timeout that the peer announces for the idle connection.
-pub fn keep_alive_time(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
     seconds?.trim().parse().ok().map(Duration::from_secs)
--- a/crates/options/src/waiting.rs
+++ b/crates/options/src/waiting.rs
@@ -12,7 +12,7 @@
     /// In the queue of one host, and lost with it.
     OneHost,
     /// At the ingress, with reservations in the queues of several hosts.
-    Places,
+    Reservations,
 }
 
 /// Reads where requests are queued; at one host by default.
@@ -21,5 +21,5 @@
     let name = settings::checked("waiting", given, "one-host".to_owned(), allowed, |name| {
         matches!(name.as_str(), "one-host" | "places")
     })?;
-    Ok(if name == "places" { WaitingMode::Places } else { WaitingMode::OneHost })
+    Ok(if name == "places" { WaitingMode::Reservations } else { WaitingMode::OneHost })
 }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -9,7 +9,9 @@
 
 use basaltarch_core::resources::{RouteRule, WorkClass, WorkMode};
 use basaltarch_http::client::HttpClient;
-use basaltarch_platform::document::{self, CallerLimits, ConfigDocument, NamedRoute, ServiceNote};
+use basaltarch_platform::document::{
+    self, CallerLimits, ConfigDocument, NamedRoute, ServiceDeclaration,
+};
 use basaltarch_platform::rows;
 use basaltarch_standin::platform::ROWS_CONTROL_PATH;
 use bytes::Bytes;
@@ -115,7 +117,7 @@
 }
 
 fn document_of(step: usize) -> ConfigDocument {
-    let note = |name: &&str| ServiceNote {
+    let declaration = |name: &&str| ServiceDeclaration {
         name: (*name).to_owned(),
         health_path: "/health".to_owned(),
         connections: 300,
@@ -132,7 +134,7 @@
     ConfigDocument {
         version: version_of(step),
         routes,
-        services: SERVICES.iter().map(note).collect(),
+        services: SERVICES.iter().map(declaration).collect(),
         limits: CallerLimits {
             head_bytes: 16_384,
             body_bytes: 1 << 20,
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -130,8 +130,8 @@
     pub fn new(address: SocketAddr, reads: f64, writes: f64) -> Self {
         let feed_timeout = FEED_WAIT + FEED_GRACE;
         Self {
-            client: HttpClient::new(address, CALL_TIMEOUT).keep_alive(KEEP_ALIVE_AFTER),
-            feeds: HttpClient::new(address, feed_timeout).keep_alive(KEEP_ALIVE_AFTER),
+            client: HttpClient::new(address, CALL_TIMEOUT).tcp_keepalive(KEEP_ALIVE_AFTER),
+            feeds: HttpClient::new(address, feed_timeout).tcp_keepalive(KEEP_ALIVE_AFTER),
             unpooled: HttpClient::new(address, CALL_TIMEOUT),
             reads: RefCell::new(CallBudget::new(reads)),
             writes: RefCell::new(CallBudget::new(writes)),
@@ -199,7 +199,7 @@
             // A page without rows has no key from which the next one could start.
             more = next.more && !next.rows.is_empty();
             all.rows.extend(next.rows);
-            all.nameless += next.nameless;
+            all.keyless += next.keyless;
         }
         all.more = false;
         // Pages of two eras may be mixed here. The feed then reports another era than the first
@@ -245,7 +245,7 @@
         after: TablePosition,
     ) -> Result<FeedReply, StoreError> {
         self.reads.borrow_mut().take()?;
-        self.unpooled.forget_idle();
+        self.unpooled.close_idle();
         let reply = call(&self.unpooled, rows::follow(table, after.version, Duration::ZERO)).await;
         self.read_feed(after, self.count(reply)?)
     }
@@ -268,8 +268,8 @@
     /// After a call without an answer, the idle connections may be as dead as that of the call.
     /// Each would delay one more call until its timeout, which is 8.7 s for the feed.
     pub fn forget_connections(&self) {
-        self.client.forget_idle();
-        self.feeds.forget_idle();
+        self.client.close_idle();
+        self.feeds.close_idle();
     }
 
     /// Writes an object.
