--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -19,9 +19,9 @@
 /// Fields that every line has, or that are shown in a column of their own.
 const COMMON_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
 
-/// `RequestStory` is what the logs contain about one request.
+/// `RequestHistory` is what the logs contain about one request.
 #[derive(Debug, Default)]
-pub struct RequestStory {
+pub struct RequestHistory {
     /// Its lines, and those about changes in the health of its upstreams, in order of time.
     pub lines: Vec<LogLine>,
     /// Lines that contain no complete JSON object.
@@ -29,8 +29,8 @@
 }
 
 /// Reads the files and collects the lines about a request.
-pub fn gather(request: &str, paths: &[String]) -> Result<RequestStory, CommandError> {
-    let mut history = RequestStory::default();
+pub fn gather(request: &str, paths: &[String]) -> Result<RequestHistory, CommandError> {
+    let mut history = RequestHistory::default();
     let mut upstream_lines = Vec::new();
     let mut crashes = Vec::new();
     for path in paths {
@@ -62,7 +62,7 @@
 }
 
 /// Prints the lines as a table and says how the request ended.
-pub fn print(request: &str, history: &RequestStory) {
+pub fn print(request: &str, history: &RequestHistory) {
     let row = |line: &LogLine| {
         let clock = line.text("timestamp").split_once('T').map_or("", |(_, clock)| clock);
         let pairs = line.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
@@ -80,7 +80,7 @@
 }
 
 /// Returns a sentence that says how the request ended.
-pub fn conclusion(request: &str, history: &RequestStory) -> String {
+pub fn conclusion(request: &str, history: &RequestHistory) -> String {
     let own = |line: &&LogLine| line.text("request") == request;
     let last =
         |event: &str| history.lines.iter().filter(own).rfind(|line| line.text("message") == event);
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -38,18 +38,18 @@
 }
 
 /// Waits until the logs tell what is wanted of a request, and returns that.
-fn wait_story(fleet: &RegisteredFleet, id: &str, end: &str) -> explain::RequestStory {
+fn wait_history(fleet: &RegisteredFleet, id: &str, end: &str) -> explain::RequestHistory {
     let paths = logs(fleet);
-    let mut story = explain::RequestStory::default();
+    let mut history = explain::RequestHistory::default();
     eventually(&format!("the logs tell of {id}: {end}"), || {
-        story = explain::gather(id, &paths).expect("logs");
-        explain::conclusion(id, &story).contains(end)
+        history = explain::gather(id, &paths).expect("logs");
+        explain::conclusion(id, &history).contains(end)
     });
-    story
+    history
 }
 
-fn events(story: &explain::RequestStory) -> BTreeSet<&str> {
-    story.lines.iter().filter_map(|line| line.fields["message"].as_str()).collect()
+fn events(history: &explain::RequestHistory) -> BTreeSet<&str> {
+    history.lines.iter().filter_map(|line| line.fields["message"].as_str()).collect()
 }
 
 /// Brings a failure about with a request of this id.
@@ -151,8 +151,8 @@
         let fleet = fleet_logging(2, requests);
         let id = format!("harmed-{requests}");
         harm(&fleet, &id);
-        let story = wait_story(&fleet, &id, end);
-        let seen = events(&story);
+        let history = wait_history(&fleet, &id, end);
+        let seen = events(&history);
         for event in wanted {
             assert!(seen.contains(event), "{event} is missing with {requests}: {seen:?}");
         }
@@ -247,12 +247,12 @@
         number += 1;
         let id = format!("repeat-{number}");
         ask(&fleet, "GET", "/safe/x", &id);
-        let story = wait_story(&fleet, &id, "got the server's answer 200");
-        let ends = story.lines.iter().filter(|line| line.fields["message"] == "attempt ended");
+        let history = wait_history(&fleet, &id, "got the server's answer 200");
+        let ends = history.lines.iter().filter(|line| line.fields["message"] == "attempt ended");
         let next: Vec<&str> =
             ends.map(|line| line.fields["next"].as_str().expect("text")).collect();
         // What was believed of the server that broke stands beside the request's own lines.
-        next == ["repeat", "answer"] && events(&story).contains("upstream doubted")
+        next == ["repeat", "answer"] && events(&history).contains("upstream doubted")
     });
 }
 
@@ -350,10 +350,10 @@
     let mut bytes = lines.join("\n").into_bytes();
     bytes.extend_from_slice(b"\n\xff\xfe not text\n");
     std::fs::write(&path, bytes).expect("file");
-    let story = explain::gather("r-1", &[path.to_str().expect("path").to_owned()]).expect("read");
-    assert_eq!((story.lines.len(), story.unreadable), (2, 3));
-    assert!(story.lines[0].source.ends_with("12.5 host-a |"), "{}", story.lines[0].source);
-    let end = explain::conclusion("r-1", &story);
+    let history = explain::gather("r-1", &[path.to_str().expect("path").to_owned()]).expect("read");
+    assert_eq!((history.lines.len(), history.unreadable), (2, 3));
+    assert!(history.lines[0].source.ends_with("12.5 host-a |"), "{}", history.lines[0].source);
+    let end = explain::conclusion("r-1", &history);
     assert_eq!(end, "request r-1 was rejected (no-route) with status 404: no route");
     let _ = std::fs::remove_file(&path);
 }
