--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -1,13 +1,15 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The daemon's clock: time since its start, which never goes back and goes on while the host is suspended.
+//! The daemon's clock: monotonic time since its start, which includes time for which the host is
+//! suspended.
 //!
-//! Whatever holds for a time (a deadline, a lease, what was heard of a peer) must not hold longer because
-//! the host slept, so it is told by the boot clock of the system. Timers stand still meanwhile and fire late:
-//! whoever waits for a moment waits with [`DaemonClock::passed`] beside the timer. What is measured (how
-//! long a server took) is told by [`std::time::Instant`], which doesn't count the sleep, and is thrown
-//! away if the host slept meanwhile ([`DaemonClock::slept_since`]).
+//! Deadlines, leases and knowledge about peers must not stay valid for longer because the host was
+//! suspended, so they are measured with the system's boot-time clock. Timers don't advance during a
+//! suspend and fire late: code that waits for a point in time awaits [`DaemonClock::passed`] beside
+//! the timer. Durations, such as the response time of a server, are measured with
+//! [`std::time::Instant`], which doesn't advance during a suspend, and are discarded if the host
+//! was suspended meanwhile ([`DaemonClock::slept_since`]).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,15 +21,16 @@
 
 use crate::signal::RisingSignal;
 
-/// Shortest sleep that counts as one: both clocks are read one after the other, and the daemon may be held
-/// up between; shorter sleeps are like any other hold-up.
-const SLEEP_MIN: Duration = Duration::from_millis(50);
+/// Shortest difference between the clocks that counts as a suspend: they are read one after the
+/// other, and the daemon may be delayed in between; a shorter suspend is treated like any other
+/// delay.
+const SUSPEND_MIN: Duration = Duration::from_millis(50);
 
-/// `ClockError` says why there is no clock.
+/// `ClockError` is the reason why the clock could not be started.
 #[derive(Debug, Snafu)]
 pub enum ClockError {
-    /// The system doesn't tell its boot time.
-    #[snafu(display("the boot clock can't be read: {source}"))]
+    /// The system doesn't provide a boot-time clock.
+    #[snafu(display("cannot read the boot-time clock: {source}"))]
     Unreadable {
         /// What the system reported.
         source: nix::Error,
@@ -38,18 +41,18 @@
 struct ClockState {
     booted: Duration,
     steady: Instant,
-    /// Sleep that a test adds.
-    added: Cell<Duration>,
-    /// Sleep since the start, as far as it was noticed.
-    slept: Cell<Duration>,
-    /// Latest time that was told.
+    /// Suspended time that a test simulates.
+    simulated_suspend: Cell<Duration>,
+    /// Suspended time since the start, as far as it was detected.
+    suspended: Cell<Duration>,
+    /// Latest time that was returned.
     latest: Cell<Duration>,
-    woke_at: Cell<Option<Duration>>,
+    resumed_at: Cell<Option<Duration>>,
     last_sleep: Cell<Duration>,
     woke: RisingSignal,
 }
 
-/// `DaemonClock` tells the time since the daemon started, sleep of the host included.
+/// `DaemonClock` is a clock that starts with the daemon and includes suspends of the host.
 #[derive(Debug, Clone)]
 pub struct DaemonClock {
     state: Rc<ClockState>,
@@ -61,59 +64,61 @@
 }
 
 impl DaemonClock {
-    /// Starts the clock, or says why the system has none.
+    /// Starts the clock. Fails if the system has no boot-time clock.
     pub fn try_new() -> Result<Self, ClockError> {
-        // The steady clock first, the other way round than later: a hold-up here must not look like a sleep.
+        // The steady clock is read first, in the opposite order to `now`: a delay between the two
+        // reads must not look like a suspend.
         let steady = Instant::now();
         let booted = boot_time().context(UnreadableSnafu)?;
         let state = ClockState {
             booted,
             steady,
-            added: Cell::default(),
-            slept: Cell::default(),
+            simulated_suspend: Cell::default(),
+            suspended: Cell::default(),
             latest: Cell::default(),
-            woke_at: Cell::default(),
+            resumed_at: Cell::default(),
             last_sleep: Cell::default(),
             woke: RisingSignal::default(),
         };
         Ok(Self { state: Rc::new(state) })
     }
 
-    /// Returns the time since the start. The first call after a sleep notices it.
+    /// Returns the time since the start. The first call after a suspend detects it.
     pub fn now(&self) -> Duration {
         let state = &self.state;
-        // The boot clock first: what holds the daemon up between the two can only hide a sleep.
+        // The boot-time clock is read first: a delay between the two reads can only hide a suspend.
         let booted = boot_time().unwrap_or(state.booted + state.latest.get());
         let steady = state.steady.elapsed();
-        let since = booted.saturating_sub(state.booted) + state.added.get();
+        let since = booted.saturating_sub(state.booted) + state.simulated_suspend.get();
         let now = since.max(state.latest.get());
         state.latest.set(now);
-        let slept = now.saturating_sub(steady);
-        if slept > state.slept.get() + SLEEP_MIN {
-            state.last_sleep.set(slept - state.slept.replace(slept));
-            state.woke_at.set(Some(now));
+        let suspended = now.saturating_sub(steady);
+        if suspended > state.suspended.get() + SUSPEND_MIN {
+            state.last_sleep.set(suspended - state.suspended.replace(suspended));
+            state.resumed_at.set(Some(now));
             state.woke.raise();
         }
         now
     }
 
-    /// Returns what is raised when the host woke from a sleep.
+    /// Returns the signal that is raised when the host resumes from a suspend.
     pub fn woke(&self) -> &RisingSignal {
         &self.state.woke
     }
 
-    /// Returns the length of the last sleep.
+    /// Returns the length of the last suspend.
     pub fn last_sleep(&self) -> Duration {
         self.state.last_sleep.get()
     }
 
-    /// Says whether the host slept since a moment, so that what was measured from it says nothing.
+    /// Returns whether the host was suspended since `moment`, which invalidates durations measured
+    /// from it.
     pub fn slept_since(&self, moment: Duration) -> bool {
-        self.state.woke_at.get().is_some_and(|woke_at| woke_at >= moment)
+        self.state.resumed_at.get().is_some_and(|resumed_at| resumed_at >= moment)
     }
 
-    /// Waits until the host has woken and finds that a moment has passed. Who waits for the moment with a
-    /// timer waits for this beside it; without a sleep it never ends.
+    /// Waits until the host has resumed from a suspend and `moment` has passed. Code that waits for
+    /// `moment` with a timer awaits this beside it; without a suspend it never completes.
     pub async fn passed(&self, moment: Duration) {
         let mut seen = self.state.woke.get();
         loop {
@@ -124,8 +129,8 @@
         }
     }
 
-    /// Lets the clock go on as if the host had slept, for tests.
+    /// Advances the clock as if the host had been suspended, for tests.
     pub fn add_sleep(&self, length: Duration) {
-        self.state.added.set(self.state.added.get() + length);
+        self.state.simulated_suspend.set(self.state.simulated_suspend.get() + length);
     }
 }
--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The configuration in force in this daemon; its revision only ever rises.
+//! The configuration in force in this daemon; its revision increases monotonically.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,15 +15,15 @@
 use crate::metrics;
 use crate::signal::RisingSignal;
 
-/// Changes kept for watches and for peers that are behind: hours at 7,200 changes a day.
+/// Changes kept for watches and for peers that lag behind: hours at 7,200 changes a day.
 pub const RECORDS_KEPT: usize = 1024;
 
-/// `TouchedServices` are the services that changes touched.
+/// `TouchedServices` are the services that changes affected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TouchedServices {
-    /// Any may have changed.
+    /// Every service may have changed.
     All,
-    /// These, with their upstreams.
+    /// These services and their upstreams.
     Some(Vec<Rc<str>>),
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl ConfigCell {
-    /// Returns the configuration laid out for requests.
+    /// Returns the configuration laid out for the request path.
     pub fn active(&self) -> Rc<ActiveConfig> {
         self.active.borrow().clone()
     }
@@ -65,7 +65,7 @@
         self.active.borrow().revision
     }
 
-    /// Returns when the revision in force came.
+    /// Returns the time at which the revision in force was applied.
     pub fn since(&self) -> Duration {
         self.since.get()
     }
@@ -75,32 +75,32 @@
         read(&self.fleet.borrow())
     }
 
-    /// Says whether a configuration was learnt from the store or a peer.
+    /// Returns whether a configuration was received from the store or a peer.
     pub fn is_loaded(&self) -> bool {
         self.loaded.get()
     }
 
-    /// Notes that the store or a peer has nothing later than what is here.
+    /// Records that the store or a peer has no later configuration than this daemon.
     pub fn mark_loaded(&self) {
         if !self.loaded.replace(true) {
             self.changed.raise();
         }
     }
 
-    /// Returns the signal that rises with each change.
+    /// Returns the signal that is raised with each change.
     pub fn changed(&self) -> &RisingSignal {
         &self.changed
     }
 
-    /// Puts changes in force that follow what is here; others are passed over.
+    /// Applies the changes that directly follow the current revision and skips older ones.
     ///
-    /// Returns how many were put in force.
+    /// Returns the number of changes that were applied.
     pub fn apply(&self, records: &[ChangeRecord], now: Duration) -> usize {
         let mut applied = 0;
         for record in records {
             if record.revision <= self.revision() {
                 metrics::OLD_REVISIONS.add_one();
-                self.tell_older(record.revision);
+                self.log_older(record.revision);
                 continue;
             }
             let before = self.fleet.borrow().clone();
@@ -108,7 +108,7 @@
             match result {
                 Ok(true) => {
                     self.update_layout(&before, record);
-                    self.keep(record.clone());
+                    self.keep_record(record.clone());
                     applied += 1;
                 }
                 Ok(false) => break,
@@ -125,8 +125,8 @@
         applied
     }
 
-    /// Changes a copy of the layout, which shares all that stays the same; requests under way keep
-    /// the one they have.
+    /// Updates a copy of the layout, which shares all unchanged data; requests in flight keep the
+    /// version that they started with.
     fn update_layout(&self, before: &FleetConfig, record: &ChangeRecord) {
         let mut next = ActiveConfig::clone(&self.active.borrow());
         let services = next.update(before, &self.fleet.borrow(), record);
@@ -141,7 +141,7 @@
         self.touched.replace(TouchedServices::Some(Vec::new()))
     }
 
-    fn keep(&self, record: ChangeRecord) {
+    fn keep_record(&self, record: ChangeRecord) {
         let mut records = self.records.borrow_mut();
         records.push_back(Rc::new(record));
         if records.len() > RECORDS_KEPT {
@@ -149,14 +149,14 @@
         }
     }
 
-    /// Takes a whole configuration over if it is later than what is here; `next` is its layout.
+    /// Adopts a whole configuration if it is later than the current one; `next` is its layout.
     pub fn adopt(&self, config: FleetConfig, mut next: ActiveConfig, now: Duration) -> bool {
         if self.is_loaded() && config.revision() <= self.revision() {
             metrics::OLD_REVISIONS.add_one();
-            self.tell_older(config.revision());
+            self.log_older(config.revision());
             return false;
         }
-        // Between the two there are changes that are not here; watches must start again.
+        // The changes between the two revisions are not known here, so watches must restart.
         self.records.borrow_mut().clear();
         keep_unchanged(&self.active.borrow(), &mut next);
         *self.active.borrow_mut() = Rc::new(next);
@@ -166,7 +166,7 @@
         true
     }
 
-    /// Takes over a layout that was not made from resources.
+    /// Adopts a layout that was not built from resources.
     pub fn replace_layout(&self, mut next: ActiveConfig, touched: TouchedServices, now: Duration) {
         let before = self.revision();
         keep_unchanged(&self.active.borrow(), &mut next);
@@ -179,7 +179,7 @@
         }
     }
 
-    fn tell_older(&self, revision: FleetRevision) {
+    fn log_older(&self, revision: FleetRevision) {
         let in_force = self.revision().0;
         fleet::ConfigOlder { revision: revision.0, in_force, from: "store or peer" }.log();
     }
@@ -194,7 +194,7 @@
         self.changed.raise();
     }
 
-    /// Returns the kept changes after a revision, or nothing if some are no longer kept.
+    /// Returns the changes after a revision, or `None` if some of them are no longer kept.
     pub fn records_after(&self, revision: FleetRevision) -> Option<Vec<Rc<ChangeRecord>>> {
         if revision >= self.revision() {
             return Some(Vec::new());
@@ -209,7 +209,8 @@
     }
 }
 
-/// Keeps the entries of services that did not change, so that what was learnt of them stays.
+/// Reuses the entries of services that did not change, so that state learnt about these services
+/// survives.
 fn keep_unchanged(old: &ActiveConfig, next: &mut ActiveConfig) {
     for (name, known) in &old.services {
         if next.services.get(name).is_some_and(|entry| entry == known) {
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the parts of the daemon stand on, and what knows none of them.
+//! Foundations that the parts of the daemon share. This crate depends on none of those parts.
 //!
-//! [`clock`] and [`signal`] are time and waking, [`metrics`] counts what the process does,
-//! [`configuration`] holds what is in force, and [`peers`] the paths to other daemons.
+//! [`clock`] tells the time and [`signal`] wakes tasks, [`metrics`] counts what the process does,
+//! [`configuration`] holds the configuration in force, and [`peers`] holds the paths to other
+//! daemons.
 
 pub mod clock;
 pub mod configuration;
--- a/crates/base/src/metrics.rs
+++ b/crates/base/src/metrics.rs
@@ -16,11 +16,11 @@
 };
 use fnv::FnvHashSet;
 
-/// Requests taken from callers.
+/// Requests received from callers.
 pub static REQUESTS: CounterCell = CounterCell::new();
-/// Complete answers passed on to callers.
+/// Complete answers forwarded to callers.
 pub static COMPLETE: CounterCell = CounterCell::new();
-/// Refusals by reason.
+/// Requests refused as not run, by reason.
 pub static NOT_RUN: [CounterCell; NOT_RUN_REASONS.len()] =
     [const { CounterCell::new() }; NOT_RUN_REASONS.len()];
 /// Unknown outcomes by reason.
@@ -30,70 +30,71 @@
 pub static DISPATCHES: CounterCell = CounterCell::new();
 /// Dispatches after the first of a request.
 pub static RETRIES: CounterCell = CounterCell::new();
-/// Repeats that the budget did not allow.
+/// Retries that the retry budget did not allow.
 pub static RETRIES_DENIED: CounterCell = CounterCell::new();
-/// Times that the host woke from a suspension.
+/// Resumes of the host from a suspend.
 pub static WAKES: CounterCell = CounterCell::new();
-/// Requests that are refused as they crash backend servers.
+/// Distinct requests that are refused because they crash backend servers.
 pub static REQUESTS_REFUSED: GaugeCell = GaugeCell::new();
-/// Dispatches of requests that lately failed at several upstreams.
+/// Dispatches of requests that recently failed at several upstreams, whose failures are not
+/// attributed to any upstream.
 pub static POISON_SPARED: CounterCell = CounterCell::new();
-/// Work sent to backend servers.
+/// Requests sent to backend servers.
 pub static WORKED: CounterCell = CounterCell::new();
-/// Answers to earlier requests that came late on a connection in use.
+/// Answers to earlier requests that arrived late on a connection in use.
 pub static SURPLUS_ANSWERS: CounterCell = CounterCell::new();
-/// Work refused by the host role.
+/// Requests refused by the host role.
 pub static HOST_REFUSED: CounterCell = CounterCell::new();
 /// Ejections by reason.
 pub static EJECTIONS: [CounterCell; EVIDENCE_KINDS.len()] =
     [const { CounterCell::new() }; EVIDENCE_KINDS.len()];
-/// Times that an upstream was doubted after a failure.
+/// Transitions of upstreams to doubted after a failure.
 pub static DOUBTS: CounterCell = CounterCell::new();
-/// Returns of ejected upstreams.
+/// Returns of ejected upstreams to service.
 pub static RETURNS: CounterCell = CounterCell::new();
-/// Times from the first sign of a sickness to the ejection, in seconds.
+/// Times from the first sign of sickness to the ejection, in seconds.
 pub static DETECTION: HistogramCell = HistogramCell::new();
-/// Decisions that left less than the floor; must stay 0.
+/// Decisions that left fewer slots in service than the floor; must stay 0.
 pub static FLOOR_VIOLATIONS: CounterCell = CounterCell::new();
-/// Rows of once-only work that were refused as already started.
+/// Attempts at at-most-once requests that were already started.
 pub static ONCE_REPEATS: CounterCell = CounterCell::new();
-/// Rows of once-only work removed as old.
+/// Rows of at-most-once requests removed after their retention time.
 pub static ONCE_REMOVED: CounterCell = CounterCell::new();
-/// Requests refused by limits.
+/// Requests refused by rate limits.
 pub static LIMITED: CounterCell = CounterCell::new();
-/// Grants asked from homes of limits.
+/// Grants of tokens requested from the owners of rate limits.
 pub static GRANTS_ASKED: CounterCell = CounterCell::new();
-/// Looks at upstreams before work was sent.
+/// Load probes of upstreams before a dispatch.
 pub static LOOKS: CounterCell = CounterCell::new();
-/// Looks that were not answered in time.
+/// Load probes that were not answered in time.
 pub static LOOKS_SILENT: CounterCell = CounterCell::new();
-/// Places that waiting work asked for before slots of backend servers.
+/// Reservations made in the queues of backend servers.
 pub static PLACES: CounterCell = CounterCell::new();
-/// Waiting work that a host called in.
+/// Waiting requests that were offered a slot.
 pub static CALLED_IN: CounterCell = CounterCell::new();
-/// Waiting work that nobody called in.
+/// Waiting requests that ended without a slot offer.
 pub static NOT_CALLED_IN: CounterCell = CounterCell::new();
-/// Times that work did not come when it was called in.
+/// Slot offers to which no request was sent in time.
 pub static CALLS_UNANSWERED: CounterCell = CounterCell::new();
-/// Work that waits at this ingress.
+/// Requests that wait at this ingress for a slot offer.
 pub static WAITING: GaugeCell = GaugeCell::new();
-/// Times that work waited at its ingress.
+/// Waiting times of requests at their ingress.
 pub static PLACE_WAIT_SECONDS: HistogramCell = HistogramCell::new();
 /// Revision in force.
 pub static REVISION: GaugeCell = GaugeCell::new();
-/// Older revisions that were refused.
+/// Older revisions that were rejected.
 pub static OLD_REVISIONS: CounterCell = CounterCell::new();
-/// Times that a neighbour was told of the revision again.
+/// Repeated announcements of the revision to a neighbour.
 pub static TOLD_AGAIN: CounterCell = CounterCell::new();
-/// Questions whether the configuration is the newest.
+/// Checks whether the configuration is the newest.
 pub static CONFIG_QUESTIONS: CounterCell = CounterCell::new();
-/// Those of them that this daemon asked the store.
+/// Those of these checks that this daemon made at the store.
 pub static STORE_QUESTIONS: CounterCell = CounterCell::new();
 /// Rows of the store that could not be read.
 pub static ROWS_UNREADABLE: CounterCell = CounterCell::new();
-/// Live members known.
+/// Known live members.
 pub static MEMBERS: GaugeCell = GaugeCell::new();
-/// Services that this ingress has learnt of from requests.
+/// Services for which this ingress holds state from requests.
 pub static SERVICES: GaugeCell = GaugeCell::new();
 /// Open links to peers.
 pub static LINKS: GaugeCell = GaugeCell::new();
@@ -108,18 +109,18 @@
 /// Callers' connections.
 pub static CALLER_CONNECTIONS: GaugeCell = GaugeCell::new();
 
-/// Requests that were not logged from their start, as the settings allow no more.
+/// Requests that were not logged from their start, because of the rate limit in the settings.
 pub static REQUESTS_NOT_LOGGED: CounterCell = CounterCell::new();
-/// Failed requests that were not logged even so.
+/// Failed requests that were not logged, because of the separate rate limit for failures.
 pub static FAILURES_NOT_LOGGED: CounterCell = CounterCell::new();
-/// Lines of the log that were dropped.
+/// Log lines that were dropped.
 pub static LINES_DROPPED: CounterCell = CounterCell::new();
 
-/// Times from taking a request in until its end, by route, service and outcome.
+/// Times from the receipt of a request to its end, by route, service and outcome.
 pub static REQUEST_SECONDS: HistogramCell = HistogramCell::new();
-/// Times that work waited for a slot.
+/// Times that requests waited for a slot.
 pub static WAIT_SECONDS: HistogramCell = HistogramCell::new();
-/// Times from sending work to a backend server until its end.
+/// Times from sending a request to a backend server until the end of the attempt, by result.
 pub static WORK_SECONDS: HistogramCell = HistogramCell::new();
 /// Backend servers of this host by state.
 pub static UPSTREAMS: [GaugeCell; UPSTREAM_STATES.len()] =
@@ -132,9 +133,9 @@
 pub static QUEUED: GaugeCell = GaugeCell::new();
 /// Age of the configuration in force, in seconds.
 pub static REVISION_AGE: GaugeCell = GaugeCell::new();
-/// Least slots over the floor of any service in use.
+/// Lowest number of slots above the floor of any service in use.
 pub static FLOOR_SPARE: GaugeCell = GaugeCell::new();
-/// Least repeats left in the budget of any service in use.
+/// Lowest number of retries left in the budget of any service in use.
 pub static RETRIES_LEFT: GaugeCell = GaugeCell::new();
 /// Calls to the platform by result.
 pub static STORE_CALLS: [GaugeCell; STORE_RESULTS.len()] =
@@ -143,19 +144,20 @@
 pub const UPSTREAM_STATES: [&str; 4] = ["in-service", "doubted", "ejected", "draining"];
 /// Names of the results of calls to the platform.
 pub const STORE_RESULTS: [&str; 3] = ["answered", "refused", "no-answer"];
-/// Routes that have labels of their own; requests of all others are counted as `other`.
+/// Maximum number of routes with labels of their own; requests of all others are counted as
+/// `other`.
 const ROUTES_LABELLED_MAX: usize = 64;
-/// Label of routes and services beyond that.
+/// Label of routes and services beyond that limit.
 const OTHER_LABEL: &str = "other";
 
-/// `RouteLabels` bounds the routes that have labels of their own.
+/// `RouteLabels` bounds the number of routes that have labels of their own.
 #[derive(Debug, Default)]
 pub struct RouteLabels {
     routes: RefCell<FnvHashSet<Rc<str>>>,
 }
 
 impl RouteLabels {
-    /// Takes in how long a request took until its end.
+    /// Records how long a request took.
     pub fn record(&self, route: &Rc<str>, service: &str, outcome: &str, took: Duration) {
         let (route, service) =
             if self.has(route) { (&**route, service) } else { (OTHER_LABEL, OTHER_LABEL) };
@@ -163,7 +165,7 @@
         REQUEST_SECONDS.record_as(took, labels);
     }
 
-    /// Says whether a route has a label; the first routes that are asked for get one.
+    /// Returns whether a route has a label of its own; the first routes that are seen get one.
     fn has(&self, route: &Rc<str>) -> bool {
         let mut routes = self.routes.borrow_mut();
         if routes.contains(route) {
@@ -177,7 +179,7 @@
 /// Calls to the store for the rows of hosts.
 pub static ROWS_CALLS: CounterCell = CounterCell::new();
 
-/// Counts a failure outcome told to a caller.
+/// Counts a failure outcome that was sent to a caller.
 pub fn count_failure(outcome: FailureOutcome) {
     match outcome {
         FailureOutcome::NotRun(reason) => NOT_RUN[not_run_index(reason)].add_one(),
@@ -208,76 +210,88 @@
 /// Lists every metric of the daemon.
 pub fn entries() -> Vec<MetricEntry> {
     let mut entries = vec![
-        counter("requests", "Requests taken from callers.", &REQUESTS),
-        counter("complete", "Complete answers passed on to callers.", &COMPLETE),
+        counter("requests", "Requests received from callers.", &REQUESTS),
+        counter("complete", "Complete answers forwarded to callers.", &COMPLETE),
         counter("dispatches", "Dispatches to upstreams.", &DISPATCHES),
         counter("retries", "Dispatches after the first of a request.", &RETRIES),
-        counter("retries_denied", "Repeats that the budget did not allow.", &RETRIES_DENIED),
+        counter("retries_denied", "Retries that the retry budget did not allow.", &RETRIES_DENIED),
         counter(
             "poison_spared",
-            "Dispatches of requests that lately failed at several upstreams, whose failures count against none.",
+            "Dispatches that count against no upstream, as their requests failed at several.",
             &POISON_SPARED,
         ),
-        counter("worked", "Work sent to backend servers.", &WORKED),
+        counter("worked", "Requests sent to backend servers.", &WORKED),
         counter(
             "surplus_answers",
-            "Answers to earlier requests that came late on a connection in use.",
+            "Answers to earlier requests that arrived late on a connection in use.",
             &SURPLUS_ANSWERS,
         ),
-        counter("host_refused", "Work refused by the host role.", &HOST_REFUSED),
-        counter("doubts", "Times that an upstream was doubted after a failure.", &DOUBTS),
-        counter("returns", "Returns of ejected upstreams.", &RETURNS),
+        counter("host_refused", "Requests refused by the host role.", &HOST_REFUSED),
+        counter("doubts", "Transitions of upstreams to doubted after a failure.", &DOUBTS),
+        counter("returns", "Returns of ejected upstreams to service.", &RETURNS),
         histogram(
             "detection_seconds",
-            "Times from the first sign of a sickness to the ejection.",
+            "Times from the first sign of sickness to the ejection.",
             &DETECTION,
         ),
         histogram(
             "request_seconds",
-            "Times from taking a request in until its end, by route, service and outcome.",
+            "Times from the receipt of a request to its end, by route, service and outcome.",
             &REQUEST_SECONDS,
         ),
-        histogram("slot_wait_seconds", "Times that work waited for a slot.", &WAIT_SECONDS),
+        histogram("slot_wait_seconds", "Times that requests waited for a slot.", &WAIT_SECONDS),
         histogram(
             "work_seconds",
-            "Times from sending work to a backend server until its end, by result.",
+            "Times from sending a request to a backend server until its end, by result.",
             &WORK_SECONDS,
         ),
-        counter("floor_violations", "Decisions below the floor; must be 0.", &FLOOR_VIOLATIONS),
-        counter("once_repeats", "Attempts at once-only work already started.", &ONCE_REPEATS),
-        counter("once_removed", "Old rows of once-only work removed.", &ONCE_REMOVED),
-        counter("limited", "Requests refused by limits.", &LIMITED),
-        counter("grants_asked", "Grants asked from homes of limits.", &GRANTS_ASKED),
-        counter("looks", "Looks at upstreams before work was sent.", &LOOKS),
-        counter("looks_silent", "Looks that were not answered in time.", &LOOKS_SILENT),
         counter(
-            "places",
-            "Places that waiting work asked for before slots of backend servers.",
-            &PLACES,
+            "floor_violations",
+            "Decisions that left fewer slots than the floor; must be 0.",
+            &FLOOR_VIOLATIONS,
+        ),
+        counter(
+            "once_repeats",
+            "Attempts at at-most-once requests already started.",
+            &ONCE_REPEATS,
+        ),
+        counter("once_removed", "Expired rows of at-most-once requests removed.", &ONCE_REMOVED),
+        counter("limited", "Requests refused by rate limits.", &LIMITED),
+        counter("grants_asked", "Grants requested from owners of limits.", &GRANTS_ASKED),
+        counter("looks", "Load probes of upstreams before a dispatch.", &LOOKS),
+        counter("looks_silent", "Load probes that were not answered in time.", &LOOKS_SILENT),
+        counter("places", "Reservations made in the queues of backend servers.", &PLACES),
+        counter("called_in", "Waiting requests that were offered a slot.", &CALLED_IN),
+        counter(
+            "not_called_in",
+            "Waiting requests that ended without a slot offer.",
+            &NOT_CALLED_IN,
         ),
-        counter("called_in", "Waiting work that a host called in.", &CALLED_IN),
-        counter("not_called_in", "Waiting work that nobody called in.", &NOT_CALLED_IN),
         counter(
             "calls_unanswered",
-            "Times that work did not come when it was called in.",
+            "Slot offers to which no request was sent in time.",
             &CALLS_UNANSWERED,
         ),
-        gauge("waiting", "Work that waits at this ingress.", &WAITING),
+        gauge("waiting", "Requests that wait at this ingress for a slot offer.", &WAITING),
         histogram(
             "place_wait_seconds",
-            "Times that work waited at its ingress, by result.",
+            "Waiting times of requests at their ingress, by result.",
             &PLACE_WAIT_SECONDS,
         ),
-        counter("old_revisions", "Older revisions that were refused.", &OLD_REVISIONS),
-        counter("told_again", "Times that a neighbour was told of the revision again.", &TOLD_AGAIN),
+        counter("old_revisions", "Older revisions that were rejected.", &OLD_REVISIONS),
+        counter(
+            "told_again",
+            "Repeated announcements of the revision to a neighbour.",
+            &TOLD_AGAIN,
+        ),
         counter(
             "configuration_questions",
-            "Questions whether the configuration is the newest.",
+            "Checks whether the configuration is the newest.",
             &CONFIG_QUESTIONS,
         ),
         counter(
             "store_questions",
-            "Questions to the store whether the configuration is the newest.",
+            "Checks at the store whether the configuration is the newest.",
             &STORE_QUESTIONS,
         ),
         counter("rows_unreadable", "Rows of the store that could not be read.", &ROWS_UNREADABLE),
@@ -286,15 +300,15 @@
         counter("store_failures", "Calls to the platform that failed.", &STORE_FAILURES),
         counter(
             "requests_not_logged",
-            "Requests that were not logged from their start, as the settings allow no more.",
+            "Requests not logged from their start, because of the rate limit in the settings.",
             &REQUESTS_NOT_LOGGED,
         ),
         counter(
             "failures_not_logged",
-            "Failed requests that were not logged even so.",
+            "Failed requests not logged, because of the separate rate limit for failures.",
             &FAILURES_NOT_LOGGED,
         ),
-        counter("log_lines_dropped", "Lines of the log that were dropped.", &LINES_DROPPED),
+        counter("log_lines_dropped", "Log lines that were dropped.", &LINES_DROPPED),
         counter("rows_calls", "Calls to the platform for the rows of hosts.", &ROWS_CALLS),
         gauge("revision", "Revision in force.", &REVISION),
         gauge("revision_age_seconds", "Age of the configuration in force.", &REVISION_AGE),
@@ -303,22 +317,22 @@
         gauge("queued", "Requests that wait for a slot.", &QUEUED),
         gauge(
             "floor_spare_slots",
-            "Least slots in service over the floor, of the services in use.",
+            "Lowest number of slots in service above the floor, of the services in use.",
             &FLOOR_SPARE,
         ),
         gauge(
             "retries_left",
-            "Least repeats left in the retry budget, of the services in use.",
+            "Lowest number of retries left in the retry budget, of the services in use.",
             &RETRIES_LEFT,
         ),
-        counter("wakes", "Times that the host woke from a suspension.", &WAKES),
+        counter("wakes", "Resumes of the host from a suspend.", &WAKES),
         gauge(
             "requests_refused",
-            "Different requests that are refused as they crash backend servers.",
+            "Distinct requests that are refused because they crash backend servers.",
             &REQUESTS_REFUSED,
         ),
-        gauge("members", "Live members known.", &MEMBERS),
-        gauge("services", "Services learnt of from requests.", &SERVICES),
+        gauge("members", "Known live members.", &MEMBERS),
+        gauge("services", "Services for which this ingress holds state from requests.", &SERVICES),
         gauge("links", "Open links to peers.", &LINKS),
         gauge("in_flight", "Requests in flight from callers.", &IN_FLIGHT),
         gauge("caller_connections", "Callers' connections.", &CALLER_CONNECTIONS),
--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The paths to other daemons: addresses, links, and the health of each path.
+//! Paths to other daemons: their addresses, links and health.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,17 +15,18 @@
 
 use crate::signal::RisingSignal;
 
-/// First pause after a link could not be made.
+/// Initial back-off after a link could not be established.
 const BACK_OFF_MIN: Duration = Duration::from_millis(100);
-/// Longest such pause: a host that comes back is tried at least this often.
+/// Maximum back-off: a host that comes back is dialled at least this often.
 const BACK_OFF_MAX: Duration = Duration::from_secs(5);
-/// Time for which work may wait for a link that is being made: a connection and a handshake within a
-/// region take four ways of a few milliseconds.
-const DIAL_PATIENCE: Duration = Duration::from_millis(100);
-
-/// Pause before the next try from which a daemon without a link counts as lost: two in a row failed by then.
-const LOST_FROM: Duration = Duration::from_millis(400);
-/// Time for which the answer to a dial is waited for before a daemon counts as lost.
+/// Longest time for which requests may wait for a link that is being established: a connection and
+/// a handshake within a region take four one-way trips of a few milliseconds.
+const DIAL_WAIT_MAX: Duration = Duration::from_millis(100);
+
+/// Back-off from which a daemon without a link counts as lost: two dials in a row have failed by
+/// then.
+const LOST_BACK_OFF: Duration = Duration::from_millis(400);
+/// Time without an answer to a dial after which a daemon counts as lost.
 const DIAL_LOST_AFTER: Duration = Duration::from_secs(1);
 
 /// `PeerPath` is the path to one other daemon.
@@ -38,9 +39,9 @@
     link: RefCell<Option<Rc<DialledLink>>>,
     health: RefCell<PathHealth>,
     dialling: Cell<bool>,
-    /// Number of the last dial, and of that which made the link.
+    /// Number of the last dial, and of the dial that established the link.
     dial: Cell<u64>,
-    linked_by: Cell<u64>,
+    linked_dial: Cell<u64>,
     dialled_at: Cell<Duration>,
     changed: RisingSignal,
     back_off: Cell<Duration>,
@@ -60,7 +61,7 @@
             health: RefCell::new(PathHealth::new(Duration::ZERO)),
             dialling: Cell::new(false),
             dial: Cell::new(0),
-            linked_by: Cell::new(0),
+            linked_dial: Cell::new(0),
             dialled_at: Cell::new(Duration::ZERO),
             changed: RisingSignal::default(),
             back_off: Cell::new(BACK_OFF_MIN),
@@ -76,7 +77,7 @@
         self.address.get()
     }
 
-    /// Takes in the address of the daemon; a new one ends the link to the old.
+    /// Records the address of the daemon; a new address closes the link to the old one.
     pub fn note_address(&self, address: SocketAddr) {
         if self.address.get() == Some(address) {
             return;
@@ -90,27 +91,27 @@
         self.changed.raise();
     }
 
-    /// Takes in whether the daemon is leaving.
+    /// Records whether the daemon is leaving.
     pub fn note_leaving(&self, leaving: bool) {
         self.leaving.set(leaving);
     }
 
-    /// Says whether the daemon is leaving.
+    /// Returns whether the daemon is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// Takes in whether the link was found silent; returns what was found before.
+    /// Records whether the link is silent; returns the previous value.
     pub fn note_silence(&self, is_silent: bool) -> bool {
         self.silent.replace(is_silent)
     }
 
-    /// Returns the pause before the next try to make a link.
+    /// Returns the back-off before the next dial.
     pub fn back_off(&self) -> Duration {
         self.back_off.get()
     }
 
-    /// Says whether work may be sent along this path.
+    /// Returns whether requests may be sent along this path.
     pub fn is_usable(&self, now: Duration) -> bool {
         if self.is_self {
             return true;
@@ -122,21 +123,22 @@
             return self.state(now) == PathState::Up;
         }
         if self.dialling.get() {
-            // A daemon that does not answer at once may be gone; a far one is found when it has.
-            return now.saturating_sub(self.dialled_at.get()) < DIAL_PATIENCE;
+            // A daemon that does not answer at once may be gone; a distant one becomes usable once
+            // its link is established.
+            return now.saturating_sub(self.dialled_at.get()) < DIAL_WAIT_MAX;
         }
         now >= self.retry_at.get()
     }
 
-    /// Says whether a link to the daemon was tried in vain, so that it may be gone for good though its host is still
-    /// listed.
+    /// Returns whether dials to the daemon have failed, so that it may be gone for good although
+    /// its host is still listed.
     pub fn is_lost(&self, now: Duration) -> bool {
         let is_waiting =
             self.dialling.get() && now.saturating_sub(self.dialled_at.get()) >= DIAL_LOST_AFTER;
-        self.link.borrow().is_none() && (is_waiting || self.back_off.get() >= LOST_FROM)
+        self.link.borrow().is_none() && (is_waiting || self.back_off.get() >= LOST_BACK_OFF)
     }
 
-    /// Says whether the daemon is linked again after a cut and has not yet answered a question.
+    /// Returns whether the daemon is linked again after a cut and has not yet answered a probe.
     pub fn is_proving(&self, now: Duration) -> bool {
         self.link.borrow().is_some() && self.state(now) == PathState::Proving
     }
@@ -146,7 +148,7 @@
         self.health.borrow_mut().state(now)
     }
 
-    /// Returns the time since a frame came from the daemon.
+    /// Returns the time since the last frame from the daemon.
     pub fn silent_for(&self, now: Duration) -> Duration {
         self.health.borrow().silent_for(now)
     }
@@ -156,7 +158,7 @@
         self.link.borrow().clone()
     }
 
-    /// Notes that the path is used.
+    /// Records that the path is used.
     pub fn note_used(&self, now: Duration) {
         self.used_at.set(now);
     }
@@ -166,8 +168,8 @@
         self.used_at.get()
     }
 
-    /// Starts to dial unless that is under way or must wait; returns the number of the dial, if the caller
-    /// should make it.
+    /// Starts a dial unless one is in progress or the back-off is not over; returns the number of
+    /// the dial if the caller is to make it.
     pub fn start_dial(&self, now: Duration) -> Option<u64> {
         if self.dialling.get() || now < self.retry_at.get() {
             return None;
@@ -178,22 +180,22 @@
         Some(self.dial.get())
     }
 
-    /// Says whether a link is being made.
+    /// Returns whether a dial is in progress.
     pub fn is_dialling(&self) -> bool {
         self.dialling.get()
     }
 
-    /// Waits until something changes about the link, from what was seen at `seen`.
+    /// Waits until the state of the link changes after the change count `seen`.
     pub async fn wait_change(&self, seen: u64) {
         self.changed.above(seen).await;
     }
 
-    /// Returns the number to wait from.
+    /// Returns the change count, for [`Self::wait_change`].
     pub fn change_count(&self) -> u64 {
         self.changed.get()
     }
 
-    /// Puts the link that a dial made in use and returns the one that it replaces.
+    /// Adopts the link that a dial established and returns the one that it replaces.
     pub fn note_linked(
         &self,
         dial: u64,
@@ -201,7 +203,7 @@
         now: Duration,
     ) -> Option<Rc<DialledLink>> {
         self.dialling.set(false);
-        self.linked_by.set(dial);
+        self.linked_dial.set(dial);
         self.back_off.set(BACK_OFF_MIN);
         let former = self.link.borrow_mut().replace(link);
         self.health.borrow_mut().note_heard(now);
@@ -209,14 +211,14 @@
         former
     }
 
-    /// Takes in that the link of a dial ended or could not be made; the next try waits, longer each time. The
-    /// end of a link that another has replaced changes nothing.
+    /// Records that the link of a dial ended or could not be established; the back-off before the
+    /// next dial grows exponentially. The end of a link that was already replaced has no effect.
     pub fn note_unlinked(&self, dial: u64, now: Duration) {
         let is_last = self.dial.get() == dial;
         if is_last {
             self.dialling.set(false);
         }
-        if self.linked_by.get() == dial {
+        if self.linked_dial.get() == dial {
             self.link.borrow_mut().take();
             self.health.borrow_mut().note_broken(now);
         } else if !is_last {
@@ -229,37 +231,38 @@
         self.changed.raise();
     }
 
-    /// Takes in that the host slept: nobody was heard meanwhile, and what was asked says nothing.
+    /// Records that this host was suspended: no peer could be heard meanwhile, and pending probes
+    /// are invalid.
     pub fn note_slept(&self, now: Duration) {
         self.health.borrow_mut().note_slept(now);
     }
 
-    /// Takes in that a frame came over the link.
+    /// Records that a frame arrived over the link.
     pub fn note_heard(&self, now: Duration) {
         self.health.borrow_mut().note_heard(now);
     }
 
-    /// Takes in that an attempt over the path was late.
+    /// Records that an attempt over the path was late.
     pub fn note_late(&self) {
         self.health.borrow_mut().note_late();
     }
 
-    /// Takes in that the daemon answered a question for a sign of life.
+    /// Records that the daemon answered a probe.
     pub fn note_answer(&self, now: Duration) {
         self.health.borrow_mut().note_answer(now);
     }
 
-    /// Takes in how long the daemon took to answer.
+    /// Records the round-trip time of an answer from the daemon.
     pub fn note_round_trip(&self, took: Duration) {
         self.health.borrow_mut().note_round_trip(took);
     }
 
-    /// Returns the longest round trip of the last few, if one was measured.
+    /// Returns the longest of the last few round-trip times, if any was measured.
     pub fn round_trip(&self) -> Option<Duration> {
         self.health.borrow().round_trip()
     }
 
-    /// Says whether to ask the daemon for a sign of life now.
+    /// Returns whether the daemon should be probed now.
     pub fn should_ask(&self, now: Duration, in_use: bool) -> bool {
         self.health.borrow_mut().ask(now, in_use)
     }
--- a/crates/base/src/signal.rs
+++ b/crates/base/src/signal.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A number that tasks wait for to rise.
+//! A monotonic counter whose increments wake waiting tasks.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -9,7 +9,7 @@
 
 use fnv::FnvHashMap;
 
-/// `RisingSignal` wakes every task that waits for its number to rise.
+/// `RisingSignal` is a counter that wakes every task waiting for it to rise.
 #[derive(Debug, Default)]
 pub struct RisingSignal {
     value: Cell<u64>,
@@ -17,7 +17,7 @@
     waiters: RefCell<FnvHashMap<u64, Waker>>,
 }
 
-/// Forgets a waiter when its task stops waiting.
+/// Deregisters a waiter when its future completes or is dropped.
 struct WaiterGuard<'a> {
     signal: &'a RisingSignal,
     id: u64,
@@ -30,12 +30,12 @@
 }
 
 impl RisingSignal {
-    /// Returns the number.
+    /// Returns the count.
     pub fn get(&self) -> u64 {
         self.value.get()
     }
 
-    /// Raises the number by one and wakes all waiters.
+    /// Increments the count and wakes all waiters.
     pub fn raise(&self) {
         self.value.set(self.value.get() + 1);
         let waiters = std::mem::take(&mut *self.waiters.borrow_mut());
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Waits until the number is above `seen` and returns it.
+    /// Waits until the count exceeds `seen` and returns it.
     pub async fn above(&self, seen: u64) -> u64 {
         let id = self.next_waiter.get();
         self.next_waiter.set(id + 1);
@@ -60,12 +60,12 @@
         .await
     }
 
-    /// Waits until the number was raised at all.
+    /// Waits until the signal has been raised at least once.
     pub async fn raised(&self) {
         self.above(0).await;
     }
 
-    /// Says whether the number was raised at all.
+    /// Returns whether the signal has been raised at least once.
     pub fn is_raised(&self) -> bool {
         self.value.get() > 0
     }
--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The clock goes on while the host sleeps, so that nothing holds longer because of it.
+//! The clock advances while the host is suspended, so that nothing stays valid for longer because
+//! of a suspend.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn verify_a_sleep_is_noticed_once() {
+fn verify_a_suspend_is_detected_once() {
     let clock = DaemonClock::try_new().expect("a clock");
     let before = clock.now();
     assert!(!clock.slept_since(Duration::ZERO) && !clock.woke().is_raised());
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn verify_a_short_hold_up_is_no_sleep() {
+fn verify_a_short_delay_is_no_suspend() {
     let clock = DaemonClock::try_new().expect("a clock");
     clock.add_sleep(Duration::from_millis(20));
     clock.now();
@@ -35,18 +36,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(32), ..ProptestConfig::default() })]
 
-    /// Whatever the sleeps, what holds until a moment is over once so much time has passed in the world.
+    /// For any sequence of suspends, validity up to a point in time ends once that much real time
+    /// has passed.
     #[test]
-    fn verify_no_validity_is_extended_by_a_sleep(
-        sleeps in prop::collection::vec(0_u64..20_000, 1..20),
+    fn verify_no_validity_is_extended_by_a_suspend(
+        suspends in prop::collection::vec(0_u64..20_000, 1..20),
         valid_ms in 1_u64..100_000,
     ) {
         let clock = DaemonClock::try_new().expect("a clock");
         let until = clock.now() + Duration::from_millis(valid_ms);
         let mut passed = 0;
-        for sleep in sleeps {
-            clock.add_sleep(Duration::from_millis(sleep));
-            passed += sleep;
+        for suspend in suspends {
+            clock.add_sleep(Duration::from_millis(suspend));
+            passed += suspend;
             let now = clock.now();
             prop_assert!(passed < valid_ms || now >= until);
         }
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Keeps the resources of one kind in packed blocks.
+//! Stores the resources of one kind in compressed blocks.
 //!
-//! Resources stand in the order of their names, up to [`BLOCK_MAX`] to a block. Neighbours repeat
-//! most of each other, so a block packs to a fraction of its resources. A look-up unpacks one block
-//! and reads one value; a change writes one block anew. Copies share all blocks.
+//! Resources are ordered by name, up to [`BLOCK_MAX`] to a block. Neighbouring resources share most
+//! of their content, so a block compresses to a fraction of its size. A look-up decompresses one
+//! block and deserializes one value; a change rewrites one block. Copies share all blocks.
 
 use std::rc::Rc;
 
@@ -14,8 +14,8 @@
 use crate::config::StoredResource;
 use crate::packing;
 
-/// Resources in one block at the most. Larger blocks pack little tighter, and a look-up reads half a
-/// block on average (docs/MEASUREMENTS.md, memory).
+/// Maximum number of resources in one block. Larger blocks compress little better, and a look-up
+/// scans half a block on average (docs/MEASUREMENTS.md, memory).
 pub const BLOCK_MAX: usize = 128;
 
 /// `ResourceBlocks` is the resources of one kind.
@@ -26,7 +26,7 @@
     len: usize,
 }
 
-/// One resource in an unpacked block: its name and its packed value.
+/// One resource in a decompressed block: its name and its packed value.
 type BlockItem<'a> = (&'a str, &'a [u8]);
 
 impl ResourceBlocks {
@@ -52,10 +52,10 @@
 
     fn find<T>(&self, name: &str, read: impl FnOnce(&[u8]) -> T) -> Option<T> {
         let (_, block) = self.blocks.get_prev(name)?;
-        let bytes = packing::expand(block);
+        let bytes = packing::decompress(block);
         let mut rest = &bytes[..];
         while !rest.is_empty() {
-            let (known, value): BlockItem = packing::take(&mut rest);
+            let (known, value): BlockItem = packing::unpack_next(&mut rest);
             if known >= name {
                 return (known == name).then(|| read(value));
             }
@@ -66,17 +66,17 @@
     /// Lists the resources in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (Rc<str>, StoredResource)> + '_ {
         self.blocks.iter().flat_map(|(_, block)| {
-            let bytes = packing::expand(block);
+            let bytes = packing::decompress(block);
             let items: Vec<BlockItem> = packing::unpack_all(&bytes);
             let read = |(name, value): &BlockItem| (Rc::from(*name), packing::unpack(value));
             items.iter().map(read).collect::<Vec<_>>()
         })
     }
 
-    /// Lists the names in their order.
+    /// Lists the names in order.
     pub fn names(&self) -> impl Iterator<Item = Rc<str>> + '_ {
         self.blocks.iter().flat_map(|(_, block)| {
-            let bytes = packing::expand(block);
+            let bytes = packing::decompress(block);
             packing::unpack_all::<BlockItem>(&bytes)
                 .iter()
                 .map(|(name, _)| Rc::from(*name))
@@ -112,7 +112,8 @@
         self.put_block(&items);
     }
 
-    /// Takes out the block that a name belongs to and returns it unpacked; empty without any.
+    /// Removes the block that a name belongs to and returns it decompressed; empty if there are no
+    /// blocks.
     fn take_block(&mut self, name: &str) -> Vec<u8> {
         let before = self.blocks.get_prev(name).map(|(first, _)| first.clone());
         let first = before.or_else(|| self.blocks.keys().next().cloned());
@@ -120,7 +121,7 @@
             Some(first) => first,
             None => return Vec::new(),
         };
-        self.blocks.remove(&first).map_or(Vec::new(), |block| packing::expand(&block))
+        self.blocks.remove(&first).map_or(Vec::new(), |block| packing::decompress(&block))
     }
 
     fn put_block(&mut self, items: &[BlockItem]) {
@@ -131,42 +132,42 @@
     }
 }
 
-/// `BlockBuilder` builds blocks from resources as they come. Those in the order of their names cost
-/// little; one out of order is put in by itself.
+/// `BlockBuilder` builds blocks from a stream of resources. Resources that arrive in the order of
+/// their names are cheap; one out of order is inserted individually.
 #[derive(Debug, Default)]
 pub struct BlockBuilder {
     built: ResourceBlocks,
-    open: Vec<(Rc<str>, Vec<u8>)>,
+    pending: Vec<(Rc<str>, Vec<u8>)>,
     last: Option<Rc<str>>,
 }
 
 impl BlockBuilder {
-    /// Takes a resource in; of two with one name the later counts.
+    /// Adds a resource; of two with the same name the later one wins.
     pub fn push(&mut self, name: &str, stored: &StoredResource) {
         if self.last.as_ref().is_some_and(|last| **last >= *name) {
-            self.close();
+            self.flush();
             self.built.insert(name, stored);
             return;
         }
         let name: Rc<str> = Rc::from(name);
         self.last = Some(name.clone());
-        self.open.push((name, packing::pack(stored)));
-        if self.open.len() == BLOCK_MAX {
-            self.close();
+        self.pending.push((name, packing::pack(stored)));
+        if self.pending.len() == BLOCK_MAX {
+            self.flush();
         }
     }
 
-    fn close(&mut self) {
+    fn flush(&mut self) {
         let items: Vec<BlockItem> =
-            self.open.iter().map(|(name, value)| (&**name, &**value)).collect();
+            self.pending.iter().map(|(name, value)| (&**name, &**value)).collect();
         self.built.put_block(&items);
         self.built.len += items.len();
-        self.open.clear();
+        self.pending.clear();
     }
 
     /// Returns the blocks.
     pub fn finish(mut self) -> ResourceBlocks {
-        self.close();
+        self.flush();
         self.built
     }
 }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -19,14 +19,14 @@
 };
 use crate::routes::RouteTable;
 use crate::services::{self, PackedService, ServiceEntry, UpstreamEntry};
-use crate::turns::{self, WorkTurns};
+use crate::turns::{self, WorkSlices};
 use crate::units::FleetRevision;
 
-/// `SharedMap` is a map whose copies share what they have in common: a copy costs nothing, a change
-/// a few entries. Readers keep the version that they began with.
+/// `SharedMap` is a persistent map whose versions share structure: a copy is constant-time, and a
+/// change copies only a few entries. Readers keep the version that they started with.
 pub type SharedMap<K, V> = GenericHashMap<K, V, FnvBuildHasher, DefaultSharedPtr>;
 
-/// `ResourceChange` is what a change does to one resource.
+/// `ResourceChange` is the effect of a change on one resource.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceChange {
@@ -42,20 +42,21 @@
     pub after: Option<Value>,
 }
 
-/// `ChangeRecord` is one accepted change: it is both the step of the configuration and its audit
+/// `ChangeRecord` is one accepted change. It is both the update of the configuration and its audit
 /// record, so that neither can exist without the other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRecord {
-    /// Revision that this change makes.
+    /// Revision that this change creates.
     pub revision: FleetRevision,
     /// Who made it.
     pub actor: String,
-    /// When, in milliseconds since 1970 UTC, by the accepting daemon's clock.
+    /// Time of acceptance, in milliseconds since 1970 UTC, by the accepting daemon's clock.
     pub at_ms: u64,
     /// Address that the request came from.
     pub from: String,
-    /// Token of the writer, by which a lost answer is settled.
+    /// Token of the writer. A writer whose answer from the store was lost finds out by it whether
+    /// its change was accepted.
     pub writer: String,
     /// What changed.
     pub changes: Vec<ResourceChange>,
@@ -114,7 +115,7 @@
         self.kinds[kind as usize].iter()
     }
 
-    /// Applies the change that makes the next revision; any other revision is refused unchanged.
+    /// Applies the change that creates the next revision; any other revision is ignored.
     ///
     /// Returns whether the change was applied.
     pub fn apply(&mut self, record: &ChangeRecord) -> Result<bool, ResourceError> {
@@ -130,9 +131,10 @@
             };
             parsed.push((kind, change.name.as_str(), value));
         }
-        // A key may pass from one organisation to another in one change.
+        // Old keys are removed before any is added, as one change may move a key from one
+        // organisation to another.
         for (kind, name, _) in &parsed {
-            self.forget_keys(*kind, name);
+            self.remove_keys(*kind, name);
         }
         for (kind, name, value) in parsed {
             if let Some(ResourceValue::Organisation(spec)) = &value {
@@ -150,8 +152,8 @@
         Ok(true)
     }
 
-    /// Takes the keys of an organisation out, if that is what the resource is.
-    fn forget_keys(&mut self, kind: ResourceKind, name: &str) {
+    /// Removes the keys of the organisation with this name; does nothing for other kinds.
+    fn remove_keys(&mut self, kind: ResourceKind, name: &str) {
         if kind != ResourceKind::Organisation {
             return;
         }
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Checks that no other organisation has a key of this one.
+    /// Checks that no other organisation owns a key of this one.
     fn check_keys(&self, name: &str, value: &ResourceValue) -> Result<(), ResourceError> {
         let ResourceValue::Organisation(spec) = value else { return Ok(()) };
         let is_own = |digest| self.keys.find(digest).is_some_and(|owner| *owner.name == *name);
@@ -176,53 +178,62 @@
         }
     }
 
-    /// Checks that every reference of every resource has its target.
+    /// Checks that every reference of every resource has a target.
     pub fn check_references(&self) -> Result<(), ResourceError> {
-        turns::at_once(self.check_references_in_turns(&turns::no_pause))
+        turns::at_once(self.check_references_in_slices(&turns::no_pause))
     }
 
-    async fn check_references_in_turns(&self, pause: &impl AsyncFn()) -> Result<(), ResourceError> {
-        // Many resources name few services and failure domains, so their names are unpacked once.
+    async fn check_references_in_slices(
+        &self,
+        pause: &impl AsyncFn(),
+    ) -> Result<(), ResourceError> {
+        // Many resources refer to few services and failure domains, so the names of these are
+        // unpacked only once.
         let names = |kind| self.kinds[kind as usize].names().collect::<FnvHashSet<Rc<str>>>();
         let services = names(ResourceKind::Service);
         let domains = names(ResourceKind::FailureDomain);
-        let has = |kind, name: &str| match kind {
+        let exists = |kind, name: &str| match kind {
             ResourceKind::Service => services.contains(name),
             ResourceKind::FailureDomain => domains.contains(name),
             _ => self.contains(kind, name),
         };
-        let mut turns = WorkTurns::new(pause);
+        let mut turns = WorkSlices::new(pause);
         for (kind, name, stored) in self.all() {
-            check_one(kind, &name, &stored.value, has)?;
+            check_references_of(kind, &name, &stored.value, exists)?;
             self.check_keys(&name, &stored.value)?;
             turns.step().await;
         }
         Ok(())
     }
 
-    /// Checks the references that a change touches. Call it on the configuration that the change
-    /// leads to. Deleting a resource looks at all of the kinds that may name it.
+    /// Checks the references that a change affects. Must be called on the configuration that
+    /// results from the change. Deleting a resource scans all resources of the kinds that may refer
+    /// to it.
     pub fn check_change(&self, record: &ChangeRecord) -> Result<(), ResourceError> {
         for change in &record.changes {
             let kind = ResourceKind::parse(&change.kind)?;
-            let has = |kind, name: &str| self.contains(kind, name);
+            let exists = |kind, name: &str| self.contains(kind, name);
             match self.get(kind, &change.name) {
                 Some(stored) => {
-                    check_one(kind, &change.name, &stored.value, has)?;
+                    check_references_of(kind, &change.name, &stored.value, exists)?;
                     self.check_keys(&change.name, &stored.value)?;
                 }
-                None => self.check_unused(kind, &change.name)?,
+                None => self.check_unreferenced(kind, &change.name)?,
             }
         }
         Ok(())
     }
 
-    /// Checks that nothing names a resource that is not there.
-    fn check_unused(&self, gone: ResourceKind, gone_name: &str) -> Result<(), ResourceError> {
-        let has = |kind, name: &str| (kind, name) != (gone, gone_name);
-        for kind in gone.referrers() {
+    /// Checks that no resource refers to a deleted one.
+    fn check_unreferenced(
+        &self,
+        deleted: ResourceKind,
+        deleted_name: &str,
+    ) -> Result<(), ResourceError> {
+        let exists = |kind, name: &str| (kind, name) != (deleted, deleted_name);
+        for kind in deleted.referrers() {
             for (name, stored) in self.list(*kind) {
-                check_one(*kind, &name, &stored.value, has)?;
+                check_references_of(*kind, &name, &stored.value, exists)?;
             }
         }
         Ok(())
@@ -236,7 +247,7 @@
     }
 }
 
-/// `ConfigBuilder` builds a configuration from its resources as they come.
+/// `ConfigBuilder` builds a configuration from a stream of resources.
 #[derive(Debug, Default)]
 pub struct ConfigBuilder {
     kinds: [BlockBuilder; ALL_KINDS.len()],
@@ -244,7 +255,7 @@
 }
 
 impl ConfigBuilder {
-    /// Takes a resource in, with every check of its own that a change goes through.
+    /// Adds a resource, with every check of a single resource that a change goes through.
     pub fn push(&mut self, resource: &SnapshotResource) -> Result<(), ResourceError> {
         let SnapshotResource(kind, name, revision, value) = resource;
         let kind = ResourceKind::parse(kind)?;
@@ -256,33 +267,33 @@
         Ok(())
     }
 
-    /// Checks what the resources name and returns the configuration at this revision.
+    /// Checks all references and returns the configuration at this revision.
     pub fn finish(self, revision: FleetRevision) -> Result<FleetConfig, ResourceError> {
-        turns::at_once(self.finish_in_turns(revision, &turns::no_pause))
+        turns::at_once(self.finish_in_slices(revision, &turns::no_pause))
     }
 
-    /// Does in turns what [`Self::finish`] does.
-    pub async fn finish_in_turns(
+    /// Does the same as [`Self::finish`] in time slices.
+    pub async fn finish_in_slices(
         self,
         revision: FleetRevision,
         pause: &impl AsyncFn(),
     ) -> Result<FleetConfig, ResourceError> {
         let kinds = self.kinds.map(BlockBuilder::finish);
         let config = FleetConfig { revision, kinds, keys: self.keys };
-        config.check_references_in_turns(pause).await?;
+        config.check_references_in_slices(pause).await?;
         Ok(config)
     }
 }
 
-/// Checks that what a resource names is there, as `has` says.
-fn check_one(
+/// Checks that every target that a resource refers to is there, by the predicate `exists`.
+fn check_references_of(
     kind: ResourceKind,
     name: &str,
     value: &ResourceValue,
-    has: impl Fn(ResourceKind, &str) -> bool,
+    exists: impl Fn(ResourceKind, &str) -> bool,
 ) -> Result<(), ResourceError> {
     for (field, target_kind, target) in value.references() {
-        if !has(target_kind, target) {
+        if !exists(target_kind, target) {
             let path = format!("{}.{field}", resources::resource_path(kind, name));
             let missing = resources::resource_path(target_kind, target);
             return Err(errors::dangling(path, missing));
@@ -291,19 +302,20 @@
     Ok(())
 }
 
-/// Packs all services. Upstreams wait packed until all are there; they come in the order of names.
+/// Packs all services. Upstreams are collected in packed form by service; the configuration lists
+/// them in the order of their names.
 async fn pack_services(
     config: &FleetConfig,
     pause: &impl AsyncFn(),
 ) -> SharedMap<Rc<str>, Rc<PackedService>> {
-    let mut turns = WorkTurns::new(pause);
-    let mut waiting: FnvHashMap<String, Vec<u8>> = FnvHashMap::default();
+    let mut turns = WorkSlices::new(pause);
+    let mut packed_upstreams: FnvHashMap<String, Vec<u8>> = FnvHashMap::default();
     for (name, stored) in config.list(ResourceKind::BackendServer) {
         if let ResourceValue::BackendServer(server) = &stored.value {
             let packed = services::pack_upstream(&name, server);
-            match waiting.get_mut(&server.service) {
+            match packed_upstreams.get_mut(&server.service) {
                 Some(upstreams) => upstreams.extend(packed),
-                None => drop(waiting.insert(server.service.clone(), packed)),
+                None => drop(packed_upstreams.insert(server.service.clone(), packed)),
             }
         }
         turns.step().await;
@@ -311,7 +323,7 @@
     let mut all = SharedMap::default();
     for (name, stored) in config.list(ResourceKind::Service) {
         if let ResourceValue::Service(spec) = &stored.value {
-            let upstreams = waiting.remove(&*name).unwrap_or_default();
+            let upstreams = packed_upstreams.remove(&*name).unwrap_or_default();
             all.insert(name, Rc::new(PackedService::with_upstreams(spec, &upstreams)));
         }
         turns.step().await;
@@ -319,7 +331,8 @@
     all
 }
 
-/// `ActiveConfig` is a configuration laid out for the request path. A copy shares everything.
+/// `ActiveConfig` is a configuration laid out for look-ups on the request path. Copies share all
+/// data.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveConfig {
     /// Revision in force.
@@ -335,7 +348,7 @@
     limit_names: SharedMap<Rc<str>, Rc<LimitEntry>>,
 }
 
-/// Number of things that limits count by.
+/// Number of scopes that limits count by.
 const LIMIT_SCOPES: usize = 3;
 
 /// `LimitEntry` is a limit in force.
@@ -353,7 +366,7 @@
         turns::at_once(Self::build_in_turns(config, &turns::no_pause))
     }
 
-    /// Lays `config` out in turns.
+    /// Lays out `config` in time slices.
     pub async fn build_in_turns(config: &FleetConfig, pause: &impl AsyncFn()) -> Self {
         let mut active = Self { revision: config.revision(), ..Self::default() };
         for (name, stored) in config.list(ResourceKind::Limit) {
@@ -367,7 +380,7 @@
         active
     }
 
-    /// Changes a service, if there is one of this name, and returns its name.
+    /// Changes the service of this name, if there is one, and returns its name.
     fn change_service(
         &mut self,
         name: &str,
@@ -387,7 +400,8 @@
         Some(packed.unpack(name))
     }
 
-    /// Takes the organisations over as they are kept; a copy of the map shares all of it.
+    /// Adopts the organisations in the packed form that the configuration keeps; a copy of the map
+    /// shares all of it.
     fn share_organisations(&mut self, config: &FleetConfig) {
         self.organisations = config.kinds[ResourceKind::Organisation as usize].clone();
         self.keys = config.keys.clone();
@@ -403,7 +417,7 @@
         self.limit_names.is_empty()
     }
 
-    /// Returns the limits that count something.
+    /// Returns the limits that count the requests of `target`.
     pub fn limits_of(&self, scope: LimitScope, target: &str) -> &[Rc<LimitEntry>] {
         self.limits[scope as usize].get(target).map_or(&[], Vec::as_slice)
     }
@@ -413,8 +427,8 @@
         self.limit_names.get(name)
     }
 
-    /// Brings the layout from `before` to `after`, which `record` leads to, at the cost of what
-    /// changed. Returns the services that were touched.
+    /// Updates the layout from `before` to `after`, which results from `record`, at a cost
+    /// proportional to the change. Returns the services that were touched.
     pub fn update(
         &mut self,
         before: &FleetConfig,
@@ -422,19 +436,20 @@
         record: &ChangeRecord,
     ) -> Vec<Rc<str>> {
         let mut touched = Vec::new();
-        let changed =
-            |config: &FleetConfig, first: bool, each: &mut dyn FnMut(&str, &ResourceValue)| {
-                for change in &record.changes {
-                    let kind = match ResourceKind::parse(&change.kind) {
-                        Ok(kind) if (kind == ResourceKind::Service) == first => kind,
-                        _ => continue,
-                    };
-                    if let Some(stored) = config.get(kind, &change.name) {
-                        each(&change.name, &stored.value);
-                    }
+        let changed = |config: &FleetConfig,
+                       wants_services: bool,
+                       each: &mut dyn FnMut(&str, &ResourceValue)| {
+            for change in &record.changes {
+                let kind = match ResourceKind::parse(&change.kind) {
+                    Ok(kind) if (kind == ResourceKind::Service) == wants_services => kind,
+                    _ => continue,
+                };
+                if let Some(stored) = config.get(kind, &change.name) {
+                    each(&change.name, &stored.value);
                 }
-            };
-        // What belongs to services goes before them and comes after them.
+            }
+        };
+        // Resources that belong to a service are removed before it and added after it.
         changed(before, false, &mut |name, value| self.remove(name, value, &mut touched));
         changed(before, true, &mut |name, value| {
             if after.get(ResourceKind::Service, name).is_none() {
@@ -453,7 +468,7 @@
         touched
     }
 
-    /// Adds or replaces a resource; returns the service that it touches.
+    /// Adds or replaces a resource; returns the service that is affected.
     fn insert(&mut self, name: &Rc<str>, value: &ResourceValue) -> Option<Rc<str>> {
         match value {
             ResourceValue::FailureDomain(_) | ResourceValue::Organisation(_) => None,
--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of the core crate and short constructors for them.
+//! Errors of the core crate and constructors for them.
 
 use snafu::Snafu;
 
-/// `ResourceError` says why a resource, or a set of resources, is not accepted.
+/// `ResourceError` is the reason why a resource, or a set of resources, is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ResourceError {
@@ -27,7 +27,7 @@
         /// What the parser reported.
         message: String,
     },
-    /// A resource names another one that does not exist.
+    /// A resource refers to another one that does not exist.
     #[snafu(display("{path}: names {target}, which does not exist"))]
     Dangling {
         /// Path of the field that holds the reference.
@@ -75,7 +75,7 @@
         /// Name of the environment variable.
         variable: String,
     },
-    /// A line of the settings file is no setting.
+    /// A line of the settings file is not a setting.
     #[snafu(display("line {number} of the settings file is not \"flag = value\": {line:?}"))]
     BadLine {
         /// Number of the line, from 1.
@@ -84,13 +84,13 @@
         line: String,
     },
     /// The settings file names a flag that does not exist.
-    #[snafu(display("the settings file names {flag:?}, which is no setting"))]
+    #[snafu(display("the settings file sets {flag:?}, which is not a known flag"))]
     Unknown {
         /// Name as given.
         flag: String,
     },
     /// The settings file can't be read.
-    #[snafu(display("the settings file {path} can't be read: {message}"))]
+    #[snafu(display("cannot read the settings file {path}: {message}"))]
     Unreadable {
         /// Path of the file.
         path: String,
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,52 +1,55 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Tells the copies of a request from other requests.
+//! Fingerprints that recognise copies of the same request.
 //!
-//! A copy comes on another connection, at another daemon, with an id and a deadline of its own. What it
-//! shares with the first is what a backend server works on: service, method, target, body, and those
-//! header fields that say who asks and what the body is. The hash is keyed with the fleet's secret, so
-//! that a caller can't search for a request that is taken for another one.
+//! A copy arrives on another connection, at another daemon, with a request id and a deadline of its
+//! own. It shares with the original what a backend server processes: service, method, target, body,
+//! and the header fields that identify the caller and describe the body. The hash is keyed with the
+//! fleet's secret, so that a caller can't search for a request that collides with another one.
 
 use std::fmt;
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint: at 16, two of a billion different requests are alike once in 10^21 fleets.
+/// Bytes of a fingerprint: with 16, two of a billion different requests collide once in 10^21
+/// fleets.
 pub const FINGERPRINT_BYTES: usize = 16;
-/// Header fields that count. Ids, deadlines, dates and traces differ between copies and are left out;
-/// who changes another field escapes only until that copy is known by itself.
-const COUNTED_FIELDS: [&str; 5] =
+/// Header fields that are hashed. Ids, deadlines, dates and traces differ between copies and are
+/// left out; a caller that changes another field evades recognition only until the changed copy has
+/// a record of its own.
+const HASHED_FIELDS: [&str; 5] =
     ["host", "authorization", "cookie", "content-type", "content-encoding"];
 
-/// `RequestFingerprint` is the same for all copies of a request and for no other request.
+/// `RequestFingerprint` is a hash that all copies of a request share and no other request has.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
-/// `RequestParts` are the parts of a request that its fingerprint is made of.
+/// `RequestParts` are the parts of a request that its fingerprint is computed from.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestParts<'a> {
     /// Organisation of the caller, empty when there is none.
     pub organisation: &'a str,
-    /// Service that the request goes to: what ends the servers of one may be served by another.
+    /// Service that the request goes to: a request that crashes the servers of one service may be
+    /// harmless to another.
     pub service: &'a str,
     /// Its method.
     pub method: &'a str,
     /// Its target in origin form.
     pub target: &'a str,
-    /// Its header fields as lines with names in lower case.
+    /// Its header fields as lines with lower-case names.
     pub field_lines: &'a [u8],
-    /// The part of its body that was read before it was sent on.
+    /// The part of its body that was read before the request was forwarded.
     pub body: &'a [u8],
-    /// Whether that is all of the body.
+    /// Whether `body` is the complete body.
     pub is_whole: bool,
-    /// Length of the body as declared, below zero if it wasn't. It tells long bodies with the same
-    /// start apart.
+    /// Declared length of the body, negative if none was declared. It distinguishes long bodies
+    /// with the same beginning.
     pub length: i64,
 }
 
 impl RequestFingerprint {
-    /// Makes the fingerprint of a request with the fleet's secret.
+    /// Computes the fingerprint of a request, keyed with the fleet's secret.
     pub fn of(secret: &[u8], parts: &RequestParts<'_>) -> Self {
         let mut hasher = PartHasher(Sha256::new());
         hasher.add(secret);
@@ -54,10 +57,13 @@
         hasher.add(parts.service.as_bytes());
         hasher.add(parts.method.as_bytes());
         hasher.add(parts.target.as_bytes());
-        for line in parts.field_lines.split(|byte| *byte == b'\n').filter(|line| counts(line)) {
+        for line in
+            parts.field_lines.split(|byte| *byte == b'\n').filter(|line| is_hashed_field(line))
+        {
             hasher.add(line.trim_ascii());
         }
-        // How a whole body was framed is the connection's affair.
+        // Copies may frame the same body differently, so the declared length counts only for a
+        // partial body.
         let rest = if parts.is_whole { 0 } else { parts.length };
         hasher.add(&rest.to_be_bytes());
         hasher.add(parts.body);
@@ -67,7 +73,7 @@
         Self(bytes)
     }
 
-    /// Reads a fingerprint that another daemon sent; `None` if it has another length.
+    /// Decodes a fingerprint that another daemon sent; `None` if it has another length.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
@@ -77,7 +83,7 @@
         &self.0
     }
 
-    /// Reads a fingerprint from its text.
+    /// Parses the text form of a fingerprint.
     pub fn parse(text: &str) -> Option<Self> {
         let is_hex = text.len() == 2 * FINGERPRINT_BYTES && text.is_ascii();
         let mut bytes = [0; FINGERPRINT_BYTES];
@@ -100,7 +106,8 @@
     }
 }
 
-/// `PartHasher` hashes parts with their lengths, so that no part can pass for the end of another.
+/// `PartHasher` hashes each part with its length, so that bytes can't move from one part to the
+/// next without changing the hash.
 struct PartHasher(Sha256);
 
 impl PartHasher {
@@ -110,9 +117,9 @@
     }
 }
 
-/// Says whether a line of the head is one of the fields that count.
-fn counts(line: &[u8]) -> bool {
-    COUNTED_FIELDS.iter().any(|name| {
+/// Returns whether a header line is one of the hashed fields.
+fn is_hashed_field(line: &[u8]) -> bool {
+    HASHED_FIELDS.iter().any(|name| {
         line.strip_prefix(name.as_bytes()).is_some_and(|rest| rest.first() == Some(&b':'))
     })
 }
--- a/crates/core/src/organisations.rs
+++ b/crates/core/src/organisations.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Finds the organisation that holds a caller's API key.
+//! Looks up the organisation that owns a caller's API key.
 //!
-//! A key is known by its digest alone, so that no memory, store, log or peer holds one. Owners are packed in
-//! small shards by the first bytes of the digest: a look-up reads one shard, a change writes one anew, and
-//! copies of the table share all others.
+//! Keys are identified by their digests alone, so that no memory, store, log or peer holds a key.
+//! Owners are packed in small shards by the first bytes of the digest: a look-up reads one shard, a
+//! change rewrites one, and copies of the table share all others.
 
 use std::fmt;
 use std::rc::Rc;
@@ -17,20 +17,22 @@
 use crate::packing;
 use crate::resources::{OrganisationSpec, WorkClass};
 
-/// Bytes of a digest: at 16, nobody finds a key that passes for another one.
+/// Bytes of a digest: with 16, finding a second key with the digest of another one is infeasible.
 pub const DIGEST_BYTES: usize = 16;
-/// Bytes of a digest that operators see: enough to tell the keys of one organisation apart.
+/// Bytes of a digest that are shown to operators: enough to tell the keys of one organisation
+/// apart.
 const PUBLIC_BYTES: usize = 4;
-/// Keeps digests of keys apart from all other digests.
+/// Domain separator, so that the digest of a key never equals a digest computed for another
+/// purpose.
 const DIGEST_DOMAIN: &[u8] = b"basaltarch api key\0";
 
-/// `KeyDigest` stands for an API key wherever one is kept or told.
+/// `KeyDigest` stands for an API key wherever one is stored or sent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// Makes the digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         hasher.update(DIGEST_DOMAIN);
@@ -41,7 +43,7 @@
         Self(bytes)
     }
 
-    /// Returns the part by which operators tell keys apart.
+    /// Returns the prefix that operators see, to tell keys apart.
     pub fn public_part(&self) -> String {
         hex(&self.0[..PUBLIC_BYTES])
     }
@@ -95,11 +97,11 @@
 pub struct KeyOwner {
     /// Name of the organisation.
     pub name: Rc<str>,
-    /// Class of its work, if it goes before that of the route.
+    /// Class of its requests, if it overrides that of the route.
     pub class: Option<WorkClass>,
 }
 
-/// One key as it is packed.
+/// The packed form of one key.
 #[derive(Serialize, Deserialize)]
 struct KeyRecord<'a> {
     digest: [u8; DIGEST_BYTES],
@@ -108,7 +110,7 @@
     name: &'a str,
 }
 
-/// `KeyTable` finds the owner of a key.
+/// `KeyTable` maps the digests of keys to their owners.
 #[derive(Debug, Clone, Default)]
 pub struct KeyTable {
     shards: SharedMap<u16, Rc<[u8]>>,
@@ -119,7 +121,7 @@
     pub fn find(&self, digest: &KeyDigest) -> Option<KeyOwner> {
         let mut rest: &[u8] = self.shards.get(&digest.shard())?;
         while !rest.is_empty() {
-            let record: KeyRecord = packing::take(&mut rest);
+            let record: KeyRecord = packing::unpack_next(&mut rest);
             if record.digest == digest.0 {
                 return Some(KeyOwner { name: Rc::from(record.name), class: record.class });
             }
@@ -127,7 +129,7 @@
         None
     }
 
-    /// Gives a key to an organisation; whoever held it before holds it no longer.
+    /// Assigns a key to an organisation; a previous owner loses it.
     pub fn insert(&mut self, digest: &KeyDigest, owner: &KeyOwner) {
         let mut shard = self.shard_without(digest);
         let record = KeyRecord { digest: digest.0, class: owner.class, name: &owner.name };
@@ -135,13 +137,13 @@
         self.shards.insert(digest.shard(), shard.into());
     }
 
-    /// Gives an organisation its keys.
+    /// Assigns all keys of an organisation to it.
     pub fn insert_all(&mut self, name: &str, spec: &OrganisationSpec) {
         let owner = KeyOwner { name: Rc::from(name), class: spec.criticality };
         spec.keys.iter().for_each(|digest| self.insert(digest, &owner));
     }
 
-    /// Takes a key away.
+    /// Removes a key.
     pub fn remove(&mut self, digest: &KeyDigest) {
         let shard = self.shard_without(digest);
         if shard.is_empty() {
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,52 +1,53 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The outcome of an exchange, as every layer of the fleet passes it on.
+//! The outcome of an exchange, in the form that every layer of the fleet passes on.
 
 use std::fmt;
 
-/// `NotRunReason` says why a request ran on no backend server.
+/// `NotRunReason` is the reason why a request ran on no backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum NotRunReason {
     /// No route matches the request.
     NoRoute,
     /// The daemon has no configuration yet.
     NoConfiguration,
-    /// The daemon can't tell now whether its configuration is the newest, and by that it would refuse.
+    /// The daemon would refuse the request by its configuration, but can't confirm at the moment
+    /// that this configuration is the newest.
     ConfigurationUnsure,
     /// The organisation, route or service is over its rate limit.
     Limited,
     /// Every slot is taken and the queue is full.
     QueueFull,
-    /// The deadline passed before the work started.
+    /// The deadline passed before the request was started.
     DeadlinePassed,
     /// The backend server or its daemon is leaving.
     Draining,
-    /// The backend server is thought sick and the dispatch was refusable.
+    /// The backend server is considered sick and the dispatch was refusable.
     Sick,
     /// The backend server could not be connected to.
     ConnectFailed,
-    /// The backend server itself refused the work.
+    /// The backend server itself refused the request.
     Shed,
-    /// The upstream is not one of the daemon that was asked.
+    /// The daemon that was asked does not serve this upstream.
     UnknownUpstream,
-    /// The daemon beside the upstream could not be reached.
+    /// The daemon on the upstream's host could not be reached.
     PeerUnreachable,
-    /// The ledger of once-only work could not be written.
+    /// The ledger of at-most-once requests could not be written.
     LedgerUnavailable,
     /// No upstream of the service can take the request.
     NoUpstream,
-    /// The caller went away before the work started.
+    /// The caller disconnected before the request was started.
     CallerGone,
-    /// The request itself was refused.
+    /// The request itself is invalid.
     BadRequest,
-    /// The idempotency key was used for another request.
+    /// The idempotency key was already used for another request.
     KeyReused,
     /// The request crashes the backend servers that run it.
     CrashesServers,
-    /// The route asks for an API key, and the caller has none that is known.
+    /// The route requires an API key, and the caller sent none or an unknown one.
     KeyUnknown,
-    /// Nothing ended at the backend server for a while, and the work must not be repeated.
+    /// The backend server has completed no request recently, and this request is non-repeatable.
     Unproven,
 }
 
@@ -102,22 +103,22 @@
     }
 }
 
-/// `UnknownReason` says why it is not known whether a request ran.
+/// `UnknownReason` is the reason why it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum UnknownReason {
-    /// The backend server's connection broke after bytes of the request were offered.
+    /// The connection to the backend server broke after bytes of the request were offered to it.
     BackendBroken,
-    /// The backend server's answer was cut short or malformed.
+    /// The backend server's answer was truncated or malformed.
     AnswerBroken,
-    /// The deadline passed while the backend server was working.
+    /// The deadline passed while the backend server was processing the request.
     TimedOut,
-    /// The link to the daemon beside the upstream broke.
+    /// The link to the daemon on the upstream's host broke.
     PeerLost,
-    /// The caller went away while the work ran.
+    /// The caller disconnected while the request ran.
     CallerGone,
-    /// The same once-only work was already started and its answer is not kept.
+    /// The same at-most-once request was already started and its answer is not kept.
     AlreadyStarted,
-    /// The daemon that took the request ended before the answer came.
+    /// The daemon that accepted the request stopped before the answer arrived.
     DaemonStopped,
 }
 
@@ -147,10 +148,10 @@
     }
 }
 
-/// `FailureOutcome` is the outcome of an exchange that gave no complete answer.
+/// `FailureOutcome` is the outcome of an exchange that produced no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FailureOutcome {
-    /// The request certainly ran on no backend server.
+    /// The request is known to have run on no backend server.
     NotRun(NotRunReason),
     /// The request may have run.
     Unknown(UnknownReason),
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Returns the number that stands for this outcome between daemons.
+    /// Returns the number that encodes this outcome between daemons.
     pub fn wire_number(self) -> i16 {
         match self {
             Self::NotRun(reason) => position(&NOT_RUN_REASONS, reason),
@@ -184,7 +185,8 @@
         }
     }
 
-    /// Reads a wire number; a number of a later version reads as an unknown outcome, the safe one.
+    /// Decodes a wire number; a number of a later version decodes as an unknown outcome, which is
+    /// the safe one.
     pub fn from_wire(number: i16) -> Self {
         let not_run = usize::try_from(number).ok().and_then(|index| NOT_RUN_REASONS.get(index));
         if let Some(reason) = not_run {
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The resources that operators declare, with the checks on their values.
+//! The resources that operators declare, and the validation of their values.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,27 +15,27 @@
 
 /// Longest resource name; it keeps table keys and logs short.
 pub const NAME_BYTES_MAX: usize = 128;
-/// Most slots of one backend server; the brief's have 3 or 4.
+/// Most slots of one backend server; typical ones have 3 or 4.
 pub const SLOTS_MAX: u32 = 4096;
-/// Most connections of one backend server; the brief's have 300 to 400.
+/// Most connections of one backend server; typical ones have 300 to 400.
 pub const CONNECTIONS_MAX: u32 = 65_536;
-/// Longest queue before one backend server.
+/// Longest queue of one backend server.
 pub const QUEUE_MAX: u32 = 4096;
 /// Longest time-out of a route, in milliseconds (10 minutes).
 pub const TIMEOUT_MS_MAX: u64 = 600_000;
 /// Largest weight of a share of a route; weights are usually percentages.
 pub const WEIGHT_MAX: u32 = 1_000_000;
-/// Most upstreams that a route may let one request reach.
+/// Most upstreams to which a route may let one request be dispatched.
 pub const ATTEMPTS_MAX: u32 = 16;
 /// Highest rate of a limit, in requests a second.
 pub const RATE_MAX: f64 = 10_000_000.0;
 
-/// `ResourceKind` names the kinds of resource.
+/// `ResourceKind` is the kind of a resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ResourceKind {
     /// A failure domain in a region.
     FailureDomain,
-    /// A service and how its upstreams are kept.
+    /// A service and the settings that govern its upstreams.
     Service,
     /// A backend server of a service.
     BackendServer,
@@ -43,11 +43,11 @@
     Route,
     /// A rate limit.
     Limit,
-    /// An organisation whose callers are counted together.
+    /// An organisation whose callers share limits.
     Organisation,
 }
 
-/// Every kind in the order in which references may point (later ones name earlier ones).
+/// Every kind, ordered so that references only point to earlier kinds.
 pub const ALL_KINDS: [ResourceKind; 6] = [
     ResourceKind::FailureDomain,
     ResourceKind::Organisation,
@@ -58,7 +58,7 @@
 ];
 
 impl ResourceKind {
-    /// Returns the name in paths and files.
+    /// Returns the name of the kind in paths and files.
     pub fn name(self) -> &'static str {
         match self {
             Self::FailureDomain => "failure-domains",
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the kinds whose resources may name one of this kind.
+    /// Returns the kinds whose resources may refer to one of this kind.
     pub fn referrers(self) -> &'static [ResourceKind] {
         match self {
             Self::FailureDomain => &[Self::BackendServer],
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Reads the name of a kind.
+    /// Parses the name of a kind.
     pub fn parse(name: &str) -> Result<Self, ResourceError> {
         ALL_KINDS.into_iter().find(|kind| kind.name() == name).ok_or_else(|| {
             ResourceError::UnknownKind {
@@ -91,7 +91,7 @@
     }
 }
 
-/// `FailureDomain` is a place whose hosts fail together.
+/// `FailureDomain` is a group of hosts that fail together, such as a zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailureDomain {
@@ -103,42 +103,42 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationSpec {
-    /// Name for people.
+    /// Human-readable name.
     #[serde(default)]
     pub title: String,
-    /// Digests of the API keys by which its callers are known.
+    /// Digests of the API keys that identify its callers.
     #[serde(default)]
     pub keys: Vec<KeyDigest>,
-    /// Class of its work, if it goes before that of the route.
+    /// Class of its requests, if it overrides that of the route.
     #[serde(default)]
     pub criticality: Option<WorkClass>,
 }
 
-/// `PreferChoice` says which error a service would rather have.
+/// `PreferChoice` is the trade-off of a service between missed and false ejections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PreferChoice {
-    /// Take sick upstreams out soon; more false ejections.
+    /// Eject sick upstreams early, at the cost of more false ejections.
     Detection,
-    /// Take out only what is surely sick.
+    /// Eject only upstreams that are sick with high confidence.
     #[default]
     Precision,
 }
 
-/// `ServiceSpec` is a service and how its upstreams are kept.
+/// `ServiceSpec` is a service and the settings that govern its upstreams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Share of the configured slots that ejection never goes below, 0 to 1.
+    /// Share of the configured slots that ejection always leaves in service, 0 to 1.
     #[serde(default = "default_floor")]
     pub floor: f64,
-    /// Which error the service would rather have.
+    /// Whether ejection favours detection or precision.
     #[serde(default)]
     pub prefer: PreferChoice,
-    /// Requests that may wait before each backend server.
+    /// Most requests that may wait in the queue of each backend server.
     #[serde(default = "default_queue")]
     pub queue: u32,
-    /// Share of requests that may be repeated, 0 to 1.
+    /// Share of requests that may be retried, 0 to 1.
     #[serde(default = "default_budget")]
     pub retry_budget: f64,
 }
@@ -155,14 +155,14 @@
     0.1
 }
 
-/// `ServerState` is what the operator wants of a backend server.
+/// `ServerState` is the state that the operator requests for a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerState {
-    /// The backend server takes work.
+    /// The backend server accepts requests.
     #[default]
     Active,
-    /// The backend server is leaving and takes no new work.
+    /// The backend server is draining and accepts no new requests.
     Draining,
 }
 
@@ -172,41 +172,41 @@
 pub struct BackendServer {
     /// Service that it is an upstream of.
     pub service: String,
-    /// Host that it runs on; the daemon of that host sends it work.
+    /// Host that it runs on; the daemon of that host sends it requests.
     pub host: String,
     /// Address that it listens on.
     pub address: SocketAddr,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Connections that it accepts.
+    /// Most connections that it accepts.
     pub connections: u32,
     /// Failure domain of its host.
     pub failure_domain: String,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     #[serde(default)]
     pub state: ServerState,
 }
 
-/// `WorkMode` says how often a request of a route may run.
+/// `WorkMode` defines how often a request of a route may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkMode {
-    /// Dispatched again only when it certainly did not run.
+    /// Retried only when it is certain that it did not run.
     #[default]
     Plain,
     /// May run more than once without harm.
     Repeatable,
-    /// Runs at most once, also over several attempts with one idempotency key.
+    /// Runs at most once, even over several attempts with the same idempotency key.
     Once,
 }
 
-/// `WorkClass` orders requests when there is not room for all.
+/// `WorkClass` is the priority of a request when there is not enough capacity for all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkClass {
     /// Shed first.
     Sheddable,
-    /// Ordinary work.
+    /// Shed after sheddable and before critical requests.
     #[default]
     Normal,
     /// Shed last.
@@ -221,27 +221,28 @@
     pub host: String,
     /// Prefix of the path, matched on whole segments.
     pub path_prefix: String,
-    /// Methods, all when empty.
+    /// Methods that it accepts; all when empty.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// Service that serves it.
+    /// Service that serves its requests.
     pub service: String,
-    /// Longest time for a request, in milliseconds.
+    /// Time-out of a request, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u64,
     /// How often a request may run.
     #[serde(default)]
     pub mode: WorkMode,
-    /// What is shed first.
+    /// Priority of its requests when load is shed.
     #[serde(default)]
     pub criticality: WorkClass,
-    /// Services that share the requests by weight; when empty, `service` gets all of them.
+    /// Services that share the requests by weight; when empty, `service` receives all of them.
     #[serde(default)]
     pub split: Vec<ServiceShare>,
-    /// Most upstreams that one request may reach, the daemon's own bound when 0.
+    /// Most upstreams to which one request may be dispatched; 0 for the daemon's own limit.
     #[serde(default)]
     pub attempts: u32,
-    /// Time within which an answer is worth most, in milliseconds; 0 when none was declared.
+    /// Latency objective: time within which an answer is worth most, in milliseconds; 0 when none
+    /// was declared.
     #[serde(default)]
     pub objective_ms: u32,
     /// Whether callers need the API key of an organisation.
@@ -263,7 +264,7 @@
     10_000
 }
 
-/// `LimitScope` says what a limit counts.
+/// `LimitScope` is the set of requests that a limit counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LimitScope {
@@ -285,7 +286,7 @@
     pub target: String,
     /// Requests a second over the fleet.
     pub rate: f64,
-    /// Requests that may come at once.
+    /// Requests that may arrive in one burst.
     pub burst: f64,
 }
 
@@ -307,7 +308,7 @@
 }
 
 impl ResourceValue {
-    /// Reads and checks a resource of `kind` from JSON.
+    /// Parses and validates a resource of `kind` from JSON.
     pub fn try_new(kind: ResourceKind, name: &str, value: &Value) -> Result<Self, ResourceError> {
         let path = resource_path(kind, name);
         check_name(&path, name)?;
@@ -323,7 +324,7 @@
         Ok(parsed)
     }
 
-    /// Returns the resource as JSON with every default written out.
+    /// Returns the resource as JSON, with defaults included.
     pub fn to_json(&self) -> Value {
         let value = match self {
             Self::FailureDomain(spec) => serde_json::to_value(spec),
@@ -354,7 +355,7 @@
         }
     }
 
-    /// Returns the resources that this one names, with the field that names each.
+    /// Returns the resources that this one refers to, with the field of each reference.
     pub fn references(&self) -> Vec<(&'static str, ResourceKind, &str)> {
         match self {
             Self::FailureDomain(_) | Self::Service(_) | Self::Organisation(_) => Vec::new(),
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -11,7 +11,7 @@
 use crate::config::SharedMap;
 use crate::packing;
 use crate::resources::{RouteRule, ServiceShare, WorkClass, WorkMode};
-use crate::turns::{self, WorkTurns};
+use crate::turns::{self, WorkSlices};
 
 /// `RouteEntry` is a route in force.
 #[derive(Debug, Clone, PartialEq)]
@@ -22,7 +22,7 @@
     pub rule: Rc<RouteRule>,
 }
 
-/// `RouteTable` finds the route with the longest path prefix.
+/// `RouteTable` finds the route with the longest matching path prefix.
 ///
 /// A look-up costs one hash look-up for the host and one binary search among the host's routes for
 /// each segment of the path.
@@ -35,15 +35,15 @@
 /// `RouteMatch` is the result of a look-up.
 #[derive(Debug, PartialEq)]
 pub enum RouteMatch {
-    /// The route.
+    /// The matching route.
     Found(Rc<RouteEntry>),
-    /// Routes match the path, but none the method; the methods that would match.
+    /// Routes match the path but not the method; holds the methods that would match.
     WrongMethod(Vec<String>),
-    /// Nothing matches.
+    /// No route matches.
     Missing,
 }
 
-/// One route as it is packed: all of its resource but the host.
+/// The packed form of one route: all of its resource except the host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct RouteRecord<'a> {
     prefix: &'a str,
@@ -77,7 +77,7 @@
         }
     }
 
-    fn order(&self) -> (&'a str, &'a str) {
+    fn sort_key(&self) -> (&'a str, &'a str) {
         (trim_prefix(self.prefix), self.name)
     }
 
@@ -102,44 +102,44 @@
 /// `HostRoutes` is the routes of one host, packed, in the order of prefix and name.
 #[derive(Debug, Clone, Default)]
 struct HostRoutes {
-    /// Where each record begins.
-    starts: Box<[u32]>,
+    /// Offset of each record in `records`.
+    offsets: Box<[u32]>,
     records: Box<[u8]>,
 }
 
 impl HostRoutes {
     /// Packs the routes of one host.
     fn new(mut records: Vec<RouteRecord>) -> Self {
-        records.sort_by_key(RouteRecord::order);
-        let mut starts = Vec::with_capacity(records.len());
+        records.sort_by_key(RouteRecord::sort_key);
+        let mut offsets = Vec::with_capacity(records.len());
         let mut bytes = Vec::new();
         for record in &records {
-            starts.push(bytes.len() as u32);
+            offsets.push(bytes.len() as u32);
             bytes.extend(packing::pack(record));
         }
-        Self { starts: starts.into(), records: bytes.into() }
+        Self { offsets: offsets.into(), records: bytes.into() }
     }
 
     fn record(&self, index: usize) -> RouteRecord<'_> {
-        packing::unpack(&self.records[self.starts[index] as usize..])
+        packing::unpack(&self.records[self.offsets[index] as usize..])
     }
 
     fn prefix(&self, index: usize) -> &str {
         // The prefix is the first field of a record.
-        let prefix: &str = packing::unpack(&self.records[self.starts[index] as usize..]);
+        let prefix: &str = packing::unpack(&self.records[self.offsets[index] as usize..]);
         trim_prefix(prefix)
     }
 
     /// Lists the routes with exactly this prefix.
     fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = RouteRecord<'a>> {
-        let first = self.first_with(prefix);
-        (first..self.starts.len())
+        let first = self.lower_bound(prefix);
+        (first..self.offsets.len())
             .take_while(move |index| self.prefix(*index) == prefix)
             .map(|index| self.record(index))
     }
 
-    fn first_with(&self, prefix: &str) -> usize {
-        let (mut low, mut high) = (0, self.starts.len());
+    fn lower_bound(&self, prefix: &str) -> usize {
+        let (mut low, mut high) = (0, self.offsets.len());
         while low < high {
             let middle = (low + high) / 2;
             if self.prefix(middle) < prefix {
@@ -153,29 +153,30 @@
 }
 
 impl RouteTable {
-    /// Lays routes out. Those of each host wait packed until all are there.
+    /// Builds a table from routes. The routes of each host are collected in packed form before they
+    /// are sorted.
     pub fn build(routes: impl Iterator<Item = (Rc<str>, Rc<RouteRule>)>) -> Self {
         turns::at_once(Self::build_in_turns(routes, &turns::no_pause))
     }
 
-    /// Lays routes out in turns.
+    /// Builds a table from routes in time slices.
     pub async fn build_in_turns(
         routes: impl Iterator<Item = (Rc<str>, Rc<RouteRule>)>,
         pause: &impl AsyncFn(),
     ) -> Self {
-        let mut turns = WorkTurns::new(pause);
-        let mut waiting: FnvHashMap<String, Vec<u8>> = FnvHashMap::default();
+        let mut turns = WorkSlices::new(pause);
+        let mut records_by_host: FnvHashMap<String, Vec<u8>> = FnvHashMap::default();
         let mut table = Self::default();
         for (name, rule) in routes {
             let record = packing::pack(&RouteRecord::new(&name, &rule));
-            match waiting.get_mut(&rule.host) {
+            match records_by_host.get_mut(&rule.host) {
                 Some(records) => records.extend(record),
-                None => drop(waiting.insert(rule.host.clone(), record)),
+                None => drop(records_by_host.insert(rule.host.clone(), record)),
             }
             table.len += 1;
             turns.step().await;
         }
-        for (host, records) in waiting {
+        for (host, records) in records_by_host {
             let routes = HostRoutes::new(packing::unpack_all(&records));
             table.hosts.insert(Rc::from(host), Rc::new(routes));
             turns.step().await;
@@ -194,7 +195,7 @@
         self.hosts.insert(Rc::from(rule.host.as_str()), routes);
     }
 
-    /// Removes the route with this name, which has this rule.
+    /// Removes the route with this name and rule.
     pub fn remove(&mut self, name: &str, rule: &RouteRule) {
         let host = rule.host.as_str();
         let known = match self.hosts.get(host) {
--- a/crates/core/src/services.rs
+++ b/crates/core/src/services.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Services in force, packed until they are used.
+//! Services of the configuration in force, kept packed in memory until they are used.
 
 use std::rc::Rc;
 
@@ -28,8 +28,8 @@
     pub upstreams: Vec<UpstreamEntry>,
 }
 
-/// `PackedService` is a service in force that is not used at the moment. Equal services are packed
-/// alike, so that two can be compared as they are.
+/// `PackedService` is a service in force in its compact form, which it keeps while no request uses
+/// it. Equal services pack to equal bytes, so two of them can be compared without unpacking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PackedService {
     spec: ServiceSpec,
@@ -44,14 +44,15 @@
         Self::with_upstreams(&entry.spec, &bytes)
     }
 
-    /// Builds a service of upstreams that [`pack_upstream`] packed, in the order of their names.
+    /// Builds a packed service from upstreams that [`pack_upstream`] packed, in the order of their
+    /// names.
     pub fn with_upstreams(spec: &ServiceSpec, upstreams: &[u8]) -> Self {
         Self { spec: spec.clone(), upstreams: packing::compress(upstreams) }
     }
 
     /// Unpacks the service of this name.
     pub fn unpack(&self, name: &Rc<str>) -> ServiceEntry {
-        let bytes = packing::expand(&self.upstreams);
+        let bytes = packing::decompress(&self.upstreams);
         let packed: Vec<(&str, BackendServer)> = packing::unpack_all(&bytes);
         let upstreams = packed
             .into_iter()
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -28,8 +28,8 @@
     pub value: String,
 }
 
-/// Reads a settings file: lines of `flag = value`. Empty lines, those that begin with `#`, and those
-/// without a value are passed over.
+/// Parses a settings file: lines of `flag = value`. Empty lines, comments (lines that begin with
+/// `#`) and lines without a value are skipped.
 pub fn read_lines(text: &str) -> Result<Vec<SettingLine>, SettingError> {
     let mut lines = Vec::new();
     for (index, line) in text.lines().enumerate() {
@@ -48,12 +48,12 @@
     Ok(lines)
 }
 
-/// Says whether the environment variable that stands for `flag` is set.
+/// Returns whether the environment variable that stands for `flag` is set.
 pub fn is_in_environment(flag: &str) -> bool {
     env::var_os(variable_of(flag)).is_some()
 }
 
-/// Reads an optional setting; the flag's value wins over the environment variable's.
+/// Reads an optional setting; the flag takes precedence over the environment variable.
 pub fn optional<T: FromStr>(
     flag: &str,
     given: Option<String>,
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -11,7 +11,7 @@
 /// Bytes in a kibibyte.
 pub const KIB: usize = 1024;
 
-/// `FleetRevision` numbers the accepted configurations; it only ever rises.
+/// `FleetRevision` is the number of an accepted configuration; it increases monotonically.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -45,13 +45,13 @@
 pub fn format_utc(millis: u64) -> String {
     let seconds = millis / 1000;
     let day = seconds / 86_400;
-    let in_day = seconds % 86_400;
+    let second_of_day = seconds % 86_400;
     let (year, month, date) = civil_date(day as i64);
     format!(
         "{year:04}-{month:02}-{date:02}T{:02}:{:02}:{:02}.{:03}Z",
-        in_day / 3600,
-        in_day / 60 % 60,
-        in_day % 60,
+        second_of_day / 3600,
+        second_of_day / 60 % 60,
+        second_of_day % 60,
         millis % 1000
     )
 }
--- a/crates/core/tests/blocks.rs
+++ b/crates/core/tests/blocks.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Packed resources give back what was put in, whatever the order of changes.
+//! Packed resources are read back as they were stored, in whatever order changes are made.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
     blocks.iter().map(|(name, stored)| (name.to_string(), stored)).collect()
 }
 
-/// Runs so many cases, the same ones each time.
+/// Runs a fixed number of cases from a fixed seed, so that every run tests the same ones.
 fn fixed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -38,7 +38,7 @@
     #![proptest_config(fixed(60))]
 
     #[test]
-    fn verify_blocks_hold_what_a_plain_map_holds(
+    fn verify_blocks_match_a_plain_map(
         start in prop::collection::vec(0..900_u32, 0..600),
         changes in prop::collection::vec((0..900_u32, any::<bool>()), 0..500),
     ) {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn verify_a_packed_service_is_whole_and_equal_ones_are_packed_alike() {
+fn verify_packed_services_are_complete_and_equal_ones_have_equal_bytes() {
     let spec = json!({"floor": 0.5, "prefer": "detection"});
     let spec = serde_json::from_value(spec).expect("service");
     let upstreams = (0..30).map(|number| {
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Resources, configurations and routes.
+//! Tests of resources, configurations, routes, snapshots, outcomes and settings.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use basaltarch_core::routes::{RouteMatch, RouteTable};
 use basaltarch_core::settings;
 use basaltarch_core::snapshot;
-use basaltarch_core::turns::{self, TURN_RESOURCES};
+use basaltarch_core::turns::{self, SLICE_RESOURCES};
 use basaltarch_core::units::{self, FleetRevision};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -116,8 +116,8 @@
 fn verify_only_the_next_revision_is_applied() {
     let mut config = filled();
     for revision in [0, 1, 3, 9] {
-        let late = record(revision, vec![("services", "s", None)]);
-        assert_eq!(config.apply(&late), Ok(false));
+        let out_of_order = record(revision, vec![("services", "s", None)]);
+        assert_eq!(config.apply(&out_of_order), Ok(false));
         assert_eq!(config.revision(), FleetRevision(1));
     }
     let bad =
@@ -150,11 +150,11 @@
 }
 
 #[test]
-fn verify_long_work_in_turns_gives_the_same_and_pauses_on_its_way() {
+fn verify_time_slices_pause_and_give_the_same_result() {
     let mut builder = ConfigBuilder::default();
     let resources = resources_of(&filled());
     resources.iter().for_each(|resource| builder.push(resource).expect("resource"));
-    for number in 0..3 * TURN_RESOURCES {
+    for number in 0..3 * SLICE_RESOURCES {
         let value = json!({"title": "shop"});
         let name = format!("shop-{number}");
         let resource = SnapshotResource("organisations".to_owned(), name, FleetRevision(1), value);
@@ -172,17 +172,17 @@
 }
 
 #[test]
-fn verify_a_snapshot_that_was_harmed_is_refused() {
+fn verify_a_corrupted_snapshot_is_rejected() {
     let bytes = snapshot::to_bytes(&filled()).expect("bytes");
-    // The mark of the end and the checksum, four bytes each, hold no resource.
+    // The end mark and the checksum, four bytes each, hold no resource.
     for length in 0..bytes.len() - 8 {
         assert!(snapshot::from_bytes(&bytes[..length]).is_err(), "cut after {length} bytes");
     }
     let whole = resources_of(&filled());
     for index in 0..bytes.len() {
-        let mut harmed = bytes.clone();
-        harmed[index] ^= 0x10;
-        if let Ok(config) = snapshot::from_bytes(&harmed) {
+        let mut corrupted = bytes.clone();
+        corrupted[index] ^= 0x10;
+        if let Ok(config) = snapshot::from_bytes(&corrupted) {
             assert_eq!(resources_of(&config), whole, "byte {index}");
         }
     }
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn verify_what_is_in_use_cannot_be_deleted() {
+fn verify_a_referenced_resource_cannot_be_deleted() {
     for (kind, name) in [("services", "s"), ("failure-domains", "d"), ("routes", "r")] {
         let mut config = filled();
         assert_eq!(config.apply(&record(2, vec![(kind, name, None)])), Ok(true));
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn verify_the_active_layout_finds_everything() {
+fn verify_the_active_layout_holds_every_resource() {
     let active = ActiveConfig::build(&filled());
     let service = active.service("s").expect("service");
     assert_eq!(service.upstreams.len(), 1);
@@ -225,7 +225,7 @@
 
 #[test_case("bkk.json", &[("solver-app", 15, 4, 300), ("contest-desk", 6, 4, 300)] ; "bkk")]
 #[test_case("kigali.json", &[("reader-desk", 25, 3, 400), ("billing-core", 8, 3, 400)] ; "kigali")]
-fn verify_the_examples_are_valid_and_of_the_users_sizes(
+fn verify_the_examples_are_valid_and_of_typical_size(
     file: &str,
     services: &[(&str, usize, u32, u32)],
 ) {
@@ -288,7 +288,7 @@
     assert!(error.to_string().contains("BASALTARCH_NO_SUCH_SETTING_HERE"));
 }
 
-/// Runs so many cases, the same ones each time.
+/// Runs a fixed number of cases from a fixed seed, so that every run tests the same ones.
 fn fixed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -297,7 +297,7 @@
 proptest! {
     #![proptest_config(fixed(300))]
 
-    /// The look-up gives the longest prefix of whole segments, as a plain search does.
+    /// A look-up returns the longest prefix of whole segments, as a linear search does.
     #[test]
     fn verify_lookups_match_a_plain_search(
         prefixes in prop::collection::vec("(/[ab]{1,2}){0,3}", 1..12),
@@ -329,7 +329,7 @@
     }
 }
 
-/// One change of one of a few resources, so that changes meet.
+/// A change of one of a few resources, so that several changes affect the same resource.
 fn any_change() -> impl Strategy<Value = (String, String, Option<Value>)> {
     let kinds = ["services", "backend-servers", "routes", "limits", "organisations"];
     (0..kinds.len(), 0..4_u32, 0..3_u32, any::<bool>()).prop_map(move |(kind, name, pick, keep)| {
@@ -353,8 +353,8 @@
     })
 }
 
-/// Returns all that the request path may ask of a layout, in one text.
-fn seen(active: &ActiveConfig) -> String {
+/// Returns, as text, everything that the request path can look up in a layout.
+fn visible_state(active: &ActiveConfig) -> String {
     let mut lines = Vec::new();
     for (name, packed) in &active.services {
         lines.push(format!("{name} {:?}", packed.unpack(name)));
@@ -387,7 +387,7 @@
 proptest! {
     #![proptest_config(fixed(400))]
 
-    /// Changing a layout change by change gives what laying out the result gives.
+    /// Updating a layout change by change gives the same result as building it from scratch.
     #[test]
     fn verify_updated_layouts_match_fresh_ones(
         transactions in prop::collection::vec(prop::collection::vec(any_change(), 1..5), 1..12),
@@ -403,13 +403,13 @@
             let record = record(config.revision().next().0, changes);
             let mut next = config.clone();
             prop_assert_eq!(next.apply(&record), Ok(true));
-            // What dangles is never accepted.
+            // A change that leaves a dangling reference is never accepted.
             if next.check_references().is_err() {
                 continue;
             }
             active.update(&config, &next, &record);
             config = next;
-            prop_assert_eq!(seen(&active), seen(&ActiveConfig::build(&config)));
+            prop_assert_eq!(visible_state(&active), visible_state(&ActiveConfig::build(&config)));
         }
     }
 }
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Copies of a request have one fingerprint, and every part that a server works on tells others apart.
+//! Copies of a request have the same fingerprint; a difference in any part that a server processes
+//! gives another one.
 
 use basaltarch_core::fingerprint::{RequestFingerprint, RequestParts};
 use test_case::test_case;
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn verify_copies_are_alike() {
+fn verify_copies_have_the_same_fingerprint() {
     let lines = b"x-request-id: 2\r\ndate: today\r\nhost: solver.example\r\n";
     let copy = RequestParts { field_lines: lines, length: -1, ..parts() };
     assert_eq!(fingerprint(&copy), fingerprint(&parts()), "id, deadline and framing don't count");
@@ -35,18 +36,18 @@
 #[test_case(RequestParts { service: "other-app", ..parts() } ; "service")]
 #[test_case(RequestParts { method: "POST", ..parts() } ; "method")]
 #[test_case(RequestParts { target: "/puzzle/7?a", ..parts() } ; "target")]
-#[test_case(RequestParts { target: "/puzzle/7a", body: b"b", ..parts() } ; "a part that runs into the next")]
+#[test_case(RequestParts { target: "/puzzle/7a", body: b"b", ..parts() } ; "bytes moved to the next part")]
 #[test_case(RequestParts { field_lines: b"host: other.example\r\n", ..parts() } ; "host")]
 #[test_case(RequestParts { organisation: "khlung-shop", ..parts() } ; "organisation")]
 #[test_case(RequestParts { field_lines: b"host: solver.example\r\nauthorization: me\r\n", ..parts() } ; "authorization")]
 #[test_case(RequestParts { body: b"ac", ..parts() } ; "body")]
-#[test_case(RequestParts { is_whole: false, ..parts() } ; "a body that goes on")]
+#[test_case(RequestParts { is_whole: false, ..parts() } ; "a partial body")]
 fn verify_other_requests_differ(other: RequestParts<'_>) {
     assert_ne!(fingerprint(&other), fingerprint(&parts()));
 }
 
 #[test]
-fn verify_the_secret_counts() {
+fn verify_the_fingerprint_depends_on_the_secret() {
     assert_ne!(RequestFingerprint::of(b"another", &parts()), fingerprint(&parts()));
 }
 
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The table of keys answers as a plain map does, whatever changes it went through.
+//! The key table gives the same answers as a plain map after any sequence of changes.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn verify_a_key_has_the_owner_that_got_it_last(
+    fn verify_the_last_assignment_of_a_key_wins(
         steps in prop::collection::vec((0u8..12, prop::option::of(0u8..5)), 0..60),
     ) {
         let mut table = KeyTable::default();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn verify_a_digest_is_read_back_and_nothing_else_is() {
+fn verify_digests_round_trip_and_malformed_ones_are_rejected() {
     let digest = KeyDigest::of(b"a key");
     let text = String::from(digest);
     assert_eq!(KeyDigest::try_from(text.clone()), Ok(digest));
