--- a/crates/base/src/metrics.rs
+++ b/crates/base/src/metrics.rs
@@ -18,7 +18,7 @@
 
 /// Requests received from callers.
 pub static REQUESTS: CounterCell = CounterCell::new();
-/// Complete answers forwarded to callers.
+/// Complete responses forwarded to callers.
 pub static COMPLETE: CounterCell = CounterCell::new();
 /// Requests refused as not run, by reason.
 pub static NOT_RUN: [CounterCell; NOT_RUN_REASONS.len()] =
@@ -41,7 +41,7 @@
 pub static POISON_SPARED: CounterCell = CounterCell::new();
 /// Requests sent to backend servers.
 pub static WORKED: CounterCell = CounterCell::new();
-/// Answers to earlier requests that arrived late on a connection in use.
+/// Responses to earlier requests that arrived late on a connection in use.
 pub static SURPLUS_ANSWERS: CounterCell = CounterCell::new();
 /// Requests refused by the host role.
 pub static HOST_REFUSED: CounterCell = CounterCell::new();
@@ -211,7 +211,7 @@
 pub fn entries() -> Vec<MetricEntry> {
     let mut entries = vec![
         counter("requests", "Requests received from callers.", &REQUESTS),
-        counter("complete", "Complete answers forwarded to callers.", &COMPLETE),
+        counter("complete", "Complete responses forwarded to callers.", &COMPLETE),
         counter("dispatches", "Dispatches to upstreams.", &DISPATCHES),
         counter("retries", "Dispatches after the first of a request.", &RETRIES),
         counter("retries_denied", "Retries that the retry budget did not allow.", &RETRIES_DENIED),
@@ -223,7 +223,7 @@
         counter("worked", "Requests sent to backend servers.", &WORKED),
         counter(
             "surplus_answers",
-            "Answers to earlier requests that arrived late on a connection in use.",
+            "Responses to earlier requests that arrived late on a connection in use.",
             &SURPLUS_ANSWERS,
         ),
         counter("host_refused", "Requests refused by the host role.", &HOST_REFUSED),
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -108,7 +108,7 @@
 pub enum UnknownReason {
     /// The connection to the backend server broke after bytes of the request were offered to it.
     BackendBroken,
-    /// The backend server's answer was truncated or malformed.
+    /// The backend server's response was truncated or malformed.
     AnswerBroken,
     /// The deadline passed while the backend server was processing the request.
     TimedOut,
@@ -116,9 +116,9 @@
     PeerLost,
     /// The caller disconnected while the request ran.
     CallerGone,
-    /// The same at-most-once request was already started and its answer is not kept.
+    /// The same at-most-once request was already started and its response is not kept.
     AlreadyStarted,
-    /// The daemon that accepted the request stopped before the answer arrived.
+    /// The daemon that accepted the request stopped before the response arrived.
     DaemonStopped,
 }
 
@@ -148,7 +148,7 @@
     }
 }
 
-/// `FailureOutcome` is the outcome of an exchange that produced no complete answer.
+/// `FailureOutcome` is the outcome of an exchange that produced no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FailureOutcome {
     /// The request is known to have run on no backend server.
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -241,7 +241,7 @@
     /// Most upstreams to which one request may be dispatched; 0 for the daemon's own limit.
     #[serde(default)]
     pub attempts: u32,
-    /// Latency objective: time within which an answer is worth most, in milliseconds; 0 when none
+    /// Latency objective: time within which a response is worth most, in milliseconds; 0 when none
     /// was declared.
     #[serde(default)]
     pub objective_ms: u32,
