--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -6,10 +6,10 @@
 //!
 //! Deadlines, leases and knowledge about peers must not stay valid for longer because the host was
 //! suspended, so they are measured with the system's boot-time clock. Timers don't advance during a
-//! suspend and fire late: code that waits for a point in time awaits [`DaemonClock::passed`] beside
+//! suspend and fire late: code that waits for a point in time awaits [`DaemonClock::passed_after_resume`] beside
 //! the timer. Durations, such as the response time of a server, are measured with
 //! [`std::time::Instant`], which doesn't advance during a suspend, and are discarded if the host
-//! was suspended meanwhile ([`DaemonClock::slept_since`]).
+//! was suspended meanwhile ([`DaemonClock::suspended_since`]).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -48,8 +48,8 @@
     /// Latest time that was returned.
     latest: Cell<Duration>,
     resumed_at: Cell<Option<Duration>>,
-    last_sleep: Cell<Duration>,
-    woke: RisingSignal,
+    last_suspend: Cell<Duration>,
+    resumed: RisingSignal,
 }
 
 /// `DaemonClock` is a clock that starts with the daemon and includes suspends of the host.
@@ -77,8 +77,8 @@
             suspended: Cell::default(),
             latest: Cell::default(),
             resumed_at: Cell::default(),
-            last_sleep: Cell::default(),
-            woke: RisingSignal::default(),
+            last_suspend: Cell::default(),
+            resumed: RisingSignal::default(),
         };
         Ok(Self { state: Rc::new(state) })
     }
@@ -94,35 +94,35 @@
         state.latest.set(now);
         let suspended = now.saturating_sub(steady);
         if suspended > state.suspended.get() + SUSPEND_MIN {
-            state.last_sleep.set(suspended - state.suspended.replace(suspended));
+            state.last_suspend.set(suspended - state.suspended.replace(suspended));
             state.resumed_at.set(Some(now));
-            state.woke.raise();
+            state.resumed.raise();
         }
         now
     }
 
     /// Returns the signal that is raised when the host resumes from a suspend.
-    pub fn woke(&self) -> &RisingSignal {
-        &self.state.woke
+    pub fn resumed(&self) -> &RisingSignal {
+        &self.state.resumed
     }
 
     /// Returns the length of the last suspend.
-    pub fn last_sleep(&self) -> Duration {
-        self.state.last_sleep.get()
+    pub fn last_suspend(&self) -> Duration {
+        self.state.last_suspend.get()
     }
 
     /// Returns whether the host was suspended since `moment`, which invalidates durations measured
     /// from it.
-    pub fn slept_since(&self, moment: Duration) -> bool {
+    pub fn suspended_since(&self, moment: Duration) -> bool {
         self.state.resumed_at.get().is_some_and(|resumed_at| resumed_at >= moment)
     }
 
     /// Waits until the host has resumed from a suspend and `moment` has passed. Code that waits for
     /// `moment` with a timer awaits this beside it; without a suspend it never completes.
-    pub async fn passed(&self, moment: Duration) {
-        let mut seen = self.state.woke.get();
+    pub async fn passed_after_resume(&self, moment: Duration) {
+        let mut seen = self.state.resumed.get();
         loop {
-            seen = self.state.woke.above(seen).await;
+            seen = self.state.resumed.above(seen).await;
             if self.now() >= moment {
                 return;
             }
@@ -130,7 +130,7 @@
     }
 
     /// Advances the clock as if the host had been suspended, for tests.
-    pub fn add_sleep(&self, length: Duration) {
+    pub fn add_suspend(&self, length: Duration) {
         self.state.simulated_suspend.set(self.state.simulated_suspend.get() + length);
     }
 }
--- a/crates/base/src/metrics.rs
+++ b/crates/base/src/metrics.rs
@@ -33,14 +33,14 @@
 /// Retries that the retry budget did not allow.
 pub static RETRIES_DENIED: CounterCell = CounterCell::new();
 /// Resumes of the host from a suspend.
-pub static WAKES: CounterCell = CounterCell::new();
+pub static RESUMES: CounterCell = CounterCell::new();
 /// Distinct requests that are refused because they crash backend servers.
 pub static REQUESTS_REFUSED: GaugeCell = GaugeCell::new();
 /// Dispatches of requests that recently failed at several upstreams, whose failures are not
 /// attributed to any upstream.
-pub static POISON_SPARED: CounterCell = CounterCell::new();
+pub static POISON_EXEMPTED: CounterCell = CounterCell::new();
 /// Requests sent to backend servers.
-pub static WORKED: CounterCell = CounterCell::new();
+pub static HOST_ATTEMPTS: CounterCell = CounterCell::new();
 /// Responses to earlier requests that arrived late on a connection in use.
 pub static SURPLUS_ANSWERS: CounterCell = CounterCell::new();
 /// Requests refused by the host role.
@@ -57,39 +57,39 @@
 /// Decisions that left fewer slots in service than the floor; must stay 0.
 pub static FLOOR_VIOLATIONS: CounterCell = CounterCell::new();
 /// Attempts at at-most-once requests that were already started.
-pub static ONCE_REPEATS: CounterCell = CounterCell::new();
+pub static ONCE_DUPLICATES: CounterCell = CounterCell::new();
 /// Rows of at-most-once requests removed after their retention time.
 pub static ONCE_REMOVED: CounterCell = CounterCell::new();
 /// Requests refused by rate limits.
 pub static LIMITED: CounterCell = CounterCell::new();
 /// Grants of tokens requested from the owners of rate limits.
-pub static GRANTS_ASKED: CounterCell = CounterCell::new();
+pub static GRANTS_REQUESTED: CounterCell = CounterCell::new();
 /// Load probes of upstreams before a dispatch.
-pub static LOOKS: CounterCell = CounterCell::new();
+pub static LOAD_PROBES: CounterCell = CounterCell::new();
 /// Load probes that were not answered in time.
-pub static LOOKS_SILENT: CounterCell = CounterCell::new();
+pub static LOAD_PROBES_UNANSWERED: CounterCell = CounterCell::new();
 /// Reservations made in the queues of backend servers.
-pub static PLACES: CounterCell = CounterCell::new();
+pub static RESERVATIONS: CounterCell = CounterCell::new();
 /// Waiting requests that were offered a slot.
-pub static CALLED_IN: CounterCell = CounterCell::new();
+pub static SLOTS_OFFERED: CounterCell = CounterCell::new();
 /// Waiting requests that ended without a slot offer.
-pub static NOT_CALLED_IN: CounterCell = CounterCell::new();
+pub static SLOTS_NOT_OFFERED: CounterCell = CounterCell::new();
 /// Slot offers to which no request was sent in time.
-pub static CALLS_UNANSWERED: CounterCell = CounterCell::new();
+pub static OFFERS_UNANSWERED: CounterCell = CounterCell::new();
 /// Requests that wait at this ingress for a slot offer.
-pub static WAITING: GaugeCell = GaugeCell::new();
+pub static WAITING_REQUESTS: GaugeCell = GaugeCell::new();
 /// Waiting times of requests at their ingress.
-pub static PLACE_WAIT_SECONDS: HistogramCell = HistogramCell::new();
+pub static RESERVATION_WAIT_SECONDS: HistogramCell = HistogramCell::new();
 /// Revision in force.
 pub static REVISION: GaugeCell = GaugeCell::new();
 /// Older revisions that were rejected.
 pub static OLD_REVISIONS: CounterCell = CounterCell::new();
 /// Repeated announcements of the revision to a neighbour.
-pub static TOLD_AGAIN: CounterCell = CounterCell::new();
+pub static REVISION_REANNOUNCED: CounterCell = CounterCell::new();
 /// Checks whether the configuration is the newest.
-pub static CONFIG_QUESTIONS: CounterCell = CounterCell::new();
+pub static FRESHNESS_CHECKS: CounterCell = CounterCell::new();
 /// Those of these checks that this daemon made at the store.
-pub static STORE_QUESTIONS: CounterCell = CounterCell::new();
+pub static STORE_FRESHNESS_CHECKS: CounterCell = CounterCell::new();
 /// Rows of the store that could not be read.
 pub static ROWS_UNREADABLE: CounterCell = CounterCell::new();
 /// Known live members.
@@ -119,9 +119,9 @@
 /// Times from the receipt of a request to its end, by route, service and outcome.
 pub static REQUEST_SECONDS: HistogramCell = HistogramCell::new();
 /// Times that requests waited for a slot.
-pub static WAIT_SECONDS: HistogramCell = HistogramCell::new();
+pub static SLOT_WAIT_SECONDS: HistogramCell = HistogramCell::new();
 /// Times from sending a request to a backend server until the end of the attempt, by result.
-pub static WORK_SECONDS: HistogramCell = HistogramCell::new();
+pub static ATTEMPT_SECONDS: HistogramCell = HistogramCell::new();
 /// Backend servers of this host by state.
 pub static UPSTREAMS: [GaugeCell; UPSTREAM_STATES.len()] =
     [const { GaugeCell::new() }; UPSTREAM_STATES.len()];
@@ -218,9 +218,9 @@
         counter(
             "poison_spared",
             "Dispatches that count against no upstream, as their requests failed at several.",
-            &POISON_SPARED,
+            &POISON_EXEMPTED,
         ),
-        counter("worked", "Requests sent to backend servers.", &WORKED),
+        counter("worked", "Requests sent to backend servers.", &HOST_ATTEMPTS),
         counter(
             "surplus_answers",
             "Responses to earlier requests that arrived late on a connection in use.",
@@ -239,11 +239,15 @@
             "Times from the receipt of a request to its end, by route, service and outcome.",
             &REQUEST_SECONDS,
         ),
-        histogram("slot_wait_seconds", "Times that requests waited for a slot.", &WAIT_SECONDS),
+        histogram(
+            "slot_wait_seconds",
+            "Times that requests waited for a slot.",
+            &SLOT_WAIT_SECONDS,
+        ),
         histogram(
             "work_seconds",
             "Times from sending a request to a backend server until its end, by result.",
-            &WORK_SECONDS,
+            &ATTEMPT_SECONDS,
         ),
         counter(
             "floor_violations",
@@ -253,46 +257,50 @@
         counter(
             "once_repeats",
             "Attempts at at-most-once requests already started.",
-            &ONCE_REPEATS,
+            &ONCE_DUPLICATES,
         ),
         counter("once_removed", "Expired rows of at-most-once requests removed.", &ONCE_REMOVED),
         counter("limited", "Requests refused by rate limits.", &LIMITED),
-        counter("grants_asked", "Grants requested from owners of limits.", &GRANTS_ASKED),
-        counter("looks", "Load probes of upstreams before a dispatch.", &LOOKS),
-        counter("looks_silent", "Load probes that were not answered in time.", &LOOKS_SILENT),
-        counter("places", "Reservations made in the queues of backend servers.", &PLACES),
-        counter("called_in", "Waiting requests that were offered a slot.", &CALLED_IN),
+        counter("grants_asked", "Grants requested from owners of limits.", &GRANTS_REQUESTED),
+        counter("looks", "Load probes of upstreams before a dispatch.", &LOAD_PROBES),
+        counter(
+            "looks_silent",
+            "Load probes that were not answered in time.",
+            &LOAD_PROBES_UNANSWERED,
+        ),
+        counter("places", "Reservations made in the queues of backend servers.", &RESERVATIONS),
+        counter("called_in", "Waiting requests that were offered a slot.", &SLOTS_OFFERED),
         counter(
             "not_called_in",
             "Waiting requests that ended without a slot offer.",
-            &NOT_CALLED_IN,
+            &SLOTS_NOT_OFFERED,
         ),
         counter(
             "calls_unanswered",
             "Slot offers to which no request was sent in time.",
-            &CALLS_UNANSWERED,
+            &OFFERS_UNANSWERED,
         ),
-        gauge("waiting", "Requests that wait at this ingress for a slot offer.", &WAITING),
+        gauge("waiting", "Requests that wait at this ingress for a slot offer.", &WAITING_REQUESTS),
         histogram(
             "place_wait_seconds",
             "Waiting times of requests at their ingress, by result.",
-            &PLACE_WAIT_SECONDS,
+            &RESERVATION_WAIT_SECONDS,
         ),
         counter("old_revisions", "Older revisions that were rejected.", &OLD_REVISIONS),
         counter(
             "told_again",
             "Repeated announcements of the revision to a neighbour.",
-            &TOLD_AGAIN,
+            &REVISION_REANNOUNCED,
         ),
         counter(
             "configuration_questions",
             "Checks whether the configuration is the newest.",
-            &CONFIG_QUESTIONS,
+            &FRESHNESS_CHECKS,
         ),
         counter(
             "store_questions",
             "Checks at the store whether the configuration is the newest.",
-            &STORE_QUESTIONS,
+            &STORE_FRESHNESS_CHECKS,
         ),
         counter("rows_unreadable", "Rows of the store that could not be read.", &ROWS_UNREADABLE),
         counter("peer_bytes_sent", "Bytes sent to peers.", &PEER_BYTES_SENT),
@@ -325,7 +333,7 @@
             "Lowest number of retries left in the retry budget, of the services in use.",
             &RETRIES_LEFT,
         ),
-        counter("wakes", "Resumes of the host from a suspend.", &WAKES),
+        counter("wakes", "Resumes of the host from a suspend.", &RESUMES),
         gauge(
             "requests_refused",
             "Distinct requests that are refused because they crash backend servers.",
--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -263,7 +263,7 @@
     }
 
     /// Returns whether the daemon should be probed now.
-    pub fn should_ask(&self, now: Duration, in_use: bool) -> bool {
+    pub fn is_probe_due(&self, now: Duration, in_use: bool) -> bool {
         self.health.borrow_mut().probe(now, in_use)
     }
 }
--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -14,23 +14,23 @@
 fn verify_a_suspend_is_detected_once() {
     let clock = DaemonClock::try_new().expect("a clock");
     let before = clock.now();
-    assert!(!clock.slept_since(Duration::ZERO) && !clock.woke().is_raised());
-    clock.add_sleep(Duration::from_secs(5));
+    assert!(!clock.suspended_since(Duration::ZERO) && !clock.resumed().is_raised());
+    clock.add_suspend(Duration::from_secs(5));
     let after = clock.now();
     assert!(after >= before + Duration::from_secs(5));
-    assert!(clock.slept_since(before) && clock.woke().get() == 1);
-    assert!(clock.last_sleep() >= Duration::from_secs(4));
+    assert!(clock.suspended_since(before) && clock.resumed().get() == 1);
+    assert!(clock.last_suspend() >= Duration::from_secs(4));
     let later = clock.now();
-    assert_eq!(clock.woke().get(), 1);
-    assert!(!clock.slept_since(later + Duration::from_nanos(1)));
+    assert_eq!(clock.resumed().get(), 1);
+    assert!(!clock.suspended_since(later + Duration::from_nanos(1)));
 }
 
 #[test]
 fn verify_a_short_delay_is_no_suspend() {
     let clock = DaemonClock::try_new().expect("a clock");
-    clock.add_sleep(Duration::from_millis(20));
+    clock.add_suspend(Duration::from_millis(20));
     clock.now();
-    assert!(!clock.woke().is_raised());
+    assert!(!clock.resumed().is_raised());
 }
 
 proptest! {
@@ -47,7 +47,7 @@
         let until = clock.now() + Duration::from_millis(valid_ms);
         let mut passed = 0;
         for suspend in suspends {
-            clock.add_sleep(Duration::from_millis(suspend));
+            clock.add_suspend(Duration::from_millis(suspend));
             passed += suspend;
             let now = clock.now();
             prop_assert!(passed < valid_ms || now >= until);
--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -13,8 +13,8 @@
 };
 use basaltarch_core::resources::ResourceKind;
 use basaltarch_core::routes::RouteMatch;
+use basaltarch_core::slices;
 use basaltarch_core::snapshot;
-use basaltarch_core::turns;
 use basaltarch_core::units::FleetRevision;
 use basaltarch_decide::balance::LoadView;
 use basaltarch_decide::health::UpstreamHealth;
@@ -128,7 +128,7 @@
     /// Time to lay it out.
     pub build_time: Duration,
     /// Turns of reading and laying out, in which nothing else is served.
-    pub turns: TurnTimes,
+    pub slices: TurnTimes,
     /// Time to give the memory of a replaced configuration back.
     pub drop_time: Duration,
     /// Time of one route look-up in nanoseconds.
@@ -151,7 +151,7 @@
     let built = allocated_bytes();
     let lookup_ns = measure_lookups(&active, size);
     let (change_us, drop_time) = measure_changes(config, active, size)?;
-    let turns = measure_turns(&bytes)?;
+    let slices = measure_turns(&bytes)?;
     Some(ConfigCost {
         size,
         snapshot_bytes: bytes.len() as u64,
@@ -159,7 +159,7 @@
         active_bytes: built.saturating_sub(loaded),
         read_time,
         build_time,
-        turns,
+        slices,
         drop_time,
         lookup_ns,
         change_us,
@@ -198,9 +198,9 @@
         let turn = begun.replace(Instant::now()).elapsed();
         times.borrow_mut().push(turn);
     };
-    let config = turns::at_once(snapshot::read(bytes, &pause)).ok()?;
-    let layout = turns::at_once(ActiveConfig::build_in_turns(&config, &pause));
-    turns::at_once(pause());
+    let config = slices::poll_to_completion(snapshot::read(bytes, &pause)).ok()?;
+    let layout = slices::poll_to_completion(ActiveConfig::build_in_slices(&config, &pause));
+    slices::poll_to_completion(pause());
     black_box((config, layout));
     let mut times = times.into_inner();
     times.sort();
@@ -311,9 +311,9 @@
                 mb(cost.active_bytes),
                 cost.read_time.as_secs_f64(),
                 cost.build_time.as_secs_f64(),
-                ms(cost.turns.median),
-                ms(cost.turns.p99),
-                ms(cost.turns.longest),
+                ms(cost.slices.median),
+                ms(cost.slices.p99),
+                ms(cost.slices.longest),
                 ms(cost.drop_time),
                 cost.lookup_ns,
                 cost.change_us
--- a/crates/bench/src/decisions/actors.rs
+++ b/crates/bench/src/decisions/actors.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use basaltarch_decide::balance::{LoadView, ServiceView};
 use basaltarch_decide::baseline::{RecentAnswers, RouteBaseline};
 use basaltarch_decide::budget::{BudgetTerms, RetryBudget};
@@ -115,7 +115,7 @@
 
 /// Builds the health of an upstream.
 pub fn new_health(
-    prefer: PreferChoice,
+    prefer: EjectionPreference,
     strictness: f64,
     now: Duration,
     cold: bool,
--- a/crates/bench/src/decisions/rules.rs
+++ b/crates/bench/src/decisions/rules.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use basaltarch_decide::health::{THRESHOLD_DETECTION, THRESHOLD_PRECISION};
 
 /// Failures in a row after which the first plain rule ejects.
@@ -97,10 +97,10 @@
     }
 
     /// Returns the daemon's setting, for the daemon's rules.
-    pub fn prefer(self) -> Option<PreferChoice> {
+    pub fn prefer(self) -> Option<EjectionPreference> {
         match self {
-            Self::Detection => Some(PreferChoice::Detection),
-            Self::Precision => Some(PreferChoice::Precision),
+            Self::Detection => Some(EjectionPreference::Detection),
+            Self::Precision => Some(EjectionPreference::Precision),
             _ => None,
         }
     }
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -7,7 +7,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -51,7 +51,7 @@
     /// Builds the world of a run.
     pub fn new(plan: ScenarioPlan, rule: RuleKind, strictness: f64) -> Self {
         let deployment = plan.deployment;
-        let prefer = rule.prefer().unwrap_or(PreferChoice::Precision);
+        let prefer = rule.prefer().unwrap_or(EjectionPreference::Precision);
         let upstreams = (0..deployment.upstreams)
             .map(|_| Upstream {
                 health: actors::new_health(prefer, strictness, Duration::ZERO, false),
@@ -125,7 +125,7 @@
 
     /// Replaces the upstream of the cold-start case; its daemon sees a new backend server.
     pub(super) fn replace_sick(&mut self) {
-        let prefer = self.rule.prefer().unwrap_or(PreferChoice::Precision);
+        let prefer = self.rule.prefer().unwrap_or(EjectionPreference::Precision);
         self.upstreams[SICK].health = actors::new_health(prefer, self.strictness, self.now, true);
     }
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -19,7 +19,7 @@
 };
 use crate::routes::RouteTable;
 use crate::services::{self, PackedService, ServiceEntry, UpstreamEntry};
-use crate::turns::{self, WorkSlices};
+use crate::slices::{self, WorkSlices};
 use crate::units::FleetRevision;
 
 /// `SharedMap` is a persistent map whose versions share structure: a copy is constant-time, and a
@@ -180,7 +180,7 @@
 
     /// Checks that every reference of every resource has a target.
     pub fn check_references(&self) -> Result<(), ResourceError> {
-        turns::at_once(self.check_references_in_slices(&turns::no_pause))
+        slices::poll_to_completion(self.check_references_in_slices(&slices::no_pause))
     }
 
     async fn check_references_in_slices(
@@ -197,11 +197,11 @@
             ResourceKind::FailureDomain => domains.contains(name),
             _ => self.contains(kind, name),
         };
-        let mut turns = WorkSlices::new(pause);
+        let mut slices = WorkSlices::new(pause);
         for (kind, name, stored) in self.all() {
             check_references_of(kind, &name, &stored.value, exists)?;
             self.check_keys(&name, &stored.value)?;
-            turns.step().await;
+            slices.step().await;
         }
         Ok(())
     }
@@ -269,7 +269,7 @@
 
     /// Checks all references and returns the configuration at this revision.
     pub fn finish(self, revision: FleetRevision) -> Result<FleetConfig, ResourceError> {
-        turns::at_once(self.finish_in_slices(revision, &turns::no_pause))
+        slices::poll_to_completion(self.finish_in_slices(revision, &slices::no_pause))
     }
 
     /// Does the same as [`Self::finish`] in time slices.
@@ -308,7 +308,7 @@
     config: &FleetConfig,
     pause: &impl AsyncFn(),
 ) -> SharedMap<Rc<str>, Rc<PackedService>> {
-    let mut turns = WorkSlices::new(pause);
+    let mut slices = WorkSlices::new(pause);
     let mut packed_upstreams: FnvHashMap<String, Vec<u8>> = FnvHashMap::default();
     for (name, stored) in config.list(ResourceKind::BackendServer) {
         if let ResourceValue::BackendServer(server) = &stored.value {
@@ -318,7 +318,7 @@
                 None => drop(packed_upstreams.insert(server.service.clone(), packed)),
             }
         }
-        turns.step().await;
+        slices.step().await;
     }
     let mut all = SharedMap::default();
     for (name, stored) in config.list(ResourceKind::Service) {
@@ -326,7 +326,7 @@
             let upstreams = packed_upstreams.remove(&*name).unwrap_or_default();
             all.insert(name, Rc::new(PackedService::with_upstreams(spec, &upstreams)));
         }
-        turns.step().await;
+        slices.step().await;
     }
     all
 }
@@ -363,11 +363,11 @@
 impl ActiveConfig {
     /// Lays out `config` for the request path.
     pub fn build(config: &FleetConfig) -> Self {
-        turns::at_once(Self::build_in_turns(config, &turns::no_pause))
+        slices::poll_to_completion(Self::build_in_slices(config, &slices::no_pause))
     }
 
     /// Lays out `config` in time slices.
-    pub async fn build_in_turns(config: &FleetConfig, pause: &impl AsyncFn()) -> Self {
+    pub async fn build_in_slices(config: &FleetConfig, pause: &impl AsyncFn()) -> Self {
         let mut active = Self { revision: config.revision(), ..Self::default() };
         for (name, stored) in config.list(ResourceKind::Limit) {
             active.insert(&name, &stored.value);
@@ -375,7 +375,7 @@
         active.services = pack_services(config, pause).await;
         let routes = config.list(ResourceKind::Route);
         let routes = routes.filter_map(|(name, stored)| Some((name, stored.value.into_route()?)));
-        active.routes = RouteTable::build_in_turns(routes, pause).await;
+        active.routes = RouteTable::build_in_slices(routes, pause).await;
         active.share_organisations(config);
         active
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -18,6 +18,6 @@
 pub mod routes;
 pub mod services;
 pub mod settings;
+pub mod slices;
 pub mod snapshot;
-pub mod turns;
 pub mod units;
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -114,10 +114,10 @@
     pub criticality: Option<WorkClass>,
 }
 
-/// `PreferChoice` is the trade-off of a service between missed and false ejections.
+/// `EjectionPreference` is the trade-off of a service between missed and false ejections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum PreferChoice {
+pub enum EjectionPreference {
     /// Eject sick upstreams early, at the cost of more false ejections.
     Detection,
     /// Eject only upstreams that are sick with high confidence.
@@ -134,7 +134,7 @@
     pub floor: f64,
     /// Whether ejection favours detection or precision.
     #[serde(default)]
-    pub prefer: PreferChoice,
+    pub prefer: EjectionPreference,
     /// Most requests that may wait in the queue of each backend server.
     #[serde(default = "default_queue")]
     pub queue: u32,
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -11,7 +11,7 @@
 use crate::config::SharedMap;
 use crate::packing;
 use crate::resources::{RouteRule, ServiceShare, WorkClass, WorkMode};
-use crate::turns::{self, WorkSlices};
+use crate::slices::{self, WorkSlices};
 
 /// `RouteEntry` is a route in force.
 #[derive(Debug, Clone, PartialEq)]
@@ -156,15 +156,15 @@
     /// Builds a table from routes. The routes of each host are collected in packed form before they
     /// are sorted.
     pub fn build(routes: impl Iterator<Item = (Rc<str>, Rc<RouteRule>)>) -> Self {
-        turns::at_once(Self::build_in_turns(routes, &turns::no_pause))
+        slices::poll_to_completion(Self::build_in_slices(routes, &slices::no_pause))
     }
 
     /// Builds a table from routes in time slices.
-    pub async fn build_in_turns(
+    pub async fn build_in_slices(
         routes: impl Iterator<Item = (Rc<str>, Rc<RouteRule>)>,
         pause: &impl AsyncFn(),
     ) -> Self {
-        let mut turns = WorkSlices::new(pause);
+        let mut slices = WorkSlices::new(pause);
         let mut records_by_host: FnvHashMap<String, Vec<u8>> = FnvHashMap::default();
         let mut table = Self::default();
         for (name, rule) in routes {
@@ -174,12 +174,12 @@
                 None => drop(records_by_host.insert(rule.host.clone(), record)),
             }
             table.len += 1;
-            turns.step().await;
+            slices.step().await;
         }
         for (host, records) in records_by_host {
             let routes = HostRoutes::new(packing::unpack_all(&records));
             table.hosts.insert(Rc::from(host), Rc::new(routes));
-            turns.step().await;
+            slices.step().await;
         }
         table
     }
--- a/crates/core/src/turns.rs
+++ b/crates/core/src/slices.rs
@@ -43,7 +43,7 @@
 pub async fn no_pause() {}
 
 /// Runs a computation to completion in one poll; its pauses must never wait.
-pub fn at_once<T>(work: impl Future<Output = T>) -> T {
+pub fn poll_to_completion<T>(work: impl Future<Output = T>) -> T {
     let mut context = Context::from_waker(Waker::noop());
     match pin::pin!(work).poll(&mut context) {
         Poll::Ready(value) => value,
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -17,7 +17,7 @@
 
 use crate::config::{ConfigBuilder, FleetConfig, SnapshotResource};
 use crate::errors::{self, ResourceError};
-use crate::turns::{self, WorkSlices};
+use crate::slices::{self, WorkSlices};
 use crate::units::FleetRevision;
 
 /// `SnapshotHead` is the first value of a snapshot.
@@ -30,12 +30,12 @@
 
 /// Serializes a configuration.
 pub fn to_bytes(config: &FleetConfig) -> io::Result<Vec<u8>> {
-    turns::at_once(write(config, &turns::no_pause))
+    slices::poll_to_completion(write(config, &slices::no_pause))
 }
 
 /// Serializes a configuration in time slices.
 pub async fn write(config: &FleetConfig, pause: &impl AsyncFn()) -> io::Result<Vec<u8>> {
-    let mut turns = WorkSlices::new(pause);
+    let mut slices = WorkSlices::new(pause);
     let info = FrameInfo::new().content_checksum(true);
     let mut encoder = FrameEncoder::with_frame_info(info, Vec::new());
     let head = SnapshotHead { revision: config.revision(), resources: config.len() };
@@ -47,7 +47,7 @@
             &mut encoder,
             &SnapshotResource(kind, name.to_string(), stored.revision, value),
         )?;
-        turns.step().await;
+        slices.step().await;
     }
     Ok(encoder.finish()?)
 }
@@ -59,19 +59,19 @@
 
 /// Deserializes a configuration, with every check that a change goes through.
 pub fn from_bytes(bytes: &[u8]) -> Result<FleetConfig, ResourceError> {
-    turns::at_once(read(bytes, &turns::no_pause))
+    slices::poll_to_completion(read(bytes, &slices::no_pause))
 }
 
 /// Deserializes a configuration in time slices, with every check that a change goes through.
 pub async fn read(bytes: &[u8], pause: &impl AsyncFn()) -> Result<FleetConfig, ResourceError> {
-    let mut turns = WorkSlices::new(pause);
+    let mut slices = WorkSlices::new(pause);
     let mut reader = io::BufReader::new(FrameDecoder::new(bytes));
     let mut line = Vec::new();
     let head: SnapshotHead = read_value(&mut reader, &mut line)?;
     let mut builder = ConfigBuilder::default();
     for _ in 0..head.resources {
         builder.push(&read_value(&mut reader, &mut line)?)?;
-        turns.step().await;
+        slices.step().await;
     }
     // Reading up to the end also verifies the checksum.
     match reader.fill_buf() {
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -15,8 +15,8 @@
 use basaltarch_core::resources::{LimitScope, ResourceKind, RouteRule, WorkClass, WorkMode};
 use basaltarch_core::routes::{RouteMatch, RouteTable};
 use basaltarch_core::settings;
+use basaltarch_core::slices::{self, SLICE_RESOURCES};
 use basaltarch_core::snapshot;
-use basaltarch_core::turns::{self, SLICE_RESOURCES};
 use basaltarch_core::units::{self, FleetRevision};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -163,10 +163,10 @@
     let config = builder.finish(FleetRevision(1)).expect("configuration");
     let pauses = Cell::new(0);
     let pause = async || pauses.set(pauses.get() + 1);
-    let bytes = turns::at_once(snapshot::write(&config, &pause)).expect("bytes");
+    let bytes = slices::poll_to_completion(snapshot::write(&config, &pause)).expect("bytes");
     assert_eq!(pauses.replace(0), 3);
     assert_eq!(bytes, snapshot::to_bytes(&config).expect("bytes"));
-    let read = turns::at_once(snapshot::read(&bytes, &pause)).expect("snapshot");
+    let read = slices::poll_to_completion(snapshot::read(&bytes, &pause)).expect("snapshot");
     assert_eq!(pauses.get(), 6, "reading, then checking references");
     assert_eq!(resources_of(&read), resources_of(&config));
 }
--- a/crates/daemon/src/announce.rs
+++ b/crates/daemon/src/announce.rs
@@ -63,7 +63,7 @@
     let now = state.now();
     let silent = path.silent_for(now);
     let is_silent = silent >= now.saturating_sub(announced_at);
-    metrics::TOLD_AGAIN.add_one();
+    metrics::REVISION_REANNOUNCED.add_one();
     fleet::ToldAgain {
         host: &path.host,
         revision: state.config.revision().0,
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -144,7 +144,7 @@
 /// in force by then.
 async fn adopt(state: &Rc<DaemonState>, config: FleetConfig) {
     let layout =
-        ActiveConfig::build_in_turns(&config, &async || yield_to_requests(state).await).await;
+        ActiveConfig::build_in_slices(&config, &async || yield_to_requests(state).await).await;
     state.config.adopt(config, layout, state.now());
 }
 
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -106,7 +106,7 @@
         return false;
     }
     tracker.is_querying.set(true);
-    metrics::CONFIG_QUESTIONS.add_one();
+    metrics::FRESHNESS_CHECKS.add_one();
     let state = state.clone();
     monoio::spawn(async move { run_query(&state).await });
     true
@@ -152,7 +152,7 @@
 /// Queries the store and some peers.
 async fn query_store_and_peers(state: &Rc<DaemonState>) {
     query_peers(state);
-    metrics::STORE_QUESTIONS.add_one();
+    metrics::STORE_FRESHNESS_CHECKS.add_one();
     let answer = monoio::time::timeout(ANSWER_TIMEOUT, query_store(state)).await;
     if let Ok(Err(error)) = answer {
         let error = &error.to_string();
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -167,7 +167,7 @@
 
     /// Says whether the host was suspended since the request arrived.
     pub fn was_suspended(&self) -> bool {
-        self.state.clock.slept_since(self.arrived_at)
+        self.state.clock.suspended_since(self.arrived_at)
     }
 
     /// Records that the request succeeded, which clears its crash tally.
@@ -308,11 +308,11 @@
         match outcome {
             ClaimOutcome::Granted(token) => Ok(ClaimStep::Run(Some(token))),
             ClaimOutcome::Answered(stored) => {
-                metrics::ONCE_REPEATS.add_one();
+                metrics::ONCE_DUPLICATES.add_one();
                 Ok(ClaimStep::Answered(stored))
             }
             ClaimOutcome::Started => {
-                metrics::ONCE_REPEATS.add_one();
+                metrics::ONCE_DUPLICATES.add_one();
                 Err(FailureOutcome::Unknown(UnknownReason::AlreadyStarted))
             }
             ClaimOutcome::OtherRequest => Err(FailureOutcome::NotRun(NotRunReason::KeyReused)),
@@ -422,15 +422,15 @@
             pooled.give_back(None);
             return Err(FailureOutcome::NotRun(reason));
         }
-        metrics::WORKED.add_one();
+        metrics::HOST_ATTEMPTS.add_one();
         let waited = self.state.now().saturating_sub(self.arrived_at);
-        metrics::WAIT_SECONDS.record(waited);
+        metrics::SLOT_WAIT_SECONDS.record(waited);
         self.log_started(waited);
         let progress = AttemptProgress::new(slot, self.attempt_timeout());
         let result = self.run_exchange(pooled.stream(), &progress, body, answer, claim).await;
         let was_overdue = progress.was_overdue.get();
         let ending = if result.is_ok() { "answered" } else { "broke" };
-        metrics::WORK_SECONDS.record_as(progress.elapsed(), [("result", ending)]);
+        metrics::ATTEMPT_SECONDS.record_as(progress.elapsed(), [("result", ending)]);
         match result {
             Ok(reusable) => {
                 self.log_ended(&progress);
@@ -486,7 +486,8 @@
         let mut answering = std::pin::pin!(relay.run(reader).fuse());
         let mut cancelled = std::pin::pin!(body.cancelled().fuse());
         let mut timed_out = std::pin::pin!(monoio::time::sleep(self.time_left()).fuse());
-        let mut deadline_passed = std::pin::pin!(self.state.clock.passed(self.deadline).fuse());
+        let mut deadline_passed =
+            std::pin::pin!(self.state.clock.passed_after_resume(self.deadline).fuse());
         let overdue_after = overdue_after.unwrap_or(NEVER);
         let mut overdue = std::pin::pin!(monoio::time::sleep(overdue_after).fuse());
         let mut watching = std::pin::pin!(watch.check_until_settled().fuse());
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -59,7 +59,7 @@
             // It took an offer of another host, or its caller left.
             Ok(_) => Err(NotRunReason::CallerGone),
             Err(_) => {
-                metrics::CALLS_UNANSWERED.add_one();
+                metrics::OFFERS_UNANSWERED.add_one();
                 Err(NotRunReason::QueueFull)
             }
         }
--- a/crates/daemon/src/ingress/load_probe.rs
+++ b/crates/daemon/src/ingress/load_probe.rs
@@ -90,7 +90,7 @@
 ) -> Option<ProbedUpstream> {
     let path = request.service.path(index).clone();
     let link = path.link().filter(|link| !path.is_self && link.peer.answers_looks)?;
-    metrics::LOOKS.add_one();
+    metrics::LOAD_PROBES.add_one();
     let began = state.now();
     path.note_used(began);
     let sequence = state.pending_probes.sequence.get() + 1;
@@ -123,7 +123,7 @@
             answer.flatten()
         }
         None => {
-            metrics::LOOKS_SILENT.add_one();
+            metrics::LOAD_PROBES_UNANSWERED.add_one();
             path.note_late();
             None
         }
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -80,12 +80,12 @@
     pub async fn wait_for_slot(&mut self, stream: &mut HttpStream, body_is_done: bool) -> SlotEnd {
         let began = self.state.now();
         let mut set = ReservationSet::new(ReservationPlan::default());
-        metrics::WAITING.add(1);
+        metrics::WAITING_REQUESTS.add(1);
         let end = self.hold_reservations(&mut set, stream, body_is_done).await;
-        metrics::WAITING.add(-1);
+        metrics::WAITING_REQUESTS.add(-1);
         let failure = match &end {
             SlotEnd::Sent(..) => {
-                metrics::CALLED_IN.add_one();
+                metrics::SLOTS_OFFERED.add_one();
                 None
             }
             SlotEnd::NoReservation => {
@@ -96,11 +96,11 @@
             SlotEnd::CallerGone => Some(FailureOutcome::NotRun(NotRunReason::CallerGone)),
         };
         if failure.is_some() {
-            metrics::NOT_CALLED_IN.add_one();
+            metrics::SLOTS_NOT_OFFERED.add_one();
         }
         let result = failure.map_or("called-in", |_| "refused");
         let waited = self.state.now().saturating_sub(began);
-        metrics::PLACE_WAIT_SECONDS.record_as(waited, [("result", result)]);
+        metrics::RESERVATION_WAIT_SECONDS.record_as(waited, [("result", result)]);
         let attempt = self.request.trace.attempts.get() as usize + 1;
         let hosts_asked = set.tries();
         trace::note(
@@ -219,7 +219,7 @@
                     continue;
                 }
             }
-            metrics::PLACES.add_one();
+            metrics::RESERVATIONS.add_one();
         }
         unlinked
     }
@@ -280,7 +280,7 @@
         let mut reply = std::pin::pin!(set.next(poll_reservation).fuse());
         let mut wait_over = std::pin::pin!(monoio::time::sleep(left).fuse());
         let mut deadline_passed =
-            std::pin::pin!(self.state.clock.passed(self.request.deadline).fuse());
+            std::pin::pin!(self.state.clock.passed_after_resume(self.request.deadline).fuse());
         let widen_every = ReservationPlan::default().widen_every;
         let mut widen = std::pin::pin!(monoio::time::sleep(widen_every).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -142,7 +142,7 @@
 /// the same grace period as after a deadline that passes awake: the host's daemon may still report
 /// whether the request ran.
 async fn passed_while_suspended(state: &DaemonState, deadline: Duration) {
-    state.clock.passed(deadline).await;
+    state.clock.passed_after_resume(deadline).await;
     monoio::time::sleep(DEADLINE_GRACE).await;
 }
 
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -361,7 +361,7 @@
     entry: &LimitEntry,
     terms: GrantTerms,
 ) -> Option<TokenGrant> {
-    metrics::GRANTS_ASKED.add_one();
+    metrics::GRANTS_REQUESTED.add_one();
     let GrantTerms { wanted, spent, claim } = terms;
     if *host == *state.options.host {
         let token_request = TokenRequest { requester: host, wanted, spent };
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -294,7 +294,7 @@
         None => return,
     };
     let in_use = link.exchange_count() > 0;
-    if path.should_ask(now, in_use) {
+    if path.is_probe_due(now, in_use) {
         let note = membership::heartbeat_request(state, Vec::new());
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
--- a/crates/daemon/src/resume.rs
+++ b/crates/daemon/src/resume.rs
@@ -20,15 +20,15 @@
 pub async fn watch(state: Rc<DaemonState>) {
     let mut seen = 0;
     loop {
-        seen = state.clock.woke().above(seen).await;
+        seen = state.clock.resumed().above(seen).await;
         handle_resume(&state);
     }
 }
 
 fn handle_resume(state: &Rc<DaemonState>) {
-    let slept_ms = state.clock.last_sleep().as_millis() as u64;
+    let slept_ms = state.clock.last_suspend().as_millis() as u64;
     HostWoke { slept_ms, in_flight: state.stop.in_flight() as u64 }.log();
-    metrics::WAKES.add_one();
+    metrics::RESUMES.add_one();
     let now = state.now();
     for path in state.peers.linked() {
         path.note_resumed(now);
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -424,7 +424,7 @@
         let poison = self.poison.borrow();
         let spared = !poison.is_empty() && poison.is_poison(RequestHash::of(method, target), now);
         if spared {
-            metrics::POISON_SPARED.add_one();
+            metrics::POISON_EXEMPTED.add_one();
         }
         spared
     }
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -60,7 +60,7 @@
 async fn sleep_when_told(state: Rc<DaemonState>, asleep: Receiver<Duration>) {
     loop {
         if let Ok(length) = asleep.try_recv() {
-            state.clock.add_sleep(length);
+            state.clock.add_suspend(length);
         }
         monoio::time::sleep(LOOK_EVERY).await;
     }
--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use basaltarch_core::fingerprint::{RequestFingerprint, RequestParts};
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use basaltarch_decide::balance::{ChoiceRequest, LoadView, ServiceView};
 use basaltarch_decide::baseline::RouteBaseline;
 use basaltarch_decide::evidence::{RequestEvidence, ServiceBaseline};
@@ -116,7 +116,7 @@
 
 #[divan::bench]
 fn judge_at_host(bencher: Bencher) {
-    let mut health = UpstreamHealth::new(PreferChoice::Precision, Duration::ZERO, false);
+    let mut health = UpstreamHealth::new(EjectionPreference::Precision, Duration::ZERO, false);
     let baseline = ServiceBaseline {
         median_ln: 10.0,
         spread: 0.5,
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use fnv::FnvHashMap;
 
 use crate::breaker::{FailureBreaker, FailureKind};
@@ -43,10 +43,10 @@
 const SIBLING_WEIGHT: f64 = 3.0;
 
 /// Returns the ejection threshold of a choice.
-pub fn threshold_of(prefer: PreferChoice) -> f64 {
+pub fn threshold_of(prefer: EjectionPreference) -> f64 {
     match prefer {
-        PreferChoice::Detection => THRESHOLD_DETECTION,
-        PreferChoice::Precision => THRESHOLD_PRECISION,
+        EjectionPreference::Detection => THRESHOLD_DETECTION,
+        EjectionPreference::Precision => THRESHOLD_PRECISION,
     }
 }
 
@@ -60,10 +60,10 @@
 /// Within it, the answers of the siblings arrive that tell a shared change from the fault of one
 /// server: it covers the typical service time, and the way to the ingress and back with the next
 /// dispatch.
-fn confirm_time(prefer: PreferChoice) -> Duration {
+fn confirm_time(prefer: EjectionPreference) -> Duration {
     match prefer {
-        PreferChoice::Detection => CONFIRM_DETECTION,
-        PreferChoice::Precision => CONFIRM_PRECISION,
+        EjectionPreference::Detection => CONFIRM_DETECTION,
+        EjectionPreference::Precision => CONFIRM_PRECISION,
     }
 }
 
@@ -184,7 +184,7 @@
 
 impl UpstreamHealth {
     /// Builds the health of an upstream from `now` on; the load of a `cold` one rises slowly.
-    pub fn new(prefer: PreferChoice, now: Duration, cold: bool) -> Self {
+    pub fn new(prefer: EjectionPreference, now: Duration, cold: bool) -> Self {
         Self {
             detector: SicknessDetector::new(threshold_of(prefer)),
             recovery: RecoveryPlan::new(now, cold),
@@ -215,7 +215,7 @@
     }
 
     /// Changes whether the service prefers detection or precision.
-    pub fn set_prefer(&mut self, prefer: PreferChoice) {
+    pub fn set_prefer(&mut self, prefer: EjectionPreference) {
         self.detector.set_threshold(threshold_of(prefer));
         self.confirm = confirm_time(prefer);
     }
--- a/crates/decide/tests/breaker.rs
+++ b/crates/decide/tests/breaker.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use basaltarch_decide::balance::{ChoiceRequest, LoadView, ServiceView};
 use basaltarch_decide::breaker::{FailureBreaker, FailureKind};
 use basaltarch_decide::evidence::ServiceBaseline;
@@ -94,7 +94,7 @@
 
 #[test]
 fn verify_a_doubted_upstream_declines_requests_but_the_last_one_tried_admits_them() {
-    let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
+    let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.note_end(Some(FailureKind::Broken), millis(0), millis(0));
     let mut verdict =
         |repeatable, passable| health.admit(&terms(repeatable, passable), millis(10)).0;
--- a/crates/decide/tests/hang.rs
+++ b/crates/decide/tests/hang.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use basaltarch_decide::evidence::{RequestEvidence, ServiceBaseline};
 use basaltarch_decide::hang::{HangDetector, UsualTime};
 use basaltarch_decide::health::{
@@ -105,7 +105,7 @@
 /// Returns an upstream whose only request hangs, at the time when it becomes doubted, and that
 /// time.
 fn doubted_health() -> (UpstreamHealth, Duration) {
-    let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
+    let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let usual = health.usual_time("r", None).expect("the baseline of the siblings");
     health.start_request(usual, millis(0));
@@ -144,7 +144,7 @@
 
 #[test]
 fn verify_the_doubt_ends_when_the_late_request_makes_progress() {
-    let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
+    let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let work = health.start_request(usual(), millis(0));
     let doubted =
@@ -155,7 +155,7 @@
 
 #[test]
 fn verify_a_request_that_made_a_nested_call_raises_no_doubt() {
-    let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
+    let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let work = health.start_request(usual(), millis(0));
     health.end_request(work, WatchEnd::Progressed, millis(200));
@@ -164,7 +164,7 @@
 
 #[test]
 fn verify_a_route_that_was_never_answered_raises_no_doubt() {
-    let health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
+    let health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     assert_eq!(
         health.usual_time("r", Some(millis(900))),
         None,
@@ -175,7 +175,7 @@
 
 #[test]
 fn verify_the_objective_replaces_the_usual_time_until_answers_are_known() {
-    let mut health = UpstreamHealth::new(PreferChoice::Precision, millis(0), false);
+    let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.note("r", RequestEvidence::Answered(millis(10)), false, millis(10));
     let median = |health: &UpstreamHealth| {
         health.usual_time("r", Some(millis(900))).expect("assumed").at(0.0)
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use basaltarch_decide::evidence::{RequestEvidence, ServiceBaseline};
 use basaltarch_decide::health::{AdmitVerdict, DispatchTerms, HealthChange, UpstreamHealth};
 use basaltarch_decide::recovery::{HOLD_OFF_MAX, TRIALS_NEEDED};
@@ -38,7 +38,7 @@
 }
 
 impl Upstream {
-    fn new(prefer: PreferChoice) -> Self {
+    fn new(prefer: EjectionPreference) -> Self {
         let health = UpstreamHealth::new(prefer, Duration::ZERO, false);
         Self { health, now: Duration::ZERO, ejected: Vec::new(), returned: Vec::new() }
     }
@@ -70,10 +70,10 @@
     RequestEvidence::Answered(Duration::from_millis(20))
 }
 
-#[test_case(PreferChoice::Detection, 15 ; "detection")]
-#[test_case(PreferChoice::Precision, 50 ; "precision")]
+#[test_case(EjectionPreference::Detection, 15 ; "detection")]
+#[test_case(EjectionPreference::Precision, 50 ; "precision")]
 fn verify_a_failing_upstream_is_ejected_within_a_bounded_number_of_requests(
-    prefer: PreferChoice,
+    prefer: EjectionPreference,
     most: usize,
 ) {
     let mut upstream = Upstream::new(prefer);
@@ -92,7 +92,7 @@
 #[test]
 fn verify_a_slow_upstream_is_ejected_and_a_slightly_slow_one_is_not() {
     for (factor, ejected) in [(1.2, false), (4.0, true)] {
-        let mut upstream = Upstream::new(PreferChoice::Precision);
+        let mut upstream = Upstream::new(EjectionPreference::Precision);
         for _ in 0..400 {
             let took = Duration::from_millis(20).mul_f64(factor);
             upstream.request(&terms(true, true), RequestEvidence::Answered(took));
@@ -104,7 +104,7 @@
 #[test_case(false ; "warm")]
 #[test_case(true ; "cold since its start")]
 fn verify_a_stuck_upstream_is_ejected_before_any_request_ends(cold: bool) {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     if cold {
         upstream.health.note_restart(upstream.now);
     }
@@ -131,7 +131,7 @@
 
 #[test_case(RequestEvidence::Neutral ; "faults of callers")]
 fn verify_neutral_evidence_changes_nothing(evidence: RequestEvidence) {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     for _ in 0..2000 {
         assert!(upstream.request(&terms(true, true), evidence));
     }
@@ -140,7 +140,7 @@
 
 #[test]
 fn verify_failures_that_all_siblings_share_eject_no_upstream() {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     let mut shared = terms(true, true);
     shared.baseline.sickness = 1.2;
     for _ in 0..300 {
@@ -151,7 +151,7 @@
 
 #[test]
 fn verify_a_baseline_that_one_of_several_ingresses_reports_counts_for_all() {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     let mut seen = terms(true, true);
     seen.baseline.failure_rate = 0.3;
     for number in 0..2000 {
@@ -165,7 +165,7 @@
 
 #[test]
 fn verify_a_withdrawn_failure_does_not_count() {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     for _ in 0..500 {
         upstream.request(&terms(true, true), RequestEvidence::Failed);
         upstream.health.withdraw_failure(ROUTE);
@@ -175,7 +175,7 @@
 
 #[test]
 fn verify_an_ejected_upstream_admits_requests_that_are_not_refusable() {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     while upstream.ejected.is_empty() {
         upstream.request(&terms(true, false), RequestEvidence::Failed);
     }
@@ -185,7 +185,7 @@
 
 #[test]
 fn verify_a_recovered_upstream_returns_within_the_longest_hold_off() {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     while upstream.ejected.len() < 6 {
         upstream.request(&terms(true, true), RequestEvidence::Failed);
         if upstream.now > Duration::from_secs(600) {
@@ -205,7 +205,7 @@
 
 #[test]
 fn verify_a_flapping_upstream_is_held_off_longer_each_time() {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     let mut durations = Vec::new();
     for _ in 0..4 {
         let ejections = upstream.ejected.len();
@@ -224,7 +224,7 @@
 
 #[test]
 fn verify_one_trial_at_a_time() {
-    let mut upstream = Upstream::new(PreferChoice::Detection);
+    let mut upstream = Upstream::new(EjectionPreference::Detection);
     while upstream.ejected.is_empty() {
         upstream.request(&terms(true, true), RequestEvidence::Failed);
     }
@@ -244,7 +244,7 @@
 #[test]
 fn verify_a_cold_upstream_is_not_ejected_for_its_latency() {
     for (cold, ejected) in [(true, false), (false, true)] {
-        let mut upstream = Upstream::new(PreferChoice::Detection);
+        let mut upstream = Upstream::new(EjectionPreference::Detection);
         if cold {
             upstream.health.note_restart(upstream.now);
         }
@@ -258,9 +258,9 @@
 
 /// The false positive rate that the thresholds are set for: a healthy upstream has the failures and
 /// latencies of its siblings.
-#[test_case(PreferChoice::Detection, 3 ; "detection")]
-#[test_case(PreferChoice::Precision, 0 ; "precision")]
-fn verify_healthy_upstreams_are_hardly_ever_ejected(prefer: PreferChoice, most: usize) {
+#[test_case(EjectionPreference::Detection, 3 ; "detection")]
+#[test_case(EjectionPreference::Precision, 0 ; "precision")]
+fn verify_healthy_upstreams_are_hardly_ever_ejected(prefer: EjectionPreference, most: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(11);
     let mut ejections = 0;
     for _ in 0..10 {
--- a/crates/options/src/defaults.rs
+++ b/crates/options/src/defaults.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use basaltarch_core::errors::SettingError;
-use basaltarch_core::resources::PreferChoice;
+use basaltarch_core::resources::EjectionPreference;
 use basaltarch_core::settings;
 
 /// `ServiceDefaults` is the set of defaults for what a service does not declare.
@@ -15,7 +15,7 @@
     /// Share of the slots that ejection must leave in service.
     pub floor: f64,
     /// Which error of failure detection a service tolerates less.
-    pub prefer: PreferChoice,
+    pub prefer: EjectionPreference,
     /// Requests that may be queued before each backend server.
     pub queue: u32,
     /// Share of requests that may be retried.
@@ -27,10 +27,14 @@
 }
 
 /// Reads which of detection and precision is preferred; precision is the default.
-pub fn prefer(given: Option<String>) -> Result<PreferChoice, SettingError> {
+pub fn prefer(given: Option<String>) -> Result<EjectionPreference, SettingError> {
     let allowed = "detection or precision";
     let name = settings::checked("prefer", given, "precision".to_owned(), allowed, |name| {
         matches!(name.as_str(), "detection" | "precision")
     })?;
-    Ok(if name == "detection" { PreferChoice::Detection } else { PreferChoice::Precision })
+    Ok(if name == "detection" {
+        EjectionPreference::Detection
+    } else {
+        EjectionPreference::Precision
+    })
 }
