--- a/crates/bench/src/decisions/actors.rs
+++ b/crates/bench/src/decisions/actors.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a run of the decision bench is made of: requests, work, upstreams, ingresses, events.
+//! Entities of a simulated run: requests, jobs, upstreams, ingresses and events.
 
 #![allow(missing_docs, reason = "the fields are named for what they are; only `world` uses them")]
 
@@ -20,25 +20,25 @@
 use crate::decisions::rules::{PlainRule, RuleKind};
 use crate::decisions::scenario::{self, ScenarioPlan};
 
-/// Routes of the service; one in four fails in the one-route case.
+/// Routes of the service; one of the four fails in the one-route case.
 pub const ROUTES: [&str; 4] = ["route-1", "route-2", "route-3", "route-4"];
 
-/// `Event` is what happens next.
+/// `Event` is a scheduled step of the simulation.
 #[derive(Debug, Clone, Copy)]
 pub enum Event {
     Arrival,
     Replace,
     Probe,
-    AtHost { sent: Dispatch, refusable: bool },
-    Impatient { sent: Dispatch },
+    HostArrival { sent: Dispatch, refusable: bool },
+    HedgeDue { sent: Dispatch },
     Cancel { sent: Dispatch },
     Overdue { job: usize },
-    Look { job: usize },
+    RunningCheck { job: usize },
     End { job: usize },
     Reply { sent: Dispatch, answer: Answer },
 }
 
-/// `Dispatch` is one sending of a request; `number` counts those of the request from 1.
+/// `Dispatch` is one attempt at a request; `number` counts the attempts at the request from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Dispatch {
     pub request: usize,
@@ -46,7 +46,7 @@
     pub number: usize,
 }
 
-/// `Answer` is what a host tells an ingress.
+/// `Answer` is the reply of a host to an ingress.
 #[derive(Debug, Clone, Copy)]
 pub enum Answer {
     Done { end: JobEnd, took: Duration, load: u32, health: HealthReport },
@@ -60,22 +60,22 @@
     pub route: usize,
     pub repeatable: bool,
     pub poison: bool,
-    pub mark: RequestMark,
+    pub hash: RequestMark,
     pub begun: Duration,
     pub sent_at: Duration,
     pub dispatches: usize,
     pub excluded: Vec<usize>,
-    /// Attempt that is waited for.
+    /// Attempt whose response is waited for, beside those in `slow_attempts`.
     pub current: Option<Dispatch>,
-    /// Attempts that were late and still run.
-    pub late: Vec<Dispatch>,
+    /// Attempts that outlasted their hedging delay and still run.
+    pub slow_attempts: Vec<Dispatch>,
     pub failed_at: Option<usize>,
-    /// Whether a failure of the last dispatch counts as evidence.
-    pub counts: bool,
-    pub over: bool,
+    /// Whether a failure of the last dispatch is evidence against the upstream.
+    pub failure_counts: bool,
+    pub finished: bool,
 }
 
-/// `Job` is the work on a request at an upstream.
+/// `Job` is the execution of a request at an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
     pub sent: Dispatch,
@@ -83,14 +83,15 @@
     pub started: Duration,
     pub end: JobEnd,
     pub overdue: bool,
-    /// Number by which the upstream's health watches it, if it does, and its usual time.
+    /// Number of the job in the hang detector of the upstream, if it is watched, and its typical
+    /// service time.
     pub watched: Option<(u64, UsualTime)>,
     pub trial: bool,
     pub after_failure: bool,
-    pub over: bool,
+    pub finished: bool,
 }
 
-/// `Upstream` is a scripted upstream, with what its daemon thinks of it.
+/// `Upstream` is a scripted upstream, with the health that its daemon keeps of it.
 pub struct Upstream {
     pub health: UpstreamHealth,
     pub queue: VecDeque<(Dispatch, bool)>,
@@ -98,7 +99,7 @@
     pub accepted: Vec<Duration>,
 }
 
-/// `Ingress` is an ingress, with what it knows of the service.
+/// `Ingress` is an ingress, with its view of the service.
 pub struct Ingress {
     pub view: ServiceView,
     pub baselines: Vec<RouteBaseline>,
@@ -109,24 +110,24 @@
     pub domain: usize,
 }
 
-/// Terms of each ingress's budget of repeats: the daemon's defaults.
+/// Terms of the retry budget of each ingress: the defaults of the daemon.
 const BUDGET: BudgetTerms =
     BudgetTerms { share: 0.1, extra: 10.0, window: Duration::from_secs(10) };
 
 /// Builds the health of an upstream.
 pub fn new_health(
     prefer: PreferChoice,
-    strictness: f64,
+    threshold: f64,
     now: Duration,
     cold: bool,
 ) -> UpstreamHealth {
     let mut health = UpstreamHealth::new(prefer, now, cold);
-    health.set_threshold(strictness.max(1.0));
+    health.set_threshold(threshold.max(1.0));
     health
 }
 
 /// Builds an ingress in a failure domain.
-pub fn new_ingress(plan: &ScenarioPlan, rule: RuleKind, strictness: f64, domain: usize) -> Ingress {
+pub fn new_ingress(plan: &ScenarioPlan, rule: RuleKind, threshold: f64, domain: usize) -> Ingress {
     let deployment = plan.deployment;
     let views = (0..deployment.upstreams)
         .map(|index| LoadView::new(deployment.slots, index % deployment.domains == domain))
@@ -135,14 +136,14 @@
         view: ServiceView::new(deployment.floor, views),
         baselines: vec![RouteBaseline::default(); ROUTES.len()],
         recent: RecentAnswers::default(),
-        rule: PlainRule::new(rule, strictness, deployment.upstreams, deployment.floor),
+        rule: PlainRule::new(rule, threshold, deployment.upstreams, deployment.floor),
         budget: RetryBudget::new(BUDGET),
         poison: PoisonMemory::default(),
         domain,
     }
 }
 
-/// Returns the way from a failure domain to an upstream.
+/// Returns the one-way delay from a failure domain to an upstream.
 pub fn delay_between(plan: &ScenarioPlan, domain: usize, upstream: usize) -> Duration {
     if upstream % plan.deployment.domains == domain {
         scenario::LOCAL_DELAY
@@ -151,12 +152,12 @@
     }
 }
 
-/// Ordinary targets of a service, and poison targets that callers ask for again and again.
+/// Numbers of distinct paths: ordinary ones, and poison ones that callers request repeatedly.
 const TARGETS: usize = 500;
 const POISON_TARGETS: usize = 4;
 
-/// Returns the mark of a request; every second poison request is for a target never seen before.
-pub fn mark_of(number: usize, poison: bool) -> RequestMark {
+/// Returns the hash of a request; every second poison request has a path of its own.
+pub fn hash_of(number: usize, poison: bool) -> RequestMark {
     match (poison, number.is_multiple_of(2)) {
         (false, _) => RequestMark::of("GET", &format!("/puzzle/{}", number % TARGETS)),
         (true, true) => RequestMark::of("GET", &format!("/poison/{}", number / 2 % POISON_TARGETS)),
--- a/crates/bench/src/decisions/bounds.rs
+++ b/crates/bench/src/decisions/bounds.rs
@@ -12,12 +12,13 @@
 use crate::decisions::suite::{RunKey, SuitePlan};
 use crate::errors::BenchError;
 
-/// Factor by which `detection` must be quicker than the best plain rule.
+/// Factor by which `detection` must detect faults sooner than the best plain rule.
 const QUICKER_FACTOR: f64 = 3.0;
 /// Factor by which `precision` must have fewer false ejections than the best plain rule.
 const FEWER_FACTOR: f64 = 10.0;
-/// Longest median detection time of `detection` over the gate's suite. The figures when the bounds were
-/// set are in docs/MEASUREMENTS.md; they leave a seventh for other processors' arithmetic.
+/// Longest median detection time of `detection` over the suite of the gate. docs/MEASUREMENTS.md
+/// has the figures behind the bounds; the margin of a seventh is for floating-point results that
+/// differ between processors.
 pub const DETECTION_MEDIAN_MAX: Duration = Duration::from_millis(680);
 /// Longest median detection time of `precision`.
 pub const PRECISION_MEDIAN_MAX: Duration = Duration::from_millis(1370);
@@ -26,7 +27,8 @@
 /// Most false ejections an upstream-hour of `precision`.
 pub const PRECISION_FALSE_MAX: f64 = 0.005;
 
-/// Seeds of the gate: with two, variants that differ in nothing but luck lay between 443 and 584 ms.
+/// Seeds of the gate: with two, the medians of variants of equal quality scatter by chance between
+/// 443 and 584 ms.
 const GATE_SEEDS: u64 = 4;
 
 /// Returns the whole suite: every case, severity, load and deployment.
@@ -38,7 +40,7 @@
         deployments: DEPLOYMENTS.to_vec(),
         rules: RULES.to_vec(),
         seeds: (1..=seeds).collect(),
-        strictness: None,
+        threshold: None,
     }
 }
 
@@ -90,24 +92,25 @@
             ),
         )?;
     }
-    check_worse(&report::rows(plan, results))
+    check_slower_cases(&report::rows(plan, results))
 }
 
-/// Cases in which a rule may be slower than the best plain rule, with the reason:
-/// `mixed routes, slow`: the outlier rule had ejected the upstream before it was sick, by chance;
-/// `stuck`: under a plain rule stuck requests fill the slots until their time-out, which keeps work
-/// away whatever the rule; ours give late attempts up, which frees the slots, so work stops only
-/// when the upstream is ejected, but callers wait less; `quick errors`: a plain rule lets quick errors
-/// draw traffic, and so gets its five failures sooner, at that cost to callers; `stuck from its
-/// start`: as `stuck`, and a cold upstream is given longer.
-const MAY_BE_WORSE: [&str; 4] =
+/// Cases in which `detection` may be slower than the best plain rule, with the reason of each:
+/// `mixed routes, slow`: by chance the outlier rule has ejected the upstream before it becomes
+/// sick; `stuck`: under a plain rule stuck requests hold the slots until they time out, so that the
+/// upstream takes no more requests whatever the rule decides. The daemon cancels slow attempts,
+/// which frees the slots, so the upstream receives requests until it is ejected, but callers wait
+/// less; `quick errors`: under a plain rule the upstream attracts traffic by failing quickly and
+/// reaches five failures sooner, at the cost of callers; `stuck from its start`: as `stuck`, and
+/// the detector allows a cold upstream more time.
+const KNOWN_SLOWER_CASES: [&str; 4] =
     ["mixed routes, slow", "stuck", "stuck from its start", "quick errors"];
 
-fn check_worse(rows: &[CaseRow]) -> Result<(), BenchError> {
-    for (case, _, best, own) in report::worse(rows, RuleKind::Detection) {
+fn check_slower_cases(rows: &[CaseRow]) -> Result<(), BenchError> {
+    for (case, _, best, own) in report::slower_cases(rows, RuleKind::Detection) {
         let name = CASES[case].name;
         require(
-            MAY_BE_WORSE.contains(&name),
+            KNOWN_SLOWER_CASES.contains(&name),
             format!("detection is slower in {name}: {own:?} against {best:?}"),
         )?;
     }
--- a/crates/bench/src/decisions/chart.rs
+++ b/crates/bench/src/decisions/chart.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The chart of detection time against false ejections, each rule a curve over its parameter.
+//! Chart of detection time against false ejections, with a curve over the threshold for each rule.
 
 use plotters::prelude::*;
 
@@ -12,19 +12,19 @@
 use crate::decisions::suite::{self, SuitePlan};
 use crate::errors::BenchError;
 
-/// Size of the picture.
+/// Width and height of the chart in pixels.
 const SIZE: (u32, u32) = (860, 560);
-/// False ejections that stand for none, on a logarithmic axis.
+/// Where no false ejections are drawn, as the axis is logarithmic.
 const NONE_AT: f64 = 0.002;
-/// Seconds that stand for "never".
+/// Seconds at which a rule that never detects is drawn.
 const NEVER_AT: f64 = 60.0;
 
-/// `RuleCurve` is a rule over its parameter.
+/// `RuleCurve` is the results of a rule over a range of thresholds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RuleCurve {
     /// The rule.
     pub rule: RuleKind,
-    /// Parameter, false ejections an upstream-hour, median detection time in seconds.
+    /// Threshold, false ejections for each upstream-hour, median detection time in seconds.
     pub points: Vec<(f64, f64, f64)>,
 }
 
@@ -35,18 +35,18 @@
     (RuleKind::Detection, [5.0, 7.0, 9.0, 11.0, 14.0, 18.0]),
 ];
 
-fn sweep_suite(rule: RuleKind, strictness: f64) -> SuitePlan {
+fn sweep_suite(rule: RuleKind, threshold: f64) -> SuitePlan {
     SuitePlan {
         severities: vec![1, 3],
         loads: vec![LOADS[1]],
         deployments: vec![DEPLOYMENTS[0], DEPLOYMENTS[3]],
         rules: vec![rule],
-        strictness: Some(strictness),
+        threshold: Some(threshold),
         ..bounds::whole_suite(1)
     }
 }
 
-/// Runs every rule over its parameter.
+/// Runs the suite for every rule and threshold of the chart.
 pub fn sweep() -> Vec<RuleCurve> {
     SWEEPS
         .iter()
@@ -57,12 +57,12 @@
         .collect()
 }
 
-fn point(rule: RuleKind, strictness: f64) -> (f64, f64, f64) {
-    let results = suite::run(&sweep_suite(rule, strictness));
+fn point(rule: RuleKind, threshold: f64) -> (f64, f64, f64) {
+    let results = suite::run(&sweep_suite(rule, threshold));
     let sick = report::select(&results, rule, |key| CASES[key.case].one_is_sick);
     let every = report::select(&results, rule, |_| true);
     let seconds = sick.detection_median.map_or(NEVER_AT, |median| median.as_secs_f64());
-    (strictness, every.false_ejections_hour, seconds)
+    (threshold, every.false_ejections_hour, seconds)
 }
 
 /// Draws curves into an SVG file.
--- a/crates/bench/src/decisions/faults.rs
+++ b/crates/bench/src/decisions/faults.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a scripted upstream does with one request.
+//! Service time and outcome of a request at a scripted upstream.
 
 use std::time::Duration;
 
@@ -11,38 +11,39 @@
 
 use crate::decisions::scenario::{self, FaultScript, ScenarioPlan};
 
-/// `JobEnd` is how work ends.
+/// `JobEnd` is the outcome of a request at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
-    /// With a good answer.
+    /// A successful response.
     Good,
-    /// With a server error.
+    /// A server error.
     Error,
-    /// With the request's time-out.
+    /// The time-out of the request.
     Timeout,
 }
 
-/// `WorkSample` is one request at one upstream.
+/// `ServiceSample` is what the service time and outcome of a request at an upstream depend on.
 #[derive(Debug, Clone, Copy)]
-pub struct WorkSample<'a> {
+pub struct ServiceSample<'a> {
     /// The run.
     pub plan: &'a ScenarioPlan,
-    /// The time.
+    /// The current virtual time.
     pub now: Duration,
-    /// Whether the upstream is the one that the fault touches.
+    /// Whether the upstream is the one with the fault.
     pub is_sick: bool,
-    /// Whether the request is of the route that fails where one route does.
-    pub fails_first: bool,
+    /// Whether the route of the request is the one that fails in [`FaultScript::RouteErrors`].
+    pub is_failing_route: bool,
     /// Whether the request is of the slow route of the mixed cases.
     pub is_slow_route: bool,
-    /// Whether the request fails wherever it goes.
+    /// Whether the request fails at whichever upstream runs it.
     pub poison: bool,
 }
 
-/// Share of the work that fails at the upstream whose endpoints lie.
+/// Share of requests that fail at the upstream whose health or load endpoint reports wrongly.
 const LYING_FAILURES: f64 = 0.5;
 
-/// Says what the health endpoint of an upstream answers; gray failures do not show there.
+/// Says whether the health endpoint of an upstream reports it as healthy; gray failures do not show
+/// there.
 pub fn endpoint_is_good(plan: &ScenarioPlan, now: Duration, upstream: usize, sick: usize) -> bool {
     let share = match plan.script {
         FaultScript::LyingHealth(share) if plan.in_fault(now) => share,
@@ -53,7 +54,7 @@
     upstream == sick || rank >= (share * others as f64).ceil() as usize
 }
 
-/// Returns the load that the load endpoint of an upstream claims.
+/// Returns the load that the load endpoint of an upstream reports.
 pub fn claimed_load(plan: &ScenarioPlan, now: Duration, is_sick: bool, load: u32) -> u32 {
     match plan.script {
         FaultScript::LyingLoad(share) if is_sick && plan.in_fault(now) => {
@@ -63,14 +64,14 @@
     }
 }
 
-struct FaultTouch {
+struct FaultEffect {
     factor: f64,
     fails: bool,
-    never: bool,
+    never_answers: bool,
 }
 
-impl WorkSample<'_> {
-    /// Returns how long the work takes and how it ends.
+impl ServiceSample<'_> {
+    /// Samples how long the request runs and its outcome.
     pub fn sample(&self, times: &LogNormal<f64>, rng: &mut ChaCha8Rng) -> (Duration, JobEnd) {
         let mut seconds: f64 = times.sample(rng);
         if self.plan.is_mixed() && self.is_slow_route {
@@ -84,65 +85,65 @@
             seconds *= scenario::STRAGGLER_FACTOR;
         }
         let mut fails = rng.random_bool(scenario::USUAL_FAILURES) || self.poison;
-        let mut never = false;
-        if self.is_touched() {
-            let touch = self.sample_fault(rng);
-            seconds *= touch.factor;
-            fails |= touch.fails;
-            never = touch.never;
+        let mut never_answers = false;
+        if self.is_affected() {
+            let effect = self.sample_fault(rng);
+            seconds *= effect.factor;
+            fails |= effect.fails;
+            never_answers = effect.never_answers;
         }
         let time = Duration::from_secs_f64(seconds);
-        if never || time >= scenario::REQUEST_TIMEOUT {
+        if never_answers || time >= scenario::REQUEST_TIMEOUT {
             return (scenario::REQUEST_TIMEOUT, JobEnd::Timeout);
         }
         (time, if fails { JobEnd::Error } else { JobEnd::Good })
     }
 
-    fn is_touched(&self) -> bool {
+    fn is_affected(&self) -> bool {
         let all = matches!(self.plan.script, FaultScript::AllSlow(_) | FaultScript::AllErrors(_));
         self.plan.in_fault(self.now) && (all || self.is_sick)
     }
 
-    fn sample_fault(&self, rng: &mut ChaCha8Rng) -> FaultTouch {
-        let mut touch = FaultTouch { factor: 1.0, fails: false, never: false };
+    fn sample_fault(&self, rng: &mut ChaCha8Rng) -> FaultEffect {
+        let mut effect = FaultEffect { factor: 1.0, fails: false, never_answers: false };
         let since = self.now.saturating_sub(self.plan.fault_begin());
         match self.plan.script {
             FaultScript::Errors(share)
             | FaultScript::Truncated(share)
             | FaultScript::LowTraffic(share)
-            | FaultScript::AllErrors(share) => touch.fails = rng.random_bool(share),
+            | FaultScript::AllErrors(share) => effect.fails = rng.random_bool(share),
             FaultScript::LyingHealth(_) | FaultScript::LyingLoad(_) => {
-                touch.fails = rng.random_bool(LYING_FAILURES);
+                effect.fails = rng.random_bool(LYING_FAILURES);
             }
             FaultScript::RouteErrors(share) => {
-                touch.fails = self.fails_first && rng.random_bool(share);
+                effect.fails = self.is_failing_route && rng.random_bool(share);
             }
             FaultScript::QuickErrors(share) => {
-                touch.fails = rng.random_bool(share);
-                touch.factor = if touch.fails { 0.02 } else { 1.0 };
+                effect.fails = rng.random_bool(share);
+                effect.factor = if effect.fails { 0.02 } else { 1.0 };
             }
             FaultScript::Slow(factor)
             | FaultScript::AllSlow(factor)
-            | FaultScript::MixedSlow(factor) => touch.factor = factor,
+            | FaultScript::MixedSlow(factor) => effect.factor = factor,
             FaultScript::Tail(share) => {
-                touch.factor = if rng.random_bool(share) { 10.0 } else { 1.0 };
+                effect.factor = if rng.random_bool(share) { 10.0 } else { 1.0 };
             }
             FaultScript::Stuck(share) | FaultScript::ColdStuck(share) => {
-                touch.never = rng.random_bool(share);
+                effect.never_answers = rng.random_bool(share);
             }
             FaultScript::Flapping(period) => {
                 let sick = (since.as_millis() as u64 / period).is_multiple_of(2);
-                touch.fails = sick && rng.random_bool(0.5);
+                effect.fails = sick && rng.random_bool(0.5);
             }
             FaultScript::ColdStart(factor) => {
                 let left = (1.0 - since.as_secs_f64() / 10.0).max(0.0);
-                touch.factor = 1.0 + (factor - 1.0) * left;
+                effect.factor = 1.0 + (factor - 1.0) * left;
             }
             FaultScript::Healthy
             | FaultScript::Poison(_)
             | FaultScript::MixedHealthy(_)
             | FaultScript::Bursts(_) => {}
         }
-        touch
+        effect
     }
 }
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The hosts of a run: slots, queues, work and what it says about an upstream.
+//! The simulated hosts: slots, queues, jobs, and the evidence that jobs give on their upstream.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use crate::decisions::world::{World, SICK, SLOW_ROUTE};
 
 impl World {
-    /// Returns what the ingress of a request tells an upstream of its siblings.
+    /// Returns the baseline of sibling upstreams that an ingress sends along with a request.
     pub(super) fn baseline_for(&self, sent: Dispatch) -> ServiceBaseline {
         let request = &self.requests[sent.request];
         let ingress = &self.ingresses[request.ingress];
@@ -54,13 +54,13 @@
         } else if upstream.queue.len() < scenario::QUEUE {
             upstream.queue.push_back((sent, trial));
         } else {
-            self.end_unstarted(sent.upstream, trial);
+            self.release_trial(sent.upstream, trial);
             self.refuse(sent);
         }
     }
 
-    /// Lets another trial start after one that never reached the server.
-    fn end_unstarted(&mut self, index: usize, trial: bool) {
+    /// Ends a trial that gave no evidence, so that another one can start.
+    fn release_trial(&mut self, index: usize, trial: bool) {
         if trial {
             self.upstreams[index].health.note_trial(ROUTES[0], WorkEvidence::Neutral, self.now);
         }
@@ -96,7 +96,7 @@
 
     fn start_job(&mut self, sent: Dispatch, trial: bool) {
         let route = self.requests[sent.request].route;
-        let (time, end) = self.sample_work(sent);
+        let (time, end) = self.sample_service(sent);
         let job = self.jobs.len();
         let upstream = &mut self.upstreams[sent.upstream];
         upstream.running.push(job);
@@ -114,12 +114,12 @@
             overdue: false,
             watched,
             trial,
-            after_failure: !self.requests[sent.request].counts,
-            over: false,
+            after_failure: !self.requests[sent.request].failure_counts,
+            finished: false,
         });
         self.schedule(time, Event::End { job });
         if let Some((_, usual)) = watched {
-            self.schedule(hang::first_look(&usual), Event::Look { job });
+            self.schedule(hang::first_look(&usual), Event::RunningCheck { job });
         }
         if self.rule.prefer().is_some() && !trial {
             let health = &self.upstreams[sent.upstream].health;
@@ -131,23 +131,23 @@
         }
     }
 
-    /// Returns how long the work takes and how it ends.
-    fn sample_work(&mut self, sent: Dispatch) -> (Duration, JobEnd) {
+    /// Samples how long the request runs and its outcome.
+    fn sample_service(&mut self, sent: Dispatch) -> (Duration, JobEnd) {
         let request = &self.requests[sent.request];
-        let work = faults::WorkSample {
+        let sample = faults::ServiceSample {
             plan: &self.plan,
             now: self.now,
             is_sick: sent.upstream == SICK,
-            fails_first: request.route == 0,
+            is_failing_route: request.route == 0,
             is_slow_route: request.route == SLOW_ROUTE,
             poison: request.poison,
         };
-        work.sample(&self.times, &mut self.rng)
+        sample.sample(&self.service_times, &mut self.rng)
     }
 
     pub(super) fn note_overdue(&mut self, number: usize) {
         let job = self.jobs[number];
-        if job.over {
+        if job.finished {
             return;
         }
         self.jobs[number].overdue = true;
@@ -156,19 +156,19 @@
         self.note_change(job.sent.upstream, change);
     }
 
-    /// Looks whether work lasts too long, as the daemon does while it runs.
-    pub(super) fn look(&mut self, number: usize) {
+    /// Checks whether the running jobs of an upstream hang, as the daemon does.
+    pub(super) fn check_job(&mut self, number: usize) {
         let job = self.jobs[number];
         let usual = match job.watched {
-            Some((_, usual)) if !job.over => usual,
+            Some((_, usual)) if !job.finished => usual,
             _ => return,
         };
         let change = self.upstreams[job.sent.upstream].health.look(self.now);
         self.note_change(job.sent.upstream, change);
-        self.schedule(hang::look_every(&usual), Event::Look { job: number });
+        self.schedule(hang::look_every(&usual), Event::RunningCheck { job: number });
     }
 
-    /// Ends the watch over work.
+    /// Removes a job from the hang detector.
     fn end_watch(&mut self, number: usize, answered: bool) {
         let job = self.jobs[number];
         let end = match (answered, job.overdue) {
@@ -185,7 +185,7 @@
 
     pub(super) fn end_job(&mut self, number: usize) {
         let job = self.jobs[number];
-        if job.over {
+        if job.finished {
             return;
         }
         self.end_watch(number, job.end != JobEnd::Timeout);
@@ -198,7 +198,7 @@
     }
 
     fn free_slot(&mut self, number: usize) {
-        self.jobs[number].over = true;
+        self.jobs[number].finished = true;
         let index = self.jobs[number].sent.upstream;
         self.upstreams[index].running.retain(|running| *running != number);
     }
@@ -209,19 +209,20 @@
         }
     }
 
-    /// Ends what an ingress no longer waits for: it says nothing beyond having been overdue.
+    /// Cancels an attempt that its ingress no longer waits for: it is no evidence, except that it
+    /// may have been overdue.
     pub(super) fn cancel(&mut self, sent: Dispatch) {
         let upstream = &mut self.upstreams[sent.upstream];
         let waiting = upstream.queue.iter().position(|(queued, _)| *queued == sent);
-        if let Some((_, trial)) = waiting.and_then(|place| upstream.queue.remove(place)) {
-            return self.end_unstarted(sent.upstream, trial);
+        if let Some((_, trial)) = waiting.and_then(|position| upstream.queue.remove(position)) {
+            return self.release_trial(sent.upstream, trial);
         }
         let mut running = upstream.running.iter().copied();
         let job = running.find(|number| self.jobs[*number].sent == sent);
         if let Some(number) = job {
             self.end_watch(number, false);
             self.free_slot(number);
-            self.end_unstarted(sent.upstream, self.jobs[number].trial);
+            self.release_trial(sent.upstream, self.jobs[number].trial);
             self.start_next(sent.upstream);
         }
     }
@@ -249,7 +250,7 @@
             JobEnd::Error | JobEnd::Timeout => Some(FailureSort::Answered),
         };
         if failure.is_some() || evidence != WorkEvidence::Neutral {
-            // Doubts and trust show in the reports alone.
+            // Doubted and trusted are visible in the reports only.
             health.note_end(failure, job.started, self.now);
         }
         self.note_change(job.sent.upstream, change);
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The ingresses of a run: choosing, sending, repeating, answering.
+//! The simulated ingresses: choice of an upstream, dispatch, retries, hedges and responses.
 
 use basaltarch_decide::balance::ChoiceRequest;
 use basaltarch_decide::patience;
@@ -12,9 +12,9 @@
 use crate::decisions::scenario;
 use crate::decisions::world::{World, SICK};
 
-/// Factor on the usual median from which an answer is slow to a caller.
+/// Multiple of the median service time above which a response is slow to its caller.
 const SLOW_ANSWER: u32 = 8;
-/// Dispatches of one request at the most, as in the daemon.
+/// Most dispatches of one request, as in the daemon.
 const DISPATCHES_MAX: usize = 3;
 
 impl World {
@@ -31,64 +31,64 @@
         let request = &self.requests[number];
         let ingress = &mut self.ingresses[request.ingress];
         let must_take = request.dispatches + 1 >= DISPATCHES_MAX;
-        let asked = ChoiceRequest {
+        let criteria = ChoiceRequest {
             excluded: &request.excluded,
             repeatable: request.repeatable,
             must_take,
             ..ChoiceRequest::default()
         };
-        let choice = ingress.view.choose(self.now, &asked, &mut self.rng);
+        let choice = ingress.view.choose(self.now, &criteria, &mut self.rng);
         let choice = match choice {
             Some(choice) if request.dispatches < DISPATCHES_MAX => choice,
             _ => return self.finish_request(number, false),
         };
         ingress.view.note_sent(choice.index);
-        let spared = ingress.poison.spares(request.mark, self.now);
+        let known_poison = ingress.poison.spares(request.hash, self.now);
         let delay = actors::delay_between(&self.plan, ingress.domain, choice.index);
         self.note_capacity(number);
         let request = &mut self.requests[number];
-        request.counts = request.failed_at.is_none() && !spared;
+        request.failure_counts = request.failed_at.is_none() && !known_poison;
         request.dispatches += 1;
         request.sent_at = self.now;
         let sent = Dispatch { request: number, upstream: choice.index, number: request.dispatches };
         self.requests[number].current = Some(sent);
-        self.schedule(delay, Event::AtHost { sent, refusable: choice.refusable });
-        self.schedule_patience(sent);
+        self.schedule(delay, Event::HostArrival { sent, refusable: choice.refusable });
+        self.schedule_hedge(sent);
     }
 
-    /// Asks the health endpoints of all upstreams, for the rule that goes by them.
+    /// Probes the health endpoints of all upstreams, for the rule that ejects by probes.
     pub(super) fn probe(&mut self) {
-        let part = 1.0 / self.ingresses.len() as f64;
+        let fraction = 1.0 / self.ingresses.len() as f64;
         for index in 0..self.upstreams.len() {
             let good = faults::endpoint_is_good(&self.plan, self.now, index, SICK);
             for ingress in 0..self.ingresses.len() {
                 if self.ingresses[ingress].rule.note_probe(index, good, self.now) {
-                    self.note_ejection(index, part);
+                    self.note_ejection(index, fraction);
                 }
             }
         }
-        self.schedule(rules::PROBE_EVERY, Event::Probe);
+        self.schedule(rules::PROBE_INTERVAL, Event::Probe);
     }
 
-    /// Lets another attempt at repeatable work be made beside one that is late, as the daemon does.
-    fn schedule_patience(&mut self, sent: Dispatch) {
+    /// Schedules a hedge for a repeatable request after its hedging delay, as the daemon does.
+    fn schedule_hedge(&mut self, sent: Dispatch) {
         let may_follow = self.requests[sent.request].repeatable && sent.number < DISPATCHES_MAX;
         if self.rule.prefer().is_none() || !may_follow {
             return;
         }
         let baseline = self.baseline_for(sent);
         if let Some(usual) = baseline.usual_time() {
-            self.schedule(patience::of(&usual, None), Event::Impatient { sent });
+            self.schedule(patience::of(&usual, None), Event::HedgeDue { sent });
         }
     }
 
     fn is_waiting_for(&self, sent: Dispatch) -> bool {
         let request = &self.requests[sent.request];
-        !request.over && request.dispatches == sent.number
+        !request.finished && request.dispatches == sent.number
     }
 
-    /// Makes another attempt beside one that is late, if the budget allows it.
-    pub(super) fn overtake(&mut self, sent: Dispatch) {
+    /// Sends a hedge beside a slow attempt, if the retry budget allows it.
+    pub(super) fn send_hedge(&mut self, sent: Dispatch) {
         if !self.is_waiting_for(sent) {
             return;
         }
@@ -98,28 +98,28 @@
             return;
         }
         request.excluded.push(sent.upstream);
-        request.late.push(sent);
+        request.slow_attempts.push(sent);
         ingress.view.note_late(sent.upstream, self.now);
         self.dispatch(sent.request);
     }
 
-    /// Takes the answer of a late attempt: only a good one ends the request.
-    fn take_late(&mut self, sent: Dispatch, answer: Answer) {
+    /// Handles the response of a slow attempt, which ends the request only if it is successful.
+    fn handle_slow_answer(&mut self, sent: Dispatch, answer: Answer) {
         let request = &mut self.requests[sent.request];
-        let known = request.late.len();
-        request.late.retain(|late| *late != sent);
-        let is_late = request.late.len() < known;
+        let before = request.slow_attempts.len();
+        request.slow_attempts.retain(|attempt| *attempt != sent);
+        let was_slow = request.slow_attempts.len() < before;
         let is_good = matches!(answer, Answer::Done { end: JobEnd::Good, .. });
-        if is_late {
+        if was_slow {
             self.ingresses[request.ingress].view.note_over(sent.upstream);
         }
-        if is_late && is_good && !request.over {
+        if was_slow && is_good && !request.finished {
             self.cancel_current(sent.request);
             self.finish_request(sent.request, true);
         }
     }
 
-    /// Cancels the attempt that a request waits for, as a late one was quicker after all.
+    /// Cancels the current attempt of a request after a slower one responded first.
     fn cancel_current(&mut self, number: usize) {
         if let Some(sent) = self.requests[number].current {
             self.cancel_from_ingress(sent);
@@ -135,7 +135,7 @@
 
     pub(super) fn reach_ingress(&mut self, sent: Dispatch, answer: Answer) {
         if !self.is_waiting_for(sent) {
-            return self.take_late(sent, answer);
+            return self.handle_slow_answer(sent, answer);
         }
         let (number, index) = (sent.request, sent.upstream);
         let request = self.requests[number].clone();
@@ -154,7 +154,7 @@
         ingress.view.note_median(ingress.baselines[request.route].current().median_ln);
         ingress.view.note_report(index, load, health, self.now);
         match answer {
-            Answer::Done { end, .. } => self.take_answer(number, index, end),
+            Answer::Done { end, .. } => self.handle_answer(number, index, end),
             Answer::Refused { .. } => {
                 self.requests[number].excluded.push(index);
                 self.dispatch(number);
@@ -162,46 +162,46 @@
         }
     }
 
-    fn take_answer(&mut self, number: usize, index: usize, end: JobEnd) {
+    fn handle_answer(&mut self, number: usize, index: usize, end: JobEnd) {
         let failed = end != JobEnd::Good;
         let request = &self.requests[number];
         let ingress = &mut self.ingresses[request.ingress];
         if self.rule.prefer().is_none() {
             let latency = self.now.saturating_sub(request.sent_at);
             let ejected = ingress.rule.note(index, failed, latency, self.now);
-            let part = 1.0 / self.ingresses.len() as f64;
+            let fraction = 1.0 / self.ingresses.len() as f64;
             for each in ejected {
-                self.note_ejection(each, part);
+                self.note_ejection(each, fraction);
             }
         }
         let ingress = &mut self.ingresses[self.requests[number].ingress];
-        let mark = self.requests[number].mark;
+        let hash = self.requests[number].hash;
         if !failed {
-            ingress.poison.note_success(mark);
+            ingress.poison.note_success(hash);
             return self.finish_request(number, true);
         }
-        let first = self.requests[number].failed_at;
-        if let Some(first) = first {
-            ingress.poison.note_withdrawn(mark, &(first as u32));
+        let first_failed = self.requests[number].failed_at;
+        if let Some(first_failed) = first_failed {
+            ingress.poison.note_withdrawn(hash, &(first_failed as u32));
         }
-        let counts = self.requests[number].counts;
-        let taken_back = ingress.poison.note_failure(mark, index as u32, counts, self.now);
-        let hopeless =
-            self.rule.prefer().is_some() && ingress.poison.forbids_repeat(mark, self.now);
+        let failure_counts = self.requests[number].failure_counts;
+        let withdrawn = ingress.poison.note_failure(hash, index as u32, failure_counts, self.now);
+        let retry_forbidden =
+            self.rule.prefer().is_some() && ingress.poison.forbids_repeat(hash, self.now);
         let route = self.requests[number].route;
-        for failures in taken_back {
+        for failures in withdrawn {
             for _ in 0..failures.count {
                 self.withdraw(failures.upstream as usize, route);
             }
         }
-        if let Some(first) = first {
-            self.withdraw(first, route);
+        if let Some(first_failed) = first_failed {
+            self.withdraw(first_failed, route);
             return self.finish_request(number, false);
         }
         let request = &mut self.requests[number];
-        let in_time = self.now.saturating_sub(request.begun) < scenario::REQUEST_TIMEOUT;
+        let before_timeout = self.now.saturating_sub(request.begun) < scenario::REQUEST_TIMEOUT;
         let budget = &mut self.ingresses[request.ingress].budget;
-        if request.repeatable && in_time && !hopeless && budget.take(self.now) {
+        if request.repeatable && before_timeout && !retry_forbidden && budget.take(self.now) {
             request.failed_at = Some(index);
             request.excluded.push(index);
             return self.dispatch(number);
@@ -217,8 +217,8 @@
 
     fn finish_request(&mut self, number: usize, good: bool) {
         let begun = self.requests[number].begun;
-        self.requests[number].over = true;
-        for sent in std::mem::take(&mut self.requests[number].late) {
+        self.requests[number].finished = true;
+        for sent in std::mem::take(&mut self.requests[number].slow_attempts) {
             self.cancel_from_ingress(sent);
         }
         let in_fault = self.plan.in_fault(begun);
--- a/crates/bench/src/decisions/measure.rs
+++ b/crates/bench/src/decisions/measure.rs
@@ -1,58 +1,61 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What came of a run.
+//! Measurements of a run.
 
 use std::time::Duration;
 
 use crate::decisions::world::{World, SICK};
 
-/// Quiet time, in mean times between an upstream's requests, after which the work has stopped.
+/// Time without requests after which an upstream counts as cut off, as a multiple of the mean time
+/// between its requests.
 const QUIET_GAPS: u32 = 25;
-/// Least quiet time.
+/// Least time without requests after which an upstream counts as cut off.
 const QUIET_MIN: Duration = Duration::from_millis(1000);
 
-/// `RunResult` is what came of one run.
+/// `RunResult` is the measurements of one run.
 #[derive(Debug, Clone, Default)]
 pub struct RunResult {
-    /// Time for which the sick upstream received work, if it stopped.
+    /// Time for which the sick upstream received requests, if it stopped receiving them.
     pub detection: Option<Duration>,
     /// Requests that the sick upstream received in that time.
     pub received: u64,
-    /// Ejections of upstreams that were not sick; one ingress of several counts as its part.
+    /// Ejections of upstreams that were not sick; an ejection by one of several ingresses counts as
+    /// a fraction.
     pub false_ejections: f64,
-    /// Upstream-hours that the false ejections are counted over.
+    /// Upstream-hours of the run, by which the false ejections are divided.
     pub upstream_hours: f64,
     /// Requests of callers.
     pub requests: u64,
     /// Requests that failed for the caller while the fault lasted.
     pub failed: u64,
-    /// Answers that were slow for the caller while the fault lasted.
+    /// Successful responses that were slow for the caller while the fault lasted.
     pub slow: u64,
-    /// Least slots in service in any ingress's view while something was avoided, as a share of the
-    /// floor's.
+    /// Least slots in service in the view of any ingress while it avoided an upstream, as a ratio
+    /// to the slots of the floor.
     pub lowest_over_floor: f64,
-    /// Whether the floor was broken by ejection.
+    /// Whether ejections brought the service below its floor.
     pub floor_broken: bool,
-    /// Time from the end of the fault until the upstream was back, if it was out.
+    /// Time from the end of the fault until the upstream returned, if it was ejected then.
     pub returned: Option<Duration>,
 }
 
 impl World {
-    /// Notes when a plain rule has the upstream back at every ingress after the fault.
+    /// Records when, after the fault, the sick upstream is no longer ejected at any ingress under a
+    /// plain rule.
     pub(super) fn note_plain_return(&mut self) {
         if !self.plan.one_is_sick || self.now < self.plan.fault_end() {
             return;
         }
         let now = self.now;
-        let out = self.ingresses.iter().any(|ingress| ingress.rule.is_ejected(SICK, now));
-        self.out_after_fault |= out;
-        if self.out_after_fault && !out {
+        let ejected = self.ingresses.iter().any(|ingress| ingress.rule.is_ejected(SICK, now));
+        self.ejected_after_fault |= ejected;
+        if self.ejected_after_fault && !ejected {
             self.returned_at.get_or_insert(now);
         }
     }
 
-    /// Looks at the floor after each decision.
+    /// Records the slots in service against the floor, after each decision.
     pub(super) fn note_capacity(&mut self, number: usize) {
         let view = &self.ingresses[self.requests[number].ingress].view;
         let plan = view.plan();
@@ -65,10 +68,10 @@
         self.result.floor_broken |= view.violations() > 0;
     }
 
-    pub(super) fn note_ejection(&mut self, index: usize, part: f64) {
+    pub(super) fn note_ejection(&mut self, index: usize, fraction: f64) {
         let sick = self.plan.one_is_sick && index == SICK && self.now >= self.plan.fault_begin();
         if !sick {
-            self.result.false_ejections += part;
+            self.result.false_ejections += fraction;
         }
     }
 
@@ -89,7 +92,8 @@
         self.result
     }
 
-    /// Finds when work to the sick upstream stopped: the last request before a quiet time.
+    /// Finds the last request to the sick upstream before the first quiet time: the detection time
+    /// ends there.
     pub(super) fn measure_detection(&mut self) {
         let begin = self.plan.fault_begin();
         let end = self.plan.fault_end();
--- a/crates/bench/src/decisions/mod.rs
+++ b/crates/bench/src/decisions/mod.rs
@@ -1,12 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The decision bench: how soon each rule stops sending work to a sick upstream, and how often it
-//! takes a healthy one out.
+//! The decision bench: how soon each ejection rule stops sending requests to a sick upstream, and
+//! how often it ejects a healthy one.
 //!
-//! It runs the decision code of the daemon (`basaltarch-decide`) beside plain rules in common use,
-//! over scripted upstreams of one service in virtual time, with seeded random numbers. There is no
-//! network, no platform and no process in it, and every run gives the same figures.
+//! It simulates the upstreams of one service in virtual time with seeded random numbers, and runs
+//! the decision code of the daemon (`basaltarch-decide`) and plain rules in common use over them.
+//! No network, platform or process is involved, and every run gives the same figures.
 
 pub mod actors;
 pub mod bounds;
--- a/crates/bench/src/decisions/report.rs
+++ b/crates/bench/src/decisions/report.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Tables of the decision bench.
+//! Report of the decision bench as Markdown tables.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use crate::decisions::scenario::CASES;
 use crate::decisions::suite::{self, RuleSummary, RunKey, SuitePlan};
 
-/// Longest detection time worse than a plain rule's that is not listed, as a factor.
-const WORSE_FACTOR: f64 = 1.1;
+/// Ratio to the detection time of the best plain rule above which a case is listed as slower.
+const SLOWER_FACTOR: f64 = 1.1;
 
 const DETECTION_TITLE: &str = "Detection time, median (requests received; 99 in 100; share of \
                                runs in which the work stopped)";
@@ -22,12 +22,12 @@
 const RETURN_TITLE: &str = "Median time from the end of the fault to the return, where it was out \
                             then";
 
-/// `CaseRow` sums up one case at one load over deployments, severities and seeds.
+/// `CaseRow` aggregates one case at one load over deployments, severities and seeds.
 #[derive(Debug, Clone)]
 pub struct CaseRow {
-    /// Position of the case.
+    /// Index of the case in [`CASES`].
     pub case: usize,
-    /// Position of the load.
+    /// Index of the load in [`SuitePlan::loads`].
     pub load: usize,
     /// Summary of each rule, in the order of [`RULES`].
     pub rules: Vec<(RuleKind, RuleSummary)>,
@@ -35,17 +35,17 @@
 
 impl CaseRow {
     /// Returns the summary of a rule.
-    pub fn of(&self, rule: RuleKind) -> Option<&RuleSummary> {
+    pub fn summary_of(&self, rule: RuleKind) -> Option<&RuleSummary> {
         self.rules.iter().find(|(kind, _)| *kind == rule).map(|(_, summary)| summary)
     }
 
     /// Returns the shortest median detection time of the plain rules.
     pub fn best_plain(&self) -> Option<Duration> {
-        PLAIN_RULES.iter().filter_map(|rule| self.of(*rule)?.detection_median).min()
+        PLAIN_RULES.iter().filter_map(|rule| self.summary_of(*rule)?.detection_median).min()
     }
 }
 
-/// Sums results up by case and load.
+/// Aggregates results by case and load.
 pub fn rows(plan: &SuitePlan, results: &[(RunKey, RunResult)]) -> Vec<CaseRow> {
     let mut rows = Vec::new();
     for &case in &plan.cases {
@@ -63,7 +63,7 @@
     rows
 }
 
-/// Sums up the results of a rule that `wanted` selects.
+/// Aggregates the results of a rule whose keys `wanted` accepts.
 pub fn select(
     results: &[(RunKey, RunResult)],
     rule: RuleKind,
@@ -89,20 +89,20 @@
     let mut text = String::new();
     let sick: Vec<CaseRow> =
         rows.iter().filter(|row| CASES[row.case].one_is_sick).cloned().collect();
-    put_table(&mut text, plan, &sick, DETECTION_TITLE, detection_cell);
-    put_table(&mut text, plan, &rows, "False ejections for each upstream-hour", |summary| {
+    write_table(&mut text, plan, &sick, DETECTION_TITLE, detection_cell);
+    write_table(&mut text, plan, &rows, "False ejections for each upstream-hour", |summary| {
         format!("{:.3}", summary.false_ejections_hour)
     });
-    put_table(&mut text, plan, &rows, CALLERS_TITLE, callers_cell);
-    put_table(&mut text, plan, &rows, CAPACITY_TITLE, capacity_cell);
-    put_table(&mut text, plan, &sick, RETURN_TITLE, |summary| millis(summary.returned_median));
-    put_rules(&mut text, results);
-    put_worse(&mut text, plan, &rows);
+    write_table(&mut text, plan, &rows, CALLERS_TITLE, callers_cell);
+    write_table(&mut text, plan, &rows, CAPACITY_TITLE, capacity_cell);
+    write_table(&mut text, plan, &sick, RETURN_TITLE, |summary| millis(summary.returned_median));
+    write_rules(&mut text, results);
+    write_slower_cases(&mut text, plan, &rows);
     text
 }
 
-/// Writes a table with a row for each chosen case and load, and a cell for each rule that ejects.
-fn put_table(
+/// Writes a table with a line for each of `rows` and a column for each rule that ejects.
+fn write_table(
     text: &mut String,
     plan: &SuitePlan,
     rows: &[CaseRow],
@@ -117,7 +117,7 @@
     for row in rows {
         let _ = write!(text, "| {} | {} |", CASES[row.case].name, plan.loads[row.load].name);
         for rule in RULES.iter().skip(1) {
-            let cell = row.of(*rule).map_or("-".to_owned(), &cell);
+            let cell = row.summary_of(*rule).map_or("-".to_owned(), &cell);
             let _ = write!(text, " {cell} |");
         }
         text.push('\n');
@@ -139,7 +139,7 @@
     format!("{:.2}%, {:.2}%", 100.0 * summary.failed_share, 100.0 * summary.slow_share)
 }
 
-/// Writes the least slots in service over the floor's, or a dash where nothing was avoided.
+/// Formats the least slots in service as a ratio to the floor, or a dash where nothing was avoided.
 fn capacity_cell(summary: &RuleSummary) -> String {
     if summary.lowest_over_floor.is_finite() {
         format!("{:.2}", summary.lowest_over_floor)
@@ -148,7 +148,7 @@
     }
 }
 
-fn put_rules(text: &mut String, results: &[(RunKey, RunResult)]) {
+fn write_rules(text: &mut String, results: &[(RunKey, RunResult)]) {
     text.push_str("Over all cases\n\n| rule | detection median | received | stopped | false ejections an upstream-hour | failed answers | slow answers | lowest over floor | floor broken | return median |\n|---|---|---|---|---|---|---|---|---|---|\n");
     for rule in RULES {
         let sick = select(results, rule, |key| CASES[key.case].one_is_sick);
@@ -173,24 +173,28 @@
     }
 }
 
-/// Returns the rows in which a rule of the daemon's is slower than a plain rule by over a tenth.
-pub fn worse(rows: &[CaseRow], rule: RuleKind) -> Vec<(usize, usize, Duration, Option<Duration>)> {
+/// Returns the rows in which a rule of the daemon is slower than the best plain rule by over a
+/// tenth: case, load, the time of the plain rule and that of the daemon.
+pub fn slower_cases(
+    rows: &[CaseRow],
+    rule: RuleKind,
+) -> Vec<(usize, usize, Duration, Option<Duration>)> {
     rows.iter()
         .filter(|row| CASES[row.case].one_is_sick)
         .filter_map(|row| {
             let best = row.best_plain()?;
-            let own = row.of(rule)?.detection_median;
+            let own = row.summary_of(rule)?.detection_median;
             let slower =
-                own.is_none_or(|own| own.as_secs_f64() > best.as_secs_f64() * WORSE_FACTOR);
+                own.is_none_or(|own| own.as_secs_f64() > best.as_secs_f64() * SLOWER_FACTOR);
             slower.then_some((row.case, row.load, best, own))
         })
         .collect()
 }
 
-fn put_worse(text: &mut String, plan: &SuitePlan, rows: &[CaseRow]) {
+fn write_slower_cases(text: &mut String, plan: &SuitePlan, rows: &[CaseRow]) {
     text.push_str("\nCases in which a rule of the daemon's is slower than the best plain rule by more than a tenth\n\n");
     for rule in [RuleKind::Detection, RuleKind::Precision] {
-        for (case, load, best, own) in worse(rows, rule) {
+        for (case, load, best, own) in slower_cases(rows, rule) {
             let _ = writeln!(
                 text,
                 "- {}: {}, {}: {} against {}",
--- a/crates/bench/src/decisions/rules.rs
+++ b/crates/bench/src/decisions/rules.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The rules that are compared: plain ones in common use, and the daemon's own.
+//! The ejection rules that are compared: plain ones in common use, and those of the daemon.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 const CONSECUTIVE: f64 = 5.0;
 /// Window of the second plain rule.
 const RATE_WINDOW: Duration = Duration::from_secs(10);
-/// Fewest requests in the window.
+/// Fewest requests in the window for the second plain rule to eject.
 const RATE_VOLUME: usize = 20;
 /// Share of failures in the window from which the second plain rule ejects.
 const RATE_SHARE: f64 = 0.5;
-/// Time between judgements of the third plain rule.
-const OUTLIER_EVERY: Duration = Duration::from_secs(10);
-/// Deviations from the mean beyond which the third plain rule ejects.
+/// Time between evaluations of the third plain rule.
+const OUTLIER_INTERVAL: Duration = Duration::from_secs(10);
+/// Standard deviations above the mean beyond which the third plain rule ejects.
 const OUTLIER_DEVIATIONS: f64 = 1.9;
-/// Fewest requests of an upstream between two judgements.
+/// Fewest requests of an upstream between two evaluations for it to be compared.
 const OUTLIER_VOLUME: u32 = 10;
-/// Fewest upstreams with that many requests.
+/// Fewest upstreams with that many requests for an evaluation.
 const OUTLIER_UPSTREAMS: usize = 3;
-/// Bad answers of the health endpoint in a row after which the fourth plain rule ejects.
+/// Failed probes of the health endpoint in a row after which the fourth plain rule ejects.
 const PROBES_BAD: f64 = 3.0;
 /// Time between two probes of an upstream by one ingress.
-pub const PROBE_EVERY: Duration = Duration::from_secs(5);
-/// Time of the first ejection by a plain rule; the n-th takes n times as long.
+pub const PROBE_INTERVAL: Duration = Duration::from_secs(5);
+/// Length of the first ejection by a plain rule; the n-th lasts n times as long.
 const EJECTION_TIME: Duration = Duration::from_secs(30);
-/// Bounds of the share of upstreams that a plain rule may eject.
-const CAP_MIN: f64 = 0.1;
-const CAP_MAX: f64 = 0.5;
+/// Bounds of the share of upstreams that a plain rule may keep ejected at a time.
+const EJECTION_CAP_MIN: f64 = 0.1;
+const EJECTION_CAP_MAX: f64 = 0.5;
 
-/// `RuleKind` names a rule.
+/// `RuleKind` is an ejection rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RuleKind {
     /// Nothing is ejected.
@@ -44,13 +44,14 @@
     Consecutive,
     /// Half of the requests of the last 10 s failed.
     Rate,
-    /// Success rate or latency 1.9 deviations from the mean, every 10 s.
+    /// Failure rate or mean latency over 1.9 standard deviations above the mean, every 10 s.
     Outlier,
-    /// Three bad answers of the health endpoint in a row; balances by the load that is claimed.
+    /// Three failed probes of the health endpoint in a row; balances by the load that the load
+    /// endpoint reports.
     Probes,
-    /// The daemon's, with `prefer: detection`.
+    /// The rule of the daemon, with `prefer: detection`.
     Detection,
-    /// The daemon's, with `prefer: precision`.
+    /// The rule of the daemon, with `prefer: precision`.
     Precision,
 }
 
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Returns the parameter of the rule by which it is made stricter or laxer.
-    pub fn usual_strictness(self) -> f64 {
+    /// Returns the default threshold of the rule; a lower one ejects more.
+    pub fn default_threshold(self) -> f64 {
         match self {
             Self::Nothing => 0.0,
             Self::Consecutive => CONSECUTIVE,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Returns the daemon's setting, for the daemon's rules.
+    /// Returns the value of the setting `prefer`, for the rules of the daemon.
     pub fn prefer(self) -> Option<PreferChoice> {
         match self {
             Self::Detection => Some(PreferChoice::Detection),
@@ -108,7 +109,7 @@
 
 #[derive(Debug, Clone, Default)]
 struct PlainUpstream {
-    row: u32,
+    failures_in_row: u32,
     bad_probes: u32,
     window: VecDeque<(Duration, bool)>,
     answered: u32,
@@ -118,26 +119,27 @@
     ejections: u32,
 }
 
-/// `PlainRule` is a plain rule at one ingress, which sees the requests that it sent itself.
+/// `PlainRule` is the state of a plain rule at one ingress, which sees only its own requests.
 #[derive(Debug, Clone)]
 pub struct PlainRule {
     kind: RuleKind,
-    strictness: f64,
+    threshold: f64,
     upstreams: Vec<PlainUpstream>,
-    cap: usize,
-    judged_at: Duration,
+    max_ejected: usize,
+    evaluated_at: Duration,
 }
 
 impl PlainRule {
-    /// Builds a rule; it ejects no more than the floor leaves, within 10 to 50%.
-    pub fn new(kind: RuleKind, strictness: f64, upstreams: usize, floor: f64) -> Self {
-        let share = (1.0 - floor).clamp(CAP_MIN, CAP_MAX);
+    /// Builds a rule that ejects at most the share of upstreams above the floor, clamped to 10 to
+    /// 50%.
+    pub fn new(kind: RuleKind, threshold: f64, upstreams: usize, floor: f64) -> Self {
+        let share = (1.0 - floor).clamp(EJECTION_CAP_MIN, EJECTION_CAP_MAX);
         Self {
             kind,
-            strictness,
+            threshold,
             upstreams: vec![PlainUpstream::default(); upstreams],
-            cap: ((upstreams as f64 * share) as usize).max(1),
-            judged_at: Duration::ZERO,
+            max_ejected: ((upstreams as f64 * share) as usize).max(1),
+            evaluated_at: Duration::ZERO,
         }
     }
 
@@ -146,7 +148,7 @@
         self.upstreams[index].ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Takes the result of a request in; returns the upstreams that are ejected for it.
+    /// Records the result of a request; returns the upstreams that are ejected by it.
     pub fn note(
         &mut self,
         index: usize,
@@ -155,17 +157,17 @@
         now: Duration,
     ) -> Vec<usize> {
         let upstream = &mut self.upstreams[index];
-        upstream.row = if failed { upstream.row + 1 } else { 0 };
+        upstream.failures_in_row = if failed { upstream.failures_in_row + 1 } else { 0 };
         upstream.answered += 1;
         upstream.failed += u32::from(failed);
         upstream.time_sum += latency.as_secs_f64();
         let chosen = match self.kind {
-            RuleKind::Consecutive if f64::from(upstream.row) >= self.strictness => {
-                upstream.row = 0;
+            RuleKind::Consecutive if f64::from(upstream.failures_in_row) >= self.threshold => {
+                upstream.failures_in_row = 0;
                 vec![index]
             }
             RuleKind::Rate => {
-                let over = upstream.is_over_rate(failed, self.strictness, now);
+                let over = upstream.is_over_rate(failed, self.threshold, now);
                 if over {
                     vec![index]
                 } else {
@@ -178,16 +180,16 @@
         chosen.into_iter().filter(|index| self.eject(*index, now)).collect()
     }
 
-    /// Takes an answer of an upstream's health endpoint in; says whether it is ejected for it.
+    /// Records a probe of the health endpoint of an upstream; says whether it ejects the upstream.
     pub fn note_probe(&mut self, index: usize, good: bool, now: Duration) -> bool {
         let upstream = &mut self.upstreams[index];
         upstream.bad_probes = if good { 0 } else { upstream.bad_probes + 1 };
-        f64::from(upstream.bad_probes) >= self.strictness && self.eject(index, now)
+        f64::from(upstream.bad_probes) >= self.threshold && self.eject(index, now)
     }
 
     fn eject(&mut self, index: usize, now: Duration) -> bool {
         let count = (0..self.upstreams.len()).filter(|each| self.is_ejected(*each, now)).count();
-        if count >= self.cap || self.is_ejected(index, now) {
+        if count >= self.max_ejected || self.is_ejected(index, now) {
             return false;
         }
         let upstream = &mut self.upstreams[index];
@@ -197,12 +199,12 @@
         true
     }
 
-    /// Judges all upstreams by their distance from the mean, every ten seconds.
+    /// Returns the upstreams that lie too far above the mean, every ten seconds.
     fn outliers(&mut self, now: Duration) -> Vec<usize> {
-        if now.saturating_sub(self.judged_at) < OUTLIER_EVERY {
+        if now.saturating_sub(self.evaluated_at) < OUTLIER_INTERVAL {
             return Vec::new();
         }
-        self.judged_at = now;
+        self.evaluated_at = now;
         let counted: Vec<usize> = (0..self.upstreams.len())
             .filter(|index| self.upstreams[*index].answered >= OUTLIER_VOLUME)
             .collect();
@@ -212,8 +214,8 @@
                 f64::from(upstream.failed) / f64::from(upstream.answered)
             };
             let times = |upstream: &PlainUpstream| upstream.time_sum / f64::from(upstream.answered);
-            chosen = self.beyond(&counted, failures);
-            chosen.extend(self.beyond(&counted, times));
+            chosen = self.outliers_by(&counted, failures);
+            chosen.extend(self.outliers_by(&counted, times));
         }
         for upstream in &mut self.upstreams {
             upstream.answered = 0;
@@ -223,13 +225,13 @@
         chosen
     }
 
-    fn beyond(&self, counted: &[usize], value: impl Fn(&PlainUpstream) -> f64) -> Vec<usize> {
+    fn outliers_by(&self, counted: &[usize], value: impl Fn(&PlainUpstream) -> f64) -> Vec<usize> {
         let values: Vec<f64> = counted.iter().map(|index| value(&self.upstreams[*index])).collect();
         let mean = values.iter().sum::<f64>() / values.len() as f64;
         let square = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
-        let bound = mean + self.strictness * (square / values.len() as f64).sqrt();
-        let far = counted.iter().zip(&values).filter(|(_, value)| **value > bound);
-        far.map(|(index, _)| *index).collect()
+        let bound = mean + self.threshold * (square / values.len() as f64).sqrt();
+        let outlying = counted.iter().zip(&values).filter(|(_, value)| **value > bound);
+        outlying.map(|(index, _)| *index).collect()
     }
 }
 
--- a/crates/bench/src/decisions/scenario.rs
+++ b/crates/bench/src/decisions/scenario.rs
@@ -5,22 +5,22 @@
 
 use std::time::Duration;
 
-/// `Deployment` is a service at the brief's size.
+/// `Deployment` is a service of the size that the requirements state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Deployment {
     /// Name of the service.
     pub name: &'static str,
     /// Number of upstreams.
     pub upstreams: usize,
-    /// Slots of each.
+    /// Slots of each upstream.
     pub slots: u32,
-    /// Failure domains that they are spread over.
+    /// Failure domains that the upstreams are spread over.
     pub domains: usize,
-    /// Floor of the service.
+    /// Floor of the service: the share of its slots that ejections must leave in service.
     pub floor: f64,
 }
 
-/// The services of the brief.
+/// The services of the requirements.
 pub const DEPLOYMENTS: [Deployment; 4] = [
     Deployment { name: "solver-app", upstreams: 15, slots: 4, domains: 3, floor: 0.7 },
     Deployment { name: "contest-desk", upstreams: 6, slots: 4, domains: 3, floor: 0.6 },
@@ -28,12 +28,12 @@
     Deployment { name: "billing-core", upstreams: 8, slots: 3, domains: 4, floor: 0.75 },
 ];
 
-/// `LoadLevel` is a share of the slots in use.
+/// `LoadLevel` is a mean utilisation of the slots.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadLevel {
     /// Name of the load.
     pub name: &'static str,
-    /// Share of all slots that work takes in the mean.
+    /// Mean share of all slots that are in use.
     pub share: f64,
 }
 
@@ -44,61 +44,62 @@
     LoadLevel { name: "morning", share: 0.6 },
 ];
 
-/// `FaultScript` is what happens to upstreams while the fault lasts.
+/// `FaultScript` is the behaviour that is injected into upstreams while the fault lasts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FaultScript {
     /// Nothing.
     Healthy,
-    /// This share of requests fails after the usual time.
+    /// This share of requests fails after an ordinary service time.
     Errors(f64),
     /// This share of the requests of one route in four fails.
     RouteErrors(f64),
-    /// This share of requests fails at once.
+    /// This share of requests fails in a fiftieth of the ordinary service time.
     QuickErrors(f64),
-    /// This share of answers is cut short.
+    /// This share of responses is truncated.
     Truncated(f64),
     /// All requests take this many times as long.
     Slow(f64),
     /// This share of requests takes ten times as long.
     Tail(f64),
-    /// This share of requests is never answered.
+    /// This share of requests never gets a response.
     Stuck(f64),
-    /// Half of the requests fail in every other one of these many milliseconds.
+    /// Half of the requests fail in every other period of this many milliseconds.
     Flapping(u64),
-    /// Only one upstream starts cold: slower by this factor at first, well after 10 s.
+    /// Only one upstream starts cold: slower by this factor at first, and at full speed after 10 s.
     ColdStart(f64),
-    /// Only one upstream starts cold, and never answers this share of requests.
+    /// Only one upstream starts cold, and never responds to this share of requests.
     ColdStuck(f64),
     /// All upstreams take this many times as long.
     AllSlow(f64),
     /// This share of requests fails on all upstreams.
     AllErrors(f64),
-    /// This share of requests fails wherever it goes.
+    /// This share of requests is poison: they fail at whichever upstream runs them.
     Poison(f64),
-    /// Half of the requests fail behind a good health endpoint, while the endpoints of this share of the
-    /// others say that they are sick.
+    /// Half of the requests fail although the health endpoint reports no failure, while the
+    /// endpoints of this share of the healthy upstreams report one.
     LyingHealth(f64),
-    /// Half of the requests fail, and the load endpoint hides this share of the load.
+    /// Half of the requests fail, and the load endpoint leaves out this share of the load.
     LyingLoad(f64),
-    /// Half of the requests fail; there is one request in ten seconds for each upstream.
+    /// This share of requests fails, and each upstream gets one request in ten seconds.
     LowTraffic(f64),
     /// All requests take this many times as long, where a fifth of the requests are of a route
     /// that takes twenty times as long as the others.
     MixedSlow(f64),
-    /// As before, but nothing is sick.
+    /// The routes of [`Self::MixedSlow`], but no upstream is sick.
     MixedHealthy(f64),
-    /// Nothing is sick; service times have a heavy tail of this weight and load comes in bursts.
+    /// No upstream is sick; this share of service times is in the heavy tail, and load comes in
+    /// bursts.
     Bursts(f64),
 }
 
-/// `FaultCase` is a kind of fault at five severities.
+/// `FaultCase` is one kind of fault, at five severities.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultCase {
     /// Name of the case.
     pub name: &'static str,
-    /// Makes the script of a severity from 0 to 4.
+    /// Returns the script of a severity from 0 to 4.
     pub script: fn(usize) -> FaultScript,
-    /// Whether one upstream is sick, rather than none or all.
+    /// Whether exactly one upstream is sick, rather than none or all.
     pub one_is_sick: bool,
 }
 
@@ -193,45 +194,45 @@
     },
 ];
 
-/// Time before the fault, in which the rules learn what is usual.
+/// Time before the fault, in which the rules learn typical latencies and failure rates.
 pub const WARM_UP: Duration = Duration::from_secs(15);
 /// Time that the fault lasts.
 pub const FAULT_TIME: Duration = Duration::from_secs(45);
-/// Time after the fault, in which an upstream may come back.
+/// Time after the fault, in which an ejected upstream may return.
 pub const AFTER_TIME: Duration = Duration::from_secs(60);
-/// Factor on all times of the low-traffic case, so that enough requests come.
+/// Factor on all times of the low-traffic case, so that enough requests arrive.
 pub const LOW_TRAFFIC_STRETCH: u32 = 40;
 /// Time between requests to one upstream in the low-traffic case.
 pub const LOW_TRAFFIC_GAP: Duration = Duration::from_secs(10);
 
 /// Median service time of an ordinary request.
 pub const SERVICE_MEDIAN: Duration = Duration::from_millis(40);
-/// Spread of the logarithm of service times.
+/// Standard deviation of the logarithm of service times.
 pub const SERVICE_SPREAD: f64 = 0.5;
-/// Share of requests of a healthy upstream that fail by themselves.
+/// Share of requests that fail at a healthy upstream.
 pub const USUAL_FAILURES: f64 = 0.001;
-/// Share of requests of a healthy upstream that take ten times as long by themselves.
+/// Share of requests that take ten times as long at a healthy upstream.
 pub const USUAL_STRAGGLERS: f64 = 0.002;
-/// Factor on the time of a straggler.
+/// Factor on the service time of a straggler.
 pub const STRAGGLER_FACTOR: f64 = 10.0;
-/// Factor on the time of the slow route of the mixed cases.
+/// Factor on the service time of the slow route of the mixed cases.
 pub const MIXED_FACTOR: f64 = 20.0;
-/// Share of requests of the slow route of the mixed cases.
+/// Share of requests that take the slow route in the mixed cases.
 pub const MIXED_SHARE: f64 = 0.2;
-/// Share of requests that may be repeated.
+/// Share of requests that are safe to retry.
 pub const REPEATABLE_SHARE: f64 = 0.7;
 /// Longest time for a request.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// One way between failure domains, and within one (the brief's delays).
+/// One-way network delay between failure domains, as the requirements state it.
 pub const REMOTE_DELAY: Duration = Duration::from_micros(1500);
-/// One way within a failure domain.
+/// One-way network delay within a failure domain, as the requirements state it.
 pub const LOCAL_DELAY: Duration = Duration::from_micros(200);
 /// Ingresses that requests come through.
 pub const INGRESSES: usize = 4;
-/// Requests that may wait before each upstream.
+/// Requests that may queue at each upstream.
 pub const QUEUE: usize = 16;
 
-/// `ScenarioPlan` is one run.
+/// `ScenarioPlan` is the deployment, load and fault of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct ScenarioPlan {
     /// The service.
@@ -240,7 +241,7 @@
     pub load: LoadLevel,
     /// The fault.
     pub script: FaultScript,
-    /// Whether one upstream is sick.
+    /// Whether exactly one upstream is sick.
     pub one_is_sick: bool,
     /// Seed of the random numbers.
     pub seed: u64,
@@ -256,7 +257,8 @@
 
     /// Returns when the fault begins.
     pub fn fault_begin(&self) -> Duration {
-        // The plain rules judge on a clock; the fault must not keep step with it.
+        // Plain rules evaluate at fixed intervals; the offset keeps the begin of the fault from
+        // coinciding with them.
         let offset = Duration::from_millis(self.seed.wrapping_mul(7919) % 10_000);
         (WARM_UP + offset) * self.stretch()
     }
@@ -266,7 +268,7 @@
         self.fault_begin() + FAULT_TIME * self.stretch()
     }
 
-    /// Says whether the fault lasts at this time.
+    /// Says whether the fault is active at this time.
     pub fn in_fault(&self, now: Duration) -> bool {
         (self.fault_begin()..self.fault_end()).contains(&now)
     }
@@ -276,7 +278,7 @@
         self.fault_end() + AFTER_TIME * self.stretch()
     }
 
-    /// Returns whether requests of two very different routes come.
+    /// Says whether the load mixes a slow route with fast ones.
     pub fn is_mixed(&self) -> bool {
         matches!(self.script, FaultScript::MixedSlow(_) | FaultScript::MixedHealthy(_))
     }
--- a/crates/bench/src/decisions/suite.rs
+++ b/crates/bench/src/decisions/suite.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Runs many scenarios over all processors and gathers their results.
+//! Runs the scenarios of a suite on all processors and collects their results.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -16,16 +16,16 @@
 /// Severities of each case.
 pub const SEVERITIES: usize = 5;
 
-/// `RunKey` names a run.
+/// `RunKey` identifies a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunKey {
-    /// Position of the case.
+    /// Index of the case in [`CASES`].
     pub case: usize,
     /// Severity from 0 to 4.
     pub severity: usize,
-    /// Position of the load.
+    /// Index of the load in [`SuitePlan::loads`].
     pub load: usize,
-    /// Position of the deployment.
+    /// Index of the deployment in [`SuitePlan::deployments`].
     pub deployment: usize,
     /// The rule.
     pub rule: RuleKind,
@@ -33,10 +33,10 @@
     pub seed: u64,
 }
 
-/// `SuitePlan` says which runs to make.
+/// `SuitePlan` is the set of runs of a suite: all combinations of its lists.
 #[derive(Debug, Clone)]
 pub struct SuitePlan {
-    /// Cases by position.
+    /// Indices of the cases in [`CASES`].
     pub cases: Vec<usize>,
     /// Severities.
     pub severities: Vec<usize>,
@@ -48,8 +48,8 @@
     pub rules: Vec<RuleKind>,
     /// Seeds.
     pub seeds: Vec<u64>,
-    /// Parameter of the rules in place of the usual one.
-    pub strictness: Option<f64>,
+    /// Threshold of the rules in place of [`RuleKind::default_threshold`].
+    pub threshold: Option<f64>,
 }
 
 impl SuitePlan {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Runs a suite; the results stand in the order of their keys, whatever the number of threads.
+/// Runs a suite; the results are sorted by key, whatever the number of threads.
 pub fn run(plan: &SuitePlan) -> Vec<(RunKey, RunResult)> {
     let keys = plan.keys();
     let next = AtomicUsize::new(0);
@@ -107,38 +107,39 @@
         one_is_sick: case.one_is_sick,
         seed: key.seed,
     };
-    let strictness = plan.strictness.unwrap_or(key.rule.usual_strictness());
-    World::new(scenario, key.rule, strictness).run()
+    let threshold = plan.threshold.unwrap_or(key.rule.default_threshold());
+    World::new(scenario, key.rule, threshold).run()
 }
 
-/// `RuleSummary` sums up the runs of one rule.
+/// `RuleSummary` aggregates the runs of one rule.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RuleSummary {
-    /// Runs with a sick upstream.
+    /// Number of runs.
     pub runs: usize,
-    /// Runs in which work to the sick upstream stopped.
+    /// Runs in which the sick upstream stopped receiving requests.
     pub stopped: usize,
-    /// Median of the detection times; runs that never stopped count as the longest.
+    /// Median of the detection times; a run without detection counts as longer than all others.
     pub detection_median: Option<Duration>,
-    /// Detection time that 99 in 100 runs stay below.
+    /// 99th percentile of the detection times: 99 in 100 runs stay below.
     pub detection_p99: Option<Duration>,
     /// Median of the requests that the sick upstream received.
     pub received_median: u64,
     /// False ejections for each upstream-hour.
     pub false_ejections_hour: f64,
-    /// Share of callers' requests in the fault that failed.
+    /// Requests that failed for callers during the fault, as a share of all requests of the runs.
     pub failed_share: f64,
-    /// Share of callers' requests in the fault that were slow.
+    /// Requests that were slow for callers during the fault, as a share of all requests of the
+    /// runs.
     pub slow_share: f64,
-    /// Least slots in service over the floor's.
+    /// Least slots in service, as a ratio to the slots of the floor.
     pub lowest_over_floor: f64,
     /// Runs in which the floor was broken.
     pub floor_broken: usize,
-    /// Median time to return.
+    /// Median time from the end of the fault to the return of the sick upstream.
     pub returned_median: Option<Duration>,
 }
 
-/// Sums results up.
+/// Aggregates results.
 pub fn summarize<'a>(
     results: impl Iterator<Item = &'a RunResult>,
     one_is_sick: bool,
@@ -163,18 +164,18 @@
     let mut times: Vec<Duration> =
         results.iter().map(|result| result.detection.unwrap_or(longest)).collect();
     times.sort();
-    summary.detection_median = at_share(&times, 0.5).filter(|time| *time != longest);
-    summary.detection_p99 = at_share(&times, 0.99).filter(|time| *time != longest);
+    summary.detection_median = quantile(&times, 0.5).filter(|time| *time != longest);
+    summary.detection_p99 = quantile(&times, 0.99).filter(|time| *time != longest);
     let mut received: Vec<u64> = results.iter().map(|result| result.received).collect();
     received.sort();
-    summary.received_median = at_share(&received, 0.5).unwrap_or(0);
+    summary.received_median = quantile(&received, 0.5).unwrap_or(0);
     let mut returned: Vec<Duration> = results.iter().filter_map(|result| result.returned).collect();
     returned.sort();
-    summary.returned_median = at_share(&returned, 0.5);
+    summary.returned_median = quantile(&returned, 0.5);
     summary
 }
 
-fn at_share<T: Copy>(sorted: &[T], share: f64) -> Option<T> {
+fn quantile<T: Copy>(sorted: &[T], share: f64) -> Option<T> {
     let index = ((sorted.len() as f64 * share).ceil() as usize).saturating_sub(1);
     sorted.get(index).copied()
 }
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Scripted upstreams and ingresses in virtual time.
+//! Discrete-event simulation of scripted upstreams and ingresses in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -19,73 +19,75 @@
 
 /// Route of the slow requests of the mixed cases.
 pub(super) const SLOW_ROUTE: usize = 3;
-/// Time between bursts, their length, and the factor on the load in a burst.
-const BURST_EVERY: u64 = 10;
+/// Seconds from the begin of one burst to the next, seconds that a burst lasts, and the factor by
+/// which it raises the load.
+const BURST_PERIOD: u64 = 10;
 const BURST_SECONDS: u64 = 2;
 const BURST_FACTOR: f64 = 2.0;
 
-/// `World` is one run under way.
+/// `World` is the state of one simulated run.
 pub struct World {
     pub(super) plan: ScenarioPlan,
     pub(super) rule: RuleKind,
-    pub(super) strictness: f64,
+    pub(super) threshold: f64,
     pub(super) now: Duration,
     pub(super) sequence: u64,
     pub(super) events: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    pub(super) store: Vec<Event>,
+    pub(super) scheduled: Vec<Event>,
     pub(super) rng: ChaCha8Rng,
-    pub(super) times: LogNormal<f64>,
+    pub(super) service_times: LogNormal<f64>,
     pub(super) requests: Vec<Request>,
     pub(super) jobs: Vec<Job>,
     pub(super) upstreams: Vec<Upstream>,
     pub(super) ingresses: Vec<Ingress>,
     pub(super) result: RunResult,
     pub(super) returned_at: Option<Duration>,
-    pub(super) out_after_fault: bool,
+    pub(super) ejected_after_fault: bool,
 }
 
-/// The upstream that is sick where one is.
+/// Index of the sick upstream, in cases that have one.
 pub(super) const SICK: usize = 1;
 
 impl World {
-    /// Builds the world of a run.
-    pub fn new(plan: ScenarioPlan, rule: RuleKind, strictness: f64) -> Self {
+    /// Builds the initial state of a run.
+    pub fn new(plan: ScenarioPlan, rule: RuleKind, threshold: f64) -> Self {
         let deployment = plan.deployment;
         let prefer = rule.prefer().unwrap_or(PreferChoice::Precision);
         let upstreams = (0..deployment.upstreams)
             .map(|_| Upstream {
-                health: actors::new_health(prefer, strictness, Duration::ZERO, false),
+                health: actors::new_health(prefer, threshold, Duration::ZERO, false),
                 queue: VecDeque::new(),
                 running: Vec::new(),
                 accepted: Vec::new(),
             })
             .collect();
         let ingresses = (0..scenario::INGRESSES)
-            .map(|number| actors::new_ingress(&plan, rule, strictness, number % deployment.domains))
+            .map(|number| actors::new_ingress(&plan, rule, threshold, number % deployment.domains))
             .collect();
         let median = scenario::SERVICE_MEDIAN.as_secs_f64().ln();
-        let times = LogNormal::new(median, scenario::SERVICE_SPREAD);
+        let service_times = LogNormal::new(median, scenario::SERVICE_SPREAD);
         let mut world = Self {
             plan,
             rule,
-            strictness,
+            threshold,
             now: Duration::ZERO,
             sequence: 0,
             events: BinaryHeap::new(),
-            store: Vec::new(),
+            scheduled: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
-            times: times.unwrap_or_else(|_| unreachable!("the spread is a positive constant")),
+            service_times: service_times
+                .unwrap_or_else(|_| unreachable!("the spread is a positive constant")),
             requests: Vec::new(),
             jobs: Vec::new(),
             upstreams,
             ingresses,
             result: RunResult { lowest_over_floor: f64::INFINITY, ..RunResult::default() },
             returned_at: None,
-            out_after_fault: false,
+            ejected_after_fault: false,
         };
         world.schedule(Duration::ZERO, Event::Arrival);
         if rule == RuleKind::Probes {
-            world.schedule(rules::PROBE_EVERY, Event::Probe);
+            world.schedule(rules::PROBE_INTERVAL, Event::Probe);
         }
         if let FaultScript::ColdStart(_) | FaultScript::ColdStuck(_) = plan.script {
             world.schedule(plan.fault_begin(), Event::Replace);
@@ -93,22 +95,22 @@
         world
     }
 
-    /// Runs to the end.
+    /// Processes events in order of time until the run ends.
     pub fn run(mut self) -> RunResult {
         while let Some(Reverse((at, _, index))) = self.events.pop() {
             if at > self.plan.end() {
                 break;
             }
             self.now = at;
-            match self.store[index] {
+            match self.scheduled[index] {
                 Event::Arrival => self.arrive(),
                 Event::Replace => self.replace_sick(),
                 Event::Probe => self.probe(),
-                Event::AtHost { sent, refusable } => self.reach_host(sent, refusable),
-                Event::Impatient { sent } => self.overtake(sent),
+                Event::HostArrival { sent, refusable } => self.reach_host(sent, refusable),
+                Event::HedgeDue { sent } => self.send_hedge(sent),
                 Event::Cancel { sent } => self.cancel(sent),
                 Event::Overdue { job } => self.note_overdue(job),
-                Event::Look { job } => self.look(job),
+                Event::RunningCheck { job } => self.check_job(job),
                 Event::End { job } => self.end_job(job),
                 Event::Reply { sent, answer } => self.reach_ingress(sent, answer),
             }
@@ -118,15 +120,16 @@
 
     pub(super) fn schedule(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
-        self.store.push(event);
-        let key = (self.now + after, self.sequence, self.store.len() - 1);
+        self.scheduled.push(event);
+        let key = (self.now + after, self.sequence, self.scheduled.len() - 1);
         self.events.push(Reverse(key));
     }
 
-    /// Replaces the upstream of the cold-start case; its daemon sees a new backend server.
+    /// Replaces the upstream of the cold-start cases; its daemon begins with the health of a new
+    /// backend server.
     pub(super) fn replace_sick(&mut self) {
         let prefer = self.rule.prefer().unwrap_or(PreferChoice::Precision);
-        self.upstreams[SICK].health = actors::new_health(prefer, self.strictness, self.now, true);
+        self.upstreams[SICK].health = actors::new_health(prefer, self.threshold, self.now, true);
     }
 
     pub(super) fn in_fault(&self) -> bool {
@@ -145,16 +148,16 @@
             route,
             repeatable: self.rng.random_bool(scenario::REPEATABLE_SHARE),
             poison,
-            mark: actors::mark_of(number, poison),
+            hash: actors::hash_of(number, poison),
             begun: self.now,
             sent_at: self.now,
             dispatches: 0,
             excluded: Vec::new(),
             current: None,
-            late: Vec::new(),
+            slow_attempts: Vec::new(),
             failed_at: None,
-            counts: true,
-            over: false,
+            failure_counts: true,
+            finished: false,
         };
         self.ingresses[request.ingress].budget.note_request(self.now);
         self.requests.push(request);
@@ -175,7 +178,7 @@
 
     pub(super) fn burst_factor(&self) -> f64 {
         let bursts = matches!(self.plan.script, FaultScript::Bursts(_));
-        let in_burst = self.now.as_secs() % BURST_EVERY < BURST_SECONDS;
+        let in_burst = self.now.as_secs() % BURST_PERIOD < BURST_SECONDS;
         if bursts && in_burst {
             BURST_FACTOR
         } else {
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -391,8 +391,8 @@
     if let Some(path) = &flags.chart {
         let curves = chart::sweep();
         for curve in &curves {
-            for (strictness, rate, seconds) in &curve.points {
-                println!("{} at {strictness}: {rate:.3}, {seconds:.2} s", curve.rule.name());
+            for (threshold, rate, seconds) in &curve.points {
+                println!("{} at {threshold}: {rate:.3}, {seconds:.2} s", curve.rule.name());
             }
         }
         return chart::draw(path, &curves);
