--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -1,12 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The decision bench for requests that crash the servers that run them.
+//! The crash bench: decisions about requests that crash the servers that run them.
 //!
-//! A fleet in virtual time: one daemon beside each server, the daemon's own decision
-//! (`basaltarch-decide`), and words between daemons that take their time. Bad requests come among popular
-//! and lone ones, and servers crash for other reasons beside. It tells what callers and servers pay:
-//! innocent requests refused, servers crashed by one bad request, time until the fleet knows.
+//! It simulates a fleet in virtual time, with one daemon beside each server, the decision code of
+//! the daemon (`basaltarch-decide`), and notices between daemons that are delayed and may be lost.
+//! Bad requests, which crash their server, come among popular requests, of which there are many
+//! copies, and lone requests, which come once; servers also crash for other reasons. It measures
+//! innocent requests that are refused, servers that one bad request crashes, and the time until the
+//! fleet knows of it.
 
 pub mod world;
 
@@ -15,55 +17,58 @@
 use crate::crashes::world::CrashWorld;
 use crate::errors::BenchError;
 
-/// Servers that one bad request may crash in the mean of a run: three until it is refused, and as many more
-/// as copies ran when the third was told.
+/// Most servers that one bad request may crash, in the mean of the runs: three until it is refused,
+/// and one for each copy that still runs when the third crash is announced.
 const CRASHED_MAX: f64 = 6.0;
-/// Longest time from the crash that has it refused until all daemons know: callers come back in a second
-/// or two, and each daemon that doesn't know by then costs a server.
-const KNOWN_MAX: Duration = Duration::from_secs(3);
-/// Largest share of requests that come once that may be refused as their copies crashed with others.
+/// Longest time from the crash that causes a bad request to be refused until all daemons know:
+/// callers retry in a second or two, and each daemon that doesn't know by then loses a server.
+const KNOWN_AFTER_MAX: Duration = Duration::from_secs(3);
+/// Largest share of lone requests that may be refused, because their attempts ran on servers that
+/// crashed for another reason.
 const LONE_REFUSED_MAX: f64 = 0.0001;
-/// Sizes of the fleet.
+/// Numbers of daemons of the simulated fleets.
 const DAEMONS: [usize; 3] = [30, 100, 350];
-/// Bad requests at a time.
+/// Numbers of different bad requests at the same time.
 const BAD: [usize; 2] = [1, 10];
 /// Seeds of each run.
 const SEEDS: u64 = 3;
 
-/// `CrashPlan` is one run.
+/// `CrashPlan` is the parameters of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct CrashPlan {
     /// Daemons, with one server each.
     pub daemons: usize,
     /// Different bad requests.
     pub bad: usize,
-    /// Whether daemons tell each other; else each keeps to itself what it saw.
+    /// Whether daemons send each other notices; otherwise each knows only the crashes of its own
+    /// server.
     pub shared: bool,
     /// Seed.
     pub seed: u64,
 }
 
-/// `CrashResult` is what callers and servers paid in one run.
+/// `CrashResult` is the cost to callers and servers in one run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CrashResult {
-    /// Servers that crashed under a bad request, for each of them.
+    /// Servers that crashed for each bad request.
     pub crashed_each: f64,
     /// Popular requests that were refused.
     pub popular_refused: u64,
     /// Popular requests.
     pub popular: u64,
-    /// Requests that come once and were refused.
+    /// Lone requests that were refused.
     pub lone_refused: u64,
-    /// Requests that come once.
+    /// Lone requests.
     pub lone: u64,
-    /// Longest time from the crash that had a bad request refused until every daemon that can be reached
-    /// knew.
+    /// Longest time from the crash that caused a bad request to be refused until every daemon that
+    /// can be reached knew.
     pub known_after: Duration,
-    /// Words between daemons for each crash.
-    pub words_each: f64,
+    /// Notices between daemons for each crash.
+    pub notices_each: f64,
 }
 
-/// Runs a plan with each seed and sums the results up; the times are the longest.
+/// Runs a plan with each seed and aggregates the results: counts are summed, ratios averaged, and
+/// the time is the longest.
 pub fn run(plan: CrashPlan) -> CrashResult {
     let mut sum = CrashResult::default();
     for seed in 1..=SEEDS {
@@ -74,12 +79,12 @@
         sum.lone_refused += result.lone_refused;
         sum.lone += result.lone;
         sum.known_after = sum.known_after.max(result.known_after);
-        sum.words_each += result.words_each / SEEDS as f64;
+        sum.notices_each += result.notices_each / SEEDS as f64;
     }
     sum
 }
 
-/// Returns the runs with daemons that tell each other or don't.
+/// Returns the plans of all fleet sizes, with or without notices between daemons.
 pub fn plans(shared: bool) -> Vec<CrashPlan> {
     let sizes = DAEMONS.iter().flat_map(|daemons| BAD.map(|bad| (*daemons, bad)));
     sizes.map(|(daemons, bad)| CrashPlan { daemons, bad, shared, seed: 0 }).collect()
@@ -101,7 +106,7 @@
             result.lone_refused,
             result.lone,
             result.known_after.as_millis(),
-            result.words_each,
+            result.notices_each,
         );
     }
 }
@@ -113,7 +118,7 @@
         let holds = result.crashed_each <= CRASHED_MAX
             && result.popular_refused == 0
             && lone_refused <= LONE_REFUSED_MAX
-            && result.known_after <= KNOWN_MAX;
+            && result.known_after <= KNOWN_AFTER_MAX;
         if !holds {
             return Err(BenchError::Bound { message: format!("{plan:?}: {result:?}") });
         }
--- a/crates/bench/src/crashes/world.rs
+++ b/crates/bench/src/crashes/world.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The fleet of the crash bench in virtual time.
+//! Discrete-event simulation of the fleet of the crash bench, in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,39 +17,41 @@
 use crate::crashes::{CrashPlan, CrashResult};
 
 /// Length of a run.
-const LENGTH: Duration = Duration::from_secs(40);
-/// Copies of each bad request a second: callers that repeat at once, as seen in the incident.
-const BAD_A_SECOND: f64 = 2.0;
-/// Popular requests a second for each daemon.
-const POPULAR_A_SECOND: f64 = 8.0;
-/// Requests that come once, a second for each daemon.
-const LONE_A_SECOND: f64 = 4.0;
-/// Crashes for other reasons a second in the whole fleet.
-const OTHER_A_SECOND: f64 = 0.5;
-/// When a rack loses power: a tenth of the servers end at the same moment.
+const RUN_TIME: Duration = Duration::from_secs(40);
+/// Copies of each bad request per second, as sent by callers that retry at once after a crash: the
+/// pattern of a real incident.
+const BAD_PER_SECOND: f64 = 2.0;
+/// Popular requests per second for each daemon.
+const POPULAR_PER_SECOND: f64 = 8.0;
+/// Lone requests per second for each daemon.
+const LONE_PER_SECOND: f64 = 4.0;
+/// Crashes per second in the whole fleet that no request causes.
+const OTHER_PER_SECOND: f64 = 0.5;
+/// When a rack loses power, which crashes a tenth of the servers at the same time.
 const RACK_AT: Duration = Duration::from_secs(20);
 /// Time that a good request runs.
-const GOOD_RUN: Duration = Duration::from_millis(200);
+const GOOD_SERVICE_TIME: Duration = Duration::from_millis(200);
 /// Time that a bad request runs before its server crashes.
-const BAD_RUN: Duration = Duration::from_millis(60);
-/// Time until a server that crashed is back.
-const DOWN: Duration = Duration::from_secs(3);
-/// Time of a word on its way between two busy daemons with a tenth of a core, in milliseconds.
-const WORD_MS: [f64; 2] = [2.0, 40.0];
-/// Share of words that are lost, as links break.
-const LOST: f64 = 0.02;
-/// Time between heartbeats of a daemon, and the daemons that each goes to.
-const HEARTBEAT: Duration = Duration::from_secs(4);
+const BAD_SERVICE_TIME: Duration = Duration::from_millis(60);
+/// Time from the crash of a server until it is up again.
+const RESTART_TIME: Duration = Duration::from_secs(3);
+/// Shortest and longest delay of a notice between two busy daemons that have a tenth of a core
+/// each, in milliseconds.
+const NOTICE_DELAY_MS: [f64; 2] = [2.0, 40.0];
+/// Share of notices that are lost, as links break.
+const LOSS_SHARE: f64 = 0.02;
+/// Time between heartbeats of a daemon, and the number of daemons that each heartbeat goes to.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(4);
 const NEIGHBOURS: usize = 4;
-/// Dispatches of one request at the most.
+/// Most dispatches of one request.
 const DISPATCHES_MAX: u32 = 3;
 
-/// `RequestKind` is what a request does to the server that runs it.
+/// `RequestKind` is how often a request comes and whether it crashes the server that runs it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RequestKind {
     Bad(usize),
     Popular,
-    /// Comes once, under a number of its own.
+    /// Comes once, with a number of its own.
     Lone(u64),
 }
 
@@ -60,7 +62,7 @@
     dispatches: u32,
 }
 
-/// `ServerRun` is a run of a request at a server.
+/// `ServerRun` is one execution of a request at a server.
 #[derive(Debug, Clone)]
 struct ServerRun {
     number: u64,
@@ -80,32 +82,32 @@
     OtherCrash,
     RackCrash,
     Heartbeat(usize),
-    Word { from: usize, to: usize, word: usize },
+    Notice { from: usize, to: usize, notice: usize },
     RunEnd { server: usize, number: u64 },
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct RefusedTimes {
+struct RefusalTimes {
     first: Option<Duration>,
     last: Option<Duration>,
 }
 
-/// `CrashWorld` is the fleet.
+/// `CrashWorld` is the state of the simulated fleet.
 pub struct CrashWorld {
     plan: CrashPlan,
     rng: ChaCha8Rng,
     now: Duration,
     events: BinaryHeap<Reverse<(Duration, u64, WorldEvent)>>,
-    numbers: u64,
+    sequence: u64,
     daemons: Vec<SuspectTable>,
     servers: Vec<CrashServer>,
-    /// Words on their way.
-    words: Vec<SuspectWord>,
-    /// Crashes by bad request.
-    crashed: u64,
+    /// Every notice that was sent; events refer to them by index.
+    sent_notices: Vec<SuspectWord>,
+    /// Crashes that bad requests caused.
+    bad_crashes: u64,
     crashes: u64,
-    /// When each bad request was refused first, and when the last daemon knew.
-    refused: Vec<RefusedTimes>,
+    /// For each bad request, when it was first to be refused, and when all daemons knew of it.
+    refused: Vec<RefusalTimes>,
     result: CrashResult,
 }
 
@@ -121,99 +123,99 @@
 }
 
 impl CrashWorld {
-    /// Builds a fleet in which nothing has happened.
+    /// Builds the initial state of a fleet.
     pub fn new(plan: CrashPlan) -> Self {
         let mut world = Self {
             plan,
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
             now: Duration::ZERO,
             events: BinaryHeap::new(),
-            numbers: 0,
+            sequence: 0,
             daemons: vec![SuspectTable::default(); plan.daemons],
             servers: (0..plan.daemons).map(|_| CrashServer::default()).collect(),
-            words: Vec::new(),
-            crashed: 0,
+            sent_notices: Vec::new(),
+            bad_crashes: 0,
             crashes: 0,
-            refused: vec![RefusedTimes::default(); plan.bad],
+            refused: vec![RefusalTimes::default(); plan.bad],
             result: CrashResult::default(),
         };
-        (0..plan.bad).for_each(|number| world.next_arrival(RequestKind::Bad(number)));
-        world.next_arrival(RequestKind::Popular);
-        world.next_arrival(RequestKind::Lone(0));
+        (0..plan.bad).for_each(|number| world.push_arrival(RequestKind::Bad(number)));
+        world.push_arrival(RequestKind::Popular);
+        world.push_arrival(RequestKind::Lone(0));
         world.push(Duration::ZERO, WorldEvent::OtherCrash);
         world.push(RACK_AT, WorldEvent::RackCrash);
         (0..plan.daemons).for_each(|daemon| {
-            let first = HEARTBEAT.mul_f64(world.rng.random());
+            let first = HEARTBEAT_INTERVAL.mul_f64(world.rng.random());
             world.push(first, WorldEvent::Heartbeat(daemon));
         });
         world
     }
 
-    /// Runs to the end.
+    /// Processes events in order of time until the run ends.
     pub fn run(mut self) -> CrashResult {
         while let Some(Reverse((at, _, event))) = self.events.pop() {
-            if at > LENGTH {
+            if at > RUN_TIME {
                 break;
             }
             self.now = at;
-            self.take(event);
+            self.handle_event(event);
         }
         let times = self.refused.iter().filter(|_| self.plan.shared);
         let known = times.filter_map(|times| {
-            let last = times.last.unwrap_or(LENGTH);
+            let last = times.last.unwrap_or(RUN_TIME);
             Some(last.saturating_sub(times.first?))
         });
         self.result.known_after = known.max().unwrap_or_default();
-        self.result.crashed_each = self.crashed as f64 / self.plan.bad as f64;
-        self.result.words_each = self.words.len() as f64 / self.crashes.max(1) as f64;
+        self.result.crashed_each = self.bad_crashes as f64 / self.plan.bad as f64;
+        self.result.notices_each = self.sent_notices.len() as f64 / self.crashes.max(1) as f64;
         self.result
     }
 
     fn push(&mut self, after: Duration, event: WorldEvent) {
-        self.numbers += 1;
-        self.events.push(Reverse((self.now + after, self.numbers, event)));
+        self.sequence += 1;
+        self.events.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    fn after(&mut self, a_second: f64) -> Duration {
+    fn sample_gap(&mut self, per_second: f64) -> Duration {
         let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
-        Duration::from_secs_f64(-uniform.ln() / a_second)
+        Duration::from_secs_f64(-uniform.ln() / per_second)
     }
 
-    fn next_arrival(&mut self, kind: RequestKind) {
+    fn push_arrival(&mut self, kind: RequestKind) {
         let daemons = self.plan.daemons as f64;
         let after = match kind {
-            RequestKind::Bad(_) => self.after(BAD_A_SECOND),
-            RequestKind::Popular => self.after(POPULAR_A_SECOND * daemons),
-            RequestKind::Lone(_) => self.after(LONE_A_SECOND * daemons),
+            RequestKind::Bad(_) => self.sample_gap(BAD_PER_SECOND),
+            RequestKind::Popular => self.sample_gap(POPULAR_PER_SECOND * daemons),
+            RequestKind::Lone(_) => self.sample_gap(LONE_PER_SECOND * daemons),
         };
         self.push(after, WorldEvent::Arrival(kind));
     }
 
-    fn take(&mut self, event: WorldEvent) {
+    fn handle_event(&mut self, event: WorldEvent) {
         match event {
             WorldEvent::Arrival(kind) => {
                 let ingress = self.rng.random_range(0..self.plan.daemons);
-                self.count(kind);
+                self.count_arrival(kind);
                 self.dispatch(SentRequest { kind, ingress, dispatches: 0 });
                 match kind {
-                    RequestKind::Lone(number) => self.next_arrival(RequestKind::Lone(number + 1)),
-                    other => self.next_arrival(other),
+                    RequestKind::Lone(number) => self.push_arrival(RequestKind::Lone(number + 1)),
+                    other => self.push_arrival(other),
                 }
             }
             WorldEvent::OtherCrash => {
                 let server = self.rng.random_range(0..self.plan.daemons);
                 self.crash(server);
-                let after = self.after(OTHER_A_SECOND);
+                let after = self.sample_gap(OTHER_PER_SECOND);
                 self.push(after, WorldEvent::OtherCrash);
             }
             WorldEvent::RackCrash => (0..self.plan.daemons / 10).for_each(|each| self.crash(each)),
-            WorldEvent::Heartbeat(daemon) => self.beat(daemon),
-            WorldEvent::Word { from, to, word } => self.hear(from, to, word),
+            WorldEvent::Heartbeat(daemon) => self.send_heartbeat(daemon),
+            WorldEvent::Notice { from, to, notice } => self.receive_notice(from, to, notice),
             WorldEvent::RunEnd { server, number } => self.end_run(server, number),
         }
     }
 
-    fn count(&mut self, kind: RequestKind) {
+    fn count_arrival(&mut self, kind: RequestKind) {
         match kind {
             RequestKind::Bad(_) => {}
             RequestKind::Popular => self.result.popular += 1,
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Lets the ingress judge a request and send it to a server that is up.
+    /// Lets the ingress of a request refuse it, or sends it to a random server that is up.
     fn dispatch(&mut self, request: SentRequest) {
         let fingerprint = fingerprint(request.kind);
         let table = &mut self.daemons[request.ingress];
@@ -231,26 +233,30 @@
                 return self.refuse(request.kind);
             }
         }
-        let told = table.tally(&fingerprint);
+        let ingress_tally = table.tally(&fingerprint);
         let up = (0..self.plan.daemons).filter(|each| self.servers[*each].up_at <= self.now);
         let up: Vec<usize> = up.collect();
         if up.is_empty() {
             return;
         }
         let server = up[self.rng.random_range(0..up.len())];
-        let known = self.daemons[server].tally(&fingerprint);
-        if self.plan.shared && known.is_refused() && known > told {
+        let server_tally = self.daemons[server].tally(&fingerprint);
+        if self.plan.shared && server_tally.is_refused() && server_tally > ingress_tally {
             return self.refuse(request.kind);
         }
         let dispatches = request.dispatches + 1;
-        let number = self.numbers;
+        let number = self.sequence;
         let run = ServerRun {
             number,
             request: SentRequest { dispatches, ..request },
-            tally: known.max(told),
+            tally: server_tally.max(ingress_tally),
         };
         self.servers[server].runs.push(run);
-        let took = if matches!(request.kind, RequestKind::Bad(_)) { BAD_RUN } else { GOOD_RUN };
+        let took = if matches!(request.kind, RequestKind::Bad(_)) {
+            BAD_SERVICE_TIME
+        } else {
+            GOOD_SERVICE_TIME
+        };
         let took = took.mul_f64(self.rng.random_range(0.5..1.5));
         self.push(took, WorldEvent::RunEnd { server, number });
     }
@@ -270,7 +276,7 @@
             None => return,
         };
         if let RequestKind::Bad(_) = runs[index].request.kind {
-            self.crashed += 1;
+            self.bad_crashes += 1;
             return self.crash(server);
         }
         let run = runs.remove(index);
@@ -278,18 +284,19 @@
         let before = self.daemons[server].tally(&fingerprint);
         if let Some(tally) = self.daemons[server].note_success(&fingerprint, self.now) {
             let upstream = Rc::from("");
-            let word = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-            self.tell(server, &word, word.told_to(before));
+            let notice = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
+            self.notify(server, &notice, notice.told_to(before));
         }
     }
 
-    /// Ends a server with all that runs there; what may be repeated is.
+    /// Crashes a server with all requests that run there; those that may be retried are dispatched
+    /// again.
     fn crash(&mut self, server: usize) {
         if self.servers[server].up_at > self.now {
             return;
         }
         self.crashes += 1;
-        self.servers[server].up_at = self.now + DOWN;
+        self.servers[server].up_at = self.now + RESTART_TIME;
         let runs = mem::take(&mut self.servers[server].runs);
         for run in &runs {
             self.note_crash(server, run);
@@ -313,55 +320,56 @@
             self.refused[number].first.get_or_insert(self.now);
         }
         let upstream = Rc::from("server");
-        let word = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-        self.tell(server, &word, word.told_to(run.tally));
+        let notice = SuspectWord { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
+        self.notify(server, &notice, notice.told_to(run.tally));
         if self.plan.shared {
-            // The ingress hears of it before the end of its attempt.
-            self.note_word(run.request.ingress, &word);
+            // The ingress receives the notice before the failure of its attempt.
+            self.record_notice(run.request.ingress, &notice);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, word: &SuspectWord) {
-        if !self.plan.shared || self.rng.random_bool(LOST) {
+    fn send(&mut self, from: usize, to: usize, notice: &SuspectWord) {
+        if !self.plan.shared || self.rng.random_bool(LOSS_SHARE) {
             return;
         }
-        let after = self.rng.random_range(WORD_MS[0]..WORD_MS[1]);
-        self.words.push(word.clone());
-        let event = WorldEvent::Word { from, to, word: self.words.len() - 1 };
+        let after = self.rng.random_range(NOTICE_DELAY_MS[0]..NOTICE_DELAY_MS[1]);
+        self.sent_notices.push(notice.clone());
+        let event = WorldEvent::Notice { from, to, notice: self.sent_notices.len() - 1 };
         self.push(Duration::from_secs_f64(after / 1000.0), event);
     }
 
-    fn hear(&mut self, from: usize, daemon: usize, word: usize) {
-        let word = self.words[word].clone();
-        if let Some(answer) = self.daemons[daemon].answer(&word, self.now) {
+    fn receive_notice(&mut self, from: usize, daemon: usize, notice: usize) {
+        let notice = self.sent_notices[notice].clone();
+        if let Some(answer) = self.daemons[daemon].answer(&notice, self.now) {
             self.send(daemon, from, &answer);
         }
-        if !self.note_word(daemon, &word) {
+        if !self.record_notice(daemon, &notice) {
             return;
         }
-        self.tell(daemon, &word, word.passed_to());
+        self.notify(daemon, &notice, notice.passed_to());
     }
 
-    fn tell(&mut self, from: usize, word: &SuspectWord, most: usize) {
-        if most >= self.plan.daemons {
+    fn notify(&mut self, from: usize, notice: &SuspectWord, count: usize) {
+        if count >= self.plan.daemons {
             (0..self.plan.daemons)
                 .filter(|to| *to != from)
-                .for_each(|to| self.send(from, to, word));
+                .for_each(|to| self.send(from, to, notice));
             return;
         }
-        for _ in 0..most {
+        for _ in 0..count {
             let to = self.rng.random_range(0..self.plan.daemons);
-            self.send(from, to, word);
+            self.send(from, to, notice);
         }
     }
 
-    /// Takes a word in, and notes when the last daemon knows that a bad request is refused.
-    fn note_word(&mut self, daemon: usize, word: &SuspectWord) -> bool {
-        let is_new = self.daemons[daemon].note_word(word, self.now);
+    /// Records a notice at a daemon, and the time when all daemons know that a bad request is
+    /// refused.
+    fn record_notice(&mut self, daemon: usize, notice: &SuspectWord) -> bool {
+        let is_new = self.daemons[daemon].note_word(notice, self.now);
         let bad = (0..self.plan.bad)
-            .find(|number| fingerprint(RequestKind::Bad(*number)) == word.fingerprint);
-        if let Some(number) = bad.filter(|_| is_new && word.tally.is_refused()) {
-            let mut tallies = self.daemons.iter().map(|table| table.tally(&word.fingerprint));
+            .find(|number| fingerprint(RequestKind::Bad(*number)) == notice.fingerprint);
+        if let Some(number) = bad.filter(|_| is_new && notice.tally.is_refused()) {
+            let mut tallies = self.daemons.iter().map(|table| table.tally(&notice.fingerprint));
             if tallies.all(CrashTally::is_refused) {
                 self.refused[number].last.get_or_insert(self.now);
             }
@@ -369,16 +377,16 @@
         is_new
     }
 
-    fn beat(&mut self, daemon: usize) {
+    fn send_heartbeat(&mut self, daemon: usize) {
         for _ in 0..NEIGHBOURS {
             let to = self.rng.random_range(0..self.plan.daemons);
             if self.daemons[to].digest(self.now) != self.daemons[daemon].digest(self.now) {
                 let (one, other) =
                     (self.daemons[daemon].words(self.now), self.daemons[to].words(self.now));
-                one.iter().for_each(|word| self.send(daemon, to, word));
-                other.iter().for_each(|word| self.send(to, daemon, word));
+                one.iter().for_each(|notice| self.send(daemon, to, notice));
+                other.iter().for_each(|notice| self.send(to, daemon, notice));
             }
         }
-        self.push(HEARTBEAT, WorldEvent::Heartbeat(daemon));
+        self.push(HEARTBEAT_INTERVAL, WorldEvent::Heartbeat(daemon));
     }
 }
