--- a/crates/bench/src/experiment/plays.rs
+++ b/crates/bench/src/experiment/day_runs.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Plays days with the users' bench, a few at a time.
+//! Runs days with the users' bench, a few at a time.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,46 +14,46 @@
 
 use crate::errors::BenchError;
 
-/// `PlayOptions` says what is played and how.
+/// `ExperimentOptions` are the settings of an experiment.
 #[derive(Debug, Clone)]
-pub struct PlayOptions {
+pub struct ExperimentOptions {
     /// Path of the users' bench.
     pub bench: PathBuf,
-    /// Checkouts that are compared, the one compared with first.
+    /// Checkouts that are compared, the baseline first.
     pub builds: Vec<PathBuf>,
     /// Site files.
     pub sites: Vec<PathBuf>,
     /// Names of days.
     pub days: Vec<String>,
-    /// Seeds of each day; none stands for the day's own.
+    /// Seeds of each day; `None` stands for the default seed of the day.
     pub seeds: Vec<Option<u64>>,
-    /// Days played at the same time.
+    /// Days that run at the same time.
     pub jobs: usize,
-    /// Whether processor time counts.
+    /// Whether the bench accounts for processor time.
     pub counts_processor: bool,
-    /// Why it is played, for the journal.
+    /// Reason of the experiment, for the journal of the users' bench.
     pub why: String,
 }
 
-/// `DayKey` names one day of one site with its seed.
+/// `DayKey` identifies a day of a site with its seed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DayKey {
     /// Name of the site's file.
     pub site: String,
     /// Name of the day.
     pub day: String,
-    /// Seed; none stands for the day's own.
+    /// Seed; `None` stands for the default seed of the day.
     pub seed: Option<u64>,
 }
 
-/// `PlayedDay` is one day as one build played it.
+/// `DayRun` is the result of one day with one build.
 #[derive(Debug, Clone)]
-pub struct PlayedDay {
-    /// Which day.
+pub struct DayRun {
+    /// The day.
     pub key: DayKey,
-    /// Position of the build in [`PlayOptions::builds`].
+    /// Index of the build in [`ExperimentOptions::builds`].
     pub build: usize,
-    /// How it went, or why there is no report.
+    /// Report of the day, or why there is none.
     pub outcome: Result<DayReport, String>,
 }
 
@@ -63,12 +63,12 @@
     site: PathBuf,
 }
 
-/// Plays every day of every site with every seed and build.
+/// Runs every day of every site with every seed and build.
 ///
-/// Fails if a build can't be made or a folder for reports can't.
-pub fn play_all(options: &PlayOptions) -> Result<Vec<PlayedDay>, BenchError> {
+/// Fails if a checkout can't be built or the folder for reports can't be created.
+pub fn run_all(options: &ExperimentOptions) -> Result<Vec<DayRun>, BenchError> {
     for build in &options.builds {
-        build_once(options, build)?;
+        build_checkout(options, build)?;
     }
     let folder = std::env::temp_dir().join(format!("basaltarch-experiment-{}", std::process::id()));
     let failed = |error: std::io::Error| BenchError::File {
@@ -78,7 +78,7 @@
     fs::create_dir_all(&folder).map_err(failed)?;
     let plan = plan(options);
     let next = AtomicUsize::new(0);
-    let played = Mutex::new(Vec::new());
+    let runs = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..options.jobs {
             scope.spawn(|| loop {
@@ -88,18 +88,18 @@
                     None => return,
                 };
                 let report = folder.join(format!("{number}.json"));
-                let outcome = play(options, planned, &report);
-                let day = PlayedDay { key: planned.key.clone(), build: planned.build, outcome };
-                played.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(day);
+                let outcome = run_day(options, planned, &report);
+                let day = DayRun { key: planned.key.clone(), build: planned.build, outcome };
+                runs.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push(day);
             });
         }
     });
     fs::remove_dir_all(&folder).map_err(failed)?;
-    Ok(played.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner()))
+    Ok(runs.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner()))
 }
 
-/// Lists the plays so that both builds of a day follow each other.
-fn plan(options: &PlayOptions) -> Vec<PlannedDay> {
+/// Lists the runs so that those of both builds follow each other for each day.
+fn plan(options: &ExperimentOptions) -> Vec<PlannedDay> {
     let mut plan = Vec::new();
     for site in &options.sites {
         let name = site.file_stem().unwrap_or_default().to_string_lossy().into_owned();
@@ -118,7 +118,7 @@
     plan
 }
 
-fn build_once(options: &PlayOptions, build: &Path) -> Result<(), BenchError> {
+fn build_checkout(options: &ExperimentOptions, build: &Path) -> Result<(), BenchError> {
     let output = Command::new(&options.bench).arg("build").current_dir(build).output();
     let message = match output {
         Ok(output) if output.status.success() => return Ok(()),
@@ -128,7 +128,11 @@
     Err(BenchError::File { path: build.display().to_string(), message })
 }
 
-fn play(options: &PlayOptions, planned: &PlannedDay, report: &Path) -> Result<DayReport, String> {
+fn run_day(
+    options: &ExperimentOptions,
+    planned: &PlannedDay,
+    report: &Path,
+) -> Result<DayReport, String> {
     let mut command = Command::new(&options.bench);
     command.arg("run").arg(&planned.site).arg(&planned.key.day);
     command.args(["--jobs", "1", "--why", &options.why]).arg("--report").arg(report);
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Plays the same days with two builds in turn and compares them in pairs.
+//! Paired comparison of two builds over the same days.
 //!
-//! Days differ far more from each other than builds do, so a difference is only seen between two
-//! plays of the same day and seed. [`plays`] runs the users' bench, [`verdict`] compares.
+//! Results differ far more between days than between builds, so a difference between builds shows
+//! only between two runs of the same day and seed. [`day_runs`] runs days with the users' bench,
+//! and [`verdict`] compares the results.
 
-pub mod plays;
+pub mod day_runs;
 pub mod verdict;
--- a/crates/bench/src/experiment/verdict.rs
+++ b/crates/bench/src/experiment/verdict.rs
@@ -1,33 +1,34 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Compares two builds over the days that both played.
+//! Compares two builds over the days that both have completed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
 use basaltarch_platform::report::DayReport;
 
-use crate::experiment::plays::{DayKey, PlayedDay};
+use crate::experiment::day_runs::{DayKey, DayRun};
 
-/// Standard errors from which a difference is called one: by chance once in twenty.
-const ERRORS_TOLD: f64 = 2.0;
-/// Prices whose means stay below this share of a day are not shown.
+/// Standard errors above which a difference counts as significant; chance alone exceeds them once
+/// in twenty comparisons.
+const SIGNIFICANT_ERRORS: f64 = 2.0;
+/// Prices that stay below this share in every report are left out of the table.
 const PRICE_SHOWN_MIN: f64 = 0.0005;
 
-/// `PairedFigure` is one figure over all pairs.
+/// `PairedFigure` is the paired comparison of one figure.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PairedFigure {
-    /// Mean with the first build.
+    /// Mean with the baseline build.
     pub base: f64,
-    /// Mean with the second.
+    /// Mean with the build under test.
     pub trial: f64,
-    /// Standard error of the mean difference; none with fewer than two pairs.
+    /// Standard error of the mean difference; `None` with fewer than two pairs.
     pub error: Option<f64>,
 }
 
 impl PairedFigure {
-    /// Compares pairs of values; gives nothing without any.
+    /// Compares pairs of values; returns `None` if there are none.
     pub fn of(pairs: &[(f64, f64)]) -> Option<Self> {
         if pairs.is_empty() {
             return None;
@@ -46,9 +47,9 @@
         self.trial - self.base
     }
 
-    /// Says whether the difference is more than chance makes.
-    pub fn is_told(&self) -> bool {
-        self.error.is_some_and(|error| self.difference().abs() > ERRORS_TOLD * error)
+    /// Says whether the difference is statistically significant.
+    pub fn is_significant(&self) -> bool {
+        self.error.is_some_and(|error| self.difference().abs() > SIGNIFICANT_ERRORS * error)
     }
 }
 
@@ -58,48 +59,49 @@
     trial: &'a DayReport,
 }
 
-/// Returns the comparison as text: a table for each site, one for all, and what went wrong.
-pub fn table(played: &[PlayedDay]) -> String {
+/// Returns the comparison as text: a table for each site, one for all sites, and the runs that
+/// failed.
+pub fn table(runs: &[DayRun]) -> String {
     let mut text = String::new();
-    let pairs = pairs_of(played);
+    let pairs = pairs_of(runs);
     let sites: BTreeSet<&str> = pairs.iter().map(|pair| pair.key.site.as_str()).collect();
     for site in &sites {
         let of_site: Vec<&DayPair> = pairs.iter().filter(|pair| pair.key.site == *site).collect();
-        put_figures(&mut text, site, &of_site);
+        write_figures(&mut text, site, &of_site);
         let days: BTreeSet<&str> = of_site.iter().map(|pair| pair.key.day.as_str()).collect();
         for day in days {
             let of_day = of_site.iter().filter(|pair| pair.key.day == day).copied();
             let worths: Vec<_> = of_day.map(|pair| (pair.base.worth, pair.trial.worth)).collect();
-            put_line(&mut text, &format!("  worth of {day}"), PairedFigure::of(&worths));
+            write_row(&mut text, &format!("  worth of {day}"), PairedFigure::of(&worths));
         }
     }
     if sites.len() > 1 {
-        put_figures(&mut text, "all sites", &pairs.iter().collect::<Vec<_>>());
+        write_figures(&mut text, "all sites", &pairs.iter().collect::<Vec<_>>());
     }
-    put_troubles(&mut text, played);
+    write_failures(&mut text, runs);
     text
 }
 
-fn pairs_of(played: &[PlayedDay]) -> Vec<DayPair<'_>> {
+fn pairs_of(runs: &[DayRun]) -> Vec<DayPair<'_>> {
     let mut days: BTreeMap<&DayKey, [Option<&DayReport>; 2]> = BTreeMap::new();
-    for day in played {
-        let place = days.entry(&day.key).or_default().get_mut(day.build);
-        if let (Some(place), Ok(report)) = (place, &day.outcome) {
-            *place = Some(report);
+    for day in runs {
+        let entry = days.entry(&day.key).or_default().get_mut(day.build);
+        if let (Some(entry), Ok(report)) = (entry, &day.outcome) {
+            *entry = Some(report);
         }
     }
-    let whole = days.into_iter().filter_map(|(key, reports)| match reports {
+    let complete = days.into_iter().filter_map(|(key, reports)| match reports {
         [Some(base), Some(trial)] => Some(DayPair { key, base, trial }),
         _ => None,
     });
-    whole.collect()
+    complete.collect()
 }
 
-fn put_figures(text: &mut String, title: &str, pairs: &[&DayPair<'_>]) {
-    put(text, format_args!("{title}: {} pairs", pairs.len()));
+fn write_figures(text: &mut String, title: &str, pairs: &[&DayPair<'_>]) {
+    write_line(text, format_args!("{title}: {} pairs", pairs.len()));
     let mut figure = |name: &str, read: &dyn Fn(&DayReport) -> f64| {
         let values: Vec<_> = pairs.iter().map(|pair| (read(pair.base), read(pair.trial))).collect();
-        put_line(text, name, PairedFigure::of(&values));
+        write_row(text, name, PairedFigure::of(&values));
     };
     figure("worth", &|report| report.worth);
     figure("served", &|report| report.served);
@@ -117,24 +119,24 @@
     report.prices.iter().filter(|line| line.name == name).map(|line| line.share).sum()
 }
 
-fn put_line(text: &mut String, name: &str, figure: Option<PairedFigure>) {
+fn write_row(text: &mut String, name: &str, figure: Option<PairedFigure>) {
     let figure = match figure {
         Some(figure) => figure,
         None => return,
     };
     let error = figure.error.map_or("-".to_owned(), |error| format!("{error:.4}"));
-    let mark = if figure.is_told() { "*" } else { "" };
+    let mark = if figure.is_significant() { "*" } else { "" };
     let PairedFigure { base, trial, .. } = figure;
     let difference = figure.difference();
-    put(
+    write_line(
         text,
         format_args!("  {name:<46} {base:>8.4} {trial:>8.4} {difference:>+9.4} ±{error} {mark}"),
     );
 }
 
-/// Lists days without a report, with a fault or with a broken rule.
-fn put_troubles(text: &mut String, played: &[PlayedDay]) {
-    for PlayedDay { key, build, outcome } in played {
+/// Lists the runs without a report, with a fault or with a broken rule.
+fn write_failures(text: &mut String, runs: &[DayRun]) {
+    for DayRun { key, build, outcome } in runs {
         let what = match outcome {
             Err(message) => message.clone(),
             Ok(report) => match (&report.fault, report.broken.is_empty()) {
@@ -145,10 +147,13 @@
         };
         let build = if *build == 0 { "first" } else { "second" };
         let seed = key.seed.map_or("own".to_owned(), |seed| seed.to_string());
-        put(text, format_args!("{} {} seed {seed}, {build} build: {what}", key.site, key.day));
+        write_line(
+            text,
+            format_args!("{} {} seed {seed}, {build} build: {what}", key.site, key.day),
+        );
     }
 }
 
-fn put(text: &mut String, line: std::fmt::Arguments<'_>) {
+fn write_line(text: &mut String, line: std::fmt::Arguments<'_>) {
     writeln!(text, "{line}").unwrap_or_else(|_| unreachable!("a text takes everything"));
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -13,7 +13,7 @@
 use basaltarch_bench::crashes;
 use basaltarch_bench::decisions::{bounds, chart, report, scenario, suite};
 use basaltarch_bench::errors::BenchError;
-use basaltarch_bench::experiment::plays::{self, PlayOptions};
+use basaltarch_bench::experiment::day_runs::{self, ExperimentOptions};
 use basaltarch_bench::experiment::verdict;
 use basaltarch_bench::hold::{self, HoldOptions};
 use basaltarch_bench::load::{self, LoadOptions, LoadTarget, TargetReport};
@@ -246,7 +246,7 @@
     let seeds: Result<Vec<Option<u64>>, BenchError> =
         flags.seeds.as_deref().unwrap_or(OWN_SEED).split(',').map(seed).collect();
     let days = flags.days.as_deref().unwrap_or(DAYS_WITH_TROUBLE);
-    let options = PlayOptions {
+    let options = ExperimentOptions {
         bench: absolute(&flags.bench)?,
         builds: vec![absolute(&flags.base)?, absolute(&flags.trial)?],
         sites: sites?,
@@ -256,7 +256,7 @@
         counts_processor: !flags.no_cpu,
         why: flags.why.unwrap_or("experiment".to_owned()),
     };
-    print!("{}", verdict::table(&plays::play_all(&options)?));
+    print!("{}", verdict::table(&day_runs::run_all(&options)?));
     Ok(())
 }
 
