--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Slopes of state, memory and processor time, from which docs/CAPACITY.md is worked out.
+//! Growth of state, memory and processor time with the size of the fleet: the measurements behind
+//! docs/CAPACITY.md.
 
 use std::alloc::System;
 use std::cell::{Cell, RefCell};
@@ -38,7 +39,7 @@
     pub daemons: usize,
 }
 
-/// The size in two years.
+/// Size of the fleet that is expected in two years.
 pub const TWO_YEARS: FleetSize = FleetSize {
     services: 9_000,
     upstreams: 200_000,
@@ -48,20 +49,20 @@
 };
 
 impl FleetSize {
-    /// Returns a part of this size.
+    /// Returns this size scaled by a share, with at least one of each.
     pub fn scaled(self, share: f64) -> Self {
-        let part = |count: usize| ((count as f64 * share) as usize).max(1);
+        let scaled_count = |count: usize| ((count as f64 * share) as usize).max(1);
         Self {
-            services: part(self.services),
-            upstreams: part(self.upstreams),
-            routes: part(self.routes),
-            organisations: part(self.organisations),
-            daemons: part(self.daemons),
+            services: scaled_count(self.services),
+            upstreams: scaled_count(self.upstreams),
+            routes: scaled_count(self.routes),
+            organisations: scaled_count(self.organisations),
+            daemons: scaled_count(self.daemons),
         }
     }
 }
 
-/// Lists the resources of a configuration of this size.
+/// Generates the resources of a configuration of this size.
 pub fn generate(size: FleetSize) -> Vec<SnapshotResource> {
     let revision = GENERATED_REVISION;
     let mut resources = Vec::new();
@@ -103,8 +104,8 @@
     resources
 }
 
-/// Counts what is allocated, since freed memory that the system has not got back would show in the
-/// process's size.
+/// Counts allocated bytes, since the size of the process includes freed memory that has not been
+/// returned to the system.
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
@@ -112,7 +113,8 @@
     ALLOCATOR.allocated() as u64
 }
 
-/// `ConfigCost` is what a configuration costs a daemon that holds all of it.
+/// `ConfigCost` is the memory and processor time that a configuration takes at a daemon that holds
+/// all of it.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigCost {
     /// The size.
@@ -121,19 +123,19 @@
     pub snapshot_bytes: u64,
     /// Memory of the resources.
     pub fleet_bytes: u64,
-    /// Memory of the layout for requests.
+    /// Memory of the layout, the form in which requests look the configuration up.
     pub active_bytes: u64,
     /// Time to read the snapshot.
     pub read_time: Duration,
-    /// Time to lay it out.
+    /// Time to build the layout.
     pub build_time: Duration,
-    /// Turns of reading and laying out, in which nothing else is served.
-    pub turns: TurnTimes,
-    /// Time to give the memory of a replaced configuration back.
+    /// Time slices of reading and building the layout; within a slice nothing else is served.
+    pub slice_times: SliceTimes,
+    /// Time to free the memory of a replaced configuration.
     pub drop_time: Duration,
-    /// Time of one route look-up in nanoseconds.
+    /// Time of one route lookup in nanoseconds.
     pub lookup_ns: f64,
-    /// Time to put one change of one backend server in force, in microseconds.
+    /// Time to apply a change of one backend server, in microseconds.
     pub change_us: f64,
 }
 
@@ -151,7 +153,7 @@
     let built = allocated_bytes();
     let lookup_ns = measure_lookups(&active, size);
     let (change_us, drop_time) = measure_changes(config, active, size)?;
-    let turns = measure_turns(&bytes)?;
+    let slice_times = measure_slices(&bytes)?;
     Some(ConfigCost {
         size,
         snapshot_bytes: bytes.len() as u64,
@@ -159,14 +161,14 @@
         active_bytes: built.saturating_sub(loaded),
         read_time,
         build_time,
-        turns,
+        slice_times,
         drop_time,
         lookup_ns,
         change_us,
     })
 }
 
-/// Revision of generated configurations: far enough from 0 that a new daemon reads the snapshot
+/// Revision of generated configurations, far enough from 0 that a new daemon reads the snapshot
 /// rather than the changes.
 pub const GENERATED_REVISION: FleetRevision = FleetRevision(1000);
 
@@ -179,24 +181,24 @@
     snapshot::to_bytes(&builder.finish(GENERATED_REVISION).ok()?).ok()
 }
 
-/// `TurnTimes` is how long the turns of long work took.
+/// `SliceTimes` is the distribution of the lengths of time slices.
 #[derive(Debug, Clone, Copy)]
-pub struct TurnTimes {
-    /// The median.
+pub struct SliceTimes {
+    /// Median.
     pub median: Duration,
-    /// What 99 in 100 stay below.
+    /// 99th percentile: 99 in 100 stay below.
     pub p99: Duration,
-    /// The longest; on a shared machine mostly another process's doing.
+    /// Longest; on a shared machine mostly caused by other processes.
     pub longest: Duration,
 }
 
-/// Reads a snapshot and lays it out in turns.
-fn measure_turns(bytes: &[u8]) -> Option<TurnTimes> {
+/// Measures the time slices of reading a snapshot and building its layout.
+fn measure_slices(bytes: &[u8]) -> Option<SliceTimes> {
     let begun = Cell::new(Instant::now());
     let times = RefCell::new(Vec::new());
     let pause = async || {
-        let turn = begun.replace(Instant::now()).elapsed();
-        times.borrow_mut().push(turn);
+        let slice = begun.replace(Instant::now()).elapsed();
+        times.borrow_mut().push(slice);
     };
     let config = turns::at_once(snapshot::read(bytes, &pause)).ok()?;
     let layout = turns::at_once(ActiveConfig::build_in_turns(&config, &pause));
@@ -205,10 +207,10 @@
     let mut times = times.into_inner();
     times.sort();
     let at = |share: usize| times.get((times.len() - 1) * share / 100).copied();
-    Some(TurnTimes { median: at(50)?, p99: at(99)?, longest: at(100)? })
+    Some(SliceTimes { median: at(50)?, p99: at(99)?, longest: at(100)? })
 }
 
-/// Puts changes in force one by one, as a daemon does: on copies that share what stays the same.
+/// Applies changes one by one, as a daemon does: on copies that share the unchanged parts.
 fn measure_changes(
     mut config: FleetConfig,
     mut active: ActiveConfig,
@@ -250,7 +252,8 @@
     Some((spent.as_micros() as f64 / CHANGES as f64, start.elapsed()))
 }
 
-/// Returns bytes a resource of one kind costs, measured with that kind alone grown.
+/// Returns the bytes that a resource of one kind takes, from two configurations that differ in the
+/// number of that kind only.
 fn measure_kind(grow: impl Fn(&mut FleetSize)) -> Option<f64> {
     let small = FleetSize {
         services: 1000,
@@ -273,7 +276,7 @@
 fn measure_lookups(active: &ActiveConfig, size: FleetSize) -> f64 {
     const LOOKUPS: usize = 200_000;
     let mut rng = ChaCha8Rng::seed_from_u64(5);
-    let asked: Vec<(String, String)> = (0..1000)
+    let queries: Vec<(String, String)> = (0..1000)
         .map(|_| {
             let route = rng.random_range(0..size.routes);
             let host = format!("service-{}.example", route % size.services);
@@ -283,17 +286,17 @@
     let start = Instant::now();
     let mut found = 0;
     for index in 0..LOOKUPS {
-        let (host, path) = &asked[index % asked.len()];
+        let (host, path) = &queries[index % queries.len()];
         found += usize::from(matches!(
             black_box(active.routes.find(host, path, "GET")),
             RouteMatch::Found(_)
         ));
     }
-    assert_eq!(found, LOOKUPS, "every look-up finds its route");
+    assert_eq!(found, LOOKUPS, "every lookup finds its route");
     start.elapsed().as_nanos() as f64 / LOOKUPS as f64
 }
 
-/// Prints every slope.
+/// Prints all measurements.
 pub fn print_all() {
     println!("configuration held whole by one daemon");
     println!(
@@ -311,9 +314,9 @@
                 mb(cost.active_bytes),
                 cost.read_time.as_secs_f64(),
                 cost.build_time.as_secs_f64(),
-                ms(cost.turns.median),
-                ms(cost.turns.p99),
-                ms(cost.turns.longest),
+                ms(cost.slice_times.median),
+                ms(cost.slice_times.p99),
+                ms(cost.slice_times.longest),
                 ms(cost.drop_time),
                 cost.lookup_ns,
                 cost.change_us
--- a/crates/bench/src/decisions/bounds.rs
+++ b/crates/bench/src/decisions/bounds.rs
@@ -60,12 +60,12 @@
     timed.min_by_key(|(_, median, _)| *median)
 }
 
-/// Checks the targets and the regression bounds.
+/// Checks the factors over the best plain rule and the regression bounds.
 pub fn check(plan: &SuitePlan, results: &[(RunKey, RunResult)]) -> Result<(), BenchError> {
     let broken = results.iter().filter(|(_, result)| result.floor_broken).count();
-    require(broken == 0, format!("the floor was broken in {broken} runs"))?;
+    require(broken == 0, format!("ejections broke the floor in {broken} runs"))?;
     let (plain, plain_median, plain_false) = best_plain(results)
-        .ok_or(BenchError::Bound { message: "no plain rule detected anything".to_owned() })?;
+        .ok_or(BenchError::Bound { message: "no plain rule detected a fault".to_owned() })?;
     let sick = |key: &RunKey| CASES[key.case].one_is_sick;
     for (rule, median_max, false_max) in [
         (RuleKind::Detection, DETECTION_MEDIAN_MAX, DETECTION_FALSE_MAX),
@@ -75,10 +75,13 @@
         let median = report::select(results, rule, sick).detection_median;
         let median = median.unwrap_or(Duration::MAX);
         let false_rate = report::select(results, rule, |_| true).false_ejections_hour;
-        require(median <= median_max, format!("{name}: median {median:?} over {median_max:?}"))?;
+        require(
+            median <= median_max,
+            format!("{name}: median detection time {median:?} exceeds {median_max:?}"),
+        )?;
         require(
             false_rate <= false_max,
-            format!("{name}: {false_rate:.3} false ejections over {false_max}"),
+            format!("{name}: {false_rate:.3} false ejections per upstream-hour exceed {false_max}"),
         )?;
         let quicker = plain_median.as_secs_f64() / median.as_secs_f64();
         let fewer = plain_false / false_rate.max(1e-9);
@@ -87,7 +90,7 @@
         require(
             quicker >= least_quicker && fewer >= least_fewer,
             format!(
-                "{name}: {quicker:.1} times quicker and {fewer:.1} times fewer than {}",
+                "{name}: {quicker:.1} times faster, {fewer:.1} times fewer false ejections than {}",
                 plain.name()
             ),
         )?;
@@ -111,7 +114,9 @@
         let name = CASES[case].name;
         require(
             KNOWN_SLOWER_CASES.contains(&name),
-            format!("detection is slower in {name}: {own:?} against {best:?}"),
+            format!(
+                "detection is slower than the best plain rule in {name}: {own:?} against {best:?}"
+            ),
         )?;
     }
     Ok(())
--- a/crates/bench/src/detection.rs
+++ b/crates/bench/src/detection.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Puts side by side how long a failing server received work and how long callers saw it fail.
+//! Compares how long a failing server received requests with how long callers saw its errors.
 
 use std::fs;
 
@@ -9,9 +9,9 @@
 
 use crate::errors::{self, BenchError};
 
-/// Time that an answer may take after its request was received, beyond which a caller that still
-/// sees errors of an ejected server shows a fault, in milliseconds.
-const CALLER_SLACK_MS: u64 = 250;
+/// Time that a response may take after its request was received, in milliseconds. Callers that see
+/// errors of an ejected server for longer than that show a fault.
+const RESPONSE_SLACK_MS: u64 = 250;
 
 fn read(path: &str) -> Result<Value, BenchError> {
     let bad = |message: String| errors::BenchError::File { path: path.to_owned(), message };
@@ -19,7 +19,8 @@
     serde_json::from_str(&text).map_err(|error| bad(error.to_string()))
 }
 
-/// Prints the table and checks that callers saw no more than the server received.
+/// Prints the comparison, and checks that callers saw errors no longer than the server received
+/// requests.
 pub fn run(load_path: &str, fault_path: &str, server: &str) -> Result<(), BenchError> {
     let load = read(load_path)?;
     let fault = read(fault_path)?;
@@ -39,19 +40,20 @@
         "not run / unknown / broken / crossed  {} / {} / {} / {}",
         report["not_run"], report["unknown"], report["broken"], report["crossed"]
     );
-    check(fault["stopped"] == true, "the failing server was never taken out")?;
+    check(fault["stopped"] == true, "the failing server was not ejected within the measured time")?;
     check(
-        seen_for <= received_for + CALLER_SLACK_MS,
-        "callers saw the failing server longer than it received work",
+        seen_for <= received_for + RESPONSE_SLACK_MS,
+        "callers saw errors of the failing server longer than it received requests",
     )?;
     check_clean(report)
 }
 
-/// Checks that no answer of a load was cut, crossed or left unknown.
+/// Checks that no response of a load was truncated or belonged to another request, and that no
+/// outcome is unknown.
 pub fn check_clean(report: &Value) -> Result<(), BenchError> {
-    check(report["answered"].as_u64().unwrap_or(0) > 0, "nothing was answered")?;
+    check(report["answered"].as_u64().unwrap_or(0) > 0, "no request got a response")?;
     for field in ["unknown", "broken", "crossed"] {
-        let message = format!("{} answers were {field}", report[field]);
+        let message = format!("{} responses counted as {field}", report[field]);
         check(report[field] == 0, &message)?;
     }
     Ok(())
--- a/crates/bench/src/errors.rs
+++ b/crates/bench/src/errors.rs
@@ -1,35 +1,35 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of the bench.
+//! Errors of the benches.
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_http::errors::HttpError;
 use basaltarch_telemetry::errors::StartError;
 use snafu::Snafu;
 
-/// `BenchError` says why a measurement could not be made.
+/// `BenchError` is why a measurement could not be made or failed its check.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum BenchError {
-    /// A setting is wrong.
+    /// A setting is invalid.
     #[snafu(display("{source}"))]
     Setting {
-        /// What is wrong.
+        /// The setting and why it is invalid.
         source: SettingError,
     },
-    /// The runtime failed.
+    /// The runtime could not be started.
     #[snafu(display("{source}"))]
     Start {
-        /// What failed.
+        /// Error of the runtime.
         source: StartError,
     },
-    /// A process can't be talked to.
+    /// A call to a process failed.
     #[snafu(display("{what}: {source}"))]
     Call {
         /// What was called.
         what: String,
-        /// What failed.
+        /// Error of the call.
         source: HttpError,
     },
     /// A file can't be written or read.
@@ -37,13 +37,13 @@
     File {
         /// Path of the file.
         path: String,
-        /// What failed.
+        /// Error of the operation on the file.
         message: String,
     },
     /// A result is outside its bound.
     #[snafu(display("{message}"))]
     Bound {
-        /// Which result, and its bound.
+        /// The result and its bound.
         message: String,
     },
 }
--- a/crates/bench/src/fault.rs
+++ b/crates/bench/src/fault.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Makes a stand-in backend server fail and measures how long it keeps receiving work.
+//! Injects a fault into a simulated backend server and measures how long it keeps receiving
+//! requests.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,27 +15,28 @@
 
 use crate::errors::BenchError;
 
-/// Time between looks at the server's counter.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
-/// Path of the faults of a stand-in backend server.
+/// Interval at which the counter of the server is read.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Control path of a simulated backend server that sets its faults.
 const FAULTS_PATH: &str = "/__control/faults";
-/// Path of its counters.
+/// Control path of a simulated backend server that returns its counters.
 const RUNS_PATH: &str = "/__control/runs";
-/// Longest time of a control call.
+/// Time-out of a control call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// `FaultReport` says how long a failing server kept receiving work.
+/// `FaultReport` is how long a failing server kept receiving requests.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct FaultReport {
     /// Time from the fault to the last request before the quiet time, in milliseconds.
     pub received_for_ms: u64,
     /// Requests received in that time.
     pub received: u64,
-    /// Whether the work stopped at all.
+    /// Whether the server stopped receiving requests at all.
     pub stopped: bool,
 }
 
-/// Puts a fault on a server and waits until it received nothing for `quiet`, up to `most`.
+/// Injects a fault into a server and waits until the server has received nothing for `quiet`, or
+/// until `most` has passed.
 pub async fn run(
     address: SocketAddr,
     fault: &str,
@@ -48,7 +50,7 @@
     let mut last = before;
     let mut last_at = Duration::ZERO;
     loop {
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
         let now = total(&client).await?;
         let elapsed = start.elapsed();
         if now > last {
@@ -69,7 +71,7 @@
 async fn total(client: &HttpClient) -> Result<u64, BenchError> {
     let text = call(client, Method::GET, RUNS_PATH, "").await?;
     let value: Value = serde_json::from_slice(&text).unwrap_or(Value::Null);
-    // A stuck server runs nothing, but it received what it holds.
+    // A stuck server completes no runs, but its count of received requests includes those it holds.
     let held = value["received"].as_u64();
     Ok(held.or(value["total"].as_u64()).unwrap_or(0))
 }
--- a/crates/bench/src/hold.rs
+++ b/crates/bench/src/hold.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Holds connections open, idle or each with a request that the backend server works on, so that the
-//! memory of a daemon can be read meanwhile.
+//! Holds connections open, idle or each with a running request, so that the memory of a daemon can
+//! be read meanwhile.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,19 +15,19 @@
 
 use crate::errors::BenchError;
 
-/// Longest time for one connection.
+/// Time-out for opening one connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// `HoldOptions` are the settings of held connections.
+/// `HoldOptions` are the number, target and kind of the held connections.
 #[derive(Debug, Clone)]
 pub struct HoldOptions {
-    /// Address of a daemon for callers.
+    /// Address at which a daemon listens for callers.
     pub address: SocketAddr,
     /// Number of connections.
     pub count: usize,
     /// How long they are held.
     pub time: Duration,
-    /// Whether each has a request under way, to this host and path.
+    /// Host and path of a request that runs on each connection; idle connections without.
     pub request: Option<(String, String)>,
 }
 
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Load, experiments and the decision bench of basaltarch.
+//! Load generation, experiments and simulations for basaltarch.
 
 pub mod capacity;
 pub mod crashes;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,8 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Open-loop load: requests start when they are due, whether or not earlier ones were answered, and
-//! their times count from when they were due. A slow system can't hide behind a slow load.
+//! Open-loop load generator: requests start when they are due, whether or not earlier ones have got
+//! a response, and latency counts from the due time. So a slow system can't hide its latency by
+//! slowing the load down (coordinated omission).
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,28 +23,29 @@
 use monoio::io::AsyncReadRent;
 use serde::Serialize;
 
-/// Longest time that the histograms hold: a minute, in microseconds.
+/// Largest latency that the histograms record: a minute, in microseconds.
 const MICROS_MAX: u64 = 60_000_000;
 /// Significant digits of the histograms.
-const DIGITS: u8 = 3;
-/// Longest wait for what is still under way after the last request started.
-const SETTLE: Duration = Duration::from_secs(15);
-/// Longest time for a connection.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Longest wait for requests in flight after the last request started.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// `LoadTarget` is where a part of the requests goes.
+/// `LoadTarget` is a destination that receives an equal share of the requests.
 #[derive(Debug, Clone)]
 pub struct LoadTarget {
     /// Name in the report.
     pub name: String,
-    /// Addresses, taken in turn.
+    /// Addresses, used round-robin.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// `LoadOptions` are the settings of a load.
+/// `LoadOptions` are the targets, request and rate of a load.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
-    /// Targets, taken in turn request by request, so that all see the same machine.
+    /// Targets, used round-robin by request, so that all are measured under the same conditions of
+    /// the machine.
     pub targets: Vec<LoadTarget>,
     /// Value of `Host`.
     pub host: String,
@@ -51,59 +53,60 @@
     pub path: String,
     /// Method.
     pub method: Method,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     pub body_bytes: usize,
-    /// Requests a second over all targets.
+    /// Requests per second over all targets.
     pub rate: f64,
-    /// How long requests are started.
+    /// Time during which requests are started.
     pub duration: Duration,
     /// Whether each request carries an idempotency key of its own.
-    pub once_keys: bool,
+    pub idempotency_keys: bool,
 }
 
-/// `ServerTally` counts what came from one backend server.
+/// `ServerTally` counts the responses of one backend server.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ServerTally {
-    /// Answers.
+    /// Responses.
     pub answers: u64,
-    /// Answers with a server error.
+    /// Responses with a server error.
     pub errors: u64,
-    /// When the first server error came, in milliseconds since the start.
+    /// Time of the first server error, in milliseconds since the start.
     pub first_error_ms: Option<u64>,
-    /// When the last server error came, in milliseconds since the start.
+    /// Time of the last server error, in milliseconds since the start.
     pub last_error_ms: Option<u64>,
 }
 
-/// `TargetReport` is what came of the requests to one target.
+/// `TargetReport` is the outcomes and latencies of the requests to one target.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct TargetReport {
     /// Name of the target.
     pub name: String,
     /// Requests started.
     pub started: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub answered: u64,
-    /// Answers with a status below 400.
+    /// Responses with a status below 400.
     pub good: u64,
-    /// Requests refused as not run.
+    /// Requests that were refused without being run.
     pub not_run: u64,
     /// Requests of unknown outcome.
     pub unknown: u64,
-    /// Connections that broke or answers cut short.
+    /// Requests that ended with a broken connection or a truncated response, or were still in
+    /// flight at the end.
     pub broken: u64,
-    /// Answers to another request than the one sent.
+    /// Responses that belong to another request than the one sent.
     pub crossed: u64,
-    /// Median time of whole answers in microseconds.
+    /// Median latency of complete responses in microseconds.
     pub p50_us: u64,
-    /// Time that 99 in 100 stay below, in microseconds.
+    /// 99th percentile of the latency (99 in 100 stay below) in microseconds.
     pub p99_us: u64,
-    /// Time that 999 in 1000 stay below, in microseconds.
+    /// 99.9th percentile of the latency (999 in 1000 stay below) in microseconds.
     pub p999_us: u64,
-    /// Longest time in microseconds.
+    /// Longest latency in microseconds.
     pub max_us: u64,
-    /// Answers by status.
+    /// Responses by status.
     pub statuses: BTreeMap<u16, u64>,
-    /// Answers by backend server.
+    /// Responses by backend server.
     pub servers: BTreeMap<String, ServerTally>,
 }
 
@@ -112,8 +115,8 @@
     report: TargetReport,
     times: Histogram<u64>,
     idle: Vec<(SocketAddr, HttpStream)>,
-    turn: usize,
-    open: u64,
+    address_turn: usize,
+    in_flight: u64,
 }
 
 /// Runs a load and reports on each target.
@@ -134,37 +137,37 @@
             let due = start + Duration::from_secs_f64(number as f64 / options.rate);
             let state = states[number as usize % states.len()].clone();
             let options = options.clone();
-            state.borrow_mut().open += 1;
+            state.borrow_mut().in_flight += 1;
             monoio::spawn(async move {
-                one_request(&options, &state, number, start, due).await;
-                state.borrow_mut().open -= 1;
+                run_request(&options, &state, number, start, due).await;
+                state.borrow_mut().in_flight -= 1;
             });
             number += 1;
         }
     }
-    let settled = Instant::now() + SETTLE;
-    while states.iter().any(|state| state.borrow().open > 0) && Instant::now() < settled {
+    let settled = Instant::now() + SETTLE_TIMEOUT;
+    while states.iter().any(|state| state.borrow().in_flight > 0) && Instant::now() < settled {
         monoio::time::sleep(Duration::from_millis(5)).await;
     }
     states.iter().map(|state| finish(&state.borrow())).collect()
 }
 
 fn new_state(target: &LoadTarget) -> TargetState {
-    let times = Histogram::new_with_bounds(1, MICROS_MAX, DIGITS);
+    let times = Histogram::new_with_bounds(1, MICROS_MAX, SIGNIFICANT_DIGITS);
     TargetState {
         target: target.clone(),
         report: TargetReport { name: target.name.clone(), ..TargetReport::default() },
         times: times.unwrap_or_else(|_| unreachable!("the bounds are constants")),
         idle: Vec::new(),
-        turn: 0,
-        open: 0,
+        address_turn: 0,
+        in_flight: 0,
     }
 }
 
 /// Starts a thread that writes a byte whenever a request is due.
 ///
-/// The runtime's timer has steps of a millisecond, and a task that spins would keep the runtime from
-/// looking at its connections.
+/// The timer of the runtime has a resolution of a millisecond, and a task that spins would keep the
+/// runtime from polling its connections.
 fn start_pacer(
     start: Instant,
     rate: f64,
@@ -184,7 +187,7 @@
     monoio::net::UnixStream::from_std(receiver)
 }
 
-async fn one_request(
+async fn run_request(
     options: &LoadOptions,
     state: &Rc<RefCell<TargetState>>,
     number: u64,
@@ -198,7 +201,7 @@
     let since = start.elapsed().as_millis() as u64;
     let mut state = state.borrow_mut();
     match result {
-        Ok(reply) => note_reply(&mut state, &reply, &id, took, since),
+        Ok(reply) => record_reply(&mut state, &reply, &id, took, since),
         Err(_) => state.report.broken += 1,
     }
 }
@@ -229,8 +232,8 @@
     }
     let address = {
         let mut state = state.borrow_mut();
-        state.turn += 1;
-        state.target.addresses[state.turn % state.target.addresses.len()]
+        state.address_turn += 1;
+        state.target.addresses[state.address_turn % state.target.addresses.len()]
     };
     let stream = HttpStream::connect(address, CONNECT_TIMEOUT).await?;
     Ok((address, stream))
@@ -245,13 +248,13 @@
     };
     set(header::HOST, &options.host);
     set(HeaderName::from_static("x-request-id"), id);
-    if options.once_keys {
+    if options.idempotency_keys {
         set(fields::IDEMPOTENCY_KEY, id);
     }
     headers
 }
 
-fn note_reply(
+fn record_reply(
     state: &mut TargetState,
     reply: &client::ClientReply,
     id: &str,
@@ -292,7 +295,7 @@
     report.p99_us = state.times.value_at_quantile(0.99);
     report.p999_us = state.times.value_at_quantile(0.999);
     report.max_us = state.times.max();
-    // What is still under way after the wait counts as broken.
-    report.broken += state.open;
+    // Requests that are still in flight after the wait count as broken.
+    report.broken += state.in_flight;
     report
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! `basaltarch-bench`: load, experiments and the decision bench.
+//! `basaltarch-bench`: load generation, experiments and simulations.
 
 #![allow(missing_docs, reason = "the command-line macro makes items without doc comments")]
 
@@ -28,13 +28,13 @@
     use std::path::PathBuf;
 
     xflags::xflags! {
-        /// Load, experiments and the decision bench.
+        /// Load generation, experiments and simulations.
         cmd basaltarch-bench {
-            /// Sends open-loop load to daemons, and to a baseline side by side.
+            /// Sends open-loop load to daemons, and to a baseline alongside.
             cmd load {
                 /// Addresses of daemons for callers, separated by commas.
                 required --to addresses: String
-                /// Address of a backend server that gets as many requests directly.
+                /// Address of a backend server that directly receives as many requests.
                 optional --baseline address: String
                 /// Value of Host, default solver.example.
                 optional --host name: String
@@ -44,42 +44,42 @@
                 optional --method method: String
                 /// Bytes of each request's body, default 0.
                 optional --body-bytes count: String
-                /// Requests a second to each target, default 900.
+                /// Requests per second to each target, default 900.
                 optional --rate count: String
                 /// Seconds, default 10.
                 optional --seconds count: String
-                /// Rounds, of which medians are shown, default 1.
+                /// Rounds, whose medians are printed, default 1.
                 optional --rounds count: String
                 /// Gives each request an idempotency key.
                 optional --once
                 /// Prints JSON.
                 optional --json
-                /// Fails if an answer was cut, crossed or left unknown.
+                /// Fails on truncated or mismatched responses and on unknown outcomes.
                 optional --clean
             }
-            /// Measures the slopes behind docs/CAPACITY.md.
+            /// Measures the growth of memory and processor time behind docs/CAPACITY.md.
             cmd capacity {}
             /// Writes a generated configuration for basaltctl apply.
             cmd generate {
-                /// Share of the two-year size, 0 to 1.
+                /// Share of the fleet size expected in two years, 0 to 1.
                 required share: String
-                /// Writes it as a snapshot into this file instead.
+                /// Writes the configuration as a snapshot into this file instead.
                 optional --snapshot path: String
             }
-            /// Measures the time from an accepted change to in force on every daemon.
+            /// Measures how long an accepted change takes to be in force on all daemons.
             cmd spread {
-                /// Admin addresses of the daemons, separated by commas; the first takes the changes.
+                /// Admin addresses of daemons, separated by commas; the first gets the changes.
                 required admins: String
-                /// Token of operators.
+                /// Token of an operator.
                 required token: String
-                /// Changes, default 10.
+                /// Number of changes, default 10.
                 optional --changes count: String
                 /// Pause between changes in ms, default 300.
                 optional --pause-ms ms: String
             }
-            /// Runs the decision bench: every case, or some, in virtual time.
+            /// Compares ejection rules over simulated faults, in virtual time.
             cmd decisions {
-                /// Seeds of each run, default 1.
+                /// Number of seeds of each run, default 1.
                 optional --seeds count: String
                 /// Only cases whose name contains this.
                 optional --case name: String
@@ -90,30 +90,30 @@
                 /// Draws the chart of detection time against false ejections into this SVG file.
                 optional --chart path: String
             }
-            /// Runs the decision bench for requests that crash servers, in virtual time, and checks its bounds.
+            /// Simulates requests that crash servers, in virtual time, and checks bounds.
             cmd crashes {}
-            /// Plays the same days with two builds and compares them in pairs.
+            /// Runs the same days with two builds and compares the results in pairs.
             cmd experiment {
                 /// Path of the users' bench.
                 required bench: PathBuf
-                /// Checkout that is compared with.
+                /// Checkout of the baseline build.
                 required base: PathBuf
-                /// Checkout that is compared.
+                /// Checkout of the build under test.
                 required trial: PathBuf
                 /// Site files, separated by commas.
                 required sites: String
-                /// Days, separated by commas; the days with trouble by default.
+                /// Days, separated by commas; the trouble and scale days by default.
                 optional --days names: String
-                /// Seeds of each day, separated by commas; "own" is the day's own, the default.
+                /// Seeds of each day, separated by commas; "own", the default, is that of the day.
                 optional --seeds numbers: String
-                /// Days played at the same time, default 4.
+                /// Days that run at the same time, default 4.
                 optional --jobs count: String
-                /// Why it is played, for the journal.
+                /// Reason of the experiment, for the journal.
                 optional --why text: String
-                /// Counts no processor time, so that a play mostly repeats.
+                /// Leaves processor time out, so that results mostly repeat.
                 optional --no-cpu
             }
-            /// Compares what a failing server received with what callers saw.
+            /// Compares what a failing server received with the errors that callers saw.
             cmd detection {
                 /// Output of load --json.
                 required load: String
@@ -122,7 +122,7 @@
                 /// Name of the failing server.
                 required server: String
             }
-            /// Holds connections to a daemon open, to read its memory meanwhile.
+            /// Holds connections to a daemon open, so that its memory can be read meanwhile.
             cmd hold {
                 /// Address of a daemon for callers.
                 required to: String
@@ -130,18 +130,18 @@
                 required count: String
                 /// Seconds, default 3.
                 optional --seconds count: String
-                /// Path of a request that each has under way; idle without.
+                /// Path of a request that runs on each connection; idle without.
                 optional --path path: String
             }
-            /// Puts a fault on a stand-in backend server and measures how long it gets work.
+            /// Injects a fault into a simulated backend server; measures how long it gets requests.
             cmd fault {
                 /// Address of the server.
                 required address: String
                 /// The fault as JSON.
                 required fault: String
-                /// Quiet time that counts as stopped, in ms, default 1000.
+                /// Time without requests that counts as stopped, in ms, default 1000.
                 optional --quiet-ms ms: String
-                /// Longest time, in ms, default 20000.
+                /// Longest time to measure, in ms, default 20000.
                 optional --most-ms ms: String
             }
         }
@@ -152,7 +152,7 @@
 
 /// Days of a site file that have trouble.
 const DAYS_WITH_TROUBLE: &str = "trouble-1,trouble-2,trouble-3,scale-1,scale-2";
-/// Stands for the seed that a day has by itself.
+/// Value of `--seeds` that stands for the default seed of a day.
 const OWN_SEED: &str = "own";
 
 fn main() {
@@ -230,7 +230,7 @@
         method: method.unwrap_or(Method::GET),
         body_bytes: body_bytes as usize,
         duration: Duration::from_secs_f64(seconds),
-        once_keys: flags.once,
+        idempotency_keys: flags.once,
     })
 }
 
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Measures how long an accepted change takes to be in force on every daemon, by a watch on each.
+//! Measures how long an accepted configuration change takes to be in force on all daemons, by a
+//! watch on each.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,27 +17,27 @@
 
 use crate::errors::BenchError;
 
-/// Longest wait for one change on all daemons.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Time between looks at what the watches have brought.
-const LOOK_EVERY: Duration = Duration::from_millis(1);
-/// Usual pause between changes, so that each is measured by itself.
+/// Time-out for one change to be in force on all daemons.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the revisions that the watches report are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Default pause between changes, so that each is measured separately.
 pub const CHANGE_PAUSE: Duration = Duration::from_millis(300);
 
-/// `SpreadReport` tells the times over all changes, in milliseconds.
+/// `SpreadReport` is the propagation times over all changes, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SpreadReport {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Changes made.
+    /// Number of changes.
     pub changes: usize,
-    /// Median over the changes of the time until the last daemon had it.
+    /// Median over the changes of the time until all daemons had the change.
     pub all_median_ms: f64,
-    /// Longest time until the last daemon had a change.
+    /// Longest time until all daemons had a change.
     pub all_max_ms: f64,
-    /// Median over the changes of the time until half of the daemons had it.
+    /// Median over the changes of the time until half of the daemons had the change.
     pub half_median_ms: f64,
-    /// Median of the time in which a change was accepted.
+    /// Median of the time until the change was accepted.
     pub accepted_median_ms: f64,
 }
 
@@ -44,7 +45,7 @@
     BenchError::Bound { message: source.to_string() }
 }
 
-/// Makes changes and measures when each is in force everywhere.
+/// Makes changes and measures when each is in force on all daemons.
 pub async fn run(
     admins: Vec<SocketAddr>,
     token: String,
@@ -61,13 +62,13 @@
         let seen = seen.clone();
         monoio::spawn(async move {
             let target = format!("/v1/watch?after={begin}");
-            let note = |line: &serde_json::Value| {
+            let record = |line: &serde_json::Value| {
                 if let Some(revision) = line["revision"].as_u64() {
                     seen.borrow_mut()[index] = (revision, Instant::now());
                 }
             };
-            // A watch that ends shows as a daemon that never gets the change.
-            let _ = watcher.watch(&target, note).await;
+            // If a watch ends, its daemon never reaches the revision, so the run times out.
+            let _ = watcher.watch(&target, record).await;
         });
     }
     monoio::time::sleep(pause).await;
@@ -102,16 +103,18 @@
     start: Instant,
 ) -> Result<Vec<f64>, BenchError> {
     loop {
-        let there = seen.borrow().iter().filter(|(known, _)| *known >= revision).count();
+        let reached = seen.borrow().iter().filter(|(known, _)| *known >= revision).count();
         let total = seen.borrow().len();
-        if there == total {
+        if reached == total {
             break;
         }
-        if start.elapsed() > PATIENCE {
-            let message = format!("revision {revision} came to {there} of {total} daemons");
+        if start.elapsed() > CHANGE_TIMEOUT {
+            let message = format!(
+                "revision {revision} reached {reached} of {total} daemons within the time-out"
+            );
             return Err(BenchError::Bound { message });
         }
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     let times = seen.borrow();
     let mut times: Vec<f64> =
--- a/crates/bench/tests/decisions.rs
+++ b/crates/bench/tests/decisions.rs
@@ -41,7 +41,8 @@
         suite::run(&plan)
     };
     let own = vec![RuleKind::Detection, RuleKind::Precision];
-    // The middle severity of the errors fails half of the work, as the upstreams that lie do.
+    // At the middle severity of `errors` half of the requests fail, as at an upstream whose
+    // endpoint reports wrongly.
     let honest = runs("errors", vec![2], own.clone());
     for severity in 0..suite::SEVERITIES {
         let lying = runs(case, vec![severity], own.clone());
@@ -50,7 +51,7 @@
         }
     }
     let probes = runs(case, vec![4], vec![RuleKind::Probes]);
-    assert!(probes.iter().all(|(_, result)| result.detection.is_none()), "probes see nothing");
+    assert!(probes.iter().all(|(_, result)| result.detection.is_none()), "probes detect nothing");
 }
 
 #[test]
