--- a/crates/daemon/tests/bounds.rs
+++ b/crates/daemon/tests/bounds.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Memory and descriptors stay within what the platform gives, whatever callers do.
+//! Memory and descriptors stay within the limits of the platform, whatever callers do.
 
 mod common;
 
@@ -32,7 +32,7 @@
     kib / 1024
 }
 
-/// Sends a request on a connection that stays open; says whether it was answered.
+/// Sends a request on a connection that stays open; returns whether it was answered.
 fn is_served(stream: &mut TcpStream, id: usize) -> bool {
     let text = format!("GET /safe/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: many-{id}\r\n\r\n");
     let mut start = [0; 15];
@@ -47,13 +47,13 @@
     let mut fleet = RegisteredFleet::start(1);
     fleet.daemons[0].kill();
     let (memory, files) = (MEMORY_MB.to_string(), DESCRIPTORS.to_string());
-    let more = [
+    let extra_flags = [
         ("memory-mb", memory.as_str()),
         ("descriptors", files.as_str()),
         ("connections-each", files.as_str()),
     ];
-    fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &more);
-    assert_eq!(fleet.beat(0, false).status, 200);
+    fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &extra_flags);
+    assert_eq!(fleet.send_heartbeat(0, false).status, 200);
     fleet.wait_served(0, &[0]);
     let daemon = &fleet.daemons[0];
     let before = descriptors(daemon);
@@ -68,7 +68,7 @@
     assert!(descriptors(daemon) < DESCRIPTORS);
     assert!(resident_mb(daemon) < MEMORY_MB, "{} MB", resident_mb(daemon));
     drop(streams);
-    eventually("others are served once these are gone", || {
+    eventually("new connections are served once these are closed", || {
         let mut stream = client::connect(daemon.callers);
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
         is_served(&mut stream, ASKED)
@@ -76,19 +76,19 @@
 }
 
 #[test]
-fn verify_one_address_has_no_more_connections_than_it_may() {
+fn verify_the_connections_of_one_address_are_bounded() {
     let mut fleet = RegisteredFleet::start(1);
     fleet.daemons[0].kill();
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[("connections-each", "2")]);
-    assert_eq!(fleet.beat(0, false).status, 200);
+    assert_eq!(fleet.send_heartbeat(0, false).status, 200);
     let daemon = &fleet.daemons[0];
     eventually("the document is in force", || fleet.is_ready(0));
     let mut streams: Vec<TcpStream> = (0..2).map(|_| client::connect(daemon.callers)).collect();
     assert!(streams.iter_mut().enumerate().all(|(id, stream)| is_served(stream, id)));
-    assert!(!is_served(&mut client::connect(daemon.callers), 2), "a third one is refused");
-    eventually("the log tells of it", || daemon.log_text().contains("caller refused"));
+    assert!(!is_served(&mut client::connect(daemon.callers), 2), "a third connection is refused");
+    eventually("the refusal is logged", || daemon.log_text().contains("caller refused"));
     drop(streams);
-    eventually("others are served once these are gone", || {
+    eventually("new connections are served once these are closed", || {
         is_served(&mut client::connect(daemon.callers), 3)
     });
 }
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -1,13 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Work whose caller has left is not sent any more, wherever it waits.
+//! A request whose caller has disconnected is not sent, wherever it waits.
 //!
-//! What users saw: a once-only request reached a server 0.78 s after its caller had closed the connection,
-//! while paths between failure domains were cut for some.
-//!
-//! Cause: an ingress that waited for a link did not look at its caller, and sent the request once the
-//! link was there; and a host began work although its cancel had come together with it.
+//! Guards against a fault in which an at-most-once request reached a server 0.78 s after its caller
+//! had closed the connection, while paths between failure domains were cut for some daemons. The
+//! ingress did not watch its caller while it waited for a link and sent the request once the link
+//! was up, and a host started a request although its cancel had arrived together with it.
 
 mod common;
 
@@ -27,19 +26,20 @@
 use monoio::net::TcpStream;
 
 #[test]
-fn verify_a_caller_that_leaves_ends_the_wait_for_a_link() {
+fn verify_a_disconnected_caller_ends_the_wait_for_a_link() {
     let test = async {
         let listener = connection::bind(loopback()).expect("bind");
         let address = listener.local_addr().expect("address");
         let caller = std::net::TcpStream::connect(address).expect("connect");
         let (stream, _) = listener.accept().await.expect("accept");
         let mut stream = HttpStream::new(stream);
-        let there = waiting::unless_gone(&mut stream, async { "link" }).await;
-        assert_eq!(there, Some("link"));
+        let link = waiting::unless_gone(&mut stream, async { "link" }).await;
+        assert_eq!(link, Some("link"));
         drop(caller);
         let never = future::pending::<&str>();
         assert_eq!(waiting::unless_gone(&mut stream, never).await, None);
-        // One that has left before is seen at once, so that nothing is sent though the link is there.
+        // A caller that has already left is detected at once, so nothing is sent although the link
+        // is up.
         assert_eq!(waiting::unless_gone(&mut stream, async { "link" }).await, None);
     };
     runtime::run(test).expect("runtime");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn verify_work_that_comes_together_with_its_cancel_is_not_begun() {
+fn verify_a_request_received_together_with_its_cancel_is_not_started() {
     let fleet = RegisteredFleet::start(1);
     fleet.wait_served(0, &[0]);
     let server = &fleet.backends[0];
--- a/crates/daemon/tests/common/backend.rs
+++ b/crates/daemon/tests/common/backend.rs
@@ -27,7 +27,7 @@
         Self::start_at(loopback(), name, service_ms, ExchangeFields::default())
     }
 
-    /// Starts one at an address that knows other header fields.
+    /// Starts a backend server at an address, with these names of the header fields of an exchange.
     pub fn start_at(
         address: SocketAddr,
         name: &str,
@@ -66,7 +66,7 @@
         self.runs()["total"].as_u64().expect("total")
     }
 
-    /// Says how often the request with this id ran here.
+    /// Returns how often the request with this id ran here.
     pub fn ran(&self, id: &str) -> u64 {
         self.runs()["by_id"][id].as_u64().unwrap_or(0)
     }
--- a/crates/daemon/tests/common/client.rs
+++ b/crates/daemon/tests/common/client.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A plain blocking client that sees every byte.
+//! A plain blocking HTTP client that exposes the reply as it was received.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,7 +11,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A reply as it came.
+/// A reply as it was received.
 #[derive(Debug, Clone, Default)]
 pub struct Reply {
     pub status: u16,
@@ -82,7 +82,7 @@
     try_call(address, method, path, headers, body).expect("a reply")
 }
 
-/// Makes one request; gives nothing if there is no whole head in reply.
+/// Makes one request; returns nothing if no complete head is received.
 pub fn try_call(
     address: SocketAddr,
     method: &str,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads one reply, leaving what follows it in `buffer`.
+/// Reads one reply; bytes that follow it stay in `buffer`.
 pub fn read_one(stream: &mut TcpStream, method: &str, buffer: &mut Vec<u8>) -> Option<Reply> {
     let end = loop {
         if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -129,8 +129,8 @@
     buffer.drain(..end);
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let mut reply = Reply { status, head, ..Reply::default() };
-    let bare = method == "HEAD" || status < 200 || status == 204 || status == 304;
-    if bare {
+    let has_no_body = method == "HEAD" || status < 200 || status == 204 || status == 304;
+    if has_no_body {
         reply.complete = true;
         return Some(reply);
     }
@@ -146,14 +146,15 @@
 }
 
 fn fill(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
-    let mut piece = [0; 16384];
+    let mut chunk = [0; 16384];
     loop {
-        match stream.read(&mut piece) {
+        match stream.read(&mut chunk) {
             Ok(count) if count > 0 => {
-                buffer.extend_from_slice(&piece[..count]);
+                buffer.extend_from_slice(&chunk[..count]);
                 return true;
             }
-            // A signal, as when a daemon of another test ends, says nothing of the connection.
+            // A signal, such as SIGCHLD when a daemon of another test ends, is no fault of the
+            // connection.
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             _ => return false,
         }
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Daemons as processes.
+//! Daemons that run as processes.
 
 use std::fs::{self, File};
 use std::io::{BufRead, BufReader};
@@ -27,11 +27,11 @@
     pub admin: SocketAddr,
     /// Address for heartbeats of backend servers, if the daemon has one.
     pub registration: Option<SocketAddr>,
-    /// Address for the platform's question, if the daemon has one.
+    /// Address for the platform's readiness probe, if the daemon has one.
     pub ready: Option<SocketAddr>,
     child: Child,
     log: PathBuf,
-    /// Standard output, where it is a pipe that the test reads or leaves unread.
+    /// Standard output, if it is a pipe, which the test reads or leaves unread.
     pub output: Option<BufReader<ChildStdout>>,
 }
 
@@ -51,7 +51,7 @@
         Self::listening(child, log, &line, host, domain)
     }
 
-    /// Starts a daemon whose standard output is a pipe; only its first lines have been read.
+    /// Starts a daemon whose standard output is a pipe, read up to the line `listening`.
     pub fn start_piped(
         platform: SocketAddr,
         host: &str,
@@ -108,7 +108,7 @@
         let _ = self.child.wait();
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the end of the process and returns its status.
     pub fn ended(&mut self) -> ExitStatus {
         let mut status = None;
         eventually("the daemon ends", || {
@@ -172,7 +172,7 @@
         if thread::panicking() {
             let text = self.log_text();
             let tail: Vec<&str> = text.lines().rev().take(60).collect();
-            eprintln!("-- log of {}, last first\n{}", self.host, tail.join("\n"));
+            eprintln!("-- log of {}, last line first\n{}", self.host, tail.join("\n"));
         }
         logs::keep_events(&self.log);
         let _ = fs::remove_file(&self.log);
@@ -192,7 +192,7 @@
         .args(["--admin-token", TOKEN])
         .env("BASALTARCH_FLEET_KEY", KEY)
         .env("BASALTARCH_DRAIN_MS", "20000")
-        // Every line, so that a failed test can be traced.
+        // Logs every request, so that a failed test can be traced.
         .env("BASALTARCH_LOG_REQUESTS", "1000000");
     for (flag, value) in extra {
         command.arg(format!("--{flag}")).arg(value);
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -23,7 +23,7 @@
     pub backends: Vec<TestBackend>,
 }
 
-/// What a fleet is made of.
+/// `FleetPlan` holds the daemons, backend servers and configuration of a fleet.
 pub struct FleetPlan {
     pub daemons: usize,
     pub backends: usize,
@@ -60,7 +60,7 @@
 }
 
 impl TestFleet {
-    /// Starts a fleet and waits until every daemon knows the others and serves.
+    /// Starts a fleet and waits until every daemon knows the others and is ready.
     pub fn start(plan: &FleetPlan) -> Self {
         let mut fleet = Self::start_unconfigured(plan);
         fleet.backends = (0..plan.backends)
@@ -72,7 +72,7 @@
         fleet
     }
 
-    /// Starts the platform and the daemons.
+    /// Starts the platform and the daemons, without a configuration or backend servers.
     pub fn start_unconfigured(plan: &FleetPlan) -> Self {
         let platform = TestPlatform::start();
         let mut fleet = Self { platform, daemons: Vec::new(), backends: Vec::new() };
@@ -88,7 +88,7 @@
         fleet
     }
 
-    /// Kills all daemons at once and starts them again; waits until they know each other and serve.
+    /// Kills all daemons at once and restarts them; waits until they know each other and are ready.
     pub fn restart_all(&mut self, flags: &[(&str, &str)]) {
         self.daemons.iter_mut().for_each(TestDaemon::kill);
         for daemon in &mut self.daemons {
@@ -165,7 +165,7 @@
         self.backends.iter().map(|backend| backend.ran(id)).sum()
     }
 
-    /// Checks what must hold in every daemon at any time.
+    /// Checks that no daemon has violated a floor or panicked.
     pub fn check_invariants(&self) {
         for daemon in &self.daemons {
             assert_eq!(daemon.metric("floor_violations"), 0.0, "floor on {}", daemon.host);
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A forwarding fake between two processes, whose directions can be cut one by one and whose connections can
-//! fall silent for good.
+//! A TCP forwarder between two processes. Each direction can be cut separately, and connections can
+//! be silenced permanently.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,27 +11,28 @@
 use std::thread;
 use std::time::Duration;
 
-const PAUSE: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The state that tests switch.
+/// `Cuts` are the faults that tests switch on and off.
 #[derive(Default)]
 pub struct Cuts {
-    /// Nothing passes from the side that connected.
+    /// Nothing is forwarded from the side that connected.
     pub forward: AtomicBool,
-    /// Nothing passes back to the side that connected.
+    /// Nothing is forwarded back to the side that connected.
     pub back: AtomicBool,
     /// New connections are closed at once.
     pub refuse: AtomicBool,
-    /// Connections up to this number are silent: nothing passes or ends, and all that is sent is taken.
+    /// Connections up to this number are silent: what is sent is read and dropped, and they stay
+    /// open.
     silent_to: AtomicU64,
-    /// Connections so far.
+    /// Number of connections so far.
     opened: AtomicU64,
     /// Hosts whose links are cut; all when empty. A daemon names its host in its first frame.
     pub only: Mutex<Vec<String>>,
 }
 
 impl Cuts {
-    fn concerns(&self, first_frame: &[u8]) -> bool {
+    fn applies_to(&self, first_frame: &[u8]) -> bool {
         let only = self.only.lock().expect("lock");
         let names = |host: &String| first_frame.windows(host.len()).any(|w| w == host.as_bytes());
         only.is_empty() || only.iter().any(names)
@@ -62,7 +63,7 @@
             for stream in listener.incoming().map_while(Result::ok) {
                 let address = *target.lock().expect("lock");
                 if let (Some(address), false) = (address, cuts.refuse.load(Ordering::SeqCst)) {
-                    join(stream, address, &cuts, &open);
+                    forward_connection(stream, address, &cuts, &open);
                 }
             }
         });
@@ -73,7 +74,7 @@
         *self.target.lock().expect("lock") = Some(target);
     }
 
-    /// Silences every connection that is open, for good; new ones work.
+    /// Silences every open connection permanently; new connections work.
     pub fn silence(&self) {
         self.cuts.silent_to.store(self.cuts.opened.load(Ordering::SeqCst), Ordering::SeqCst);
     }
@@ -86,7 +87,12 @@
     }
 }
 
-fn join(near: TcpStream, address: SocketAddr, cuts: &Arc<Cuts>, open: &Arc<Mutex<Vec<TcpStream>>>) {
+fn forward_connection(
+    near: TcpStream,
+    address: SocketAddr,
+    cuts: &Arc<Cuts>,
+    open: &Arc<Mutex<Vec<TcpStream>>>,
+) {
     let far = match TcpStream::connect(address) {
         Ok(far) => far,
         Err(_) => return,
@@ -107,16 +113,16 @@
     let back = (cuts.clone(), first_frame.clone());
     thread::spawn(move || {
         let (cuts, first) = &forward;
-        pump(near_read, far_write, silent_forward, |piece| {
-            let first = first.get_or_init(|| piece.to_vec());
-            cuts.forward.load(Ordering::SeqCst) && cuts.concerns(first)
+        pump(near_read, far_write, silent_forward, |chunk| {
+            let first = first.get_or_init(|| chunk.to_vec());
+            cuts.forward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
     thread::spawn(move || {
         let (cuts, first) = &back;
         pump(far, near, silent_back, |_| {
             let first = first.get().map_or(&[][..], Vec::as_slice);
-            cuts.back.load(Ordering::SeqCst) && cuts.concerns(first)
+            cuts.back.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
 }
@@ -127,19 +133,19 @@
     is_silent: impl Fn() -> bool,
     is_cut: impl Fn(&[u8]) -> bool,
 ) {
-    let mut piece = [0; 16384];
+    let mut chunk = [0; 16384];
     loop {
-        let count = match from.read(&mut piece) {
+        let count = match from.read(&mut chunk) {
             Ok(count) if count > 0 => count,
             _ => break,
         };
-        while is_cut(&piece[..count]) && !is_silent() {
-            thread::sleep(PAUSE);
+        while is_cut(&chunk[..count]) && !is_silent() {
+            thread::sleep(POLL_INTERVAL);
         }
         if is_silent() {
             continue;
         }
-        if to.write_all(&piece[..count]).is_err() {
+        if to.write_all(&chunk[..count]).is_err() {
             break;
         }
     }
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A daemon in a thread of the test, whose host can be made to sleep.
+//! A daemon in a thread of the test, for which a suspend of its host can be simulated.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,14 +16,14 @@
 
 use super::daemon::{KEY, TOKEN};
 
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A daemon in a thread. A test has one at the most, as its metrics are the process's.
+/// A daemon in a thread. A test can have only one, as metrics are global to the process.
 pub struct InlineDaemon {
     pub host: String,
     pub callers: SocketAddr,
     pub admin: SocketAddr,
-    sleeps: Sender<Duration>,
+    suspends: Sender<Duration>,
 }
 
 impl InlineDaemon {
@@ -37,31 +37,31 @@
             ..RawOptions::default()
         };
         let options = DaemonOptions::try_new(raw).expect("settings");
-        let (sleeps, asleep) = mpsc::channel();
+        let (suspends, suspend_requests) = mpsc::channel();
         let (sender, receiver) = mpsc::channel();
         thread::spawn(move || {
             let on_start = |state: &Rc<DaemonState>| {
                 sender.send((state.options.callers, state.options.admin)).expect("send");
-                monoio::spawn(sleep_when_told(state.clone(), asleep));
+                monoio::spawn(apply_suspends(state.clone(), suspend_requests));
             };
             let running = run::run(options, StopRequests::Api, on_start);
             runtime::run(running).expect("runtime").expect("daemon");
         });
         let (callers, admin) = receiver.recv().expect("daemon starts");
-        Self { host: host.to_owned(), callers, admin, sleeps }
+        Self { host: host.to_owned(), callers, admin, suspends }
     }
 
-    /// Lets the host sleep for so long, in no time.
-    pub fn sleep(&self, length: Duration) {
-        self.sleeps.send(length).expect("the daemon runs");
+    /// Simulates a suspend of the host of this length, without waiting.
+    pub fn suspend(&self, length: Duration) {
+        self.suspends.send(length).expect("the daemon runs");
     }
 }
 
-async fn sleep_when_told(state: Rc<DaemonState>, asleep: Receiver<Duration>) {
+async fn apply_suspends(state: Rc<DaemonState>, suspend_requests: Receiver<Duration>) {
     loop {
-        if let Ok(length) = asleep.try_recv() {
+        if let Ok(length) = suspend_requests.try_recv() {
             state.clock.add_sleep(length);
         }
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/daemon/tests/common/logs.rs
+++ b/crates/daemon/tests/common/logs.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The logs of daemons: where they lie, and what is read and kept of them.
+//! The logs of daemons: their paths, waiting for lines, and saving the names of their events.
 
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -12,7 +12,7 @@
 
 use super::eventually;
 
-/// Returns a path of its own for the log of a daemon.
+/// Returns a unique path for the log of a daemon.
 pub fn new_path(host: &str) -> PathBuf {
     use std::sync::atomic::{AtomicU64, Ordering};
     static NEXT: AtomicU64 = AtomicU64::new(0);
@@ -37,7 +37,7 @@
     found
 }
 
-/// Keeps the names of the events in a log, for scripts/check-events.
+/// Saves the names of the events in a log, for scripts/check-events.
 pub fn keep_events(log: &std::path::Path) {
     let text = fs::read_to_string(log).unwrap_or_default();
     let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -46,7 +46,7 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("events");
     let name = log.file_name().expect("name");
     let text: String = names.iter().map(|name| format!("{name}\n")).collect();
-    // What can't be kept is reported there as never seen.
+    // The script reports an event that could not be saved as never seen.
     let _ = fs::create_dir_all(&folder);
     let _ = fs::write(folder.join(name), text);
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,14 +1,16 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A small fleet on loopback for tests: stand-ins in threads, daemons as processes, a plain client.
+//! A small fleet on loopback for tests: stand-ins in threads, daemons as processes, a plain HTTP
+//! client.
 //!
-//! [`platform`] and [`backend`] are the stand-ins, [`daemon`] starts daemons and [`logs`] reads what
-//! they log. [`fleet`] and [`registered`] put these together, one for each source of the
-//! configuration. [`client`] sends requests, [`operator`] does what operators do, and [`forwarder`]
-//! cuts links. [`stops`] sends requests to daemons that stop.
+//! [`platform`] and [`backend`] are the stand-ins, [`daemon`] and [`inline`] start daemons and
+//! [`logs`] reads their logs. [`fleet`] and [`registered`] combine these, one for each source of
+//! the configuration. [`client`] sends requests, [`operator`] makes the calls of operators, and
+//! [`forwarder`] cuts connections. [`stops`] sends requests to daemons that are shutting down.
 //!
-//! Ports are given by the kernel. Every wait is for an event, with a generous bound.
+//! The kernel assigns the ports. Tests wait for events rather than for fixed times, with a generous
+//! timeout.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -34,15 +36,15 @@
 pub use platform::TestPlatform;
 
 /// Longest wait for an event.
-pub const PATIENCE: Duration = Duration::from_secs(40);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until `holds`; fails with `what` after [`PATIENCE`].
+/// Waits until `holds` returns true; fails with `what` after [`EVENT_TIMEOUT`].
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
-        thread::sleep(LOOK_EVERY);
+        assert!(start.elapsed() < EVENT_TIMEOUT, "not within {EVENT_TIMEOUT:?}: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -50,7 +52,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Returns an address at which nothing listens: port 1 is none that the system gives out.
+/// Returns an address at which nothing listens: the system never assigns port 1.
 pub fn closed_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/daemon/tests/common/operator.rs
+++ b/crates/daemon/tests/common/operator.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What tests of the configuration do as operators.
+//! Calls of operators, for the tests of the configuration.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 
 pub const ANY: (&str, &str) = ("If-Match", "*");
 
-/// Checks that every revision has its record and each change is there once, in order.
+/// Checks that the audit trail has one record for each revision, and each change once and in order.
 pub fn check_audit(fleet: &TestFleet, revisions: u64) {
     for daemon in &fleet.daemons {
         let audit = daemon.get("/v1/audit?after=0");
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -19,7 +19,7 @@
 /// The stand-in platform in a thread.
 pub struct TestPlatform {
     pub address: SocketAddr,
-    /// Address for hosts that some outages strike alone.
+    /// Address for the group of hosts to which an outage can be restricted.
     pub second: SocketAddr,
 }
 
@@ -48,13 +48,13 @@
         assert_eq!(reply.status, 204, "{}", reply.text());
     }
 
-    /// Takes a copy of all rows, to come back from.
+    /// Takes a copy of all rows, for [`TestPlatform::restore`].
     pub fn take_copy(&self) {
         let reply = client::call(self.address, "PUT", platform::COPY_PATH, &[], "");
         assert_eq!(reply.status, 204, "{}", reply.text());
     }
 
-    /// Comes back from the copy, as the next era.
+    /// Restores the rows from the copy and begins the next era.
     pub fn restore(&self) {
         let reply = client::call(self.address, "DELETE", platform::COPY_PATH, &[], "");
         assert_eq!(reply.status, 204, "{}", reply.text());
@@ -64,7 +64,7 @@
         client::call(self.address, "GET", platform::COUNTERS_PATH, &[], "").json()
     }
 
-    /// Returns the values of a table's rows that can be read.
+    /// Returns the values of a table's rows, without those that can't be decoded.
     pub fn rows(&self, table: &str) -> Vec<Value> {
         let path = format!("{}?table={table}&part=", rows::READ_PATH);
         let page = client::call(self.address, "GET", &path, &[], "").json();
@@ -75,7 +75,7 @@
         page["rows"].as_array().into_iter().flatten().filter_map(value).collect()
     }
 
-    /// Writes or removes a row past all rules, as somebody else than its daemon.
+    /// Writes or removes a row without any checks, as a writer other than its daemon.
     pub fn change_row(&self, method: &str, table: &str, key: &str, value: &str) {
         let path = format!("{}{table}/{key}", platform::ROWS_CONTROL_PATH);
         let reply = client::call(self.address, method, &path, &[], value);
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A fleet whose configuration is the operator's document and whose backend servers register.
+//! A fleet that is configured by the operator's document and whose backend servers register
+//! themselves.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,9 +18,9 @@
 use super::client::{self, Reply};
 use super::{eventually, loopback, TestBackend, TestDaemon, TestPlatform};
 
-/// Name of the service.
+/// Service of the backend servers.
 pub const SERVICE: &str = "solver-app";
-/// Host that callers ask for.
+/// Host header of callers' requests.
 pub const HOST: &str = "solver.example";
 const DOMAINS: [&str; 3] = ["bkk-a", "bkk-b", "bkk-c"];
 
@@ -31,7 +32,7 @@
     sequence: Cell<u64>,
 }
 
-/// Returns a document with a route of each sort.
+/// Returns a document with a repeatable and a non-repeatable route.
 pub fn document(version: u64) -> ConfigDocument {
     let note = |name: &str| ServiceNote {
         name: name.to_owned(),
@@ -73,8 +74,8 @@
     NamedRoute { name: name.to_owned(), rule }
 }
 
-/// Builds the word of leaving of a backend server; its name may tell a start.
-pub fn leaving(name: &str) -> StoreCall {
+/// Builds the deregistration of a backend server; its name may include an incarnation.
+pub fn deregistration(name: &str) -> StoreCall {
     registration::deregister(&ServerIncarnation::of_upstream(name))
 }
 
@@ -88,8 +89,8 @@
         (0..daemons).fold(fleet, |fleet, index| fleet.with_host(index))
     }
 
-    /// Starts as many in one failure domain.
-    pub fn start_near(daemons: usize) -> Self {
+    /// Starts the same fleet in one failure domain.
+    pub fn start_in_one_domain(daemons: usize) -> Self {
         let platform = TestPlatform::start();
         let fleet =
             Self { platform, daemons: Vec::new(), backends: Vec::new(), sequence: Cell::new(1) };
@@ -107,12 +108,17 @@
         let name = format!("i-{}", index + 1);
         let fields = headers::exchange_fields();
         self.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
-        assert_eq!(self.beat(index, false).status, 200);
+        assert_eq!(self.send_heartbeat(index, false).status, 200);
         self
     }
 
-    pub fn start_daemon(&self, host: &str, domain: &str, more: &[(&str, &str)]) -> TestDaemon {
-        self.start_daemon_at(self.platform.address, host, domain, more)
+    pub fn start_daemon(
+        &self,
+        host: &str,
+        domain: &str,
+        extra_flags: &[(&str, &str)],
+    ) -> TestDaemon {
+        self.start_daemon_at(self.platform.address, host, domain, extra_flags)
     }
 
     /// Starts a daemon that calls the platform at one of its addresses.
@@ -121,7 +127,7 @@
         platform: SocketAddr,
         host: &str,
         domain: &str,
-        more: &[(&str, &str)],
+        extra_flags: &[(&str, &str)],
     ) -> TestDaemon {
         let mut flags = vec![
             ("source", "document"),
@@ -129,7 +135,7 @@
             ("registration", "127.0.0.1:0"),
             ("own-service", "shop-app"),
         ];
-        flags.extend_from_slice(more);
+        flags.extend_from_slice(extra_flags);
         TestDaemon::start(platform, host, domain, &flags)
     }
 
@@ -145,23 +151,29 @@
     }
 
     /// Sends a heartbeat of a backend server to the daemon beside it.
-    pub fn beat(&self, index: usize, draining: bool) -> Reply {
+    pub fn send_heartbeat(&self, index: usize, draining: bool) -> Reply {
         let name = &self.backends[index].name;
-        self.beat_as(index, name, SERVICE, draining)
+        self.send_heartbeat_as(index, name, SERVICE, draining)
     }
 
-    /// Sends a heartbeat of any name and service from where a backend server listens. A name may tell a
-    /// start: `i-1#a` is the start of `i-1` at 10 ms.
-    pub fn beat_as(&self, index: usize, name: &str, service: &str, draining: bool) -> Reply {
+    /// Sends a heartbeat with any name and service and the address of a backend server. A name may
+    /// include an incarnation: `i-1#a` is the incarnation of `i-1` that started at 10 ms.
+    pub fn send_heartbeat_as(
+        &self,
+        index: usize,
+        name: &str,
+        service: &str,
+        draining: bool,
+    ) -> Reply {
         self.call_daemon(index, &self.heartbeat(index, name, service, draining))
     }
 
-    /// Lets the numbers of heartbeats begin anew, as those of a backend server that starts do.
-    pub fn restart_count(&self) {
+    /// Resets the sequence numbers of heartbeats, as a backend server does when it starts.
+    pub fn reset_sequence(&self) {
         self.sequence.set(1);
     }
 
-    /// Builds such a heartbeat.
+    /// Builds a heartbeat with any name and service and the address of a backend server.
     pub fn heartbeat(&self, index: usize, name: &str, service: &str, draining: bool) -> StoreCall {
         self.heartbeat_from(self.backends[index].address, name, service, draining)
     }
@@ -187,12 +199,12 @@
         })
     }
 
-    /// Says for a backend server that it is gone.
+    /// Deregisters a backend server.
     pub fn deregister(&self, index: usize) -> Reply {
-        self.call_daemon(index, &leaving(&self.backends[index].name))
+        self.call_daemon(index, &deregistration(&self.backends[index].name))
     }
 
-    /// Sends a call to the daemon beside a backend server.
+    /// Sends a call of the registration API to the daemon beside a backend server.
     pub fn call_daemon(&self, index: usize, call: &StoreCall) -> Reply {
         let address = self.daemons[index].registration.expect("registration");
         let body = String::from_utf8_lossy(&call.body);
@@ -207,10 +219,10 @@
         client::call(self.daemons[daemon].callers, method, path, &headers, "x")
     }
 
-    /// Waits until a daemon sends work to each of these backend servers.
+    /// Waits until a daemon has sent requests to each of these backend servers.
     pub fn wait_served(&self, daemon: usize, wanted: &[usize]) {
         let mut number = 0;
-        eventually("every backend server gets work", || {
+        eventually("every backend server receives requests", || {
             for _ in 0..20 {
                 number += 1;
                 self.request(daemon, "GET", "/safe/x", &format!("wait-{daemon}-{number}"));
@@ -226,7 +238,7 @@
         });
     }
 
-    /// Returns how often a request ran anywhere.
+    /// Returns how often a request ran on any backend server.
     pub fn ran(&self, id: &str) -> u64 {
         self.backends.iter().map(|backend| backend.ran(id)).sum()
     }
--- a/crates/daemon/tests/common/stops.rs
+++ b/crates/daemon/tests/common/stops.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Requests to daemons that stop.
+//! Requests to daemons that are shutting down.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -9,14 +9,15 @@
 use crate::common::client::{self, Reply};
 use crate::common::{eventually, TestDaemon, TestFleet};
 
-/// A request to a daemon that stops, and what became of it.
+/// A request to a daemon that is shutting down, and its reply.
 pub struct StopRequest {
     pub id: String,
     pub reply: Option<Reply>,
 }
 
 impl StopRequest {
-    /// Checks that it was served, or refused as not run, or not taken at all, and truly so.
+    /// Checks that the request ran exactly once if it was served, and never if it was refused or
+    /// got no reply.
     pub fn check(&self, fleet: &TestFleet) {
         let ran = fleet.ran(&self.id);
         let expected = match &self.reply {
@@ -31,13 +32,13 @@
     }
 }
 
-/// Sends a request that must not be repeated, whose work takes `work_ms`.
+/// Sends a non-repeatable request with a service time of `work_ms`.
 pub fn write(stream: &mut TcpStream, id: &str, work_ms: &str) -> io::Result<()> {
     let headers = [("Host", "solver.example"), ("x-work-ms", work_ms), ("x-request-id", id)];
     stream.write_all(client::request_text("POST", "/plain", &headers, "x").as_bytes())
 }
 
-/// Sends such a request and waits for the end of its answer or connection.
+/// Sends such a request and waits for the end of its reply or connection.
 pub fn send(stream: &mut TcpStream, id: &str, work_ms: &str) -> Option<Reply> {
     write(stream, id, work_ms).ok()?;
     client::read_reply(stream, "POST")
@@ -49,8 +50,8 @@
     eventually(event, || daemon.log_text().contains(&text));
 }
 
-/// Asks a daemon to stop and waits until it does.
-pub fn ask(daemon: &TestDaemon) {
+/// Asks a daemon to stop and waits until it begins its graceful shutdown.
+pub fn request_stop(daemon: &TestDaemon) {
     daemon.signal("-TERM");
     wait_event(daemon, "leaving");
 }
--- a/crates/daemon/tests/deployed.rs
+++ b/crates/daemon/tests/deployed.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The settings that are deployed take whatever amount the platform may fill in, and refuse what is wrong.
+//! The deployed settings accept every value that the platform may fill in and refuse wrong ones.
 
 use std::fs;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use basaltarch_options::{DaemonOptions, RawOptions};
 use test_case::test_case;
 
-/// What the platform fills in, as it usually is.
-const USUAL: [(&str, &str); 17] = [
+/// Typical values that the platform fills in.
+const TYPICAL: [(&str, &str); 17] = [
     ("nodeName", "host-1"),
     ("zone", "zone-1"),
     ("service", "shop"),
@@ -32,36 +32,44 @@
     ("bounds.budgetExtraRetries", "56"),
 ];
 
-/// What the platform fills in only where callers have organisations.
+/// Values that the platform fills in only where callers have organisations.
 const OPTIONAL: [(&str, &str); 3] =
     [("bounds.quotaWindowS", "5"), ("bounds.quotaOverage", "0.1"), ("bounds.quotaSlack", "20")];
 
-/// Leaves a part of the settings in if the platform fills its gap, and takes it out otherwise.
-fn settle_part(text: &str, gap: &str, is_filled: bool) -> String {
-    let (open, close) = (format!("{{{{#{gap}}}}}"), format!("{{{{/{gap}}}}}"));
+/// Keeps an optional section of the settings if its placeholder is filled in, and removes it
+/// otherwise.
+fn resolve_section(text: &str, placeholder: &str, is_filled: bool) -> String {
+    let (open, close) = (format!("{{{{#{placeholder}}}}}"), format!("{{{{/{placeholder}}}}}"));
     let (before, rest) = text.split_once(&open).expect("the start of an optional part");
     let (part, after) = rest.split_once(&close).expect("the end of an optional part");
     format!("{before}{}{after}", if is_filled { part } else { "" })
 }
 
-/// Fills the deployed settings in, with this gap filled otherwise, and reads them.
-fn read(gap: &str, value: &str) -> Result<DaemonOptions, SettingError> {
-    read_with(gap, value, true)
+/// Reads the deployed settings with this value for one placeholder and typical values for the
+/// others.
+fn read(placeholder: &str, value: &str) -> Result<DaemonOptions, SettingError> {
+    read_with(placeholder, value, true)
 }
 
-fn read_with(gap: &str, value: &str, organisations: bool) -> Result<DaemonOptions, SettingError> {
+fn read_with(
+    placeholder: &str,
+    value: &str,
+    organisations: bool,
+) -> Result<DaemonOptions, SettingError> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/basaltarchd.conf");
     let mut text = fs::read_to_string(path).expect("deployed settings");
     for (optional, _) in OPTIONAL {
-        text = settle_part(&text, optional, organisations);
+        text = resolve_section(&text, optional, organisations);
     }
-    text = text.replace(&format!("{{{{{gap}}}}}"), value);
-    for (gap, usual) in USUAL.iter().chain(&OPTIONAL).chain(&[("bounds.budgetWindowS", "10")]) {
-        text = text.replace(&format!("{{{{{gap}}}}}"), usual);
+    text = text.replace(&format!("{{{{{placeholder}}}}}"), value);
+    for (placeholder, typical) in
+        TYPICAL.iter().chain(&OPTIONAL).chain(&[("bounds.budgetWindowS", "10")])
+    {
+        text = text.replace(&format!("{{{{{placeholder}}}}}"), typical);
     }
-    assert!(!text.contains("{{"), "a gap that this test does not fill:\n{text}");
-    let gap = gap.replace('.', "-");
-    let name = format!("deployed-{gap}-{}-{organisations}.conf", value.replace(':', "-"));
+    assert!(!text.contains("{{"), "a placeholder that this test does not fill:\n{text}");
+    let placeholder = placeholder.replace('.', "-");
+    let name = format!("deployed-{placeholder}-{}-{organisations}.conf", value.replace(':', "-"));
     let filled = format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"));
     fs::write(&filled, text).expect("write");
     let options = DaemonOptions::try_new(RawOptions {
@@ -73,13 +81,13 @@
 }
 
 #[test_case("56", 56 ; "whole")]
-#[test_case("25.2", 25 ; "with a fraction, which is left out")]
-#[test_case("25.99", 25 ; "nearly one more, which is not granted")]
+#[test_case("25.2", 25 ; "with a fraction, which is dropped")]
+#[test_case("25.99", 25 ; "with a fraction near one, which is dropped")]
 #[test_case("0", 0 ; "none")]
 #[test_case("0.4", 0 ; "less than one")]
 #[test_case("630.0", 630 ; "whole with a point")]
 #[test_case("1e3", 1000 ; "with an exponent")]
-fn verify_a_bound_on_repeats_is_taken(value: &str, wanted: u32) {
+fn verify_a_bound_on_retries_is_accepted(value: &str, wanted: u32) {
     let options = read("bounds.budgetExtraRetries", value).expect("settings");
     assert_eq!(options.defaults.retry_extra, wanted);
 }
@@ -87,36 +95,36 @@
 #[test_case("6", 5750 ; "whole")]
 #[test_case("2.5", 2250 ; "with a fraction")]
 #[test_case("0", 0 ; "no time at all")]
-#[test_case("0.1", 0 ; "less than what is kept back")]
+#[test_case("0.1", 0 ; "less than the reserved time")]
 #[test_case("7200", 30_000 ; "longer than any drain")]
-fn verify_the_time_until_a_kill_is_taken(value: &str, wanted_ms: u64) {
+fn verify_the_time_until_a_kill_is_accepted(value: &str, wanted_ms: u64) {
     let options = read("bounds.graceS", value).expect("settings");
     assert_eq!(options.drain, Duration::from_millis(wanted_ms));
 }
 
 #[test]
-fn verify_the_bounds_on_limits_are_taken_where_there_are_any() {
+fn verify_the_tolerances_of_limits_are_accepted_where_there_are_any() {
     let tolerance = read("bounds.quotaSlack", "20").expect("settings").limit_tolerance;
     let wanted = LimitTolerance { window: Duration::from_secs(5), over: 0.1, extra: 20.0 };
     assert_eq!(tolerance, wanted);
     let options = read_with("zone", "zone-1", false).expect("settings");
     let none = LimitTolerance { window: Duration::from_secs(1), over: 0.0, extra: 0.0 };
-    assert_eq!(options.limit_tolerance, none, "nothing beyond a limit is tolerated");
+    assert_eq!(options.limit_tolerance, none, "nothing over a limit is tolerated");
 }
 
 #[test_case("10", 10_000 ; "whole")]
 #[test_case("0.25", 250 ; "with a fraction")]
 #[test_case("3600", 3_600_000 ; "an hour")]
-fn verify_the_window_of_repeats_is_taken(value: &str, wanted_ms: u64) {
+fn verify_the_retry_window_is_accepted(value: &str, wanted_ms: u64) {
     let options = read("bounds.budgetWindowS", value).expect("settings");
     assert_eq!(options.defaults.retry_window, Duration::from_millis(wanted_ms));
 }
 
-#[test_case("bounds.retryBudgetRatio", "0" ; "no repeats")]
-#[test_case("bounds.retryBudgetRatio", "1" ; "a repeat for each")]
-#[test_case("bounds.retryBudgetRatio", "1.5" ; "more repeats than requests")]
+#[test_case("bounds.retryBudgetRatio", "0" ; "no retries")]
+#[test_case("bounds.retryBudgetRatio", "1" ; "a retry for each request")]
+#[test_case("bounds.retryBudgetRatio", "1.5" ; "more retries than requests")]
 #[test_case("bounds.floorShare", "0" ; "no floor")]
-#[test_case("bounds.floorShare", "1" ; "all of it")]
+#[test_case("bounds.floorShare", "1" ; "the whole as floor")]
 #[test_case("limits.maxFds", "4100.5" ; "descriptors with a fraction")]
 #[test_case("limits.maxFds", "1000000" ; "many descriptors")]
 #[test_case("limits.memoryMb", "160.7" ; "memory with a fraction")]
@@ -124,27 +132,31 @@
 #[test_case("bounds.quotaWindowS", "0.5" ; "a short window of limits")]
 #[test_case("bounds.quotaOverage", "0" ; "nothing over a limit")]
 #[test_case("bounds.quotaSlack", "3.03" ; "requests over a limit with a fraction")]
-#[test_case("seeds", "" ; "nobody to ask")]
-fn verify_what_the_platform_may_write_is_taken(gap: &str, value: &str) {
-    read(gap, value).expect("settings");
+#[test_case("seeds", "" ; "no seeds")]
+fn verify_values_that_the_platform_may_fill_in_are_accepted(placeholder: &str, value: &str) {
+    read(placeholder, value).expect("settings");
 }
 
-#[test_case("bounds.budgetExtraRetries", "-1", "retry-extra" ; "repeats below zero")]
-#[test_case("bounds.budgetExtraRetries", "many", "retry-extra" ; "repeats that are no number")]
-#[test_case("bounds.budgetExtraRetries", "NaN", "retry-extra" ; "repeats that can't be counted")]
-#[test_case("bounds.budgetExtraRetries", "inf", "retry-extra" ; "repeats without end")]
-#[test_case("bounds.budgetWindowS", "0", "retry-window-ms" ; "a window without time")]
-#[test_case("bounds.budgetWindowS", "-2", "retry-window-ms" ; "a window below zero")]
-#[test_case("bounds.quotaWindowS", "0", "limit-window-ms" ; "a window of limits without time")]
-#[test_case("bounds.quotaOverage", "-0.1", "limit-over" ; "a share of limits below zero")]
-#[test_case("bounds.quotaSlack", "-1", "limit-extra" ; "requests over a limit below zero")]
-#[test_case("bounds.graceS", "-1", "kill-after-ms" ; "a time below zero")]
+#[test_case("bounds.budgetExtraRetries", "-1", "retry-extra" ; "negative retries")]
+#[test_case("bounds.budgetExtraRetries", "many", "retry-extra" ; "retries that are no number")]
+#[test_case("bounds.budgetExtraRetries", "NaN", "retry-extra" ; "retries that are NaN")]
+#[test_case("bounds.budgetExtraRetries", "inf", "retry-extra" ; "infinite retries")]
+#[test_case("bounds.budgetWindowS", "0", "retry-window-ms" ; "a window of zero")]
+#[test_case("bounds.budgetWindowS", "-2", "retry-window-ms" ; "a negative window")]
+#[test_case("bounds.quotaWindowS", "0", "limit-window-ms" ; "a window of limits of zero")]
+#[test_case("bounds.quotaOverage", "-0.1", "limit-over" ; "a negative share of limits")]
+#[test_case("bounds.quotaSlack", "-1", "limit-extra" ; "negative requests over a limit")]
+#[test_case("bounds.graceS", "-1", "kill-after-ms" ; "a negative time")]
 #[test_case("bounds.graceS", "soon", "kill-after-ms" ; "a time that is no number")]
 #[test_case("bounds.floorShare", "1.2", "floor" ; "more than the whole")]
-#[test_case("bounds.retryBudgetRatio", "-0.1", "retry-share" ; "a ratio below zero")]
+#[test_case("bounds.retryBudgetRatio", "-0.1", "retry-share" ; "a negative ratio")]
 #[test_case("limits.memoryMb", "3", "memory-mb" ; "too little memory to run")]
 #[test_case("limits.maxFds", "0", "descriptors" ; "no descriptors")]
-fn verify_what_is_wrong_is_refused_by_name(gap: &str, value: &str, flag: &str) {
-    let error = read(gap, value).expect_err("refused").to_string();
+fn verify_wrong_values_are_refused_with_the_name_of_the_setting(
+    placeholder: &str,
+    value: &str,
+    flag: &str,
+) {
+    let error = read(placeholder, value).expect_err("refused").to_string();
     assert!(error.contains(&format!("--{flag}")) && error.contains("allowed:"), "{error}");
 }
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The operator's document in force, and what callers get from backend servers that break the rules
-//! of an exchange.
+//! The operator's document in force, and the answers that callers get when a backend server
+//! violates the rules of an exchange.
 
 mod common;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn verify_documents_only_rise_and_bad_ones_change_nothing() {
+fn verify_only_newer_documents_take_effect_and_bad_ones_change_nothing() {
     let fleet = RegisteredFleet::start(2);
     fleet.write(&with_route(5, "/new/"));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
@@ -35,16 +35,16 @@
     let texts = [r#"{"version": 9}"#, "text", r#"{"version": "nine"}"#];
     for (bad, text) in texts.into_iter().enumerate() {
         fleet.write_text(text);
-        // One that the next has replaced before it was read would show nothing.
+        // A document that is replaced before it was read would not be logged.
         for daemon in &fleet.daemons {
-            let told = || daemon.log_text().matches("configuration unreadable").count();
-            eventually("the bad document was read", || told() > bad);
+            let logged = || daemon.log_text().matches("configuration unreadable").count();
+            eventually("the bad document was read", || logged() > bad);
         }
     }
     fleet.write(&document(3));
     for daemon in &fleet.daemons {
-        let told = || daemon.log_text().contains("older configuration passed over");
-        eventually("the older document was read", told);
+        let logged = || daemon.log_text().contains("older configuration passed over");
+        eventually("the older document was read", logged);
     }
     fleet.write(&with_route(7, "/newer/"));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn verify_the_path_of_a_split_route_follows_its_weights() {
+fn verify_a_split_route_follows_its_weights() {
     let fleet = RegisteredFleet::start(2);
     let name = &fleet.backends[1].name;
-    assert_eq!(fleet.beat_as(1, name, "other-app", false).status, 200);
+    assert_eq!(fleet.send_heartbeat_as(1, name, "other-app", false).status, 200);
     let mut wanted = document(2);
     let mut split = route("r-split", "/split/", WorkMode::Repeatable);
     split.rule.split = [(SERVICE, 75), ("other-app", 25)]
@@ -106,19 +106,19 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
     let other = (0..200).filter(|n| fleet.backends[1].ran(&format!("split-{n}")) > 0).count();
-    // Off by less than one request at each of the two ingresses.
+    // Each of the two ingresses is off by less than one request.
     assert!((48..=52).contains(&other), "{other} of 200");
     assert!((0..200).all(|number| fleet.ran(&format!("split-{number}")) == 1));
 }
 
-/// What breaks an exchange, whether a repeatable request is still served by the other server, and
-/// the status that a request gets which must not be repeated.
+/// The cases hold the fault of the server, whether the other server still serves repeatable
+/// requests, and the status that a non-repeatable request gets.
 #[test_case(json!({"surplus": true}), true, 200 ; "an answer to an earlier request comes first")]
 #[test_case(json!({"twice": true}), true, 200 ; "a second answer follows")]
 #[test_case(json!({"unstamped": true}), true, 502 ; "the answer is not proved")]
 #[test_case(json!({"encoded": true}), true, 502 ; "the answer is encoded unasked")]
-#[test_case(json!({"status": 503}), true, 502 ; "a refusal without the word that nothing ran")]
-#[test_case(json!({"status": 429}), true, 502 ; "a limit without that word")]
+#[test_case(json!({"status": 503}), true, 502 ; "a refusal that does not state that nothing ran")]
+#[test_case(json!({"status": 429}), true, 502 ; "a rate limit that does not state that nothing ran")]
 #[test_case(json!({"break_at": "after-run"}), true, 502 ; "the answer is lost")]
 #[test_case(json!({"break_at": "in-answer-body"}), true, 502 ; "the answer breaks off")]
 #[test_case(json!({"status": 404}), false, 404 ; "the server's own answer")]
@@ -164,11 +164,11 @@
     let mut stream = client::connect(fleet.daemons[0].callers);
     let field = headers::exchange_fields().request.expect("a name");
     let request = |number: usize| {
-        let work = if number == 0 { 200 } else { 1 };
+        let work_ms = if number == 0 { 200 } else { 1 };
         let last = if number == 9 { "Connection: close\r\n" } else { "" };
         format!(
             "GET /safe/{number} HTTP/1.1\r\nHost: {HOST}\r\n{field}: order-{number}\r\n\
-             x-work-ms: {work}\r\n{last}\r\n"
+             x-work-ms: {work_ms}\r\n{last}\r\n"
         )
     };
     let text: String = (0..10).map(request).collect();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn verify_a_route_time_out_gets_its_final_answer_then() {
+fn verify_a_route_time_out_ends_with_its_final_answer() {
     let fleet = RegisteredFleet::start(1);
     let mut short = document(2);
     short.routes[1].rule.timeout_ms = 300;
@@ -194,13 +194,13 @@
     let request = headers::exchange_fields().request.expect("a name");
     let headers = [("Host", HOST), (request.as_str(), "slow"), ("x-work-ms", "60000")];
     let reply = client::call(fleet.daemons[0].callers, "POST", "/unsafe/x", &headers, "x");
-    // It may have run, so that no status is given that says it has not.
+    // It may have run, so the status must not mean that it has not.
     assert_eq!((reply.status, fleet.ran("slow")), (504, 1), "{}", reply.text());
-    eventually("the work ends", || fleet.backends[0].runs()["cancelled"] == json!(1));
+    eventually("the request is cancelled", || fleet.backends[0].runs()["cancelled"] == json!(1));
 }
 
 #[test]
-fn verify_settings_are_read_again_and_wrong_ones_change_nothing() {
+fn verify_settings_are_reloaded_and_wrong_ones_change_nothing() {
     let mut fleet = RegisteredFleet::start(1);
     let path = std::env::temp_dir().join(format!("basaltarch-{}.conf", std::process::id()));
     let write = |text: &str| fs::write(&path, text).expect("settings");
@@ -213,7 +213,7 @@
     eventually("the document is in force", || daemon.is_ready());
     let logged = |daemon: &common::TestDaemon, text: &str| {
         let text = text.to_owned();
-        eventually(&format!("the log says {text}"), || daemon.log_text().contains(&text));
+        eventually(&format!("the log contains {text}"), || daemon.log_text().contains(&text));
     };
     write("own-service = second-app\nfloor = 7\n");
     daemon.signal("-HUP");
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Any failed request is found again by its id alone; the log stays bounded and blocks nothing.
+//! The log of each failed request can be found by its id alone; the log is bounded and never blocks
+//! requests.
 
 mod common;
 
@@ -17,15 +18,15 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Starts a fleet whose daemons log so many requests whole.
+/// Starts a fleet whose daemons log at most this many requests a second completely.
 fn fleet_logging(daemons: usize, requests: &str) -> RegisteredFleet {
     let mut fleet = RegisteredFleet::start(daemons);
     for index in 0..daemons {
         let host = format!("host-{}", (b'a' + index as u8) as char);
         fleet.daemons[index].kill();
-        let more = [("log-requests", requests), ("log-failures", "1000")];
-        fleet.daemons[index] = fleet.start_daemon(&host, "bkk-a", &more);
-        assert_eq!(fleet.beat(index, false).status, 200);
+        let extra_flags = [("log-requests", requests), ("log-failures", "1000")];
+        fleet.daemons[index] = fleet.start_daemon(&host, "bkk-a", &extra_flags);
+        assert_eq!(fleet.send_heartbeat(index, false).status, 200);
     }
     for index in 0..daemons {
         fleet.wait_served(index, &(0..daemons).collect::<Vec<_>>());
@@ -37,11 +38,12 @@
     fleet.daemons.iter().map(TestDaemon::log_file).collect()
 }
 
-/// Waits until the logs tell what is wanted of a request, and returns that.
+/// Waits until the conclusion from the logs about a request contains `end`, and returns its
+/// history.
 fn wait_story(fleet: &RegisteredFleet, id: &str, end: &str) -> explain::RequestStory {
     let paths = logs(fleet);
     let mut story = explain::RequestStory::default();
-    eventually(&format!("the logs tell of {id}: {end}"), || {
+    eventually(&format!("the logs show for {id}: {end}"), || {
         story = explain::gather(id, &paths).expect("logs");
         explain::conclusion(id, &story).contains(end)
     });
@@ -52,14 +54,14 @@
     story.lines.iter().filter_map(|line| line.fields["message"].as_str()).collect()
 }
 
-/// Brings a failure about with a request of this id.
-type Harm = fn(&RegisteredFleet, &str);
+/// Sends a request with this id and makes it fail.
+type FaultInjector = fn(&RegisteredFleet, &str);
 
 fn ask(fleet: &RegisteredFleet, method: &str, path: &str, id: &str) {
     fleet.request(0, method, path, id);
 }
 
-fn all(fleet: &RegisteredFleet, faults: Value) {
+fn fault_all(fleet: &RegisteredFleet, faults: Value) {
     fleet.backends.iter().for_each(|backend| backend.faults(faults.clone()));
 }
 
@@ -68,40 +70,40 @@
 }
 
 fn lost_answer(fleet: &RegisteredFleet, id: &str) {
-    all(fleet, json!({"break_at": "after-run"}));
+    fault_all(fleet, json!({"break_at": "after-run"}));
     ask(fleet, "POST", "/unsafe/x", id);
 }
 
 fn no_answer(fleet: &RegisteredFleet, id: &str) {
-    all(fleet, json!({"stuck": true}));
+    fault_all(fleet, json!({"stuck": true}));
     ask(fleet, "POST", "/unsafe/x", id);
 }
 
 fn wrong_answer(fleet: &RegisteredFleet, id: &str) {
-    all(fleet, json!({"unstamped": true}));
+    fault_all(fleet, json!({"unstamped": true}));
     ask(fleet, "POST", "/unsafe/x", id);
 }
 
 fn cut_answer(fleet: &RegisteredFleet, id: &str) {
-    all(fleet, json!({"break_at": "in-answer-body"}));
+    fault_all(fleet, json!({"break_at": "in-answer-body"}));
     ask(fleet, "POST", "/unsafe/x", id);
 }
 
 fn server_error(fleet: &RegisteredFleet, id: &str) {
-    all(fleet, json!({"status": 500}));
+    fault_all(fleet, json!({"status": 500}));
     ask(fleet, "POST", "/unsafe/x", id);
 }
 
-fn turned_away(fleet: &RegisteredFleet, id: &str) {
-    all(fleet, json!({"shed": true}));
+fn shed_request(fleet: &RegisteredFleet, id: &str) {
+    fault_all(fleet, json!({"shed": true}));
     ask(fleet, "POST", "/unsafe/x", id);
 }
 
 fn all_leave(fleet: &RegisteredFleet, id: &str) {
     for index in 0..fleet.daemons.len() {
-        assert_eq!(fleet.beat(index, true).status, 200);
+        assert_eq!(fleet.send_heartbeat(index, true).status, 200);
     }
-    // The ingress hears of the server of another host through the store.
+    // The ingress learns of the draining server of another host through the store.
     eventually("the ingress knows that all leave", || {
         (1..=fleet.backends.len())
             .all(|n| fleet.daemons[0].log_text().contains(&format!("i-{n} (draining)")))
@@ -110,14 +112,14 @@
 }
 
 fn caller_leaves(fleet: &RegisteredFleet, id: &str) {
-    all(fleet, json!({"stuck": true}));
+    fault_all(fleet, json!({"stuck": true}));
     let before: u64 =
         fleet.backends.iter().map(|backend| backend.runs()["received"].as_u64().unwrap_or(0)).sum();
     let headers = [("Host", HOST), ("Request-Id", id)];
     let text = client::request_text("POST", "/unsafe/x", &headers, "x");
     let mut stream = client::connect(fleet.daemons[0].callers);
     stream.write_all(text.as_bytes()).expect("sent");
-    eventually("the work has started", || {
+    eventually("the request has started", || {
         let received =
             fleet.backends.iter().map(|backend| backend.runs()["received"].as_u64().unwrap_or(0));
         received.sum::<u64>() > before
@@ -136,21 +138,21 @@
 #[test_case(no_answer, "failed as unknown (timed-out) with status 504",
     &["request received", "upstream chosen", "attempt ended", "request failed"] ; "no answer comes")]
 #[test_case(wrong_answer, "failed as unknown (answer-broken) with status 502",
-    &["request received", "upstream chosen", "work broke", "attempt ended", "request failed"] ; "the answer has no proof")]
+    &["request received", "upstream chosen", "work broke", "attempt ended", "request failed"] ; "the answer is not proved")]
 #[test_case(cut_answer, "failed as unknown (answer-broken) with status 502",
     &["request received", "upstream chosen", "work broke", "request failed"] ; "the answer is cut")]
-#[test_case(turned_away, "failed as not-run (shed) with status 503",
+#[test_case(shed_request, "failed as not-run (shed) with status 503",
     &["request received", "upstream chosen", "attempt ended", "request failed"] ; "the servers are full")]
 #[test_case(all_leave, "failed as not-run (no-upstream) with status 503",
     &["request received", "request failed"] ; "all servers leave")]
 #[test_case(caller_leaves, "left after",
     &["request received", "upstream chosen", "attempt ended", "caller gone"] ; "the caller leaves")]
-fn verify_each_failure_is_found_by_its_id(harm: Harm, end: &str, wanted: &[&str]) {
-    // Once where each request is logged from its start, once where only failures are.
+fn verify_each_failure_is_found_by_its_id(inject: FaultInjector, end: &str, wanted: &[&str]) {
+    // Once with every request logged from its start, and once with only failures logged.
     for requests in ["1000000", "0"] {
         let fleet = fleet_logging(2, requests);
         let id = format!("harmed-{requests}");
-        harm(&fleet, &id);
+        inject(&fleet, &id);
         let story = wait_story(&fleet, &id, end);
         let seen = events(&story);
         for event in wanted {
@@ -161,22 +163,22 @@
 
 #[test_case(lost_answer, "broken (backend-broken)" ; "the answer is lost")]
 #[test_case(no_answer, "hung without a call" ; "no answer comes")]
-#[test_case(wrong_answer, "broken (answer-broken)" ; "the answer has no proof")]
+#[test_case(wrong_answer, "broken (answer-broken)" ; "the answer is not proved")]
 #[test_case(server_error, "server error" ; "the server fails")]
-#[test_case(turned_away, "refused (shed)" ; "the servers are full")]
+#[test_case(shed_request, "refused (shed)" ; "the servers are full")]
 #[test_case(all_leave, "refused (no-upstream)" ; "all servers leave")]
 #[test_case(caller_leaves, "caller gone" ; "the caller leaves")]
-fn verify_losses_name_the_cause_of_each_failure(harm: Harm, cause: &str) {
-    // Once where each request is logged from its start, once where only failures are.
+fn verify_losses_name_the_cause_of_each_failure(inject: FaultInjector, cause: &str) {
+    // Once with every request logged from its start, and once with only failures logged.
     for requests in ["1000000", "0"] {
         let fleet = fleet_logging(2, requests);
-        harm(&fleet, &format!("lost-{requests}"));
+        inject(&fleet, &format!("lost-{requests}"));
         let paths = logs(&fleet);
         let names = |tally: &LossTally| {
             let causes = tally.causes.iter().filter(|(_, tally)| tally.count == 1);
             causes.map(|(cause, _)| cause.to_string()).collect::<Vec<_>>()
         };
-        eventually(&format!("{cause} is told with {requests}"), || {
+        eventually(&format!("{cause} is reported with {requests}"), || {
             let tally = losses::count(&paths).expect("logs");
             names(&tally).iter().any(|name| name.starts_with(cause))
         });
@@ -187,7 +189,7 @@
 }
 
 #[test]
-fn verify_losses_follow_a_lost_call_to_its_cause_and_count_what_they_cannot_read() {
+fn verify_losses_attribute_a_failed_nested_call_and_count_unreadable_lines() {
     let path = std::env::temp_dir().join(format!("basaltarch-losses-{}.log", std::process::id()));
     let line = |second: u32, event: &str, fields: &str| {
         format!(
@@ -239,11 +241,11 @@
 }
 
 #[test]
-fn verify_a_repeated_request_shows_both_attempts_and_why() {
+fn verify_a_retried_request_shows_both_attempts_and_the_reason() {
     let fleet = fleet_logging(2, "1000000");
     fleet.backends[0].faults(json!({"break_at": "after-run"}));
     let mut number = 0;
-    eventually("a request is repeated", || {
+    eventually("a request is retried", || {
         number += 1;
         let id = format!("repeat-{number}");
         ask(&fleet, "GET", "/safe/x", &id);
@@ -251,27 +253,27 @@
         let ends = story.lines.iter().filter(|line| line.fields["message"] == "attempt ended");
         let next: Vec<&str> =
             ends.map(|line| line.fields["next"].as_str().expect("text")).collect();
-        // What was believed of the server that broke stands beside the request's own lines.
+        // The lines about the state of the failed server are listed with the request's own lines.
         next == ["repeat", "answer"] && events(&story).contains("upstream doubted")
     });
 }
 
 #[test]
-fn verify_the_volume_is_bounded_and_a_request_is_logged_whole_or_not_at_all() {
+fn verify_the_log_rate_is_bounded_and_requests_are_logged_completely_or_not_at_all() {
     const REQUESTS: u64 = 5;
     const FAILURES: u64 = 7;
     let mut fleet = RegisteredFleet::start(1);
     fleet.daemons[0].kill();
-    let more = [("log-requests", "5"), ("log-failures", "7")];
-    fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &more);
-    assert_eq!(fleet.beat(0, false).status, 200);
+    let extra_flags = [("log-requests", "5"), ("log-failures", "7")];
+    fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &extra_flags);
+    assert_eq!(fleet.send_heartbeat(0, false).status, 200);
     fleet.wait_served(0, &[0]);
     let begin = Instant::now();
     for number in 0..300 {
         ask(&fleet, "GET", "/safe/x", &format!("good-{number}"));
         ask(&fleet, "GET", "/nowhere/x", &format!("bad-{number}"));
     }
-    eventually("the log says what it left out", || {
+    eventually("the log reports the requests that it left out", || {
         fleet.daemons[0].log_text().contains("requests not logged")
     });
     let spans = begin.elapsed().as_secs() + 2;
@@ -285,9 +287,13 @@
     }
     let good: Vec<_> = lines.iter().filter(|(id, _)| id.starts_with("good-")).collect();
     let bad = lines.keys().filter(|id| id.starts_with("bad-")).count() as u64;
-    assert!((1..=REQUESTS * spans).contains(&(good.len() as u64)), "{} whole", good.len());
-    assert!((1..=FAILURES * spans).contains(&bad), "{bad} failed");
-    let whole = [
+    assert!(
+        (1..=REQUESTS * spans).contains(&(good.len() as u64)),
+        "{} logged completely",
+        good.len()
+    );
+    assert!((1..=FAILURES * spans).contains(&bad), "{bad} failures logged");
+    let complete = [
         "request received",
         "upstream chosen",
         "work started",
@@ -296,12 +302,12 @@
         "request answered",
     ];
     for (id, events) in good {
-        assert!(whole.iter().all(|event| events.contains(*event)), "{id}: {events:?}");
+        assert!(complete.iter().all(|event| events.contains(*event)), "{id}: {events:?}");
     }
 }
 
 #[test]
-fn verify_nobody_waits_for_a_log_that_is_not_read() {
+fn verify_requests_do_not_wait_for_an_unread_log() {
     let mut fleet = RegisteredFleet::start(1);
     fleet.daemons[0].kill();
     let flags = [
@@ -312,11 +318,11 @@
     ];
     let platform = fleet.platform.address;
     fleet.daemons[0] = TestDaemon::start_piped(platform, "host-a", "bkk-a", &flags);
-    assert_eq!(fleet.beat(0, false).status, 200);
+    assert_eq!(fleet.send_heartbeat(0, false).status, 200);
     fleet.write(&document(2));
     fleet.wait_served(0, &[0]);
     let mut number = 0;
-    eventually("more lines than the pipe and the queue hold", || {
+    eventually("there are more lines than the pipe and the queue hold", || {
         for _ in 0..100 {
             number += 1;
             let reply = fleet.request(0, "GET", "/safe/x", &format!("unread-{number}"));
@@ -324,21 +330,21 @@
         }
         fleet.daemons[0].metric("log_lines_dropped") > 0.0
     });
-    // Once somebody reads, the log goes on and says what it lacks.
+    // Once the pipe is read, the log continues and reports the lines that were dropped.
     let mut output = fleet.daemons[0].output.take().expect("pipe");
     let begin = Instant::now();
     let mut line = String::new();
     while !line.contains("log lines dropped") {
-        assert!(begin.elapsed() < Duration::from_secs(40), "the log tells of dropped lines");
+        assert!(begin.elapsed() < Duration::from_secs(40), "the log reports dropped lines");
         line.clear();
         output.read_line(&mut line).expect("output");
     }
-    // For scripts/check-events, which reads files.
+    // The log file is read by scripts/check-events.
     std::fs::write(fleet.daemons[0].log_file(), line).expect("log");
 }
 
 #[test]
-fn verify_files_with_cut_and_foreign_lines_are_read() {
+fn verify_files_with_truncated_and_foreign_lines_are_read() {
     let path = std::env::temp_dir().join(format!("basaltarch-foreign-{}.log", std::process::id()));
     let lines = [
         r#"12.5 host-a | {"timestamp":"2026-12-02T10:00:01.000000Z","message":"request received","request":"r-1"}"#,
@@ -359,14 +365,14 @@
 }
 
 #[test]
-fn verify_metrics_tell_how_requests_of_a_route_ended_and_how_things_stand() {
+fn verify_metrics_hold_the_outcomes_of_a_route_and_the_current_state() {
     let fleet = fleet_logging(2, "0");
     for number in 0..5 {
         ask(&fleet, "GET", "/safe/x", &format!("metrics-{number}"));
     }
-    all(&fleet, json!({"break_at": "after-run"}));
+    fault_all(&fleet, json!({"break_at": "after-run"}));
     ask(&fleet, "POST", "/unsafe/x", "metrics-broken");
-    assert_eq!(fleet.beat(0, true).status, 200);
+    assert_eq!(fleet.send_heartbeat(0, true).status, 200);
     let text = client::call(fleet.daemons[0].admin, "GET", "/metrics", &[], "").text();
     let value = |name: &str, labels: &[&str]| {
         let names = |line: &&str| {
--- a/crates/daemon/tests/foreign.rs
+++ b/crates/daemon/tests/foreign.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Rows and heartbeats of other writers: they name no upstream, and all others hold.
+//! Malformed rows and heartbeats of other writers: they add no upstream, and all other ones stay
+//! valid.
 
 mod common;
 
@@ -15,7 +16,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Returns the row of a host as the store holds it.
+/// Returns the record of a host in the store.
 fn record_of(fleet: &RegisteredFleet, host: &str) -> Option<Value> {
     let path = format!("{}?table={HOSTS_TABLE}&part=", rows::READ_PATH);
     let page: Value = client::call(fleet.platform.address, "GET", &path, &[], "").json();
@@ -23,7 +24,7 @@
     serde_json::from_slice(&rows::decode_value(row["value"].as_str()?).ok()?).ok()
 }
 
-/// Returns a record whose only server has nothing listening at its address.
+/// Returns a record with one server, at whose address nothing listens.
 fn foreign_record(server: &Value) -> Value {
     json!({"incarnation": i64::MAX, "failure_domain": "bkk-a", "peer_address": "127.0.0.1:1",
         "admin_address": "127.0.0.1:1", "leaving": false, "servers": [server]})
@@ -47,17 +48,17 @@
 #[test_case("PUT", "not JSON".to_owned() ; "bytes that can't be read")]
 #[test_case("PATCH", "%%%".to_owned() ; "a value that can't be decoded")]
 #[test_case("PUT", json!([1, 2]).to_string() ; "another type")]
-#[test_case("PUT", without("incarnation", foreign_record(&foreign_server())).to_string() ; "no start")]
+#[test_case("PUT", without("incarnation", foreign_record(&foreign_server())).to_string() ; "no incarnation")]
 #[test_case("PUT", with("leaving", json!("no"), foreign_record(&foreign_server())).to_string() ; "a flag of another type")]
 #[test_case("PUT", foreign_record(&without("slots", foreign_server())).to_string() ; "a server without slots")]
 #[test_case("PUT", foreign_record(&with("address", json!(7), foreign_server())).to_string() ; "a server whose address has another type")]
-#[test_case("PUT", foreign_record(&with("service", json!("nowhere"), foreign_server())).to_string() ; "a service that nobody named")]
+#[test_case("PUT", foreign_record(&with("service", json!("nowhere"), foreign_server())).to_string() ; "an unknown service")]
 fn verify_a_row_of_another_writer_names_no_upstream(method: &str, value: String) {
     let fleet = RegisteredFleet::start(2);
     fleet.platform.change_row(method, HOSTS_TABLE, "zz-foreign", &value);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
-    // What comes after it in the table and in the feed is heard of.
-    assert_eq!(fleet.beat_as(1, "i-later", SERVICE, false).status, 200);
+    // Later rows of the table and of the change feed are still read.
+    assert_eq!(fleet.send_heartbeat_as(1, "i-later", SERVICE, false).status, 200);
     eventually("the other daemon knows of the later server", || {
         fleet.daemons[0].get("/v1/backend-servers").to_string().contains("i-later")
     });
@@ -66,13 +67,13 @@
 }
 
 #[test]
-fn verify_a_copy_of_a_record_under_another_name_takes_nothing_from_its_host() {
+fn verify_a_copied_record_under_another_name_does_not_replace_its_host() {
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
     let mut copy = record_of(&fleet, "host-b").expect("a record");
     copy["incarnation"] = json!(i64::MAX);
     fleet.platform.change_row("PUT", HOSTS_TABLE, "aa-copy", &copy.to_string());
-    eventually("it is passed over", || {
+    eventually("it is ignored", || {
         fleet.daemons[0].log_text().contains("it is the record of host-b")
     });
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
@@ -81,12 +82,12 @@
 #[test_case("PUT", "not JSON" ; "bytes that can't be read")]
 #[test_case("PATCH", "%%%" ; "a value that can't be decoded")]
 #[test_case("PUT", "{}" ; "missing fields")]
-fn verify_a_host_whose_row_was_overwritten_stays_and_writes_it_anew(method: &str, value: &str) {
+fn verify_a_host_whose_row_was_overwritten_stays_and_rewrites_it(method: &str, value: &str) {
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
     eventually("the row is there", || record_of(&fleet, "host-b").is_some());
     fleet.platform.change_row(method, HOSTS_TABLE, "host-b", value);
-    eventually("it is written anew", || {
+    eventually("it is written again", || {
         let record = record_of(&fleet, "host-b");
         record.is_some_and(|record| record["servers"][0]["name"] == "i-2")
     });
@@ -94,11 +95,11 @@
     assert!(!fleet.daemons[0].log_text().contains("\"host record gone\""));
 }
 
-#[test_case("service", json!("nowhere") ; "a service that nobody named")]
-#[test_case("state", json!("asleep") ; "a state that is not known")]
+#[test_case("service", json!("nowhere") ; "an unknown service")]
+#[test_case("state", json!("asleep") ; "an unknown state")]
 #[test_case("slots", json!("4") ; "slots of another type")]
 #[test_case("address", json!(null) ; "no address")]
-#[test_case("born", json!("7") ; "a start of another type")]
+#[test_case("born", json!("7") ; "an incarnation of another type")]
 fn verify_a_heartbeat_of_another_writer_names_no_upstream(field: &str, value: Value) {
     let fleet = RegisteredFleet::start(1);
     let mut call = fleet.heartbeat(0, "i-foreign", SERVICE, false);
@@ -112,16 +113,16 @@
 }
 
 #[test]
-fn verify_a_start_keeps_its_service_and_its_address() {
+fn verify_an_incarnation_keeps_its_service_and_its_address() {
     let fleet = RegisteredFleet::start(2);
-    assert_eq!(fleet.beat_as(0, "i-1#a", SERVICE, false).status, 200);
-    assert_eq!(fleet.beat_as(0, "i-1#a", "other-app", true).status, 400);
+    assert_eq!(fleet.send_heartbeat_as(0, "i-1#a", SERVICE, false).status, 200);
+    assert_eq!(fleet.send_heartbeat_as(0, "i-1#a", "other-app", true).status, 400);
     let elsewhere = fleet.heartbeat_from(common::closed_address(), "i-1#a", SERVICE, false);
     assert_eq!(fleet.call_daemon(0, &elsewhere).status, 400);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
 }
 
-/// Any server entry: a good one with one field of any kind.
+/// Generates server entries: a valid one with one field set to any value.
 fn any_server() -> impl Strategy<Value = Value> {
     let value = prop_oneof![
         Just(Value::Null),
@@ -150,12 +151,12 @@
     }
 
     #[test]
-    fn verify_harmed_records_are_read_or_refused(
-        place in 0..200_usize, byte in any::<u8>(), noise in proptest::collection::vec(any::<u8>(), 0..99),
+    fn verify_corrupted_records_are_read_or_refused(
+        position in 0..200_usize, byte in any::<u8>(), noise in proptest::collection::vec(any::<u8>(), 0..99),
     ) {
         let mut record = foreign_record(&foreign_server()).to_string().into_bytes();
-        let place = place % record.len();
-        record[place] = byte;
+        let position = position % record.len();
+        record[position] = byte;
         let _ = roster::read_record("host", &record);
         let _ = roster::read_record("host", &noise);
     }
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A backend server that starts again under its name is another one: what the start before said, and
-//! what was learnt of it, counts no more.
+//! A backend server that restarts under its name is a new incarnation: messages of the previous one
+//! are ignored, and its failures no longer count.
 
 mod common;
 
@@ -12,11 +12,11 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Two starts of the first backend server, as heartbeats name them.
+/// Two incarnations of the first backend server, as heartbeats name them.
 const BEFORE: &str = "i-1#a";
 const AFTER: &str = "i-1#b";
 
-/// A fleet whose first backend server has told its start.
+/// A fleet whose first backend server has sent its incarnation.
 struct RestartFleet {
     fleet: RegisteredFleet,
 }
@@ -24,7 +24,7 @@
 impl RestartFleet {
     fn start() -> Self {
         let restarts = Self { fleet: RegisteredFleet::start(2) };
-        restarts.beat(BEFORE, false);
+        restarts.send_heartbeat(BEFORE, false);
         restarts.fleet.wait_served(1, &[0, 1]);
         restarts
     }
@@ -33,7 +33,7 @@
         self.fleet.heartbeat(0, name, SERVICE, draining)
     }
 
-    fn beat(&self, name: &str, draining: bool) {
+    fn send_heartbeat(&self, name: &str, draining: bool) {
         self.send(&self.heartbeat(name, draining));
     }
 
@@ -41,51 +41,53 @@
         assert_eq!(self.fleet.call_daemon(0, call).status, 200);
     }
 
-    /// Lets the server start again: its count begins anew.
+    /// Restarts the server: the sequence numbers of its heartbeats begin again.
     fn restart(&self) {
-        self.fleet.restart_count();
-        self.beat(AFTER, false);
+        self.fleet.reset_sequence();
+        self.send_heartbeat(AFTER, false);
     }
 
-    fn registered(&self, name: &str) -> usize {
+    fn registrations(&self, name: &str) -> usize {
         let text = self.fleet.daemons[0].log_text();
         let quoted = format!("\"{name}\"");
-        let told = |line: &&str| line.contains("backend server registered");
-        text.lines().filter(told).filter(|line| line.contains(&quoted)).count()
+        let is_event = |line: &&str| line.contains("backend server registered");
+        text.lines().filter(is_event).filter(|line| line.contains(&quoted)).count()
     }
 }
 
-#[test_case(|_| {} ; "crashed without a word")]
-#[test_case(|each| each.beat(BEFORE, true) ; "said that it leaves")]
-#[test_case(|each| each.send(&registered::leaving(BEFORE)) ; "said that it is gone")]
-#[test_case(|each| each.send(&registered::leaving("i-1")) ; "said that it is gone without its start")]
-fn verify_a_server_that_starts_again_under_its_name_gets_work(end: fn(&RestartFleet)) {
+#[test_case(|_| {} ; "crashed without a message")]
+#[test_case(|each| each.send_heartbeat(BEFORE, true) ; "sent a drain notice")]
+#[test_case(|each| each.send(&registered::deregistration(BEFORE)) ; "deregistered")]
+#[test_case(|each| each.send(&registered::deregistration("i-1")) ; "deregistered without its incarnation")]
+fn verify_a_server_restarted_under_its_name_receives_requests(end: fn(&RestartFleet)) {
     let restarts = RestartFleet::start();
     end(&restarts);
     restarts.restart();
-    eventually("the new start is known", || restarts.registered(AFTER) == 1);
+    eventually("the new incarnation is known", || restarts.registrations(AFTER) == 1);
     restarts.fleet.wait_served(0, &[0, 1]);
     restarts.fleet.wait_served(1, &[0, 1]);
 }
 
 #[test_case(|each| each.heartbeat(BEFORE, false) ; "a heartbeat")]
-#[test_case(|each| each.heartbeat(BEFORE, true) ; "a word that it leaves")]
-#[test_case(|_| registered::leaving(BEFORE) ; "a word that it is gone")]
-fn verify_what_the_start_before_said_comes_too_late(late: fn(&RestartFleet) -> StoreCall) {
+#[test_case(|each| each.heartbeat(BEFORE, true) ; "a drain notice")]
+#[test_case(|_| registered::deregistration(BEFORE) ; "a deregistration")]
+fn verify_late_messages_of_the_previous_incarnation_are_ignored(
+    late: fn(&RestartFleet) -> StoreCall,
+) {
     let restarts = RestartFleet::start();
     let late = late(&restarts);
     restarts.restart();
     restarts.send(&late);
-    let registered = || (restarts.registered(BEFORE), restarts.registered(AFTER));
-    // A thread writes the log, so that its last lines may be yet to come.
-    eventually("each start was registered once", || registered() == (1, 1));
+    let registrations = || (restarts.registrations(BEFORE), restarts.registrations(AFTER));
+    // A separate thread writes the log, so its last lines may be delayed.
+    eventually("each incarnation was registered once", || registrations() == (1, 1));
     restarts.fleet.wait_served(0, &[0]);
     restarts.fleet.wait_served(1, &[0]);
-    assert_eq!(registered(), (1, 1), "what came late registered nothing");
+    assert_eq!(registrations(), (1, 1), "the late message registered nothing");
 }
 
 #[test]
-fn verify_a_restarted_daemon_takes_the_later_start_whatever_comes_first() {
+fn verify_a_restarted_daemon_uses_the_later_incarnation_in_any_order() {
     let mut restarts = RestartFleet::start();
     let late = restarts.heartbeat(BEFORE, true);
     restarts.fleet.daemons[0].kill();
@@ -98,10 +100,10 @@
 }
 
 #[test]
-fn verify_a_start_that_follows_an_outage_of_the_store_is_known_after_it() {
+fn verify_an_incarnation_started_in_a_store_outage_is_known_after_it() {
     let restarts = RestartFleet::start();
     restarts.fleet.platform.faults(json!({"busy": true}));
-    restarts.beat(BEFORE, true);
+    restarts.send_heartbeat(BEFORE, true);
     restarts.restart();
     restarts.fleet.wait_served(0, &[0]);
     restarts.fleet.platform.faults(json!({}));
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn verify_what_was_learnt_of_a_start_is_not_held_against_the_next() {
+fn verify_failures_of_an_incarnation_do_not_count_against_the_next() {
     let restarts = RestartFleet::start();
     let fleet = &restarts.fleet;
     fleet.backends[0].faults(json!({"stuck": true}));
@@ -120,7 +122,8 @@
     });
     fleet.backends[0].faults(json!({}));
     restarts.restart();
-    // Unrepeatable work, which a doubted server gets only as the last one, goes to it at once.
+    // Non-repeatable requests, which a doubted server receives only if no other is left, reach it
+    // at once.
     let reaches = |number: usize| {
         let id = format!("anew-{number}");
         let reply = fleet.request(0, "POST", "/unsafe/x", &id);
@@ -131,7 +134,7 @@
 }
 
 #[test]
-fn verify_a_heartbeat_that_tells_no_start_names_no_server_that_told_one() {
+fn verify_a_heartbeat_without_incarnation_is_refused_for_a_server_that_sent_one() {
     let restarts = RestartFleet::start();
     let reply = restarts.fleet.call_daemon(0, &restarts.heartbeat("i-1", true));
     assert_eq!(reply.status, 400, "{}", reply.text());
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -1,16 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A backend server that leaves while its daemon stops.
+//! A backend server that drains or deregisters while its daemon stops.
 //!
-//! What users saw: a backend server said that it leaves, its daemon acknowledged it, and after a planned
-//! restart of the daemon requests reached the server again.
-//!
-//! Order of events: the daemon was asked to stop; the word came and was acknowledged at once, as it was in
-//! force there; the row that tells it to others was still to be written. The daemon found nothing in flight
-//! and ended. Its next start recovered the server from the row as it was, and found it well.
-//!
-//! Cause: a write that an acknowledgement depends on was nobody's work in flight.
+//! Guards against a fault in which requests reached such a server again after a planned restart of
+//! its daemon. The stopping daemon acknowledged the call at once and ended before it had written
+//! its row, as that write did not count as in flight. The restarted daemon recovered the server
+//! from the old row and found it healthy.
 
 mod common;
 
@@ -22,10 +18,10 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Name of a second server beside the first daemon, which stays.
+/// Name of a second server beside the first daemon, which does not leave.
 const STAYS: &str = "i-stays";
 
-/// Two hosts; beside the first daemon, which has these flags, is a second server that stays.
+/// Two hosts; a second server beside the first daemon does not leave.
 struct LeavingFleet {
     fleet: RegisteredFleet,
     _stays: TestBackend,
@@ -36,26 +32,26 @@
         let mut fleet = RegisteredFleet::start(2);
         fleet.daemons[0].kill();
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
-        assert_eq!(fleet.beat(0, false).status, 200);
+        assert_eq!(fleet.send_heartbeat(0, false).status, 200);
         let fields = basaltarch_platform::headers::exchange_fields();
         let stays = TestBackend::start_at(common::loopback(), STAYS, 1, fields);
         let heartbeat = fleet.heartbeat_from(stays.address, STAYS, SERVICE, false);
         assert_eq!(fleet.call_daemon(0, &heartbeat).status, 200);
         fleet.wait_served(1, &[0, 1]);
-        eventually("the row tells of both", || told_servers(&fleet) == ["i-1", STAYS]);
+        eventually("the row lists both", || stored_servers(&fleet) == ["i-1", STAYS]);
         eventually("the other daemon knows of both", || {
             fleet.daemons[1].log_text().contains("i-1, i-stays")
         });
         Self { fleet, _stays: stays }
     }
 
-    /// Stops the first daemon and waits until it takes nothing any more.
+    /// Stops the first daemon and waits until it admits no more requests.
     fn close(&self) {
         self.fleet.daemons[0].signal("-TERM");
         eventually("the stop closes", || self.fleet.daemons[0].log_text().contains("\"closed\""));
     }
 
-    /// Starts the first daemon anew and checks that the server that left gets nothing.
+    /// Restarts the first daemon and checks that the server that left receives nothing.
     fn check_left(&mut self, flags: &[(&str, &str)]) {
         let fleet = &mut self.fleet;
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
@@ -74,23 +70,23 @@
     text.lines().any(|line| line.contains("backend server recovered") && line.contains(name))
 }
 
-/// Returns the record of the first host as the store holds it.
-fn told_record(fleet: &RegisteredFleet) -> Option<Value> {
+/// Returns the record of the first host in the store.
+fn stored_record(fleet: &RegisteredFleet) -> Option<Value> {
     let path = format!("{}?table={HOSTS_TABLE}&part=", rows::READ_PATH);
     let page: Value = client::call(fleet.platform.address, "GET", &path, &[], "").json();
     let row = page["rows"].as_array()?.iter().find(|row| row["key"] == "host-a")?;
     serde_json::from_slice(&rows::decode_value(row["value"].as_str()?).ok()?).ok()
 }
 
-/// Returns the names of the servers in use in that record.
-fn told_servers(fleet: &RegisteredFleet) -> Vec<String> {
-    let record = told_record(fleet).unwrap_or(Value::Null);
+/// Returns the names of the servers in that record that are not draining.
+fn stored_servers(fleet: &RegisteredFleet) -> Vec<String> {
+    let record = stored_record(fleet).unwrap_or(Value::Null);
     let servers = record["servers"].as_array().cloned().unwrap_or_default();
     let in_use = servers.iter().filter(|server| server["draining"] == false);
     in_use.filter_map(|server| server["name"].as_str().map(str::to_owned)).collect()
 }
 
-/// Returns how many calls to the store failed, 0 once the daemon is gone.
+/// Returns how many calls to the store failed, or 0 once the daemon has ended.
 fn store_failures(daemon: &TestDaemon) -> u64 {
     let reply = client::try_call(daemon.admin, "GET", "/metrics", &[], "");
     let text = reply.map(|reply| reply.text()).unwrap_or_default();
@@ -99,18 +95,19 @@
 }
 
 #[test_case(|fleet| fleet.deregister(0) ; "gone")]
-#[test_case(|fleet| fleet.beat(0, true) ; "draining")]
-fn verify_a_server_that_left_as_its_daemon_stopped_gets_nothing_after_it(
+#[test_case(|fleet| fleet.send_heartbeat(0, true) ; "draining")]
+fn verify_a_server_that_left_while_its_daemon_stopped_receives_nothing_after_the_restart(
     leave: fn(&RegisteredFleet) -> Reply,
 ) {
     let mut hosts = LeavingFleet::start(&[]);
     hosts.fleet.platform.faults(json!({"busy": true}));
     assert_eq!(leave(&hosts.fleet).status, 200, "it is acknowledged");
     hosts.close();
-    // The store is back after more calls than it can turn away within a stop that waits for nothing.
+    // Restores the store only after more refused calls than fit into a stop that does not wait for
+    // it.
     let daemon = &mut hosts.fleet.daemons[0];
     let before = store_failures(daemon);
-    eventually("the daemon tries again, or ends", || {
+    eventually("the daemon retries, or ends", || {
         store_failures(daemon) >= before + 5 || !daemon.is_running()
     });
     hosts.fleet.platform.faults(json!({}));
@@ -119,13 +116,13 @@
 }
 
 #[test]
-fn verify_every_word_that_a_stopping_daemon_acknowledged_is_told() {
+fn verify_every_drain_that_a_stopping_daemon_acknowledged_is_stored() {
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
     let address = hosts.fleet.daemons[0].registration.expect("registration");
-    // A moment's delay, so that a word can come while the one before is being written.
+    // A short delay, so that a call can arrive while the previous one is being written.
     hosts.fleet.platform.faults(json!({"delay_ms": 50}));
     hosts.fleet.daemons[0].signal("-TERM");
-    // One incarnation after another leaves, until nobody listens any more.
+    // One server after another drains, until the daemon no longer listens.
     let mut acknowledged = None;
     for number in 0.. {
         let name = format!("i-word-{number}");
@@ -138,14 +135,14 @@
         }
     }
     assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    let record = told_record(&hosts.fleet).expect("a record");
-    let last = json!(acknowledged.expect("words were acknowledged"));
+    let record = stored_record(&hosts.fleet).expect("a record");
+    let last = json!(acknowledged.expect("drains were acknowledged"));
     let servers = record["servers"].as_array().expect("servers");
     assert!(servers.iter().any(|server| server["name"] == last), "{last} is not in {record}");
 }
 
 #[test]
-fn verify_a_stop_with_nothing_new_to_tell_does_not_wait_for_the_store() {
+fn verify_a_stop_without_pending_writes_does_not_wait_for_the_store() {
     let mut hosts = LeavingFleet::start(&[]);
     hosts.fleet.platform.faults(json!({"busy": true}));
     hosts.close();
@@ -156,19 +153,19 @@
 }
 
 #[test]
-fn verify_a_server_that_left_in_an_outage_gets_nothing_from_a_later_start() {
+fn verify_a_server_that_left_in_an_outage_receives_nothing_after_the_restart() {
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
     hosts.fleet.platform.faults(json!({"down": true}));
     assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
     hosts.close();
     assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    // The store is still away; what the new start knows of before comes from the other daemon.
+    // The store is still down: the restarted daemon learns the earlier state from the other daemon.
     let seeds = hosts.fleet.daemons[1].peers.to_string();
     hosts.check_left(&[("seeds", seeds.as_str())]);
 }
 
 #[test]
-fn verify_a_start_that_reads_an_old_row_learns_from_its_peers_who_has_left() {
+fn verify_a_restarted_daemon_that_reads_an_old_row_learns_from_peers_which_server_left() {
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
     hosts.fleet.platform.faults(json!({"down": true}));
     assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
@@ -187,5 +184,5 @@
         }
         fleet.backends[0].total() == before
     });
-    eventually("the row tells it", || told_servers(fleet) == [STAYS]);
+    eventually("the row no longer lists it", || stored_servers(fleet) == [STAYS]);
 }
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A path between two daemons falls silent: work that must not be repeated isn't sent along it.
+//! Non-repeatable requests are not sent over a path between two daemons that has fallen silent.
 //!
-//! What users saw: a request went out to a host that never took it in, and its caller heard nothing until its time
-//! was over, while other servers stood idle.
+//! Guards against a fault in which a request was sent to a host that never received it, so that its
+//! caller waited until the time-out while other servers were idle.
 
 mod common;
 
@@ -18,7 +18,8 @@
 
 const HOSTS: [&str; 3] = ["host-a", "host-b", "host-c"];
 
-/// Starts a fleet whose daemons reach each other through forwarders, with a backend server beside each.
+/// Starts a fleet whose daemons reach each other through forwarders, with a backend server beside
+/// each.
 fn start() -> (RegisteredFleet, Vec<Forwarder>) {
     let mut fleet = RegisteredFleet::start(0);
     let mut peers = Vec::new();
@@ -31,23 +32,25 @@
         let name = format!("i-{index}");
         let fields = headers::exchange_fields();
         fleet.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
-        assert_eq!(fleet.beat_as(index, &name, SERVICE, false).status, 200);
+        assert_eq!(fleet.send_heartbeat_as(index, &name, SERVICE, false).status, 200);
         peers.push(forwarder);
     }
     (fleet, peers)
 }
 
 #[test]
-fn verify_once_only_work_is_not_sent_along_a_path_that_fell_silent() {
+fn verify_non_repeatable_requests_are_not_sent_over_a_silent_path() {
     let (fleet, peers) = start();
     fleet.wait_served(0, &[0, 1, 2]);
-    eventually("work went there and came back", || {
+    eventually("requests were served there", || {
         fleet.request(0, "POST", "/unsafe/x", "before").status == 200
             && fleet.backends[1].total() > 1
     });
     peers[1].silence();
     let silent_at = Instant::now();
-    eventually("what is known of the other hosts is old", || silent_at.elapsed() > FRESH_FOR);
+    eventually("the load reports of the other hosts are no longer fresh", || {
+        silent_at.elapsed() > FRESH_FOR
+    });
     for number in 0..40 {
         let id = format!("after-{number}");
         let reply = fleet.request(0, "POST", "/unsafe/x", &id);
--- a/crates/daemon/tests/organisations.rs
+++ b/crates/daemon/tests/organisations.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Organisations through real processes: who is let in, what the backend server is told, where a key may stand,
-//! and keys that are taken away.
+//! Organisations end to end: which callers are admitted, the organisation that the backend server
+//! receives, where a key may appear, and revoked keys.
 
 mod common;
 
@@ -21,7 +21,7 @@
 const DESK: OrganisationDraft<'static> =
     OrganisationDraft { name: "desk", keys: &[DESK_KEY], ..SHOP };
 
-/// Builds a document whose routes ask for a key, but for `/safe/`.
+/// Builds a document in which every route except `/safe/` requires a key.
 fn keyed_document(version: u64) -> ConfigDocument {
     let mut document = registered::document(version);
     for route in &mut document.routes {
@@ -53,26 +53,30 @@
     daemon: usize,
     path: &str,
     id: &str,
-    more: &[(&str, &str)],
+    extra_headers: &[(&str, &str)],
 ) -> Reply {
     let mut headers = vec![("Host", HOST), (names::REQUEST, id), (names::DEADLINE, "3000")];
-    headers.extend_from_slice(more);
+    headers.extend_from_slice(extra_headers);
     client::call(fleet.daemons[daemon].callers, "POST", path, &headers, "x")
 }
 
 #[test_case(&[] ; "no key")]
-#[test_case(&[(names::API_KEY, "unknown")] ; "a key that never was")]
+#[test_case(&[(names::API_KEY, "unknown")] ; "a key that never existed")]
 #[test_case(&[(names::API_KEY, "")] ; "an empty key")]
 #[test_case(&[(names::API_KEY, "k3y0fsh0pthatn0b0dym4yse")] ; "the start of a key")]
 #[test_case(&[(names::API_KEY, SHOP_KEY), (names::API_KEY, DESK_KEY)] ; "two keys")]
 #[test_case(&[(names::ORGANISATION, "shop")] ; "a name without a key")]
-fn verify_who_has_no_known_key_is_refused_and_nothing_runs(more: &[(&str, &str)]) {
+fn verify_a_caller_without_a_known_key_is_refused_and_nothing_runs(extra_headers: &[(&str, &str)]) {
     let fleet = start(1);
-    let reply = ask(&fleet, 0, "/unsafe/x", "stranger", more);
+    let reply = ask(&fleet, 0, "/unsafe/x", "stranger", extra_headers);
     assert_eq!((reply.status, reply.reason().as_deref()), (401, Some("key-unknown")));
     assert!(reply.header("www-authenticate").is_some());
     assert_eq!(fleet.ran("stranger"), 0);
-    assert_eq!(ask(&fleet, 0, "/safe/x", "exempt", more).status, 200, "the route asks for no key");
+    assert_eq!(
+        ask(&fleet, 0, "/safe/x", "exempt", extra_headers).status,
+        200,
+        "the route requires no key"
+    );
 }
 
 #[test]
@@ -86,32 +90,31 @@
 }
 
 #[test]
-fn verify_the_server_is_told_whose_key_it_is_and_the_key_stands_nowhere() {
+fn verify_the_server_receives_the_organisation_and_the_key_is_never_exposed() {
     let fleet = start(3);
     for number in 0..30 {
         let (key, claimed) = if number % 2 == 0 { (SHOP_KEY, "desk") } else { (DESK_KEY, "shop") };
-        let more = [(names::API_KEY, key), (names::ORGANISATION, claimed)];
+        let extra_headers = [(names::API_KEY, key), (names::ORGANISATION, claimed)];
         let id = format!("known-{number}");
-        assert_eq!(ask(&fleet, number % 3, "/unsafe/x", &id, &more).status, 200);
+        assert_eq!(ask(&fleet, number % 3, "/unsafe/x", &id, &extra_headers).status, 200);
         let server = fleet.backends.iter().find(|backend| backend.ran(&id) == 1).expect("ran");
         let head = server.runs()["last_head"].as_str().expect("head").to_owned();
         let name = if number % 2 == 0 { "shop" } else { "desk" };
-        let told = format!("\"{}\": \"{name}\"", names::ORGANISATION);
-        assert!(head.contains(&told), "{head}");
+        let field = format!("\"{}\": \"{name}\"", names::ORGANISATION);
+        assert!(head.contains(&field), "{head}");
     }
-    // A claimed name doesn't pass on a route that asks for no key either.
+    // A claimed name is not forwarded on a route that requires no key either.
     assert_eq!(ask(&fleet, 0, "/safe/x", "open", &[(names::ORGANISATION, "shop")]).status, 200);
-    // A daemon that starts while the store is away has the document from its peers.
     let keys: u64 = fleet.backends.iter().map(|b| b.runs()["keys"].as_u64().expect("keys")).sum();
     assert_eq!(keys, 0, "a key reached a backend server");
-    let told = |backend: &common::TestBackend| {
+    let count_each = |backend: &common::TestBackend| {
         let runs = backend.runs();
         ["shop", "desk"].map(|name| runs["by_organisation"][name].as_u64().unwrap_or(0))
     };
     let sums = fleet
         .backends
         .iter()
-        .map(told)
+        .map(count_each)
         .fold([0, 0], |sum, each| [sum[0] + each[0], sum[1] + each[1]]);
     assert_eq!(sums, [15, 15]);
     for daemon in &fleet.daemons {
@@ -123,16 +126,16 @@
         ];
         for text in shown {
             for key in [SHOP_KEY, DESK_KEY] {
-                assert!(!text.contains(key), "a key stands in what the daemon shows");
+                assert!(!text.contains(key), "the daemon exposes a key");
             }
         }
     }
 }
 
 #[test]
-fn verify_a_key_that_is_taken_away_or_moves_is_so_on_open_connections() {
+fn verify_revoked_and_moved_keys_take_effect_with_the_document() {
     let fleet = start(2);
-    // The names of fields may be in capitals.
+    // Header field names are case-insensitive.
     let name = names::API_KEY.to_uppercase();
     let with = |key| [(&*name, key)];
     assert_eq!(ask(&fleet, 1, "/unsafe/x", "before", &with(SHOP_KEY)).status, 200);
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn verify_a_call_of_running_work_needs_no_key_and_is_for_the_same_organisation() {
+fn verify_a_nested_call_needs_no_key_and_belongs_to_the_same_organisation() {
     let fleet = start(1);
     let address = fleet.daemons[0].callers;
     let parent = std::thread::spawn(move || {
@@ -166,16 +169,20 @@
         ];
         client::call(address, "POST", "/unsafe/x", &headers, "x").status
     });
-    eventually("the work runs", || fleet.ran("parent") == 1);
+    eventually("the parent request runs", || fleet.ran("parent") == 1);
     assert_eq!(ask(&fleet, 0, "/unsafe/x", "parent.1", &[]).status, 200);
     let head = fleet.backends[0].runs()["last_head"].to_string();
     assert!(head.contains("shop"), "{head}");
     assert_eq!(parent.join().expect("join"), 200);
-    assert_eq!(ask(&fleet, 0, "/unsafe/x", "parent.2", &[]).status, 401, "its work is over");
+    assert_eq!(
+        ask(&fleet, 0, "/unsafe/x", "parent.2", &[]).status,
+        401,
+        "the parent request has ended"
+    );
 }
 
 #[test]
-fn verify_calls_of_running_work_count_towards_no_limit() {
+fn verify_nested_calls_count_towards_no_limit() {
     let fleet = start(1);
     let limited = OrganisationDraft { rate: Some(0.01), burst: Some(1.0), ..SHOP };
     write(&fleet, 3, &[limited]);
@@ -188,7 +195,7 @@
     ];
     let ask_parent = move || client::call(address, "POST", "/unsafe/x", &headers, "x").status;
     let parent = std::thread::spawn(ask_parent);
-    eventually("the work runs", || fleet.ran("parent") == 1);
+    eventually("the parent request runs", || fleet.ran("parent") == 1);
     for number in 0..5 {
         let id = format!("parent.{number}");
         assert_eq!(ask(&fleet, 0, "/unsafe/x", &id, &[]).status, 200);
@@ -209,7 +216,7 @@
     eventually("it was read", || daemon.log_text().contains("configuration unreadable"));
     assert_eq!(daemon.revision(), 2);
     let fields = headers::exchange_fields();
-    let more = [(fields.api_key.as_str(), DESK_KEY)];
-    assert_eq!(ask(&fleet, 0, "/unsafe/x", "still", &more).status, 200);
+    let extra_headers = [(fields.api_key.as_str(), DESK_KEY)];
+    assert_eq!(ask(&fleet, 0, "/unsafe/x", "still", &extra_headers).status, 200);
     assert!(!daemon.log_text().contains(SHOP_KEY));
 }
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What it costs the store that callers ask for what is not there, at every daemon of a failure domain.
+//! Freshness checks at the store for unknown routes that callers request at every daemon of a
+//! failure domain.
 
 mod common;
 
@@ -9,12 +10,13 @@
 use common::registered::RegisteredFleet;
 use common::{client, eventually};
 
-/// Daemons of the failure domain.
+/// Number of daemons in the failure domain.
 const DAEMONS: usize = 8;
-/// Daemons that read the store for the others, and at most ask it by themselves.
+/// Number of readers: daemons that read the store for the failure domain, the only ones that ask
+/// it.
 const READERS: usize = 2;
 
-fn counted(fleet: &RegisteredFleet, daemon: usize, metric: &str) -> u64 {
+fn metric_value(fleet: &RegisteredFleet, daemon: usize, metric: &str) -> u64 {
     let text = fleet.daemons[daemon].call("GET", "/metrics", &[], "").text();
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let mut counts = lines.filter(|line| line.contains(metric));
@@ -23,30 +25,30 @@
 }
 
 #[test]
-fn verify_many_daemons_ask_the_store_through_two() {
-    let fleet = RegisteredFleet::start_near(DAEMONS);
+fn verify_many_daemons_ask_the_store_through_two_readers() {
+    let fleet = RegisteredFleet::start_in_one_domain(DAEMONS);
     for daemon in &fleet.daemons {
         eventually("the daemons know each other", || daemon.live_members() == DAEMONS);
     }
     for daemon in 0..DAEMONS {
         let mut number = 0;
-        // As long as it just had word it needs to ask nobody.
-        eventually("the daemon has asked whether its configuration is the newest", || {
+        // A daemon with a recent confirmation makes no freshness check.
+        eventually("the daemon has checked that its configuration is the newest", || {
             number += 1;
-            let status = client_status(&fleet, daemon, &format!("missing-{daemon}-{number}"));
+            let status = request_status(&fleet, daemon, &format!("missing-{daemon}-{number}"));
             assert!(status == 404 || status == 503, "{status}");
-            counted(&fleet, daemon, "configuration_questions") > 0
+            metric_value(&fleet, daemon, "configuration_questions") > 0
         });
-        eventually("it is said that there is no such route", || {
-            client_status(&fleet, daemon, "missing") == 404
+        eventually("the route is reported as missing", || {
+            request_status(&fleet, daemon, "missing") == 404
         });
     }
-    let asks = |daemon: &usize| counted(&fleet, *daemon, "store_questions") > 0;
+    let asks = |daemon: &usize| metric_value(&fleet, *daemon, "store_questions") > 0;
     let asking = (0..DAEMONS).filter(asks).count();
     assert!(asking <= READERS, "{asking} daemons asked the store");
 }
 
-fn client_status(fleet: &RegisteredFleet, daemon: usize, id: &str) -> u16 {
+fn request_status(fleet: &RegisteredFleet, daemon: usize, id: &str) -> u16 {
     let headers = [("Host", "nowhere.example"), (names::REQUEST, id)];
     client::call(fleet.daemons[daemon].callers, "GET", "/", &headers, "").status
 }
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Backend servers that register themselves: coming, draining, leaving, restarts, changed addresses.
+//! Backend servers that register themselves: registration, draining, deregistration, restarts and
+//! changed addresses.
 
 mod common;
 
@@ -15,7 +16,7 @@
 use test_case::test_case;
 
 #[test]
-fn verify_a_registered_fleet_serves_and_tells_the_server_what_it_must_know() {
+fn verify_a_registered_fleet_serves_and_sends_the_exchange_headers() {
     let fleet = RegisteredFleet::start(3);
     for daemon in 0..3 {
         eventually("the daemon is ready", || fleet.is_ready(daemon));
@@ -33,19 +34,19 @@
         let part = format!("\"{name}\": \"{value}\"");
         assert!(head.contains(&part), "{part} is not in {head}");
     }
-    let left = head
+    let remaining_ms = head
         .split(&*format!("\"{}\": \"", names::DEADLINE))
         .nth(1)
         .and_then(|rest| rest.split('"').next());
-    let left: u64 = left.expect("a deadline").parse().expect("a number");
-    assert!((1..=3000).contains(&left), "{left}");
+    let remaining_ms: u64 = remaining_ms.expect("a deadline").parse().expect("a number");
+    assert!((1..=3000).contains(&remaining_ms), "{remaining_ms}");
 }
 
 #[test]
-fn verify_an_acknowledged_drain_binds_at_once_and_queued_work_goes_elsewhere() {
+fn verify_an_acknowledged_drain_takes_effect_at_once_and_queued_requests_go_elsewhere() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(1, &[0, 1]);
-    // Fill the server's slots and its queue through both daemons, then let it drain.
+    // Fills the server's slots and its queue through both daemons, then drains it.
     let callers: Vec<_> = (0..16)
         .map(|number| {
             let address = fleet.daemons[number % 2].callers;
@@ -58,8 +59,8 @@
             })
         })
         .collect();
-    eventually("the server works", || fleet.backends[0].total() > 0);
-    assert_eq!(fleet.beat(0, true).status, 200);
+    eventually("the server receives requests", || fleet.backends[0].total() > 0);
+    assert_eq!(fleet.send_heartbeat(0, true).status, 200);
     for number in 0..30 {
         let reply = fleet.request(number % 2, "GET", "/safe/x", &format!("after-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
@@ -67,24 +68,24 @@
     }
     for caller in callers {
         let status = caller.join().expect("join");
-        assert!(matches!(status, 200 | 503), "nothing is cut: {status}");
+        assert!(matches!(status, 200 | 503), "no request is interrupted: {status}");
     }
-    // What was sent before the word may be read by the server after it, so that the daemon's own log
-    // tells what was sent when.
-    let AroundDrain { before, after } = started_around_drain(&fleet);
-    assert_eq!(after, 0, "nothing was sent after the word was acknowledged");
+    // The server may read requests after its drain notice that were sent before it, so the order is
+    // taken from the daemon's log.
+    let AttemptCounts { before, after } = count_attempts_around_drain(&fleet);
+    assert_eq!(after, 0, "nothing was sent after the drain was acknowledged");
     let received = fleet.backends[0].runs()["received"].as_u64().expect("received");
     assert_eq!(received, before, "nothing else reached the server");
 }
 
-/// Work that the first daemon sent to its server before and after the server said that it leaves.
-struct AroundDrain {
+/// Attempts that the first daemon sent to its server before and after the server began to drain.
+struct AttemptCounts {
     before: u64,
     after: u64,
 }
 
-/// Returns how much work the first daemon sent to its server before and after it said that it leaves.
-fn started_around_drain(fleet: &RegisteredFleet) -> AroundDrain {
+/// Counts the attempts that the first daemon sent to its server before and after it began to drain.
+fn count_attempts_around_drain(fleet: &RegisteredFleet) -> AttemptCounts {
     let (mut before, mut after, mut draining) = (0, 0, false);
     let text = fleet.daemons[0].log_text();
     for line in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
@@ -96,14 +97,14 @@
             _ => {}
         }
     }
-    AroundDrain { before, after }
+    AttemptCounts { before, after }
 }
 
 #[test]
 fn verify_a_late_heartbeat_of_a_crashed_server_does_not_displace_its_successor() {
     let fleet = RegisteredFleet::start(1);
-    assert_eq!(fleet.beat_as(0, "i-crashed", SERVICE, false).status, 200);
-    assert_eq!(fleet.beat_as(0, "i-successor", SERVICE, false).status, 200);
+    assert_eq!(fleet.send_heartbeat_as(0, "i-crashed", SERVICE, false).status, 200);
+    assert_eq!(fleet.send_heartbeat_as(0, "i-successor", SERVICE, false).status, 200);
     let late = fleet.heartbeat(0, "i-crashed", SERVICE, false);
     assert_eq!(fleet.call_daemon(0, &late).status, 200, "it is acknowledged like any other");
     let lines = |event: &str| {
@@ -111,13 +112,13 @@
         let of_crashed = |line: &&str| line.contains(event) && line.contains("i-crashed");
         text.lines().filter(of_crashed).count()
     };
-    eventually("it is passed over", || lines("late heartbeat passed over") == 1);
-    assert_eq!(lines("backend server registered"), 1, "its successor stays");
+    eventually("it is ignored", || lines("late heartbeat passed over") == 1);
+    assert_eq!(lines("backend server registered"), 1, "its successor stays registered");
     assert_eq!(lines("backend server gone"), 1);
 }
 
 #[test]
-fn verify_a_gone_server_gets_nothing_and_its_late_heartbeat_does_not_bring_it_back() {
+fn verify_a_deregistered_server_receives_nothing_and_a_late_heartbeat_does_not_restore_it() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     let late = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
@@ -132,19 +133,19 @@
 }
 
 #[test]
-fn verify_an_address_that_another_server_has_is_left_with_nothing_run() {
+fn verify_an_address_taken_over_by_another_server_is_avoided_and_nothing_runs_there() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    // The daemon still believes in a server of another name at this address.
-    assert_eq!(fleet.beat_as(1, "i-of-before", SERVICE, false).status, 200);
+    // The daemon still expects a server of another name at this address.
+    assert_eq!(fleet.send_heartbeat_as(1, "i-of-before", SERVICE, false).status, 200);
     for number in 0..20 {
         let id = format!("moved-{number}");
         let reply = fleet.request(number % 2, "POST", "/unsafe/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!((fleet.ran(&id), fleet.backends[1].ran(&id)), (1, 0));
     }
-    // Its own heartbeat brings it back.
-    assert_eq!(fleet.beat(1, false).status, 200);
+    // Its own heartbeat registers it again.
+    assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
 }
 
@@ -165,21 +166,21 @@
             .and_then(Result::ok)
             .is_some_and(|value| String::from_utf8_lossy(&value).contains("\"i-2\""))
     };
-    eventually("the row tells of the server", || own(&fleet));
+    eventually("the row lists the server", || own(&fleet));
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
     let before = fleet.backends[1].total();
     let mut number = 0;
-    eventually("the server works again", || {
+    eventually("the server receives requests again", || {
         number += 1;
         fleet.request(1, "GET", "/safe/x", &format!("again-{number}"));
         fleet.backends[1].total() > before
     });
-    // One that says it is ill is not taken back by its answer.
+    // A server that answers the health check as unhealthy is not recovered.
     fleet.backends[0].faults(json!({"health_status": 503}));
     fleet.daemons[0].kill();
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
-    eventually("it was asked", || fleet.backends[0].runs()["probes"].as_u64() > Some(0));
+    eventually("its health was checked", || fleet.backends[0].runs()["probes"].as_u64() > Some(0));
     let before = fleet.backends[0].total();
     for number in 0..20 {
         fleet.request(0, "GET", "/safe/x", &format!("ill-{number}"));
@@ -192,11 +193,11 @@
 #[test_case(|call| call.body = vec![b' '; 200_000], 413 ; "too large")]
 #[test_case(|call| call.target.truncate(call.target.len() - 3), 400 ; "no name")]
 #[test_case(|call| call.target = call.target.replace("heartbeat", "dance"), 404 ; "unknown call")]
-#[test_case(|call| *call = registered::leaving("i-unknown"), 200 ; "deregistering a stranger")]
-fn verify_bad_calls_get_a_clear_error_and_change_nothing(harm: fn(&mut StoreCall), status: u16) {
+#[test_case(|call| *call = registered::deregistration("i-unknown"), 200 ; "deregistering an unknown server")]
+fn verify_bad_calls_get_a_clear_error_and_change_nothing(corrupt: fn(&mut StoreCall), status: u16) {
     let fleet = RegisteredFleet::start(1);
     let mut call = fleet.heartbeat(0, "i-9", SERVICE, false);
-    harm(&mut call);
+    corrupt(&mut call);
     let reply = fleet.call_daemon(0, &call);
     assert_eq!(reply.status, status, "{}", reply.text());
     let reply = fleet.request(0, "GET", "/safe/x", "still");
@@ -209,12 +210,12 @@
     fleet.wait_served(0, &[0, 1]);
     let peers = fleet.daemons[1].peers.to_string();
     fleet.daemons[1].kill();
-    // A new host comes up at the same address, with a server of its own beside it.
+    // A new host starts at the same address, with its own backend server.
     let daemon = fleet.start_daemon("host-z", "bkk-b", &[("peers", peers.as_str())]);
     fleet.daemons[1] = daemon;
     let fields = headers::exchange_fields();
     fleet.backends[1] = TestBackend::start_at(common::loopback(), "i-new", 1, fields);
-    assert_eq!(fleet.beat(1, false).status, 200);
+    assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
     eventually("the earlier host is known as replaced", || {
         fleet.daemons[0].log_text().contains("host replaced at its address")
@@ -222,10 +223,10 @@
 }
 
 #[test]
-fn verify_the_last_server_takes_work_though_all_are_doubted_and_others_are_gone() {
+fn verify_the_last_server_is_used_although_all_are_doubted_and_others_are_gone() {
     let mut fleet = RegisteredFleet::start(3);
     fleet.wait_served(0, &[0, 1, 2]);
-    // The row of a host that is gone stays for long.
+    // The row of a host that is gone stays in the store for a long time.
     fleet.daemons[2].kill();
     for round in 0..5 {
         for index in [0, 1] {
@@ -242,10 +243,10 @@
     }
 }
 
-#[test_case(json!({"silent": true}) ; "the store says nothing")]
-#[test_case(json!({"busy": true}) ; "the store turns calls away")]
+#[test_case(json!({"silent": true}) ; "the store does not answer")]
+#[test_case(json!({"busy": true}) ; "the store refuses calls")]
 #[test_case(json!({"down": true}) ; "the store drops connections")]
-fn verify_a_fleet_that_starts_in_the_dark_says_so_and_serves_once_the_store_is_back(outage: Value) {
+fn verify_a_fleet_started_without_the_store_is_not_ready_until_it_is_back(outage: Value) {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     for daemon in &mut fleet.daemons {
@@ -254,7 +255,11 @@
     fleet.platform.faults(outage);
     for (index, host) in ["host-a", "host-b"].iter().enumerate() {
         fleet.daemons[index] = fleet.start_daemon(host, ["bkk-a", "bkk-b"][index], &[]);
-        assert_eq!(fleet.beat(index, false).status, 200, "heartbeats are taken all the same");
+        assert_eq!(
+            fleet.send_heartbeat(index, false).status,
+            200,
+            "heartbeats are accepted without the store"
+        );
     }
     for daemon in 0..2 {
         assert!(!fleet.is_ready(daemon));
@@ -279,7 +284,7 @@
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[("seeds", seeds.as_str())]);
     // Its configuration and its server come from the peer.
     eventually("the daemon is ready without the store", || fleet.is_ready(1));
-    assert_eq!(fleet.beat(1, false).status, 200);
+    assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     let reply = fleet.request(1, "GET", "/safe/x", "dark");
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.platform.faults(json!({}));
@@ -291,35 +296,44 @@
 }
 
 #[test_case(json!({"down": true}) ; "its connections are dropped")]
-#[test_case(json!({"busy": true}) ; "its calls are turned away")]
-#[test_case(json!({"many": true}) ; "its calls are said to be too many")]
-#[test_case(json!({"silent": true}) ; "it hears nothing")]
-fn verify_a_host_that_the_store_turns_away_keeps_up_by_its_peers(mut outage: Value) {
+#[test_case(json!({"busy": true}) ; "its calls are refused")]
+#[test_case(json!({"many": true}) ; "its calls are refused as too many")]
+#[test_case(json!({"silent": true}) ; "its calls are not answered")]
+fn verify_a_host_refused_by_the_store_learns_changes_from_its_peers(mut outage: Value) {
     let mut fleet = RegisteredFleet::start(3);
     let seeds = fleet.daemons[0].peers.to_string();
     fleet.daemons[1].kill();
-    let more = [("seeds", seeds.as_str())];
-    fleet.daemons[1] = fleet.start_daemon_at(fleet.platform.second, "host-b", "bkk-b", &more);
-    assert_eq!(fleet.beat(1, false).status, 200);
+    let extra_flags = [("seeds", seeds.as_str())];
+    fleet.daemons[1] =
+        fleet.start_daemon_at(fleet.platform.second, "host-b", "bkk-b", &extra_flags);
+    assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.faults(outage);
-    // A changed document, a server that leaves and one that drains reach it all the same.
+    // It learns of a changed document and takes a drain notice without the store.
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
     }
-    assert_eq!(fleet.beat(1, true).status, 200, "an acknowledgement binds without the store");
+    assert_eq!(
+        fleet.send_heartbeat(1, true).status,
+        200,
+        "an acknowledged drain takes effect without the store"
+    );
     let reply = fleet.request(1, "POST", "/unsafe/x", "turned-away");
     assert_eq!(reply.status, 200, "{} {:?}", reply.text(), reply.reason());
-    assert_eq!(fleet.backends[1].ran("turned-away"), 0, "a leaving server gets no new work");
-    assert_eq!(fleet.beat(1, false).status, 200);
+    assert_eq!(
+        fleet.backends[1].ran("turned-away"),
+        0,
+        "a draining server receives no new requests"
+    );
+    assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.platform.faults(json!({}));
     fleet.wait_served(0, &[0, 1, 2]);
 }
 
 #[test]
-fn verify_what_changed_while_the_store_forgot_its_history_is_known_after_it() {
+fn verify_changes_made_before_the_store_lost_its_history_are_read() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     fleet.platform.faults(json!({"silent": true}));
@@ -328,23 +342,25 @@
     fleet.platform.faults(json!({}));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == 4);
-        eventually("the table was read anew", || daemon.log_text().contains("history forgotten"));
+        eventually("the table was read again", || daemon.log_text().contains("history forgotten"));
     }
     fleet.wait_served(1, &[0, 1]);
 }
 
 #[test]
-fn verify_a_server_that_is_gone_when_its_daemon_restarts_gets_nothing() {
+fn verify_a_server_that_is_gone_when_its_daemon_restarts_receives_nothing() {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     // Nothing listens at the address of this server.
     let closed = common::closed_address();
     let heartbeat = fleet.heartbeat_from(closed, "i-gone", SERVICE, false);
     assert_eq!(fleet.call_daemon(1, &heartbeat).status, 200);
-    eventually("the fleet knows of it", || fleet.daemons[0].log_text().contains("i-2, i-gone"));
+    eventually("the other daemon knows of it", || {
+        fleet.daemons[0].log_text().contains("i-2, i-gone")
+    });
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
-    eventually("the restarted daemon finds it silent", || {
+    eventually("the restarted daemon finds that it does not answer", || {
         fleet.daemons[1].log_text().contains("backend server silent")
     });
     fleet.wait_served(0, &[0, 1]);
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -1,13 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The store comes back from a copy that is some seconds old, and the operator writes again what was lost.
+//! The store is restored from a copy that is some seconds old, and the operator writes a document
+//! again.
 //!
-//! What users may see: a route that the operator added after the return is answered 404 at every daemon, as one that
-//! is not there, until the next change. The order of events: daemons have read up to a number; the store goes away and
-//! comes back from a copy with a lower one; it gives out the numbers in between again, the operator's
-//! document among them; a daemon that asks for what changed since its number hears of nothing, and takes that
-//! for word that it has the newest document. Whoever asks before the numbers are passed gets 410, and reads anew.
+//! Guards against a fault in which every daemon answered 404 for a route that was added after the
+//! restore, until the next change. The restored store assigns row numbers again that daemons have
+//! already read, also to the new document. A daemon that asks for changes since its number then
+//! gets none and concludes that it has the newest document. A daemon that asks before the store
+//! passes that number gets 410 and reads all rows again.
 
 mod common;
 
@@ -19,16 +20,16 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Rows that somebody else wrote before the loss, or writes after it.
+/// Writes rows as another client of the store.
 fn write_others(fleet: &RegisteredFleet, numbers: Range<u64>) {
     for number in numbers {
         fleet.platform.change_row("PUT", "status", &format!("row-{number}"), "{}");
     }
 }
 
-#[test_case(false ; "nobody passes the numbers that were lost")]
-#[test_case(true ; "others pass the numbers before a daemon asks")]
-fn verify_what_the_operator_writes_after_a_restore_comes_in_force(passed: bool) {
+#[test_case(false ; "the lost numbers are not passed")]
+#[test_case(true ; "other writes pass the lost numbers before a daemon asks")]
+fn verify_a_document_written_after_a_restore_takes_effect(passed: bool) {
     let fleet = RegisteredFleet::start(2);
     fleet.platform.take_copy();
     write_others(&fleet, 0..20);
@@ -46,7 +47,7 @@
     }
     fleet.platform.faults(json!({}));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
-        eventually("what was written after the return is in force", || daemon.revision() == 3);
+        eventually("the document written after the restore is in force", || daemon.revision() == 3);
         assert_eq!(fleet.request(index, "GET", "/new/x", "new").status, 200);
     }
 }
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Rows of hosts reach every daemon though only some of a failure domain read them from the store.
+//! Rows of hosts reach every daemon although only a few readers of a failure domain read them from
+//! the store.
 
 mod common;
 
@@ -12,7 +13,7 @@
 
 /// Registers another server name at a daemon and waits until these daemons know of it.
 fn register_and_wait(fleet: &RegisteredFleet, index: usize, name: &str, knowing: &[usize]) {
-    assert_eq!(fleet.beat_as(index, name, SERVICE, false).status, 200);
+    assert_eq!(fleet.send_heartbeat_as(index, name, SERVICE, false).status, 200);
     for daemon in knowing {
         eventually("the daemon knows of the server", || {
             fleet.daemons[*daemon].get("/v1/backend-servers").to_string().contains(name)
@@ -21,17 +22,17 @@
 }
 
 #[test_case(json!({"down": true}) ; "its connections are dropped")]
-#[test_case(json!({"busy": true}) ; "its calls are turned away")]
-#[test_case(json!({"silent": true}) ; "it hears nothing")]
-fn verify_a_host_that_the_store_turns_away_hears_of_new_servers(mut outage: Value) {
-    let mut fleet = RegisteredFleet::start_near(3);
+#[test_case(json!({"busy": true}) ; "its calls are refused")]
+#[test_case(json!({"silent": true}) ; "its calls are not answered")]
+fn verify_a_host_refused_by_the_store_learns_of_new_servers(mut outage: Value) {
+    let mut fleet = RegisteredFleet::start_in_one_domain(3);
     fleet.daemons[2].kill();
     fleet.daemons[2] = fleet.start_daemon_at(fleet.platform.second, "host-c", "bkk-a", &[]);
-    assert_eq!(fleet.beat(2, false).status, 200);
+    assert_eq!(fleet.send_heartbeat(2, false).status, 200);
     register_and_wait(&fleet, 0, "i-before", &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.faults(outage);
-    // Two changes in a row, so that the second follows on the first.
+    // Two changes in a row, so that the second one builds on the first.
     register_and_wait(&fleet, 0, "i-during", &[0, 1, 2]);
     register_and_wait(&fleet, 1, "i-later", &[0, 1, 2]);
     fleet.platform.faults(json!({}));
@@ -39,15 +40,15 @@
 }
 
 #[test]
-fn verify_rows_go_on_to_arrive_whoever_is_gone() {
-    let mut fleet = RegisteredFleet::start_near(4);
+fn verify_rows_arrive_although_readers_are_gone() {
+    let mut fleet = RegisteredFleet::start_in_one_domain(4);
     register_and_wait(&fleet, 0, "i-first", &[0, 1, 2, 3]);
     for gone in [1, 2] {
         fleet.daemons[gone].kill();
-        let left: Vec<usize> =
+        let remaining: Vec<usize> =
             [0, 1, 2, 3].into_iter().filter(|index| *index > gone || *index == 0).collect();
-        register_and_wait(&fleet, 0, &format!("i-without-{gone}"), &left);
-        register_and_wait(&fleet, 3, &format!("i-still-{gone}"), &left);
+        register_and_wait(&fleet, 0, &format!("i-without-{gone}"), &remaining);
+        register_and_wait(&fleet, 3, &format!("i-still-{gone}"), &remaining);
     }
     let domain = fleet.daemons[1].domain.clone();
     fleet.daemons[1] = fleet.start_daemon("host-b", &domain, &[]);
@@ -55,13 +56,13 @@
 }
 
 #[test]
-fn verify_most_daemons_of_a_failure_domain_leave_the_store_alone() {
-    let fleet = RegisteredFleet::start_near(6);
+fn verify_few_daemons_of_a_failure_domain_read_the_store() {
+    let fleet = RegisteredFleet::start_in_one_domain(6);
     let all = [0, 1, 2, 3, 4, 5];
     register_and_wait(&fleet, 0, "i-first", &all);
-    // Those who read the store are woken by each change; the others hear of it by them.
+    // Each change ends a long poll of the readers; the other daemons learn of it from them.
     let calls = |daemon: usize| fleet.daemons[daemon].metric("rows_calls") as u64;
-    eventually("two read the rows, and no other for a while", || {
+    eventually("at most two daemons read the rows for a while", || {
         let before: Vec<u64> = all.iter().map(|daemon| calls(*daemon)).collect();
         for number in 0..4 {
             register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all);
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a stop takes, refuses and waits for beside plain requests that come while it is open.
+//! The phases of a graceful shutdown: which requests a daemon admits, refuses and waits for in
+//! each.
 
 mod common;
 
@@ -16,13 +17,13 @@
 use common::{eventually, FleetPlan, TestFleet};
 use serde_json::{json, Value};
 
-/// A stop that closes after 4 s, gives up after 7.7 s and ends after 8 s.
+/// Flags for a stop that closes after 4 s, gives up after 7.7 s and ends after 8 s.
 fn flags() -> Vec<(&'static str, &'static str)> {
     vec![("drain-ms", "8000"), ("drain-min-ms", "500")]
 }
 
-/// Routes whose requests may wait and run for longer than the stop lasts.
-fn patient_routes() -> Value {
+/// Routes whose requests may wait and run for longer than the stop.
+fn long_timeout_routes() -> Value {
     json!({
         "any": {"host": "solver.example", "path_prefix": "/", "service": "solver-app",
                 "mode": "repeatable", "timeout_ms": 60000},
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn verify_a_daemon_that_slept_over_its_drain_takes_nothing_that_it_gives_up() {
+fn verify_a_daemon_paused_past_its_drain_admits_nothing_that_it_gives_up() {
     const LONGEST: Duration = Duration::from_secs(3);
     let flags = vec![("drain-ms", "3000"), ("drain-min-ms", "2000")];
     let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
@@ -44,7 +45,7 @@
         let reply = stops::send(stream, &format!("before-{number}"), "0");
         assert_eq!(reply.map(|reply| reply.status), Some(200));
     }
-    stops::ask(&fleet.daemons[0]);
+    stops::request_stop(&fleet.daemons[0]);
     let asked = Instant::now();
     fleet.daemons[0].signal("-STOP");
     for (number, stream) in kept.iter_mut().enumerate() {
@@ -60,14 +61,14 @@
 }
 
 #[test]
-fn verify_a_request_whose_body_has_not_come_is_refused_when_the_stop_closes() {
+fn verify_a_request_with_an_incomplete_body_is_refused_when_the_stop_closes() {
     let flags = vec![("drain-ms", "3000"), ("drain-min-ms", "500")];
     let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
     let mut stream = client::connect(fleet.daemons[0].callers);
     let head = "POST /plain HTTP/1.1\r\nHost: solver.example\r\nx-request-id: slow\r\n";
     stream.write_all(format!("{head}Content-Length: 4\r\n\r\nab").as_bytes()).expect("write");
-    eventually("its head is read", || fleet.daemons[0].metric("in_flight") > 0.0);
-    stops::ask(&fleet.daemons[0]);
+    eventually("its head was read", || fleet.daemons[0].metric("in_flight") > 0.0);
+    stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut stream, "POST").expect("a refusal");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("draining")));
     assert_eq!(fleet.ran("slow"), 0);
@@ -76,9 +77,9 @@
 }
 
 #[test]
-fn verify_a_closed_stop_takes_calls_of_the_work_that_it_waits_for() {
+fn verify_a_closed_stop_admits_nested_calls_of_running_requests() {
     let plan =
-        FleetPlan { daemon_flags: flags(), routes: patient_routes(), ..FleetPlan::default() };
+        FleetPlan { daemon_flags: flags(), routes: long_timeout_routes(), ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..2)
@@ -89,13 +90,13 @@
             })
         })
         .collect();
-    eventually("all work runs", || fleet.backends[0].total() + fleet.backends[1].total() == 2);
+    eventually("all requests run", || fleet.backends[0].total() + fleet.backends[1].total() == 2);
     let here = |number: &usize| fleet.backends[0].ran(&format!("work-{number}")) == 1;
-    let work = (0..2).find(here).expect("one of them runs at the first backend server");
-    stops::ask(&fleet.daemons[0]);
+    let parent = (0..2).find(here).expect("one of them runs at the first backend server");
+    stops::request_stop(&fleet.daemons[0]);
     stops::wait_event(&fleet.daemons[0], "closed");
     let mut stream = client::connect(fleet.daemons[0].callers);
-    let call = stops::send(&mut stream, &format!("work-{work}.1"), "0").expect("an answer");
+    let call = stops::send(&mut stream, &format!("work-{parent}.1"), "0").expect("an answer");
     assert_eq!(call.status, 200, "{}", call.text());
     let mut stream = client::connect(fleet.daemons[0].callers);
     let other = stops::send(&mut stream, "other", "0").expect("an answer");
@@ -108,12 +109,12 @@
 }
 
 #[test]
-fn verify_of_what_waits_as_the_daemon_hands_over_only_what_must_end_in_time_is_done() {
+fn verify_only_queued_requests_that_must_end_in_time_run_after_handing_over() {
     let plan = FleetPlan {
         backends: 1,
         slots: 1,
         daemon_flags: vec![("drain-ms", "20000"), ("drain-min-ms", "500")],
-        routes: patient_routes(),
+        routes: long_timeout_routes(),
         ..FleetPlan::default()
     };
     let mut fleet = TestFleet::start(&plan);
@@ -123,7 +124,7 @@
     eventually("it runs", || fleet.ran("holds") == 1);
     let mut long = client::connect(callers);
     stops::write(&mut long, "long", "200").expect("write");
-    eventually("the first waits", || fleet.daemons[0].metric("queued") == 1.0);
+    eventually("the first is queued", || fleet.daemons[0].metric("queued") == 1.0);
     let mut short = client::connect(callers);
     let headers = [
         ("Host", "solver.example"),
@@ -133,10 +134,14 @@
     ];
     let text = client::request_text("POST", "/plain", &headers, "x");
     short.write_all(text.as_bytes()).expect("write");
-    eventually("both wait", || fleet.daemons[0].metric("queued") == 2.0);
-    stops::ask(&fleet.daemons[0]);
+    eventually("both are queued", || fleet.daemons[0].metric("queued") == 2.0);
+    stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut long, "POST").expect("a refusal");
-    assert_eq!((reply.status, fleet.ran("long")), (503, 0), "its 60 s end after the stop");
+    assert_eq!(
+        (reply.status, fleet.ran("long")),
+        (503, 0),
+        "its deadline of 60 s is after the end of the stop"
+    );
     for (id, mut stream) in [("holds", holding), ("short", short)] {
         let reply = client::read_reply(&mut stream, "POST");
         assert_eq!(reply.map(|reply| reply.status), Some(200), "{id}");
@@ -145,12 +150,12 @@
 }
 
 #[test]
-fn verify_an_answer_that_is_there_goes_out_when_the_stop_gives_up() {
+fn verify_an_available_answer_is_sent_when_the_stop_gives_up() {
     let plan = FleetPlan {
         daemons: 3,
         backends: 3,
         daemon_flags: flags(),
-        routes: patient_routes(),
+        routes: long_timeout_routes(),
         ..FleetPlan::default()
     };
     let mut fleet = TestFleet::start(&plan);
@@ -158,26 +163,26 @@
         backend.faults(json!({"error_rate": 1.0}));
     }
     let mut stream = client::connect(fleet.daemons[0].callers);
-    stops::ask(&fleet.daemons[0]);
-    // A server's error after 5 s, and a repeat that runs until the daemon gives up.
+    stops::request_stop(&fleet.daemons[0]);
+    // A server error after 5 s, and a retry that runs until the daemon gives up.
     let headers = [("Host", "solver.example"), ("x-work-ms", "5000"), ("x-request-id", "again")];
     let text = client::request_text("GET", "/puzzle", &headers, "");
     stream.write_all(text.as_bytes()).expect("write");
     let reply = client::read_reply(&mut stream, "GET").expect("an answer");
     assert_eq!(reply.status, 500, "{}", reply.text());
-    assert_eq!(fleet.ran("again"), 2, "the repeat had begun");
+    assert_eq!(fleet.ran("again"), 2, "the retry had begun");
     fleet.daemons[0].ended();
 }
 
 #[test]
-fn verify_settings_that_are_read_again_leave_a_running_stop_as_it_is() {
+fn verify_reloaded_settings_do_not_change_a_running_stop() {
     let path = std::env::temp_dir().join(format!("basaltarch-stop-{}.conf", std::process::id()));
     fs::write(&path, "drain-min-ms = 500\n").expect("settings");
     let text: &'static str = path.to_str().expect("path").to_owned().leak();
     let flags = vec![("config", text)];
     let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
     let mut stream = client::connect(fleet.daemons[0].callers);
-    stops::ask(&fleet.daemons[0]);
+    stops::request_stop(&fleet.daemons[0]);
     stops::write(&mut stream, "whole", "3000").expect("write");
     eventually("it runs", || fleet.ran("whole") == 1);
     fs::write(&path, "drain-min-ms = 500\nkill-after-ms = 1200\n").expect("settings");
@@ -190,12 +195,12 @@
 }
 
 #[test]
-fn verify_a_refusal_is_told_though_the_store_is_silent() {
+fn verify_a_refusal_is_sent_although_the_store_is_silent() {
     let plan = FleetPlan {
         backends: 1,
         slots: 1,
         daemon_flags: flags(),
-        routes: patient_routes(),
+        routes: long_timeout_routes(),
         ..FleetPlan::default()
     };
     let fleet = TestFleet::start(&plan);
@@ -207,17 +212,17 @@
         [("Host", "solver.example"), ("Idempotency-Key", "once"), ("x-request-id", "once")];
     let text = client::request_text("POST", "/payouts", &headers, "x");
     waiting.write_all(text.as_bytes()).expect("write");
-    eventually("it waits", || fleet.daemons[0].metric("queued") > 0.0);
+    eventually("it is queued", || fleet.daemons[0].metric("queued") > 0.0);
     fleet.platform.faults(json!({"silent": true}));
-    stops::ask(&fleet.daemons[0]);
+    stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut waiting, "POST").expect("a refusal");
     assert_eq!((reply.status, fleet.ran("once")), (503, 0), "{}", reply.text());
 }
 
 #[test]
-fn verify_a_change_under_way_is_answered_before_the_daemon_ends() {
+fn verify_a_pending_change_is_answered_before_the_daemon_ends() {
     let mut fleet = TestFleet::start(&FleetPlan::default());
-    // The store answers when the shortest drain, 0.5 s, is long over.
+    // The store answers long after the end of the shortest drain, 0.5 s.
     fleet.platform.faults(json!({"delay_ms": 1200}));
     let mut changing = client::connect(fleet.daemons[0].admin);
     let change = json!({"kind": "organisations", "name": "new", "value": {"title": "New"}});
@@ -225,9 +230,9 @@
     let headers = [("Authorization", "Bearer operator-token")];
     let text = client::request_text("POST", "/v1/apply", &headers, &body);
     changing.write_all(text.as_bytes()).expect("write");
-    // A later call is answered, so that the daemon has read this one.
+    // Once a later call is answered, the daemon has read this one.
     fleet.daemons[0].get("/v1/status");
-    stops::ask(&fleet.daemons[0]);
+    stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut changing, "POST").expect("an answer");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(fleet.daemons[0].ended().code(), Some(0));
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -1,20 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A stop of a daemon whose callers go on sending until it is gone.
+//! A graceful shutdown of a daemon whose callers go on sending until it has ended.
 //!
-//! What users saw: a request was sent to a daemon seconds after it had been asked to stop, ran at a
-//! backend server, and its caller got a closed connection or our 504 in place of the answer.
-//!
-//! Order of events: most of a failure domain was stopped at once, so that callers were sent nowhere
-//! else; the daemon took requests for as long as it lived. Some began less than their own time before
-//! it gave up who still waits; others came within the 20 ms between its last look at what is in flight
-//! and its end.
-//!
-//! Cause: taking work and ending were decided apart, each by a look of its own, and nothing came
-//! between the last piece of work taken and the end. Evidence: each request given up was taken less
-//! than its own time before that moment (`came_ms` of `request given up`), and those closed with no
-//! answer came within the last 20 ms of a daemon that had counted nothing in flight.
+//! Guards against a fault in which a request ran at a backend server although its daemon was
+//! stopping, and its caller got a closed connection or a 504 in place of the answer. With most of a
+//! failure domain stopped at once, callers had no other daemon, and a daemon admitted requests
+//! until its end. Some were admitted with less than their service time left before the daemon gave
+//! up on pending requests, others within the 20 ms between its last check for requests in flight
+//! and its end, as admission and end were decided by separate checks.
 
 mod common;
 
@@ -27,11 +21,11 @@
 use common::{eventually, FleetPlan, TestFleet};
 use test_case::test_case;
 
-/// Time that each request's work takes, in milliseconds.
+/// Service time of each request in milliseconds.
 const WORK_MS: &str = "1000";
 
-/// Sends unrepeatable requests of [`WORK_MS`] one after another until nothing listens at `callers` any
-/// more. A connection is kept until its end is told or seen.
+/// Sends non-repeatable requests of [`WORK_MS`] one after another until nothing listens at
+/// `callers` any more. A connection is reused until a reply announces its end or it is closed.
 fn send_until_gone(callers: SocketAddr, caller: usize) -> Vec<StopRequest> {
     let mut requests = Vec::new();
     let mut kept = None;
@@ -46,9 +40,9 @@
     }
 }
 
-#[test_case("1000" ; "callers hear soon")]
-#[test_case("7500" ; "callers would hear when it is too late to end their requests")]
-fn verify_a_stopping_daemon_takes_only_what_it_can_end(shortest_ms: &'static str) {
+#[test_case("1000" ; "callers learn soon that the daemon leaves")]
+#[test_case("7500" ; "callers would learn too late to finish their requests")]
+fn verify_a_stopping_daemon_admits_only_requests_that_it_can_finish(shortest_ms: &'static str) {
     let plan = FleetPlan {
         daemon_flags: vec![("drain-ms", "8000"), ("drain-min-ms", shortest_ms)],
         ..FleetPlan::default()
@@ -60,7 +54,7 @@
         (0..4).map(|caller| thread::spawn(move || send_until_gone(callers, caller))).collect();
     eventually("requests are served", || fleet.backends[0].total() + fleet.backends[1].total() > 4);
     fleet.daemons[0].signal("-TERM");
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0), "nothing is cut or given up");
+    assert_eq!(fleet.daemons[0].ended().code(), Some(0), "no request is interrupted or given up");
     let requests = sending.into_iter().flat_map(|thread| thread.join().expect("join"));
     let requests: Vec<StopRequest> = requests.collect();
     requests.iter().for_each(|request| request.check(&fleet));
@@ -72,16 +66,16 @@
 }
 
 #[test]
-fn verify_what_comes_with_the_last_look_is_answered_or_never_runs() {
+fn verify_requests_that_arrive_with_the_last_check_are_answered_or_never_run() {
     const SHORTEST: Duration = Duration::from_secs(5);
     let plan = FleetPlan { daemon_flags: vec![("drain-min-ms", "5000")], ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
     let mut kept = client::connect(callers);
     assert_eq!(stops::send(&mut kept, "before", WORK_MS).map(|reply| reply.status), Some(200));
-    stops::ask(&fleet.daemons[0]);
-    // The daemon sleeps while the requests come and its shortest drain passes, so that it finds both at
-    // the same moment: nothing in flight yet, and requests to read.
+    stops::request_stop(&fleet.daemons[0]);
+    // The daemon is paused while the requests arrive and its shortest drain passes, so on resume it
+    // finds at the same moment nothing in flight and requests to read.
     let asked = Instant::now();
     fleet.daemons[0].signal("-STOP");
     let mut fresh = client::connect(callers);
@@ -93,16 +87,16 @@
         let reply = client::read_reply(&mut stream, "POST");
         StopRequest { id: id.to_owned(), reply }
     });
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0), "nothing is cut");
+    assert_eq!(fleet.daemons[0].ended().code(), Some(0), "no request is interrupted");
     replies.iter().for_each(|request| request.check(&fleet));
 }
 
 #[test]
-fn verify_a_backend_server_works_on_until_its_daemon_hands_over() {
+fn verify_a_backend_server_is_used_until_its_daemon_hands_over() {
     let flags = vec![("drain-ms", "60000"), ("drain-min-ms", "30000")];
     let fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
-    stops::ask(&fleet.daemons[1]);
-    // Callers of the other daemon, so many at a time that its own server has no slots for all.
+    stops::request_stop(&fleet.daemons[1]);
+    // More concurrent requests at the other daemon than its own server has slots.
     let callers = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..6)
         .map(|number| {
@@ -116,5 +110,5 @@
     for sending in sending {
         assert_eq!(sending.join().expect("join"), Some(200));
     }
-    assert!(fleet.backends[1].total() > 0, "its backend server got work");
+    assert!(fleet.backends[1].total() > 0, "its backend server received requests");
 }
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Hosts that are suspended: what holds for a time has passed when they wake, and nothing measured across
-//! the sleep counts.
+//! Hosts that are suspended: times that passed during the suspend have expired on resume, and
+//! durations measured across it do not count.
 
 mod common;
 
@@ -16,19 +16,19 @@
 use common::{eventually, TestBackend, TestPlatform};
 use serde_json::{json, Value};
 
-/// Deadline of the requests: longer than any test waits, so that only the sleep can end them.
+/// Deadline of the requests: longer than any test waits, so that only a suspend can make it pass.
 const DEADLINE: (&str, &str) = ("basaltarch-deadline-ms", "600000");
-/// A sleep beyond that.
-const SLEEP: Duration = Duration::from_secs(1200);
+/// Length of a suspend that outlasts [`DEADLINE`].
+const SUSPEND: Duration = Duration::from_secs(1200);
 
-struct SleepyHost {
+struct SuspendableHost {
     _platform: TestPlatform,
     daemon: InlineDaemon,
     backend: TestBackend,
 }
 
-impl SleepyHost {
-    /// Starts a host with one backend server of so many slots.
+impl SuspendableHost {
+    /// Starts a host with one backend server of this many slots.
     fn start(slots: u32) -> Self {
         let platform = TestPlatform::start();
         let daemon = InlineDaemon::start(platform.address, "host-a", "bkk-a");
@@ -64,7 +64,7 @@
         health["services"][0]["upstreams"][0]["here"].clone()
     }
 
-    /// Waits until a server has received so many requests.
+    /// Waits until the server has received this many requests.
     fn wait_received(&self, wanted: u64) {
         eventually("the server has the requests", || {
             self.backend.runs()["received"].as_u64().is_some_and(|seen| seen >= wanted)
@@ -78,26 +78,31 @@
 }
 
 #[test]
-fn verify_who_waits_past_a_deadline_that_passed_asleep_is_told_at_once() {
-    let host = SleepyHost::start(1);
+fn verify_requests_whose_deadline_passed_in_a_suspend_are_answered_on_resume() {
+    let host = SuspendableHost::start(1);
     host.backend.faults(json!({"stuck": true}));
     let callers = host.daemon.callers;
     let running = thread::spawn(move || ask(callers, "0"));
     host.wait_received(1);
     let waiting = thread::spawn(move || ask(callers, "0"));
     eventually("the second waits for the slot", || host.health()["queued"] == json!(1));
-    host.daemon.sleep(SLEEP);
+    host.daemon.suspend(SUSPEND);
     let running = running.join().expect("join");
-    assert_eq!(running.outcome().as_deref(), Some("unknown"), "it ran: {}", running.text());
+    assert_eq!(
+        running.outcome().as_deref(),
+        Some("unknown"),
+        "it may have run: {}",
+        running.text()
+    );
     assert_eq!(running.reason().as_deref(), Some("timed-out"));
     let waiting = waiting.join().expect("join");
-    assert_eq!(waiting.outcome().as_deref(), Some("not-run"), "it never got the slot");
-    assert_eq!(host.backend.runs()["received"], json!(1), "and never will run");
+    assert_eq!(waiting.outcome().as_deref(), Some("not-run"), "it was never given the slot");
+    assert_eq!(host.backend.runs()["received"], json!(1), "the queued request was never sent");
 }
 
 #[test]
-fn verify_a_sleep_speaks_against_no_server() {
-    let host = SleepyHost::start(4);
+fn verify_a_suspend_does_not_count_against_a_server() {
+    let host = SuspendableHost::start(4);
     let callers = host.daemon.callers;
     for _ in 0..40 {
         assert_eq!(ask(callers, "1").status, 200);
@@ -105,8 +110,8 @@
     let received = host.backend.runs()["received"].as_u64().expect("a count");
     let running: Vec<_> = (0..4).map(|_| thread::spawn(move || ask(callers, "500"))).collect();
     host.wait_received(received + 4);
-    // Far beyond their usual time, and within their deadline.
-    host.daemon.sleep(Duration::from_secs(30));
+    // Far longer than their typical service time, but within their deadline.
+    host.daemon.suspend(Duration::from_secs(30));
     for caller in running {
         assert_eq!(caller.join().expect("join").status, 200);
     }
@@ -117,18 +122,18 @@
 }
 
 #[test]
-fn verify_a_refused_request_is_tried_again_and_let_in_once_it_runs_well() {
-    let host = SleepyHost::start(4);
+fn verify_a_refused_request_is_tried_again_and_admitted_once_it_succeeds() {
+    let host = SuspendableHost::start(4);
     host.backend.faults(json!({"crash_path": "/puzzle/7", "crash_after_ms": 5, "down_ms": 50}));
     let callers = host.daemon.callers;
     let refused = |reply: &Reply| reply.reason().as_deref() == Some("crashes-servers");
     eventually("it is refused", || refused(&ask(callers, "0")));
-    eventually("the server is mended", || {
+    eventually("the fault of the server is removed", || {
         let path = "/__control/faults";
         client::try_call(host.backend.address, "PUT", path, &[], "{}").is_some()
     });
-    assert!(refused(&ask(callers, "0")), "nobody has tried it yet");
-    host.daemon.sleep(TRIAL_EVERY);
-    eventually("a trial lets it in", || ask(callers, "0").status == 200);
+    assert!(refused(&ask(callers, "0")), "no trial is due yet");
+    host.daemon.suspend(TRIAL_EVERY);
+    eventually("a trial admits it again", || ask(callers, "0").status == 200);
     assert_eq!(ask(callers, "0").status, 200);
 }
