--- a/crates/daemon/tests/adopting.rs
+++ b/crates/daemon/tests/adopting.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A whole configuration that was read while the daemon served never puts an older one in force.
+//! A snapshot of the configuration that was read while the daemon served never replaces a newer
+//! one.
 
 use std::time::Duration;
 
@@ -43,19 +44,19 @@
     let cell = ConfigCell::default();
     let (slow, slow_layout) = config_at(3);
     assert_eq!(cell.apply(&[record(1), record(2), record(3), record(4)], NOW), 4);
-    assert!(!cell.adopt(slow, slow_layout, NOW), "revision 4 came meanwhile");
+    assert!(!cell.adopt(slow, slow_layout, NOW), "revision 4 was applied meanwhile");
     assert_eq!(cell.revision(), FleetRevision(4));
     assert!(cell.active().has_organisation("shop-4"));
 }
 
 #[test]
-fn verify_a_later_snapshot_is_taken_over_and_changes_go_on_from_it() {
+fn verify_a_later_snapshot_is_adopted_and_changes_continue_from_it() {
     let cell = ConfigCell::default();
     assert_eq!(cell.apply(&[record(1)], NOW), 1);
     let (later, layout) = config_at(9);
     assert!(cell.adopt(later, layout, NOW));
     assert_eq!(cell.revision(), FleetRevision(9));
-    assert!(cell.records_after(FleetRevision(1)).is_none(), "changes in between are not here");
+    assert!(cell.records_after(FleetRevision(1)).is_none(), "the changes in between are not known");
     assert_eq!(cell.apply(&[record(10)], NOW), 1);
     assert!(cell.active().has_organisation("shop-10") && cell.active().has_organisation("shop-5"));
 }
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Configuration: the resource API, operators at the same moment, the audit trail.
+//! Configuration: the resource API, concurrent changes by operators, the audit trail.
 
 mod common;
 
@@ -154,11 +154,11 @@
     ]});
     let reply = daemon.call("POST", "/v1/apply", &[], &same.to_string());
     assert_eq!(reply.json()["changed"], json!(0));
-    assert_eq!(daemon.revision(), 1, "what changes nothing makes no revision");
+    assert_eq!(daemon.revision(), 1, "a transaction without a change makes no revision");
 }
 
 #[test]
-fn verify_operators_at_the_same_moment_get_one_success_and_clear_conflicts() {
+fn verify_concurrent_operators_get_one_success_and_clear_conflicts() {
     let fleet = fleet_of(2);
     for round in 0..5 {
         let etag = fleet.daemons[0]
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -1,21 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Requests that crash every server they reach.
+//! Requests that crash every server that runs them must be refused by the whole fleet.
 //!
-//! What users saw: one bad request, sent again and again at any daemon, crashed 25 servers of a service of
-//! 15 within half a minute, and over a tenth of everybody's requests failed meanwhile.
-//!
-//! In which order: a copy came to a daemon, which sent it to a server; the server crashed under it and took
-//! all else that ran there with it. The daemon repeated the copy, up to three times, each time at another
-//! server. The next copy came to the next daemon, which knew nothing of it.
-//!
-//! Cause: what a daemon learnt of a request that fails wherever it goes held for that daemon alone, for
-//! repeats alone, and only until the servers of the service changed, which each crash brings about.
-//!
-//! Evidence: under 40 copies sent one after the other to six daemons, 37 servers crashed. Daemons logged
-//! `request failed` with `failed_servers` 3 for copies that they had sent all the same, again and again, and
-//! the hosts `work broke` with the same `fingerprint` and `crashed`.
+//! Guards against a fault in which one bad request, sent repeatedly, crashed 25 servers of a
+//! service of 15 within half a minute, while over a tenth of all requests failed. Each daemon
+//! retried a copy at up to three servers, and each crash took down the other requests that ran
+//! there. What a daemon learnt of the request was not shared with other daemons, applied only to
+//! retries and was dropped whenever the servers of the service changed, as each crash makes them
+//! do. 40 copies sent to six daemons crashed 37 servers.
 
 mod common;
 
@@ -29,18 +22,18 @@
 
 /// Path of the bad request.
 const BAD: &str = "/puzzle/bad";
-/// Copies of it that are sent.
+/// Number of copies of it that are sent.
 const COPIES: usize = 40;
-/// Servers that may crash under it: three before it is known for what it is, and three under copies that
-/// were sent before that word had come to every daemon.
+/// Servers that it may crash: three before it is identified, and three by copies that were sent
+/// before every daemon was notified.
 const CRASHES_MAX: u64 = 6;
-/// Time that a server needs to start again.
+/// Time that a server needs to restart.
 const DOWN_MS: u64 = 300;
 
-/// Requests of one caller at the most, so that a test that fails ends.
+/// Maximum number of requests of one caller, so that a failing test ends.
 const CALLS_MAX: u64 = 100_000;
 
-/// Starts servers that crash under the bad request.
+/// Starts a fleet whose servers crash when they run the bad request.
 fn fragile_fleet(daemons: usize, backends: usize) -> TestFleet {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 0.5});
     let fleet = TestFleet::start(&FleetPlan {
@@ -56,7 +49,7 @@
     fleet
 }
 
-/// Returns how often a server has crashed, once it is up.
+/// Waits until a server is up and returns how often it has crashed.
 fn crashes(backend: &TestBackend) -> u64 {
     let mut crashes = None;
     eventually("the server is up", || {
@@ -77,26 +70,26 @@
     for number in 0..COPIES {
         let id = format!("copy-{number}");
         let reply = fleet.request(number % 6, "GET", BAD, &[("x-request-id", &id)], "");
-        assert_ne!(reply.status, 200, "no server can answer it");
-        // A fleet that was crashed as a whole would spare what is left of it.
+        assert_ne!(reply.status, 200, "no server can answer the bad request");
+        // Waits for a running server: while all are down, further copies could crash none.
         eventually("a server is up", || {
             fleet.request(number % 6, "GET", "/puzzle/good", &[], "").status == 200
         });
     }
     let crashed = all_crashes(&fleet);
-    assert!(crashed <= CRASHES_MAX, "{crashed} servers crashed under {COPIES} copies");
+    assert!(crashed <= CRASHES_MAX, "{COPIES} copies crashed {crashed} servers");
     for daemon in 0..6 {
         let reply = fleet.request(daemon, "GET", BAD, &[], "");
-        let told = (reply.status, reply.outcome(), reply.reason());
+        let refusal = (reply.status, reply.outcome(), reply.reason());
         let wanted = (503, Some("not-run".to_owned()), Some("crashes-servers".to_owned()));
-        assert_eq!(told, wanted, "a true answer, at once, at every daemon");
+        assert_eq!(refusal, wanted, "refused as not run by every daemon");
     }
     assert_eq!(all_crashes(&fleet), crashed, "it has not run");
     fleet.check_invariants();
 }
 
 #[test]
-fn verify_a_crash_is_told_from_a_connection_that_breaks() {
+fn verify_a_crash_is_distinguished_from_a_broken_connection() {
     let fleet = fragile_fleet(1, 1);
     let log = || fleet.daemons[0].log_text();
     fleet.request(0, "GET", BAD, &[("x-request-id", "crashes")], "");
@@ -105,24 +98,24 @@
         let of_break = |line: &&str| line.contains("work broke");
         log().lines().filter(of_break).any(|line| wanted.iter().all(|part| line.contains(part)))
     };
-    eventually("the crash is told", || broke("crashes", true));
+    eventually("the crash is logged", || broke("crashes", true));
     assert!(log().contains("backend server crashed"));
     crashes(&fleet.backends[0]);
     fleet.backends[0].faults(json!({"break_at": "after-run"}));
-    eventually("the break is told", || {
+    eventually("the broken connection is logged", || {
         fleet.request(0, "GET", "/plain/x", &[("x-request-id", "breaks")], "");
         broke("breaks", false)
     });
     assert!(!broke("breaks", true), "a server that still listens has not crashed");
 }
 
-/// Returns how many requests a daemon refuses as they crash servers.
+/// Returns how many distinct requests a daemon refuses because they crash servers.
 fn refused(daemon: &TestDaemon) -> f64 {
     daemon.metric("requests_refused")
 }
 
-/// Sends copies of the bad request until it is refused, and waits until every daemon knows that.
-fn let_it_be_refused(fleet: &TestFleet) {
+/// Sends copies of the bad request until it is refused, and waits until every daemon refuses it.
+fn wait_until_refused(fleet: &TestFleet) {
     eventually("the request is refused", || {
         let reply = fleet.request(0, "GET", BAD, &[], "");
         reply.reason().as_deref() == Some("crashes-servers")
@@ -133,19 +126,19 @@
 }
 
 #[test]
-fn verify_the_logs_tell_why_a_copy_is_refused() {
+fn verify_the_logs_show_why_a_copy_is_refused() {
     let fleet = fragile_fleet(3, 6);
-    let_it_be_refused(&fleet);
+    wait_until_refused(&fleet);
     fleet.request(1, "GET", BAD, &[("x-request-id", "refused-copy")], "");
     let files: Vec<String> = fleet.daemons.iter().map(TestDaemon::log_file).collect();
     let gather = || explain::gather("refused-copy", &files).expect("logs");
-    let told = |event: &str| {
+    let count_events = |event: &str| {
         let lines = gather().lines;
         lines.iter().filter(|line| line.text("message") == event).count()
     };
-    eventually("the crashes of other copies are told", || told("request suspected") >= 3);
-    eventually("its end is told", || told("request failed") == 1);
-    assert_eq!(told("work started"), 0);
+    eventually("the crashes of other copies are found", || count_events("request suspected") >= 3);
+    eventually("its end is found", || count_events("request failed") == 1);
+    assert_eq!(count_events("work started"), 0);
     let end = explain::conclusion("refused-copy", &gather());
     assert!(end.contains("not-run (crashes-servers) with status 503 after 0 attempts"), "{end}");
 }
@@ -154,54 +147,58 @@
 fn verify_popular_requests_beside_the_bad_one_are_never_refused() {
     let fleet = fragile_fleet(3, 9);
     let stop = AtomicBool::new(false);
-    let (mut good, mut wronged) = (0, 0);
+    let (mut good, mut wrongly_refused) = (0, 0);
     thread::scope(|scope| {
         let popular = |daemon: usize| {
             let (fleet, stop) = (&fleet, &stop);
             move || {
-                let (mut good, mut wronged) = (0, 0);
-                while !stop.load(Ordering::SeqCst) && good + wronged < CALLS_MAX {
+                let (mut good, mut wrongly_refused) = (0, 0);
+                while !stop.load(Ordering::SeqCst) && good + wrongly_refused < CALLS_MAX {
                     let reply = fleet.request(daemon, "GET", "/puzzle/popular", &[], "");
                     good += u64::from(reply.status == 200);
-                    wronged += u64::from(reply.reason().as_deref() == Some("crashes-servers"));
+                    wrongly_refused +=
+                        u64::from(reply.reason().as_deref() == Some("crashes-servers"));
                 }
-                (good, wronged)
+                (good, wrongly_refused)
             }
         };
         let callers: Vec<_> = (0..6).map(|number| scope.spawn(popular(number % 3))).collect();
-        // Servers crash one by one, each under a request that never comes again.
+        // Servers crash one by one, each by a request that is not sent again.
         for number in 0..15 {
             let backend = &fleet.backends[number % 9];
             crashes(backend);
-            let lone = format!("/puzzle/lone-{number}");
-            backend.faults(json!({"crash_path": lone, "crash_after_ms": 20, "down_ms": 50}));
-            fleet.request(number % 3, "GET", &lone, &[], "");
-            // No reply comes of it.
-            let _ = client::try_call(backend.address, "GET", &lone, &[], "");
+            let single_use = format!("/puzzle/lone-{number}");
+            backend.faults(json!({"crash_path": single_use, "crash_after_ms": 20, "down_ms": 50}));
+            fleet.request(number % 3, "GET", &single_use, &[], "");
+            // The server crashes without a reply.
+            let _ = client::try_call(backend.address, "GET", &single_use, &[], "");
         }
         stop.store(true, Ordering::SeqCst);
         for caller in callers {
             let (served, refused) = caller.join().expect("join");
             good += served;
-            wronged += refused;
+            wrongly_refused += refused;
         }
     });
-    assert!(all_crashes(&fleet) >= 15, "servers crashed under the popular request");
+    assert!(all_crashes(&fleet) >= 15, "servers crashed while they ran the popular request");
     assert!(good > 100, "{good} popular requests were served");
-    assert_eq!(wronged, 0, "popular requests were refused");
-    let has_run_well = |daemon: &TestDaemon| {
+    assert_eq!(wrongly_refused, 0, "popular requests were refused");
+    let has_good_runs = |daemon: &TestDaemon| {
         let list = daemon.get("/v1/suspects");
         let mut suspects = list["suspects"].as_array().into_iter().flatten();
         suspects.any(|suspect| suspect["good_runs"].as_u64() > Some(0))
     };
-    assert!(fleet.daemons.iter().any(has_run_well), "it was suspected and took that back");
+    assert!(
+        fleet.daemons.iter().any(has_good_runs),
+        "the popular request was suspected and has been cleared by good runs"
+    );
     fleet.check_invariants();
 }
 
 #[test]
 fn verify_a_daemon_that_starts_later_refuses_it_as_well() {
     let mut fleet = fragile_fleet(3, 6);
-    let_it_be_refused(&fleet);
+    wait_until_refused(&fleet);
     let crashed = all_crashes(&fleet);
     let platform = fleet.platform.address;
     let late = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
@@ -213,7 +210,7 @@
 }
 
 #[test]
-fn verify_a_daemon_that_starts_later_hears_of_suspects() {
+fn verify_a_daemon_that_starts_later_learns_of_suspects() {
     let mut fleet = fragile_fleet(2, 4);
     let knows = |daemon: &TestDaemon| {
         let list = daemon.get("/v1/suspects");
@@ -223,18 +220,18 @@
         fleet.request(0, "GET", BAD, &[], "");
         knows(&fleet.daemons[0])
     });
-    assert_eq!(refused(&fleet.daemons[0]), 0.0, "no row tells of what isn't refused");
+    assert_eq!(refused(&fleet.daemons[0]), 0.0, "no row holds a request that isn't refused");
     let late = TestDaemon::start(fleet.platform.address, "host-late", "bkk-b", &[]);
-    eventually("the late daemon hears of it on a heartbeat", || knows(&late));
+    eventually("the late daemon learns of it from a heartbeat", || knows(&late));
     fleet.daemons.push(late);
 }
 
 #[test]
 fn verify_it_stays_refused_when_all_daemons_end_at_once() {
     let mut fleet = fragile_fleet(3, 6);
-    let_it_be_refused(&fleet);
-    let told = || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
-    eventually("a row tells of it", told);
+    wait_until_refused(&fleet);
+    let stored = || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
+    eventually("a row holds it", stored);
     let crashed = all_crashes(&fleet);
     fleet.daemons.iter_mut().for_each(TestDaemon::kill);
     fleet.daemons = ["host-a", "host-b", "host-c"]
@@ -252,23 +249,23 @@
 }
 
 #[test]
-fn verify_an_operator_lists_it_and_lets_it_in_again() {
+fn verify_an_operator_lists_a_refused_request_and_admits_it_again() {
     let fleet = fragile_fleet(3, 6);
-    let_it_be_refused(&fleet);
+    wait_until_refused(&fleet);
     for backend in &fleet.backends {
         crashes(backend);
         backend.faults(json!({}));
     }
     let list = fleet.daemons[1].get("/v1/suspects");
-    let gravest = &list["suspects"][0];
-    assert_eq!(gravest["refused"], true, "{list}");
-    let fingerprint = gravest["fingerprint"].as_str().expect("fingerprint");
+    let worst = &list["suspects"][0];
+    assert_eq!(worst["refused"], true, "{list}");
+    let fingerprint = worst["fingerprint"].as_str().expect("fingerprint");
     let path = format!("/v1/suspects/{fingerprint}");
     let actor = ("basaltarch-actor", "somsak");
     assert_eq!(fleet.daemons[2].call("DELETE", &path, &[actor], "").status, 200);
     assert_eq!(fleet.daemons[2].call("DELETE", &path, &[actor], "").status, 404);
     assert_eq!(fleet.daemons[2].call("DELETE", "/v1/suspects/x", &[], "").status, 400);
-    eventually("the log tells who did it", || {
+    eventually("the log names the operator", || {
         let audit = fleet.daemons[2].log_text();
         let mut lines = audit.lines().filter(|line| line.contains("request lifted"));
         lines.any(|line| line.contains("somsak") && line.contains(fingerprint))
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Drain: nothing in flight is cut, and what is leaving gets no new work.
+//! Drain: no running request is interrupted, and what is draining receives no new requests.
 
 mod common;
 
@@ -13,7 +13,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Sends requests one after another until told to stop; returns those that were not answered well.
+/// Sends requests one after another until `stop` is set; returns their number and the replies other
+/// than a complete 200.
 fn steady_load(
     callers: std::net::SocketAddr,
     stop: Arc<AtomicBool>,
@@ -35,14 +36,14 @@
 }
 
 #[test]
-fn verify_a_planned_stop_of_a_daemon_cuts_nothing() {
+fn verify_a_planned_stop_of_a_daemon_interrupts_no_request() {
     let mut fleet =
         TestFleet::start(&FleetPlan { daemons: 3, backends: 6, ..FleetPlan::default() });
     let stop = Arc::new(AtomicBool::new(false));
     let loads: Vec<_> = (0..12)
         .map(|number| steady_load(fleet.daemons[number % 2].callers, stop.clone()))
         .collect();
-    // A long request through the daemon that stops, and one that it works on.
+    // A long request through the daemon that stops.
     let callers = fleet.daemons[2].callers;
     let long = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "long")];
@@ -58,8 +59,8 @@
     };
     let after = total(&fleet);
     let before_stop = fleet.backends[0].total();
-    eventually("load goes on", || fleet.backends[0].total() > before_stop + 20);
-    assert_eq!(total(&fleet), after, "no new work for the servers of the daemon that left");
+    eventually("load continues", || fleet.backends[0].total() > before_stop + 20);
+    assert_eq!(total(&fleet), after, "no new requests for the servers of the daemon that stopped");
     stop.store(true, Ordering::SeqCst);
     for load in loads {
         let (count, bad) = load.join().expect("join");
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn verify_a_kept_connection_is_served_while_its_daemon_stops_and_told_to_close() {
+fn verify_a_kept_alive_connection_is_served_and_closed_while_its_daemon_stops() {
     use std::io::{Read, Write};
     let flags = vec![("drain-min-ms", "5s")];
     let plan = FleetPlan { daemons: 2, backends: 2, daemon_flags: flags, ..FleetPlan::default() };
@@ -79,10 +80,11 @@
     let mut kept = client::connect(fleet.daemons[0].callers);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon is leaving", || !fleet.daemons[0].is_ready());
-    // Neither this connection nor a new one is turned away: callers hear late that a daemon leaves.
+    // Both this connection and a new one are served, as callers learn late that a daemon is
+    // leaving.
     kept.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
     let mut answer = String::new();
-    kept.read_to_string(&mut answer).expect("an answer, then the end");
+    kept.read_to_string(&mut answer).expect("an answer, then the end of the connection");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     let reply = fleet.request(0, "GET", "/plain", &[], "");
@@ -91,7 +93,7 @@
 }
 
 #[test]
-fn verify_an_interrupt_ends_a_stop_at_once_and_says_what_was_cut() {
+fn verify_an_interrupt_ends_a_stop_at_once_and_logs_the_aborted_requests() {
     let mut fleet =
         TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
     let callers = fleet.daemons[0].callers;
@@ -99,7 +101,7 @@
         let headers = [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "cut")];
         client::try_call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the work starts", || fleet.ran("cut") == 1);
+    eventually("the request runs", || fleet.ran("cut") == 1);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon leaves", || fleet.daemons[0].log_text().contains("\"leaving\""));
     assert!(fleet.daemons[0].is_running());
@@ -119,7 +121,7 @@
 
 #[test_case(ask_by_signal ; "by signals")]
 #[test_case(ask_by_call ; "by a call before the signal")]
-fn verify_a_daemon_that_is_asked_to_stop_twice_cuts_nothing(ask: fn(&TestDaemon)) {
+fn verify_a_daemon_that_is_asked_to_stop_twice_interrupts_no_request(ask: fn(&TestDaemon)) {
     let mut fleet =
         TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
     let callers = fleet.daemons[0].callers;
@@ -128,7 +130,7 @@
             [("Host", "solver.example"), ("x-work-ms", "3000"), ("x-request-id", "whole")];
         client::call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the work starts", || fleet.ran("whole") == 1);
+    eventually("the request runs", || fleet.ran("whole") == 1);
     ask(&fleet.daemons[0]);
     eventually("the daemon leaves", || fleet.daemons[0].log_text().contains("\"leaving\""));
     fleet.daemons[0].signal("-TERM");
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn verify_a_drain_that_takes_too_long_is_bounded_and_answers_who_still_waits() {
+fn verify_a_long_drain_is_bounded_and_pending_requests_are_answered() {
     let plan = FleetPlan {
         daemons: 1,
         backends: 1,
@@ -151,20 +153,24 @@
             [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "late")];
         client::try_call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the work starts", || fleet.ran("late") == 1);
+    eventually("the request runs", || fleet.ran("late") == 1);
     fleet.daemons[0].signal("-TERM");
     assert_eq!(fleet.daemons[0].ended().code(), Some(3));
-    let reply = asking.join().expect("join").expect("an answer in place of a cut connection");
+    let reply = asking.join().expect("join").expect("an answer, not a closed connection");
     assert_eq!(reply.status, 504);
     assert_eq!(reply.header("basaltarch-outcome").as_deref(), Some("unknown"), "it may have run");
-    assert_eq!(reply.reason().as_deref(), Some("daemon-stopped"), "its own time is not over");
+    assert_eq!(
+        reply.reason().as_deref(),
+        Some("daemon-stopped"),
+        "its own deadline has not passed"
+    );
     let log = fleet.daemons[0].log_text();
     assert!(log.contains("\"request given up\""), "{log}");
     assert!(log.contains("\"cause\":\"time\""), "{log}");
 }
 
 #[test]
-fn verify_a_draining_backend_server_gets_no_new_work_and_finishes_its_own() {
+fn verify_a_draining_backend_server_receives_no_new_requests_and_finishes_its_own() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
     let mut server = fleet.daemons[0].get("/v1/backend-servers/server-1");
     let callers = fleet.daemons[0].callers;
@@ -178,7 +184,7 @@
             })
         })
         .collect();
-    eventually("server-1 works", || fleet.backends[0].total() > 0);
+    eventually("server-1 runs requests", || fleet.backends[0].total() > 0);
     server["state"] = json!("draining");
     let reply = fleet.daemons[1].call(
         "PUT",
@@ -199,18 +205,18 @@
 }
 
 #[test]
-fn verify_a_backend_server_that_says_it_leaves_gets_no_new_work() {
+fn verify_a_backend_server_that_sends_a_drain_notice_receives_no_new_requests() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
     fleet.backends[1].faults(json!({"drain": true}));
     let received =
         |fleet: &TestFleet| fleet.backends[1].runs()["received"].as_u64().expect("count");
-    eventually("its word is heard", || {
+    eventually("its drain notice is received", || {
         assert_eq!(fleet.request(1, "GET", "/puzzle", &[], "").status, 200);
         received(&fleet) > 0
     });
-    let heard = received(&fleet);
+    let noticed_at = received(&fleet);
     for number in 0..60 {
         assert_eq!(fleet.request(number % 2, "GET", "/puzzle", &[], "").status, 200);
     }
-    assert_eq!(received(&fleet), heard);
+    assert_eq!(received(&fleet), noticed_at);
 }
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The HTTP edge: bad inputs each with its answer, framing, pipelining, streaming, back-pressure.
+//! HTTP handling towards callers: answers to bad input, framing, pipelining, streaming,
+//! back-pressure.
 
 mod common;
 
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn verify_chunked_and_expected_bodies_arrive_whole() {
+fn verify_chunked_and_expected_bodies_arrive_complete() {
     let fleet = small_fleet();
     let mut stream = client::connect(fleet.daemons[0].callers);
     let head = "POST /echo HTTP/1.1\r\nHost: solver.example\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -117,7 +118,7 @@
                 Expect: 100-continue\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("write");
     let mut buffer = Vec::new();
-    let first = client::read_one(&mut stream, "POST", &mut buffer).expect("leave to send");
+    let first = client::read_one(&mut stream, "POST", &mut buffer).expect("an interim response");
     assert_eq!(first.status, 100);
     stream.write_all(b"abc").expect("write");
     let reply = client::read_one(&mut stream, "POST", &mut buffer).expect("reply");
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn verify_hop_fields_end_here_and_forwarding_fields_are_right() {
+fn verify_hop_by_hop_fields_are_dropped_and_forwarding_fields_are_set() {
     let fleet = small_fleet();
     let headers = [
         ("Connection", "x-private, close"),
@@ -142,8 +143,8 @@
     assert!(seen.contains("basaltarch-deadline-ms"), "{seen}");
 }
 
-/// Time-out of a route whose deadline is not what is tested: a GiB took over 5 s on a busy machine.
-const UNHURRIED_MS: u64 = 600_000;
+/// Time-out of a route in a test that transfers a GiB, which took over 5 s on a busy machine.
+const LONG_TIMEOUT_MS: u64 = 600_000;
 
 /// Reads the resident memory of a process in KiB.
 fn resident_kib(id: u32) -> u64 {
@@ -155,25 +156,25 @@
 #[test]
 fn verify_a_large_answer_to_a_slow_caller_does_not_grow_the_daemons() {
     const LENGTH: usize = 1 << 30;
-    // The only server is beside the first daemon, so that the body crosses the link.
+    // The only server is beside the first daemon, so that the body passes over the link.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, ..FleetPlan::default() });
     let before: Vec<u64> = fleet.daemons.iter().map(|daemon| resident_kib(daemon.id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
     let path = format!("/bytes/{LENGTH}");
     let text = client::request_text("GET", &path, &[("Host", "solver.example")], "");
     stream.write_all(text.as_bytes()).expect("write");
-    let mut piece = vec![0; 1 << 20];
+    let mut chunk = vec![0; 1 << 20];
     let mut read = 0;
     let mut grown = 0;
     while read < LENGTH {
-        let count = stream.read(&mut piece).expect("read");
+        let count = stream.read(&mut chunk).expect("read");
         assert!(count > 0, "cut after {read}");
         read += count;
         for (daemon, before) in fleet.daemons.iter().zip(&before) {
             grown = grown.max(resident_kib(daemon.id()).saturating_sub(*before));
         }
     }
-    // A window each way and the link's queue; far below the GiB that passed.
+    // A window in each direction and the link's queue: far below the GiB that was transferred.
     assert!(grown < 16 * 1024, "grew by {grown} KiB");
 }
 
@@ -181,17 +182,17 @@
 fn verify_a_large_request_body_streams_through() {
     const LENGTH: usize = 1 << 30;
     let routes = json!({"sink": {"host": "solver.example", "path_prefix": "/sink",
-        "service": "solver-app", "timeout_ms": UNHURRIED_MS}});
-    // The only server is beside the first daemon, so that the body crosses the link.
+        "service": "solver-app", "timeout_ms": LONG_TIMEOUT_MS}});
+    // The only server is beside the first daemon, so that the body passes over the link.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, routes, ..FleetPlan::default() });
     let before: Vec<u64> = fleet.daemons.iter().map(|daemon| resident_kib(daemon.id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
     let head =
         format!("POST /sink HTTP/1.1\r\nHost: solver.example\r\nContent-Length: {LENGTH}\r\n\r\n");
     stream.write_all(head.as_bytes()).expect("write");
-    let piece = vec![b'z'; 1 << 20];
+    let chunk = vec![b'z'; 1 << 20];
     for _ in 0..LENGTH >> 20 {
-        stream.write_all(&piece).expect("write");
+        stream.write_all(&chunk).expect("write");
     }
     let reply = client::read_reply(&mut stream, "POST").expect("reply");
     assert_eq!(reply.status, 200);
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn verify_a_slow_caller_stalls_nobody_else() {
+fn verify_a_slow_caller_does_not_stall_others() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 2, ..FleetPlan::default() });
     let mut slow = Vec::new();
     for _ in 0..3 {
@@ -224,16 +225,16 @@
 }
 
 #[test]
-fn verify_a_caller_that_goes_away_cancels_the_work() {
+fn verify_a_disconnected_caller_cancels_its_request() {
     let fleet = TestFleet::start(&FleetPlan::default());
     let mut stream = client::connect(fleet.daemons[0].callers);
     let headers = [("Host", "solver.example"), ("x-work-ms", "4000")];
     let text = client::request_text("GET", "/plain", &headers, "");
     stream.write_all(text.as_bytes()).expect("write");
     let total = || fleet.backends.iter().map(|backend| backend.total()).sum::<u64>();
-    common::eventually("the work starts", || total() == 1);
+    common::eventually("the request starts", || total() == 1);
     drop(stream);
-    common::eventually("the backend server hears of it", || {
+    common::eventually("the backend server sees the cancellation", || {
         fleet.backends.iter().any(|backend| backend.runs()["cancelled"] == json!(1))
     });
 }
@@ -252,16 +253,16 @@
     let mut first = client::connect(callers);
     let mut second = client::connect(callers);
     assert_eq!((ask(&mut first), ask(&mut second)), (Some(200), Some(200)));
-    assert_eq!(ask(&mut client::connect(callers)), None, "a third is closed");
+    assert_eq!(ask(&mut client::connect(callers)), None, "a third connection is closed");
     drop(first);
-    common::eventually("its place is free again", || {
+    common::eventually("a new connection is accepted after one has closed", || {
         ask(&mut client::connect(callers)) == Some(200)
     });
     assert_eq!(ask(&mut second), Some(200));
 }
 
 #[test]
-fn verify_no_uring_is_made() {
+fn verify_no_io_uring_is_created() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
     let files = fs::read_dir(format!("/proc/{}/fd", fleet.daemons[0].id())).expect("files");
     let targets: Vec<String> = files
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Gray failures end to end: real processes, real load, one server that fails gray.
+//! Gray failures end to end: daemons as processes, load from callers, and servers that fail
+//! partially.
 
 mod common;
 
@@ -59,8 +60,8 @@
     }
 }
 
-/// Starts nine servers of a service that would rather not eject a healthy one.
-fn careful_fleet() -> TestFleet {
+/// Starts nine servers of a service that prefers precision: missed ejections over false ones.
+fn precision_fleet() -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons: 3,
         backends: 9,
@@ -70,8 +71,8 @@
     })
 }
 
-/// Returns what the daemon beside an upstream knows of it.
-fn own_word(fleet: &TestFleet, upstream: &str) -> Value {
+/// Returns the health of an upstream as the daemon beside it reports it.
+fn local_health(fleet: &TestFleet, upstream: &str) -> Value {
     for daemon in &fleet.daemons {
         let health = daemon.get("/v1/health?service=solver-app");
         for each in health["services"][0]["upstreams"].as_array().expect("upstreams") {
@@ -80,11 +81,11 @@
             }
         }
     }
-    panic!("nobody knows {upstream}");
+    panic!("no daemon knows {upstream}");
 }
 
 fn is_ejected(fleet: &TestFleet, upstream: &str) -> bool {
-    own_word(fleet, upstream)["ejected"] == json!(true)
+    local_health(fleet, upstream)["ejected"] == json!(true)
 }
 
 #[test_case(json!({"error_rate": 0.6}), "failing" ; "errors")]
@@ -92,15 +93,15 @@
 #[test_case(json!({"slow_rate": 1.0, "slow_factor": 8.0}), "" ; "slow")]
 #[test_case(json!({"stuck": true}), "" ; "stuck")]
 #[test_case(json!({"break_at": "in-answer-body"}), "failing" ; "truncated")]
-fn verify_a_gray_server_is_ejected_and_returns_when_well(fault: Value, evidence: &str) {
-    let fleet = careful_fleet();
+fn verify_a_gray_server_is_ejected_and_returns_when_healthy(fault: Value, evidence: &str) {
+    let fleet = precision_fleet();
     let load = Load::start(&fleet, 12, "/puzzle");
-    eventually("the fleet is warm", || load.good() > 600);
+    eventually("the fleet is warmed up", || load.good() > 600);
     let bad_before = load.bad();
     fleet.backends[4].faults(fault);
     eventually("the server is ejected", || is_ejected(&fleet, "server-5"));
-    let word = own_word(&fleet, "server-5");
-    assert!(word["evidence"].as_str().expect("evidence").contains(evidence), "{word}");
+    let report = local_health(&fleet, "server-5");
+    assert!(report["evidence"].as_str().expect("evidence").contains(evidence), "{report}");
     for daemon in &fleet.daemons {
         let log = daemon.log_text();
         let ejections = log.lines().filter(|line| line.contains("upstream ejected")).count();
@@ -110,37 +111,37 @@
         assert_eq!(ejections, ours.count(), "no healthy server is ejected:\n{log}");
     }
     let counted: f64 = fleet.daemons.iter().map(|d| d.metric("detection_seconds_count")).sum();
-    assert!(counted >= 1.0, "the ejection is in the histogram");
+    assert!(counted >= 1.0, "the ejection is counted in the histogram");
     let during = load.good();
-    eventually("callers go on", || load.good() > during + 300);
-    assert_eq!(load.bad(), bad_before, "repeatable work fails for no caller");
+    eventually("callers are still served", || load.good() > during + 300);
+    assert_eq!(load.bad(), bad_before, "no caller sees a repeatable request fail");
     fleet.backends[4].faults(json!({}));
     eventually("the server is back", || !is_ejected(&fleet, "server-5"));
     let before = fleet.backends[4].total();
-    eventually("it gets work again", || fleet.backends[4].total() > before + 20);
+    eventually("it receives requests again", || fleet.backends[4].total() > before + 20);
     load.end();
     fleet.check_invariants();
 }
 
 #[test]
-fn verify_lying_health_and_load_endpoints_change_nothing() {
-    let fleet = careful_fleet();
-    // One fails its work behind a good health answer and a claim to be idle.
+fn verify_false_health_and_load_reports_change_nothing() {
+    let fleet = precision_fleet();
+    // One server fails requests but answers health checks with 200 and reports no load.
     let sick = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
-    // Another works well behind a bad health answer and a claim to be full.
+    // Another serves requests but answers health checks with 503 and reports full load.
     fleet.backends[0].faults(json!({"health_status": 503, "claimed_load": 1000}));
     let probe = client::call(fleet.backends[0].address, "GET", "/health", &[], "");
     assert_eq!(probe.status, 503);
     let load = Load::start(&fleet, 12, "/puzzle");
-    eventually("the fleet is warm", || load.good() > 600);
+    eventually("the fleet is warmed up", || load.good() > 600);
     fleet.backends[4].faults(sick);
-    eventually("the sick one is ejected", || is_ejected(&fleet, "server-5"));
+    eventually("the sick server is ejected", || is_ejected(&fleet, "server-5"));
     let before = fleet.backends[0].total();
-    eventually("the maligned one gets work", || fleet.backends[0].total() > before + 100);
+    eventually("the healthy server receives requests", || fleet.backends[0].total() > before + 100);
     assert!(!is_ejected(&fleet, "server-1"));
     load.end();
     let probes = |backend: &common::TestBackend| backend.runs()["probes"].as_u64();
-    assert_eq!(probes(&fleet.backends[0]), Some(1), "the one of this test");
+    assert_eq!(probes(&fleet.backends[0]), Some(1), "only the health check of this test");
     assert!(fleet.backends[1..].iter().all(|backend| probes(backend) == Some(0)));
     fleet.check_invariants();
 }
@@ -156,16 +157,16 @@
     };
     let fleet = TestFleet::start(&plan);
     let load = Load::start(&fleet, 9, "/puzzle");
-    eventually("the fleet is warm", || load.good() > 400);
+    eventually("the fleet is warmed up", || load.good() > 400);
     for backend in &fleet.backends[..4] {
         backend.faults(json!({"error_rate": 0.9}));
     }
     let ejected = || (1..=4).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
-    eventually("several servers are thought sick, or all alike", || {
+    eventually("several servers are ejected, or none stands out", || {
         ejected() >= 2 || load.good() > 6000
     });
     let after = load.good() + load.bad();
-    eventually("load goes on", || load.good() + load.bad() > after + 500);
+    eventually("load continues", || load.good() + load.bad() > after + 500);
     for daemon in &fleet.daemons {
         let health = daemon.get("/v1/health?service=solver-app");
         let service = &health["services"][0];
@@ -178,24 +179,24 @@
 }
 
 #[test]
-fn verify_a_fault_of_all_ejects_nobody() {
-    let fleet = careful_fleet();
+fn verify_a_fault_shared_by_all_servers_ejects_none() {
+    let fleet = precision_fleet();
     let load = Load::start(&fleet, 12, "/puzzle");
-    eventually("the fleet is warm", || load.good() > 600);
+    eventually("the fleet is warmed up", || load.good() > 600);
     for backend in &fleet.backends {
         backend.faults(json!({"slow_rate": 1.0, "slow_factor": 3.0}));
     }
     let slow_from = load.good();
-    eventually("the fleet works on", || load.good() > slow_from + 1500);
+    eventually("the fleet is still serving", || load.good() > slow_from + 1500);
     let ejected = (1..=9).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
-    assert!(ejected <= 1, "{ejected} servers were ejected for what all share");
+    assert!(ejected <= 1, "{ejected} servers were ejected for a fault of all servers");
     load.end();
     fleet.check_invariants();
 }
 
-#[test_case(0.1, 1 ; "with a budget of repeats")]
-#[test_case(0.0, 3 ; "with none and more callers")]
-fn verify_poison_requests_eject_nobody(retry_budget: f64, callers: usize) {
+#[test_case(0.1, 1 ; "with a retry budget")]
+#[test_case(0.0, 3 ; "without a retry budget and with more callers")]
+fn verify_poison_requests_eject_no_server(retry_budget: f64, callers: usize) {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": retry_budget});
     let plan =
         FleetPlan { daemons: 3, backends: 9, service_ms: 5, service, ..FleetPlan::default() };
@@ -205,40 +206,42 @@
     }
     let load = Load::start(&fleet, 9, "/puzzle");
     let poison = Load::start(&fleet, callers, "/poison");
-    eventually("enough of both", || load.good() > 3000 && poison.bad() > 100);
+    eventually("enough requests of both kinds were sent", || {
+        load.good() > 3000 && poison.bad() > 100
+    });
     let ejected = (1..=9).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
     assert_eq!(ejected, 0);
-    let spared: f64 = fleet.daemons.iter().map(|daemon| daemon.metric("poison_spared")).sum();
-    assert!(spared > 50.0, "{spared} dispatches were known to be poison");
+    let exempted: f64 = fleet.daemons.iter().map(|daemon| daemon.metric("poison_spared")).sum();
+    assert!(exempted > 50.0, "{exempted} attempts were known to be poison requests");
     poison.end();
     let (_, bad) = load.end();
     assert_eq!(bad, 0);
     fleet.check_invariants();
 }
 
-/// Story: requests that fail wherever they go were known as such only until the servers of their service
-/// changed, which servers that crash and start again bring about by themselves. Evidence: on the code before,
-/// the dispatch after the change was not spared.
+/// Guards against a fault in which the record of poison requests was dropped whenever the servers
+/// of their service changed, as they do when servers crash and restart: the next attempt then
+/// counted against its server.
 #[test]
-fn verify_what_fails_everywhere_is_remembered_when_the_service_changes() {
+fn verify_poison_requests_are_remembered_when_the_service_changes() {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 0.5});
     let plan = FleetPlan { daemons: 1, backends: 6, service, ..FleetPlan::default() };
     let fleet = TestFleet::start(&plan);
     for backend in &fleet.backends {
         backend.faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
     }
-    let spared = || fleet.daemons[0].metric("poison_spared");
+    let exempted = || fleet.daemons[0].metric("poison_spared");
     let ask = || fleet.request(0, "GET", "/poison", &[], "");
-    eventually("it is known", || {
-        let before = spared();
+    eventually("it is known as a poison request", || {
+        let before = exempted();
         ask();
-        spared() > before
+        exempted() > before
     });
     let mut changed = fleet.configuration(&plan);
     changed["services"]["solver-app"]["floor"] = json!(0.4);
     assert_eq!(fleet.apply(&changed).status, 200);
     fleet.wait_revision(2);
-    let before = spared();
+    let before = exempted();
     ask();
-    assert!(spared() > before, "it is still known to fail wherever it goes");
+    assert!(exempted() > before, "it is still known as a poison request");
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Limits over the fleet: many ingresses, the home cut off, clear refusals.
+//! Rate limits of the whole fleet: many ingresses, a lost owner, restarts, and refusals.
 
 mod common;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn verify_over_the_limit_is_refused_with_a_time_to_come_back() {
+fn verify_requests_over_the_limit_are_refused_with_retry_after() {
     let fleet = limited(2, 0.5, 4.0);
     let replies: Vec<_> = (0..20).map(|number| ask(&fleet, number % 2)).collect();
     let good = replies.iter().filter(|reply| reply.status == 200).count();
@@ -36,7 +36,7 @@
         assert_eq!(reply.outcome().as_deref(), Some("not-run"));
         assert!(reply.header("retry-after").is_some());
     }
-    // Others are not held to this organisation's limit.
+    // Callers outside this organisation are not subject to its limit.
     assert_eq!(fleet.request(0, "GET", "/puzzle", &[], "").status, 200);
 }
 
@@ -45,7 +45,7 @@
     let fleet = limited(4, 40.0, 10.0);
     let start = Instant::now();
     let mut good = 0;
-    // Counted by requests: on a slow machine more time passes, and more is allowed.
+    // The number of requests is fixed: on a slow machine more time passes, and more is allowed.
     for number in 0..2000 {
         good += u32::from(ask(&fleet, number % 4).status == 200);
     }
@@ -55,9 +55,9 @@
 }
 
 #[test]
-fn verify_with_the_home_gone_each_ingress_keeps_to_its_share() {
+fn verify_the_rate_holds_after_the_owner_of_the_limit_is_gone() {
     let mut fleet = limited(3, 20.0, 10.0);
-    // Whichever daemon is the home: with two of three gone, the last one must still bound.
+    // Whichever daemon owns the limit: with two of three gone, the last one must still enforce it.
     fleet.daemons[1].kill();
     fleet.daemons[2].kill();
     eventually("the limit is still served", || ask(&fleet, 0).status == 200);
@@ -81,7 +81,7 @@
     let mut good = served(&fleet);
     assert!(
         good as f64 >= burst / 2.0,
-        "a fleet that starts for the first time has the burst: {good}"
+        "a fleet that starts for the first time allows the burst: {good}"
     );
     for _ in 0..kills {
         fleet.restart_all(&[]);
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn verify_a_fleet_that_was_killed_serves_usual_callers() {
-    // However fast the machine is, callers stay far below the rate.
+fn verify_a_restarted_fleet_serves_callers_below_the_rate() {
+    // The rate is so high that callers stay far below it on any machine.
     let mut fleet = limited(3, 20_000.0, 40.0);
     assert_eq!(ask(&fleet, 0).status, 200);
     fleet.restart_all(&[]);
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! At most once: the fault table of once-only work.
+//! At-most-once requests: each fault that could run one twice.
 
 mod common;
 
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn verify_a_repeated_attempt_gets_the_kept_answer() {
+fn verify_a_duplicate_request_gets_the_recorded_answer() {
     let fleet = TestFleet::start(&FleetPlan { backends: 4, ..FleetPlan::default() });
     let first = pay(&fleet, 0, "key-1", "amount=5");
     assert_eq!(first.status, 200);
-    eventually("the answer is kept", || {
+    eventually("the answer is recorded", || {
         let reply = pay(&fleet, 1, "key-1", "amount=5");
         match reply.status {
             200 => {
@@ -29,7 +29,7 @@
                 assert!(reply.header("basaltarch-replayed").is_some());
                 true
             }
-            // Until the answer is kept, a later attempt hears that the work was started.
+            // Until the answer is recorded, a duplicate is refused because the request was started.
             status => {
                 assert_eq!((status, reply.outcome().as_deref()), (409, Some("unknown")));
                 false
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn verify_many_attempts_at_the_same_moment_run_once() {
+fn verify_concurrent_duplicates_run_once() {
     let fleet =
         TestFleet::start(&FleetPlan { backends: 4, service_ms: 20, ..FleetPlan::default() });
     for round in 0..5 {
@@ -80,7 +80,7 @@
 #[test_case(json!({"lose_write_answers": 1}) ; "the answer of the write is lost")]
 #[test_case(json!({"lose_writes": 1}) ; "the write itself is lost")]
 #[test_case(json!({"lose_write_answers": 3}) ; "three answers are lost")]
-fn verify_a_lost_write_is_settled_and_the_work_runs_once(faults: serde_json::Value) {
+fn verify_a_lost_write_is_settled_and_the_request_runs_once(faults: serde_json::Value) {
     let fleet = TestFleet::start(&FleetPlan::default());
     fleet.platform.faults(faults);
     let reply = pay(&fleet, 0, "key-3", "amount=5");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn verify_without_the_store_once_only_work_is_refused_and_all_else_flows() {
+fn verify_without_the_store_only_at_most_once_requests_are_refused() {
     let fleet = TestFleet::start(&FleetPlan::default());
     assert_eq!(pay(&fleet, 0, "before", "x").status, 200);
     fleet.platform.faults(json!({"down": true}));
@@ -103,7 +103,8 @@
     for daemon in 0..2 {
         assert_eq!(fleet.request(daemon, "GET", "/puzzle", &[], "").status, 200);
         assert_eq!(fleet.request(daemon, "POST", "/plain", &[], "x").status, 200);
-        // Without a key a once-only route needs no ledger: it is dispatched once at the most.
+        // A request without a key needs no ledger on an at-most-once route: it is sent at most
+        // once.
         assert_eq!(fleet.request(daemon, "POST", "/payouts", &[], "x").status, 200);
     }
     fleet.platform.faults(json!({}));
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn verify_work_that_did_not_run_can_be_tried_again_with_its_key() {
+fn verify_a_request_that_did_not_run_can_be_retried_with_its_key() {
     let fleet = TestFleet::start(&FleetPlan::default());
     for backend in &fleet.backends {
         backend.faults(json!({"shed": true}));
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn verify_a_server_that_broke_after_the_work_is_not_asked_again() {
+fn verify_a_request_is_not_retried_after_its_server_broke_off() {
     let fleet = TestFleet::start(&FleetPlan::default());
     for backend in &fleet.backends {
         backend.faults(json!({"break_at": "after-run"}));
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn verify_a_daemon_killed_while_the_work_runs_does_not_run_it_twice() {
+fn verify_a_request_does_not_run_twice_after_its_daemon_is_killed() {
     let mut fleet = TestFleet::start(&FleetPlan::default());
     let callers = fleet.daemons[0].callers;
     let asking = thread::spawn(move || {
@@ -161,7 +162,7 @@
         ];
         client::try_call(callers, "POST", "/payouts", &headers, "x")
     });
-    eventually("the work starts", || fleet.ran("killed") == 1);
+    eventually("the request runs", || fleet.ran("killed") == 1);
     fleet.daemons[0].kill();
     assert!(asking.join().expect("join").is_none_or(|reply| reply.status != 200));
     let reply = pay(&fleet, 1, "killed", "x");
@@ -196,7 +197,7 @@
 }
 
 #[test]
-fn verify_keys_of_different_organisations_do_not_meet() {
+fn verify_keys_of_different_organisations_are_independent() {
     let fleet = TestFleet::start(&FleetPlan::default());
     assert_eq!(pay(&fleet, 0, "shared", "x").status, 200);
     let headers = [
@@ -206,5 +207,5 @@
     ];
     let reply = fleet.request(0, "POST", "/payouts", &headers, "x");
     assert_eq!(reply.status, 200);
-    assert_eq!(fleet.ran("shared"), 2, "two organisations, two pieces of work");
+    assert_eq!(fleet.ran("shared"), 2, "two organisations, two requests");
 }
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Outcomes: every point at which an exchange can break, against what the backend servers ran.
+//! Outcomes: the outcome that a caller gets for each point at which an exchange can break, compared
+//! with what the backend servers ran.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Two daemons: requests enter at the first, the only backend server is beside the second.
+/// Two daemons; the only backend server is beside the second.
 struct TwoHops {
     fleet: TestFleet,
 }
@@ -41,9 +42,9 @@
 }
 
 #[test_case("after-request-head", "unknown", "backend-broken", 0 ; "after the head of the request")]
-#[test_case("after-run", "unknown", "backend-broken", 1 ; "after the work")]
+#[test_case("after-run", "unknown", "backend-broken", 1 ; "after the request ran")]
 #[test_case("in-answer-head", "unknown", "answer-broken", 1 ; "in the head of the answer")]
-fn verify_a_break_at_the_backend_server_is_told_truly(
+fn verify_a_broken_backend_exchange_is_reported_with_its_outcome(
     at: &str,
     outcome: &str,
     reason: &str,
@@ -57,13 +58,13 @@
         assert_eq!(reply.status, 502, "{}", reply.head);
         assert_eq!(reply.outcome().as_deref(), Some(outcome));
         assert_eq!(reply.reason().as_deref(), Some(reason));
-        assert_eq!(hops.backend().ran("broken"), ran, "dispatched once, never repeated");
+        assert_eq!(hops.backend().ran("broken"), ran, "dispatched once, never retried");
         hops.fleet.check_invariants();
     }
 }
 
 #[test]
-fn verify_an_answer_cut_short_is_never_passed_on_as_complete() {
+fn verify_a_truncated_answer_is_never_forwarded_as_complete() {
     let hops = TwoHops::start(None);
     hops.backend().faults(json!({"break_at": "in-answer-body"}));
     for path in ["/plain/x", "/bytes/300000"] {
@@ -86,7 +87,7 @@
         "service": "solver-app", "host": "host-b", "slots": 4, "connections": 300,
         "failure_domain": "bkk-b",
     }}});
-    // A port that was just given up again: nothing listens there.
+    // A port that was just released: nothing listens there.
     let free =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     configuration["backend-servers"]["server-1"]["address"] = json!(free.to_string());
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn verify_the_shed_answer_is_understood_and_tried_elsewhere() {
+fn verify_a_shed_request_is_tried_at_another_server() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 2, ..FleetPlan::default() });
     fleet.backends[0].faults(json!({"shed": true}));
     for number in 0..20 {
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn verify_what_may_have_run_at_the_first_server_is_not_called_not_run_after_the_second() {
+fn verify_an_unknown_outcome_is_not_replaced_by_not_run_of_a_retry() {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 1.0});
     let plan = FleetPlan { daemons: 2, backends: 2, service, ..FleetPlan::default() };
     let fleet = TestFleet::start(&plan);
@@ -136,7 +137,7 @@
 }
 
 #[test_case("/plain", 504, "timed-out" ; "plain")]
-fn verify_the_deadline_ends_the_work(path: &str, status: u16, reason: &str) {
+fn verify_the_deadline_cancels_a_running_request(path: &str, status: u16, reason: &str) {
     let hops = TwoHops::start(None);
     let headers =
         [("x-work-ms", "20000"), ("basaltarch-deadline-ms", "300"), ("x-request-id", "late")];
@@ -146,7 +147,7 @@
         assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     }
     assert_eq!(hops.backend().ran("late"), 2);
-    eventually("the work is cancelled", || hops.backend().runs()["cancelled"] == json!(2));
+    eventually("the requests are cancelled", || hops.backend().runs()["cancelled"] == json!(2));
 }
 
 #[test]
@@ -176,14 +177,14 @@
     for (id, reply) in &replies {
         if reply.status != 200 {
             assert_eq!(reply.reason().as_deref(), Some("queue-full"));
-            assert_eq!(fleet.ran(id), 0, "not run is true");
+            assert_eq!(fleet.ran(id), 0, "a request reported as not run must not have run");
         }
     }
     assert_eq!(fleet.backends[0].runs()["most_at_once"], json!(3));
 }
 
 #[test]
-fn verify_critical_work_goes_before_sheddable_work() {
+fn verify_a_critical_request_displaces_a_queued_sheddable_one() {
     let routes = json!({
         "hints": {"host": "solver.example", "path_prefix": "/hints", "service": "solver-app",
                   "criticality": "sheddable"},
@@ -224,11 +225,11 @@
     assert_eq!(first.join().expect("join").status, 200);
     let others = [second.join().expect("join"), third.join().expect("join")];
     let shed = others.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
-    assert_eq!(shed.count(), 1, "the last hint made room for the payout");
+    assert_eq!(shed.count(), 1, "the last hint was displaced by the payout");
 }
 
 #[test]
-fn verify_the_peer_lost_in_every_state_is_told_truly() {
+fn verify_a_lost_peer_is_reported_as_unknown_or_not_run() {
     let hops = TwoHops::start(None);
     let mut fleet = hops.fleet;
     let callers = fleet.daemons[0].callers;
@@ -237,7 +238,7 @@
             [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "lost")];
         client::call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the work starts", || fleet.ran("lost") == 1);
+    eventually("the request runs", || fleet.ran("lost") == 1);
     fleet.daemons[1].kill();
     let reply = asking.join().expect("join");
     assert_eq!(reply.outcome().as_deref(), Some("unknown"));
@@ -248,7 +249,7 @@
 }
 
 #[test]
-fn verify_a_service_that_nobody_asks_for_is_forgotten_but_no_request_under_way() {
+fn verify_the_state_of_an_idle_service_is_dropped_after_its_last_request() {
     let daemon_flags = vec![("service-idle-ms", "100")];
     let fleet = TestFleet::start(&FleetPlan { daemon_flags, ..FleetPlan::default() });
     let known = || fleet.daemons[0].metric("services{") + fleet.daemons[0].metric("services ");
@@ -258,11 +259,11 @@
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "slow")];
         client::call(callers, "GET", "/plain", &headers, "")
     });
-    eventually("it is learnt of", || known() == 1.0);
-    eventually("the work starts", || fleet.ran("slow") == 1);
-    // Looking at its health is no request for it.
+    eventually("the service is known", || known() == 1.0);
+    eventually("the request runs", || fleet.ran("slow") == 1);
+    // A query for its health does not count as a request for the service.
     fleet.daemons[0].get("/v1/health");
-    eventually("it is forgotten once nothing is under way", || known() == 0.0);
+    eventually("its state is dropped once no request is running", || known() == 0.0);
     assert_eq!(slow.join().expect("join").status, 200);
     for number in 0..5 {
         let id = format!("again-{number}");
@@ -289,11 +290,11 @@
     assert_eq!(seen["unknown"], json!({"backend-broken": 1}));
     let not_run = seen["not_run"].as_object().expect("reasons");
     assert_eq!(not_run.values().filter_map(Value::as_u64).sum::<u64>(), 1, "{seen}");
-    assert_eq!(outcomes(1)["requests"], json!(0), "counted where the caller asked");
+    assert_eq!(outcomes(1)["requests"], json!(0), "counted at the ingress only");
 }
 
 #[test]
-fn verify_repeatable_work_survives_a_broken_server() {
+fn verify_repeatable_requests_succeed_beside_a_broken_server() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
     fleet.backends[0].faults(json!({"break_at": "after-run"}));
     for number in 0..60 {
@@ -302,10 +303,10 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!(reply.header("x-request-id"), Some(id));
     }
-    // Sixty requests are over before its daemon is sure that the server is sick (200 ms).
+    // The sixty requests end before its daemon has established that the server is sick (200 ms).
     assert!(
         fleet.backends[0].total() <= 14,
-        "a suspect is passed over: {}",
+        "a suspect server is avoided: {}",
         fleet.backends[0].total()
     );
     fleet.check_invariants();
@@ -363,14 +364,15 @@
 #[test_case(true, false ; "requests do not arrive")]
 #[test_case(false, true ; "answers do not arrive")]
 #[test_case(true, true ; "nothing arrives")]
-fn verify_a_cut_path_is_left_and_found_again(forward: bool, back: bool) {
+fn verify_a_cut_path_is_avoided_and_used_again_after_recovery(forward: bool, back: bool) {
     use std::sync::atomic::Ordering;
     let link = start_cut_link();
     let served = |wanted: &str| {
         let reply = link.fleet.request(0, "GET", "/puzzle", &[], "");
         reply.status == 200 && reply.header("x-served-by").as_deref() == Some(wanted)
     };
-    // Sends enough at once that the local server is loaded and the other one gets work as well.
+    // Sends so many requests at once that the local server is busy and the other one receives some
+    // too.
     let load = |rounds: usize| {
         let callers = link.fleet.daemons[0].callers;
         let threads: Vec<_> = (0..rounds * 8)
@@ -390,10 +392,10 @@
     let from_far = |replies: &[client::Reply]| {
         replies.iter().filter(|r| r.header("x-served-by").as_deref() == Some("server-2")).count()
     };
-    eventually("both servers get work", || from_far(&load(1)) > 0);
+    eventually("both servers receive requests", || from_far(&load(1)) > 0);
     link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
     link.forwarder.cuts.back.store(back, Ordering::SeqCst);
-    eventually("the far server is left", || {
+    eventually("the far server is no longer used", || {
         let replies = load(1);
         from_far(&replies) == 0 && {
             let health = link.fleet.daemons[0].get("/v1/health?service=solver-app");
@@ -403,7 +405,7 @@
     eventually("callers are served by the near server alone", || served("server-1"));
     link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
     link.forwarder.cuts.back.store(false, Ordering::SeqCst);
-    eventually("the far server gets work again", || from_far(&load(1)) > 0);
+    eventually("the far server receives requests again", || from_far(&load(1)) > 0);
     link.fleet.check_invariants();
 }
 
@@ -412,9 +414,12 @@
     let fleet = TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
     let key = [("fleet-key", "another-key-altogether")];
     let stranger = TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &key);
-    let heard = |daemon: &TestDaemon| daemon.log_text().contains("does not hold the fleet key");
-    eventually("one side or the other refuses", || heard(&fleet.daemons[0]) || heard(&stranger));
-    // Junk on the peer address ends that connection alone.
+    let has_refused =
+        |daemon: &TestDaemon| daemon.log_text().contains("does not hold the fleet key");
+    eventually("one side or the other refuses", || {
+        has_refused(&fleet.daemons[0]) || has_refused(&stranger)
+    });
+    // Garbage sent to the peer address closes only that connection.
     let mut stream = client::connect(fleet.daemons[0].peers);
     let _ = stream.write_all(&[0xff; 64]);
     assert_eq!(fleet.request(0, "GET", "/puzzle", &[], "").status, 200);
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The parts of a snapshot that a peer tells are joined to nothing but each other.
+//! The parts of a snapshot from a peer are only joined to parts of the same transfer.
 
 use basaltarch_daemon::parts::{SnapshotPart, SnapshotParts};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn verify_a_telling_that_broke_off_is_not_joined_to_the_next() {
+fn verify_an_interrupted_transfer_is_not_joined_to_the_next() {
     let parts = SnapshotParts::default();
     assert_eq!(parts.take(HOST, part(1, 0, "half of ", false)), None);
     assert_eq!(parts.take(HOST, part(2, 0, "a ", false)), None);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn verify_of_two_tellings_at_once_the_later_one_is_whole() {
+fn verify_of_two_concurrent_transfers_the_later_one_completes() {
     let parts = SnapshotParts::default();
     assert_eq!(parts.take(HOST, part(1, 0, "first ", false)), None);
     assert_eq!(parts.take(HOST, part(2, 0, "second ", false)), None);
@@ -29,9 +29,13 @@
 }
 
 #[test]
-fn verify_a_part_that_is_missing_spoils_its_telling_alone() {
+fn verify_a_missing_part_fails_only_its_own_transfer() {
     let parts = SnapshotParts::default();
-    assert_eq!(parts.take(HOST, part(1, 1, "end", true)), None, "its beginning never came");
+    assert_eq!(
+        parts.take(HOST, part(1, 1, "end", true)),
+        None,
+        "its first part was never received"
+    );
     assert_eq!(parts.take(HOST, part(2, 0, "a", false)), None);
     assert_eq!(parts.take(HOST, part(2, 2, "c", true)), None);
     assert_eq!(parts.take("host-b", part(2, 0, "other", true)), Some(b"other".to_vec()));
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Paths to peers that only some of the fleet has lost, and regions that lose each other.
+//! Partial network failures: paths to a peer that only some ingresses have lost, and partitioned
+//! regions.
 
 mod common;
 
@@ -46,13 +47,14 @@
         Self { fleet, forwarder }
     }
 
-    /// Returns how an ingress sees the server beside the last daemon.
+    /// Returns the state that an ingress reports for the server beside the last daemon.
     fn seen_by(&self, daemon: usize) -> String {
         let health = self.fleet.daemons[daemon].get("/v1/health?service=solver-app");
         health["services"][0]["upstreams"][LAST]["state"].as_str().expect("state").to_owned()
     }
 
-    /// Sends requests through an ingress; tells whether all were answered, and by the last server.
+    /// Sends requests through an ingress; returns whether all were answered, and whether the last
+    /// server answered any.
     fn ask(&self, daemon: usize, count: usize) -> (bool, bool) {
         let (mut all, mut last) = (true, false);
         for _ in 0..count {
@@ -66,7 +68,10 @@
 
 #[test_case(true, false ; "requests do not arrive")]
 #[test_case(false, true ; "answers do not arrive")]
-fn verify_half_of_the_ingresses_cut_off_do_not_eject_for_the_other_half(forward: bool, back: bool) {
+fn verify_ingresses_that_are_cut_off_do_not_eject_a_server_for_the_others(
+    forward: bool,
+    back: bool,
+) {
     let half = HalfCut::start();
     for daemon in 0..LAST {
         eventually("the last server is used", || half.ask(daemon, 20).1);
@@ -76,7 +81,7 @@
     half.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
     half.forwarder.cuts.back.store(back, Ordering::SeqCst);
     for daemon in 0..2 {
-        eventually("an ingress that is cut off leaves the path", || {
+        eventually("an ingress that is cut off stops using the path", || {
             half.ask(daemon, 5);
             half.seen_by(daemon) == "unreachable"
         });
@@ -84,29 +89,29 @@
     for daemon in 0..2 {
         let (all, last) = half.ask(daemon, 30);
         assert!(all, "callers of ingress {daemon} are served by the others");
-        assert!(!last, "nothing goes over the cut path");
+        assert!(!last, "nothing is sent over the cut path");
     }
-    eventually("the other half goes on using it", || half.ask(2, 20) == (true, true));
+    eventually("the other ingress still uses it", || half.ask(2, 20) == (true, true));
     assert_eq!(half.seen_by(2), "in service");
     assert!(!half.fleet.daemons[LAST].log_text().contains("upstream ejected"), "it is healthy");
     half.forwarder.cuts.forward.store(false, Ordering::SeqCst);
     half.forwarder.cuts.back.store(false, Ordering::SeqCst);
     half.forwarder.break_all();
     for daemon in 0..2 {
-        eventually("the path is found again", || half.ask(daemon, 20).1);
+        eventually("the path is used again", || half.ask(daemon, 20).1);
     }
     half.fleet.check_invariants();
 }
 
-/// A host that stands still answers nothing and closes nothing; its links stay open.
+/// A paused host answers nothing, but its links stay open.
 #[test]
-fn verify_a_host_that_stands_still_is_left_and_used_again_when_it_goes_on() {
+fn verify_a_paused_host_is_avoided_and_used_again_after_it_resumes() {
     let half = HalfCut::start();
     let last = &half.fleet.daemons[LAST];
     eventually("the last server is used", || half.ask(0, 20).1);
     for round in 0..2 {
         last.signal("-STOP");
-        eventually("its path is left", || {
+        eventually("its path is no longer used", || {
             half.ask(0, 5);
             half.seen_by(0) == "unreachable"
         });
@@ -114,12 +119,12 @@
         last.signal("-CONT");
         eventually("it is used again", || half.ask(0, 20).1);
     }
-    assert!(!last.log_text().contains("upstream ejected"), "its server was well all the time");
+    assert!(!last.log_text().contains("upstream ejected"), "its server was healthy all the time");
     half.fleet.check_invariants();
 }
 
-/// Two regions of two daemons each. Every link to a daemon passes a forwarder of its own, and the
-/// second region's way to the store passes one too.
+/// Two regions of two daemons each. Every daemon is reached through its own forwarder, and the
+/// second region reaches the store through one too.
 struct TwoRegions {
     fleet: TestFleet,
     links: Vec<Forwarder>,
@@ -183,7 +188,7 @@
 }
 
 #[test]
-fn verify_regions_that_lose_each_other_both_serve_and_agree_afterwards() {
+fn verify_partitioned_regions_both_serve_and_agree_afterwards() {
     let regions = TwoRegions::start();
     let fleet = &regions.fleet;
     let served = |daemon: usize| fleet.request(daemon, "GET", "/puzzle", &[], "").status == 200;
@@ -191,9 +196,10 @@
     assert_eq!(regions.pay(2, "before").0, 200);
     regions.cut(true);
     for daemon in 0..4 {
-        eventually("each region serves its callers by itself", || (0..10).all(|_| served(daemon)));
+        eventually("each region serves its own callers", || (0..10).all(|_| served(daemon)));
     }
-    // The region with the store goes on changing; the other serves with what it has.
+    // Changes are accepted in the region with the store; the other serves with its last
+    // configuration.
     for number in 0..3 {
         let path = format!("/v1/organisations/cut-{number}");
         let reply = fleet.daemons[0].call("PUT", &path, &[("If-None-Match", "*")], "{}");
@@ -201,8 +207,8 @@
     }
     eventually("it is in force where the store is", || fleet.daemons[1].revision() == 4);
     assert_eq!((fleet.daemons[2].revision(), fleet.daemons[3].revision()), (1, 1));
-    // Once-only work needs the store: it runs in one region and is refused in the other.
-    eventually("work of this region runs", || regions.pay(0, "one-key").0 == 200);
+    // An at-most-once request needs the store: it runs in one region and is refused in the other.
+    eventually("a request runs in this region", || regions.pay(0, "one-key").0 == 200);
     let (status, outcome) = regions.pay(2, "one-key");
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
     let (status, outcome) = regions.pay(3, "before");
@@ -210,10 +216,13 @@
     regions.cut(false);
     fleet.wait_revision(4);
     for key in ["one-key", "before"] {
-        eventually("the other region hears that it was done", || regions.pay(2, key).0 == 200);
+        eventually("the other region learns that it has run", || regions.pay(2, key).0 == 200);
         assert_eq!(fleet.ran(key), 1, "{key}");
     }
     let last = fleet.daemons[3].revision();
-    assert!(fleet.daemons.iter().all(|daemon| daemon.revision() == last), "none went back");
+    assert!(
+        fleet.daemons.iter().all(|daemon| daemon.revision() == last),
+        "no daemon went back to an older revision"
+    );
     fleet.check_invariants();
 }
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Work that finds no free slot waits at its ingress, with places before the slots of several hosts.
+//! Requests that find no free slot wait at their ingress, with reservations at several hosts.
 //!
-//! What users saw: once-only work that waited in the queue of a daemon that was killed got a 502, as it may have run,
-//! though no server had begun it.
+//! Guards against a fault in which an at-most-once request that waited in the queue of a host was
+//! answered 502, as if it may have run, when the host's daemon was killed, although no server had
+//! started it.
 
 mod common;
 
@@ -17,20 +18,20 @@
 
 /// Hosts of the usual fleet, with a backend server each.
 const HOSTS: usize = 3;
-/// Requests that are sent at once for each slot.
+/// Number of concurrent requests for each slot.
 const REQUESTS_EACH: usize = 4;
-/// Work of a host that was killed of which its ingress can't tell whether it ran: that in the slot, and that which was
-/// called in ahead of it.
-const UNKNOWN_MOST: usize = 2;
-/// Work that waits at an ingress before something happens to a host.
+/// Maximum number of requests with an unknown outcome after a host is killed: the one in the slot,
+/// and the one that was offered the slot in advance.
+const UNKNOWN_MAX: usize = 2;
+/// Number of requests that wait at the ingress before a fault is injected at a host.
 const WAITING: f64 = 6.0;
 
-/// Starts hosts with a backend server of one slot each, whose work takes 300 ms.
+/// Starts hosts with a backend server of one slot each, with a service time of 300 ms.
 fn start(hosts: usize, waiting: &'static str) -> TestFleet {
     start_with(hosts, waiting, 1, json!({"floor": 0.5, "prefer": "detection"}))
 }
 
-/// Starts hosts with a backend server of so many slots each.
+/// Starts hosts with a backend server of this many slots each.
 fn start_with(hosts: usize, waiting: &'static str, slots: u32, service: Value) -> TestFleet {
     let routes = json!({
         "plain": {"host": "solver.example", "path_prefix": "/", "service": "solver-app",
@@ -48,19 +49,21 @@
     })
 }
 
-/// What became of a request.
+/// `RequestEnd` is the id of a request and its reply.
 struct RequestEnd {
     id: String,
     reply: Reply,
 }
 
-/// Sends the usual requests to the first daemon at once; `meanwhile` runs once some of them wait there.
+/// Sends [`REQUESTS_EACH`] requests for each server to the first daemon at once; `meanwhile` runs
+/// once [`WAITING`] of them wait there.
 fn send_all(fleet: &mut TestFleet, meanwhile: impl FnOnce(&mut TestFleet)) -> Vec<RequestEnd> {
     let requests = REQUESTS_EACH * fleet.backends.len();
     send(fleet, requests, WAITING, meanwhile)
 }
 
-/// Sends so many requests to the first daemon at once; `meanwhile` runs once `waiting` of them wait there.
+/// Sends this many requests to the first daemon at once; `meanwhile` runs once `waiting` of them
+/// wait there.
 fn send(
     fleet: &mut TestFleet,
     requests: usize,
@@ -78,13 +81,14 @@
             })
         })
         .collect();
-    eventually("work waits", || fleet.daemons[0].metric("waiting") >= waiting);
+    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= waiting);
     meanwhile(fleet);
     sending.into_iter().map(|thread| thread.join().expect("a caller")).collect()
 }
 
-/// Returns those that got no answer; whatever is said not to have run did not.
-fn lost(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
+/// Returns the requests without a 200; checks that each ran at most once, and not at all if its
+/// outcome is `not-run`.
+fn failed_ends(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
     for end in &ends {
         let ran = fleet.ran(&end.id);
         assert!(ran <= 1, "{} ran {ran} times", end.id);
@@ -92,46 +96,46 @@
             assert_eq!(ran, 1, "{} was answered", end.id);
         }
         if end.reply.outcome().as_deref() == Some("not-run") {
-            assert_eq!(ran, 0, "{} was said not to have run", end.id);
+            assert_eq!(ran, 0, "{} was reported as not run", end.id);
         }
     }
     ends.into_iter().filter(|end| end.reply.status != 200).collect()
 }
 
 #[test]
-fn verify_waiting_work_is_called_in_where_slots_get_free() {
+fn verify_waiting_requests_are_offered_slots_that_become_free() {
     let mut fleet = start(HOSTS, "places");
     let ends = send_all(&mut fleet, |_| {});
-    assert!(lost(&fleet, ends).is_empty());
+    assert!(failed_ends(&fleet, ends).is_empty());
     assert!(fleet.daemons[0].metric("called_in") >= WAITING);
-    eventually("no slot stays taken", || {
+    eventually("no slot stays in use", || {
         fleet.daemons.iter().all(|daemon| daemon.metric("slots_used") == 0.0)
     });
     fleet.check_invariants();
 }
 
 #[test]
-fn verify_work_that_waits_is_not_lost_with_a_host() {
+fn verify_waiting_requests_are_not_lost_with_a_killed_host() {
     let mut fleet = start(HOSTS, "places");
     let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].kill());
-    let lost = lost(&fleet, ends);
-    let statuses: Vec<u16> = lost.iter().map(|end| end.reply.status).collect();
-    assert!(lost.len() <= UNKNOWN_MOST, "{statuses:?}");
+    let failed_ends = failed_ends(&fleet, ends);
+    let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
+    assert!(failed_ends.len() <= UNKNOWN_MAX, "{statuses:?}");
 }
 
 #[test]
-fn verify_work_that_waits_goes_elsewhere_when_a_host_stops() {
+fn verify_waiting_requests_go_elsewhere_when_a_host_stops() {
     let mut fleet = start(HOSTS, "places");
     let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].signal("-TERM"));
-    let lost = lost(&fleet, ends);
-    let statuses: Vec<u16> = lost.iter().map(|end| end.reply.status).collect();
-    assert!(lost.is_empty(), "{statuses:?}");
+    let failed_ends = failed_ends(&fleet, ends);
+    let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
+    assert!(failed_ends.is_empty(), "{statuses:?}");
 }
 
 #[test]
-fn verify_servers_that_are_down_call_no_work_in() {
+fn verify_no_slots_are_offered_for_servers_that_are_down() {
     let mut fleet = start(5, "places");
-    // The next piece of work that runs at each of them crashes it, for longer than the others take.
+    // The next request that runs at each of them crashes it, for longer than the others need.
     let crash = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
     let ends = send_all(&mut fleet, |fleet| {
         fleet.backends[2..].iter().for_each(|backend| backend.faults(crash.clone()));
@@ -139,15 +143,19 @@
     for backend in &fleet.backends {
         eventually("the server is up", || TcpStream::connect(backend.address).is_ok());
     }
-    let lost = lost(&fleet, ends);
-    let outcomes: Vec<_> = lost.iter().map(|end| (end.reply.status, end.reply.reason())).collect();
-    assert!(lost.len() <= 3, "what ran when they crashed is lost and no more: {outcomes:?}");
+    let failed_ends = failed_ends(&fleet, ends);
+    let outcomes: Vec<_> =
+        failed_ends.iter().map(|end| (end.reply.status, end.reply.reason())).collect();
+    assert!(
+        failed_ends.len() <= 3,
+        "only the requests that ran at the crash are lost: {outcomes:?}"
+    );
 }
 
 #[test]
-fn verify_a_server_that_fails_work_at_once_calls_in_no_more_than_sound_ones() {
+fn verify_a_fast_failing_server_receives_no_more_requests_than_healthy_ones() {
     const SLOTS: u32 = 4;
-    // All slots are needed, so that the server is doubted and stays in service.
+    // With a floor of 1.0 all slots are needed, so the server is doubted but stays in service.
     let service = json!({"floor": 1.0, "prefer": "detection"});
     let mut fleet = start_with(HOSTS, "places", SLOTS, service);
     let part = REQUESTS_EACH * SLOTS as usize;
@@ -155,18 +163,18 @@
     let ends = send(&mut fleet, part * HOSTS, part as f64, |fleet| {
         fleet.backends[2].faults(failing);
     });
-    let failed = lost(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
+    let failed = failed_ends(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
     assert!(failed <= part, "{failed} requests failed at one server of three");
 }
 
 #[test]
-fn verify_an_ingress_that_is_killed_leaves_no_slot_taken() {
+fn verify_a_killed_ingress_leaves_no_slot_in_use() {
     let mut fleet = start(HOSTS, "places");
     let callers = fleet.daemons[0].callers;
     let waiting: Vec<_> = (0..REQUESTS_EACH * HOSTS)
         .map(|_| {
             thread::spawn(move || {
-                // The daemon dies before it answers; how the connection ends is of no matter here.
+                // The daemon is killed before it answers; how the connection ends does not matter.
                 let call = || {
                     common::client::call(callers, "POST", "/x", &[("Host", "solver.example")], "")
                 };
@@ -174,18 +182,18 @@
             })
         })
         .collect();
-    eventually("work waits", || fleet.daemons[0].metric("waiting") >= WAITING);
+    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= WAITING);
     fleet.daemons[0].kill();
     waiting.into_iter().for_each(|thread| thread.join().expect("a caller"));
     for daemon in &fleet.daemons[1..] {
-        eventually("no slot stays taken", || daemon.metric("slots_used") == 0.0);
-        eventually("nothing waits", || daemon.metric("queued") == 0.0);
+        eventually("no slot stays in use", || daemon.metric("slots_used") == 0.0);
+        eventually("no request is queued", || daemon.metric("queued") == 0.0);
     }
     assert_eq!(fleet.request(1, "POST", "/x", &[], "").status, 200);
 }
 
 #[test]
-fn verify_nothing_waits_at_the_ingress_unless_the_settings_say_so() {
+fn verify_requests_wait_at_the_ingress_only_if_configured() {
     let fleet = start(HOSTS, "one-host");
     let callers = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..REQUESTS_EACH * HOSTS)
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Configuration while the store, the rows of hosts or daemons fail: nothing is lost or comes back.
+//! Configuration while the store, the rows of hosts or daemons fail: no change is lost or undone.
 
 mod common;
 
@@ -15,7 +15,7 @@
 #[test_case(json!({"lose_write_answers": 1}) ; "answer lost")]
 #[test_case(json!({"lose_write_answers": 2}) ; "two answers lost")]
 #[test_case(json!({"lose_writes": 1}) ; "write lost")]
-fn verify_a_change_whose_answer_is_lost_is_neither_doubled_nor_misreported(faults: Value) {
+fn verify_a_change_whose_answer_is_lost_is_neither_applied_twice_nor_misreported(faults: Value) {
     let fleet = fleet_of(2);
     fleet.platform.faults(faults);
     let reply = put_organisation(&fleet.daemons[0], "lost", "t", ("If-None-Match", "*"));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn verify_with_the_store_down_changes_are_refused_and_traffic_flows() {
+fn verify_with_the_store_down_changes_are_refused_and_requests_are_served() {
     let fleet = fleet_of(3);
     fleet.platform.faults(json!({"down": true}));
     let reply = put_organisation(&fleet.daemons[0], "x", "t", ANY);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn verify_without_store_and_peers_a_daemon_waits_says_so_and_takes_no_traffic() {
+fn verify_a_daemon_without_store_and_peers_is_not_ready_and_serves_nothing() {
     let mut fleet = fleet_of(1);
     fleet.platform.faults(json!({"down": true}));
     fleet.daemons.clear();
@@ -51,7 +51,7 @@
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("no-configuration")));
     assert_eq!(reply.outcome().as_deref(), Some("not-run"));
     fleet.platform.faults(json!({}));
-    eventually("it is in service once the store is back", || fresh.is_ready());
+    eventually("it is ready once the store is back", || fresh.is_ready());
     assert_eq!(fresh.revision(), 1);
 }
 
@@ -69,7 +69,7 @@
         let seeds = seeds.join(",");
         let flags = [("seeds", seeds.as_str())];
         let fresh = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
-        eventually("it is in service from its peers", || fresh.is_ready());
+        eventually("it is ready with the configuration of its peers", || fresh.is_ready());
         fleet.daemons.insert(index, fresh);
     }
     for daemon in &fleet.daemons {
@@ -90,14 +90,14 @@
     drop(old);
     let flags = [("seeds", seeds.as_str())];
     let fresh = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
-    eventually("it is in service from its peers", || fresh.is_ready());
+    eventually("it is ready with the configuration of its peers", || fresh.is_ready());
     assert_eq!(fresh.revision(), 2);
     let reply = client::call(fresh.callers, "GET", "/puzzle", &[("Host", "solver.example")], "");
     assert_eq!(reply.status, 200, "{}", reply.text());
 }
 
 #[test]
-fn verify_answers_from_the_past_never_bring_an_older_revision_back() {
+fn verify_stale_store_answers_never_restore_an_older_revision() {
     let fleet = fleet_of(2);
     fleet.platform.faults(json!({"reads_from_past_ms": 1}));
     for number in 0..6 {
@@ -110,14 +110,14 @@
     fleet.platform.faults(json!({"reads_from_past_ms": 3_600_000}));
     let mut lowest = [7, 7];
     let before = fleet.daemons[1].metric("old_revisions");
-    eventually("answers from the past were seen and refused", || {
+    eventually("stale answers were received and rejected", || {
         for (index, daemon) in fleet.daemons.iter().enumerate() {
             lowest[index] = lowest[index].min(daemon.revision());
         }
         fleet.daemons[1].metric("old_revisions") > before
     });
     assert_eq!(lowest, [7, 7]);
-    // Changes are still accepted: the check on the head refuses those made on an old view.
+    // Changes are still accepted: the check on the head rejects those based on an old revision.
     eventually("accepted in the end", || {
         let reply = put_organisation(&fleet.daemons[0], "late", "t", ANY);
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.text());
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn verify_a_paused_daemon_catches_up_and_falls_back_never() {
+fn verify_a_paused_daemon_catches_up_and_never_goes_back() {
     let fleet = fleet_of(3);
     fleet.daemons[2].signal("-STOP");
     for number in 0..5 {
@@ -144,11 +144,11 @@
 }
 
 #[test]
-fn verify_daemons_cut_off_from_the_store_hear_changes_from_their_peers() {
+fn verify_daemons_cut_off_from_the_store_learn_changes_from_their_peers() {
     let plan = FleetPlan { daemons: 2, backends: 2, ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
     let seeds = format!("{},{}", fleet.daemons[0].peers, fleet.daemons[1].peers);
-    // An address where nothing answers stands for the cut.
+    // An address at which nothing listens simulates the cut.
     let nowhere =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("addr");
     let flags = [("seeds", seeds.as_str())];
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn verify_half_of_the_fleet_cut_off_from_the_store_hears_changes_and_a_second_fault_loses_none() {
+fn verify_half_of_the_fleet_cut_off_from_the_store_learns_changes_and_a_second_fault_loses_none() {
     use std::sync::atomic::Ordering;
     let mut fleet = fleet_of(2);
     let seeds = format!("{},{}", fleet.daemons[0].peers, fleet.daemons[1].peers);
@@ -181,14 +181,14 @@
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY).status, 200);
     }
     fleet.wait_revision(5);
-    // A second fault at the same time: answers of the store's writes are lost, and the daemon that
-    // takes the changes dies.
+    // A second fault at the same time: an answer to a write of the store is lost, and the daemon
+    // that accepted the change is killed.
     fleet.platform.faults(json!({"lose_write_answers": 1}));
     let reply = put_organisation(&fleet.daemons[1], "second", "t", ("If-None-Match", "*"));
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.daemons.remove(1);
     fleet.wait_revision(6);
-    // Whoever is cut off can accept nothing, and says so.
+    // A daemon that is cut off can accept no change and refuses it.
     let refused = put_organisation(&fleet.daemons[1], "third", "t", ANY);
     assert!(matches!(refused.status, 503 | 504), "{}", refused.text());
     store.cuts.forward.store(false, Ordering::SeqCst);
@@ -204,32 +204,32 @@
 }
 
 #[test]
-fn verify_rows_that_lie_neither_resurrect_nor_bury() {
+fn verify_wrong_host_rows_neither_revive_nor_remove_a_member() {
     let mut fleet = fleet_of(3);
-    // The row of the dead stays.
+    // The row of a killed daemon stays.
     fleet.daemons[2].kill();
-    eventually("the dead daemon is suspect though it has a row", || {
+    eventually("the killed daemon is suspect although it has a row", || {
         let status = fleet.daemons[0].get("/v1/status");
         let members = status["members"].as_array().expect("members").clone();
         members.iter().any(|m| m["host"] == "host-c" && m["state"] == "suspect")
     });
-    // The row of the living vanishes, and comes back by itself.
+    // A live daemon writes its row again after it was deleted.
     let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
     fleet.platform.change_row("DELETE", hosts, "host-b", "");
     let row = || {
         let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
-    eventually("the row is written anew", || row().contains("host-b"));
+    eventually("the row is written again", || row().contains("host-b"));
     let status = fleet.daemons[0].get("/v1/status");
     let members = status["members"].as_array().expect("members").clone();
     assert!(members.iter().any(|m| m["host"] == "host-b" && m["state"] == "live"), "{members:?}");
 }
 
 #[test]
-fn verify_a_row_of_an_earlier_start_or_of_nonsense_changes_nothing() {
+fn verify_a_row_of_an_earlier_incarnation_or_an_unreadable_row_changes_nothing() {
     let mut fleet = fleet_of(3);
-    // A daemon that lives would write its row again before the others read this one.
+    // A running daemon would rewrite its row before the others read this one.
     fleet.daemons[2].kill();
     let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
     let old = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
@@ -253,8 +253,8 @@
     fleet.check_invariants();
 }
 
-#[test_case(json!({"silent": true}) ; "the store says nothing")]
-#[test_case(json!({"busy": true}) ; "the store turns calls away")]
+#[test_case(json!({"silent": true}) ; "the store does not answer")]
+#[test_case(json!({"busy": true}) ; "the store refuses calls")]
 #[test_case(json!({"down": true}) ; "the store drops connections")]
 #[test_case(json!({"forget_history": true}) ; "the store forgets its history")]
 fn verify_rows_that_change_in_an_outage_are_known_after_it(outage: Value) {
@@ -264,7 +264,7 @@
     let flags = [("seeds", seeds.as_str())];
     let daemon = TestDaemon::start(fleet.platform.address, "host-c", "bkk-c", &flags);
     fleet.daemons.push(daemon);
-    // Peers know each other without the store.
+    // Peers learn of each other without the store.
     eventually("the newcomer knows the others", || {
         fleet.daemons[2].live_members() == 3 && fleet.daemons[0].live_members() == 3
     });
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Watches over the resource API.
+//! Watches of the resource API.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 
-/// Reads JSON lines of a watch.
+/// `Watch` reads the JSON lines of a watch.
 struct Watch {
     lines: std::io::Lines<BufReader<std::net::TcpStream>>,
 }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn verify_watches_miss_nothing_and_double_nothing_over_a_reconnect() {
+fn verify_watches_neither_miss_nor_repeat_changes_over_a_reconnect() {
     let fleet = fleet_of(2);
     let mut seen = Vec::new();
     let mut watch = Watch::start(&fleet.daemons[1], "/v1/watch?after=0");
@@ -51,7 +51,7 @@
             }
             let last = seen.last().expect("some");
             let other = &fleet.daemons[number % 2];
-            eventually("the other daemon has it", || other.revision() >= *last);
+            eventually("the other daemon has the revision", || other.revision() >= *last);
             watch = Watch::start(other, &format!("/v1/watch?after={last}"));
         }
     }
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn verify_a_watch_from_a_forgotten_revision_is_told_where_to_start_again() {
+fn verify_a_watch_from_a_discarded_revision_gets_the_revision_to_restart_at() {
     let plan = FleetPlan {
         daemons: 1,
         backends: 1,
@@ -78,10 +78,12 @@
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY).status, 200);
     }
     // A new daemon starts from a snapshot and knows only the changes since.
-    eventually("a snapshot is kept", || fleet.daemons[0].log_text().contains("snapshot kept"));
+    eventually("a snapshot is stored", || fleet.daemons[0].log_text().contains("snapshot kept"));
     let fresh = TestDaemon::start(fleet.platform.address, "host-n", "bkk-b", &[]);
     fleet.daemons.push(fresh);
-    eventually("it has all", || fleet.daemons[1].is_ready() && fleet.daemons[1].revision() == 304);
+    eventually("it has all revisions", || {
+        fleet.daemons[1].is_ready() && fleet.daemons[1].revision() == 304
+    });
     let reply = fleet.daemons[1].call("GET", "/v1/watch?after=1", &[], "");
     assert_eq!(reply.status, 410, "{}", reply.text());
     assert_eq!(reply.json()["start_again_at"], json!(304));
