--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -77,14 +77,14 @@
     let flags = vec![("drain-min-ms", "5s")];
     let plan = FleetPlan { daemons: 2, backends: 2, daemon_flags: flags, ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
-    let mut kept = client::connect(fleet.daemons[0].callers);
+    let mut kept_alive = client::connect(fleet.daemons[0].callers);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon is leaving", || !fleet.daemons[0].is_ready());
     // Both this connection and a new one are served, as callers learn late that a daemon is
     // leaving.
-    kept.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
+    kept_alive.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
     let mut answer = String::new();
-    kept.read_to_string(&mut answer).expect("an answer, then the end of the connection");
+    kept_alive.read_to_string(&mut answer).expect("an answer, then the end of the connection");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     let reply = fleet.request(0, "GET", "/plain", &[], "");
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -79,7 +79,7 @@
     ask(fleet, "POST", "/unsafe/x", id);
 }
 
-fn wrong_answer(fleet: &RegisteredFleet, id: &str) {
+fn unproved_answer(fleet: &RegisteredFleet, id: &str) {
     fault_all(fleet, json!({"unstamped": true}));
     ask(fleet, "POST", "/unsafe/x", id);
 }
@@ -126,18 +126,18 @@
     });
 }
 
-fn long_head(fleet: &RegisteredFleet, id: &str) {
+fn duplicate_host(fleet: &RegisteredFleet, id: &str) {
     let headers = [("Host", HOST), ("Host", "second.example"), ("Request-Id", id)];
     client::call(fleet.daemons[0].callers, "GET", "/safe/x", &headers, "");
 }
 
 #[test_case(no_route, "rejected (no-route) with status 404", &["request rejected"] ; "no route")]
-#[test_case(long_head, "rejected (bad-request) with status 400", &["request rejected"] ; "two hosts")]
+#[test_case(duplicate_host, "rejected (bad-request) with status 400", &["request rejected"] ; "two hosts")]
 #[test_case(lost_answer, "failed as unknown (backend-broken) with status 502",
     &["request received", "upstream chosen", "work broke", "attempt ended", "request failed"] ; "the answer is lost")]
 #[test_case(no_answer, "failed as unknown (timed-out) with status 504",
     &["request received", "upstream chosen", "attempt ended", "request failed"] ; "no answer comes")]
-#[test_case(wrong_answer, "failed as unknown (answer-broken) with status 502",
+#[test_case(unproved_answer, "failed as unknown (answer-broken) with status 502",
     &["request received", "upstream chosen", "work broke", "attempt ended", "request failed"] ; "the answer is not proved")]
 #[test_case(cut_answer, "failed as unknown (answer-broken) with status 502",
     &["request received", "upstream chosen", "work broke", "request failed"] ; "the answer is cut")]
@@ -163,7 +163,7 @@
 
 #[test_case(lost_answer, "broken (backend-broken)" ; "the answer is lost")]
 #[test_case(no_answer, "hung without a call" ; "no answer comes")]
-#[test_case(wrong_answer, "broken (answer-broken)" ; "the answer is not proved")]
+#[test_case(unproved_answer, "broken (answer-broken)" ; "the answer is not proved")]
 #[test_case(server_error, "server error" ; "the server fails")]
 #[test_case(shed_request, "refused (shed)" ; "the servers are full")]
 #[test_case(all_leave, "refused (no-upstream)" ; "all servers leave")]
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -52,7 +52,7 @@
     }
 
     /// Restarts the first daemon and checks that the server that left receives nothing.
-    fn check_left(&mut self, flags: &[(&str, &str)]) {
+    fn check_left_server_unused(&mut self, flags: &[(&str, &str)]) {
         let fleet = &mut self.fleet;
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
         eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
@@ -112,7 +112,7 @@
     });
     hosts.fleet.platform.faults(json!({}));
     assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    hosts.check_left(&[]);
+    hosts.check_left_server_unused(&[]);
 }
 
 #[test]
@@ -161,7 +161,7 @@
     assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
     // The store is still down: the restarted daemon learns the earlier state from the other daemon.
     let seeds = hosts.fleet.daemons[1].peers.to_string();
-    hosts.check_left(&[("seeds", seeds.as_str())]);
+    hosts.check_left_server_unused(&[("seeds", seeds.as_str())]);
 }
 
 #[test]
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -40,20 +40,20 @@
     let flags = vec![("drain-ms", "3000"), ("drain-min-ms", "2000")];
     let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
     let callers = fleet.daemons[0].callers;
-    let mut kept: Vec<TcpStream> = (0..4).map(|_| client::connect(callers)).collect();
-    for (number, stream) in kept.iter_mut().enumerate() {
+    let mut kept_alive: Vec<TcpStream> = (0..4).map(|_| client::connect(callers)).collect();
+    for (number, stream) in kept_alive.iter_mut().enumerate() {
         let reply = stops::send(stream, &format!("before-{number}"), "0");
         assert_eq!(reply.map(|reply| reply.status), Some(200));
     }
     stops::request_stop(&fleet.daemons[0]);
     let asked = Instant::now();
     fleet.daemons[0].signal("-STOP");
-    for (number, stream) in kept.iter_mut().enumerate() {
+    for (number, stream) in kept_alive.iter_mut().enumerate() {
         stops::write(stream, &format!("slept-{number}"), "1000").expect("write");
     }
     eventually("the longest drain is over", || asked.elapsed() > LONGEST);
     fleet.daemons[0].signal("-CONT");
-    for (number, stream) in kept.iter_mut().enumerate() {
+    for (number, stream) in kept_alive.iter_mut().enumerate() {
         let reply = client::read_reply(stream, "POST");
         StopRequest { id: format!("slept-{number}"), reply }.check(&fleet);
     }
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -28,14 +28,14 @@
 /// `callers` any more. A connection is reused until a reply announces its end or it is closed.
 fn send_until_gone(callers: SocketAddr, caller: usize) -> Vec<StopRequest> {
     let mut requests = Vec::new();
-    let mut kept = None;
+    let mut kept_alive = None;
     loop {
-        let connection = kept.take().or_else(|| TcpStream::connect(callers).ok());
+        let connection = kept_alive.take().or_else(|| TcpStream::connect(callers).ok());
         let Some(mut stream) = connection else { return requests };
         let id = format!("{caller}-{}", requests.len());
         let reply = stops::send(&mut stream, &id, WORK_MS);
         let keeps = reply.as_ref().is_some_and(|reply| reply.header("connection").is_none());
-        kept = keeps.then_some(stream);
+        kept_alive = keeps.then_some(stream);
         requests.push(StopRequest { id, reply });
     }
 }
@@ -71,19 +71,22 @@
     let plan = FleetPlan { daemon_flags: vec![("drain-min-ms", "5000")], ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
-    let mut kept = client::connect(callers);
-    assert_eq!(stops::send(&mut kept, "before", WORK_MS).map(|reply| reply.status), Some(200));
+    let mut kept_alive = client::connect(callers);
+    assert_eq!(
+        stops::send(&mut kept_alive, "before", WORK_MS).map(|reply| reply.status),
+        Some(200)
+    );
     stops::request_stop(&fleet.daemons[0]);
     // The daemon is paused while the requests arrive and its shortest drain passes, so on resume it
     // finds at the same moment nothing in flight and requests to read.
     let asked = Instant::now();
     fleet.daemons[0].signal("-STOP");
     let mut fresh = client::connect(callers);
-    stops::write(&mut kept, "kept", WORK_MS).expect("write");
+    stops::write(&mut kept_alive, "kept", WORK_MS).expect("write");
     stops::write(&mut fresh, "fresh", WORK_MS).expect("write");
     eventually("the shortest drain is over", || asked.elapsed() > SHORTEST);
     fleet.daemons[0].signal("-CONT");
-    let replies = [("kept", kept), ("fresh", fresh)].map(|(id, mut stream)| {
+    let replies = [("kept", kept_alive), ("fresh", fresh)].map(|(id, mut stream)| {
         let reply = client::read_reply(&mut stream, "POST");
         StopRequest { id: id.to_owned(), reply }
     });
