--- a/crates/daemon/tests/common/backend.rs
+++ b/crates/daemon/tests/common/backend.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Stand-in backend servers in threads of the test.
+//! Simulated backend servers in threads of the test.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -16,7 +16,7 @@
 
 use super::{client, loopback};
 
-/// A stand-in backend server in a thread.
+/// A simulated backend server in a thread.
 pub struct TestBackend {
     pub name: String,
     pub address: SocketAddr,
--- a/crates/daemon/tests/common/client.rs
+++ b/crates/daemon/tests/common/client.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Connects to a daemon or stand-in.
+/// Connects to a daemon, backend server or platform.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("connect");
     stream.set_read_timeout(Some(TIMEOUT)).expect("timeout");
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A small fleet on loopback for tests: stand-ins in threads, daemons as processes, a plain HTTP
-//! client.
+//! A small fleet on loopback for tests: a simulated platform and backend servers in threads, daemons
+//! as processes, a plain HTTP client.
 //!
-//! [`platform`] and [`backend`] are the stand-ins, [`daemon`] and [`inline`] start daemons and
+//! [`platform`] and [`backend`] are simulated, [`daemon`] and [`inline`] start daemons and
 //! [`logs`] reads their logs. [`fleet`] and [`registered`] combine these, one for each source of
 //! the configuration. [`client`] sends requests, [`operator`] makes the calls of operators, and
 //! [`forwarder`] cuts connections. [`stops`] sends requests to daemons that are shutting down.
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The stand-in platform in a thread of the test.
+//! The simulated platform in a thread of the test.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 
 use super::{client, loopback};
 
-/// The stand-in platform in a thread.
+/// The simulated platform in a thread.
 pub struct TestPlatform {
     pub address: SocketAddr,
     /// Address for the group of hosts to which an outage can be restricted.
