--- a/crates/standin/src/backend/control.rs
+++ b/crates/standin/src/backend/control.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The control paths, by which tests switch faults and read the counters.
+//! The control endpoints, by which tests set faults and read the counters.
 
 use basaltarch_http::body::{BodyLimits, BodyReader};
 use basaltarch_http::connection::HttpStream;
@@ -16,10 +16,10 @@
 
 /// Path of the faults: `GET` them or `PUT` new ones.
 pub const FAULTS_PATH: &str = "/__control/faults";
-/// Path of what was run: `GET`.
+/// Path of the counters of received and run requests: `GET` them or `DELETE` to reset them.
 pub const RUNS_PATH: &str = "/__control/runs";
 
-/// Reads a request of a control path and answers it.
+/// Reads the body of a control request and answers it.
 pub async fn answer(
     stream: &mut HttpStream,
     standin: &BackendStandin,
--- a/crates/standin/src/backend/crash.rs
+++ b/crates/standin/src/backend/crash.rs
@@ -1,14 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The end of a stand-in that crashes: its listener closes, then all its connections, as when the system ends
+//! Simulates a crash: the listener closes, then all connections, as when the operating system ends
 //! a process.
 
 use std::cell::{Cell, RefCell};
 use std::future;
 use std::task::{Poll, Waker};
 
-/// `CrashSignal` tells the tasks of a stand-in that it crashed.
+/// `CrashSignal` notifies the tasks of a simulated backend server of a crash.
 #[derive(Debug, Default)]
 pub struct CrashSignal {
     crashes: Cell<u64>,
@@ -16,18 +16,18 @@
 }
 
 impl CrashSignal {
-    /// Returns how often the stand-in has crashed.
+    /// Returns how often the signal was raised.
     pub fn count(&self) -> u64 {
         self.crashes.get()
     }
 
-    /// Ends everything that waits for a crash.
+    /// Counts a crash and wakes all tasks that wait for one.
     pub fn raise(&self) {
         self.crashes.set(self.crashes.get() + 1);
         self.waiting.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
-    /// Waits for the first crash after `seen`.
+    /// Waits until more than `seen` crashes have been counted.
     pub async fn after(&self, seen: u64) {
         future::poll_fn(|context| {
             if self.crashes.get() > seen {
--- a/crates/standin/src/backend/faults.rs
+++ b/crates/standin/src/backend/faults.rs
@@ -1,24 +1,24 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The faults that a stand-in backend server shows.
+//! The faults that can be injected into a simulated backend server.
 
 use serde::{Deserialize, Serialize};
 
-/// `BreakPoint` is where a broken server drops the connection.
+/// `BreakPoint` is the stage of an exchange at which the server drops the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BreakPoint {
-    /// Nowhere.
+    /// Connections are not dropped.
     #[default]
     Nowhere,
     /// After the head of the request, before its body.
     AfterRequestHead,
     /// After the whole request was read and run.
     AfterRun,
-    /// Within the head of the answer.
+    /// Within the head of the response.
     InAnswerHead,
-    /// Within the body of the answer.
+    /// Within the body of the response.
     InAnswerBody,
 }
 
@@ -26,43 +26,43 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendFaults {
-    /// Share of requests answered with status 500.
+    /// Share of requests answered with status 500, 0 to 1.
     pub error_rate: f64,
     /// Only paths with this prefix fail; empty for all.
     pub error_prefix: String,
-    /// Share of requests slowed by `slow_factor`.
+    /// Share of requests slowed by `slow_factor`, 0 to 1.
     pub slow_rate: f64,
     /// Factor on the service time of slow requests.
     pub slow_factor: f64,
     /// Requests are read and never answered.
     pub stuck: bool,
-    /// Where connections are dropped.
+    /// Stage at which connections are dropped.
     pub break_at: BreakPoint,
-    /// Work is refused before it starts, with the documented shed answer.
+    /// Requests are refused before they run, with status 503 and a shed notice.
     pub shed: bool,
-    /// Every answer says that the server is leaving.
+    /// Every response carries a drain notice.
     pub drain: bool,
-    /// Errors come without any service time.
+    /// Requests are answered without any service time.
     pub quick_errors: bool,
-    /// An answer to another request comes before each answer.
+    /// A response to another request is sent before each response.
     pub surplus: bool,
-    /// A second answer comes right behind each answer.
+    /// Each response is sent twice.
     pub twice: bool,
-    /// Answers lack the proof that a backend server made them.
+    /// Responses lack the header field that shows that a backend server made them.
     pub unstamped: bool,
-    /// Answers claim an encoding that nobody asked for.
+    /// Responses claim a content encoding that the request did not accept.
     pub encoded: bool,
-    /// Status of every answer, 0 for the usual.
+    /// Status of every response; 0 for the status that the request path selects.
     pub status: u16,
     /// Status of the health endpoint.
     pub health_status: u16,
-    /// Requests in flight that the load endpoint claims.
+    /// Number of requests in flight that the load endpoint reports.
     pub claimed_load: u64,
     /// Path of the requests that crash the server while they run; empty for none.
     pub crash_path: String,
-    /// Time for which such a request runs before.
+    /// Time for which such a request runs before the crash, in milliseconds.
     pub crash_after_ms: u64,
-    /// Time after a crash until the server listens again.
+    /// Time after a crash until the server listens again, in milliseconds.
     pub down_ms: u64,
 }
 
--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -1,14 +1,15 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A stand-in backend server that fails gray on demand.
+//! A simulated backend server with injected gray failures.
 //!
-//! It counts what it ran, by the request's `x-request-id`, so that tests can check what callers
-//! were told against what really happened.
+//! It counts the requests that it ran by their `x-request-id`, so that tests can compare the
+//! responses that callers got with what the server did.
 //!
-//! `serving` takes a request from its head to its end, `work` spends its time, `reply` makes its
-//! answer and `sending` writes it, whole or broken off. `faults` are the faults in force and `runs` the
-//! counters; `crash` ends the stand-in as a crash would; `control` lets tests reach both. `probe` answers about health and load.
+//! `serving` handles a request from its head to its end, `work` spends its service time, `reply`
+//! builds its response and `sending` writes it, complete or truncated. `faults` are the faults in
+//! force and `runs` the counters; `control` lets tests set the former and read the latter. `crash`
+//! simulates a crash, and `probe` answers the health and load endpoints.
 
 mod control;
 mod crash;
@@ -39,38 +40,38 @@
 pub use runs::BackendRuns;
 pub use serving::serve;
 
-/// Header by which runs are counted.
+/// Default header field that identifies a request, by which runs are counted.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// `BackendStandin` is the state of a stand-in backend server.
+/// `BackendStandin` is the state of a simulated backend server.
 pub struct BackendStandin {
     options: BackendOptions,
     faults: RefCell<BackendFaults>,
     runs: RefCell<BackendRuns>,
-    working: Cell<u64>,
-    /// A request crashes the stand-in: its listener closes.
+    in_flight: Cell<u64>,
+    /// Raised by a request that crashes the server, to close the listener.
     crash: CrashSignal,
-    /// The listener has closed: so do the connections.
+    /// Raised once the listener has closed, to close the connections.
     down: CrashSignal,
     rng: RefCell<ChaCha8Rng>,
 }
 
 impl BackendStandin {
-    /// Builds a stand-in.
+    /// Builds a simulated backend server without faults.
     pub fn new(options: BackendOptions) -> Rc<Self> {
         let rng = ChaCha8Rng::seed_from_u64(options.seed);
         Rc::new(Self {
             options,
             faults: RefCell::default(),
             runs: RefCell::default(),
-            working: Cell::new(0),
+            in_flight: Cell::new(0),
             crash: CrashSignal::default(),
             down: CrashSignal::default(),
             rng: RefCell::new(rng),
         })
     }
 
-    /// Returns the name of the field that names a request.
+    /// Returns the name of the header field that identifies a request.
     fn request_field(&self) -> HeaderName {
         self.options.fields.request.clone().unwrap_or(REQUEST_ID)
     }
--- a/crates/standin/src/backend/options.rs
+++ b/crates/standin/src/backend/options.rs
@@ -1,24 +1,25 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The settings of a stand-in backend server.
+//! The settings of a simulated backend server.
 
 use std::time::Duration;
 
 use basaltarch_http::fields::ExchangeFields;
 
-/// `BackendOptions` are the settings of a stand-in backend server.
+/// `BackendOptions` are the settings of a simulated backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackendOptions {
     /// Median service time.
     pub service_time: Duration,
-    /// Spread of the logarithm of the service time.
+    /// Standard deviation of the logarithm of the service time, which is log-normal.
     pub spread: f64,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// Name in the `x-served-by` header, and of this incarnation where daemons ask for one.
+    /// Value of the `x-served-by` header field, and the incarnation that daemons may address
+    /// requests to.
     pub name: String,
-    /// Names of the header fields that it knows.
+    /// Names of the header fields that the server reads and sends.
     pub fields: ExchangeFields,
 }
 
--- a/crates/standin/src/backend/probe.rs
+++ b/crates/standin/src/backend/probe.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The health and load endpoints, which tell what the faults say.
+//! The health and load endpoints, which report configured values.
 
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
@@ -12,9 +12,11 @@
 use crate::backend::{reply, sending};
 use crate::backend::{BackendFaults, BackendStandin};
 
-/// Path of the health endpoint, which tells what the faults say and not how the server is.
+/// Path of the health endpoint, which reports `health_status` of the faults, not the state of the
+/// server.
 pub const HEALTH_PATH: &str = "/health";
-/// Path of the load endpoint, which tells what the faults say too.
+/// Path of the load endpoint, which reports `claimed_load` of the faults, not the requests in
+/// flight.
 pub const LOAD_PATH: &str = "/load";
 
 /// Answers a request of the health or load endpoint.
@@ -30,11 +32,11 @@
         _ => (StatusCode::OK.as_u16(), faults.claimed_load.to_string()),
     };
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
-    let sound = BackendFaults::default();
+    let no_faults = BackendFaults::default();
     let body = Bytes::from(text);
     let mut headers = HeaderMap::new();
     if standin.options.fields.expected_server.is_some() {
         reply::put(&mut headers, headers::SERVER, &standin.options.name);
     }
-    sending::answer_whole(stream, &head.method, status, &headers, body, &sound).await
+    sending::send_buffered(stream, &head.method, status, &headers, body, &no_faults).await
 }
--- a/crates/standin/src/backend/reply.rs
+++ b/crates/standin/src/backend/reply.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What a stand-in backend server answers: status, header fields and body.
+//! Builds the responses of a simulated backend server: status, header fields and body.
 
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
@@ -14,7 +14,7 @@
 use crate::backend::sending;
 use crate::backend::{BackendFaults, BackendStandin};
 
-/// Refuses a request that was not run.
+/// Refuses a request that was not run, with a shed notice.
 pub async fn refuse(
     stream: &mut HttpStream,
     standin: &BackendStandin,
@@ -40,32 +40,33 @@
     let status = match (failed, StatusCode::from_u16(faults.status)) {
         (true, _) => StatusCode::INTERNAL_SERVER_ERROR,
         (false, Ok(status)) => status,
-        (false, Err(_)) => wanted_status(path),
+        (false, Err(_)) => requested_status(path),
     };
-    let headers = answer_fields(standin, head, faults);
+    let headers = response_headers(standin, head, faults);
     if faults.surplus {
         let mut other = headers.clone();
         put(&mut other, standin.request_field(), "an-earlier-request");
         let body = Bytes::from_static(b"the answer to an earlier request\n");
-        let sound = BackendFaults::default();
-        sending::answer_whole(stream, &head.method, StatusCode::OK, &other, body, &sound).await?;
+        let no_faults = BackendFaults::default();
+        sending::send_buffered(stream, &head.method, StatusCode::OK, &other, body, &no_faults)
+            .await?;
     }
     if faults.twice {
-        let body = answer_text(standin, head, status);
-        sending::answer_whole(stream, &head.method, status, &headers, body, faults).await?;
+        let body = response_text(standin, head, status);
+        sending::send_buffered(stream, &head.method, status, &headers, body, faults).await?;
     }
     if let Some(length) = path.strip_prefix("/bytes/").and_then(|text| text.parse().ok()) {
-        return sending::answer_generated(stream, &headers, length, faults).await;
+        return sending::send_generated(stream, &headers, length, faults).await;
     }
     let body = match path {
         "/echo" => body,
-        _ => answer_text(standin, head, status),
+        _ => response_text(standin, head, status),
     };
-    sending::answer_whole(stream, &head.method, status, &headers, body, faults).await
+    sending::send_buffered(stream, &head.method, status, &headers, body, faults).await
 }
 
-/// Returns the header fields of an answer.
-fn answer_fields(
+/// Returns the header fields of a response.
+fn response_headers(
     standin: &BackendStandin,
     head: &request::Parts,
     faults: &BackendFaults,
@@ -88,17 +89,17 @@
     headers
 }
 
-fn wanted_status(path: &str) -> StatusCode {
+fn requested_status(path: &str) -> StatusCode {
     let wanted = path.strip_prefix("/status/").and_then(|text| text.parse::<u16>().ok());
     wanted.and_then(|code| StatusCode::from_u16(code).ok()).unwrap_or(StatusCode::OK)
 }
 
-fn answer_text(standin: &BackendStandin, head: &request::Parts, status: StatusCode) -> Bytes {
+fn response_text(standin: &BackendStandin, head: &request::Parts, status: StatusCode) -> Bytes {
     let id = fields::single(&head.headers, &standin.request_field()).unwrap_or("-");
     Bytes::from(format!("{} {} {} {id}\n", standin.options.name, status.as_u16(), head.uri.path()))
 }
 
-/// Sets a field; a value that can't stand in a head is left out.
+/// Sets a header field; a value that is not valid in a header field is left out.
 pub fn put(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
--- a/crates/standin/src/backend/runs.rs
+++ b/crates/standin/src/backend/runs.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Counts what a stand-in backend server received and ran.
+//! Counts the requests that a simulated backend server received and ran.
 
 use basaltarch_http::fields;
 use fnv::FnvHashMap;
@@ -10,16 +10,16 @@
 
 use crate::backend::BackendStandin;
 
-/// `BackendRuns` is what the server ran.
+/// `BackendRuns` are the counters of the server.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BackendRuns {
     /// Requests run.
     pub total: u64,
     /// Requests run, by `x-request-id`.
     pub by_id: FnvHashMap<String, u64>,
-    /// Most requests worked on at once.
+    /// Largest number of requests that ran concurrently.
     pub most_at_once: u64,
-    /// Requests given up by the other side while they were worked on.
+    /// Requests whose client closed the connection while they ran.
     pub cancelled: u64,
     /// Body bytes received.
     pub body_bytes: u64,
@@ -31,30 +31,30 @@
     pub probes: u64,
     /// Times that the server crashed.
     pub crashes: u64,
-    /// Requests run, by the organisation that the server was told.
+    /// Requests run, by the organisation that the request names.
     pub by_organisation: FnvHashMap<String, u64>,
-    /// Requests received with a caller's API key, which must not go this far.
+    /// Requests received with a caller's API key, which must not be forwarded to a backend server.
     pub keys: u64,
     /// Head of the last request, as text.
     pub last_head: String,
 }
 
-/// Notes a request that may or may not be run.
-pub fn note_received(standin: &BackendStandin, head: &request::Parts) {
+/// Records a received request, whether or not it is run.
+pub fn record_received(standin: &BackendStandin, head: &request::Parts) {
     let mut runs = standin.runs.borrow_mut();
     runs.received += 1;
     runs.keys += u64::from(head.headers.contains_key(&standin.options.fields.api_key));
     runs.last_head = format!("{} {} {:?}", head.method, head.uri, head.headers);
 }
 
-/// Notes how many requests are worked on now.
-pub fn note_at_once(standin: &BackendStandin, now: u64) {
+/// Records how many requests run now.
+pub fn record_concurrency(standin: &BackendStandin, now: u64) {
     let mut runs = standin.runs.borrow_mut();
     runs.most_at_once = runs.most_at_once.max(now);
 }
 
-/// Notes a request that is run.
-pub fn note_run(standin: &BackendStandin, head: &request::Parts) {
+/// Records a request that is run.
+pub fn record_run(standin: &BackendStandin, head: &request::Parts) {
     let mut runs = standin.runs.borrow_mut();
     runs.total += 1;
     if let Some(id) = fields::single(&head.headers, &standin.request_field()) {
--- a/crates/standin/src/backend/serving.rs
+++ b/crates/standin/src/backend/serving.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves connections: each request from its head to its end.
+//! Accepts connections and serves their requests, each from its head to its end.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,7 +21,8 @@
 use crate::backend::{control, probe, reply, runs, work};
 use crate::backend::{BackendStandin, BreakPoint, HEALTH_PATH, LOAD_PATH};
 
-/// Serves the stand-in for ever. One that crashed listens again after a while.
+/// Serves a simulated backend server for ever. After a crash it listens again once `down_ms` have
+/// passed.
 pub async fn serve(listener: TcpListener, standin: Rc<BackendStandin>, connections: usize) {
     let address = listener.local_addr();
     let mut listener = Ok(listener);
@@ -43,12 +44,14 @@
     let standin = standin.clone();
     let serve = move |stream, _: SocketAddr| {
         let standin = standin.clone();
-        // Counted as it is accepted: its task may run only when the listener has closed.
+        // Read when the connection is accepted, as its task may first run after the listener has
+        // closed.
         let seen = standin.down.count();
         async move {
             standin.runs.borrow_mut().connections += 1;
             let down = std::pin::pin!(standin.down.after(seen));
-            // The connection ends with its first error; the other side sees that.
+            // The connection ends with its first error, which the client sees as a closed
+            // connection.
             let serving = std::pin::pin!(serve_connection(stream, &standin));
             future::select(serving, down).await;
         }
@@ -73,7 +76,7 @@
             probe::answer(&mut stream, standin, &head, &faults).await?;
             continue;
         }
-        runs::note_received(standin, &head);
+        runs::record_received(standin, &head);
         if faults.break_at == BreakPoint::AfterRequestHead {
             return Ok(());
         }
@@ -87,9 +90,9 @@
             continue;
         }
         if faults.stuck {
-            standin.working.set(standin.working.get() + 1);
+            standin.in_flight.set(standin.in_flight.get() + 1);
             let _ = stream.reader.fill(1).await;
-            standin.working.set(standin.working.get() - 1);
+            standin.in_flight.set(standin.in_flight.get() - 1);
             standin.runs.borrow_mut().cancelled += 1;
             return Ok(());
         }
@@ -124,7 +127,8 @@
     Ok(body.freeze())
 }
 
-/// Says whether the request is meant for this incarnation of the server.
+/// Returns whether the request is addressed to this incarnation of the server, or to none in
+/// particular.
 fn is_expected(standin: &BackendStandin, head: &request::Parts) -> bool {
     let name = match &standin.options.fields.expected_server {
         Some(name) => name,
--- a/crates/standin/src/backend/work.rs
+++ b/crates/standin/src/backend/work.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Runs requests: spends their service time and gives up those whose sender is gone.
+//! Runs requests: spends their service time and cancels those whose client closes the connection.
 
 use std::time::Duration;
 
@@ -13,19 +13,19 @@
 use crate::backend::runs;
 use crate::backend::{BackendFaults, BackendStandin};
 
-/// Works for the service time; returns whether the other side is still there.
+/// Waits for the service time; returns whether the client is still connected.
 pub async fn run(
     stream: &mut HttpStream,
     standin: &BackendStandin,
     head: &request::Parts,
     faults: &BackendFaults,
 ) -> bool {
-    runs::note_run(standin, head);
+    runs::record_run(standin, head);
     if !faults.crash_path.is_empty() && head.uri.path() == faults.crash_path {
         monoio::time::sleep(Duration::from_millis(faults.crash_after_ms)).await;
         standin.runs.borrow_mut().crashes += 1;
         standin.crash.raise();
-        // The connection ends with all others.
+        // The connection is closed with all others.
         return future::pending().await;
     }
     let mut time = standin.service_time(faults);
@@ -35,15 +35,15 @@
     if faults.quick_errors || time.is_zero() {
         return true;
     }
-    let now = standin.working.get() + 1;
-    standin.working.set(now);
-    runs::note_at_once(standin, now);
+    let now = standin.in_flight.get() + 1;
+    standin.in_flight.set(now);
+    runs::record_concurrency(standin, now);
     let sleep = std::pin::pin!(monoio::time::sleep(time));
-    let gone = std::pin::pin!(stream.reader.fill(1));
-    let stays = matches!(future::select(sleep, gone).await, Either::Left(_));
-    standin.working.set(standin.working.get() - 1);
-    if !stays {
+    let disconnected = std::pin::pin!(stream.reader.fill(1));
+    let connected = matches!(future::select(sleep, disconnected).await, Either::Left(_));
+    standin.in_flight.set(standin.in_flight.get() - 1);
+    if !connected {
         standin.runs.borrow_mut().cancelled += 1;
     }
-    stays
+    connected
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,9 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Stand-ins for tests and the demo: the platform, and backend servers that fail gray.
+//! Simulators for tests and the demo: the platform, and backend servers with gray failures.
 //!
-//! Each has faults that are switched on over a control path while it runs.
+//! Faults of each are set over a control endpoint while it runs.
 
 pub mod backend;
 pub mod platform;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! `basaltarch-standin`: stand-ins of the platform and of a backend server, for tests and the demo.
+//! `basaltarch-standin`: simulators of the platform and of a backend server, for tests and the
+//! demo.
 
 #![allow(missing_docs, reason = "the command-line macro makes items without doc comments")]
 
@@ -25,41 +26,41 @@
 
 mod flags {
     xflags::xflags! {
-        /// Stand-ins of the platform and of a backend server, for tests and the demo only.
+        /// Simulates the platform or a backend server, for tests and the demo only.
         cmd basaltarch-standin {
-            /// Runs the platform: rows, their feed, and objects.
+            /// Runs a simulated platform: rows, their change feed, and objects.
             cmd platform {
                 /// Address to listen on (BASALTARCH_LISTEN, default 127.0.0.1:0).
                 optional --listen address: String
-                /// A second address, for hosts that some outages strike alone (BASALTARCH_LISTEN_SECOND).
+                /// Address for hosts that outages can be limited to (BASALTARCH_LISTEN_SECOND).
                 optional --listen-second address: String
             }
-            /// Runs a backend server.
+            /// Runs a simulated backend server.
             cmd backend {
                 /// Address to listen on (BASALTARCH_LISTEN, default 127.0.0.1:0).
                 optional --listen address: String
-                /// Name in the x-served-by header (BASALTARCH_NAME, default backend).
+                /// Value of the x-served-by header field (BASALTARCH_NAME, default backend).
                 optional --name name: String
                 /// Median service time in ms (BASALTARCH_SERVICE_MS, default 0).
                 optional --service-ms ms: String
-                /// Spread of the logarithm of the service time (BASALTARCH_SPREAD, default 0.3).
+                /// Spread (log-normal) of the service time (BASALTARCH_SPREAD, default 0.3).
                 optional --spread spread: String
-                /// Connections accepted (BASALTARCH_CONNECTIONS, default 400).
+                /// Connections served at once (BASALTARCH_CONNECTIONS, default 400).
                 optional --connections count: String
                 /// Seed of the random numbers (BASALTARCH_SEED, default 1).
                 optional --seed seed: String
-                /// Knows the header fields of the prepared platform.
+                /// Uses the names of header fields of the prepared platform.
                 optional --prepared
             }
-            /// Sends one request to a control path and prints the reply.
+            /// Sends one request to a control endpoint and prints the response.
             cmd tell {
-                /// Address of the stand-in.
+                /// Address of the simulated platform or backend server.
                 required address: String
                 /// Method: GET, PUT or DELETE.
                 required method: String
                 /// Path, such as /control/faults.
                 required path: String
-                /// Body as JSON.
+                /// Request body, as JSON.
                 optional body: String
             }
         }
@@ -67,9 +68,9 @@
 }
 
 const ADDRESS_ALLOWED: &str = "an address such as 127.0.0.1:8080";
-/// Exit status of a control request that failed.
+/// Exit status when a control request failed, or the runtime or listener did not start.
 const EXIT_FAILED: i32 = 1;
-/// Longest time of a control request.
+/// Time-out of a control request.
 const TELL_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn main() {
@@ -105,7 +106,7 @@
     }
 }
 
-fn finish<T>(result: Result<T, basaltarch_telemetry::errors::StartError>) {
+fn exit_on_error<T>(result: Result<T, basaltarch_telemetry::errors::StartError>) {
     if let Err(error) = result {
         eprintln!("basaltarch-standin: {error}");
         process::exit(EXIT_FAILED);
@@ -115,7 +116,7 @@
 fn run_platform(flags: flags::Platform) -> Result<(), SettingError> {
     let address = listen_address(flags.listen)?;
     let second = settings::optional("listen-second", flags.listen_second, ADDRESS_ALLOWED)?;
-    finish(runtime::run(async move {
+    exit_on_error(runtime::run(async move {
         let standin = Rc::new(PlatformStandin::default());
         if let Some(second) = second {
             let serving = platform::serve(listen(second), standin.clone(), HostGroup::Second);
@@ -146,7 +147,7 @@
         settings::checked("connections", flags.connections, 400, "1 to 65536", |count| {
             (1..=65_536).contains(count)
         })?;
-    finish(runtime::run(async move {
+    exit_on_error(runtime::run(async move {
         backend::serve(listen(address), BackendStandin::new(options), connections).await;
     }));
     Ok(())
@@ -172,7 +173,7 @@
             eprintln!("basaltarch-standin: {error}");
             process::exit(EXIT_FAILED);
         }
-        Err(error) => finish::<()>(Err(error)),
+        Err(error) => exit_on_error::<()>(Err(error)),
     }
     Ok(())
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The stand-in platform: rows, their feed, and objects over HTTP, with faults.
+//! The simulated platform: rows, their change feed, and objects over HTTP, with injected faults.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,82 +22,84 @@
 
 /// Path of the faults: `GET` them or `PUT` new ones.
 pub const FAULTS_PATH: &str = "/control/faults";
-/// Path of a row: `PUT` writes it past all faults and rules, as the operator does; `DELETE` removes
-/// it. The table, a slash and the key follow; the body is the value. `PATCH` tells of the body in place of
-/// the encoded value, though nobody may be able to read it.
+/// Path of a row, followed by the table, a slash and the key: `PUT` writes the body as its value,
+/// bypassing all faults and rules, as the operator does; `DELETE` removes it. `PATCH` stores the
+/// body without encoding it as a value, so that readers may be unable to decode it.
 pub const ROWS_CONTROL_PATH: &str = "/control/rows/";
-/// Path of the copy that the platform comes back from: `PUT` takes one, `DELETE` comes back from it, as the
+/// Path of the copy of all rows: `PUT` takes one, `DELETE` restores the rows from it and begins the
 /// next era.
 pub const COPY_PATH: &str = "/control/copy";
 /// Path of the counters: `GET`.
 pub const COUNTERS_PATH: &str = "/control/counters";
-/// Connections served at once: a client of each of a few hundred daemons.
+/// Connections served at once, enough for a client in each of a few hundred daemons.
 const CONNECTIONS_MAX: usize = 4096;
-/// Time between looks of a waiting feed.
-const FEED_LOOK: Duration = Duration::from_millis(5);
-/// Time for which a silent platform holds a call: longer than any caller waits.
-const SILENCE: Duration = Duration::from_secs(60);
-/// Largest request: a configuration of the two-year size as one object.
+/// Interval at which a waiting feed request checks for changes.
+const FEED_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time for which a silent platform holds a call, longer than the time-out of any client.
+const SILENT_HOLD_TIME: Duration = Duration::from_secs(60);
+/// Largest request body: a configuration of the size expected in two years, as one object.
 const BODY_BYTES_MAX: u64 = 512 << 20;
 
 /// `PlatformFaults` are the faults in force.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformFaults {
-    /// Connections are dropped without an answer.
+    /// Connections are dropped without a response.
     pub down: bool,
     /// Calls are neither answered nor dropped.
     pub silent: bool,
-    /// Every call is refused with status 503; nothing is done.
+    /// Every call is refused with status 503 and has no effect.
     pub busy: bool,
-    /// Every call is refused with status 429, as if there were too many; nothing is done.
+    /// Every call is refused with status 429, as if there were too many, and has no effect.
     pub many: bool,
-    /// The four outages above strike only the hosts of the second group; the first is served.
+    /// The four outages above affect only hosts of the second group; the first is served.
     pub second_group_only: bool,
-    /// Time that each call takes, in milliseconds.
+    /// Delay of each call, in milliseconds.
     pub delay_ms: u64,
-    /// So many coming writes take effect while their answers are lost.
+    /// Number of upcoming writes that take effect but whose responses are lost.
     pub lose_write_answers: u64,
-    /// So many coming writes take effect this long after their connection was dropped.
+    /// Number of upcoming writes that take effect only `late_by_ms` after their connection was
+    /// dropped.
     pub late_writes: u64,
-    /// How late such a write is, in milliseconds.
+    /// Delay of such a write, in milliseconds.
     pub late_by_ms: u64,
-    /// So many coming writes are lost before they take effect.
+    /// Number of upcoming writes that are lost before they take effect.
     pub lose_writes: u64,
-    /// Reads answer from this long ago, in milliseconds.
+    /// Age of the state that reads return, in milliseconds.
     pub reads_from_past_ms: u64,
-    /// The history of changes is forgotten once, as this is set.
+    /// Discards the history of changes once, when the faults are set.
     pub forget_history: bool,
-    /// Calls a second beyond which calls are refused; 0 for no bound.
+    /// Calls per second beyond which calls are refused; 0 for no limit.
     pub calls_per_second_max: u64,
 }
 
-/// `HostGroup` tells hosts apart by the address at which they call the stand-in.
+/// `HostGroup` distinguishes hosts by the address at which they call the simulated platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostGroup {
     /// Hosts that call the first address.
     First,
-    /// Hosts that call the second address, which some outages strike alone.
+    /// Hosts that call the second address, to which outages can be limited.
     Second,
 }
 
 /// `PlatformCounters` count calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlatformCounters {
-    /// Transactions asked for.
+    /// Transactions requested.
     pub transactions: u64,
-    /// Reads and scans asked for.
+    /// All other calls: reads, feeds and objects.
     pub reads: u64,
 }
 
-/// `PlatformStandin` is the state of the stand-in.
+/// `PlatformStandin` is the state of the simulated platform.
 pub struct PlatformStandin {
     table: RefCell<PlatformTable>,
     objects: RefCell<FnvHashMap<String, Bytes>>,
     faults: RefCell<PlatformFaults>,
     counters: Cell<PlatformCounters>,
-    second: Cell<(u64, u64)>,
-    /// Times that it came back from a copy.
+    /// Second that calls are counted in, and the number of calls in it.
+    rate_window: Cell<(u64, u64)>,
+    /// Number of restores from a copy.
     era: Cell<u64>,
     started: Instant,
 }
@@ -109,14 +111,14 @@
             objects: RefCell::default(),
             faults: RefCell::default(),
             counters: Cell::default(),
-            second: Cell::default(),
+            rate_window: Cell::default(),
             era: Cell::default(),
             started: Instant::now(),
         }
     }
 }
 
-/// Serves the stand-in to one group of hosts for ever.
+/// Serves the simulated platform to one group of hosts for ever.
 pub async fn serve(listener: TcpListener, standin: Rc<PlatformStandin>, group: HostGroup) {
     let limits = ServerLimits::with_body_bytes(BODY_BYTES_MAX);
     let answer = move |request| {
@@ -141,7 +143,7 @@
         if faults.delay_ms > 0 {
             monoio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
-        if let Some(reply) = self.outage(group).await {
+        if let Some(reply) = self.outage_reply(group).await {
             return reply;
         }
         if self.is_over_rate(faults.calls_per_second_max) {
@@ -156,14 +158,14 @@
         }
     }
 
-    /// Returns what a call gets while the platform is out for its host, after as long as it takes.
-    async fn outage(&self, group: HostGroup) -> Option<ServerReply> {
+    /// Returns the reply of an outage that affects the caller's group, at once or after a silence.
+    async fn outage_reply(&self, group: HostGroup) -> Option<ServerReply> {
         let faults = self.faults.borrow().clone();
         if faults.second_group_only && group == HostGroup::First {
             return None;
         }
         if faults.silent {
-            monoio::time::sleep(SILENCE).await;
+            monoio::time::sleep(SILENT_HOLD_TIME).await;
             return Some(hang_up());
         }
         if faults.down {
@@ -175,12 +177,12 @@
         faults.many.then(|| ServerReply::empty(StatusCode::TOO_MANY_REQUESTS))
     }
 
-    fn is_over_rate(&self, most: u64) -> bool {
+    fn is_over_rate(&self, rate_max: u64) -> bool {
         let second = self.started.elapsed().as_secs();
-        let (last, count) = self.second.get();
+        let (last, count) = self.rate_window.get();
         let count = if last == second { count + 1 } else { 1 };
-        self.second.set((second, count));
-        most > 0 && count > most
+        self.rate_window.set((second, count));
+        rate_max > 0 && count > rate_max
     }
 
     fn count(&self, path: &str) {
@@ -227,18 +229,18 @@
         let standin = self.clone();
         monoio::spawn(async move {
             monoio::time::sleep(delay).await;
-            // Nobody hears whether the conditions still held.
+            // The connection is closed, so a failed expectation can't be reported.
             let _ = standin.table.borrow_mut().transact(&body);
         });
     }
 
     fn read(&self, request: &ServerRequest) -> ServerReply {
         let age = Duration::from_millis(self.faults.borrow().reads_from_past_ms);
-        let limit = text_of(request, "limit").parse().unwrap_or(rows::PAGE_ROWS_MAX);
+        let limit = query_text(request, "limit").parse().unwrap_or(rows::PAGE_ROWS_MAX);
         let page = self.table.borrow().read(
-            &text_of(request, "table"),
-            &text_of(request, "part"),
-            &text_of(request, "from"),
+            &query_text(request, "table"),
+            &query_text(request, "part"),
+            &query_text(request, "from"),
             limit.min(rows::PAGE_ROWS_MAX),
             age,
         );
@@ -246,9 +248,9 @@
     }
 
     async fn feed(&self, request: &ServerRequest, group: HostGroup) -> ServerReply {
-        let table = text_of(request, "table");
-        let after = text_of(request, "after").parse().unwrap_or(0);
-        let wait = Duration::from_millis(text_of(request, "waitMs").parse().unwrap_or(0));
+        let table = query_text(request, "table");
+        let after = query_text(request, "after").parse().unwrap_or(0);
+        let wait = Duration::from_millis(query_text(request, "waitMs").parse().unwrap_or(0));
         let begin = Instant::now();
         loop {
             let page: PageBody = match self.table.borrow().changes(&table, after) {
@@ -258,8 +260,8 @@
             if !page.rows.is_empty() || begin.elapsed() >= wait {
                 return ServerReply::json(StatusCode::OK, &page);
             }
-            monoio::time::sleep(FEED_LOOK).await;
-            if let Some(reply) = self.outage(group).await {
+            monoio::time::sleep(FEED_POLL_INTERVAL).await;
+            if let Some(reply) = self.outage_reply(group).await {
                 return reply;
             }
         }
@@ -293,8 +295,8 @@
     fn control(&self, request: &ServerRequest) -> ServerReply {
         let method = &request.head.method;
         let path = request.path();
-        if let Some(place) = path.strip_prefix(ROWS_CONTROL_PATH) {
-            return self.change_row(method, place, &request.body);
+        if let Some(row_path) = path.strip_prefix(ROWS_CONTROL_PATH) {
+            return self.change_row(method, row_path, &request.body);
         }
         match (method.as_str(), path) {
             ("GET", COUNTERS_PATH) => ServerReply::json(StatusCode::OK, &self.counters.get()),
@@ -320,7 +322,7 @@
 
     fn set_faults(&self, mut faults: PlatformFaults) -> ServerReply {
         if faults.reads_from_past_ms > 0 {
-            self.table.borrow_mut().keep_past();
+            self.table.borrow_mut().keep_snapshots();
         }
         if std::mem::take(&mut faults.forget_history) {
             self.table.borrow_mut().forget_history();
@@ -329,9 +331,9 @@
         ServerReply::empty(StatusCode::NO_CONTENT)
     }
 
-    fn change_row(&self, method: &Method, place: &str, value: &[u8]) -> ServerReply {
-        let (table, key) = match place.split_once('/') {
-            Some(place) => place,
+    fn change_row(&self, method: &Method, row_path: &str, value: &[u8]) -> ServerReply {
+        let (table, key) = match row_path.split_once('/') {
+            Some(row_path) => row_path,
             None => return ServerReply::empty(StatusCode::NOT_FOUND),
         };
         let entry = rows::RowEntry {
@@ -355,8 +357,8 @@
     }
 }
 
-/// Returns a parameter of the query as text, empty when it is not given.
-fn text_of(request: &ServerRequest, name: &str) -> String {
+/// Returns a query parameter as text, empty when it is missing.
+fn query_text(request: &ServerRequest, name: &str) -> String {
     let value = request.query(name).unwrap_or_default();
     percent_decode_str(value).decode_utf8_lossy().into_owned()
 }
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -1,15 +1,15 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The stand-in platform's transactional rows, in memory.
+//! The transactional rows of the simulated platform, in memory.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use basaltarch_platform::rows::{PageBody, RowEntry, TransactBody};
 
-/// Past states kept for answers from the past.
-const PAST_MAX: usize = 64;
+/// Snapshots kept for reads of an older state.
+const SNAPSHOTS_MAX: usize = 64;
 
 /// `RowKey` orders rows by table, part and key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,33 +19,34 @@
     key: String,
 }
 
-/// `KeptRow` is a row with the transaction that wrote it; a removed one has no value.
+/// `VersionedRow` is a row with the version of the transaction that wrote it; a removed row has no
+/// value.
 #[derive(Debug, Clone, PartialEq)]
-struct KeptRow {
+struct VersionedRow {
     version: u64,
     value: Option<String>,
 }
 
-type TableRows = BTreeMap<RowKey, KeptRow>;
+type TableRows = BTreeMap<RowKey, VersionedRow>;
 
 /// `PlatformTable` holds the rows of all tables.
 #[derive(Debug, Default)]
 pub struct PlatformTable {
     rows: TableRows,
     version: u64,
-    /// Version before which the feed knows nothing.
-    forgotten: u64,
-    past: VecDeque<(Instant, TableRows)>,
-    keep_past: bool,
+    /// Version before which the history of changes was discarded.
+    history_start: u64,
+    snapshots: VecDeque<(Instant, TableRows)>,
+    keep_snapshots: bool,
     copy: TableCopy,
 }
 
-/// `TableCopy` is what the table comes back from: nothing at all before the first copy.
+/// `TableCopy` is the copy that the table is restored from: empty before the first one is taken.
 #[derive(Debug, Clone, Default)]
 struct TableCopy {
     rows: TableRows,
     version: u64,
-    forgotten: u64,
+    history_start: u64,
 }
 
 impl RowKey {
@@ -53,7 +54,7 @@
         Self { table: entry.table.clone(), part: entry.part.clone(), key: entry.key.clone() }
     }
 
-    fn entry(&self, row: &KeptRow) -> RowEntry {
+    fn entry(&self, row: &VersionedRow) -> RowEntry {
         RowEntry {
             table: self.table.clone(),
             part: self.part.clone(),
@@ -66,54 +67,55 @@
 }
 
 impl PlatformTable {
-    /// Keeps past states from now on, for answers from the past.
-    pub fn keep_past(&mut self) {
-        if !self.keep_past {
-            self.past.push_back((Instant::now(), self.rows.clone()));
+    /// Starts to keep a snapshot per transaction, for reads of an older state.
+    pub fn keep_snapshots(&mut self) {
+        if !self.keep_snapshots {
+            self.snapshots.push_back((Instant::now(), self.rows.clone()));
         }
-        self.keep_past = true;
+        self.keep_snapshots = true;
     }
 
-    /// Returns the number of the last transaction.
+    /// Returns the version of the last transaction.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes a copy of the table, in place of the one before.
+    /// Takes a copy of the table, which replaces the previous one.
     pub fn take_copy(&mut self) {
-        let (version, forgotten) = (self.version, self.forgotten);
-        self.copy = TableCopy { rows: self.rows.clone(), version, forgotten };
+        let (version, history_start) = (self.version, self.history_start);
+        self.copy = TableCopy { rows: self.rows.clone(), version, history_start };
     }
 
-    /// Brings the table back from its copy: what was written since is gone, and its numbers are given out
+    /// Restores the table from its copy: later writes are lost, and their versions are assigned
     /// again.
     pub fn restore(&mut self) {
-        let TableCopy { rows, version, forgotten } = self.copy.clone();
+        let TableCopy { rows, version, history_start } = self.copy.clone();
         self.rows = rows;
         self.version = version;
-        self.forgotten = forgotten;
+        self.history_start = history_start;
     }
 
-    /// Forgets what changed so far, so that feeds must be read anew.
+    /// Discards the history of changes, so that readers of the feed must read the table again.
     pub fn forget_history(&mut self) {
-        // A transaction of nothing, so that also the newest version that readers hold is forgotten.
+        // Counts as an empty transaction, so that the newest version that readers hold lies before
+        // the history too.
         self.version += 1;
-        self.forgotten = self.version;
+        self.history_start = self.version;
         self.rows.retain(|_, row| row.value.is_some());
     }
 
-    /// Runs a transaction: its page, or the rows that are not as expected.
+    /// Runs a transaction. Returns its version, or as an error the rows that are not as expected.
     pub fn transact(&mut self, body: &TransactBody) -> Result<PageBody, PageBody> {
-        let version_of = |entry: &RowEntry| {
+        let current_row = |entry: &RowEntry| {
             let row = self.rows.get(&RowKey::of(entry)).filter(|row| row.value.is_some());
             row.cloned()
         };
         let mut conflicts = Vec::new();
         for entry in &body.expectations {
-            let row = version_of(entry);
+            let row = current_row(entry);
             let version = row.as_ref().map_or(0, |row| row.version);
             if entry.ver.unwrap_or(0) != version {
-                let none = KeptRow { version: 0, value: None };
+                let none = VersionedRow { version: 0, value: None };
                 conflicts.push(RowKey::of(entry).entry(&row.unwrap_or(none)));
             }
         }
@@ -124,31 +126,31 @@
         let version = self.version;
         for entry in &body.put {
             let value = entry.value.clone().or(Some(String::new()));
-            self.rows.insert(RowKey::of(entry), KeptRow { version, value });
+            self.rows.insert(RowKey::of(entry), VersionedRow { version, value });
         }
         for entry in &body.remove {
-            self.rows.insert(RowKey::of(entry), KeptRow { version, value: None });
+            self.rows.insert(RowKey::of(entry), VersionedRow { version, value: None });
         }
-        if self.keep_past {
-            self.past.push_back((Instant::now(), self.rows.clone()));
-            if self.past.len() > PAST_MAX {
-                self.past.pop_front();
+        if self.keep_snapshots {
+            self.snapshots.push_back((Instant::now(), self.rows.clone()));
+            if self.snapshots.len() > SNAPSHOTS_MAX {
+                self.snapshots.pop_front();
             }
         }
         Ok(PageBody { ver: version, ..PageBody::default() })
     }
 
     fn rows_at(&self, age: Duration) -> &TableRows {
-        if age.is_zero() || !self.keep_past {
+        if age.is_zero() || !self.keep_snapshots {
             return &self.rows;
         }
         let then = Instant::now().checked_sub(age);
         let old_enough = |at: &Instant| then.is_some_and(|then| *at <= then);
-        let state = self.past.iter().rev().find(|(at, _)| old_enough(at));
-        state.or(self.past.front()).map_or(&self.rows, |(_, rows)| rows)
+        let state = self.snapshots.iter().rev().find(|(at, _)| old_enough(at));
+        state.or(self.snapshots.front()).map_or(&self.rows, |(_, rows)| rows)
     }
 
-    /// Reads the rows of a part from a key on, as they were `age` ago.
+    /// Reads the rows of a partition from a key on, as they were `age` ago.
     pub fn read(
         &self,
         table: &str,
@@ -165,10 +167,10 @@
         PageBody { rows, more: found.next().is_some(), ver: self.version, ..PageBody::default() }
     }
 
-    /// Lists what changed in a table after a version, oldest first; nothing if that is forgotten, or was
-    /// never given out.
+    /// Lists the rows of a table that changed after a version, oldest first. Returns `None` if the
+    /// history since that version was discarded, or the version was never assigned.
     pub fn changes(&self, table: &str, after: u64) -> Option<PageBody> {
-        if after < self.forgotten || after > self.version {
+        if after < self.history_start || after > self.version {
             return None;
         }
         let of_table = self.rows.iter().filter(|(key, _)| key.table == table);
