--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Callers at every daemon, who ask for what the operator just changed, and what became of their requests.
+//! Simulated callers of every daemon, which request the routes that the operator just changed and
+//! classify the responses.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -18,42 +19,42 @@
 
 use crate::fleet::{self, SoakHost};
 use crate::judge::{CallerSample, SeenAnswer};
-use crate::operator::{AskedRoute, SoakOperator, HOST};
+use crate::operator::{RequestedRoute, SoakOperator, HOST};
 
-/// Time that a caller gives a request.
+/// Deadline of a request, sent with it.
 const DEADLINE: Duration = Duration::from_secs(2);
-/// Longest and shortest pause between two requests of a caller.
+/// Shortest and longest pause between two requests of a caller, in milliseconds.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 40..=120;
-/// Pause of a caller whose daemon is down.
+/// Interval at which a caller checks for its daemon while that is down.
 const DOWN_PAUSE: Duration = Duration::from_millis(50);
 
-/// `AnswerFault` is a promise of one exchange that was broken.
+/// `AnswerViolation` is a guarantee of one exchange that was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AnswerFault {
-    /// A success that is not the whole answer to the request that was sent.
+pub enum AnswerViolation {
+    /// A successful response that is not the complete response to the request that was sent.
     NotItsOwn,
-    /// A refusal as not run of a request that ran.
+    /// A refusal which says that the request was not run, of a request that ran.
     RanAfterAll,
-    /// Work that may run once ran so often.
+    /// A non-repeatable request ran more than once: this number of times.
     RanTwice(u64),
 }
 
-/// `PlainRequests` remembers work that may run once, to compare with what ran.
+/// `PlainRequests` records the non-repeatable requests, to compare them with what ran.
 #[derive(Default)]
 pub struct PlainRequests {
-    /// Whether each was refused with the word that it did not run, by its id.
+    /// Whether the response of each said that it was not run, by request id.
     refused: RefCell<FnvHashMap<String, bool>>,
 }
 
 impl PlainRequests {
-    /// Compares with what the backend servers ran.
-    pub fn faults(&self, runs: &FnvHashMap<String, u64>) -> Vec<(String, AnswerFault)> {
+    /// Returns the violations, given how often the backend servers ran each request.
+    pub fn violations(&self, runs: &FnvHashMap<String, u64>) -> Vec<(String, AnswerViolation)> {
         let refused = self.refused.borrow();
         let found = refused.iter().filter_map(|(id, refused)| {
             let count = runs.get(id).copied().unwrap_or(0);
             match (*refused, count) {
-                (true, 1..) => Some((id.clone(), AnswerFault::RanAfterAll)),
-                (false, 2..) => Some((id.clone(), AnswerFault::RanTwice(count))),
+                (true, 1..) => Some((id.clone(), AnswerViolation::RanAfterAll)),
+                (false, 2..) => Some((id.clone(), AnswerViolation::RanTwice(count))),
                 _ => None,
             }
         });
@@ -61,73 +62,76 @@
     }
 }
 
-/// `CallerPlan` is what a caller works by.
+/// `CallerPlan` holds the settings and the state of a caller.
 pub struct CallerPlan {
-    /// Number of its host.
+    /// Index of its host.
     pub number: usize,
     /// The host.
     pub host: Rc<SoakHost>,
-    /// Which of the host's callers it is.
+    /// Index of the caller among those of its host.
     pub caller: usize,
-    /// The operator, for what changed.
+    /// The operator, which knows the newest step.
     pub operator: Rc<SoakOperator>,
-    /// Work that may run once.
+    /// The non-repeatable requests of all callers.
     pub plain: Rc<PlainRequests>,
-    /// When the run began.
+    /// Time at which the run began.
     pub began: Instant,
-    /// Random numbers of its own.
+    /// Random numbers of this caller.
     pub rng: ChaCha8Rng,
 }
 
-/// Sends requests for ever, and hands each with what became of it to `on_sample`.
+/// Sends requests for ever, and passes the outcome of each to `on_sample`.
 pub async fn run(
     mut plan: CallerPlan,
-    on_sample: impl Fn(CallerSample, Option<AnswerFault>) + 'static,
+    on_sample: impl Fn(CallerSample, Option<AnswerViolation>) + 'static,
 ) {
     let mut client: Option<(u64, HttpClient)> = None;
     let mut count = 0;
     loop {
-        let start = plan.host.daemon_start();
+        let incarnation = plan.host.daemon_incarnation();
         let Some(address) = plan.host.callers() else {
             client = None;
             monoio::time::sleep(DOWN_PAUSE).await;
             continue;
         };
-        // A connection is kept until its daemon is gone.
-        if client.as_ref().is_none_or(|(of, _)| *of != start) {
-            client = Some((start, HttpClient::new(address, DEADLINE * 2)));
+        // A client and its connections are kept until the daemon is restarted.
+        if client.as_ref().is_none_or(|(of, _)| *of != incarnation) {
+            client = Some((incarnation, HttpClient::new(address, DEADLINE * 2)));
         }
         count += 1;
         let id = format!("{}-{}-{count}", plan.host.name, plan.caller);
         let route = choose_route(&mut plan);
         let sent_at = plan.began.elapsed();
         if let Some((_, client)) = &client {
-            let reply = ask(client, route, &id).await;
-            let (answer, fault) = read(&plan, route, &id, reply.as_ref());
+            let reply = send_request(client, route, &id).await;
+            let (answer, fault) = classify(&plan, route, &id, reply.as_ref());
             let answered_at = plan.began.elapsed();
             let host = plan.number;
-            on_sample(CallerSample { host, start, id, sent_at, answered_at, route, answer }, fault);
+            on_sample(
+                CallerSample { host, incarnation, id, sent_at, answered_at, route, answer },
+                fault,
+            );
         }
         let pause = plan.rng.random_range(PAUSE_MS);
         monoio::time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
-fn choose_route(plan: &mut CallerPlan) -> AskedRoute {
+fn choose_route(plan: &mut CallerPlan) -> RequestedRoute {
     let newest = plan.operator.newest();
     let older = newest.saturating_sub(plan.rng.random_range(1..=6));
     let routes = [
-        AskedRoute::Added(newest),
-        AskedRoute::Added(newest),
-        AskedRoute::Moved,
-        AskedRoute::Added(older),
-        AskedRoute::Steady,
-        AskedRoute::Plain,
+        RequestedRoute::Added(newest),
+        RequestedRoute::Added(newest),
+        RequestedRoute::Moved,
+        RequestedRoute::Added(older),
+        RequestedRoute::Steady,
+        RequestedRoute::Plain,
     ];
-    *routes.choose(&mut plan.rng).unwrap_or(&AskedRoute::Steady)
+    *routes.choose(&mut plan.rng).unwrap_or(&RequestedRoute::Steady)
 }
 
-async fn ask(client: &HttpClient, route: AskedRoute, id: &str) -> Option<ClientReply> {
+async fn send_request(client: &HttpClient, route: RequestedRoute, id: &str) -> Option<ClientReply> {
     let fields = headers::exchange_fields();
     let mut lines = HeaderMap::new();
     lines.insert(header::HOST, HeaderValue::from_static(HOST));
@@ -135,40 +139,40 @@
         lines.insert(name, value);
     }
     lines.insert(fields.deadline, HeaderValue::from(DEADLINE.as_millis() as u64));
-    let method = if route == AskedRoute::Plain { Method::POST } else { Method::GET };
+    let method = if route == RequestedRoute::Plain { Method::POST } else { Method::GET };
     client.call(method, &route.path(), lines, Bytes::new()).await.ok()
 }
 
-fn read(
+fn classify(
     plan: &CallerPlan,
-    route: AskedRoute,
+    route: RequestedRoute,
     id: &str,
     reply: Option<&ClientReply>,
-) -> (SeenAnswer, Option<AnswerFault>) {
+) -> (SeenAnswer, Option<AnswerViolation>) {
     let status = reply.map(|reply| reply.status);
-    if route == AskedRoute::Plain {
-        let refused = status.is_some_and(promises_not_run);
+    if route == RequestedRoute::Plain {
+        let refused = status.is_some_and(reports_not_run);
         plan.plain.refused.borrow_mut().insert(id.to_owned(), refused);
     }
     match (status, reply) {
         (Some(StatusCode::NOT_FOUND), _) => (SeenAnswer::Missing, None),
         (Some(StatusCode::OK), Some(reply)) => match service_in(reply, route, id) {
             Some(service) => (SeenAnswer::ServedBy(service), None),
-            None => (SeenAnswer::NoWord, Some(AnswerFault::NotItsOwn)),
+            None => (SeenAnswer::Inconclusive, Some(AnswerViolation::NotItsOwn)),
         },
-        _ => (SeenAnswer::NoWord, None),
+        _ => (SeenAnswer::Inconclusive, None),
     }
 }
 
-fn promises_not_run(status: StatusCode) -> bool {
+fn reports_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::NOT_FOUND | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
     )
 }
 
-/// Returns the service that answered, if the body is the whole answer to this request.
-fn service_in(reply: &ClientReply, route: AskedRoute, id: &str) -> Option<usize> {
+/// Returns the service that answered, if the body is the complete response to this request.
+fn service_in(reply: &ClientReply, route: RequestedRoute, id: &str) -> Option<usize> {
     let text = std::str::from_utf8(&reply.body).ok()?;
     let (server, rest) = text.split_once(' ')?;
     let own = rest == format!("200 {} {id}\n", route.path());
--- a/crates/soak/src/errors.rs
+++ b/crates/soak/src/errors.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of the soak: why a run could not be made.
+//! Errors that end a run or one of its steps.
 
 use std::io;
 use std::path::PathBuf;
@@ -11,20 +11,20 @@
 use basaltarch_telemetry::errors::StartError;
 use snafu::Snafu;
 
-/// `SoakError` says why a run could not be made.
+/// `SoakError` is the reason why a run, or one of its steps, failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum SoakError {
-    /// A setting is wrong.
+    /// A setting is invalid.
     #[snafu(display("{source}"))]
     Setting {
-        /// What is wrong.
+        /// The invalid setting.
         source: SettingError,
     },
-    /// The runtime failed.
+    /// The runtime did not start.
     #[snafu(display("{source}"))]
     Start {
-        /// What failed.
+        /// Error of the runtime.
         source: StartError,
     },
     /// A program can't be started, or its log can't be written.
@@ -35,34 +35,34 @@
         /// What the system reported.
         source: io::Error,
     },
-    /// A proxy can't listen.
-    #[snafu(display("a proxy can't listen: {source}"))]
+    /// A fault proxy can't listen.
+    #[snafu(display("fault proxy can't listen on 127.0.0.1: {source}"))]
     Listen {
         /// What the system reported.
         source: io::Error,
     },
-    /// A process did not do what was waited for.
-    #[snafu(display("{name} did not come up: {what}"))]
-    Silent {
-        /// Name of the process.
+    /// A process did not log that it is ready, or not as expected.
+    #[snafu(display("{name} is not ready: {what} missing from its log"))]
+    NotReady {
+        /// Name of the process, or the line of its log that lacks an address.
         name: String,
-        /// What was waited for.
+        /// Line or field that is missing.
         what: &'static str,
     },
-    /// A process can't be talked to.
+    /// A call to a process failed.
     #[snafu(display("{what}: {source}"))]
     Call {
         /// What was called.
         what: &'static str,
-        /// What failed.
+        /// Error of the exchange.
         source: HttpError,
     },
-    /// A process refused what the soak asked of it.
-    #[snafu(display("{what} was refused with status {status}"))]
+    /// A process refused a call.
+    #[snafu(display("{what}: refused with status {status}"))]
     Refused {
         /// What was called.
         what: &'static str,
-        /// Status of the answer.
+        /// Status of the response.
         status: u16,
     },
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Troubles from outside, drawn from a seed: in series, and overlapping.
+//! Fault injection from outside the processes, drawn from a seed: faults follow each other and may
+//! overlap.
 
 use std::rc::Rc;
 use std::thread;
@@ -16,78 +17,78 @@
 use crate::proxy::ProxyHold;
 use crate::run::SoakState;
 
-/// Kinds of trouble.
+/// `FaultKind` is a kind of injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TroubleKind {
-    /// Connections of some hosts to the store fall silent for good.
+pub enum FaultKind {
+    /// Connections of some hosts to the store are black-holed for good.
     SilentStore,
-    /// Half of all connections, to the store and between daemons, fall silent for good.
+    /// Half of all connections, to the store and between daemons, are black-holed for good.
     SilentHalf,
-    /// All of them do.
+    /// All connections, to the store and between daemons, are black-holed for good.
     SilentAll,
-    /// A host's path to the store is held, in one direction or both.
+    /// Data between a host and the store is held back, in one direction or both.
     HeldStore,
-    /// The paths to a host's daemon are held, in one direction or both.
+    /// Data between a host's daemon and its peers is held back, in one direction or both.
     HeldPeers,
-    /// A daemon stands still.
+    /// A daemon is suspended with SIGSTOP.
     Paused,
-    /// A daemon is killed and started again.
+    /// A daemon is killed and restarted.
     Killed,
-    /// A daemon is asked to stop and started again.
+    /// A daemon is stopped with SIGTERM and restarted.
     Stopped,
-    /// The store refuses or drops calls.
+    /// The store refuses calls or drops their connections.
     StoreOut,
-    /// The store takes long to answer.
+    /// The store answers late.
     StoreSlow,
-    /// The store forgets its history.
+    /// The store discards its history of changes.
     Forgotten,
-    /// Other work takes the processor.
+    /// Other threads compete for the processor.
     Starved,
 }
 
 /// Every kind, with its name on the command line.
-pub const KINDS: [(TroubleKind, &str); 12] = [
-    (TroubleKind::SilentStore, "silent-store"),
-    (TroubleKind::SilentHalf, "silent-half"),
-    (TroubleKind::SilentAll, "silent-all"),
-    (TroubleKind::HeldStore, "held-store"),
-    (TroubleKind::HeldPeers, "held-peers"),
-    (TroubleKind::Paused, "paused"),
-    (TroubleKind::Killed, "killed"),
-    (TroubleKind::Stopped, "stopped"),
-    (TroubleKind::StoreOut, "store-out"),
-    (TroubleKind::StoreSlow, "store-slow"),
-    (TroubleKind::Forgotten, "forgotten"),
-    (TroubleKind::Starved, "starved"),
+pub const KINDS: [(FaultKind, &str); 12] = [
+    (FaultKind::SilentStore, "silent-store"),
+    (FaultKind::SilentHalf, "silent-half"),
+    (FaultKind::SilentAll, "silent-all"),
+    (FaultKind::HeldStore, "held-store"),
+    (FaultKind::HeldPeers, "held-peers"),
+    (FaultKind::Paused, "paused"),
+    (FaultKind::Killed, "killed"),
+    (FaultKind::Stopped, "stopped"),
+    (FaultKind::StoreOut, "store-out"),
+    (FaultKind::StoreSlow, "store-slow"),
+    (FaultKind::Forgotten, "forgotten"),
+    (FaultKind::Starved, "starved"),
 ];
 
-/// Shortest and longest pause between the beginnings of two troubles, in milliseconds. Troubles that overlap
-/// come from those that last longer than the pause.
+/// Shortest and longest pause between the beginnings of two faults, in milliseconds. Faults that
+/// last longer than the pause overlap with the next one.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 500..=7000;
-/// How long a trouble lasts, in milliseconds.
+/// Shortest and longest duration of a fault, in milliseconds.
 const LENGTH_MS: std::ops::RangeInclusive<u64> = 300..=6000;
-/// Threads that take the processor.
+/// Threads that spin to starve the processes.
 const BUSY_THREADS: usize = 4;
 
-/// Returns the kind of this name.
-pub fn kind_of(name: &str) -> Option<TroubleKind> {
+/// Returns the kind of this name, if there is one.
+pub fn kind_of(name: &str) -> Option<FaultKind> {
     KINDS.iter().find(|(_, known)| *known == name).map(|(kind, _)| *kind)
 }
 
-/// `TroublePlan` is one trouble as drawn.
+/// `FaultPlan` is one fault with its parameters, as drawn.
 #[derive(Debug, Clone)]
-struct TroublePlan {
-    kind: TroubleKind,
+struct FaultPlan {
+    kind: FaultKind,
     hosts: Vec<usize>,
     hold: ProxyHold,
     length: Duration,
-    /// Faults of the store.
+    /// Faults to set at the store.
     store: Value,
     seed: u64,
 }
 
-/// Troubles the fleet for ever.
-pub async fn run(state: Rc<SoakState>, kinds: Vec<TroubleKind>, mut rng: ChaCha8Rng) {
+/// Injects faults into the fleet for ever.
+pub async fn run(state: Rc<SoakState>, kinds: Vec<FaultKind>, mut rng: ChaCha8Rng) {
     loop {
         let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
         monoio::time::sleep(pause).await;
@@ -98,26 +99,26 @@
     }
 }
 
-fn draw(kind: TroubleKind, hosts: usize, rng: &mut ChaCha8Rng) -> TroublePlan {
+fn draw(kind: FaultKind, hosts: usize, rng: &mut ChaCha8Rng) -> FaultPlan {
     let count = match kind {
-        TroubleKind::SilentHalf | TroubleKind::SilentAll => hosts,
-        TroubleKind::SilentStore => (hosts / 3).max(1),
-        TroubleKind::HeldStore | TroubleKind::HeldPeers => (hosts / 6).max(1),
-        TroubleKind::Paused | TroubleKind::Killed | TroubleKind::Stopped => (hosts / 12).max(1),
+        FaultKind::SilentHalf | FaultKind::SilentAll => hosts,
+        FaultKind::SilentStore => (hosts / 3).max(1),
+        FaultKind::HeldStore | FaultKind::HeldPeers => (hosts / 6).max(1),
+        FaultKind::Paused | FaultKind::Killed | FaultKind::Stopped => (hosts / 12).max(1),
         _ => 0,
     };
     let holds = [(true, true), (true, false), (false, true)];
     let (forward, back) = *holds.choose(rng).unwrap_or(&(true, true));
     let store = match kind {
-        TroubleKind::StoreOut => {
+        FaultKind::StoreOut => {
             let outages = [json!({"busy": true}), json!({"down": true}), json!({"many": true})];
             outages.choose(rng).cloned().unwrap_or_default()
         }
-        TroubleKind::StoreSlow => json!({"delay_ms": rng.random_range(50..400)}),
-        TroubleKind::Forgotten => json!({"forget_history": true}),
+        FaultKind::StoreSlow => json!({"delay_ms": rng.random_range(50..400)}),
+        FaultKind::Forgotten => json!({"forget_history": true}),
         _ => Value::Null,
     };
-    TroublePlan {
+    FaultPlan {
         kind,
         hosts: (0..hosts).sample(rng, count),
         hold: ProxyHold { forward, back },
@@ -127,25 +128,28 @@
     }
 }
 
-async fn apply(state: &Rc<SoakState>, plan: &TroublePlan) {
-    state.tell(&format!("trouble {:?} hosts {:?} for {:?}", plan.kind, plan.hosts, plan.length));
+async fn apply(state: &Rc<SoakState>, plan: &FaultPlan) {
+    state.print_event(&format!(
+        "trouble {:?} hosts {:?} for {:?}",
+        plan.kind, plan.hosts, plan.length
+    ));
     match plan.kind {
-        TroubleKind::SilentStore => silence(state, plan, 1.0, false),
-        TroubleKind::SilentHalf => silence(state, plan, 0.5, true),
-        TroubleKind::SilentAll => silence(state, plan, 1.0, true),
-        TroubleKind::HeldStore | TroubleKind::HeldPeers => hold(state, plan).await,
-        TroubleKind::Paused => pause(state, plan).await,
-        TroubleKind::Killed | TroubleKind::Stopped => restart(state, plan).await,
-        TroubleKind::StoreOut | TroubleKind::StoreSlow => trouble_store(state, plan).await,
-        TroubleKind::Forgotten => forget_history(state, plan).await,
-        TroubleKind::Starved => starve(state, plan).await,
+        FaultKind::SilentStore => silence(state, plan, 1.0, false),
+        FaultKind::SilentHalf => silence(state, plan, 0.5, true),
+        FaultKind::SilentAll => silence(state, plan, 1.0, true),
+        FaultKind::HeldStore | FaultKind::HeldPeers => hold(state, plan).await,
+        FaultKind::Paused => pause(state, plan).await,
+        FaultKind::Killed | FaultKind::Stopped => restart(state, plan).await,
+        FaultKind::StoreOut | FaultKind::StoreSlow => disturb_store(state, plan).await,
+        FaultKind::Forgotten => forget_history(state, plan).await,
+        FaultKind::Starved => starve(state, plan).await,
     }
 }
 
-/// Silences open connections. It counts as a break of the connections of every host, also of those at the
-/// other ends.
-fn silence(state: &SoakState, plan: &TroublePlan, share: f64, peers: bool) {
-    let mark = state.begin(&state.all_hosts(), false);
+/// Black-holes open connections. This counts as a fault of every host, as each may be the other end
+/// of such a connection.
+fn silence(state: &SoakState, plan: &FaultPlan, share: f64, peers: bool) {
+    let handle = state.begin(&state.all_hosts(), false);
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     for number in &plan.hosts {
         let host = &state.fleet.hosts[*number];
@@ -154,14 +158,14 @@
             host.peers.silence(|| rng.random_bool(share));
         }
     }
-    state.end(&mark);
+    state.end(&handle);
 }
 
-async fn hold(state: &SoakState, plan: &TroublePlan) {
-    let is_store = plan.kind == TroubleKind::HeldStore;
-    // A link that is held troubles whoever is at its other end.
-    let troubled = if is_store { plan.hosts.clone() } else { state.all_hosts() };
-    let mark = state.begin(&troubled, false);
+async fn hold(state: &SoakState, plan: &FaultPlan) {
+    let is_store = plan.kind == FaultKind::HeldStore;
+    // Holding the links of a host affects every peer at their other ends.
+    let affected = if is_store { plan.hosts.clone() } else { state.all_hosts() };
+    let handle = state.begin(&affected, false);
     let set = |hold| {
         for number in &plan.hosts {
             let host = &state.fleet.hosts[*number];
@@ -172,11 +176,11 @@
     set(plan.hold);
     monoio::time::sleep(plan.length).await;
     set(ProxyHold::default());
-    state.end(&mark);
+    state.end(&handle);
 }
 
-async fn pause(state: &SoakState, plan: &TroublePlan) {
-    let mark = state.begin(&plan.hosts, false);
+async fn pause(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin(&plan.hosts, false);
     let signal = |signal| {
         let hosts = plan.hosts.iter().map(|number| &state.fleet.hosts[*number]);
         hosts.for_each(|host| host.with_daemon(|daemon| daemon.signal(signal)));
@@ -184,18 +188,18 @@
     signal(Signal::SIGSTOP);
     monoio::time::sleep(plan.length).await;
     signal(Signal::SIGCONT);
-    state.end(&mark);
+    state.end(&handle);
 }
 
-async fn restart(state: &SoakState, plan: &TroublePlan) {
-    let mark = state.begin(&plan.hosts, false);
+async fn restart(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin(&plan.hosts, false);
     for number in &plan.hosts {
         let host = &state.fleet.hosts[*number];
-        // Two troubles may ask for the same daemon's restart.
-        if !state.take_restart(*number) {
+        // Overlapping faults may restart the same daemon.
+        if !state.claim_restart(*number) {
             continue;
         }
-        if plan.kind == TroubleKind::Stopped {
+        if plan.kind == FaultKind::Stopped {
             host.with_daemon(|daemon| daemon.signal(Signal::SIGTERM));
             let left = async || {
                 while host.with_daemon(|daemon| daemon.is_running()) {
@@ -207,30 +211,30 @@
         state.fleet.kill(host);
         monoio::time::sleep(plan.length.min(Duration::from_secs(2))).await;
         if let Err(error) = state.fleet.restart(host).await {
-            state.find(format!("{} does not start again: {error}", host.name));
+            state.add_finding(format!("{} did not restart: {error}", host.name));
         }
-        state.free_restart(*number);
+        state.release_restart(*number);
     }
-    state.end(&mark);
+    state.end(&handle);
 }
 
-async fn trouble_store(state: &SoakState, plan: &TroublePlan) {
-    let mark = state.begin(&[], true);
-    state.set_store(&plan.store).await;
+async fn disturb_store(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin(&[], true);
+    state.apply_store_faults(&plan.store).await;
     monoio::time::sleep(plan.length).await;
-    state.set_store(&json!({})).await;
-    state.end(&mark);
+    state.apply_store_faults(&json!({})).await;
+    state.end(&handle);
 }
 
-async fn forget_history(state: &SoakState, plan: &TroublePlan) {
-    let mark = state.begin(&[], true);
-    state.set_store(&plan.store).await;
-    state.end(&mark);
+async fn forget_history(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin(&[], true);
+    state.apply_store_faults(&plan.store).await;
+    state.end(&handle);
 }
 
-/// Takes the processor with threads of the soak, for a bounded time.
-async fn starve(state: &SoakState, plan: &TroublePlan) {
-    let mark = state.begin(&state.all_hosts(), false);
+/// Occupies the processor with spinning threads for the length of the fault.
+async fn starve(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin(&state.all_hosts(), false);
     let length = plan.length;
     for _ in 0..BUSY_THREADS {
         thread::spawn(move || {
@@ -241,5 +245,5 @@
         });
     }
     monoio::time::sleep(length).await;
-    state.end(&mark);
+    state.end(&handle);
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The fleet of a run: the stand-in store, and on each host a daemon with a backend server beside it.
+//! The fleet of a run: the simulated store, and on each host a daemon and a backend server.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -25,50 +25,53 @@
 use crate::proxy::FaultProxy;
 
 const DOMAINS: [&str; 4] = ["gasabo", "kicukiro", "nyarugenge", "remera"];
-/// One host in so many has a backend server of the second service.
+/// One in this many hosts has a backend server of the second service.
 const SECOND_SERVICE_EVERY: usize = 4;
-/// Time between heartbeats of a backend server.
-const BEAT_EVERY: Duration = Duration::from_millis(1500);
-/// Longest wait for the answer to one.
-const BEAT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Work that a backend server does at once.
+/// Interval of the heartbeats of a backend server.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
+/// Time-out of a heartbeat, and of a call that sets faults of the store.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Slots of a backend server, the number of requests that it runs concurrently.
 const SLOTS: u32 = 4;
-/// How long a piece of it takes, in milliseconds.
+/// Median service time of a request, in milliseconds.
 const SERVICE_MS: &str = "10";
-/// Time between heartbeats of a daemon to its neighbours, in milliseconds, as on the prepared platform.
+/// Interval of the heartbeats of a daemon to its peers, in milliseconds, as on the prepared
+/// platform.
 const DAEMON_HEARTBEAT_MS: &str = "4000";
-/// Shortest drain of a daemon, in milliseconds, as there.
+/// Shortest drain of a daemon, in milliseconds, as on the prepared platform.
 const DRAIN_MIN_MS: &str = "2600";
-/// Time from the signal to stop until a daemon ends by itself, in milliseconds, as there.
+/// Time from the stop signal until a daemon ends itself, in milliseconds, as on the prepared
+/// platform.
 const KILL_AFTER_MS: &str = "6000";
 
-/// Returns the number of the service of a host's backend server.
+/// Returns the index in [`SERVICES`] of the service of a host's backend server.
 pub fn service_of(host: usize) -> usize {
     usize::from(host % SECOND_SERVICE_EVERY == SECOND_SERVICE_EVERY - 1)
 }
 
-/// `FleetOptions` says what a fleet is made of.
+/// `FleetOptions` are the settings of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// Hosts, each with two processes.
+    /// Number of hosts, each with two processes.
     pub hosts: usize,
     /// Folder with the programs.
     pub programs: PathBuf,
     /// Folder for the logs.
     pub folder: PathBuf,
-    /// Key that the daemons share; no other run beside this one may have it, as ports are used again.
+    /// Key that the daemons share. It must differ from that of any concurrent run, as ports are
+    /// reused.
     pub key: String,
 }
 
-/// `SoakHost` is a host: its processes, and the proxies that trouble them.
+/// `SoakHost` is a host: its processes, and the proxies that inject faults into their connections.
 pub struct SoakHost {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Number of the service of its backend server.
+    /// Index in [`SERVICES`] of the service of its backend server.
     pub service: usize,
     /// Proxy between its daemon and the store.
     pub store: FaultProxy,
-    /// Proxy before its daemon's port for peers.
+    /// Proxy in front of its daemon's port for peers.
     pub peers: FaultProxy,
     domain: &'static str,
     upstream: String,
@@ -77,18 +80,18 @@
     backend_address: SocketAddr,
     callers: Cell<Option<SocketAddr>>,
     registration: Cell<Option<SocketAddr>>,
-    start: Cell<u64>,
+    daemon_incarnation: Cell<u64>,
 }
 
 impl SoakHost {
-    /// Returns the address for callers, unless the daemon is down.
+    /// Returns the daemon's address for callers, unless the daemon is down.
     pub fn callers(&self) -> Option<SocketAddr> {
         self.callers.get()
     }
 
-    /// Returns which start of the daemon runs.
-    pub fn daemon_start(&self) -> u64 {
-        self.start.get()
+    /// Returns the incarnation of the daemon: how often it was started.
+    pub fn daemon_incarnation(&self) -> u64 {
+        self.daemon_incarnation.get()
     }
 
     /// Returns the address of the backend server.
@@ -101,20 +104,20 @@
         read(&self.daemon.borrow())
     }
 
-    async fn take_addresses(&self) -> Result<(), SoakError> {
+    async fn read_addresses(&self) -> Result<(), SoakError> {
         let daemon = self.daemon.borrow().clone();
-        let line = daemon.listening().await?;
+        let line = daemon.wait_listening().await?;
         self.peers.forward_to(process::address_in(&line, "peers")?);
         self.registration.set(Some(process::address_in(&line, "registration")?));
         self.callers.set(Some(process::address_in(&line, "callers")?));
-        self.start.set(self.start.get() + 1);
+        self.daemon_incarnation.set(self.daemon_incarnation.get() + 1);
         Ok(())
     }
 }
 
 /// `SoakFleet` is the fleet of a run.
 pub struct SoakFleet {
-    /// Address of the store, past all proxies.
+    /// Address of the store, bypassing all proxies.
     pub platform: SocketAddr,
     /// The hosts.
     pub hosts: Vec<Rc<SoakHost>>,
@@ -123,15 +126,15 @@
 }
 
 impl SoakFleet {
-    /// Starts the store alone.
+    /// Starts the store, without any hosts.
     pub async fn start(options: FleetOptions) -> Result<Self, SoakError> {
         let call = standin_call(&options, &["platform"]);
         let store = SoakProcess::start(&call, "store", &options.folder)?;
-        let platform = process::address_in(&store.listening().await?, "address")?;
+        let platform = process::address_in(&store.wait_listening().await?, "address")?;
         Ok(Self { platform, hosts: Vec::new(), options, store })
     }
 
-    /// Starts the hosts.
+    /// Starts the processes of all hosts, and the heartbeats of the backend servers.
     pub async fn start_hosts(&mut self) -> Result<(), SoakError> {
         for number in 0..self.options.hosts {
             let host = Rc::new(self.start_host(number).await?);
@@ -152,7 +155,7 @@
         let mut call = standin_call(&self.options, &arguments);
         call.arguments.push("--prepared".to_owned());
         let backend = SoakProcess::start(&call, &upstream, folder)?;
-        let backend_address = process::address_in(&backend.listening().await?, "address")?;
+        let backend_address = process::address_in(&backend.wait_listening().await?, "address")?;
         let domain = DOMAINS[number % DOMAINS.len()];
         let service = service_of(number);
         let call = self.daemon_call(&name, domain, service, &store, &peers);
@@ -169,19 +172,19 @@
             backend_address,
             callers: Cell::default(),
             registration: Cell::default(),
-            start: Cell::default(),
+            daemon_incarnation: Cell::default(),
         };
-        host.take_addresses().await?;
+        host.read_addresses().await?;
         Ok(host)
     }
 
-    /// Starts the daemon of a host again; the former process must have ended.
+    /// Restarts the daemon of a host; its previous process must have ended.
     pub async fn restart(&self, host: &SoakHost) -> Result<(), SoakError> {
         let call =
             self.daemon_call(&host.name, host.domain, host.service, &host.store, &host.peers);
         let process = SoakProcess::start(&call, &host.name, &self.options.folder)?;
         drop(host.daemon.replace(Rc::new(process)));
-        host.take_addresses().await
+        host.read_addresses().await
     }
 
     /// Returns the path of the log of a host's daemon.
@@ -204,11 +207,11 @@
         self.store.kill();
     }
 
-    /// Puts faults of the store in force.
-    pub async fn store_faults(&self, faults: &Value) -> Result<(), SoakError> {
-        let client = HttpClient::new(self.platform, BEAT_TIMEOUT);
+    /// Sets the faults of the store.
+    pub async fn set_store_faults(&self, faults: &Value) -> Result<(), SoakError> {
+        let client = HttpClient::new(self.platform, CALL_TIMEOUT);
         let body = Bytes::from(faults.to_string());
-        let what = "the store's faults";
+        let what = "setting faults of the store";
         let call = client.call(Method::PUT, FAULTS_PATH, HeaderMap::new(), body);
         let reply = call.await.context(CallSnafu { what })?;
         if !reply.status.is_success() {
@@ -268,7 +271,7 @@
     }
 }
 
-/// Lets the backend server of a host say that it is there, for ever.
+/// Sends heartbeats on behalf of a host's backend server for ever, while its process runs.
 async fn send_heartbeats(host: Rc<SoakHost>) {
     let mut sequence = 0;
     loop {
@@ -276,7 +279,7 @@
         if host.backend.is_running() {
             send_heartbeat(&host, sequence).await;
         }
-        monoio::time::sleep(BEAT_EVERY).await;
+        monoio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -292,7 +295,7 @@
         cold_for: Duration::ZERO,
         sequence,
     });
-    let client = HttpClient::new(address, BEAT_TIMEOUT);
-    // One that is lost is followed by another.
+    let client = HttpClient::new(address, CALL_TIMEOUT);
+    // A lost heartbeat is not retried, as the next one follows.
     let _ = client.call(method, &target, HeaderMap::new(), body.into()).await;
 }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -1,130 +1,136 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Says from what callers and the operator saw whether a promise about the configuration was broken.
+//! Checks the observations of callers and the operator for violated guarantees about the
+//! configuration.
 //!
-//! The operator's documents are numbered by steps. An answer speaks for some steps: a 404 for those without its
-//! route, a success for those that send the route to the service that answered.
+//! The operator's documents are numbered by steps. A response is consistent with some steps: a 404
+//! with those that lack its route, a success with those that send the route to the service that
+//! answered.
 
 use std::time::Duration;
 
-use crate::operator::{self, AskedRoute};
+use crate::operator::{self, RequestedRoute};
 
-/// Time for which a host must have been left alone to be held to bounds of time.
-pub const CONTACT: Duration = Duration::from_secs(3);
-/// Time from an acknowledgement until the document must be in force everywhere.
+/// Time for which a host and the store must have been free of faults before time bounds are
+/// checked.
+pub const UNDISTURBED_MIN: Duration = Duration::from_secs(3);
+/// Time from the acknowledgement of a document until it must be in force at every undisturbed host.
 pub const IN_FORCE_MAX: Duration = Duration::from_secs(2);
-/// Time for which an older document may still answer after a daemon has shown a newer one.
+/// Time for which a response may still follow an older document after a daemon has shown a newer
+/// one.
 pub const ROLLBACK_SLACK: Duration = Duration::from_millis(250);
 
-/// `SeenAnswer` is what an answer says of the configuration.
+/// `SeenAnswer` is what a response shows of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SeenAnswer {
-    /// There is no such route.
+    /// The configuration has no such route.
     Missing,
     /// A backend server of this service answered.
     ServedBy(usize),
-    /// Nothing: it failed, or was refused as not run.
-    NoWord,
+    /// Nothing: the request failed, or was refused without being run.
+    Inconclusive,
 }
 
-/// `CallerSample` is one request and what became of it.
+/// `CallerSample` is one request and its outcome.
 #[derive(Debug, Clone)]
 pub struct CallerSample {
-    /// Number of the host whose daemon was asked.
+    /// Index of the host whose daemon got the request.
     pub host: usize,
-    /// Which start of the daemon that was.
-    pub start: u64,
+    /// Incarnation of that daemon.
+    pub incarnation: u64,
     /// Id of the request.
     pub id: String,
-    /// When it was sent.
+    /// Time of the run at which it was sent.
     pub sent_at: Duration,
-    /// When its answer was there.
+    /// Time of the run at which its response was complete.
     pub answered_at: Duration,
-    /// What was asked for.
-    pub route: AskedRoute,
-    /// What the answer says.
+    /// Route that was requested.
+    pub route: RequestedRoute,
+    /// What the response shows.
     pub answer: SeenAnswer,
 }
 
-/// `StepTimes` tells when a step's document was sent to the store, and acknowledged.
+/// `StepTimes` holds when a step's document was sent to the store, and acknowledged.
 #[derive(Debug, Clone, Copy)]
 pub struct StepTimes {
-    /// When it was sent.
+    /// Time of the run at which it was sent.
     pub sent_at: Duration,
-    /// When the store acknowledged it, if it has.
+    /// Time of the run at which the store acknowledged it, if it has.
     pub acked_at: Option<Duration>,
 }
 
-/// `BrokenPromise` is a finding of the soak.
+/// `GuaranteeViolation` is a violated guarantee about the configuration.
 #[derive(Debug, Clone, PartialEq)]
-pub enum BrokenPromise {
-    /// A host in touch answered as only an older document allows.
+pub enum GuaranteeViolation {
+    /// An undisturbed host answered as only an outdated document allows.
     Late {
-        /// Time from the acknowledgement of the first document that forbids it to the request.
+        /// Time from the acknowledgement of the first document that forbids the response to the
+        /// request.
         after: Duration,
     },
-    /// A daemon answered as only a document allows that is older than one it has shown.
-    WentBack,
+    /// A daemon answered as only a document allows that is older than one it has shown before.
+    RolledBack,
 }
 
-/// `TouchRecord` keeps when each host, and the store, was troubled.
+/// `FaultHistory` records when each host, and the store, was disturbed by a fault.
 #[derive(Debug, Default)]
-pub struct TouchRecord {
-    hosts: Vec<Vec<TroubleSpan>>,
-    store: Vec<TroubleSpan>,
+pub struct FaultHistory {
+    hosts: Vec<Vec<FaultSpan>>,
+    store: Vec<FaultSpan>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct TroubleSpan {
+struct FaultSpan {
     from: Duration,
-    /// None while it lasts.
+    /// `None` while the fault lasts.
     until: Option<Duration>,
 }
 
-/// `TroubleMark` names a trouble that lasts, to end it.
+/// `FaultHandle` identifies an ongoing fault, to record its end.
 #[derive(Debug, Clone)]
-pub struct TroubleMark {
+pub struct FaultHandle {
     hosts: Vec<usize>,
     store: bool,
     from: Duration,
 }
 
-impl TouchRecord {
-    /// Builds the record of so many hosts that were not troubled yet.
+impl FaultHistory {
+    /// Builds the empty history of this many hosts.
     pub fn new(hosts: usize) -> Self {
         Self { hosts: vec![Vec::new(); hosts], store: Vec::new() }
     }
 
-    /// Notes that a trouble of these hosts, and of the store if it is said so, begins.
-    pub fn begin(&mut self, hosts: &[usize], store: bool, now: Duration) -> TroubleMark {
-        let span = TroubleSpan { from: now, until: None };
+    /// Records that a fault of these hosts, and of the store if `store` is set, begins.
+    pub fn begin(&mut self, hosts: &[usize], store: bool, now: Duration) -> FaultHandle {
+        let span = FaultSpan { from: now, until: None };
         hosts.iter().for_each(|host| self.hosts[*host].push(span));
         if store {
             self.store.push(span);
         }
-        TroubleMark { hosts: hosts.to_vec(), store, from: now }
+        FaultHandle { hosts: hosts.to_vec(), store, from: now }
     }
 
-    /// Notes that a trouble has ended.
-    pub fn end(&mut self, mark: &TroubleMark, now: Duration) {
-        let close = |spans: &mut Vec<TroubleSpan>| {
-            let open = |span: &&mut TroubleSpan| span.until.is_none() && span.from == mark.from;
+    /// Records that a fault has ended.
+    pub fn end(&mut self, handle: &FaultHandle, now: Duration) {
+        let close = |spans: &mut Vec<FaultSpan>| {
+            let open = |span: &&mut FaultSpan| span.until.is_none() && span.from == handle.from;
             if let Some(span) = spans.iter_mut().find(open) {
                 span.until = Some(now);
             }
         };
-        mark.hosts.iter().for_each(|host| close(&mut self.hosts[*host]));
-        if mark.store {
+        handle.hosts.iter().for_each(|host| close(&mut self.hosts[*host]));
+        if handle.store {
             close(&mut self.store);
         }
     }
 
-    /// Says whether a host and the store were left alone from [`CONTACT`] before `from` until `to`.
-    pub fn in_touch(&self, host: usize, from: Duration, to: Duration) -> bool {
-        let since = from.saturating_sub(CONTACT);
+    /// Returns whether a host and the store were free of faults from [`UNDISTURBED_MIN`] before
+    /// `from` until `to`.
+    pub fn is_undisturbed(&self, host: usize, from: Duration, to: Duration) -> bool {
+        let since = from.saturating_sub(UNDISTURBED_MIN);
         let overlaps =
-            |span: &TroubleSpan| span.from <= to && span.until.is_none_or(|until| until >= since);
+            |span: &FaultSpan| span.from <= to && span.until.is_none_or(|until| until >= since);
         !self.hosts[host].iter().chain(&self.store).any(overlaps)
     }
 }
@@ -132,53 +138,54 @@
 /// `ShownStep` is the latest step that a daemon has shown to be in force.
 #[derive(Debug, Clone, Copy, Default)]
 struct ShownStep {
-    start: u64,
+    incarnation: u64,
     step: usize,
-    /// When it was shown.
+    /// Time of the run at which it was shown.
     at: Duration,
-    /// What was shown before it, which may answer for a moment longer.
+    /// Step shown before it, which responses may follow for [`ROLLBACK_SLACK`] longer.
     before: usize,
 }
 
-/// `ConfigJudge` judges samples in the order of their answers.
+/// `ConfigChecker` checks samples in the order of their responses.
 #[derive(Debug)]
-pub struct ConfigJudge {
+pub struct ConfigChecker {
     shown: Vec<ShownStep>,
 }
 
-impl ConfigJudge {
-    /// Builds the judge of so many hosts.
+impl ConfigChecker {
+    /// Builds the checker of this many hosts.
     pub fn new(hosts: usize) -> Self {
         Self { shown: vec![ShownStep::default(); hosts] }
     }
 
-    /// Takes a sample in and returns the promise that it breaks, if it does.
-    pub fn take(
+    /// Records a sample and returns the guarantee that it violates, if any.
+    pub fn check(
         &mut self,
         sample: &CallerSample,
         steps: &[StepTimes],
-        touch: &TouchRecord,
-    ) -> Option<BrokenPromise> {
-        if sample.answer == SeenAnswer::NoWord {
+        history: &FaultHistory,
+    ) -> Option<GuaranteeViolation> {
+        if sample.answer == SeenAnswer::Inconclusive {
             return None;
         }
         let newest = steps.iter().rposition(|step| step.sent_at <= sample.answered_at)?;
-        let speaks_for = |step: &usize| operator::allows(*step, sample.route, sample.answer);
-        let binding = binding_step(sample, steps);
-        if !(binding..=newest).any(|step| speaks_for(&step)) {
-            let in_touch = touch.in_touch(sample.host, sample.sent_at, sample.answered_at);
-            if in_touch {
-                return Some(late(sample, steps));
+        let is_consistent = |step: &usize| operator::allows(*step, sample.route, sample.answer);
+        let required = required_step(sample, steps);
+        if !(required..=newest).any(|step| is_consistent(&step)) {
+            let is_undisturbed =
+                history.is_undisturbed(sample.host, sample.sent_at, sample.answered_at);
+            if is_undisturbed {
+                return Some(late_violation(sample, steps));
             }
         }
         let shown = &mut self.shown[sample.host];
-        if shown.start != sample.start {
-            *shown = ShownStep { start: sample.start, ..ShownStep::default() };
+        if shown.incarnation != sample.incarnation {
+            *shown = ShownStep { incarnation: sample.incarnation, ..ShownStep::default() };
         }
         let settled = sample.sent_at > shown.at + ROLLBACK_SLACK;
-        let least = if settled { shown.step } else { shown.before };
-        let Some(step) = (least..=newest).find(speaks_for) else {
-            return Some(BrokenPromise::WentBack);
+        let oldest = if settled { shown.step } else { shown.before };
+        let Some(step) = (oldest..=newest).find(is_consistent) else {
+            return Some(GuaranteeViolation::RolledBack);
         };
         if step > shown.step {
             *shown = ShownStep { step, at: sample.answered_at, before: shown.step, ..*shown };
@@ -188,18 +195,18 @@
 }
 
 /// Returns the latest step that must be in force when a sample was sent.
-fn binding_step(sample: &CallerSample, steps: &[StepTimes]) -> usize {
-    let binds = |step: &StepTimes| {
+fn required_step(sample: &CallerSample, steps: &[StepTimes]) -> usize {
+    let is_required = |step: &StepTimes| {
         step.acked_at.is_some_and(|acked_at| acked_at + IN_FORCE_MAX < sample.sent_at)
     };
-    steps.iter().rposition(binds).unwrap_or(0)
+    steps.iter().rposition(is_required).unwrap_or(0)
 }
 
-/// Finds since when the answer of a sample was no longer allowed.
-fn late(sample: &CallerSample, steps: &[StepTimes]) -> BrokenPromise {
-    let binding = binding_step(sample, steps);
+/// Returns the violation of a late sample, with the time since its response was forbidden.
+fn late_violation(sample: &CallerSample, steps: &[StepTimes]) -> GuaranteeViolation {
+    let required = required_step(sample, steps);
     let allowed = |step: &usize| operator::allows(*step, sample.route, sample.answer);
-    let first_against = (0..=binding).rfind(allowed).map_or(0, |step| step + 1);
-    let acked_at = steps[first_against].acked_at.unwrap_or(sample.sent_at);
-    BrokenPromise::Late { after: sample.sent_at.saturating_sub(acked_at) }
+    let first_forbidding = (0..=required).rfind(allowed).map_or(0, |step| step + 1);
+    let acked_at = steps[first_forbidding].acked_at.unwrap_or(sample.sent_at);
+    GuaranteeViolation::Late { after: sample.sent_at.saturating_sub(acked_at) }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,14 +1,16 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A fault soak: the real programs as separate processes on loopback, troubled from outside.
+//! A fault soak: the real programs as separate processes on loopback, with faults injected from
+//! outside.
 //!
-//! [`fleet`] starts the stand-in store and, for each host, a daemon and a backend server as processes
-//! ([`process`]), with a [`proxy`] before the store and before the daemon's port for its peers. [`operator`]
-//! changes the configuration all the time, [`callers`] ask every daemon for what just changed, and [`faults`]
-//! silences, holds, pauses, kills and starves, drawn from a seed. [`judge`] says from what callers and the
-//! operator saw whether a promise was broken, [`logs`] when documents came in force, [`run`] puts a run
-//! together, and [`report`] tells it.
+//! [`fleet`] starts the simulated store and, for each host, a daemon and a backend server as
+//! processes ([`process`]), with a [`proxy`] in front of the store and of the daemon's port for its
+//! peers. [`operator`] changes the configuration continually, [`callers`] request the changed
+//! routes from every daemon, and [`faults`] black-holes and holds connections, and suspends, kills
+//! and starves processes, drawn from a seed. [`judge`] checks the observations of callers and the
+//! operator for violated guarantees, [`logs`] reads when documents came in force, [`run`] runs it
+//! all, and [`report`] prints the result.
 
 #![forbid(unsafe_code)]
 
--- a/crates/soak/src/logs.rs
+++ b/crates/soak/src/logs.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reads from a daemon's log when documents came in force: callers learn of it only when they ask.
+//! Reads from a daemon's log when documents came in force, as callers observe that only when they
+//! send a request.
 
 use std::fs;
 use std::path::Path;
@@ -11,35 +12,35 @@
 
 const DAY: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// `InForceLine` is a line by which a daemon told that a document came in force.
+/// `InForceLine` is a line of the log which says that a document came in force at a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InForceLine {
     /// When it was logged, as time of the run.
     pub at: Duration,
-    /// Revision that came in force.
+    /// Revision of the document.
     pub revision: u64,
 }
 
-/// Reads such lines of a log; `began` is the time of the day at which the run began.
+/// Reads these lines of a log; `began` is the time of day at which the run began.
 pub fn in_force_lines(log: &Path, began: Duration) -> Vec<InForceLine> {
     let text = fs::read_to_string(log).unwrap_or_default();
     let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
-    let told = lines.filter(|line| line["message"] == "configuration in force");
+    let matching = lines.filter(|line| line["message"] == "configuration in force");
     let read = |line: Value| {
         let at = time_of_day(line["timestamp"].as_str()?)?;
-        // A run may go on over midnight.
+        // A run may cross midnight.
         let at = if at < began { at + DAY } else { at };
         Some(InForceLine { at: at - began, revision: line["revision"].as_u64()? })
     };
-    told.filter_map(read).collect()
+    matching.filter_map(read).collect()
 }
 
-/// Returns the time of the day of a moment in time since 1970.
+/// Returns the time of day of a time since 1970.
 pub fn since_midnight(time: Duration) -> Duration {
     Duration::from_micros((time.as_micros() % DAY.as_micros()) as u64)
 }
 
-/// Reads the time of the day out of a text such as `2026-01-31T23:59:59.123456Z`.
+/// Reads the time of day from a timestamp such as `2026-01-31T23:59:59.123456Z`.
 fn time_of_day(text: &str) -> Option<Duration> {
     let (_, time) = text.trim_end_matches('Z').split_once('T')?;
     let mut parts = time.split(':');
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! `basaltarch-soak`: runs of the fault soak, by seed.
+//! `basaltarch-soak`: runs the fault soak for each of a range of seeds.
 
 #![allow(missing_docs, reason = "the command-line macro makes items without doc comments")]
 
@@ -13,40 +13,41 @@
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings::{self, EXIT_BAD_SETTINGS};
 use basaltarch_soak::errors::SoakError;
-use basaltarch_soak::faults::{self, TroubleKind, KINDS};
+use basaltarch_soak::faults::{self, FaultKind, KINDS};
 use basaltarch_soak::report::RunReport;
 use basaltarch_soak::run::{self, RunOptions};
 use basaltarch_telemetry::runtime;
 
 mod flags {
     xflags::xflags! {
-        /// Runs the real programs as processes on loopback under troubles drawn from a seed, and checks what
-        /// callers see. Exits with status 1 if a promise was broken; the logs are kept then.
+        /// Runs the real programs as processes on loopback, injects faults drawn from a seed, and
+        /// checks what callers see. Exits with status 1 if a guarantee was violated; the logs are
+        /// kept then.
         cmd basaltarch-soak {
             /// First seed (default 1).
             optional --seed number: String
-            /// How many seeds, one after the other (default 1).
+            /// Number of consecutive seeds, run one after the other (default 1).
             optional --seeds count: String
-            /// Seconds of trouble for each seed (default 60).
+            /// Seconds of fault injection for each seed (default 60).
             optional --seconds count: String
-            /// Processes, of which each host has two (default 24).
+            /// Number of processes, of which each host has two (default 24).
             optional --processes count: String
-            /// Kinds of trouble to draw from, separated by commas; `none` for a quiet run (default all).
+            /// Kinds of faults, separated by commas; `none` for no faults (default all).
             optional --kinds names: String
-            /// Folder of basaltarchd and basaltarch-standin (default: that of this program).
+            /// Folder with basaltarchd and basaltarch-standin (default: that of this program).
             optional --programs folder: String
             /// Folder for the logs (default: a new one below the system's temporary folder).
             optional --logs folder: String
-            /// Keeps the logs also of runs that found nothing.
+            /// Keeps the logs of runs without findings too.
             optional --keep
-            /// Tells troubles and findings as they come.
+            /// Prints faults and findings as they occur.
             optional --verbose
         }
     }
 }
 
-/// Exit status of a run that found something, or could not be made.
-const EXIT_FOUND: i32 = 1;
+/// Exit status when a run had findings or failed.
+const EXIT_FINDINGS: i32 = 1;
 
 struct SoakOptions {
     seeds: std::ops::Range<u64>,
@@ -78,12 +79,12 @@
     }
     if found > 0 {
         println!("{found} findings; logs below {}", options.base.folder.display());
-        process::exit(EXIT_FOUND);
+        process::exit(EXIT_FINDINGS);
     }
     println!("no promise broken");
 }
 
-/// Runs one seed; the logs of a run that found nothing are removed.
+/// Runs one seed; the logs of a run without findings are removed, unless they are to be kept.
 fn run_seed(options: &SoakOptions, seed: u64) -> Result<RunReport, SoakError> {
     let SoakOptions { base, keep, .. } = options;
     let folder = base.folder.join(format!("seed-{seed}"));
@@ -129,7 +130,7 @@
     Ok(SoakOptions { seeds, base, keep: flags.keep })
 }
 
-fn read_kinds(given: Option<String>) -> Result<Vec<TroubleKind>, SettingError> {
+fn read_kinds(given: Option<String>) -> Result<Vec<FaultKind>, SettingError> {
     let all = || KINDS.iter().map(|(kind, _)| *kind).collect();
     let text = match given.as_deref() {
         None => return Ok(all()),
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The operator: a document each second or so, each of which adds a route, removes one and moves one.
+//! The simulated operator: writes a document every second or so, each of which adds a route,
+//! removes one and moves one.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,23 +20,23 @@
 use crate::errors::{CallSnafu, SoakError};
 use crate::judge::{SeenAnswer, StepTimes};
 
-/// Host that callers ask for.
+/// Host name that callers request.
 pub const HOST: &str = "meters.example";
 /// The services; a host's backend server belongs to one of them.
 pub const SERVICES: [&str; 2] = ["reader-app", "billing-app"];
-/// Steps for which an added route stays.
-const KEPT_STEPS: usize = 4;
-/// Longest wait for the store's acknowledgement.
+/// Number of steps for which an added route stays.
+const ADDED_ROUTE_STEPS: usize = 4;
+/// Time-out of a write to the store.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Versions rise in steps that are not even.
+/// Average increment of the version per step; `version_of` makes the increments uneven.
 const VERSION_STRIDE: usize = 7;
 
-/// `AskedRoute` is what a caller asks for.
+/// `RequestedRoute` is the route that a caller requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AskedRoute {
+pub enum RequestedRoute {
     /// A route that every document has, to the first service.
     Steady,
-    /// The same for work that may run once at most.
+    /// A route that every document has, to the first service, for non-repeatable requests.
     Plain,
     /// The route that this step added.
     Added(usize),
@@ -43,7 +44,7 @@
     Moved,
 }
 
-impl AskedRoute {
+impl RequestedRoute {
     /// Returns the path of a request to the route.
     pub fn path(self) -> String {
         match self {
@@ -55,28 +56,30 @@
     }
 }
 
-/// Says whether a step's document allows an answer.
-pub fn allows(step: usize, route: AskedRoute, answer: SeenAnswer) -> bool {
+/// Returns whether a response is consistent with a step's document.
+pub fn allows(step: usize, route: RequestedRoute, answer: SeenAnswer) -> bool {
     let service = match route {
-        AskedRoute::Steady | AskedRoute::Plain => Some(0),
-        AskedRoute::Moved => Some(step % SERVICES.len()),
-        AskedRoute::Added(added) => (added <= step && step < added + KEPT_STEPS).then_some(0),
+        RequestedRoute::Steady | RequestedRoute::Plain => Some(0),
+        RequestedRoute::Moved => Some(step % SERVICES.len()),
+        RequestedRoute::Added(added) => {
+            (added <= step && step < added + ADDED_ROUTE_STEPS).then_some(0)
+        }
     };
     match answer {
         SeenAnswer::Missing => service.is_none(),
         SeenAnswer::ServedBy(other) => service == Some(other),
-        SeenAnswer::NoWord => true,
+        SeenAnswer::Inconclusive => true,
     }
 }
 
-/// `SoakOperator` writes documents and remembers when.
+/// `SoakOperator` writes documents and records when.
 pub struct SoakOperator {
     client: HttpClient,
     steps: RefCell<Vec<StepTimes>>,
 }
 
 impl SoakOperator {
-    /// Builds the operator of a store.
+    /// Builds the operator of the store at this address.
     pub fn new(platform: SocketAddr) -> Self {
         Self { client: HttpClient::new(platform, WRITE_TIMEOUT), steps: RefCell::default() }
     }
@@ -91,7 +94,7 @@
         self.steps.borrow().len().saturating_sub(1)
     }
 
-    /// Writes the next step's document; `now` tells the time of the run.
+    /// Writes the next step's document; `now` returns the time of the run.
     pub async fn step(&self, now: impl Fn() -> Duration) -> Result<(), SoakError> {
         let step = self.steps.borrow().len();
         self.steps.borrow_mut().push(StepTimes { sent_at: now(), acked_at: None });
@@ -99,7 +102,7 @@
         let path = format!("{ROWS_CONTROL_PATH}{table}/{}", rows::DOCUMENT_KEY);
         let body = Bytes::from(document::write(&document_of(step)));
         let writing = self.client.call(Method::PUT, &path, HeaderMap::new(), body);
-        let what = "the operator's write";
+        let what = "writing the configuration document";
         let reply = writing.await.context(CallSnafu { what })?;
         if !reply.status.is_success() {
             return Err(SoakError::Refused { what, status: reply.status.as_u16() });
@@ -125,7 +128,7 @@
         route("plain", "/plain/", 0, WorkMode::Plain),
         route("moved", "/moved/", step % SERVICES.len(), WorkMode::Repeatable),
     ];
-    for added in (step + 1).saturating_sub(KEPT_STEPS)..=step {
+    for added in (step + 1).saturating_sub(ADDED_ROUTE_STEPS)..=step {
         let name = format!("added-{added}");
         routes.push(route(&name, &format!("/{name}/"), 0, WorkMode::Repeatable));
     }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The programs as processes: started, signalled and ended by their own ids.
+//! Runs the programs as child processes, which are signalled and killed by their process ids.
 
 use std::cell::RefCell;
 use std::fs::{self, File};
@@ -17,28 +17,28 @@
 
 use crate::errors::{ProgramSnafu, SoakError};
 
-/// Longest wait for a process to say that it listens, or to end.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Time between looks.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Longest wait for a process to log that it listens, or to end.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the log or the state of a process is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// `ProgramCall` is a program with its arguments and variables.
+/// `ProgramCall` is a program with its arguments and environment variables.
 #[derive(Debug, Clone, Default)]
 pub struct ProgramCall {
     /// Path of the program.
     pub program: PathBuf,
-    /// Its arguments.
+    /// Command-line arguments.
     pub arguments: Vec<String>,
-    /// Variables beside those of the soak.
+    /// Environment variables, in addition to those of the soak.
     pub variables: Vec<(&'static str, String)>,
 }
 
 /// `SoakProcess` is a process that logs JSON lines into a file; it is killed when dropped.
 pub struct SoakProcess {
-    /// Its name, which is that of its log.
+    /// Name of the process and of its log.
     pub name: String,
     log: PathBuf,
-    /// Bytes of the log before this start.
+    /// Size of the log, in bytes, when this process was started.
     log_from: usize,
     child: RefCell<Child>,
 }
@@ -62,22 +62,22 @@
         Ok(Self { name: name.to_owned(), log, log_from, child: RefCell::new(child) })
     }
 
-    /// Waits for the line of the log that tells where the process listens.
-    pub async fn listening(&self) -> Result<Value, SoakError> {
+    /// Waits for the line of the log that holds the addresses on which the process listens.
+    pub async fn wait_listening(&self) -> Result<Value, SoakError> {
         let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < PROCESS_TIMEOUT {
             let bytes = fs::read(&self.log).unwrap_or_default();
             let text = String::from_utf8_lossy(bytes.get(self.log_from..).unwrap_or_default());
             let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
             if let Some(line) = lines.into_iter().find(|line| line["message"] == "listening") {
                 return Ok(line);
             }
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(SoakError::Silent { name: self.name.clone(), what: "it does not listen" })
+        Err(SoakError::NotReady { name: self.name.clone(), what: "line `listening`" })
     }
 
-    /// Sends a signal; one to a process that has ended goes nowhere.
+    /// Sends a signal, unless the process has ended.
     pub fn signal(&self, signal: Signal) {
         if self.is_running() {
             let id = Pid::from_raw(self.child.borrow().id() as i32);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Says whether the process has not ended.
+    /// Returns whether the process has not ended.
     pub fn is_running(&self) -> bool {
         matches!(self.child.borrow_mut().try_wait(), Ok(None))
     }
@@ -97,11 +97,11 @@
         let _ = child.wait();
     }
 
-    /// Waits until the process has ended by itself; kills it if it does not.
-    pub async fn ended(&self) {
+    /// Waits until the process has ended by itself; kills it if it does not in time.
+    pub async fn wait_ended(&self) {
         let begun = Instant::now();
-        while self.is_running() && begun.elapsed() < PATIENCE {
-            monoio::time::sleep(LOOK_EVERY).await;
+        while self.is_running() && begun.elapsed() < PROCESS_TIMEOUT {
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
         self.kill();
     }
@@ -118,8 +118,8 @@
     folder.join(format!("{name}.log"))
 }
 
-/// Reads an address out of a line that tells where a process listens.
+/// Reads an address from the line of the log that holds the addresses of a process.
 pub fn address_in(line: &Value, field: &'static str) -> Result<SocketAddr, SoakError> {
     let address = line[field].as_str().and_then(|text| text.parse().ok());
-    address.ok_or(SoakError::Silent { name: line.to_string(), what: field })
+    address.ok_or(SoakError::NotReady { name: line.to_string(), what: field })
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A proxy on loopback whose connections can be held or fall silent.
+//! A TCP proxy on loopback that can hold back data or black-hole connections.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -18,17 +18,17 @@
 
 /// Bytes read at once.
 const PIECE_BYTES: usize = 16 * 1024;
-/// Time between looks whether a direction is still held.
-const HELD_LOOK: Duration = Duration::from_millis(5);
-/// Connections at once: each daemon of a few hundred may link to one.
+/// Interval at which a held direction is checked for its release.
+const HELD_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Connections at once: each of a few hundred daemons may link to the same one.
 const CONNECTIONS_MAX: usize = 1024;
 
-/// `ProxyHold` says which directions of a proxy hold back what is sent.
+/// `ProxyHold` is the set of directions in which a proxy holds back data.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProxyHold {
-    /// From the side that connected.
+    /// From the client to the target.
     pub forward: bool,
-    /// To the side that connected.
+    /// From the target to the client.
     pub back: bool,
 }
 
@@ -39,7 +39,7 @@
     open: RefCell<Vec<Weak<Cell<bool>>>>,
 }
 
-/// `FaultProxy` passes connections on to a target, until it is told otherwise.
+/// `FaultProxy` relays connections to a target and injects faults into them.
 #[derive(Clone)]
 pub struct FaultProxy {
     /// Address that it listens on.
@@ -48,7 +48,7 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy without a target; connections that come before it has one are closed.
+    /// Starts a proxy without a target; it closes connections until it has one.
     pub fn start() -> io::Result<Self> {
         let listener = connection::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
@@ -56,25 +56,26 @@
         let shared = state.clone();
         let serve = move |stream, _| {
             let state = shared.clone();
-            async move { join(&state, stream).await }
+            async move { relay(&state, stream).await }
         };
         let count = ConnectionCount::default();
         monoio::spawn(connection::accept_all(listener, CONNECTIONS_MAX, count, serve));
         Ok(Self { address, state })
     }
 
-    /// Sets where connections go from now on.
+    /// Sets the target of new connections.
     pub fn forward_to(&self, target: SocketAddr) {
         self.state.target.set(Some(target));
     }
 
-    /// Sets which directions are held; what is held goes on when they are freed.
+    /// Sets which directions are held; data that was held back is sent once they are released.
     pub fn hold(&self, hold: ProxyHold) {
         self.state.hold.set(hold);
     }
 
-    /// Silences each open connection that `chooses` says, for good and in both directions: nothing passes
-    /// any more, nothing is closed, and the system goes on acknowledging what is sent. New ones work.
+    /// Black-holes each open connection for which `chooses` returns true, for good and in both
+    /// directions: no data is relayed, no end is closed, and the operating system still
+    /// acknowledges what is sent. New connections work.
     pub fn silence(&self, mut chooses: impl FnMut() -> bool) {
         let mut open = self.state.open.borrow_mut();
         open.retain(|silent| silent.strong_count() > 0);
@@ -86,10 +87,10 @@
     }
 }
 
-async fn join(state: &ProxyState, near: TcpStream) {
+async fn relay(state: &ProxyState, near: TcpStream) {
     let Some(target) = state.target.get() else { return };
     let Ok(far) = TcpStream::connect_addr(target).await else { return };
-    // A proxy that gathers small pieces would add a delay of its own.
+    // Without TCP_NODELAY the proxy would gather small writes and add a delay of its own.
     let _ = near.set_nodelay(true);
     let _ = far.set_nodelay(true);
     let silent = Rc::new(Cell::new(false));
@@ -104,7 +105,7 @@
         Either::Left(((), back)) => back,
         Either::Right(((), forward)) => forward,
     };
-    // The end of one side of a silent connection does not pass either.
+    // On a black-holed connection the close of one side isn't relayed to the other either.
     if silent.get() {
         other.await;
     }
@@ -124,7 +125,7 @@
             _ => return,
         };
         while is_held() && !silent.get() {
-            monoio::time::sleep(HELD_LOOK).await;
+            monoio::time::sleep(HELD_POLL_INTERVAL).await;
         }
         buffer = piece;
         if silent.get() {
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,22 +1,23 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Short runs of the soak, each seeded. Seeds that ever found something stay here, with the cause.
+//! Short seeded runs of the soak. Each seed that once had a finding stays here, with the cause.
 
 use std::path::Path;
 use std::process::Command;
 
 use test_case::test_case;
 
-/// Draws from every kind of trouble.
+/// All kinds of faults.
 const ALL: &str =
     "silent-store,silent-half,silent-all,held-store,held-peers,paused,killed,stopped,store-out,\
                    store-slow,forgotten,starved";
 
-// A daemon answered 404 to an added route for up to 2.9 s too long: its call at the store and its links had
-// fallen silent, and it didn't know that it was behind.
-#[test_case("1", "silent-all", "30", "24" ; "all connections fall silent")]
-#[test_case("5", ALL, "30", "16" ; "all troubles")]
+// Seed 1 guards against a daemon that answers 404 to an added route for up to 2.9 s too long: its
+// call to the store and its links to peers were black-holed, and it did not detect that its
+// configuration was outdated.
+#[test_case("1", "silent-all", "30", "24" ; "all connections are black-holed")]
+#[test_case("5", ALL, "30", "16" ; "all kinds of faults")]
 fn verify_no_promise_is_broken(seed: &str, kinds: &str, seconds: &str, processes: &str) {
     let soak = Path::new(env!("CARGO_BIN_EXE_basaltarch-soak"));
     // The programs of other packages are built with the workspace.
@@ -26,17 +27,17 @@
         .args(["--seed", seed, "--kinds", kinds, "--seconds", seconds, "--processes", processes])
         .output()
         .expect("the soak runs");
-    let (told, errors) = (output.stdout, output.stderr);
-    let text = [told, errors].map(|bytes| String::from_utf8_lossy(&bytes).into_owned()).concat();
+    let (printed, errors) = (output.stdout, output.stderr);
+    let text = [printed, errors].map(|bytes| String::from_utf8_lossy(&bytes).into_owned()).concat();
     assert!(output.status.success(), "{text}");
     assert!(text.contains("no promise broken"), "{text}");
 }
 
-/// What a wrong call of the soak gets.
+/// Invalid settings are refused with exit status 2.
 #[test_case("--kinds", "quiet" ; "no such kind")]
 #[test_case("--processes", "1" ; "too few processes")]
 #[test_case("--seconds", "long" ; "no number")]
-fn verify_bad_settings_are_told(flag: &str, value: &str) {
+fn verify_bad_settings_are_reported(flag: &str, value: &str) {
     let soak = env!("CARGO_BIN_EXE_basaltarch-soak");
     let output = Command::new(soak).args([flag, value]).output().expect("the soak runs");
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
