--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -6,10 +6,10 @@
 //! It counts the requests that it ran by their `x-request-id`, so that tests can compare the
 //! responses that callers got with what the server did.
 //!
-//! `serving` handles a request from its head to its end, `work` spends its service time, `reply`
-//! builds its response and `sending` writes it, complete or truncated. `faults` are the faults in
-//! force and `runs` the counters; `control` lets tests set the former and read the latter. `crash`
-//! simulates a crash, and `probe` answers the health and load endpoints.
+//! `serving` handles a request from its head to its end, `work` spends its service time,
+//! `reply` builds its response and `sending` writes it, complete or truncated. `faults` are the
+//! faults in force and `runs` the counters; `control` lets tests set the former and read the
+//! latter. `crash` simulates a crash, and `probe` answers the health and load endpoints.
 
 mod control;
 mod crash;
