--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -104,12 +104,12 @@
         let sent_at = plan.began.elapsed();
         if let Some((_, client)) = &client {
             let reply = send_request(client, route, &id).await;
-            let (answer, fault) = classify(&plan, route, &id, reply.as_ref());
+            let (answer, violation) = classify(&plan, route, &id, reply.as_ref());
             let answered_at = plan.began.elapsed();
             let host = plan.number;
             on_sample(
                 CallerSample { host, incarnation, id, sent_at, answered_at, route, answer },
-                fault,
+                violation,
             );
         }
         let pause = plan.rng.random_range(PAUSE_MS);
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -58,6 +58,6 @@
             IN_FORCE_MAX.as_secs()
         )?;
         writeln!(out, "  findings: {found}")?;
-        self.findings.iter().try_for_each(|find| writeln!(out, "    {find}"))
+        self.findings.iter().try_for_each(|finding| writeln!(out, "    {finding}"))
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -133,14 +133,14 @@
         }
     }
 
-    fn check_sample(&self, sample: &CallerSample, fault: Option<AnswerViolation>) {
+    fn check_sample(&self, sample: &CallerSample, answer_violation: Option<AnswerViolation>) {
         if self.finished.get() {
             return;
         }
         let host = &self.fleet.hosts[sample.host].name;
         let id = &sample.id;
-        if let Some(fault) = fault {
-            self.add_finding(format!("{host} {id} {:?}: {fault:?}", sample.route));
+        if let Some(answer_violation) = answer_violation {
+            self.add_finding(format!("{host} {id} {:?}: {answer_violation:?}", sample.route));
         }
         let mut report = self.report.borrow_mut();
         report.requests += 1;
@@ -247,8 +247,8 @@
     monoio::time::sleep(options.length).await;
     state.finished.set(true);
     let runs = fetch_runs(state).await?;
-    for (id, fault) in plain.violations(&runs) {
-        state.add_finding(format!("{id}: {fault:?}"));
+    for (id, answer_violation) in plain.violations(&runs) {
+        state.add_finding(format!("{id}: {answer_violation:?}"));
     }
     let mut report = state.report.borrow().clone();
     report.steps = state.operator.with_steps(<[_]>::len);
@@ -277,7 +277,8 @@
                 rng: ChaCha8Rng::seed_from_u64(rng.random()),
             };
             let state = state.clone();
-            let on_sample = move |sample, fault| state.check_sample(&sample, fault);
+            let on_sample =
+                move |sample, answer_violation| state.check_sample(&sample, answer_violation);
             monoio::spawn(callers::run(plan, on_sample));
         }
     }
