--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -17,8 +17,8 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
+use crate::checker::{CallerSample, SeenAnswer};
 use crate::fleet::{self, SoakHost};
-use crate::judge::{CallerSample, SeenAnswer};
 use crate::operator::{RequestedRoute, SoakOperator, HOST};
 
 /// Deadline of a request, sent with it.
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -8,17 +8,17 @@
 //! processes ([`process`]), with a [`proxy`] in front of the store and of the daemon's port for
 //! its peers. [`operator`] changes the configuration continually, [`callers`] request the
 //! changed routes from every daemon, and [`faults`] black-holes and holds connections, and
-//! suspends, kills and starves processes, drawn from a seed. [`judge`] checks the observations
+//! suspends, kills and starves processes, drawn from a seed. [`checker`] checks the observations
 //! of callers and the operator for violated guarantees, [`logs`] reads when documents came in
 //! force, [`run`] runs it all, and [`report`] prints the result.
 
 #![forbid(unsafe_code)]
 
 pub mod callers;
+pub mod checker;
 pub mod errors;
 pub mod faults;
 pub mod fleet;
-pub mod judge;
 pub mod logs;
 pub mod operator;
 pub mod process;
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -19,8 +19,8 @@
 use http::{HeaderMap, Method};
 use snafu::ResultExt;
 
+use crate::checker::{SeenAnswer, StepTimes};
 use crate::errors::{CallSnafu, SoakError};
-use crate::judge::{SeenAnswer, StepTimes};
 
 /// Host name that callers request.
 pub const HOST: &str = "meters.example";
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -6,7 +6,7 @@
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
-use crate::judge::IN_FORCE_MAX;
+use crate::checker::IN_FORCE_MAX;
 
 /// `RunReport` holds the results of a run.
 #[derive(Debug, Clone, Default)]
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -20,13 +20,13 @@
 use snafu::ResultExt;
 
 use crate::callers::{self, AnswerViolation, CallerPlan, PlainRequests};
-use crate::errors::{CallSnafu, SoakError};
-use crate::faults::{self, FaultKind};
-use crate::fleet::{FleetOptions, SoakFleet};
-use crate::judge::{
+use crate::checker::{
     CallerSample, ConfigChecker, FaultHandle, FaultHistory, GuaranteeViolation, SeenAnswer,
     StepTimes, IN_FORCE_MAX,
 };
+use crate::errors::{CallSnafu, SoakError};
+use crate::faults::{self, FaultKind};
+use crate::fleet::{FleetOptions, SoakFleet};
 use crate::logs::{self, InForceLine};
 use crate::operator::{self, SoakOperator};
 use crate::report::RunReport;
@@ -70,7 +70,7 @@
     /// Time of day at which the run began.
     began_time_of_day: Duration,
     history: RefCell<FaultHistory>,
-    judge: RefCell<ConfigChecker>,
+    checker: RefCell<ConfigChecker>,
     report: RefCell<RunReport>,
     restarting: RefCell<Vec<bool>>,
     verbose: bool,
@@ -147,7 +147,7 @@
         report.conclusive += u64::from(sample.answer != SeenAnswer::Inconclusive);
         drop(report);
         let violation = self.operator.with_steps(|steps| {
-            self.judge.borrow_mut().check(sample, steps, &self.history.borrow())
+            self.checker.borrow_mut().check(sample, steps, &self.history.borrow())
         });
         let CallerSample { route, answer, sent_at, .. } = sample;
         let sent = sent_at.as_secs_f64();
@@ -223,7 +223,7 @@
         began,
         began_time_of_day,
         history: RefCell::new(FaultHistory::new(hosts)),
-        judge: RefCell::new(ConfigChecker::new(hosts)),
+        checker: RefCell::new(ConfigChecker::new(hosts)),
         report: RefCell::new(RunReport { seed, ..RunReport::default() }),
         restarting: RefCell::new(vec![false; hosts]),
         verbose: options.verbose,
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use basaltarch_soak::judge::{
+use basaltarch_soak::checker::{
     CallerSample, ConfigChecker, FaultHistory, GuaranteeViolation, SeenAnswer, StepTimes,
 };
 use basaltarch_soak::operator::RequestedRoute;
@@ -35,8 +35,8 @@
 }
 
 fn check_all(samples: &[CallerSample], history: &FaultHistory) -> Vec<Option<GuaranteeViolation>> {
-    let mut judge = ConfigChecker::new(1);
-    samples.iter().map(|sample| judge.check(sample, &steps(), history)).collect()
+    let mut checker = ConfigChecker::new(1);
+    samples.iter().map(|sample| checker.check(sample, &steps(), history)).collect()
 }
 
 #[test_case(9900, RequestedRoute::Added(4), SeenAnswer::Missing, None ; "an added route may be missing for two seconds")]
--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -6,13 +6,14 @@
 //! It counts the requests that it ran by their `x-request-id`, so that tests can compare the
 //! responses that callers got with what the server did.
 //!
-//! `serving` handles a request from its head to its end, `work` spends its service time,
+//! `serving` handles a request from its head to its end, `execution` spends its service time,
 //! `reply` builds its response and `sending` writes it, complete or truncated. `faults` are the
 //! faults in force and `runs` the counters; `control` lets tests set the former and read the
 //! latter. `crash` simulates a crash, and `probe` answers the health and load endpoints.
 
 mod control;
 mod crash;
+mod execution;
 mod faults;
 mod options;
 mod probe;
@@ -20,7 +21,6 @@
 mod runs;
 mod sending;
 mod serving;
-mod work;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/standin/src/backend/serving.rs
+++ b/crates/standin/src/backend/serving.rs
@@ -18,7 +18,7 @@
 use http::{request, StatusCode};
 use monoio::net::{TcpListener, TcpStream};
 
-use crate::backend::{control, probe, reply, runs, work};
+use crate::backend::{control, execution, probe, reply, runs};
 use crate::backend::{BackendStandin, BreakPoint, HEALTH_PATH, LOAD_PATH};
 
 /// Serves a simulated backend server for ever. After a crash it listens again once `down_ms` have
@@ -96,7 +96,7 @@
             standin.runs.borrow_mut().cancelled += 1;
             return Ok(());
         }
-        if !work::run(&mut stream, standin, &head, &faults).await {
+        if !execution::run(&mut stream, standin, &head, &faults).await {
             return Ok(());
         }
         if faults.break_at == BreakPoint::AfterRun {
