--- a/crates/events/src/fleet.rs
+++ b/crates/events/src/fleet.rs
@@ -171,7 +171,7 @@
     "document taken over" INFO DocumentTaken<'a> {
         /// Its revision.
         revision: u64,
-        /// Store or host that it came from.
+        /// Where it came from: `store`, or the name of a host.
         from: &'a str,
         /// Age of the last confirmation that the configuration which it replaces was the newest;
         /// absent if there was none.
@@ -206,7 +206,7 @@
         revision: u64,
         /// Revision in force.
         in_force: u64,
-        /// Where it came from: store, peer, or the name of a host.
+        /// Where it came from: `store`, `store or peer`, or the name of a host.
         from: &'a str,
     }
 
@@ -214,7 +214,7 @@
     "configuration unreadable" ERROR ConfigUnreadable<'a> {
         /// What is wrong.
         error: &'a str,
-        /// Where it came from: store, or the name of a host.
+        /// Where it came from: `store`.
         from: &'a str,
         /// Revision in force.
         in_force: u64,
@@ -224,7 +224,7 @@
     "change unreadable" ERROR ChangeUnreadable<'a> {
         /// What is wrong.
         error: &'a str,
-        /// Where it came from: store, or the name of a host.
+        /// Where it came from: `store or peer`, or the name of a host.
         from: &'a str,
         /// Revision of the change, 0 if that can't be read either.
         revision: u64,
@@ -232,7 +232,7 @@
 
     /// An operator's change was accepted.
     "change accepted" INFO ChangeAccepted<'a> {
-        /// Revision that it made.
+        /// Revision that it created.
         revision: u64,
         /// Who requested it.
         actor: &'a str,
--- a/crates/events/src/process.rs
+++ b/crates/events/src/process.rs
@@ -36,8 +36,8 @@
         error: &'a str,
     }
 
-    /// The daemon was asked to stop: it no longer reports itself ready for callers, and still
-    /// serves those who come.
+    /// The daemon was asked to stop: it no longer reports itself ready, and still serves requests
+    /// that arrive.
     "leaving" INFO DaemonLeaving {
         /// Requests and exchanges in flight.
         in_flight: u64,
@@ -177,7 +177,7 @@
         allowed: u64,
     }
 
-    /// An operator admitted a request again that had been refused or suspected, as it crashes
+    /// An operator admitted a request again that had been refused or suspected, because it crashes
     /// backend servers.
     "request lifted" WARN RequestLifted<'a> {
         /// Hash that its copies share and no other request has.
--- a/crates/events/src/requests.rs
+++ b/crates/events/src/requests.rs
@@ -38,8 +38,8 @@
         at_ms: u64,
         /// Route of the request.
         route: &'a str,
-        /// Time from the moment at which the daemon was asked to stop to that at which it received
-        /// the request; zero if it received the request earlier.
+        /// Time from the stop signal to the arrival of the request; zero if the request arrived
+        /// earlier.
         came_ms: u64,
     }
 
@@ -75,7 +75,7 @@
         upstream: &'a str,
         /// Host of the upstream.
         host: &'a str,
-        /// Why it was eligible: trial, explore, near, sound or any.
+        /// Why it was eligible: trial, explore, near, sound, waiting, idle, any or proving.
         ground: &'a str,
         /// Its cost, from load, time, distance and suspicion; the lowest wins.
         cost: f64,
@@ -120,8 +120,8 @@
         attempt: u64,
         /// Upstream that the request was sent to.
         upstream: &'a str,
-        /// How it ended: answered, late (a slow attempt, which runs on beside another), or the
-        /// reason of a failure.
+        /// How it ended: answered, late (a slow attempt, which runs on beside another),
+        /// caller-gone, or the reason of a failure.
         outcome: &'a str,
         /// Status of the answer, if there was one.
         status: Option<u64>,
--- a/crates/events/src/servers.rs
+++ b/crates/events/src/servers.rs
@@ -75,7 +75,8 @@
     "request cleared" INFO RequestCleared<'a> {
         /// Hash that its copies share and no other request has.
         fingerprint: &'a str,
-        /// Why: a successful run here, an operator's command, or a notice of another daemon.
+        /// Why: succeeded at a backend server of this host, lifted by an operator, or reported by
+        /// another daemon.
         cause: &'a str,
         /// Host of the daemon that reported it.
         from: &'a str,
