--- a/crates/peer/src/compression.rs
+++ b/crates/peer/src/compression.rs
@@ -7,7 +7,7 @@
 //! reports. Each side keeps the last bytes of each direction as a dictionary for LZ4, which encodes
 //! a repeated sequence in three bytes. The dictionaries take 32 KiB per link. This saves a third of
 //! all bytes between failure domains in a deployment of 30 hosts. DEFLATE streams save 3 in 100
-//! more, but treble the memory of the daemons (15.9 instead of 5.5 GB seconds over a day of 32
+//! more, but triple the memory of the daemons (15.9 instead of 5.5 GB seconds over a day of 32
 //! hosts).
 
 use bytes::{Buf, BufMut, BytesMut};
@@ -72,8 +72,8 @@
         self.input.extend_from_slice(received);
     }
 
-    /// Appends the next block, decompressed, to `output`; returns false if it is still incomplete.
-    /// Fails if the bytes are not the output of a [`LinkEncoder`].
+    /// Appends the next block, decompressed, to `output`; returns `false` if it is still
+    /// incomplete. Fails if the bytes are not the output of a [`LinkEncoder`].
     pub fn decode(&mut self, output: &mut BytesMut) -> Result<bool, LinkError> {
         if self.input.len() < 2 * LENGTH_BYTES {
             return Ok(false);
--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -25,7 +25,7 @@
     FrameTooLong {
         /// Length of the frame.
         bytes: usize,
-        /// Longest length allowed.
+        /// Maximum length allowed.
         allowed: usize,
     },
     /// A frame could not be decoded.
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -23,7 +23,7 @@
 
 /// Bytes of the length prefix of each frame.
 const LENGTH_BYTES: usize = 4;
-/// Maximum frame length: one body chunk ([`CHUNK_BYTES_MAX`]) and the longest head that the edge
+/// Maximum frame length: one body chunk ([`CHUNK_BYTES_MAX`]) and the longest head that an ingress
 /// accepts (32 KiB), and the same amount again for what the daemons add.
 pub const FRAME_BYTES_MAX: usize = 256 * units::KIB;
 /// Maximum body bytes in one frame: half a window, so that a window holds two chunks.
@@ -209,7 +209,7 @@
         Ok(position)
     }
 
-    /// Returns whether any byte at or after `position` was handed to the operating system.
+    /// Says whether any byte at or after `position` was handed to the operating system.
     pub fn was_submitted(&self, position: u64) -> bool {
         self.queue.borrow().submitted_total > position
     }
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Returns whether the queue is closed.
+    /// Says whether the queue is closed.
     pub fn is_closed(&self) -> bool {
         self.queue.borrow().closed
     }
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -48,7 +48,7 @@
 }
 
 impl StoreError {
-    /// Returns whether the call may have taken effect.
+    /// Says whether the call may have taken effect.
     pub fn may_have_happened(&self) -> bool {
         matches!(self, Self::AnswerLost { .. } | Self::Malformed { .. })
     }
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -31,7 +31,7 @@
 const GROUP_MAX: usize = transaction::ENTRIES_MAX / 2;
 /// Maximum requests that wait for their row; further ones are refused immediately.
 const WAITING_MAX: usize = 4096;
-/// Time to find out whether a row was written whose answer was lost; after it the claim ends as
+/// Time to find out whether a row whose answer was lost was written; after it the claim ends as
 /// [`ClaimOutcome::Unsettled`], an unknown outcome.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Maximum body of a recorded answer: receipts are small, and a row must stay small.
@@ -270,8 +270,8 @@
         group
     }
 
-    /// Writes a group of claims in one transaction and replies to them; returns whether the
-    /// platform answered.
+    /// Writes a group of claims in one transaction and replies to them. Says whether the platform
+    /// answered.
     async fn write_group(&self, group: Vec<WaitingClaim>) -> bool {
         let checks = group.iter().map(|claim| absent(&claim.row_key)).collect();
         let writes = group.iter().map(|claim| put(&claim.row_key, &claim.entry)).collect();
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -91,8 +91,8 @@
 }
 
 impl TablePosition {
-    /// Returns whether an answer of `era` belongs to another history than this position. If either
-    /// era is unknown, the history is assumed to be the same.
+    /// Says whether an answer of `era` belongs to another history than this position. If either era
+    /// is unknown, the history is assumed to be the same.
     fn differs_in_era(&self, era: Option<u64>) -> bool {
         matches!((self.era, era), (Some(known), Some(reported)) if known != reported)
     }
@@ -314,7 +314,7 @@
     }
 }
 
-/// Returns whether a status means that the call had no effect.
+/// Says whether a status means that the call had no effect.
 fn is_refusal(status: StatusCode) -> bool {
     matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns whether this daemon has seen the epoch for its whole duration.
+    /// Says whether this daemon has seen the epoch for its whole duration.
     pub fn is_over(&self, now: Duration) -> bool {
         self.epoch > 0 && now.saturating_sub(self.seen_at) >= EPOCH_TIME
     }
