--- a/crates/daemon/src/announce.rs
+++ b/crates/daemon/src/announce.rs
@@ -25,8 +25,8 @@
 /// reply takes a few milliseconds, and 200 ms more where a packet is lost; a change must be in
 /// force everywhere within two seconds.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
-/// Most announcements to one neighbour: for as long as a change may take; heartbeats continue after
-/// that.
+/// Maximum number of announcements to one neighbour: they go on for as long as a change may take,
+/// and heartbeats continue after that.
 const ANNOUNCEMENTS_MAX: usize = 5;
 
 /// Announces the revision in force to each neighbour, in a task for each.
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -32,9 +32,9 @@
 
 /// Shortest time between polls of the store.
 const POLL_MIN: Duration = Duration::from_secs(1);
-/// Bytes of one part of a snapshot or of the records in one frame.
+/// Size in bytes of one part of a snapshot, or of the records in one frame.
 const PART_BYTES: usize = 64 * units::KIB;
-/// Most bytes that may be queued on a link while a snapshot is sent.
+/// Maximum number of bytes queued on a link while a snapshot is sent.
 const SNAPSHOT_BUFFER_MAX: u64 = 1024 * 1024;
 /// Pause while the receiver of a snapshot is behind.
 const SNAPSHOT_PAUSE: Duration = Duration::from_millis(5);
@@ -103,7 +103,7 @@
 }
 
 /// Lets requests be served between two slices of a long task, once there is a configuration to
-/// serve them by.
+/// serve them with.
 pub async fn yield_to_requests(state: &DaemonState) {
     if state.config.is_loaded() {
         monoio::time::sleep(YIELD_PAUSE).await;
@@ -205,7 +205,7 @@
 }
 
 /// Answers a peer that pulls changes: with the changes, or with a snapshot if they are no longer
-/// kept.
+/// cached.
 pub fn answer_pull(state: &Rc<DaemonState>, sender: &FrameSender, pull: ChangePull) {
     let after = FleetRevision(pull.after.max(0) as u64);
     if !state.config.is_loaded() {
@@ -247,7 +247,7 @@
 /// Sends a snapshot in parts, no faster than the peer reads them.
 async fn send_parts(state: &DaemonState, sender: &FrameSender, bytes: &[u8]) {
     let revision = state.config.revision().0 as i64;
-    let telling = state.snapshots.next_transfer();
+    let transfer = state.snapshots.next_transfer();
     let parts = bytes.chunks(PART_BYTES);
     let count = parts.len();
     for (index, part) in parts.enumerate() {
@@ -259,7 +259,7 @@
             records: Vec::new(),
             snapshot_part: Some(part.to_vec()),
             last: index + 1 == count,
-            telling: Some(telling),
+            telling: Some(transfer),
             place: Some(index as i32),
         };
         if sender.send(NO_EXCHANGE, FrameBody::News(news)).is_err() {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -66,7 +66,7 @@
     let revision = FleetRevision(note.revision.max(0) as u64);
     state.members.note_heard(state, peer, revision);
     state.members.note_entries(state, &note.members);
-    // Before the reply, as the peer may ask for all that is known here.
+    // Sent before the reply, as the peer may ask for all that is known here.
     roster::send_previous_record(state, sender, peer);
     if note.reply {
         freshness::note_answer(state, &note);
@@ -82,7 +82,7 @@
     }
     let (state, sender) = (state.clone(), sender.clone());
     monoio::spawn(async move {
-        // The reply reports what is known by then, whether or not it is certain.
+        // The reply reports what is known by then, whether or not that is certain.
         freshness::is_certain(&state).await;
         answer_heartbeat(&state, &sender, &note);
     });
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -68,7 +68,7 @@
     pulling: Cell<bool>,
     /// Position up to which the operator's table was read, if it was.
     position: Cell<Option<TablePosition>>,
-    /// Raised when a peer has a document that the pending call to the store did not bring.
+    /// Raised when a peer has a document that the pending call to the store did not return.
     stale_call: RisingSignal,
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// `FleetSnapshot` is what a daemon sends a peer that can't reach the store. The document is sent
-/// as it was read, with the digests of keys in place of the keys.
+/// as it was read, with the digests of keys instead of the keys.
 #[derive(Debug, Serialize, Deserialize)]
 struct FleetSnapshot<D> {
     document: D,
@@ -98,8 +98,9 @@
     }
 }
 
-/// Waits for the next news from the store. Drops the call if a peer turns out to have what it did
-/// not bring: its connection may have fallen silent, and would hold the call for up to 8.7 s.
+/// Waits for the next news from the store. Abandons the call if a peer turns out to have what the
+/// call did not return: its connection may have fallen silent, and would hold the call for up to
+/// 8.7 s.
 async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedNews> {
     let began = state.now();
     let became_stale = state.document.stale_call.above(state.document.stale_call.get());
@@ -114,10 +115,10 @@
     }
 }
 
-/// Applies a response of the store, which reported all that there was as of a moment.
+/// Applies an answer of the store, which is complete as of the moment `as_of`.
 fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, as_of: Duration) {
     let outcomes: Vec<_> = page.rows.iter().filter_map(|row| apply_row(state, row)).collect();
-    // A stale response does not confirm what is the newest.
+    // A stale answer does not confirm what is the newest.
     if outcomes.last() != Some(&DocumentOutcome::Outdated) {
         state.freshness.note_store(as_of);
     }
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -18,7 +18,7 @@
 /// of a small fleet therefore end as often as those of twelve daemons, one in half a second.
 const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
-/// Returns the longest wait of a call in a fleet of so many daemons.
+/// Returns the longest wait of a call in a fleet of `members` daemons, but no more than `most`.
 fn longest_wait(members: usize, most: Duration) -> Duration {
     let wait = WAIT_PER_DAEMON.saturating_mul(members as u32);
     wait.min(most)
@@ -42,9 +42,9 @@
 pub enum FeedNews {
     /// Every row of the table as of one moment.
     Whole(RowsPage),
-    /// Rows that changed or were removed, oldest first; none if the wait for one was over.
+    /// Rows that changed or were removed, oldest first; none if the wait ended without a change.
     Changes(RowsPage),
-    /// The store did not answer; the pause after it is over.
+    /// The call failed, and the pause after it is over.
     Failed,
 }
 
@@ -53,7 +53,7 @@
     plan: FeedPlan,
     /// Position up to which the table was read, `None` before all of it was.
     position: Option<TablePosition>,
-    /// As of when the store last answered: the answer included all that there was then.
+    /// Moment as of which the last answer of the store was complete.
     as_of: Duration,
     backoff: RetryBackoff,
     lost_at: Option<Duration>,
@@ -73,7 +73,7 @@
         self.position = Some(TablePosition { version, ..self.position.unwrap_or_default() });
     }
 
-    /// Returns as of when the last answer was complete.
+    /// Returns the moment as of which the last answer of the store was complete.
     pub fn as_of(&self) -> Duration {
         self.as_of
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Records that a call failed which began at `began`, and waits before the next.
+    /// Records that a call that began at `began` failed, and waits before the next.
     async fn note_failure(&mut self, state: &DaemonState, error: &StoreError, began: Duration) {
         metrics::STORE_FAILURES.add_one();
         self.failures += 1;
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -12,11 +12,11 @@
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
 
-/// Longest time for connecting to a backend server of the same host; the requirements put the cost
+/// Timeout for connecting to a backend server of the same host; the requirements put the cost of it
 /// at 1 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time of a check whether a process listens: a host answers its own processes within a
+/// Timeout of a check whether a process listens: a host answers its own processes within a
 /// millisecond, and the ingress waits for the outcome.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
@@ -76,7 +76,7 @@
     }
 
     /// Says whether nothing listens at the address. If a connection can be made, it is kept for the
-    /// next request, in place of the one that broke.
+    /// next request, instead of the one that broke.
     pub async fn is_refused(&self) -> bool {
         if self.open.get() >= self.limit.get() {
             return false;
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -44,7 +44,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Standard deviations above the typical service time within which five of six requests complete.
 const RESERVED_DEVIATIONS: f64 = 1.0;
-/// Timer that stands for "never overdue".
+/// Duration of the overdue timer of a request that never counts as overdue.
 const NEVER: Duration = Duration::from_secs(3600);
 
 /// Serves one exchange to its end and reports a failure to the ingress.
@@ -299,11 +299,11 @@
         let key = self.once_key(key);
         let mut claiming = std::pin::pin!(self.state.ledger.claim(&key).fuse());
         let mut cancelled = std::pin::pin!(body.cancelled().fuse());
-        let mut late = std::pin::pin!(monoio::time::sleep(self.time_left()).fuse());
+        let mut timed_out = std::pin::pin!(monoio::time::sleep(self.time_left()).fuse());
         let outcome = select_biased! {
             outcome = claiming => outcome,
             () = cancelled => return Err(FailureOutcome::NotRun(NotRunReason::CallerGone)),
-            () = late => return Err(FailureOutcome::NotRun(NotRunReason::LedgerUnavailable)),
+            () = timed_out => return Err(FailureOutcome::NotRun(NotRunReason::LedgerUnavailable)),
         };
         match outcome {
             ClaimOutcome::Granted(token) => Ok(ClaimStep::Run(Some(token))),
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -56,7 +56,7 @@
     async fn await_dispatch(&self, body: &EventPipe) -> Result<DispatchHead, NotRunReason> {
         match monoio::time::timeout(OFFER_TIMEOUT, body.next()).await {
             Ok(StreamEvent::Begin(head)) => Ok(*head),
-            // It took an offer of another host, or its caller left.
+            // The ingress accepted the offer of another host, or the caller left.
             Ok(_) => Err(NotRunReason::CallerGone),
             Err(_) => {
                 metrics::OFFERS_UNANSWERED.add_one();
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -26,8 +26,8 @@
 use crate::state::DaemonState;
 use crate::wire::{self, HostLoad};
 
-/// Time for which a backend server's drain notice holds without being renewed.
-const DRAIN_NOTICE_LIFE: Duration = Duration::from_secs(30);
+/// Time for which a backend server's drain notice counts without being renewed.
+const DRAIN_NOTICE_TTL: Duration = Duration::from_secs(30);
 
 /// `HostUpstream` is one backend server of this host.
 pub struct HostUpstream {
@@ -92,13 +92,13 @@
 
     /// Records whether a response of the backend server carried a drain notice.
     pub fn note_drain_notice(&self, draining: bool, now: Duration) {
-        let until = if draining { now + DRAIN_NOTICE_LIFE } else { Duration::ZERO };
+        let until = if draining { now + DRAIN_NOTICE_TTL } else { Duration::ZERO };
         self.draining_until.set(until);
     }
 
     /// Says whether the last attempt to connect to the backend server failed, or it crashed since.
-    /// Its slots become free at once, so that they would be offered to all waiting requests, one
-    /// after the other.
+    /// Slots of such a server become free again at once, so that they would be offered to all
+    /// waiting requests, one after the other.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable.get()
     }
@@ -131,7 +131,7 @@
         now.saturating_sub(self.last_success_at.get())
     }
 
-    /// Says whether the backend server takes a dispatch.
+    /// Says whether the backend server admits a dispatch.
     pub fn admit(&self, terms: &DispatchTerms<'_>, now: Duration) -> AdmitVerdict {
         let (verdict, change) = self.health.borrow_mut().admit(terms, now);
         self.log_change(change);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,7 +3,7 @@
 
 //! The proxy daemon that runs on each backend server host.
 //!
-//! Every daemon has the same three roles. The [`ingress`] takes callers' requests and chooses the
+//! Every daemon has the same three roles. The [`ingress`] accepts callers' requests and chooses the
 //! upstream of each. The [`host`] role is the only one that sends requests to the backend servers
 //! of its own host. The [`admin`] role serves the resource API, watches, status and metrics. Their
 //! shared state is in [`state`].
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -28,7 +28,7 @@
 /// has been silent for seconds.
 const ELIGIBLE_TTL: Duration = Duration::from_millis(200);
 
-/// Least age of an owner, if any daemon is that old. A new daemon is known to some daemons sooner
+/// Minimum age of an owner, if any daemon is that old. A new daemon is known to some daemons sooner
 /// than to others, and two owners at once would grant a limit twice.
 const OWNER_AGE_MIN: Duration = Duration::from_secs(15);
 
@@ -43,7 +43,7 @@
     generation: u64,
 }
 
-/// `EligibleHosts` is the cached list of hosts that may own limits. To build it for each request
+/// `EligibleHosts` is the cached list of hosts that may own limits. Building it for each request
 /// would cost more than the request itself.
 #[derive(Default)]
 struct EligibleHosts {
@@ -121,7 +121,7 @@
 
     /// Answers as the owner of a limit, or as its backup if the request carries a claim. Returns
     /// `None` where another daemon is the owner: two owners would together grant twice the limit,
-    /// and the requester turns to the backup instead.
+    /// and the requester asks the backup instead.
     pub fn answer(
         &self,
         state: &DaemonState,
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -318,7 +318,7 @@
 }
 
 /// Reports to the owner what this daemon granted as the backup owner. Where only some daemons can't
-/// reach the owner, one count then covers all grants. An owner that is gone is not told, as its
+/// reach the owner, one count then covers all grants. An owner that is gone is not notified, as its
 /// successor starts with a new count.
 pub fn charge_owner(state: &Rc<DaemonState>, limit: &str, granted: f64) {
     let active = state.config.active();
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -27,7 +27,7 @@
 use crate::membership;
 use crate::state::DaemonState;
 
-/// Longest time for a connection to another daemon: far regions are 0.3 s away.
+/// Timeout for connecting to another daemon: distant regions are 0.3 s away.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time that a request waits for a link to be established.
 ///
@@ -39,12 +39,11 @@
 const IDLE_MAX: Duration = Duration::from_secs(120);
 /// Time for which a path may be cut before its link is closed and established again.
 const CUT_MAX: Duration = Duration::from_secs(10);
-/// Silence of a path that is considered cut after which a second link is dialled beside the first:
-/// a connection may stay silent for good while new ones work. Requests that wait for the first are
-/// not lost by that.
+/// Silence of a cut path after which a second link is dialled beside the first: a connection may
+/// stay silent for good while new ones work. Requests in flight on the first are not lost by that.
 const RENEW_AFTER: Duration = Duration::from_secs(1);
-/// Most accepted links: every other daemon at the fleet size expected in two years, and room for
-/// restarts.
+/// Maximum number of accepted links: every other daemon at the fleet size expected in two years,
+/// and room for restarts.
 const LINKS_MAX: usize = 8192;
 
 type LinkReader = FrameReader<OwnedReadHalf<TcpStream>>;
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -30,12 +30,13 @@
 
 /// Time between attempts to contact the seeds while no other daemon is known.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// Most members in one heartbeat: 64 entries a second keep the view fresh within the suspect time.
+/// Maximum number of members in one heartbeat: 64 entries a second keep the view fresh within the
+/// suspect time.
 const ENTRIES_MAX: usize = 8;
 /// Heartbeat intervals after which a member that was not heard of is suspect, in a small fleet.
 const SUSPECT_HEARTBEATS: u32 = 12;
 /// Members whose entries one round of heartbeats renews. The suspect time grows by one interval for
-/// each so many members.
+/// each such number of members.
 const RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
@@ -46,9 +47,9 @@
 /// `MemberState` is the assumed state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It was heard of lately.
+    /// It was heard of recently.
     Live,
-    /// It was not heard of lately.
+    /// It was not heard of recently.
     Suspect,
     /// It is leaving.
     Leaving,
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -8,11 +8,12 @@
 use basaltarch_core::units;
 use fnv::FnvHashMap;
 
-/// Largest snapshot accepted from a peer, in bytes; at the fleet size expected in two years it has
-/// about 10 MB.
+/// Largest snapshot accepted from a peer, in bytes; at the fleet size expected in two years it
+/// takes about 10 MB.
 const SNAPSHOT_MAX: usize = 256 << 20;
 
-/// `SnapshotParts` holds the parts of snapshots that are being received, by the host of the sender.
+/// `SnapshotParts` holds the parts of snapshots that are being received, keyed by the host of the
+/// sender.
 #[derive(Debug, Default)]
 pub struct SnapshotParts {
     parts: RefCell<FnvHashMap<String, PartialSnapshot>>,
@@ -24,7 +25,7 @@
 /// `PartialSnapshot` is what has been received of one transfer.
 #[derive(Debug, Default)]
 struct PartialSnapshot {
-    telling: i64,
+    transfer: i64,
     next: i32,
     bytes: Vec<u8>,
 }
@@ -43,7 +44,7 @@
 }
 
 impl SnapshotParts {
-    /// Numbers a transfer by this daemon; a later incarnation has higher numbers.
+    /// Returns the number of this daemon's next transfer; a later incarnation has higher numbers.
     pub fn next_transfer(&self) -> i64 {
         let number = (self.transfers.get() + 1).max(units::wall_millis() as i64);
         self.transfers.set(number);
@@ -56,11 +57,11 @@
     pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
         if part.place == 0 {
-            let fresh = PartialSnapshot { telling: part.telling, ..PartialSnapshot::default() };
+            let fresh = PartialSnapshot { transfer: part.telling, ..PartialSnapshot::default() };
             parts.insert(host.to_owned(), fresh);
         }
         let partial = parts.get_mut(host)?;
-        if partial.telling != part.telling || partial.next != part.place {
+        if partial.transfer != part.telling || partial.next != part.place {
             return None;
         }
         partial.next += 1;
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -29,18 +29,18 @@
 use crate::roster::{self, HostRecord, ServerRecord};
 use crate::state::DaemonState;
 
-/// Most connections of backend servers of this host, and of the platform.
+/// Maximum number of connections of backend servers of this host, and of the platform.
 const CONNECTIONS_MAX: usize = 64;
 /// Largest heartbeat, in bytes.
 const BODY_BYTES_MAX: u64 = 16 * 1024;
-/// Longest time for a health check: it waits for a slot, and otherwise the next heartbeat comes
-/// soon.
+/// Timeout of a health check, which may wait for a slot of the server. After a failed check, the
+/// server's next heartbeat comes soon.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Most ended incarnations of backend servers that are remembered, to recognise their late
-/// heartbeats.
+/// Maximum number of ended incarnations of backend servers that are remembered, to recognise their
+/// late heartbeats.
 const GONE_MAX: usize = 64;
-/// Most backend servers whose incarnations are tracked: a host has few, and whoever names more of
-/// them is no backend server of this host.
+/// Maximum number of backend servers whose incarnations are tracked: a host has few, and a client
+/// that names more of them is no backend server of this host.
 const TRACKERS_MAX: usize = 256;
 
 /// `RegistrationTable` is what this daemon knows of the backend servers on its host, apart from
@@ -130,8 +130,8 @@
 }
 
 fn answer_server(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
-    // What is acknowledged also binds the next incarnation of this daemon, and this one would not
-    // wait until that can learn of it. The backend server calls again.
+    // An acknowledgement also binds the next incarnation of this daemon, but this one no longer
+    // waits until the next can learn of it. The backend server retries.
     if state.stop.is_over(state.now()) {
         return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon ends");
     }
@@ -164,9 +164,9 @@
     ServerReply::whole(StatusCode::OK, "application/json", body)
 }
 
-/// Returns why a heartbeat must come from another writer: its service is not configured and its
-/// server not registered with it, or its service or address differs from that registered for the
-/// same incarnation.
+/// Returns why a heartbeat is refused as coming from some other client: its service is not
+/// configured and its server not registered with it, or its service or address differs from that
+/// registered for the same incarnation.
 fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
     let servers = state.roster.own_servers();
@@ -177,8 +177,9 @@
         return (!same && !may_differ).then_some("a start keeps its service and its address");
     }
     let document = state.document.get()?;
-    let named = document.services.iter().any(|note| note.name == heartbeat.service);
-    (!named).then_some("the service is not in the configuration")
+    let is_configured =
+        document.services.iter().any(|declaration| declaration.name == heartbeat.service);
+    (!is_configured).then_some("the service is not in the configuration")
 }
 
 /// Handles a heartbeat, and returns how it was classified.
@@ -197,7 +198,7 @@
     verdict
 }
 
-/// Puts what a heartbeat reports in force.
+/// Puts in force what a heartbeat reports.
 fn register(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) {
     let name = heartbeat.incarnation.upstream();
     let cold_until = state.now() + heartbeat.cold_for;
@@ -326,8 +327,8 @@
         seen = state.config.changed().above(seen).await;
     }
     let document = state.document.get()?;
-    let note = document.services.iter().find(|note| note.name == service)?;
-    Some(note.health_path.clone())
+    let declaration = document.services.iter().find(|declaration| declaration.name == service)?;
+    Some(declaration.health_path.clone())
 }
 
 fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
--- a/crates/daemon/src/resume.rs
+++ b/crates/daemon/src/resume.rs
@@ -3,10 +3,10 @@
 
 //! Handles the resume of a suspended host.
 //!
-//! Time limits go by a clock that runs on during a suspend, so deadlines, grants, budgets and the
-//! ages of what was heard of other daemons have expired by themselves. What no clock does remains:
-//! not to consider a path usable before it is heard on, not to count a time that spans the suspend
-//! against a server, and to inform the peers.
+//! Time limits are measured by a clock that runs on during a suspend, so deadlines, grants, budgets
+//! and the ages of what was heard of other daemons have expired by themselves. What the clock can't
+//! do is done here: a path is not considered usable before something is heard on it, a time that
+//! spans the suspend is not counted against a server, and the peers are informed.
 
 use std::rc::Rc;
 
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Removes old rows of the at-most-once ledger: each daemon sweeps a part of it now and then.
+//! Removes old rows of the at-most-once ledger: each daemon sweeps a part of it periodically.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use crate::state::DaemonState;
 
-/// Least time between two rounds of one daemon.
+/// Minimum time between two rounds of one daemon.
 const ROUND_MIN: Duration = Duration::from_secs(30);
 /// Time between two rounds for each daemon of the fleet: 20 rounds a second over all of it, a tenth
 /// of the fleet's reads.
@@ -37,7 +37,7 @@
             }
             Err(error) => {
                 let error = &error.to_string();
-                process::StoreFailed { call: "sweep once-only rows", error }.log();
+                process::StoreFailed { call: "sweep at-most-once rows", error }.log();
             }
         }
         let daemons = state.members.count() as u32;
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Says whether an earlier incarnation of this host's daemon is known of.
+    /// Says whether an earlier incarnation of this host's daemon is known.
     pub fn started_before(&self) -> bool {
         self.started_before.get()
     }
@@ -356,8 +356,8 @@
             fleet::EarlierStart { host, incarnation, latest }.log();
             return;
         }
-        // A later record came directly from its daemon, or the daemon changed while this one was
-        // written.
+        // A later record came directly from its daemon, or the daemon's own record changed while
+        // this one was being written.
         if known.as_ref().is_some_and(|known| known.order() > record.order()) {
             return;
         }
@@ -456,7 +456,7 @@
     if row.key != state.options.host {
         return update_record(state, &row.key, Some(record));
     }
-    // The response to a later write may have come before this row.
+    // The answer to a later write may have come before this row.
     if row.version > state.roster.own_version.get() {
         state.roster.own_version.set(row.version);
         state.roster.note_written(Some(record.clone()));
@@ -527,7 +527,7 @@
     if host != state.options.host {
         return update_record(state, host, None);
     }
-    // Other daemons took this one for gone. Its row is written again.
+    // Other daemons considered this one gone. Its row is written again.
     state.roster.own_version.set(0);
     state.roster.note_written(None);
     state.roster.touch();
@@ -575,7 +575,7 @@
     let key = row_key(&state.options.host);
     let check = RowCheck { key: key.clone(), version: state.roster.own_version.get() };
     let write = RowWrite { key, value: Some(json!(record)) };
-    // A write without a response may have been done, or may be done later: until a later one is
+    // A write without an answer may have taken effect, or may do so later: until a later one is
     // answered, the content of the row is not known.
     state.roster.note_written(None);
     match state.platform.transact(vec![check], vec![write]).await {
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -52,8 +52,8 @@
 const SILENCE_MAX: Duration = Duration::from_millis(2500);
 /// Time for which a reader that was silent is not chosen; after it, the reader may be back.
 const AVOID_TIME: Duration = Duration::from_secs(20);
-/// Most removed rows that are remembered: as many as the hosts that are removed in an hour of a
-/// large fleet.
+/// Maximum number of removed rows that are remembered: as many as the hosts that are removed in an
+/// hour of a large fleet.
 const REMOVED_MAX: usize = 512;
 /// Version of news that a daemon sends about a host directly, bypassing the store; the table's
 /// versions are higher.
@@ -70,7 +70,7 @@
     is_reading: Cell<bool>,
     /// When a reader was last heard of.
     news_at: Cell<Option<Duration>>,
-    /// Raised when changes did not arrive here that no reader remembers any more.
+    /// Raised when changes that no reader remembers any more did not arrive here.
     gap: RisingSignal,
     /// Every row with the version of its last change, for daemons that are behind.
     notes: RefCell<BTreeMap<String, RowNote>>,
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -37,7 +37,7 @@
 /// Exit status of a stop that cut requests.
 pub const EXIT_CUT: i32 = 3;
 
-/// `StopRequests` is where a daemon is told to stop.
+/// `StopRequests` is where requests to stop a daemon come from.
 pub enum StopRequests {
     /// Signals of the system: SIGTERM drains, however often it comes. SIGINT does too, but ends the
     /// daemon at once if it is stopping already.
@@ -62,7 +62,7 @@
     Ok((listener, address))
 }
 
-/// Listens on an address if there is one, and puts the address as bound in its place.
+/// Listens on an address if there is one, and replaces it by the address as bound.
 fn listen_optional(address: &mut Option<SocketAddr>) -> Result<Option<TcpListener>, DaemonError> {
     match address {
         Some(wanted) => {
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -38,8 +38,8 @@
 /// well, although no daemon charges it. With 0.85 a service received 217 retries in a window that
 /// allowed 198.
 const BUDGET_FRACTION: f64 = 0.7;
-/// Most split routes whose state is kept. Beyond it the states of all are dropped, so that those of
-/// removed routes do not accumulate.
+/// Maximum number of split routes whose state is kept. Beyond it the states of all are dropped, so
+/// that those of removed routes do not accumulate.
 const SPLITS_MAX: usize = 4096;
 
 /// `ServiceState` is what the ingress knows of one service.
@@ -275,11 +275,11 @@
         &self,
         index: usize,
         route: &Rc<str>,
-        note: &LoadReport,
+        report: &LoadReport,
         failed: Option<bool>,
         now: Duration,
     ) {
-        let (load, health) = wire::report_of(note);
+        let (load, health) = wire::report_of(report);
         let until = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
         self.draining_until[index].set(until);
         self.slow_requests.borrow_mut()[index] = (load.slow_requests, now);
@@ -357,8 +357,8 @@
         self.budget.borrow_mut().note_request(now);
     }
 
-    /// Records a request that counts as a retry, since it is a nested call of a request that is one
-    /// itself.
+    /// Records a request that counts as a retry, since it is a nested call of a request that is
+    /// itself a retry.
     pub fn note_retried(&self, now: Duration) {
         self.budget.borrow_mut().note_retry(now);
     }
@@ -422,11 +422,12 @@
     /// Says whether a failure of this request counts as no evidence against an upstream.
     pub fn exempts_failure(&self, method: &str, target: &str, now: Duration) -> bool {
         let poison = self.poison.borrow();
-        let spared = !poison.is_empty() && poison.is_poison(RequestHash::of(method, target), now);
-        if spared {
+        let is_exempt =
+            !poison.is_empty() && poison.is_poison(RequestHash::of(method, target), now);
+        if is_exempt {
             metrics::POISON_EXEMPTED.add_one();
         }
-        spared
+        is_exempt
     }
 
     /// Returns the number of servers at which this request is known to have failed.
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -155,7 +155,7 @@
         *self.live.borrow_mut() = Rc::new(options);
     }
 
-    /// Returns the bounds of heads of callers' requests: those of the document, if there is one.
+    /// Returns the limits on heads of callers' requests: those of the document, if there is one.
     pub fn head_limits(&self) -> HeadLimits {
         let set = self.options.head;
         match self.document.get() {
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Returns the bounds of bodies of callers' requests: those of the document, if there is one.
+    /// Returns the limits on bodies of callers' requests: those of the document, if there is one.
     pub fn body_limits(&self) -> BodyLimits {
         let set = self.options.body;
         match self.document.get() {
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -18,8 +18,8 @@
 
 /// Time between checks for requests in flight during a shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Most checks whether callers have read their last responses: together a third of the time from
-/// the end of the longest drain to the platform's kill.
+/// Maximum number of checks whether callers have read their last responses: together a third of the
+/// time from the end of the longest drain to the platform's kill.
 const LINGER_CHECKS: usize = 5;
 
 /// `StopReport` says how a daemon ended.
@@ -38,7 +38,8 @@
     pub interrupted: RisingSignal,
     /// Raised when no more requests of callers are accepted.
     pub closing: RisingSignal,
-    /// Raised shortly before the end of a stop: requests that still wait get their final response.
+    /// Raised shortly before the end of the shutdown: requests that still wait get their final
+    /// response.
     pub giving_up: RisingSignal,
     /// Raised when the daemon ends: idle connections are closed.
     pub ending: RisingSignal,
@@ -87,7 +88,7 @@
     }
 
     /// Says whether the daemon no longer waits for anything new: it gives up on what it waits for,
-    /// or ends. A daemon that was suspended past its longest drain goes by the clock.
+    /// or ends. For a daemon that was suspended past its longest drain, the clock decides.
     pub fn is_over(&self, now: Duration) -> bool {
         let is_past_longest =
             |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -32,14 +32,14 @@
 
 /// Time between two evictions of old entries.
 const EVICTION_INTERVAL: Duration = Duration::from_secs(30);
-/// Most refused requests in a host's row, as every daemon that starts reads each row.
+/// Maximum number of refused requests in a host's row, as every daemon that starts reads each row.
 const ROW_RECORDS_MAX: usize = 16;
 
 /// `SuspectRegistry` is what this daemon knows of requests that crash backend servers.
 #[derive(Default)]
 pub struct SuspectRegistry {
     table: RefCell<SuspectTable>,
-    /// Requests whose last crash was on this host and which its row records.
+    /// Requests whose last crash was on this host. Its row records those that are refused.
     crashed_here: RefCell<Vec<RequestFingerprint>>,
     digest: Cell<u64>,
 }
@@ -75,7 +75,7 @@
         notices
     }
 
-    /// Returns the digest of what is known, for heartbeats. Returns `None` if nothing is.
+    /// Returns the digest of what is known, for heartbeats, or `None` if nothing is known.
     pub fn digest(&self) -> Option<i64> {
         Some(self.digest.get() as i64).filter(|digest| *digest != 0)
     }
@@ -115,8 +115,8 @@
     state.suspects.table.borrow_mut().judge(fingerprint, is_owner, state.now())
 }
 
-/// Records that a backend server of this host crashed while it ran a request. `before` is what
-/// counted against the request when that run began.
+/// Records that a backend server of this host crashed while it ran a request. `before` is the
+/// request's crash tally when that attempt began.
 pub fn note_crash(
     state: &Rc<DaemonState>,
     fingerprint: RequestFingerprint,
@@ -184,9 +184,9 @@
     roster::refresh_refused(state);
 }
 
-/// Logs what another daemon reported of a request, against which `before` counted. It is logged
-/// only if copies are now refused, or admitted again: the daemon that saw a crash logs every
-/// suspect of it.
+/// Logs what another daemon reported of a request; `before` is its crash tally until then. It is
+/// logged only if copies are now refused, or admitted again: the daemon that saw a crash logs all
+/// suspects of that crash.
 fn log_received(notice: &SuspectNotice, before: CrashTally, from: &str) {
     if notice.tally.is_refused() {
         log_suspected(notice, from);
@@ -207,9 +207,9 @@
     .log();
 }
 
-/// Notifies up to `links` of the linked daemons.
-fn notify_some(state: &DaemonState, notice: &SuspectNotice, links: usize) {
-    for sender in membership::sample_senders(state, links) {
+/// Notifies up to `most` of the linked daemons.
+fn notify_some(state: &DaemonState, notice: &SuspectNotice, most: usize) {
+    for sender in membership::sample_senders(state, most) {
         send(&sender, std::slice::from_ref(notice));
     }
 }
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// Reads what other upstreams reported of slow requests, none if the note lacks it.
+/// Reads what the other upstreams reported of slow requests; none if the note lacks it.
 pub fn siblings_slow_requests(note: Option<&BaselineNote>) -> SlowRequests {
     let counts = note.and_then(|note| Some((note.hung_milli?, note.late_milli?)));
     counts.map_or_else(SlowRequests::default, |(hung, late)| slow_requests(hung, late))
@@ -196,26 +196,29 @@
 }
 
 /// Reads a report.
-pub fn report_of(note: &LoadReport) -> (HostLoad, HealthReport) {
+pub fn report_of(report: &LoadReport) -> (HostLoad, HealthReport) {
     let load = HostLoad {
-        in_flight: note.in_flight.max(0) as u32,
-        queued: note.queued.max(0) as u32,
-        draining: note.draining,
-        revision: note.revision.max(0) as u64,
-        took: (note.took_us > 0).then(|| Duration::from_micros(note.took_us as u64)),
-        slow_requests: slow_requests(note.hung_milli.unwrap_or(0), note.late_milli.unwrap_or(0)),
+        in_flight: report.in_flight.max(0) as u32,
+        queued: report.queued.max(0) as u32,
+        draining: report.draining,
+        revision: report.revision.max(0) as u64,
+        took: (report.took_us > 0).then(|| Duration::from_micros(report.took_us as u64)),
+        slow_requests: slow_requests(
+            report.hung_milli.unwrap_or(0),
+            report.late_milli.unwrap_or(0),
+        ),
     };
     let health = HealthReport {
-        sickness: of_milli(note.sickness_milli),
-        ejected: note.ejected,
-        median_ln: of_milli(note.median_ln_milli),
-        spread: of_milli(note.spread_milli),
-        failure_rate: of_milli(note.failure_rate_milli),
-        overdue_rate: of_milli(note.overdue_rate_milli),
-        samples: note.samples.max(0) as u32,
-        ramp: of_milli(note.ramp_milli).clamp(0.01, 1.0),
-        trial_in: Duration::from_millis(note.trial_in_ms.max(0) as u64),
-        doubtful: note.doubtful,
+        sickness: of_milli(report.sickness_milli),
+        ejected: report.ejected,
+        median_ln: of_milli(report.median_ln_milli),
+        spread: of_milli(report.spread_milli),
+        failure_rate: of_milli(report.failure_rate_milli),
+        overdue_rate: of_milli(report.overdue_rate_milli),
+        samples: report.samples.max(0) as u32,
+        ramp: of_milli(report.ramp_milli).clamp(0.01, 1.0),
+        trial_in: Duration::from_millis(report.trial_in_ms.max(0) as u64),
+        doubtful: report.doubtful,
     };
     (load, health)
 }
@@ -225,12 +228,12 @@
     matches!(status, 500 | 502 | 503 | 504)
 }
 
-/// Returns a fraction in thousandths, saturated at the range of `i32`.
+/// Converts a fraction to thousandths, saturated at the range of `i32`.
 fn milli(value: f64) -> i32 {
     (value * MILLI).round() as i32
 }
 
-/// Returns the fraction of so many thousandths.
+/// Converts thousandths to a fraction.
 fn of_milli(thousandths: i32) -> f64 {
     f64::from(thousandths) / MILLI
 }
