--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -15,7 +15,7 @@
 
 /// Longest wait of a call for each daemon of the fleet. A connection that fell silent holds its
 /// call until its wait is over, and the first daemon whose call ends informs the others. The calls
-/// of a small fleet therefore end as often as those of twelve daemons, one in half a second.
+/// of a small fleet therefore end as often as those of twelve daemons, one every half second.
 const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
 /// Returns the longest wait of a call in a fleet of `members` daemons, but no more than `most`.
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -119,8 +119,8 @@
             /// Whether the addresses of callers are hidden from backend servers
             /// [BASALTARCH_HIDE_CALLERS], default false.
             optional --hide-callers flag: String
-            /// Share of a service's slots below which ejection of upstreams never goes, if the
-            /// configuration does not set it [BASALTARCH_FLOOR], default 0.7.
+            /// Share of a service's slots that must stay in service when an upstream is ejected, if
+            /// the configuration does not set it [BASALTARCH_FLOOR], default 0.7.
             optional --floor share: String
             /// What outlier ejection prefers if the configuration does not set it: `detection`,
             /// which may eject a healthy upstream, or `precision`, which may miss a faulty one
@@ -145,16 +145,15 @@
             optional --limit-extra count: String
             /// Length of that window in ms [BASALTARCH_LIMIT_WINDOW_MS], default 1000.
             optional --limit-window-ms ms: String
-            /// Whether non-repeatable requests are sent elsewhere, if possible, than to a backend
-            /// server where no request has ended for a while [BASALTARCH_PROVE_ONCE_ONLY], default
-            /// false.
+            /// Whether non-repeatable requests avoid, if possible, backend servers where no request
+            /// has ended for a while [BASALTARCH_PROVE_ONCE_ONLY], default false.
             optional --prove-once-only flag: String
             /// Where requests wait that find no free slot: `one-host`, in the queue of one host, or
             /// `places`, at the daemon that received them, with reservations for slots of several
             /// hosts [BASALTARCH_WAITING], default one-host.
             optional --waiting name: String
-            /// Time in ms that a request waits in its own failure domain rather than send a
-            /// megabyte to another [BASALTARCH_FAR_MEGABYTE_MS], default 0.
+            /// Time in ms that a request waits in its own failure domain to save sending a megabyte
+            /// to another one [BASALTARCH_FAR_MEGABYTE_MS], default 0.
             optional --far-megabyte-ms ms: String
         }
     }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -145,7 +145,7 @@
         local
     }
 
-    /// Returns the number of members, with this daemon.
+    /// Returns the number of other members, at least 1.
     pub fn count(&self) -> usize {
         self.members.borrow().len().max(1)
     }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -603,7 +603,7 @@
     format!("{HOSTS_TABLE}/{host}")
 }
 
-/// Removes the rows of hosts that have been silent for a long time, for ever.
+/// Runs for ever: removes the rows of hosts that have been silent for a long time.
 ///
 /// One daemon is responsible for each host, by rendezvous hashing over the live ones. A row is
 /// removed only while the store answers and only if it has not been written since; a daemon that is
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -352,8 +352,8 @@
     state.rows.version.set(news.version as u64);
 }
 
-/// Sends a peer a host's record directly, bypassing the store. A daemon of a version without this
-/// ignores the record, as its version is older than any known.
+/// Sends a peer a host's record directly, bypassing the store. A daemon of a release without this
+/// ignores the record, as the version of the news is older than any known.
 pub fn send_relayed(sender: &FrameSender, relayed: &RelayedRecord) {
     // The record holds texts and numbers only, so that its serialization can't fail.
     let value = serde_json::to_vec(&relayed.record).ok();
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -293,7 +293,7 @@
     }
 }
 
-/// Evicts requests that have not been seen for a while, for ever.
+/// Runs for ever: evicts requests that have not been seen for a while.
 pub async fn forget(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(EVICTION_INTERVAL).await;
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -155,7 +155,7 @@
     }
 }
 
-/// `HostLoad` is what a host's daemon reports of an upstream beside its health.
+/// `HostLoad` is what a host's daemon reports of an upstream besides its health.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostLoad {
     /// Requests in the slots.
