--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -52,8 +52,8 @@
 const SILENCE_MAX: Duration = Duration::from_millis(2500);
 /// Time for which a reader that was silent is not chosen; after it, the reader may be back.
 const AVOID_TIME: Duration = Duration::from_secs(20);
-/// Most removed rows that are remembered: as many as the hosts that are removed in an hour of a
-/// large fleet.
+/// Maximum number of removed rows that are remembered: as many as the hosts that are removed in an
+/// hour of a large fleet.
 const REMOVED_MAX: usize = 512;
 /// Version of news that a daemon sends about a host directly, bypassing the store; the table's
 /// versions are higher.
@@ -70,7 +70,7 @@
     is_reading: Cell<bool>,
     /// When a reader was last heard of.
     news_at: Cell<Option<Duration>>,
-    /// Raised when changes did not arrive here that no reader remembers any more.
+    /// Raised when changes that no reader remembers any more did not arrive here.
     gap: RisingSignal,
     /// Every row with the version of its last change, for daemons that are behind.
     notes: RefCell<BTreeMap<String, RowNote>>,
@@ -352,8 +352,8 @@
     state.rows.version.set(news.version as u64);
 }
 
-/// Sends a peer a host's record directly, bypassing the store. A daemon of a version without this
-/// ignores the record, as its version is older than any known.
+/// Sends a peer a host's record directly, bypassing the store. A daemon of a release without this
+/// ignores the record, as the version of the news is older than any known.
 pub fn send_relayed(sender: &FrameSender, relayed: &RelayedRecord) {
     // The record holds texts and numbers only, so that its serialization can't fail.
     let value = serde_json::to_vec(&relayed.record).ok();
