--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -85,12 +85,12 @@
     let mut rng = ChaCha8Rng::seed_from_u64(6);
     let mut views: Vec<ServiceView> = (0..services).map(|_| view(UPSTREAMS_EACH, 0.0)).collect();
     let mut now = Duration::from_secs(1);
-    let mut turn = 0;
+    let mut index = 0;
     bencher.bench_local(|| {
         // A stride that is coprime to the numbers of services visits all of them.
-        turn = (turn + 7919) % services;
+        index = (index + 7919) % services;
         now += REQUEST_INTERVAL;
-        views[turn].choose(
+        views[index].choose(
             now,
             &ChoiceRequest { repeatable: true, ..ChoiceRequest::default() },
             &mut rng,
@@ -103,13 +103,13 @@
     let mut view = view(upstreams, 0.0);
     let mut baseline = RouteBaseline::default();
     let mut now = Duration::from_secs(1);
-    let mut turn = 0;
+    let mut index = 0;
     bencher.bench_local(|| {
-        turn = (turn + 1) % upstreams;
+        index = (index + 1) % upstreams;
         now += REQUEST_INTERVAL;
-        baseline.note(turn as u32, &report(0.1));
+        baseline.note(index as u32, &report(0.1));
         view.note_median(baseline.current().median_ln);
-        view.note_report(turn, 1, report(0.1), now);
+        view.note_report(index, 1, report(0.1), now);
         view.sickness_median(now)
     });
 }
--- a/crates/decide/src/adaptive_timeout.rs
+++ b/crates/decide/src/adaptive_timeout.rs
@@ -6,39 +6,40 @@
 //! A request that hangs holds its slot until the timeout given to the server. The workload is a
 //! service that is full while some of its servers hang: there a quarter of the slots' time went to
 //! requests that hung (88 requests held what 2,500 calls would have needed). So a full server is
-//! given the time in which nearly all sound requests end, instead of all the time that the caller
-//! would wait, and its own answer ends the request then. It does so only where slow requests were
-//! seen to hang rather than to be answered late, and helps where load balancing sends repeatable
-//! requests to the slots that become free.
+//! given the time in which nearly all requests that don't hang end, instead of all the time that
+//! the caller would wait, and its own answer ends the request then. Requests are bounded like that
+//! only where slow ones were seen to hang rather than to be answered late; this helps where load
+//! balancing sends repeatable requests to the slots that become free.
 //!
 //! A server that begins to hang has all its slots taken before any of its requests is slow. So what
 //! other servers of the service saw counts as well, where it is reported, and requests are bounded
-//! from the first one on: where servers hang by turns, the next one hangs like the last.
+//! from the first one on: where servers hang one after another, the next hangs like the last.
 
 use std::time::Duration;
 
 use crate::hang::UsualTime;
 
-/// Deviations above the typical service time that a request is given: 99 in 100 sound requests end
-/// within it. Of the requests that are older, nine in ten hang where one request in twelve does.
+/// Deviations above the typical service time that a request is given: 99 in 100 requests that don't
+/// hang end within it. Of the requests that run longer, nine in ten hang where one request in
+/// twelve does.
 const ALLOWED_DEVIATIONS: f64 = 2.33;
-/// One request in this many is given all of its time, so that a server that has become slow is told
-/// from one that hangs.
+/// One request in this many is given all of its time, so that a server that has become slow can be
+/// told apart from one that hangs.
 const UNBOUNDED_EVERY: u32 = 8;
 /// Time constant with which the counts of slow requests decay: servers hang for seconds at a time,
-/// and those that did recently do so again.
+/// and those that hung recently tend to hang again.
 const EVIDENCE_LIFE: Duration = Duration::from_secs(20);
-/// Requests that must have hung before requests are bounded: fewer may be the tail of sound ones.
+/// Requests that must have hung before requests are bounded: fewer may be the tail of healthy ones.
 const HUNG_MIN: f64 = 2.0;
 /// Ratio of hung to late requests from which requests are bounded. Bounding requests that would be
-/// answered cost 0.015 of worth in the mean of 20 runs of fleets whose servers fail by errors.
+/// answered cost 0.015 of worth in the mean of 20 runs of fleets whose servers fail with errors.
 const HUNG_TO_LATE_MIN: f64 = 4.0;
 
 /// Requests that must have hung at all servers of a service before requests are bounded also where
 /// slots are free: a slot is free only until a request that hangs has taken it.
 const SERVICE_HUNG_MIN: f64 = 10.0;
 
-/// `SlowRequests` holds decaying counts of requests that ran longer than nearly all sound ones.
+/// `SlowRequests` holds decaying counts of requests that ran longer than nearly all healthy ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SlowRequests {
     /// Requests that made no progress, less those that were answered after all.
@@ -85,7 +86,7 @@
 pub struct AttemptTimeout {
     /// Timeout that the server is given.
     pub time: Duration,
-    /// Time after which an answer counts as late: it shows that sound requests run longer than is
+    /// Time after which an answer counts as late: it shows that healthy requests run longer than is
     /// allowed here.
     pub late_after: Duration,
 }
@@ -123,7 +124,7 @@
         self.slow.hung += 1.0;
     }
 
-    /// Records that a sound request was answered after this time; `overrun` says whether
+    /// Records that a healthy request was answered after this time; `overrun` says whether
     /// [`Self::note_overrun`] was called for it.
     pub fn note_answered(
         &mut self,
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -69,7 +69,7 @@
     pub reachable: bool,
     /// Whether the link to its daemon is up again after a cut, but no probe was answered since.
     pub proving: bool,
-    /// Whether it is draining, whoever reported that.
+    /// Whether it is draining, whoever reported it.
     pub draining: bool,
     /// Requests of this ingress that are in flight there.
     pub own: u32,
@@ -79,7 +79,7 @@
     pub health: Option<HealthReport>,
     /// When that report arrived.
     pub reported_at: Duration,
-    /// When an attempt there last ran past its hedge delay.
+    /// When an attempt there last outlasted its hedging delay.
     pub late_at: Option<Duration>,
 }
 
@@ -522,13 +522,18 @@
         }
     }
 
-    /// Chooses the best upstream, in this order: where the upstream can't decline any more, one
-    /// that just declined as full but is not a suspect; one in the own failure domain that is not a
-    /// suspect and not loaded; one there to queue at, for the rounds that the request's bytes are
-    /// worth; one that is not a suspect and has a free slot; one that is not a suspect, to queue
-    /// there, as a request behind others at a sound upstream is served sooner than one that hangs;
-    /// for a repeatable request that would be refused there, a suspect with idle slots; any, by its
-    /// cost; and where there is none, one whose link is up again after a cut.
+    /// Chooses the best upstream by the first of these criteria that any upstream meets:
+    ///
+    /// - it just declined as full but is not a suspect, where it can't decline any more;
+    /// - it is in the failure domain of the ingress, not a suspect and not loaded;
+    /// - it is in that domain and not a suspect, and the request queues for no more rounds than its
+    ///   bytes are worth;
+    /// - it is not a suspect and has a free slot;
+    /// - it is not a suspect, and the request queues there, as behind others at a healthy upstream
+    ///   it is served sooner than at one that hangs;
+    /// - it is a suspect with idle slots, for a repeatable request that would be refused elsewhere;
+    /// - it is in service at all;
+    /// - its link is up again after a cut.
     fn best(
         &self,
         terms: &ChoiceTerms,
@@ -603,8 +608,8 @@
     /// Says whether a request would find room in an upstream's queue. A refused request is lost for
     /// certain, so a repeatable one goes to a suspect with idle slots, which serves a part of what
     /// it gets, before it is sent where there is no room. On days of a full service whose servers
-    /// hang by turns, with attempts bounded by the adaptive timeout, this gains 0.024 of worth in
-    /// the mean of ten runs.
+    /// hang one after another, with attempts bounded by the adaptive timeout, this gains 0.024 of
+    /// worth in the mean of ten runs.
     fn has_queue_room(&self, view: &LoadView, now: Duration) -> bool {
         let queue_rounds = f64::from(self.queue) / f64::from(view.slots.max(1));
         view.load_share(now) < 1.0 + QUEUE_SHARE_MAX * queue_rounds
@@ -629,16 +634,17 @@
         let drawn = (0..DRAWN_UPSTREAMS).map(|_| rng.random_range(0..self.upstreams.len()));
         let oldest = drawn.min_by_key(|index| self.upstreams[*index].reported_at)?;
         let view = &self.upstreams[oldest];
-        // An upstream with unanswered requests is silent by itself: it is not worth exploring.
+        // An upstream that leaves requests unanswered is not silent for want of requests, so it is
+        // not worth exploring.
         let is_old = view.own == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
         let ramps = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
         let fits = self.in_service(oldest) && !ramps && !view.is_suspect(terms);
         (is_old && fits).then_some(oldest)
     }
 
-    /// Finds a doubted upstream in the own failure domain whose trial is due: a sound one must not
-    /// wait long for a request that happens to test it, or too few upstreams of a service would get
-    /// requests.
+    /// Finds a doubted upstream in the failure domain of the ingress whose trial is due: a healthy
+    /// one must not wait long for a request that happens to test it, or too few upstreams of a
+    /// service would get requests.
     fn due_doubted_trial(&self, now: Duration) -> Option<usize> {
         self.oldest_report(|index, view| {
             let age = now.saturating_sub(view.reported_at);
--- a/crates/decide/src/balance/reservations.rs
+++ b/crates/decide/src/balance/reservations.rs
@@ -36,8 +36,8 @@
     /// are.
     ///
     /// Suspects are drawn only when no other upstream is eligible: one that fails requests at once
-    /// has a free slot again at once, and would offer more slots than the sound ones. Their hosts
-    /// learn of most doubts first and refuse the reservations.
+    /// has a free slot again at once, and would offer more slots than the healthy ones. Their hosts
+    /// are the first to doubt most of them, and refuse the reservations.
     pub fn draw_reservations(
         &mut self,
         now: Duration,
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -26,7 +26,7 @@
 struct BudgetSlot {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// `RetryBudget` allows a share of requests to be retried. In any window, the retries stay within
@@ -56,7 +56,7 @@
     /// Records a retry that was made without asking the budget: a nested call of a request that was
     /// itself retried.
     pub fn note_retry(&mut self, now: Duration) {
-        self.slot_mut(now).repeats += 1;
+        self.slot_mut(now).retries += 1;
     }
 
     /// Says whether the budget allows a retry.
@@ -68,16 +68,16 @@
     pub fn left(&mut self, now: Duration) -> f64 {
         self.slot_mut(now);
         let requests: u32 = self.slots.iter().map(|slot| slot.requests).sum();
-        let repeats: u32 = self.slots.iter().map(|slot| slot.repeats).sum();
+        let retries: u32 = self.slots.iter().map(|slot| slot.retries).sum();
         let allowed = self.terms.share * f64::from(requests) + self.terms.extra;
-        allowed - f64::from(repeats)
+        allowed - f64::from(retries)
     }
 
     /// Takes one retry from the budget, if it allows one.
     pub fn take(&mut self, now: Duration) -> bool {
         let room = self.has_room(now);
         if room {
-            self.slot_mut(now).repeats += 1;
+            self.slot_mut(now).retries += 1;
         }
         room
     }
@@ -90,7 +90,7 @@
             self.slots.pop_front();
         }
         if self.slots.back().is_none_or(|slot| slot.number < number) {
-            self.slots.push_back(BudgetSlot { number, requests: 0, repeats: 0 });
+            self.slots.push_back(BudgetSlot { number, requests: 0, retries: 0 });
         }
         self.slots.back_mut().unwrap_or_else(|| unreachable!("pushed above"))
     }
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -32,7 +32,7 @@
 const SHIFT_SLACK: f64 = 0.25;
 /// Weight of a request that was given up before it was overdue: service times have heavier tails
 /// than the evidence assumes, and with the full weight a healthy upstream was ejected 0.12 times an
-/// hour, by the decision bench, in place of 0.04.
+/// hour, by the decision bench, instead of 0.04.
 const GIVEN_UP_WEIGHT: f64 = 0.5;
 /// Sums are capped at this many thresholds, so that the recovery of an upstream soon shows.
 const CAP_THRESHOLDS: f64 = 4.0;
@@ -172,7 +172,7 @@
     }
 
     /// Returns the largest sum in multiples of the threshold: from 1 on, the upstream is sick,
-    /// whatever its siblings are.
+    /// whatever the state of its siblings.
     pub fn sickness(&self) -> f64 {
         self.largest().1 / self.threshold
     }
--- a/crates/decide/src/distance.rs
+++ b/crates/decide/src/distance.rs
@@ -6,8 +6,9 @@
 //! The workload is requests of very different size for the same servers: downloads of many
 //! kilobytes beside lookups of some hundred bytes, with a demand that moves between failure
 //! domains. The round trip is negligible compared with the service time; the bytes that cross are
-//! not, where the operator says so. So heavy requests wait in the own failure domain for as long as
-//! their bytes are worth, and light ones, which lose nothing by it, make room by going to another.
+//! not, where the operator says so. So heavy requests wait in their own failure domain for as long
+//! as their bytes are worth, and light ones, which lose nothing by it, make room by going to
+//! another.
 
 use std::time::Duration;
 
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -53,7 +53,7 @@
 }
 
 impl ConfigFreshness {
-    /// Records a confirmation. It also holds for any later configuration that comes in force; one
+    /// Records a confirmation. It also holds for any later configuration that comes into force; one
     /// that is older than the known confirmation changes nothing.
     pub fn note_confirmation(&mut self, confirmation: FreshConfirmation) {
         if !self.outdated && self.confirmation.is_none_or(|known| confirmation.as_of > known.as_of)
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -21,8 +21,8 @@
 
 use crate::limits::{RateMeter, TokenBucket};
 
-/// Time since its last question for which an ingress counts as one that may run ahead. What it was
-/// allowed ahead expires before.
+/// Time since its last token request for which an ingress counts as one that may run ahead. What it
+/// was allowed ahead expires before.
 const REQUESTER_LIFE: Duration = Duration::from_secs(12);
 /// Share of the burst that must be left for an ingress to run ahead: below it, a caller that begins
 /// to send many times its usual rate is limited exactly.
@@ -35,8 +35,8 @@
 const RESTART_SHARE: f64 = 0.35;
 /// Share of the burst below which the owner reserves the parts of the silent ingresses.
 const RESERVE_BELOW: f64 = 0.25;
-/// Typical intervals between two questions after which an ingress counts as silent: it may be cut
-/// off, and goes on to admit its part.
+/// Typical intervals between two token requests after which an ingress counts as silent: it may be
+/// cut off, and goes on admitting its part.
 const SILENT_FOR: f64 = 1.25;
 /// Part of a limit that counts as demand at the least when parts are computed: where there is
 /// little demand, the first ingress to ask must not be given the whole limit as its part.
@@ -85,7 +85,7 @@
     pub granted: f64,
     /// Its part of the limit, in requests a second, for as long as it can't reach the owner.
     pub share: f64,
-    /// Requests that it may admit ahead of its next question.
+    /// Requests that it may admit ahead of its next token request.
     pub ahead: u32,
 }
 
@@ -158,13 +158,13 @@
         }
     }
 
-    /// Answers a question under the limit in force.
+    /// Answers a token request under the limit in force.
     pub fn answer(
         &mut self,
         rate: f64,
         burst: f64,
         tolerance: &LimitTolerance,
-        question: &TokenRequest<'_>,
+        request: &TokenRequest<'_>,
         now: Duration,
     ) -> TokenGrant {
         let excess = tolerance.excess(rate, burst);
@@ -173,13 +173,13 @@
         let is_short = self.bucket.left(now) < self.burst * RESERVE_BELOW;
         let reserved = if is_short { self.silent_share } else { 0.0 };
         self.bucket.set_rate((rate - reserved).max(0.0), self.burst, now);
-        self.bucket.pay(question.spent, now);
-        let granted = self.bucket.take_up_to(question.wanted.clamp(0.0, self.burst), now);
-        let admitted = granted + question.spent;
+        self.bucket.pay(request.spent, now);
+        let granted = self.bucket.take_up_to(request.wanted.clamp(0.0, self.burst), now);
+        let admitted = granted + request.spent;
         self.admitted.note(admitted, now);
         let ahead_most = excess * AHEAD_SHARE;
         let has_headroom = self.bucket.left(now) >= self.burst * AHEAD_BURST_MIN;
-        let requester = self.requesters.entry(question.requester.into()).or_default();
+        let requester = self.requesters.entry(request.requester.into()).or_default();
         self.ahead_total -= requester.ahead;
         requester.asked_at = now;
         requester.admitted.note(admitted, now);
@@ -187,12 +187,12 @@
             / self.admitted.per_second(now).max(rate * DEMAND_SHARE_MIN);
         let share = requester.share;
         let ahead = if has_headroom { self.ahead(ahead_most) } else { 0 };
-        self.note_ahead(question.requester, ahead);
+        self.note_ahead(request.requester, ahead);
         TokenGrant { granted, share, ahead }
     }
 
     /// Recounts the ingresses that ask, and drops those that have not asked for long. Not at each
-    /// question: a limit of a large fleet has thousands.
+    /// token request: a limit of a large fleet has thousands of such ingresses.
     fn recount_requesters(&mut self, now: Duration) {
         if self.counted_at.is_some_and(|at| now.saturating_sub(at) < COUNT_EVERY) {
             return;
@@ -224,13 +224,13 @@
         rate: f64,
         burst: f64,
         claim: f64,
-        question: &TokenRequest<'_>,
+        request: &TokenRequest<'_>,
         now: Duration,
     ) -> TokenGrant {
         self.requesters
             .retain(|_, requester| now.saturating_sub(requester.asked_at) < REQUESTER_LIFE);
-        let is_new = !self.requesters.contains_key(question.requester);
-        let requester = self.requesters.entry(question.requester.into()).or_default();
+        let is_new = !self.requesters.contains_key(request.requester);
+        let requester = self.requesters.entry(request.requester.into()).or_default();
         requester.asked_at = now;
         requester.share = claim.clamp(0.0, rate);
         let claim = requester.share;
@@ -241,7 +241,7 @@
         if is_new {
             self.bucket.put(BACKUP_FIRST_GRANT, now);
         }
-        let granted = self.bucket.take_up_to(question.wanted.clamp(0.0, self.burst), now);
+        let granted = self.bucket.take_up_to(request.wanted.clamp(0.0, self.burst), now);
         TokenGrant { granted, share: claim, ahead: 0 }
     }
 }
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -18,14 +18,14 @@
 /// with half of their requests or more, and the likelihood of a larger share is close to that of a
 /// half.
 const HANG_SHARE: f64 = 0.5;
-/// Lower bound of the share of sound requests that run longer than any age, since service times
+/// Lower bound of the share of healthy requests that run longer than any age, since service times
 /// have heavier tails than the log-normal: limits the evidence of one request to ln(0.5 / 0.01) =
 /// 3.9.
 const TAIL_SHARE: f64 = 0.01;
 /// Evidence from which an upstream is doubted.
 const DOUBT_THRESHOLD: f64 = 2.0;
-/// Average evidence of a running sound request and a little more, which is subtracted: without it,
-/// a sound upstream with four requests at a time was doubted for a quarter of the time
+/// Average evidence of a healthy running request and a little more, which is subtracted: without
+/// it, a healthy upstream with four requests at a time was doubted for a quarter of the time
 /// (`decide/tests/hang.rs`).
 const RUNNING_EVIDENCE_MEAN: f64 = 0.6;
 /// Lower bound of the evidence of ended requests: servers begin to hang within seconds, so a long
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the share of sound requests that run longer than `age`.
+    /// Returns the share of healthy requests that run longer than `age`.
     pub fn survival(&self, age: Duration) -> f64 {
         let deviations = (evidence::log_micros(age) - self.median_ln) / self.spread;
         0.5 * libm::erfc(deviations / std::f64::consts::SQRT_2)
@@ -167,7 +167,7 @@
         self.evidence(now) < 0.0
     }
 
-    /// Clears the evidence, since the upstream has passed its trials: requests that hang from
+    /// Clears the evidence, since the upstream has passed its trials: requests that have hung since
     /// before are no new evidence.
     pub fn forget(&mut self) {
         self.running.clear();
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -36,13 +36,13 @@
 const OTHER_ROUTES: &str = "";
 /// Answers of a route from which its typical service time is known without siblings.
 const USUAL_SAMPLES_MIN: u32 = 8;
-/// Answers that one sibling's report stands for, at the least.
+/// Answers that the report of one sibling counts as, at the least.
 const SIBLING_ANSWERS: u32 = 4;
-/// What an upstream's sickness must exceed the median sickness of its siblings by, as a multiple of
-/// that median: what all have in common is not the fault of one server.
+/// Multiple of its siblings' median sickness that is added to the bound of an upstream's sickness:
+/// what all have in common is not the fault of one server.
 const SIBLING_WEIGHT: f64 = 3.0;
 
-/// Returns the ejection threshold of a choice.
+/// Returns the ejection threshold of a preference.
 pub fn threshold_of(prefer: EjectionPreference) -> f64 {
     match prefer {
         EjectionPreference::Detection => THRESHOLD_DETECTION,
@@ -58,7 +58,7 @@
 /// Returns the time for which an upstream must stand out before it is ejected.
 ///
 /// Within it, the answers of the siblings arrive that tell a shared change from the fault of one
-/// server: it covers the typical service time, and the way to the ingress and back with the next
+/// server: it covers the typical service time, and the trip to the ingress and back with the next
 /// dispatch.
 fn confirm_time(prefer: EjectionPreference) -> Duration {
     match prefer {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Sets the ejection threshold directly, in place of one of the two choices.
+    /// Sets the ejection threshold directly, instead of by an [`EjectionPreference`].
     pub fn set_threshold(&mut self, threshold: f64) {
         self.detector.set_threshold(threshold);
     }
@@ -376,7 +376,7 @@
         }
     }
 
-    /// Records how a request ended in the circuit breaker, which decides on the next ones.
+    /// Records in the circuit breaker how a request ended; the breaker decides on the next ones.
     pub fn note_end(
         &mut self,
         failure: Option<FailureKind>,
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -166,7 +166,7 @@
     PassAhead,
     /// It is beyond the limit; the caller may retry after this time.
     Refuse(Duration),
-    /// No tokens are borrowed; ask the owner for this many first.
+    /// No borrowed tokens are left; the owner must be asked for this many first.
     Ask(f64),
 }
 
@@ -271,7 +271,7 @@
         self.valid_until = now + GRANT_LIFE;
     }
 
-    /// Takes the count of requests admitted ahead, to be paid with the next question.
+    /// Takes the count of requests admitted ahead, to be paid with the next token request.
     pub fn take_spent(&mut self) -> f64 {
         std::mem::take(&mut self.spent)
     }
@@ -281,8 +281,8 @@
         self.spent += spent;
     }
 
-    /// Records the answer of the owner: how many requests may be admitted ahead of the next
-    /// question, and this ingress's part of the limit, in requests a second.
+    /// Records the answer of the owner: how many requests may be admitted ahead of the next token
+    /// request, and this ingress's part of the limit, in requests a second.
     pub fn note_owner(&mut self, ahead: u32, share: f64, now: Duration) {
         self.standalone = None;
         self.claim = None;
--- a/crates/decide/src/neighbours.rs
+++ b/crates/decide/src/neighbours.rs
@@ -46,7 +46,7 @@
     let position = |host: &str| (limits::weight(RING_KEY, host), host.to_owned());
     let start = position(own);
     let mut positions: Vec<_> = hosts.iter().map(|host| position(host)).collect();
-    // Hosts before the own position come last, as the ring closes.
+    // Hosts before the daemon's own position come last, as the ring closes.
     positions.sort_by_key(|position| (*position < start, position.clone()));
     positions.into_iter().take(RING_NEIGHBOURS).map(|(_, host)| host).collect()
 }
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -6,10 +6,10 @@
 //! The workload is a service that is overloaded for seconds: one kind of request comes in a burst,
 //! or a part of the backend servers hangs. Some callers are then answered late or not at all, and
 //! the scheduling decides which. Nested calls of running requests go first: their parents hold
-//! slots for as long as they wait, and refusing them throws away what was done. Next go requests
-//! that can still be answered within their objective, as a late answer is worth less to its caller
-//! however urgent it is; those that can't are not refused, but served when no request that can meet
-//! its objective waits.
+//! slots for as long as they wait, and refusing them discards what their parents have done. Next go
+//! requests that can still be answered within their objective, as a late answer is worth less to
+//! its caller however urgent it is; those that can't are not refused, but served when no request
+//! that can meet its objective waits.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -49,8 +49,8 @@
     pub objective: Option<Duration>,
     /// Typical service time of such a request, if known.
     pub usual: Option<Duration>,
-    /// Time in which most such requests end, if known: a request that starts later than this before
-    /// its objective is late as often as not.
+    /// Time in which most such requests end, if known: a request that starts with less time than
+    /// this left until its objective misses it as often as not.
     pub most: Option<Duration>,
 }
 
@@ -94,8 +94,8 @@
 }
 
 /// Says whether a request that will miss its objective may wait for one of `slots` slots: not
-/// behind a whole round of requests that meet theirs, since more arrive before it is served. Its
-/// caller is told so while there is time to turn elsewhere.
+/// behind a whole round of requests that meet theirs, since more arrive before it is served. It is
+/// refused while its caller still has time to try elsewhere.
 pub fn accepts_late(in_time: f64, slots: u32) -> bool {
     in_time < f64::from(slots)
 }
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -19,8 +19,9 @@
 /// Distinct upstreams at which a request must have failed before its failures are no evidence; a
 /// second one is also what withdraws the first failure of a retried request.
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
-/// Distinct upstreams from which on a retry of the request only spends the budget: two that are
-/// sick at once are seen in practice, a third makes the request the likelier cause.
+/// Distinct upstreams at which a request must have failed before a retry only wastes the retry
+/// budget: two that are sick at once are seen in practice, a third makes the request the likelier
+/// cause.
 const NO_RETRY_UPSTREAMS: usize = 3;
 /// Time after its last failure for which a request is remembered; a caller that repeats a poison
 /// request by itself does so within seconds.
@@ -161,7 +162,7 @@
         self.failed_at(request, now) >= NO_EVIDENCE_UPSTREAMS
     }
 
-    /// Says whether a retry of the request would only spend the retry budget.
+    /// Says whether a retry of the request would only waste the retry budget.
     pub fn forbids_retry(&self, request: RequestHash, now: Duration) -> bool {
         self.failed_at(request, now) >= NO_RETRY_UPSTREAMS
     }
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -7,8 +7,8 @@
 //! What an ingress knows of an upstream is as old as its last answer from there. The workload is
 //! requests of tenths of a second at many upstreams of few slots, each of which an ingress uses
 //! less than once a second: there most of what is known is out of date, and requests that are sent
-//! by it are declined, or sent along a path that has fallen silent. A probe costs a round trip and
-//! two small frames for each upstream.
+//! on its basis are declined, or go over a path that has fallen silent. A probe costs a round trip
+//! and two small frames for each upstream.
 
 use std::time::Duration;
 
@@ -19,14 +19,15 @@
 const ROUND_TRIP_SHARE: u32 = 25;
 /// Round trips after which a probe times out.
 const TIMEOUT_ROUND_TRIPS: u32 = 4;
-/// Shortest timeout of a probe: a daemon with a small share of a processor is busy otherwise for as
-/// long.
+/// Shortest timeout of a probe: a daemon with a small share of a processor may be busy with other
+/// things for as long.
 const TIMEOUT_MIN: Duration = Duration::from_millis(10);
 /// Timeout of a probe over a path whose round trip is not known, and the longest one.
 const TIMEOUT_MAX: Duration = Duration::from_millis(40);
 
 /// Share of the recent probes that must have found an upstream which would accept the request:
-/// where all are full, a probe finds nothing, and costs processor time and choices.
+/// where all are full, a probe finds nothing, and costs processor time and one of the choices that
+/// a request has.
 const FOUND_SHARE_MIN: f64 = 0.5;
 /// Weight of the last probe in that share.
 const FOUND_WEIGHT: f64 = 1.0 / 16.0;
@@ -99,7 +100,7 @@
     }
 }
 
-/// Says whether to probe before a request is sent along a path, with `left` as the request's
+/// Says whether to probe before a request is sent over a path, with `left` as the request's
 /// remaining time.
 pub fn is_worth(
     report_age: Option<Duration>,
--- a/crates/decide/src/progress.rs
+++ b/crates/decide/src/progress.rs
@@ -3,15 +3,15 @@
 
 //! Whether a backend server has made recent progress, as non-repeatable requests need.
 //!
-//! The workload is a service whose servers begin to hang by turns: a request that is sent there is
-//! lost to its caller, and one that can't be repeated is lost for good. The first sign is that no
-//! request ends any more, long before any request is late by itself. How long no request may end
-//! follows from how many run and how long they typically take.
+//! The workload is a service whose servers begin to hang one after another: a request that is sent
+//! there is lost to its caller, and one that can't be retried is lost for good. The first sign is
+//! that no requests end any more, long before any single one is late. How long a server may go
+//! without ending a request follows from how many run and how long they typically take.
 
 use std::time::Duration;
 
 /// Typical intervals between the ends of two requests after which a server with running requests
-/// counts as unproven: of sound servers, one in seven is as quiet.
+/// counts as unproven: of healthy servers, one in seven is as quiet.
 const QUIET_INTERVALS: f64 = 2.0;
 
 /// `ProgressTerms` is what is known about the progress of a backend server.
--- a/crates/decide/src/server_incarnation.rs
+++ b/crates/decide/src/server_incarnation.rs
@@ -11,11 +11,12 @@
 use std::time::Duration;
 
 /// Earlier incarnations that are remembered, to recognise their late heartbeats: a server that
-/// restarts more often than heartbeats are delayed for is of no use to callers.
+/// restarts more often than this while heartbeats are delayed is of no use to callers.
 const EARLIER_INCARNATIONS_MAX: usize = 8;
 /// Time over which an incarnation that claims to be older must send heartbeats, while the newer one
 /// is silent, to count as the current one: longer than delayed heartbeats take to arrive one after
-/// the other, and short enough that a clock set back costs callers one server for a few seconds.
+/// the other, and short enough that a clock that was set back costs callers one server for a few
+/// seconds only.
 const TAKEOVER_TIME: Duration = Duration::from_secs(2);
 
 /// `IncarnationClaim` is what a heartbeat tells about the incarnation that sent it.
--- a/crates/decide/src/stop.rs
+++ b/crates/decide/src/stop.rs
@@ -21,8 +21,8 @@
 /// of the stop: the last request has as long to end as the daemon accepted requests. What is
 /// refused after that ran nowhere.
 const OPEN_SHARE: f64 = 0.5;
-/// Time before the end of the shortest drain at which the other daemons are told: no round trip is
-/// longer than 0.3 s (between far regions), so that no request of theirs is on its way when the
+/// Time before the end of the shortest drain at which the other daemons are notified: no round trip
+/// is longer than 0.3 s (between far regions), so that no request of theirs is on its way when the
 /// daemon ends.
 const HANDOVER_TIME: Duration = Duration::from_millis(400);
 /// Time before the end of the longest drain at which requests that still wait are answered as of
@@ -36,7 +36,8 @@
     /// Requests of callers and of other daemons are accepted.
     #[default]
     Open,
-    /// The other daemons are told; their requests are refused, those of callers are still accepted.
+    /// The other daemons are notified; their requests are refused, those of callers are still
+    /// accepted.
     HandingOver,
     /// Only nested calls of requests that run here are accepted; all else is refused as not run.
     Closed,
@@ -81,8 +82,8 @@
 }
 
 impl StopTerms {
-    /// Returns the next phase, `elapsed` after the stop was requested, while this many things are
-    /// `unfinished` that must be done before the process may end.
+    /// Returns the next phase, `elapsed` after the stop was requested; `unfinished` counts what
+    /// must be done before the process may end.
     pub fn next(&self, phase: StopPhase, elapsed: Duration, unfinished: usize) -> StopPhase {
         let is_idle = unfinished == 0;
         match phase {
@@ -124,10 +125,10 @@
     }
 
     /// Says whether a request that must end `ends` after the stop was requested is started at a
-    /// backend server of this host. Once the other daemons are told, it must be certain to end: a
-    /// request that waits here for seconds is otherwise lost to a caller whose own daemon stops as
-    /// well (8 requests in logs of 870 stops in series, on a fleet whose requests may last for 10
-    /// s).
+    /// backend server of this host. Once the other daemons are notified, it must be certain to end:
+    /// a request that waits here for seconds is otherwise lost to a caller whose own daemon stops
+    /// as well (8 requests in logs of 870 stops in series, on a fleet whose requests may last for
+    /// 10 s).
     pub fn allows_start(&self, phase: StopPhase, ends: Duration) -> bool {
         phase == StopPhase::Open || ends <= self.gives_up_after()
     }
@@ -137,7 +138,7 @@
         self.longest.saturating_sub(LAST_ANSWERS_TIME)
     }
 
-    /// Returns the time after which the other daemons are told.
+    /// Returns the time after which the other daemons are notified.
     fn hands_over_after(&self) -> Duration {
         self.may_close_after().saturating_sub(HANDOVER_TIME)
     }
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -10,9 +10,9 @@
 //! A crashing server does not tell which request caused it, so every request that ran there is
 //! suspected. What tells them apart is what follows. A crash counts one more than what was known
 //! when its run began, so that only a chain of crashes leads to refusal, each in a run that was
-//! begun in spite of the one before: a rack that loses power under a popular request is one crash.
-//! And one successful run, anywhere, begins a new round, in which nothing is known against the
-//! request.
+//! started in spite of the one before: a rack that loses power under a popular request is one
+//! crash. And one successful run, anywhere, begins a new round, in which nothing is known against
+//! the request.
 //!
 //! Rounds and crashes only rise, compared in this order, so that daemons that exchange notices
 //! converge.
