--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -400,8 +400,8 @@
         Some(UpstreamChoice { index: best.map_or(choice.index, |best| best.index), ..choice })
     }
 
-    /// Says whether a load probe may change where the request goes. On grounds other than `Near`
-    /// and `Sound` it waits, is a trial, or takes an upstream that is left.
+    /// Says whether a load probe may change where the request goes. With a ground other than `Near`
+    /// or `Sound`, the request queues, is a trial, or goes to one of the upstreams that are left.
     fn is_probe_useful(&self, choice: &UpstreamChoice) -> bool {
         let is_open_choice = matches!(choice.ground, ChoiceGround::Near | ChoiceGround::Sound);
         let path = self.request.service.path(choice.index);
@@ -475,8 +475,8 @@
                 | NotRunReason::CrashesServers
         );
         let may = !would_recur && self.dispatches < DISPATCHES_MAX && !self.left().is_zero();
-        // A request that a backend server shed has cost it work, so sending it elsewhere counts as
-        // a retry.
+        // Shedding a request costs a backend server processing time, so sending the request
+        // elsewhere counts as a retry.
         let is_free = reason != NotRunReason::Shed;
         may && (is_free || self.has_server_attempts_left() && self.take_retry())
     }
@@ -516,9 +516,9 @@
         true
     }
 
-    /// Says whether the request may be a trial of an upstream that may not work: its failure would
-    /// be retried. A retry itself should succeed, and so should a request that the budget would not
-    /// let be retried.
+    /// Says whether the request may be a trial of an upstream that may not work: its failure must
+    /// be one that would be retried. A retry itself should succeed, and so should a request for
+    /// which the retry budget has nothing left.
     fn may_be_trial(&self) -> bool {
         self.is_repeatable()
             && self.server_attempts == 0
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -32,6 +32,7 @@
 /// Longest time that a caller may take to accept what is written to it before its connection is
 /// closed.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+
 /// `AfterRequest` says what happens to the connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterRequest {
@@ -56,7 +57,7 @@
         let callers = callers.clone();
         async move {
             match callers.enter(from.ip(), state.options.connections_each) {
-                Some(_entered) => serve(&state, stream, from).await,
+                Some(_guard) => serve(&state, stream, from).await,
                 None => log_refused_connection(from.ip(), state.options.connections_each),
             }
             metrics::CALLER_CONNECTIONS.set(open.get() as i64 - 1);
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -81,7 +81,7 @@
         let sent = service.count_sent(choice.index);
         // Establishing a link uses up part of the deadline, so the head is built after it.
         let link = match waiting::unless_gone(stream, self.link(&path)).await {
-            // The daemon may have begun to give up requests meanwhile; it starts none then.
+            // The daemon may have begun to give up requests meanwhile, and then starts none.
             Some(Ok(Some(_))) if self.state.stop.giving_up.is_raised() => {
                 return DispatchEnd::Unreachable;
             }
@@ -194,9 +194,9 @@
         is_sent.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
     }
 
-    /// Builds the baseline of the service for the host's daemon. What the other upstreams saw of
-    /// slow requests bounds the service time there, so it is sent only where requests wait for
-    /// slots with reservations.
+    /// Builds the baseline of the service for the host's daemon. The slow requests seen at the
+    /// other upstreams bound the timeout there, so they are sent only where requests wait for slots
+    /// with reservations.
     fn baseline_note(&self, index: usize, baseline: &ServiceBaseline) -> Option<BaselineNote> {
         if self.state.live().waiting == WaitingMode::Reservations {
             let slow_requests =
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -88,7 +88,7 @@
         self.service.failed_servers(self.method.as_str(), &self.target, now)
     }
 
-    /// Returns what it is limited by.
+    /// Returns the subject of the limits that it counts against.
     fn limit_subject(&self) -> LimitSubject<'_> {
         LimitSubject {
             organisation: self.caller.limited_organisation(),
@@ -197,13 +197,13 @@
 ) -> AfterRequest {
     let began = state.now();
     request.service.note_request(began);
-    let caller = state.host.calls.parent_of(&request.trace.id);
-    if caller.as_ref().is_some_and(|caller| caller.repeated) {
+    let parent = state.host.calls.parent_of(&request.trace.id);
+    if parent.as_ref().is_some_and(|parent| parent.repeated) {
         request.service.note_retried(began);
     }
     let note_failed_call = || {
-        if let Some(caller) = &caller {
-            caller.note_failed_call();
+        if let Some(parent) = &parent {
+            parent.note_failed_call();
         }
     };
     let record = |outcome: &str| {
@@ -284,7 +284,8 @@
 }
 
 /// Reads the body until its end or [`PREFIX_BYTES`], unless the daemon shuts down and no longer
-/// admits the request: a body that doesn't arrive would delay the shutdown to its end.
+/// admits the request: a body that doesn't arrive would delay the shutdown until the end of the
+/// longest drain.
 async fn read_open_prefix(
     state: &DaemonState,
     stream: &mut HttpStream,
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -39,8 +39,8 @@
 const WAIT_SHARE_MAX: f64 = 0.6;
 /// Links that a request without a reservation waits for before it is dispatched without one.
 const LINKS_MAX: usize = 2;
-/// Hosts that refuse because they can't run the request within its deadline, after which no other
-/// is asked.
+/// Hosts that may refuse because they can't run the request within its deadline before no other is
+/// asked.
 const DEADLINE_REFUSALS_MAX: usize = 2;
 
 /// `SlotEnd` is how the wait for a slot ended.
@@ -64,7 +64,7 @@
 }
 
 impl RequestAttempts<'_> {
-    /// Says whether the request waits for a slot with reservations rather than be dispatched at
+    /// Says whether the request waits for a slot with reservations rather than being dispatched at
     /// once: all trusted upstreams are full, or one has just reported that it is. Once no host
     /// accepts a reservation, it is dispatched to one of the upstreams that are left. A request
     /// that has a row in the ledger is dispatched at once, as its row is written before it takes a
@@ -356,7 +356,7 @@
     Own,
     Linked(Rc<DialledLink>),
     Missing,
-    /// The daemon there is of a version without reservations.
+    /// The daemon there runs a version without reservations.
     Unsupported,
 }
 
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -68,7 +68,7 @@
         _ => None,
     };
     let caller = match parent {
-        Some(work) => CallerIdentity::of_call(work.organisation.clone()),
+        Some(parent) => CallerIdentity::of_call(parent.organisation.clone()),
         None => caller_key::identify(active, &given, route.rule.needs_key)?,
     };
     Ok(RequestTarget { route, caller })
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -3,8 +3,8 @@
 
 //! Traces one request at the ingress: the log lines of its steps.
 //!
-//! Of as many requests a second as the settings allow, every line is written when it happens, here
-//! and at the hosts that run them. Of the others the steps are buffered, a few dozen bytes each,
+//! For as many requests a second as the settings allow, every line is written as it happens, here
+//! and at the hosts that run them. For the others, the steps are buffered, a few dozen bytes each,
 //! and written only if the request fails, within a rate limit of their own.
 
 use std::cell::{Cell, RefCell};
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -42,7 +42,7 @@
     Refused(NotRunReason),
 }
 
-/// `WaitKind` is the way in which a request waits.
+/// `WaitKind` is how a request waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WaitKind {
     /// The request was sent here and is queued.
@@ -96,8 +96,8 @@
     pub refusable: bool,
     /// Whether the ingress can ask another upstream.
     pub passable: bool,
-    /// Whether the request is not repeatable and should, if possible, go to a server that completed
-    /// one lately.
+    /// Whether the request is not repeatable and should, if possible, go to a server that recently
+    /// completed one.
     pub needs_recent_progress: bool,
 }
 
@@ -143,10 +143,10 @@
 
     /// Says whether a request may get a slot, or a reservation be offered one, now.
     fn may_start(&self, kind: WaitKind, request: &SlotRequest, now: Duration) -> bool {
-        let work = &request.work;
+        let queued = &request.work;
         let queued_at = self.call_queued_at.get();
         let calls_wait = queued_at.is_some_and(|at| now.saturating_sub(at) < order::KEEP_TIME);
-        let open = order::open_slots(self.slots.get(), work.is_call, calls_wait);
+        let open = order::open_slots(self.slots.get(), queued.is_call, calls_wait);
         let taken = self.used.get() + self.offered.get();
         match kind {
             WaitKind::Offered => !self.is_full(),
@@ -277,24 +277,25 @@
         request: &SlotRequest,
         now: Duration,
     ) -> Result<(), NotRunReason> {
-        let work = &request.work;
-        if work.deadline <= now {
+        let queued = &request.work;
+        if queued.deadline <= now {
             return Err(NotRunReason::DeadlinePassed);
         }
-        let usual = match work.usual {
+        let usual = match queued.usual {
             Some(usual) => usual,
             None => return Ok(()),
         };
         let waiting = self.waiting.borrow();
-        let is_ahead = |waiter: &&Rc<QueueWaiter>| waiter.request.work.urgency() >= work.urgency();
+        let is_ahead =
+            |waiter: &&Rc<QueueWaiter>| waiter.request.work.urgency() >= queued.urgency();
         let ahead = weight_of(waiting.iter().filter(is_ahead));
         let start = order::start_after(ahead, self.slots.get(), usual, now);
-        if start > work.deadline {
+        if start > queued.deadline {
             return Err(NotRunReason::DeadlinePassed);
         }
         // Elsewhere it may meet its objective; if it misses it anyway, it must not make others miss
         // theirs.
-        let late = !work.meets_objective(start);
+        let late = !queued.meets_objective(start);
         let declines = request.passable && kind == WaitKind::Queued;
         if late && (declines || !order::accepts_late(ahead, self.slots.get())) {
             return Err(NotRunReason::QueueFull);
@@ -456,14 +457,14 @@
     let in_time = weight_of(waiting.iter().filter(meets_objective));
     let accepts_late = order::accepts_late(in_time, slots);
     waiting.retain(|waiter| {
-        let work = &waiter.request.work;
-        let expired = !work.meets_deadline(now);
+        let queued = &waiter.request.work;
+        let expired = !queued.meets_deadline(now);
         let is_kept = match waiter.kind {
             WaitKind::Queued => in_time == 0.0,
-            WaitKind::Reservation => accepts_late || work.is_call,
+            WaitKind::Reservation => accepts_late || queued.is_call,
             WaitKind::Offered => true,
         };
-        let late = !is_kept && !work.meets_objective(now);
+        let late = !is_kept && !queued.meets_objective(now);
         if expired {
             waiter.resolve(WaitState::Refused(NotRunReason::DeadlinePassed));
         } else if late {
