--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -158,7 +158,7 @@
 
     /// Says whether the upstream is a suspect: a recent report puts its sickness at the threshold
     /// without an ejection, as an upstream must stand out for a while before it is ejected, or the
-    /// upstream is doubted, or an attempt there was late and nothing was heard since.
+    /// upstream is doubted, or an attempt there was late and no report has arrived since.
     ///
     /// Avoiding a suspect spares callers, and the retry budget, its failures until its daemon has
     /// decided. It takes no capacity out of service.
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -67,7 +67,8 @@
         Self { median_ln: evidence::log_micros(median), spread: OBJECTIVE_SPREAD }
     }
 
-    /// Returns the assumed distribution, corrected by so many answers with the distribution `seen`.
+    /// Returns the assumed distribution, corrected by this many `answers` whose distribution is
+    /// `seen`.
     pub fn corrected(&self, seen: &UsualTime, answers: u32) -> Self {
         let weight = f64::from(answers) / (f64::from(answers) + OBJECTIVE_WEIGHT);
         let mix = |assumed: f64, seen: f64| assumed + weight * (seen - assumed);
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -27,7 +27,7 @@
 const CONFIRM_PRECISION: Duration = Duration::from_millis(800);
 /// Factor on the overdue time of a request at a cold upstream: 2.5 overdue times are 11 times the
 /// typical service time at the decision bench's spread, whose slowest cold start is 6 times as
-/// slow; an ingress gives an attempt up after 3.
+/// slow; an ingress gives up an attempt after 3.
 const COLD_OVERDUE_FACTOR: f64 = 2.5;
 /// Routes of one upstream whose service times are estimated separately; later ones share one
 /// estimate.
@@ -457,8 +457,8 @@
         None
     }
 
-    /// Forgets the running requests: their age is not evidence, as the host was suspended
-    /// meanwhile.
+    /// Forgets the running requests: their age is not evidence, as the host was suspended in the
+    /// meantime.
     pub fn forget_running(&mut self) {
         self.hang.forget();
     }
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -162,7 +162,7 @@
 pub enum LimitVerdict {
     /// It is within the limit.
     Pass,
-    /// It is admitted ahead; the owner is to be paid meanwhile.
+    /// It is admitted ahead; the owner is paid in the meantime.
     PassAhead,
     /// It is beyond the limit; the caller may retry after this time.
     Refuse(Duration),
