--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -35,11 +35,7 @@
         let resources: Vec<Value> = fleet
             .list(kind)
             .map(|(name, stored)| {
-                json!({
-                    "name": &*name,
-                    "revision": stored.revision,
-                    "value": stored.value.to_json(),
-                })
+                json!({"name": &*name, "revision": stored.revision, "value": stored.value.to_json()})
             })
             .collect();
         json!({"revision": fleet.revision(), "kind": kind.name(), "resources": resources})
