--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -6,10 +6,10 @@
 //!
 //! Deadlines, leases and knowledge about peers must not stay valid for longer because the host was
 //! suspended, so they are measured with the system's boot-time clock. Timers don't advance during a
-//! suspend and fire late: code that waits for a point in time awaits [`DaemonClock::passed_after_resume`] beside
-//! the timer. Durations, such as the response time of a server, are measured with
-//! [`std::time::Instant`], which doesn't advance during a suspend, and are discarded if the host
-//! was suspended meanwhile ([`DaemonClock::suspended_since`]).
+//! suspend and fire late: code that waits for a point in time awaits
+//! [`DaemonClock::passed_after_resume`] beside the timer. Durations, such as the response time of a
+//! server, are measured with [`std::time::Instant`], which doesn't advance during a suspend, and
+//! are discarded if the host was suspended meanwhile ([`DaemonClock::suspended_since`]).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
     /// Starts the clock. Fails if the system has no boot-time clock.
     pub fn try_new() -> Result<Self, ClockError> {
         // The steady clock is read first, in the opposite order to `now`: a delay between the two
-        // reads must not look like a suspend.
+        // reads must not be mistaken for a suspend.
         let steady = Instant::now();
         let booted = boot_time().context(UnreadableSnafu)?;
         let state = ClockState {
--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -15,7 +15,8 @@
 use crate::metrics;
 use crate::signal::RisingSignal;
 
-/// Changes kept for watches and for peers that lag behind: hours at 7,200 changes a day.
+/// Changes kept for watches and for peers that lag behind: those of several hours at 7,200 changes
+/// a day.
 pub const RECORDS_KEPT: usize = 1024;
 
 /// `TouchedServices` are the services that changes affected.
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -3,7 +3,7 @@
 
 //! Foundations that the parts of the daemon share. This crate depends on none of those parts.
 //!
-//! [`clock`] tells the time and [`signal`] wakes tasks, [`metrics`] counts what the process does,
+//! [`clock`] measures time, [`signal`] wakes tasks, [`metrics`] counts what the process does,
 //! [`configuration`] holds the configuration in force, and [`peers`] holds the paths to other
 //! daemons.
 
--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -33,7 +33,7 @@
 pub struct PeerPath {
     /// Host of the daemon.
     pub host: Rc<str>,
-    /// Whether it is this daemon.
+    /// Whether the host is this daemon's own.
     pub is_self: bool,
     address: Cell<Option<SocketAddr>>,
     link: RefCell<Option<Rc<DialledLink>>>,
@@ -138,7 +138,8 @@
         self.link.borrow().is_none() && (is_waiting || self.back_off.get() >= LOST_BACK_OFF)
     }
 
-    /// Returns whether the daemon is linked again after a cut and has not yet answered a probe.
+    /// Returns whether the daemon is linked again after a cut and has not yet answered enough
+    /// probes.
     pub fn is_proving(&self, now: Duration) -> bool {
         self.link.borrow().is_some() && self.state(now) == PathState::Proving
     }
@@ -224,10 +225,10 @@
         } else if !is_last {
             return;
         }
-        let pause = self.back_off.get();
+        let back_off = self.back_off.get();
         let jitter = rand::rng().random_range(0.5..=1.0);
-        self.retry_at.set(now + pause.mul_f64(jitter));
-        self.back_off.set((pause * 2).min(BACK_OFF_MAX));
+        self.retry_at.set(now + back_off.mul_f64(jitter));
+        self.back_off.set((back_off * 2).min(BACK_OFF_MAX));
         self.changed.raise();
     }
 
@@ -242,7 +243,8 @@
         self.health.borrow_mut().note_heard(now);
     }
 
-    /// Records that an attempt over the path was late.
+    /// Records that an attempt outlasted its hedging delay or that a load probe was not answered in
+    /// time.
     pub fn note_late(&self) {
         self.health.borrow_mut().note_late();
     }
--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -4,7 +4,7 @@
 //! Stores the resources of one kind in compressed blocks.
 //!
 //! Resources are ordered by name, up to [`BLOCK_MAX`] to a block. Neighbouring resources share most
-//! of their content, so a block compresses to a fraction of its size. A look-up decompresses one
+//! of their content, so a block compresses to a fraction of its size. A lookup decompresses one
 //! block and deserializes one value; a change rewrites one block. Copies share all blocks.
 
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 use crate::config::StoredResource;
 use crate::packing;
 
-/// Maximum number of resources in one block. Larger blocks compress little better, and a look-up
+/// Maximum number of resources in one block. Larger blocks compress little better, and a lookup
 /// scans half a block on average (docs/MEASUREMENTS.md, memory).
 pub const BLOCK_MAX: usize = 128;
 
-/// `ResourceBlocks` is the resources of one kind.
+/// `ResourceBlocks` is the set of resources of one kind.
 #[derive(Debug, Clone, Default)]
 pub struct ResourceBlocks {
     /// Blocks by the name of their first resource.
@@ -35,7 +35,7 @@
         self.len
     }
 
-    /// Says whether there is no resource.
+    /// Returns whether there is no resource.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -45,7 +45,7 @@
         self.find(name, |value| packing::unpack(value))
     }
 
-    /// Says whether there is a resource with this name.
+    /// Returns whether there is a resource with this name.
     pub fn contains(&self, name: &str) -> bool {
         self.find(name, |_| ()).is_some()
     }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -55,8 +55,8 @@
     pub at_ms: u64,
     /// Address that the request came from.
     pub from: String,
-    /// Token of the writer. A writer whose answer from the store was lost finds out by it whether
-    /// its change was accepted.
+    /// Token of the writer, by which a writer that lost the store's response finds out whether its
+    /// change was accepted.
     pub writer: String,
     /// What changed.
     pub changes: Vec<ResourceChange>,
@@ -95,7 +95,7 @@
         self.kinds[kind as usize].get(name)
     }
 
-    /// Says whether there is a resource with this name.
+    /// Returns whether there is a resource with this name.
     pub fn contains(&self, kind: ResourceKind, name: &str) -> bool {
         self.kinds[kind as usize].contains(name)
     }
@@ -105,7 +105,7 @@
         self.kinds.iter().map(ResourceBlocks::len).sum()
     }
 
-    /// Says whether there is no resource at all.
+    /// Returns whether there is no resource at all.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -285,7 +285,7 @@
     }
 }
 
-/// Checks that every target that a resource refers to is there, by the predicate `exists`.
+/// Checks that every target that a resource refers to exists, according to `exists`.
 fn check_references_of(
     kind: ResourceKind,
     name: &str,
@@ -331,7 +331,7 @@
     all
 }
 
-/// `ActiveConfig` is a configuration laid out for look-ups on the request path. Copies share all
+/// `ActiveConfig` is a configuration laid out for lookups on the request path. Copies share all
 /// data.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveConfig {
@@ -407,12 +407,12 @@
         self.keys = config.keys.clone();
     }
 
-    /// Says whether there is an organisation of this name.
+    /// Returns whether there is an organisation of this name.
     pub fn has_organisation(&self, name: &str) -> bool {
         self.organisations.contains(name)
     }
 
-    /// Says whether there are no limits.
+    /// Returns whether there are no limits.
     pub fn has_no_limits(&self) -> bool {
         self.limit_names.is_empty()
     }
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -12,8 +12,8 @@
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint: with 16, two of a billion different requests collide once in 10^21
-/// fleets.
+/// Bytes of a fingerprint: with 16, any two of a billion different requests collide with a
+/// probability of 1 in 10^21.
 pub const FINGERPRINT_BYTES: usize = 16;
 /// Header fields that are hashed. Ids, deadlines, dates and traces differ between copies and are
 /// left out; a caller that changes another field evades recognition only until the changed copy has
@@ -64,8 +64,8 @@
         }
         // Copies may frame the same body differently, so the declared length counts only for a
         // partial body.
-        let rest = if parts.is_whole { 0 } else { parts.length };
-        hasher.add(&rest.to_be_bytes());
+        let length = if parts.is_whole { 0 } else { parts.length };
+        hasher.add(&length.to_be_bytes());
         hasher.add(parts.body);
         let digest = hasher.0.finalize();
         let mut bytes = [0; FINGERPRINT_BYTES];
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -9,8 +9,8 @@
 /// Separator between the name of a backend server and its start time. It can't occur in a query
 /// string, so no backend server can register with it in its name.
 const START_SEPARATOR: char = '#';
-/// Radix of the start time behind the separator: a high one keeps the name short, which goes with
-/// every request between daemons.
+/// Radix of the start time behind the separator: a high one keeps the name short, as daemons send
+/// it to each other with every request.
 const START_RADIX: u32 = 36;
 
 /// `ServerIncarnation` is one run of a backend server, from its start to its end. Its text form is
--- a/crates/core/src/organisations.rs
+++ b/crates/core/src/organisations.rs
@@ -4,7 +4,7 @@
 //! Looks up the organisation that owns a caller's API key.
 //!
 //! Keys are identified by their digests alone, so that no memory, store, log or peer holds a key.
-//! Owners are packed in small shards by the first bytes of the digest: a look-up reads one shard, a
+//! Owners are packed in small shards by the first bytes of the digest: a lookup reads one shard, a
 //! change rewrites one, and copies of the table share all others.
 
 use std::fmt;
@@ -26,7 +26,7 @@
 /// purpose.
 const DIGEST_DOMAIN: &[u8] = b"basaltarch api key\0";
 
-/// `KeyDigest` stands for an API key wherever one is stored or sent.
+/// `KeyDigest` is the digest that replaces an API key wherever one is stored or sent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The outcome of an exchange, in the form that every layer of the fleet passes on.
+//! The outcome of an exchange, in the form that all layers of the fleet share.
 
 use std::fmt;
 
@@ -106,7 +106,7 @@
 /// `UnknownReason` is the reason why it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum UnknownReason {
-    /// The connection to the backend server broke after bytes of the request were offered to it.
+    /// The connection to the backend server broke after the daemon had begun to send the request.
     BackendBroken,
     /// The backend server's response was truncated or malformed.
     AnswerBroken,
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -13,21 +13,21 @@
 use crate::errors::{self, ResourceError};
 use crate::organisations::KeyDigest;
 
-/// Longest resource name; it keeps table keys and logs short.
+/// Maximum length of a resource name in bytes; it keeps table keys and logs short.
 pub const NAME_BYTES_MAX: usize = 128;
-/// Most slots of one backend server; typical ones have 3 or 4.
+/// Maximum number of slots of one backend server; typical ones have 3 or 4.
 pub const SLOTS_MAX: u32 = 4096;
-/// Most connections of one backend server; typical ones have 300 to 400.
+/// Maximum number of connections of one backend server; typical ones have 300 to 400.
 pub const CONNECTIONS_MAX: u32 = 65_536;
-/// Longest queue of one backend server.
+/// Maximum length of the queue of one backend server.
 pub const QUEUE_MAX: u32 = 4096;
-/// Longest time-out of a route, in milliseconds (10 minutes).
+/// Maximum timeout of a route, in milliseconds (10 minutes).
 pub const TIMEOUT_MS_MAX: u64 = 600_000;
-/// Largest weight of a share of a route; weights are usually percentages.
+/// Maximum weight of a share of a route; weights are usually percentages.
 pub const WEIGHT_MAX: u32 = 1_000_000;
-/// Most upstreams to which a route may let one request be dispatched.
+/// Maximum number of upstreams to which a route may allow one request to be dispatched.
 pub const ATTEMPTS_MAX: u32 = 16;
-/// Highest rate of a limit, in requests a second.
+/// Maximum rate of a limit, in requests per second.
 pub const RATE_MAX: f64 = 10_000_000.0;
 
 /// `ResourceKind` is the kind of a resource.
@@ -135,7 +135,7 @@
     /// Whether ejection favours detection or precision.
     #[serde(default)]
     pub prefer: EjectionPreference,
-    /// Most requests that may wait in the queue of each backend server.
+    /// Maximum number of requests in the queue of each backend server.
     #[serde(default = "default_queue")]
     pub queue: u32,
     /// Share of requests that may be retried, 0 to 1.
@@ -178,7 +178,7 @@
     pub address: SocketAddr,
     /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Most connections that it accepts.
+    /// Maximum number of connections that it accepts.
     pub connections: u32,
     /// Failure domain of its host.
     pub failure_domain: String,
@@ -226,7 +226,7 @@
     pub methods: Vec<String>,
     /// Service that serves its requests.
     pub service: String,
-    /// Time-out of a request, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u64,
     /// How often a request may run.
@@ -238,11 +238,12 @@
     /// Services that share the requests by weight; when empty, `service` receives all of them.
     #[serde(default)]
     pub split: Vec<ServiceShare>,
-    /// Most upstreams to which one request may be dispatched; 0 for the daemon's own limit.
+    /// Maximum number of upstreams to which one request may be dispatched; 0 for the daemon's own
+    /// limit.
     #[serde(default)]
     pub attempts: u32,
-    /// Latency objective: time within which a response is worth most, in milliseconds; 0 when none
-    /// was declared.
+    /// Latency objective: time within which a response has its full value to the caller, in
+    /// milliseconds; 0 when none was declared.
     #[serde(default)]
     pub objective_ms: u32,
     /// Whether callers need the API key of an organisation.
@@ -284,7 +285,7 @@
     pub scope: LimitScope,
     /// Name of the organisation, route or service.
     pub target: String,
-    /// Requests a second over the fleet.
+    /// Requests per second over the fleet.
     pub rate: f64,
     /// Requests that may arrive in one burst.
     pub burst: f64,
@@ -411,13 +412,13 @@
     path: &str,
     field: &str,
     value: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<(), ResourceError> {
-    if value.is_finite() && (least..=most).contains(&value) {
+    if value.is_finite() && (min..=max).contains(&value) {
         return Ok(());
     }
-    let allowed = format!("{least} to {most}");
+    let allowed = format!("{min} to {max}");
     Err(errors::bad_value(format!("{path}.{field}"), value, &allowed))
 }
 
@@ -429,8 +430,8 @@
 
 fn check_server(path: &str, spec: &BackendServer) -> Result<(), ResourceError> {
     check_range(path, "slots", spec.slots.into(), 1.0, SLOTS_MAX.into())?;
-    let most = f64::from(CONNECTIONS_MAX);
-    check_range(path, "connections", spec.connections.into(), 1.0, most)?;
+    let max = f64::from(CONNECTIONS_MAX);
+    check_range(path, "connections", spec.connections.into(), 1.0, max)?;
     check_name(&format!("{path}.host"), &spec.host)
 }
 
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -24,7 +24,7 @@
 
 /// `RouteTable` finds the route with the longest matching path prefix.
 ///
-/// A look-up costs one hash look-up for the host and one binary search among the host's routes for
+/// A lookup costs one hash lookup for the host and one binary search among the host's routes for
 /// each segment of the path.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
@@ -32,7 +32,7 @@
     len: usize,
 }
 
-/// `RouteMatch` is the result of a look-up.
+/// `RouteMatch` is the result of a lookup.
 #[derive(Debug, PartialEq)]
 pub enum RouteMatch {
     /// The matching route.
@@ -99,7 +99,7 @@
     }
 }
 
-/// `HostRoutes` is the routes of one host, packed, in the order of prefix and name.
+/// `HostRoutes` is the packed set of routes of one host, ordered by prefix and name.
 #[derive(Debug, Clone, Default)]
 struct HostRoutes {
     /// Offset of each record in `records`.
@@ -218,7 +218,7 @@
         self.len
     }
 
-    /// Says whether there is no route.
+    /// Returns whether there is no route.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -11,10 +11,10 @@
 /// Prefix of every environment variable that basaltarch reads.
 pub const VARIABLE_PREFIX: &str = "BASALTARCH_";
 
-/// Exit status of a process whose settings are wrong, as in most command-line programs.
+/// Exit status of a process whose settings are invalid, as in most command-line programs.
 pub const EXIT_BAD_SETTINGS: i32 = 2;
 
-/// Returns the environment variable that stands for `flag`.
+/// Returns the environment variable that corresponds to `flag`.
 pub fn variable_of(flag: &str) -> String {
     format!("{VARIABLE_PREFIX}{}", flag.replace('-', "_").to_uppercase())
 }
@@ -22,7 +22,7 @@
 /// `SettingLine` is one line of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingLine {
-    /// Name of the flag that it stands for, without dashes.
+    /// Name of the flag that it sets, without dashes.
     pub flag: String,
     /// The value.
     pub value: String,
@@ -48,7 +48,7 @@
     Ok(lines)
 }
 
-/// Returns whether the environment variable that stands for `flag` is set.
+/// Returns whether the environment variable that corresponds to `flag` is set.
 pub fn is_in_environment(flag: &str) -> bool {
     env::var_os(variable_of(flag)).is_some()
 }
--- a/crates/core/src/slices.rs
+++ b/crates/core/src/slices.rs
@@ -39,13 +39,13 @@
     }
 }
 
-/// A pause of no length, for callers that need not yield.
+/// Returns at once, for callers that need not yield.
 pub async fn no_pause() {}
 
 /// Runs a computation to completion in one poll; its pauses must never wait.
-pub fn poll_to_completion<T>(work: impl Future<Output = T>) -> T {
+pub fn poll_to_completion<T>(computation: impl Future<Output = T>) -> T {
     let mut context = Context::from_waker(Waker::noop());
-    match pin::pin!(work).poll(&mut context) {
+    match pin::pin!(computation).poll(&mut context) {
         Poll::Ready(value) => value,
         Poll::Pending => unreachable!("the pauses of this computation must not wait"),
     }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Path that stands for the snapshot in errors.
+/// Path by which errors refer to the snapshot.
 const SNAPSHOT_PATH: &str = "snapshot";
 
 /// Reads the next value, which is on a line of its own; `line` is a buffer for it.
