--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -69,7 +69,7 @@
         Self { state, limits, total: 0 }
     }
 
-    /// Says whether the whole body was returned.
+    /// Returns whether the whole body was returned.
     pub fn is_done(&self) -> bool {
         self.state == BodyState::Done
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Says whether an idle connection is still open and has no unexpected data to read.
+/// Returns whether an idle connection is still open and has no unexpected data to read.
 pub fn is_reusable(stream: &mut HttpStream) -> bool {
     let reading = stream.reader.fill(crate::reader::HEAD_READ_BYTES);
     reading.now_or_never().is_none()
@@ -155,7 +155,7 @@
     writer::send_piece(&mut stream.writer, &mut buffer, framing, body, true).await
 }
 
-/// Reads a reply with its complete body, and says whether the connection ends with it.
+/// Reads a reply with its complete body, and returns whether the connection ends with it.
 pub async fn receive(
     stream: &mut HttpStream,
     method: &Method,
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -43,12 +43,13 @@
 /// in an exchange. A deployment whose servers use other names supplies its own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExchangeFields {
-    /// Id of one attempt of a caller, which the response repeats. Not compared where there is none.
+    /// Id of one attempt of a caller, which the response repeats; if there is none, it is not
+    /// compared.
     pub request: Option<HeaderName>,
     /// Milliseconds until the caller's deadline.
     pub deadline: HeaderName,
-    /// Proof that a backend server made the response, on each of its responses. Not required where
-    /// there is none.
+    /// Proof that a backend server made the response, on each of its responses; if there is none,
+    /// no proof is required.
     pub stamp: Option<HeaderName>,
     /// The only incarnation of a backend server that may run the request.
     pub expected_server: Option<HeaderName>,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Says whether the connection ends after this message.
+/// Returns whether the connection ends after this message.
 pub fn wants_close(version: Version, headers: &HeaderMap) -> bool {
     let has = |token: &str| {
         headers
@@ -143,7 +144,7 @@
     seconds?.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Says whether the caller waits for `100 Continue` before it sends the body.
+/// Returns whether the caller waits for `100 Continue` before it sends the body.
 pub fn expects_continue(head: &request::Parts) -> bool {
     let value = head.headers.get(EXPECT).map(|value| value.as_bytes());
     value.is_some_and(|value| value.eq_ignore_ascii_case(b"100-continue"))
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Says whether a response with this status never has a body.
+/// Returns whether a response with this status never has a body.
 pub fn never_has_body(status: StatusCode) -> bool {
     status.is_informational()
         || status == StatusCode::NO_CONTENT
--- a/crates/options/src/check.rs
+++ b/crates/options/src/check.rs
@@ -57,15 +57,15 @@
     pub connections: usize,
     /// Maximum number of connections from one caller's address.
     pub connections_each: usize,
-    /// Bounds of requests' heads.
+    /// Limits on the heads of requests.
     pub head: HeadLimits,
-    /// Bounds of requests' bodies.
+    /// Limits on the bodies of requests.
     pub body: BodyLimits,
     /// Reads from the platform per second over the whole fleet.
     pub store_reads: f64,
     /// Writes to the platform per second by this daemon.
     pub store_writes: f64,
-    /// Hours for which the rows of at-most-once requests are kept at least.
+    /// Minimum number of hours for which the rows of at-most-once requests are kept.
     pub once_keep_hours: u64,
     /// Time without requests after which the state of a service is dropped.
     pub service_idle: Duration,
@@ -87,12 +87,12 @@
     pub heartbeat: Duration,
     /// Whether backend servers are sent the origin of a request.
     pub forwarded: bool,
-    /// Whether a non-repeatable request needs recent progress of its backend server.
+    /// Whether a non-repeatable request is sent only to a backend server with recent progress.
     pub prove_once_only: bool,
-    /// Where requests are queued that find no free slot.
+    /// Where requests that find no free slot are queued.
     pub waiting: WaitingMode,
     /// Time that a request waits in its own failure domain rather than cause a transfer of one
-    /// megabyte to another one.
+    /// megabyte to another.
     pub far_megabyte: Duration,
 }
 
--- a/crates/options/src/defaults.rs
+++ b/crates/options/src/defaults.rs
@@ -14,9 +14,9 @@
 pub struct ServiceDefaults {
     /// Share of the slots that ejection must leave in service.
     pub floor: f64,
-    /// Which error of failure detection a service tolerates less.
+    /// Whether ejection favours detection or precision.
     pub prefer: EjectionPreference,
-    /// Requests that may be queued before each backend server.
+    /// Requests that may be queued for each backend server.
     pub queue: u32,
     /// Share of requests that may be retried.
     pub retry_share: f64,
--- a/crates/options/src/raw.rs
+++ b/crates/options/src/raw.rs
@@ -46,15 +46,15 @@
     pub descriptors: Option<String>,
     /// Memory that the platform grants the daemon, in MB.
     pub memory_mb: Option<String>,
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: Option<String>,
-    /// Longest time for the head of a request in milliseconds.
+    /// Maximum time from the first byte of a request's head to its end, in milliseconds.
     pub head_ms: Option<String>,
-    /// Longest idle time of a caller's connection in milliseconds.
+    /// Maximum idle time of a caller's connection in milliseconds.
     pub idle_ms: Option<String>,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: Option<String>,
-    /// Longest wait for the next piece of a body in milliseconds.
+    /// Maximum wait for the next piece of a body in milliseconds.
     pub body_idle_ms: Option<String>,
     /// Address at which other daemons reach this one.
     pub advertise_peers: Option<String>,
@@ -64,7 +64,7 @@
     pub store_reads: Option<String>,
     /// Writes to the platform per second by this daemon.
     pub store_writes: Option<String>,
-    /// Hours for which the rows of at-most-once requests are kept at least.
+    /// Minimum number of hours for which the rows of at-most-once requests are kept.
     pub once_keep_hours: Option<String>,
     /// Time without requests after which the state of a service is dropped, in milliseconds.
     pub service_idle_ms: Option<String>,
@@ -76,7 +76,7 @@
     pub ready: Option<String>,
     /// Address at which the backend servers of this host register.
     pub registration: Option<String>,
-    /// Service that runs on this host; backend servers are sent it as the caller's service.
+    /// Service that runs on this host, sent to backend servers as the caller's service.
     pub own_service: Option<String>,
     /// Whether the seeds are contacted at this daemon's peer port instead of the ports given.
     pub seeds_at_peer_port: Option<String>,
@@ -84,7 +84,7 @@
     pub floor: Option<String>,
     /// Default preference between detection and precision.
     pub prefer: Option<String>,
-    /// Default number of requests that may be queued before each backend server.
+    /// Default number of requests that may be queued for each backend server.
     pub queue: Option<String>,
     /// Default share of requests that may be retried.
     pub retry_share: Option<String>,
@@ -106,12 +106,12 @@
     pub heartbeat_ms: Option<String>,
     /// Whether the origin of a request is hidden from backend servers.
     pub hide_callers: Option<String>,
-    /// Whether a non-repeatable request needs recent progress of its backend server.
+    /// Whether a non-repeatable request is sent only to a backend server with recent progress.
     pub prove_once_only: Option<String>,
-    /// Where requests are queued that find no free slot.
+    /// Where requests that find no free slot are queued.
     pub waiting: Option<String>,
     /// Time that a request waits in its own failure domain rather than cause a transfer of one
-    /// megabyte to another one, in milliseconds.
+    /// megabyte to another, in milliseconds.
     pub far_megabyte_ms: Option<String>,
 }
 
--- a/crates/options/src/waiting.rs
+++ b/crates/options/src/waiting.rs
@@ -1,12 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where requests are queued that find no free slot.
+//! Where requests that find no free slot are queued.
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings;
 
-/// `WaitingMode` says where requests are queued that find no free slot.
+/// `WaitingMode` says where requests that find no free slot are queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitingMode {
     /// In the queue of one host, and lost with it.
--- a/crates/telemetry/src/errors.rs
+++ b/crates/telemetry/src/errors.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of the start of a process.
+//! Errors that occur while a process starts.
 
 use std::io;
 
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -52,7 +52,7 @@
     DROPPED.get().map_or(0, |counter| counter.dropped_lines() as u64)
 }
 
-/// Says whether `filter` can be parsed.
+/// Returns whether `filter` can be parsed.
 pub fn is_valid(filter: &str) -> bool {
     EnvFilter::try_new(filter).is_ok()
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,9 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Metrics by OpenTelemetry, exposed in the Prometheus text format on the admin address.
+//! Metrics through OpenTelemetry, exposed in the Prometheus text format on the admin address.
 //!
-//! The request path only adds to atomic numbers, which OpenTelemetry reads when the metrics are
+//! The request path only updates atomic integers, which OpenTelemetry reads when the metrics are
 //! scraped.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
@@ -37,7 +37,7 @@
         self.0.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Returns the number.
+    /// Returns the value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -53,7 +53,7 @@
         Self(AtomicI64::new(0))
     }
 
-    /// Sets the number.
+    /// Sets the value.
     pub fn set(&self, value: i64) {
         self.0.store(value, Ordering::Relaxed);
     }
@@ -63,7 +63,7 @@
         self.0.fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Returns the number.
+    /// Returns the value.
     pub fn get(&self) -> i64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -74,7 +74,7 @@
 #[derive(Debug, Default)]
 pub struct HistogramCell(OnceLock<Histogram<f64>>);
 
-/// Bucket bounds of the histograms in seconds, from an unnoticeable delay to the time-out of a
+/// Bucket bounds of the histograms in seconds, from an unnoticeable delay to the timeout of a
 /// caller.
 const SECONDS_BOUNDS: [f64; 13] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0];
