--- a/crates/ctl/src/api.rs
+++ b/crates/ctl/src/api.rs
@@ -20,7 +20,7 @@
 
 /// Timeout of one call; within it, a change is either settled or reported as unsettled.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest time without data on a watch: three bookmarks.
+/// Longest time without data on a watch: three intervals between bookmarks.
 const WATCH_SILENCE: Duration = Duration::from_secs(30);
 
 /// `AdminApi` is a client of the resource API of one daemon.
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Reads JSON.
+    /// Sends a GET request and returns the JSON of the reply.
     pub async fn get(&self, target: &str) -> Result<Value, CommandError> {
         self.call(Method::GET, target, None, None).await
     }
--- a/crates/ctl/src/errors.rs
+++ b/crates/ctl/src/errors.rs
@@ -32,7 +32,7 @@
         /// Id of the request.
         request: String,
     },
-    /// No complete answer was received from the daemon.
+    /// No complete response was received from the daemon.
     #[snafu(display("call to the daemon at {address} failed: {source}"))]
     Unreachable {
         /// Address of the daemon.
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -11,10 +11,11 @@
 use crate::lines::{self, LogLine};
 use crate::tables;
 
-/// Time before a request in which lines about its upstreams are shown, in seconds: an ejected one
-/// is tried again after at most six (docs/design/gray-failures.md).
+/// Time before a request from which lines about its upstreams are shown, in seconds: an ejected
+/// upstream is tried again after at most six (docs/design/gray-failures.md).
 const LEAD_TIME_S: f64 = 10.0;
-/// Events about the suspicion against the copies of a request, whichever of them it arose from.
+/// Events by which a request is suspected of crashing backend servers, or cleared. They are matched
+/// by fingerprint, as any copy of the request may have raised the suspicion.
 const CRASH_EVENTS: [&str; 2] = ["request suspected", "request cleared"];
 /// Fields that every line has, or that are shown in a column of their own.
 const COMMON_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
@@ -52,7 +53,7 @@
         let near = |at: f64| at >= first - LEAD_TIME_S && at <= last;
         upstreams.contains(line.text("upstream")) && line.seconds().is_some_and(near)
     }));
-    // Crashes under its copies are the reason why it is refused.
+    // A request is refused because of the crashes that its copies caused.
     let copies: BTreeSet<String> =
         history.lines.iter().map(|line| line.text("fingerprint").to_owned()).collect();
     let of_copies = |line: &LogLine| copies.contains(line.text("fingerprint"));
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -36,7 +36,7 @@
         self.fields.get(field).and_then(Value::as_u64)
     }
 
-    /// Returns the seconds from the first day of its month to its time stamp, for time differences
+    /// Returns the seconds from the first day of its month to its timestamp, for time differences
     /// between lines of the same days.
     pub fn seconds(&self) -> Option<f64> {
         let (date, clock) = self.text("timestamp").split_once('T')?;
--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -8,7 +8,7 @@
 use crate::losses::record::{RequestEnd, RequestRecord};
 use crate::losses::ParsedLogs;
 
-/// Status by which a backend server reports that the time that it was given has run out.
+/// Status by which a backend server reports that its time for the request has run out.
 const TIMED_OUT: u64 = 504;
 
 /// `LossCause` is why a caller got no successful response.
@@ -35,9 +35,9 @@
     ServerError,
     /// The connection to the backend server or to its host broke.
     Broken(String),
-    /// The caller went away before an answer.
+    /// The caller disconnected before a response.
     CallerGone,
-    /// The connection ended before the answer to the caller was complete.
+    /// The connection ended before the response to the caller was complete.
     CutShort,
     /// The logs do not show how it ended.
     NothingSeen,
--- a/crates/ctl/src/losses/mod.rs
+++ b/crates/ctl/src/losses/mod.rs
@@ -3,9 +3,9 @@
 
 //! Finds in the logs of many hosts where and why callers' requests were lost.
 //!
-//! [`record`] holds what the lines say of each request, [`server_health`] the health of the backend
-//! servers in the view of their hosts, [`cause`] determines why a request was lost, and [`tally`]
-//! counts.
+//! [`record`] holds what the log lines say about each request, [`server_health`] the health of the
+//! backend servers in the view of their hosts, [`cause`] determines why a request was lost, and
+//! [`tally`] counts the losses.
 
 pub mod cause;
 pub mod record;
--- a/crates/ctl/src/losses/record.rs
+++ b/crates/ctl/src/losses/record.rs
@@ -1,37 +1,37 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the log lines say of one request.
+//! What the log lines say about one request.
 
 use crate::lines::LogLine;
 
 /// `RequestEnd` is how a request ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With the answer of a backend server.
+    /// With the response of a backend server.
     Answered {
         /// Its status.
         status: u64,
-        /// Whether it came after the route's objective.
+        /// Whether it missed the route's latency objective.
         late: bool,
     },
     /// Refused before an upstream was chosen.
     Rejected {
-        /// Status that the caller got.
+        /// Status that the caller received.
         status: u64,
         /// Reason that was reported to the caller.
         reason: String,
     },
-    /// Without an answer of a backend server.
+    /// Without a response of a backend server.
     Failed {
         /// Whether it certainly did not run at a backend server.
         not_run: bool,
         /// Reason that was reported to the caller.
         reason: String,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The connection ended before the answer to the caller was complete.
+    /// The connection ended before the response to the caller was complete.
     CutShort,
 }
 
@@ -149,7 +149,8 @@
         matches!(self.end, Some(RequestEnd::Answered { status, .. }) if status < 500)
     }
 
-    /// Returns whether the caller got a successful response after the route's objective.
+    /// Returns whether the caller got a successful response that missed the route's latency
+    /// objective.
     pub fn is_late(&self) -> bool {
         self.is_served() && matches!(self.end, Some(RequestEnd::Answered { late: true, .. }))
     }
--- a/crates/ctl/src/losses/tally.rs
+++ b/crates/ctl/src/losses/tally.rs
@@ -22,22 +22,22 @@
 pub struct RouteTally {
     /// Requests that an ingress received.
     pub asked: u64,
-    /// Those that got a successful response.
+    /// Number of them that got a successful response.
     pub served: u64,
-    /// Those of the served ones whose answer came after the route's objective.
+    /// Number of the served ones whose response missed the route's latency objective.
     pub late: u64,
-    /// Those that were lost, by cause.
+    /// Number of them that were lost, by cause.
     pub lost: BTreeMap<LossCause, u64>,
 }
 
 /// `CauseTally` is what the requests lost for one cause have in common.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CauseTally {
-    /// Requests.
+    /// Number of requests.
     pub count: u64,
     /// Time from receipt to end of each, in milliseconds, in ascending order.
     pub held_ms: Vec<u64>,
-    /// Attempts of all of them.
+    /// Total number of their attempts.
     pub attempts: u64,
     /// Health of the server that determined the end, when the request was sent to it or refused.
     pub health: BTreeMap<ServerHealth, u64>,
