--- a/crates/ctl/src/api.rs
+++ b/crates/ctl/src/api.rs
@@ -65,10 +65,10 @@
         method: Method,
         target: &str,
         body: Option<&Value>,
-        guard: Option<(HeaderName, String)>,
+        precondition: Option<(HeaderName, String)>,
     ) -> Result<Value, CommandError> {
         let mut headers = self.headers();
-        if let Some((name, value)) = guard {
+        if let Some((name, value)) = precondition {
             if let Ok(value) = HeaderValue::from_str(&value) {
                 headers.insert(name, value);
             }
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -167,13 +167,13 @@
     at: Option<u64>,
 ) -> Result<(), CommandError> {
     let target = format!("/v1/{kind}/{name}");
-    let guard = guard_of(at);
-    let reply = api.call(Method::DELETE, &target, None, Some(guard)).await?;
+    let precondition = precondition_of(at);
+    let reply = api.call(Method::DELETE, &target, None, Some(precondition)).await?;
     println!("revision {}: deleted", reply["revision"]);
     Ok(())
 }
 
-fn guard_of(at: Option<u64>) -> (HeaderName, String) {
+fn precondition_of(at: Option<u64>) -> (HeaderName, String) {
     let value = at.map_or("*".to_owned(), |revision| format!("\"{revision}\""));
     (header::IF_MATCH, value)
 }
@@ -420,8 +420,8 @@
         })?;
     let mut value = known["value"].clone();
     value["state"] = json!(if active { "active" } else { "draining" });
-    let guard = guard_of(known["revision"].as_u64());
-    let reply = api.call(Method::PUT, &target, Some(&value), Some(guard)).await?;
+    let precondition = precondition_of(known["revision"].as_u64());
+    let reply = api.call(Method::PUT, &target, Some(&value), Some(precondition)).await?;
     println!("revision {}: {name} is {}", reply["revision"], tables::cell(&value["state"]));
     Ok(())
 }
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Parses one line; none if it contains no complete JSON object.
+/// Parses one line; returns `None` if it contains no complete JSON object.
 pub fn read_line(path: &str, text: &str) -> Option<LogLine> {
     let start = text.find('{')?;
     let fields = serde_json::from_str(&text[start..]).ok()?;
--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns why a request was lost; none if it was served. `calls` are its nested calls.
+/// Returns why a request was lost, or `None` if it was served. `calls` are its nested calls.
 pub fn of(
     logs: &ParsedLogs,
     record: &RequestRecord,
--- a/crates/ctl/src/losses/mod.rs
+++ b/crates/ctl/src/losses/mod.rs
@@ -27,7 +27,7 @@
 /// `ParsedLogs` is what the logs contain about all requests.
 #[derive(Debug, Default)]
 pub struct ParsedLogs {
-    /// What is known of each request, by its id.
+    /// What is known about each request, by its id.
     pub requests: BTreeMap<String, RequestRecord>,
     /// Health and load of the backend servers over time.
     pub histories: ServerHistories,
--- a/crates/ctl/src/losses/record.rs
+++ b/crates/ctl/src/losses/record.rs
@@ -35,7 +35,7 @@
     CutShort,
 }
 
-/// `AttemptRecord` is what is known of the attempts at one backend server.
+/// `AttemptRecord` is what is known about the attempts at one backend server.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AttemptRecord {
     /// The backend server.
@@ -48,7 +48,7 @@
     pub fault: Option<String>,
 }
 
-/// `RequestRecord` is what is known of one request.
+/// `RequestRecord` is what is known about one request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RequestRecord {
     /// Route that it matched; empty if that is not known.
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -74,7 +74,7 @@
         self.state == BodyState::Done
     }
 
-    /// Reads and returns the next piece, or nothing at the end of the body.
+    /// Reads and returns the next piece, or `None` at the end of the body.
     pub async fn next<R: AsyncReadRent>(
         &mut self,
         reader: &mut ByteReader<R>,
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -133,7 +133,7 @@
     time(flag, given, default, 1, max)
 }
 
-/// Converts `2.5s` to `2500`; returns nothing for a text of another form.
+/// Converts `2.5s` to `2500`; returns `None` for a text of another form.
 fn seconds_as_millis(text: &str) -> Option<String> {
     let seconds: f64 = text.strip_suffix('s')?.parse().ok()?;
     Some(format!("{}", (seconds * 1000.0).round()))
