--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -36,7 +36,7 @@
         self.fields.get(field).and_then(Value::as_u64)
     }
 
-    /// Returns the seconds from the first day of its month to its time stamp, for time differences
+    /// Returns the seconds from the first day of its month to its timestamp, for time differences
     /// between lines of the same days.
     pub fn seconds(&self) -> Option<f64> {
         let (date, clock) = self.text("timestamp").split_once('T')?;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Parses one line; none if it contains no complete JSON object.
+/// Parses one line; returns `None` if it contains no complete JSON object.
 pub fn read_line(path: &str, text: &str) -> Option<LogLine> {
     let start = text.find('{')?;
     let fields = serde_json::from_str(&text[start..]).ok()?;
--- a/crates/ctl/src/losses/mod.rs
+++ b/crates/ctl/src/losses/mod.rs
@@ -3,9 +3,9 @@
 
 //! Finds in the logs of many hosts where and why callers' requests were lost.
 //!
-//! [`record`] holds what the lines say of each request, [`server_health`] the health of the backend
-//! servers in the view of their hosts, [`cause`] determines why a request was lost, and [`tally`]
-//! counts.
+//! [`record`] holds what the log lines say about each request, [`server_health`] the health of the
+//! backend servers in the view of their hosts, [`cause`] determines why a request was lost, and
+//! [`tally`] counts the losses.
 
 pub mod cause;
 pub mod record;
@@ -27,7 +27,7 @@
 /// `ParsedLogs` is what the logs contain about all requests.
 #[derive(Debug, Default)]
 pub struct ParsedLogs {
-    /// What is known of each request, by its id.
+    /// What is known about each request, by its id.
     pub requests: BTreeMap<String, RequestRecord>,
     /// Health and load of the backend servers over time.
     pub histories: ServerHistories,
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -69,12 +69,12 @@
         Self { state, limits, total: 0 }
     }
 
-    /// Says whether the whole body was returned.
+    /// Returns whether the whole body was returned.
     pub fn is_done(&self) -> bool {
         self.state == BodyState::Done
     }
 
-    /// Reads and returns the next piece, or nothing at the end of the body.
+    /// Reads and returns the next piece, or `None` at the end of the body.
     pub async fn next<R: AsyncReadRent>(
         &mut self,
         reader: &mut ByteReader<R>,
