--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -17,8 +17,8 @@
 use crate::crashes::world::CrashWorld;
 use crate::errors::BenchError;
 
-/// Most servers that one bad request may crash, in the mean of the runs: three until it is refused,
-/// and one for each copy that still runs when the third crash is announced.
+/// Maximum number of servers that one bad request may crash, in the mean of the runs: three until
+/// it is refused, and one for each copy that still runs when the third crash is announced.
 const CRASHED_MAX: f64 = 6.0;
 /// Longest time from the crash that causes a bad request to be refused until all daemons know:
 /// callers retry in a second or two, and each daemon that doesn't know by then loses a server.
@@ -28,12 +28,12 @@
 const LONE_REFUSED_MAX: f64 = 0.0001;
 /// Numbers of daemons of the simulated fleets.
 const DAEMONS: [usize; 3] = [30, 100, 350];
-/// Numbers of different bad requests at the same time.
+/// Numbers of distinct bad requests that are sent concurrently.
 const BAD: [usize; 2] = [1, 10];
 /// Seeds of each run.
 const SEEDS: u64 = 3;
 
-/// `CrashPlan` is the parameters of one run.
+/// `CrashPlan` holds the parameters of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct CrashPlan {
     /// Daemons, with one server each.
--- a/crates/bench/src/crashes/world.rs
+++ b/crates/bench/src/crashes/world.rs
@@ -43,7 +43,7 @@
 /// Time between heartbeats of a daemon, and the number of daemons that each heartbeat goes to.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(4);
 const NEIGHBOURS: usize = 4;
-/// Most dispatches of one request.
+/// Maximum number of dispatches of one request.
 const DISPATCHES_MAX: u32 = 3;
 
 /// `RequestKind` is how often a request comes and whether it crashes the server that runs it.
@@ -106,7 +106,7 @@
     /// Crashes that bad requests caused.
     bad_crashes: u64,
     crashes: u64,
-    /// For each bad request, when it was first to be refused, and when all daemons knew of it.
+    /// For each bad request, when the first and the last daemon learned to refuse it.
     refused: Vec<RefusalTimes>,
     result: CrashResult,
 }
--- a/crates/bench/src/decisions/bounds.rs
+++ b/crates/bench/src/decisions/bounds.rs
@@ -16,15 +16,15 @@
 const QUICKER_FACTOR: f64 = 3.0;
 /// Factor by which `precision` must have fewer false ejections than the best plain rule.
 const FEWER_FACTOR: f64 = 10.0;
-/// Longest median detection time of `detection` over the suite of the gate. docs/MEASUREMENTS.md
+/// Maximum median detection time of `detection` over the suite of the gate. docs/MEASUREMENTS.md
 /// has the figures behind the bounds; the margin of a seventh is for floating-point results that
 /// differ between processors.
 pub const DETECTION_MEDIAN_MAX: Duration = Duration::from_millis(680);
-/// Longest median detection time of `precision`.
+/// Maximum median detection time of `precision`.
 pub const PRECISION_MEDIAN_MAX: Duration = Duration::from_millis(1370);
-/// Most false ejections an upstream-hour of `detection`.
+/// Maximum number of false ejections per upstream-hour of `detection`.
 pub const DETECTION_FALSE_MAX: f64 = 0.04;
-/// Most false ejections an upstream-hour of `precision`.
+/// Maximum number of false ejections per upstream-hour of `precision`.
 pub const PRECISION_FALSE_MAX: f64 = 0.005;
 
 /// Seeds of the gate: with two, the medians of variants of equal quality scatter by chance between
--- a/crates/bench/src/decisions/chart.rs
+++ b/crates/bench/src/decisions/chart.rs
@@ -14,12 +14,12 @@
 
 /// Width and height of the chart in pixels.
 const SIZE: (u32, u32) = (860, 560);
-/// Where no false ejections are drawn, as the axis is logarithmic.
+/// Value at which zero false ejections are drawn, as the axis is logarithmic.
 const NONE_AT: f64 = 0.002;
 /// Seconds at which a rule that never detects is drawn.
 const NEVER_AT: f64 = 60.0;
 
-/// `RuleCurve` is the results of a rule over a range of thresholds.
+/// `RuleCurve` holds the results of a rule over a range of thresholds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RuleCurve {
     /// The rule.
--- a/crates/bench/src/decisions/faults.rs
+++ b/crates/bench/src/decisions/faults.rs
@@ -40,10 +40,10 @@
 }
 
 /// Share of requests that fail at the upstream whose health or load endpoint reports wrongly.
-const LYING_FAILURES: f64 = 0.5;
+const MISREPORTED_FAILURES: f64 = 0.5;
 
-/// Says whether the health endpoint of an upstream reports it as healthy; gray failures do not show
-/// there.
+/// Returns whether the health endpoint of an upstream reports it as healthy; gray failures do not
+/// show there.
 pub fn endpoint_is_good(plan: &ScenarioPlan, now: Duration, upstream: usize, sick: usize) -> bool {
     let share = match plan.script {
         FaultScript::LyingHealth(share) if plan.in_fault(now) => share,
@@ -113,7 +113,7 @@
             | FaultScript::LowTraffic(share)
             | FaultScript::AllErrors(share) => effect.fails = rng.random_bool(share),
             FaultScript::LyingHealth(_) | FaultScript::LyingLoad(_) => {
-                effect.fails = rng.random_bool(LYING_FAILURES);
+                effect.fails = rng.random_bool(MISREPORTED_FAILURES);
             }
             FaultScript::RouteErrors(share) => {
                 effect.fails = self.is_failing_route && rng.random_bool(share);
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -250,7 +250,7 @@
             JobEnd::Error | JobEnd::Timeout => Some(FailureKind::Answered),
         };
         if failure.is_some() || evidence != RequestEvidence::Neutral {
-            // Doubted and trusted are visible in the reports only.
+            // Whether the upstream becomes doubted or trusted shows only in the reports.
             health.note_end(failure, job.started, self.now);
         }
         self.note_change(job.sent.upstream, change);
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -14,7 +14,7 @@
 
 /// Multiple of the median service time above which a response is slow to its caller.
 const SLOW_ANSWER: u32 = 8;
-/// Most dispatches of one request, as in the daemon.
+/// Maximum number of dispatches of one request, as in the daemon.
 const DISPATCHES_MAX: usize = 3;
 
 impl World {
--- a/crates/bench/src/decisions/measure.rs
+++ b/crates/bench/src/decisions/measure.rs
@@ -10,10 +10,10 @@
 /// Time without requests after which an upstream counts as cut off, as a multiple of the mean time
 /// between its requests.
 const QUIET_GAPS: u32 = 25;
-/// Least time without requests after which an upstream counts as cut off.
+/// Minimum time without requests after which an upstream counts as cut off.
 const QUIET_MIN: Duration = Duration::from_millis(1000);
 
-/// `RunResult` is the measurements of one run.
+/// `RunResult` holds the measurements of one run.
 #[derive(Debug, Clone, Default)]
 pub struct RunResult {
     /// Time for which the sick upstream received requests, if it stopped receiving them.
@@ -31,7 +31,7 @@
     pub failed: u64,
     /// Successful responses that were slow for the caller while the fault lasted.
     pub slow: u64,
-    /// Least slots in service in the view of any ingress while it avoided an upstream, as a ratio
+    /// Fewest slots in service in the view of any ingress while it avoided an upstream, as a ratio
     /// to the slots of the floor.
     pub lowest_over_floor: f64,
     /// Whether ejections brought the service below its floor.
--- a/crates/bench/src/decisions/report.rs
+++ b/crates/bench/src/decisions/report.rs
@@ -139,7 +139,7 @@
     format!("{:.2}%, {:.2}%", 100.0 * summary.failed_share, 100.0 * summary.slow_share)
 }
 
-/// Formats the least slots in service as a ratio to the floor, or a dash where nothing was avoided.
+/// Formats the fewest slots in service as a ratio to the floor, or a dash if nothing was avoided.
 fn capacity_cell(summary: &RuleSummary) -> String {
     if summary.lowest_over_floor.is_finite() {
         format!("{:.2}", summary.lowest_over_floor)
--- a/crates/bench/src/decisions/rules.rs
+++ b/crates/bench/src/decisions/rules.rs
@@ -31,7 +31,7 @@
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 /// Length of the first ejection by a plain rule; the n-th lasts n times as long.
 const EJECTION_TIME: Duration = Duration::from_secs(30);
-/// Bounds of the share of upstreams that a plain rule may keep ejected at a time.
+/// Bounds of the share of upstreams that a plain rule may keep ejected at the same time.
 const EJECTION_CAP_MIN: f64 = 0.1;
 const EJECTION_CAP_MAX: f64 = 0.5;
 
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Says whether an upstream is ejected.
+    /// Returns whether an upstream is ejected.
     pub fn is_ejected(&self, index: usize, now: Duration) -> bool {
         self.upstreams[index].ejected_until.is_some_and(|until| now < until)
     }
@@ -180,7 +180,7 @@
         chosen.into_iter().filter(|index| self.eject(*index, now)).collect()
     }
 
-    /// Records a probe of the health endpoint of an upstream; says whether it ejects the upstream.
+    /// Records a probe of the health endpoint of an upstream; returns whether that ejects it.
     pub fn note_probe(&mut self, index: usize, good: bool, now: Duration) -> bool {
         let upstream = &mut self.upstreams[index];
         upstream.bad_probes = if good { 0 } else { upstream.bad_probes + 1 };
--- a/crates/bench/src/decisions/scenario.rs
+++ b/crates/bench/src/decisions/scenario.rs
@@ -257,7 +257,7 @@
 
     /// Returns when the fault begins.
     pub fn fault_begin(&self) -> Duration {
-        // Plain rules evaluate at fixed intervals; the offset keeps the begin of the fault from
+        // Plain rules evaluate at fixed intervals; the offset keeps the start of the fault from
         // coinciding with them.
         let offset = Duration::from_millis(self.seed.wrapping_mul(7919) % 10_000);
         (WARM_UP + offset) * self.stretch()
@@ -268,7 +268,7 @@
         self.fault_begin() + FAULT_TIME * self.stretch()
     }
 
-    /// Says whether the fault is active at this time.
+    /// Returns whether the fault is active at this time.
     pub fn in_fault(&self, now: Duration) -> bool {
         (self.fault_begin()..self.fault_end()).contains(&now)
     }
@@ -278,7 +278,7 @@
         self.fault_end() + AFTER_TIME * self.stretch()
     }
 
-    /// Says whether the load mixes a slow route with fast ones.
+    /// Returns whether the load mixes a slow route with fast ones.
     pub fn is_mixed(&self) -> bool {
         matches!(self.script, FaultScript::MixedSlow(_) | FaultScript::MixedHealthy(_))
     }
--- a/crates/bench/src/decisions/suite.rs
+++ b/crates/bench/src/decisions/suite.rs
@@ -124,14 +124,14 @@
     pub detection_p99: Option<Duration>,
     /// Median of the requests that the sick upstream received.
     pub received_median: u64,
-    /// False ejections for each upstream-hour.
+    /// False ejections per upstream-hour.
     pub false_ejections_hour: f64,
     /// Requests that failed for callers during the fault, as a share of all requests of the runs.
     pub failed_share: f64,
     /// Requests that were slow for callers during the fault, as a share of all requests of the
     /// runs.
     pub slow_share: f64,
-    /// Least slots in service, as a ratio to the slots of the floor.
+    /// Fewest slots in service, as a ratio to the slots of the floor.
     pub lowest_over_floor: f64,
     /// Runs in which the floor was broken.
     pub floor_broken: usize,
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -19,7 +19,7 @@
 
 /// Route of the slow requests of the mixed cases.
 pub(super) const SLOW_ROUTE: usize = 3;
-/// Seconds from the begin of one burst to the next, seconds that a burst lasts, and the factor by
+/// Seconds from the start of one burst to the next, seconds that a burst lasts, and the factor by
 /// which it raises the load.
 const BURST_PERIOD: u64 = 10;
 const BURST_SECONDS: u64 = 2;
--- a/crates/bench/src/errors.rs
+++ b/crates/bench/src/errors.rs
@@ -8,7 +8,7 @@
 use basaltarch_telemetry::errors::StartError;
 use snafu::Snafu;
 
-/// `BenchError` is why a measurement could not be made or failed its check.
+/// `BenchError` is the reason why a measurement could not be made or failed its check.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum BenchError {
--- a/crates/bench/src/experiment/verdict.rs
+++ b/crates/bench/src/experiment/verdict.rs
@@ -47,7 +47,7 @@
         self.trial - self.base
     }
 
-    /// Says whether the difference is statistically significant.
+    /// Returns whether the difference is statistically significant.
     pub fn is_significant(&self) -> bool {
         self.error.is_some_and(|error| self.difference().abs() > SIGNIFICANT_ERRORS * error)
     }
--- a/crates/bench/src/hold.rs
+++ b/crates/bench/src/hold.rs
@@ -18,7 +18,7 @@
 /// Time-out for opening one connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// `HoldOptions` are the number, target and kind of the held connections.
+/// `HoldOptions` holds the number, target and kind of the held connections.
 #[derive(Debug, Clone)]
 pub struct HoldOptions {
     /// Address at which a daemon listens for callers.
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -41,7 +41,7 @@
     pub addresses: Vec<SocketAddr>,
 }
 
-/// `LoadOptions` are the targets, request and rate of a load.
+/// `LoadOptions` holds the targets, request and rate of a load.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
     /// Targets, used round-robin by request, so that all are measured under the same conditions of
@@ -76,7 +76,7 @@
     pub last_error_ms: Option<u64>,
 }
 
-/// `TargetReport` is the outcomes and latencies of the requests to one target.
+/// `TargetReport` holds the outcomes and latencies of the requests to one target.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct TargetReport {
     /// Name of the target.
@@ -115,7 +115,7 @@
     report: TargetReport,
     times: Histogram<u64>,
     idle: Vec<(SocketAddr, HttpStream)>,
-    address_turn: usize,
+    address_index: usize,
     in_flight: u64,
 }
 
@@ -159,7 +159,7 @@
         report: TargetReport { name: target.name.clone(), ..TargetReport::default() },
         times: times.unwrap_or_else(|_| unreachable!("the bounds are constants")),
         idle: Vec::new(),
-        address_turn: 0,
+        address_index: 0,
         in_flight: 0,
     }
 }
@@ -232,8 +232,8 @@
     }
     let address = {
         let mut state = state.borrow_mut();
-        state.address_turn += 1;
-        state.target.addresses[state.address_turn % state.target.addresses.len()]
+        state.address_index += 1;
+        state.target.addresses[state.address_index % state.target.addresses.len()]
     };
     let stream = HttpStream::connect(address, CONNECT_TIMEOUT).await?;
     Ok((address, stream))
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -24,7 +24,7 @@
 /// Default pause between changes, so that each is measured separately.
 pub const CHANGE_PAUSE: Duration = Duration::from_millis(300);
 
-/// `SpreadReport` is the propagation times over all changes, in milliseconds.
+/// `SpreadReport` holds the propagation times over all changes, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct SpreadReport {
     /// Number of daemons.
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -189,7 +189,8 @@
     }
 }
 
-/// An unreadable document is later than the one in force: no daemon is certain until the next one.
+/// While an unreadable document is later than the one in force, no daemon is certain of its
+/// configuration; the next readable document ends that.
 #[test]
 fn verify_an_unreadable_document_leaves_no_daemon_certain() {
     let proxied = ProxiedFleet::start("4000");
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -97,7 +97,7 @@
     let mut fleet =
         TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
     let callers = fleet.daemons[0].callers;
-    let asking = thread::spawn(move || {
+    let request = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "cut")];
         client::try_call(callers, "POST", "/plain", &headers, "x")
     });
@@ -108,34 +108,36 @@
     fleet.daemons[0].signal("-INT");
     assert_eq!(fleet.daemons[0].ended().code(), Some(3));
     assert!(fleet.daemons[0].log_text().contains("requests cut"));
-    assert!(asking.join().expect("join").is_none());
+    assert!(request.join().expect("join").is_none());
 }
 
-fn ask_by_signal(daemon: &TestDaemon) {
+fn stop_by_signal(daemon: &TestDaemon) {
     daemon.signal("-TERM");
 }
 
-fn ask_by_call(daemon: &TestDaemon) {
+fn stop_by_call(daemon: &TestDaemon) {
     assert_eq!(daemon.call("POST", "/v1/drain", &[], "").status, 202);
 }
 
-#[test_case(ask_by_signal ; "by signals")]
-#[test_case(ask_by_call ; "by a call before the signal")]
-fn verify_a_daemon_that_is_asked_to_stop_twice_interrupts_no_request(ask: fn(&TestDaemon)) {
+#[test_case(stop_by_signal ; "by signals")]
+#[test_case(stop_by_call ; "by a call before the signal")]
+fn verify_a_daemon_that_is_asked_to_stop_twice_interrupts_no_request(
+    request_stop: fn(&TestDaemon),
+) {
     let mut fleet =
         TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
     let callers = fleet.daemons[0].callers;
-    let asking = thread::spawn(move || {
+    let request = thread::spawn(move || {
         let headers =
             [("Host", "solver.example"), ("x-work-ms", "3000"), ("x-request-id", "whole")];
         client::call(callers, "POST", "/plain", &headers, "x")
     });
     eventually("the request runs", || fleet.ran("whole") == 1);
-    ask(&fleet.daemons[0]);
+    request_stop(&fleet.daemons[0]);
     eventually("the daemon leaves", || fleet.daemons[0].log_text().contains("\"leaving\""));
     fleet.daemons[0].signal("-TERM");
     assert_eq!(fleet.daemons[0].ended().code(), Some(0));
-    assert_eq!(asking.join().expect("join").status, 200);
+    assert_eq!(request.join().expect("join").status, 200);
 }
 
 #[test]
@@ -148,7 +150,7 @@
     };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
-    let asking = thread::spawn(move || {
+    let request = thread::spawn(move || {
         let headers =
             [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "late")];
         client::try_call(callers, "POST", "/plain", &headers, "x")
@@ -156,7 +158,7 @@
     eventually("the request runs", || fleet.ran("late") == 1);
     fleet.daemons[0].signal("-TERM");
     assert_eq!(fleet.daemons[0].ended().code(), Some(3));
-    let reply = asking.join().expect("join").expect("an answer, not a closed connection");
+    let reply = request.join().expect("join").expect("an answer, not a closed connection");
     assert_eq!(reply.status, 504);
     assert_eq!(reply.header("basaltarch-outcome").as_deref(), Some("unknown"), "it may have run");
     assert_eq!(
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -246,19 +246,19 @@
     let fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
     let text = client::request_text("GET", "/", &[("Host", "solver.example")], "");
-    let ask = |stream: &mut std::net::TcpStream| {
+    let send_request = |stream: &mut std::net::TcpStream| {
         let sent = stream.write_all(text.as_bytes()).is_ok();
         sent.then(|| client::read_reply(stream, "GET")).flatten().map(|reply| reply.status)
     };
     let mut first = client::connect(callers);
     let mut second = client::connect(callers);
-    assert_eq!((ask(&mut first), ask(&mut second)), (Some(200), Some(200)));
-    assert_eq!(ask(&mut client::connect(callers)), None, "a third connection is closed");
+    assert_eq!((send_request(&mut first), send_request(&mut second)), (Some(200), Some(200)));
+    assert_eq!(send_request(&mut client::connect(callers)), None, "a third connection is closed");
     drop(first);
     common::eventually("a new connection is accepted after one has closed", || {
-        ask(&mut client::connect(callers)) == Some(200)
+        send_request(&mut client::connect(callers)) == Some(200)
     });
-    assert_eq!(ask(&mut second), Some(200));
+    assert_eq!(send_request(&mut second), Some(200));
 }
 
 #[test]
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -57,7 +57,7 @@
 /// Sends a request with this id and makes it fail.
 type FaultInjector = fn(&RegisteredFleet, &str);
 
-fn ask(fleet: &RegisteredFleet, method: &str, path: &str, id: &str) {
+fn send_request(fleet: &RegisteredFleet, method: &str, path: &str, id: &str) {
     fleet.request(0, method, path, id);
 }
 
@@ -66,37 +66,37 @@
 }
 
 fn no_route(fleet: &RegisteredFleet, id: &str) {
-    ask(fleet, "GET", "/nowhere/x", id);
+    send_request(fleet, "GET", "/nowhere/x", id);
 }
 
 fn lost_answer(fleet: &RegisteredFleet, id: &str) {
     fault_all(fleet, json!({"break_at": "after-run"}));
-    ask(fleet, "POST", "/unsafe/x", id);
+    send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn no_answer(fleet: &RegisteredFleet, id: &str) {
     fault_all(fleet, json!({"stuck": true}));
-    ask(fleet, "POST", "/unsafe/x", id);
+    send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn unproved_answer(fleet: &RegisteredFleet, id: &str) {
     fault_all(fleet, json!({"unstamped": true}));
-    ask(fleet, "POST", "/unsafe/x", id);
+    send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn cut_answer(fleet: &RegisteredFleet, id: &str) {
     fault_all(fleet, json!({"break_at": "in-answer-body"}));
-    ask(fleet, "POST", "/unsafe/x", id);
+    send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn server_error(fleet: &RegisteredFleet, id: &str) {
     fault_all(fleet, json!({"status": 500}));
-    ask(fleet, "POST", "/unsafe/x", id);
+    send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn shed_request(fleet: &RegisteredFleet, id: &str) {
     fault_all(fleet, json!({"shed": true}));
-    ask(fleet, "POST", "/unsafe/x", id);
+    send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn all_leave(fleet: &RegisteredFleet, id: &str) {
@@ -108,7 +108,7 @@
         (1..=fleet.backends.len())
             .all(|n| fleet.daemons[0].log_text().contains(&format!("i-{n} (draining)")))
     });
-    ask(fleet, "POST", "/unsafe/x", id);
+    send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn caller_leaves(fleet: &RegisteredFleet, id: &str) {
@@ -248,7 +248,7 @@
     eventually("a request is retried", || {
         number += 1;
         let id = format!("repeat-{number}");
-        ask(&fleet, "GET", "/safe/x", &id);
+        send_request(&fleet, "GET", "/safe/x", &id);
         let history = wait_history(&fleet, &id, "got the server's answer 200");
         let ends = history.lines.iter().filter(|line| line.fields["message"] == "attempt ended");
         let next: Vec<&str> =
@@ -270,8 +270,8 @@
     fleet.wait_served(0, &[0]);
     let begin = Instant::now();
     for number in 0..300 {
-        ask(&fleet, "GET", "/safe/x", &format!("good-{number}"));
-        ask(&fleet, "GET", "/nowhere/x", &format!("bad-{number}"));
+        send_request(&fleet, "GET", "/safe/x", &format!("good-{number}"));
+        send_request(&fleet, "GET", "/nowhere/x", &format!("bad-{number}"));
     }
     eventually("the log reports the requests that it left out", || {
         fleet.daemons[0].log_text().contains("requests not logged")
@@ -368,10 +368,10 @@
 fn verify_metrics_hold_the_outcomes_of_a_route_and_the_current_state() {
     let fleet = fleet_logging(2, "0");
     for number in 0..5 {
-        ask(&fleet, "GET", "/safe/x", &format!("metrics-{number}"));
+        send_request(&fleet, "GET", "/safe/x", &format!("metrics-{number}"));
     }
     fault_all(&fleet, json!({"break_at": "after-run"}));
-    ask(&fleet, "POST", "/unsafe/x", "metrics-broken");
+    send_request(&fleet, "POST", "/unsafe/x", "metrics-broken");
     assert_eq!(fleet.send_heartbeat(0, true).status, 200);
     let text = client::call(fleet.daemons[0].admin, "GET", "/metrics", &[], "").text();
     let value = |name: &str, labels: &[&str]| {
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -105,10 +105,10 @@
     for daemon in &fleet.daemons {
         let log = daemon.log_text();
         let ejections = log.lines().filter(|line| line.contains("upstream ejected")).count();
-        let ours = log
+        let expected = log
             .lines()
             .filter(|line| line.contains("upstream ejected") && line.contains("server-5"));
-        assert_eq!(ejections, ours.count(), "no healthy server is ejected:\n{log}");
+        assert_eq!(ejections, expected.count(), "no healthy server is ejected:\n{log}");
     }
     let counted: f64 = fleet.daemons.iter().map(|d| d.metric("detection_seconds_count")).sum();
     assert!(counted >= 1.0, "the ejection is counted in the histogram");
@@ -231,10 +231,10 @@
         backend.faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
     }
     let exempted = || fleet.daemons[0].metric("poison_spared");
-    let ask = || fleet.request(0, "GET", "/poison", &[], "");
+    let send_request = || fleet.request(0, "GET", "/poison", &[], "");
     eventually("it is known as a poison request", || {
         let before = exempted();
-        ask();
+        send_request();
         exempted() > before
     });
     let mut changed = fleet.configuration(&plan);
@@ -242,6 +242,6 @@
     assert_eq!(fleet.apply(&changed).status, 200);
     fleet.wait_revision(2);
     let before = exempted();
-    ask();
+    send_request();
     assert!(exempted() > before, "it is still known as a poison request");
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -21,14 +21,14 @@
     })
 }
 
-fn ask(fleet: &TestFleet, daemon: usize) -> common::client::Reply {
+fn send_request(fleet: &TestFleet, daemon: usize) -> common::client::Reply {
     fleet.request(daemon, "GET", "/puzzle", &[("Basaltarch-Key", "khlung-key")], "")
 }
 
 #[test]
 fn verify_requests_over_the_limit_are_refused_with_retry_after() {
     let fleet = limited(2, 0.5, 4.0);
-    let replies: Vec<_> = (0..20).map(|number| ask(&fleet, number % 2)).collect();
+    let replies: Vec<_> = (0..20).map(|number| send_request(&fleet, number % 2)).collect();
     let good = replies.iter().filter(|reply| reply.status == 200).count();
     assert!((1..=6).contains(&good), "{good} of 20 with a burst of 4");
     for reply in replies.iter().filter(|reply| reply.status != 200) {
@@ -47,7 +47,7 @@
     let mut good = 0;
     // The number of requests is fixed: on a slow machine more time passes, and more is allowed.
     for number in 0..2000 {
-        good += u32::from(ask(&fleet, number % 4).status == 200);
+        good += u32::from(send_request(&fleet, number % 4).status == 200);
     }
     let allowed = 10.0 + 40.0 * start.elapsed().as_secs_f64();
     assert!(f64::from(good) <= allowed * 1.1, "{good} of at most {allowed}");
@@ -60,11 +60,11 @@
     // Whichever daemon owns the limit: with two of three gone, the last one must still enforce it.
     fleet.daemons[1].kill();
     fleet.daemons[2].kill();
-    eventually("the limit is still served", || ask(&fleet, 0).status == 200);
+    eventually("the limit is still served", || send_request(&fleet, 0).status == 200);
     let start = Instant::now();
     let mut good = 0;
     for _ in 0..1500 {
-        good += u32::from(ask(&fleet, 0).status == 200);
+        good += u32::from(send_request(&fleet, 0).status == 200);
     }
     let allowed = 10.0 + 20.0 * start.elapsed().as_secs_f64();
     assert!(f64::from(good) <= allowed * 1.1, "{good} of at most {allowed}");
@@ -76,8 +76,9 @@
     let (rate, burst) = (0.5, 40.0);
     let mut fleet = limited(3, rate, burst);
     let start = Instant::now();
-    let served =
-        |fleet: &TestFleet| (0..60).filter(|number| ask(fleet, number % 3).status == 200).count();
+    let served = |fleet: &TestFleet| {
+        (0..60).filter(|number| send_request(fleet, number % 3).status == 200).count()
+    };
     let mut good = served(&fleet);
     assert!(
         good as f64 >= burst / 2.0,
@@ -95,8 +96,8 @@
 fn verify_a_restarted_fleet_serves_callers_below_the_rate() {
     // The rate is so high that callers stay far below it on any machine.
     let mut fleet = limited(3, 20_000.0, 40.0);
-    assert_eq!(ask(&fleet, 0).status, 200);
+    assert_eq!(send_request(&fleet, 0).status, 200);
     fleet.restart_all(&[]);
-    let refused = (0..20).filter(|number| ask(&fleet, number % 3).status == 429).count();
+    let refused = (0..20).filter(|number| send_request(&fleet, number % 3).status == 429).count();
     assert_eq!(refused, 0, "of 20 requests, a thousandth of a second's worth");
 }
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -153,7 +153,7 @@
 fn verify_a_request_does_not_run_twice_after_its_daemon_is_killed() {
     let mut fleet = TestFleet::start(&FleetPlan::default());
     let callers = fleet.daemons[0].callers;
-    let asking = thread::spawn(move || {
+    let request = thread::spawn(move || {
         let headers = [
             ("Host", "solver.example"),
             ("Idempotency-Key", "killed"),
@@ -164,7 +164,7 @@
     });
     eventually("the request runs", || fleet.ran("killed") == 1);
     fleet.daemons[0].kill();
-    assert!(asking.join().expect("join").is_none_or(|reply| reply.status != 200));
+    assert!(request.join().expect("join").is_none_or(|reply| reply.status != 200));
     let reply = pay(&fleet, 1, "killed", "x");
     assert_eq!((reply.status, reply.reason().as_deref()), (409, Some("already-started")));
     assert_eq!(fleet.ran("killed"), 1);
--- a/crates/daemon/tests/organisations.rs
+++ b/crates/daemon/tests/organisations.rs
@@ -48,7 +48,7 @@
     fleet
 }
 
-fn ask(
+fn send_request(
     fleet: &RegisteredFleet,
     daemon: usize,
     path: &str,
@@ -68,12 +68,12 @@
 #[test_case(&[(names::ORGANISATION, "shop")] ; "a name without a key")]
 fn verify_a_caller_without_a_known_key_is_refused_and_nothing_runs(extra_headers: &[(&str, &str)]) {
     let fleet = start(1);
-    let reply = ask(&fleet, 0, "/unsafe/x", "stranger", extra_headers);
+    let reply = send_request(&fleet, 0, "/unsafe/x", "stranger", extra_headers);
     assert_eq!((reply.status, reply.reason().as_deref()), (401, Some("key-unknown")));
     assert!(reply.header("www-authenticate").is_some());
     assert_eq!(fleet.ran("stranger"), 0);
     assert_eq!(
-        ask(&fleet, 0, "/safe/x", "exempt", extra_headers).status,
+        send_request(&fleet, 0, "/safe/x", "exempt", extra_headers).status,
         200,
         "the route requires no key"
     );
@@ -84,7 +84,11 @@
     let fleet = start(1);
     let long = "k".repeat(8192);
     for (id, key) in [("long", long.as_str()), ("bytes", "sch\u{fc}ssel")] {
-        assert_eq!(ask(&fleet, 0, "/unsafe/x", id, &[(names::API_KEY, key)]).status, 401, "{id}");
+        assert_eq!(
+            send_request(&fleet, 0, "/unsafe/x", id, &[(names::API_KEY, key)]).status,
+            401,
+            "{id}"
+        );
         assert_eq!(fleet.ran(id), 0);
     }
 }
@@ -96,7 +100,7 @@
         let (key, claimed) = if number % 2 == 0 { (SHOP_KEY, "desk") } else { (DESK_KEY, "shop") };
         let extra_headers = [(names::API_KEY, key), (names::ORGANISATION, claimed)];
         let id = format!("known-{number}");
-        assert_eq!(ask(&fleet, number % 3, "/unsafe/x", &id, &extra_headers).status, 200);
+        assert_eq!(send_request(&fleet, number % 3, "/unsafe/x", &id, &extra_headers).status, 200);
         let server = fleet.backends.iter().find(|backend| backend.ran(&id) == 1).expect("ran");
         let head = server.runs()["last_head"].as_str().expect("head").to_owned();
         let name = if number % 2 == 0 { "shop" } else { "desk" };
@@ -104,7 +108,10 @@
         assert!(head.contains(&field), "{head}");
     }
     // A claimed name is not forwarded on a route that requires no key either.
-    assert_eq!(ask(&fleet, 0, "/safe/x", "open", &[(names::ORGANISATION, "shop")]).status, 200);
+    assert_eq!(
+        send_request(&fleet, 0, "/safe/x", "open", &[(names::ORGANISATION, "shop")]).status,
+        200
+    );
     let keys: u64 = fleet.backends.iter().map(|b| b.runs()["keys"].as_u64().expect("keys")).sum();
     assert_eq!(keys, 0, "a key reached a backend server");
     let count_each = |backend: &common::TestBackend| {
@@ -138,21 +145,21 @@
     // Header field names are case-insensitive.
     let name = names::API_KEY.to_uppercase();
     let with = |key| [(&*name, key)];
-    assert_eq!(ask(&fleet, 1, "/unsafe/x", "before", &with(SHOP_KEY)).status, 200);
+    assert_eq!(send_request(&fleet, 1, "/unsafe/x", "before", &with(SHOP_KEY)).status, 200);
     let moved = OrganisationDraft { keys: &[DESK_KEY, SHOP_KEY], ..DESK };
     write(&fleet, 3, &[OrganisationDraft { keys: &["an0ther"], ..SHOP }, moved]);
     for daemon in 0..2 {
         let id = format!("moved-{daemon}");
-        assert_eq!(ask(&fleet, daemon, "/unsafe/x", &id, &with(SHOP_KEY)).status, 200);
+        assert_eq!(send_request(&fleet, daemon, "/unsafe/x", &id, &with(SHOP_KEY)).status, 200);
         let server = fleet.backends.iter().find(|backend| backend.ran(&id) == 1).expect("ran");
         assert!(server.runs()["last_head"].to_string().contains("desk"));
     }
     write(&fleet, 4, &[SHOP]);
     for daemon in 0..2 {
         let id = format!("gone-{daemon}");
-        assert_eq!(ask(&fleet, daemon, "/unsafe/x", &id, &with(DESK_KEY)).status, 401);
+        assert_eq!(send_request(&fleet, daemon, "/unsafe/x", &id, &with(DESK_KEY)).status, 401);
         assert_eq!(fleet.ran(&id), 0);
-        assert_eq!(ask(&fleet, daemon, "/unsafe/x", "back", &with(SHOP_KEY)).status, 200);
+        assert_eq!(send_request(&fleet, daemon, "/unsafe/x", "back", &with(SHOP_KEY)).status, 200);
     }
 }
 
@@ -170,12 +177,12 @@
         client::call(address, "POST", "/unsafe/x", &headers, "x").status
     });
     eventually("the parent request runs", || fleet.ran("parent") == 1);
-    assert_eq!(ask(&fleet, 0, "/unsafe/x", "parent.1", &[]).status, 200);
+    assert_eq!(send_request(&fleet, 0, "/unsafe/x", "parent.1", &[]).status, 200);
     let head = fleet.backends[0].runs()["last_head"].to_string();
     assert!(head.contains("shop"), "{head}");
     assert_eq!(parent.join().expect("join"), 200);
     assert_eq!(
-        ask(&fleet, 0, "/unsafe/x", "parent.2", &[]).status,
+        send_request(&fleet, 0, "/unsafe/x", "parent.2", &[]).status,
         401,
         "the parent request has ended"
     );
@@ -193,15 +200,15 @@
         (names::API_KEY, SHOP_KEY),
         ("x-work-ms", "1500"),
     ];
-    let ask_parent = move || client::call(address, "POST", "/unsafe/x", &headers, "x").status;
-    let parent = std::thread::spawn(ask_parent);
+    let send_parent = move || client::call(address, "POST", "/unsafe/x", &headers, "x").status;
+    let parent = std::thread::spawn(send_parent);
     eventually("the parent request runs", || fleet.ran("parent") == 1);
     for number in 0..5 {
         let id = format!("parent.{number}");
-        assert_eq!(ask(&fleet, 0, "/unsafe/x", &id, &[]).status, 200);
+        assert_eq!(send_request(&fleet, 0, "/unsafe/x", &id, &[]).status, 200);
     }
     assert_eq!(parent.join().expect("join"), 200);
-    let over = ask(&fleet, 0, "/unsafe/x", "over", &[(names::API_KEY, SHOP_KEY)]);
+    let over = send_request(&fleet, 0, "/unsafe/x", "over", &[(names::API_KEY, SHOP_KEY)]);
     assert_eq!((over.status, over.reason().as_deref()), (429, Some("limited")));
     assert_eq!(fleet.ran("over"), 0);
 }
@@ -217,6 +224,6 @@
     assert_eq!(daemon.revision(), 2);
     let fields = headers::exchange_fields();
     let extra_headers = [(fields.api_key.as_str(), DESK_KEY)];
-    assert_eq!(ask(&fleet, 0, "/unsafe/x", "still", &extra_headers).status, 200);
+    assert_eq!(send_request(&fleet, 0, "/unsafe/x", "still", &extra_headers).status, 200);
     assert!(!daemon.log_text().contains(SHOP_KEY));
 }
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -233,14 +233,14 @@
     let hops = TwoHops::start(None);
     let mut fleet = hops.fleet;
     let callers = fleet.daemons[0].callers;
-    let asking = thread::spawn(move || {
+    let request = thread::spawn(move || {
         let headers =
             [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "lost")];
         client::call(callers, "POST", "/plain", &headers, "x")
     });
     eventually("the request runs", || fleet.ran("lost") == 1);
     fleet.daemons[1].kill();
-    let reply = asking.join().expect("join");
+    let reply = request.join().expect("join");
     assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     assert_eq!(reply.reason().as_deref(), Some("peer-lost"));
     let reply = fleet.request(0, "POST", "/plain", &[("x-request-id", "after")], "x");
@@ -348,11 +348,11 @@
     let platform = TestPlatform::start();
     let forwarder = Forwarder::start();
     let advertised = forwarder.address.to_string();
-    let near = TestDaemon::start(platform.address, "host-a", "bkk-a", &[]);
+    let local = TestDaemon::start(platform.address, "host-a", "bkk-a", &[]);
     let flags = [("advertise-peers", advertised.as_str())];
-    let far = TestDaemon::start(platform.address, "host-b", "bkk-b", &flags);
-    forwarder.forward_to(far.peers);
-    let mut fleet = TestFleet { platform, daemons: vec![near, far], backends: Vec::new() };
+    let remote = TestDaemon::start(platform.address, "host-b", "bkk-b", &flags);
+    forwarder.forward_to(remote.peers);
+    let mut fleet = TestFleet { platform, daemons: vec![local, remote], backends: Vec::new() };
     fleet.wait_members();
     fleet.backends = vec![TestBackend::start("server-1", 1), TestBackend::start("server-2", 1)];
     let configuration = fleet.configuration(&plan);
@@ -389,15 +389,15 @@
             .collect();
         threads.into_iter().map(|thread| thread.join().expect("join")).collect::<Vec<_>>()
     };
-    let from_far = |replies: &[client::Reply]| {
+    let from_remote = |replies: &[client::Reply]| {
         replies.iter().filter(|r| r.header("x-served-by").as_deref() == Some("server-2")).count()
     };
-    eventually("both servers receive requests", || from_far(&load(1)) > 0);
+    eventually("both servers receive requests", || from_remote(&load(1)) > 0);
     link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
     link.forwarder.cuts.back.store(back, Ordering::SeqCst);
     eventually("the far server is no longer used", || {
         let replies = load(1);
-        from_far(&replies) == 0 && {
+        from_remote(&replies) == 0 && {
             let health = link.fleet.daemons[0].get("/v1/health?service=solver-app");
             health["services"][0]["upstreams"][1]["state"] == "unreachable"
         }
@@ -405,7 +405,7 @@
     eventually("callers are served by the near server alone", || served("server-1"));
     link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
     link.forwarder.cuts.back.store(false, Ordering::SeqCst);
-    eventually("the far server receives requests again", || from_far(&load(1)) > 0);
+    eventually("the far server receives requests again", || from_remote(&load(1)) > 0);
     link.fleet.check_invariants();
 }
 
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -55,7 +55,7 @@
 
     /// Sends requests through an ingress; returns whether all were answered, and whether the last
     /// server answered any.
-    fn ask(&self, daemon: usize, count: usize) -> (bool, bool) {
+    fn send_requests(&self, daemon: usize, count: usize) -> (bool, bool) {
         let (mut all, mut last) = (true, false);
         for _ in 0..count {
             let reply = self.fleet.request(daemon, "GET", "/puzzle", &[], "");
@@ -74,7 +74,7 @@
 ) {
     let half = HalfCut::start();
     for daemon in 0..LAST {
-        eventually("the last server is used", || half.ask(daemon, 20).1);
+        eventually("the last server is used", || half.send_requests(daemon, 20).1);
     }
     *half.forwarder.cuts.only.lock().expect("lock") =
         vec!["host-a".to_owned(), "host-b".to_owned()];
@@ -82,23 +82,23 @@
     half.forwarder.cuts.back.store(back, Ordering::SeqCst);
     for daemon in 0..2 {
         eventually("an ingress that is cut off stops using the path", || {
-            half.ask(daemon, 5);
+            half.send_requests(daemon, 5);
             half.seen_by(daemon) == "unreachable"
         });
     }
     for daemon in 0..2 {
-        let (all, last) = half.ask(daemon, 30);
+        let (all, last) = half.send_requests(daemon, 30);
         assert!(all, "callers of ingress {daemon} are served by the others");
         assert!(!last, "nothing is sent over the cut path");
     }
-    eventually("the other ingress still uses it", || half.ask(2, 20) == (true, true));
+    eventually("the other ingress still uses it", || half.send_requests(2, 20) == (true, true));
     assert_eq!(half.seen_by(2), "in service");
     assert!(!half.fleet.daemons[LAST].log_text().contains("upstream ejected"), "it is healthy");
     half.forwarder.cuts.forward.store(false, Ordering::SeqCst);
     half.forwarder.cuts.back.store(false, Ordering::SeqCst);
     half.forwarder.break_all();
     for daemon in 0..2 {
-        eventually("the path is used again", || half.ask(daemon, 20).1);
+        eventually("the path is used again", || half.send_requests(daemon, 20).1);
     }
     half.fleet.check_invariants();
 }
@@ -108,16 +108,20 @@
 fn verify_a_paused_host_is_avoided_and_used_again_after_it_resumes() {
     let half = HalfCut::start();
     let last = &half.fleet.daemons[LAST];
-    eventually("the last server is used", || half.ask(0, 20).1);
+    eventually("the last server is used", || half.send_requests(0, 20).1);
     for round in 0..2 {
         last.signal("-STOP");
         eventually("its path is no longer used", || {
-            half.ask(0, 5);
+            half.send_requests(0, 5);
             half.seen_by(0) == "unreachable"
         });
-        assert_eq!(half.ask(0, 30), (true, false), "round {round}: the others serve its callers");
+        assert_eq!(
+            half.send_requests(0, 30),
+            (true, false),
+            "round {round}: the others serve its callers"
+        );
         last.signal("-CONT");
-        eventually("it is used again", || half.ask(0, 20).1);
+        eventually("it is used again", || half.send_requests(0, 20).1);
     }
     assert!(!last.log_text().contains("upstream ejected"), "its server was healthy all the time");
     half.fleet.check_invariants();
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -43,9 +43,9 @@
             request_status(&fleet, daemon, "missing") == 404
         });
     }
-    let asks = |daemon: &usize| metric_value(&fleet, *daemon, "store_questions") > 0;
-    let asking = (0..DAEMONS).filter(asks).count();
-    assert!(asking <= READERS, "{asking} daemons asked the store");
+    let reads_store = |daemon: &usize| metric_value(&fleet, *daemon, "store_questions") > 0;
+    let readers = (0..DAEMONS).filter(reads_store).count();
+    assert!(readers <= READERS, "{readers} daemons asked the store");
 }
 
 fn request_status(fleet: &RegisteredFleet, daemon: usize, id: &str) -> u16 {
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -89,11 +89,13 @@
     let (mut before, mut after, mut draining) = (0, 0, false);
     let text = fleet.daemons[0].log_text();
     for line in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
-        let ours = line["upstream"] == "i-1";
+        let is_first_server = line["upstream"] == "i-1";
         match line["message"].as_str() {
-            Some("backend server registered") if ours => draining = line["draining"] == true,
-            Some("work started") if ours && draining => after += 1,
-            Some("work started") if ours => before += 1,
+            Some("backend server registered") if is_first_server => {
+                draining = line["draining"] == true
+            }
+            Some("work started") if is_first_server && draining => after += 1,
+            Some("work started") if is_first_server => before += 1,
             _ => {}
         }
     }
@@ -310,7 +312,7 @@
     fleet.wait_served(0, &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.faults(outage);
-    // It learns of a changed document and takes a drain notice without the store.
+    // It learns of a changed document and accepts a drain notice without the store.
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -46,12 +46,12 @@
         assert_eq!(reply.map(|reply| reply.status), Some(200));
     }
     stops::request_stop(&fleet.daemons[0]);
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
     for (number, stream) in kept_alive.iter_mut().enumerate() {
         stops::write(stream, &format!("slept-{number}"), "1000").expect("write");
     }
-    eventually("the longest drain is over", || asked.elapsed() > LONGEST);
+    eventually("the longest drain is over", || requested_at.elapsed() > LONGEST);
     fleet.daemons[0].signal("-CONT");
     for (number, stream) in kept_alive.iter_mut().enumerate() {
         let reply = client::read_reply(stream, "POST");
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -79,12 +79,12 @@
     stops::request_stop(&fleet.daemons[0]);
     // The daemon is paused while the requests arrive and its shortest drain passes, so on resume it
     // finds at the same moment nothing in flight and requests to read.
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
     let mut fresh = client::connect(callers);
     stops::write(&mut kept_alive, "kept", WORK_MS).expect("write");
     stops::write(&mut fresh, "fresh", WORK_MS).expect("write");
-    eventually("the shortest drain is over", || asked.elapsed() > SHORTEST);
+    eventually("the shortest drain is over", || requested_at.elapsed() > SHORTEST);
     fleet.daemons[0].signal("-CONT");
     let replies = [("kept", kept_alive), ("fresh", fresh)].map(|(id, mut stream)| {
         let reply = client::read_reply(&mut stream, "POST");
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -72,7 +72,7 @@
     }
 }
 
-fn ask(callers: SocketAddr, work_ms: &str) -> Reply {
+fn send_request(callers: SocketAddr, work_ms: &str) -> Reply {
     let headers = [("Host", "solver.example"), DEADLINE, ("x-work-ms", work_ms)];
     client::call(callers, "GET", "/puzzle/7", &headers, "")
 }
@@ -82,9 +82,9 @@
     let host = SuspendableHost::start(1);
     host.backend.faults(json!({"stuck": true}));
     let callers = host.daemon.callers;
-    let running = thread::spawn(move || ask(callers, "0"));
+    let running = thread::spawn(move || send_request(callers, "0"));
     host.wait_received(1);
-    let waiting = thread::spawn(move || ask(callers, "0"));
+    let waiting = thread::spawn(move || send_request(callers, "0"));
     eventually("the second waits for the slot", || host.health()["queued"] == json!(1));
     host.daemon.suspend(SUSPEND);
     let running = running.join().expect("join");
@@ -105,10 +105,11 @@
     let host = SuspendableHost::start(4);
     let callers = host.daemon.callers;
     for _ in 0..40 {
-        assert_eq!(ask(callers, "1").status, 200);
+        assert_eq!(send_request(callers, "1").status, 200);
     }
     let received = host.backend.runs()["received"].as_u64().expect("a count");
-    let running: Vec<_> = (0..4).map(|_| thread::spawn(move || ask(callers, "500"))).collect();
+    let running: Vec<_> =
+        (0..4).map(|_| thread::spawn(move || send_request(callers, "500"))).collect();
     host.wait_received(received + 4);
     // Far longer than their typical service time, but within their deadline.
     host.daemon.suspend(Duration::from_secs(30));
@@ -118,7 +119,7 @@
     let health = host.health();
     assert_eq!(health["ejected"], json!(false), "{health}");
     assert!(health["score"].as_f64().is_some_and(|score| score < 0.5), "{health}");
-    assert_eq!(ask(callers, "1").status, 200);
+    assert_eq!(send_request(callers, "1").status, 200);
 }
 
 #[test]
@@ -127,13 +128,13 @@
     host.backend.faults(json!({"crash_path": "/puzzle/7", "crash_after_ms": 5, "down_ms": 50}));
     let callers = host.daemon.callers;
     let refused = |reply: &Reply| reply.reason().as_deref() == Some("crashes-servers");
-    eventually("it is refused", || refused(&ask(callers, "0")));
+    eventually("it is refused", || refused(&send_request(callers, "0")));
     eventually("the fault of the server is removed", || {
         let path = "/__control/faults";
         client::try_call(host.backend.address, "PUT", path, &[], "{}").is_some()
     });
-    assert!(refused(&ask(callers, "0")), "no trial is due yet");
+    assert!(refused(&send_request(callers, "0")), "no trial is due yet");
     host.daemon.suspend(TRIAL_EVERY);
-    eventually("a trial admits it again", || ask(callers, "0").status == 200);
-    assert_eq!(ask(callers, "0").status, 200);
+    eventually("a trial admits it again", || send_request(callers, "0").status == 200);
+    assert_eq!(send_request(callers, "0").status, 200);
 }
--- a/crates/decide/tests/adaptive_timeout.rs
+++ b/crates/decide/tests/adaptive_timeout.rs
@@ -41,13 +41,13 @@
 fn verify_the_timeout_of_a_request(terms: TimeoutTerms, wanted_ms: u64) {
     let mut adaptive_timeout = AdaptiveTimeout::default();
     (0..4).for_each(|_| adaptive_timeout.note_overrun(Duration::ZERO));
-    let given = adaptive_timeout.timeout_for(&terms, Duration::ZERO);
-    assert_eq!(given.time.as_millis() as u64, wanted_ms);
+    let timeout = adaptive_timeout.timeout_for(&terms, Duration::ZERO);
+    assert_eq!(timeout.time.as_millis() as u64, wanted_ms);
 }
 
 /// Simulates an overloaded server of ten slots for a minute of simulated time. A request hangs with
-/// probability `hangs` and otherwise takes `slowdown` times the usual time. Returns the number of
-/// requests that completed.
+/// probability `hangs` and otherwise takes `slowdown` times its typical service time. Returns the
+/// number of requests that completed.
 fn completed(hangs: f64, slowdown: f64, is_adaptive: bool) -> u32 {
     const SLOTS: usize = 10;
     let mut rng = ChaCha8Rng::seed_from_u64(11);
@@ -61,17 +61,17 @@
         if now >= Duration::from_secs(60) {
             return completed;
         }
-        let given =
+        let timeout =
             adaptive_timeout.timeout_for(&TimeoutTerms { full: is_adaptive, ..terms() }, now);
         let needs = Duration::from_secs_f64(slowdown * usual.sample(&mut rng));
-        let answered = !rng.random_bool(hangs) && needs <= given.time;
-        let took = if answered { needs } else { given.time };
-        let passed = took > given.late_after;
+        let answered = !rng.random_bool(hangs) && needs <= timeout.time;
+        let took = if answered { needs } else { timeout.time };
+        let passed = took > timeout.late_after;
         if passed {
-            adaptive_timeout.note_overrun(now + given.late_after);
+            adaptive_timeout.note_overrun(now + timeout.late_after);
         }
         if answered {
-            adaptive_timeout.note_answered(&given, took, passed, now + took);
+            adaptive_timeout.note_answered(&timeout, took, passed, now + took);
             completed += 1;
         }
         free_at[slot] = now + took;
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -48,21 +48,21 @@
         }
     }
 
-    fn ask(&mut self, ingress: usize, wanted: f64, spent: f64, now: Duration) {
+    fn request_tokens(&mut self, ingress: usize, wanted: f64, spent: f64, now: Duration) {
         let requester = format!("host-{ingress}");
-        let question = TokenRequest { requester: &requester, wanted, spent };
-        let answer = self.owner.answer(self.rate, self.burst, &self.tolerance, &question, now);
-        self.limiters[ingress].note_owner(answer.ahead, answer.share, now);
+        let request = TokenRequest { requester: &requester, wanted, spent };
+        let grant = self.owner.answer(self.rate, self.burst, &self.tolerance, &request, now);
+        self.limiters[ingress].note_owner(grant.ahead, grant.share, now);
         if wanted > 0.0 {
             let wait = Duration::from_secs_f64(1.0 / self.rate).min(GRANT_LIFE);
-            self.limiters[ingress].note_grant(answer.granted, wait, now);
+            self.limiters[ingress].note_grant(grant.granted, wait, now);
         }
     }
 
     fn request(&mut self, ingress: usize, now: Duration) {
         while self.unreported.front().is_some_and(|(at, ..)| *at <= now) {
             let (_, payer, spent) = self.unreported.pop_front().expect("there is one");
-            self.ask(payer, 0.0, spent, now);
+            self.request_tokens(payer, 0.0, spent, now);
         }
         for _ in 0..2 {
             match self.limiters[ingress].admit(now) {
@@ -76,7 +76,7 @@
                 LimitVerdict::Ask(wanted) => {
                     self.waited += 1;
                     let spent = self.limiters[ingress].take_spent();
-                    self.ask(ingress, wanted, spent, now);
+                    self.request_tokens(ingress, wanted, spent, now);
                 }
             }
         }
@@ -178,9 +178,9 @@
     limiter.note_owner(0, 1.0, now);
     assert_eq!(limiter.take_spent(), 1.0);
     let mut owner = LimitOwner::new(1.0, 4.0, Duration::ZERO);
-    let question = TokenRequest { requester: "host-1", wanted: 10.0, spent: 3.0 };
-    let answer = owner.answer(1.0, 4.0, &EXACT, &question, now);
-    assert_eq!((answer.granted, answer.ahead), (1.0, 0));
+    let request = TokenRequest { requester: "host-1", wanted: 10.0, spent: 3.0 };
+    let grant = owner.answer(1.0, 4.0, &EXACT, &request, now);
+    assert_eq!((grant.granted, grant.ahead), (1.0, 0));
 }
 
 /// `OwnerlessPart` is a partition: ingresses that can't reach the owner, and the backup owner that
@@ -217,12 +217,12 @@
                 LimitVerdict::Refuse(_) => break,
                 LimitVerdict::Ask(wanted) => {
                     let requester = format!("host-{ingress}");
-                    let question = TokenRequest { requester: &requester, wanted, spent: 0.0 };
+                    let request = TokenRequest { requester: &requester, wanted, spent: 0.0 };
                     let (rate, burst) = (self.rate, self.burst);
-                    let answer = self.backup.answer_as_backup(rate, burst, claim, &question, now);
+                    let grant = self.backup.answer_as_backup(rate, burst, claim, &request, now);
                     let wait = Duration::from_secs_f64(1.0 / rate).min(GRANT_LIFE);
                     limiter.note_backup();
-                    limiter.note_grant(answer.granted, wait, now);
+                    limiter.note_grant(grant.granted, wait, now);
                 }
             }
         }
--- a/crates/decide/tests/hang.rs
+++ b/crates/decide/tests/hang.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The hang detector: an upstream whose requests hang is doubted within one or two usual times, and
-//! a healthy one seldom is.
+//! The hang detector: an upstream whose requests hang is doubted within one or two typical service
+//! times, and a healthy one seldom is.
 
 use std::time::Duration;
 
@@ -146,10 +146,10 @@
 fn verify_the_doubt_ends_when_the_late_request_makes_progress() {
     let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
-    let work = health.start_request(usual(), millis(0));
+    let request = health.start_request(usual(), millis(0));
     let doubted =
         (0..5000).find(|now| health.check_running(millis(*now)).is_some()).expect("doubted");
-    let change = health.end_request(work, WatchEnd::Progressed, millis(doubted + 5));
+    let change = health.end_request(request, WatchEnd::Progressed, millis(doubted + 5));
     assert_eq!(change, Some(HealthChange::Trusted { after: millis(5) }));
 }
 
@@ -157,8 +157,8 @@
 fn verify_a_request_that_made_a_nested_call_raises_no_doubt() {
     let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
-    let work = health.start_request(usual(), millis(0));
-    health.end_request(work, WatchEnd::Progressed, millis(200));
+    let request = health.start_request(usual(), millis(0));
+    health.end_request(request, WatchEnd::Progressed, millis(200));
     assert!((200..9000).all(|now| health.check_running(millis(now)).is_none()));
 }
 
--- a/crates/decide/tests/order.rs
+++ b/crates/decide/tests/order.rs
@@ -52,7 +52,7 @@
     // Waiting requests are in the order of arrival.
     let waiting = [entry(WorkClass::Sheddable, now), entry(WorkClass::Critical, now)];
     let sheddable =
-        (0..slots).filter(|turn| order::first(waiting.into_iter(), *turn, now) == Some(0));
+        (0..slots).filter(|slot| order::first(waiting.into_iter(), *slot, now) == Some(0));
     sheddable.count() as f64 / f64::from(slots)
 }
 
--- a/crates/decide/tests/poison.rs
+++ b/crates/decide/tests/poison.rs
@@ -13,7 +13,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn mark(number: usize) -> RequestHash {
+fn hash_of(number: usize) -> RequestHash {
     RequestHash::of("GET", &format!("/puzzle/{number}"))
 }
 
@@ -23,66 +23,66 @@
 
 #[test]
 fn verify_no_failure_is_withdrawn_twice() {
-    let mut memory = PoisonTable::default();
-    memory.note_failure(mark(1), 4, true, NOW);
-    memory.note_withdrawn(mark(1), &4);
-    assert_eq!(memory.note_failure(mark(1), 2, false, NOW), []);
+    let mut table = PoisonTable::default();
+    table.note_failure(hash_of(1), 4, true, NOW);
+    table.note_withdrawn(hash_of(1), &4);
+    assert_eq!(table.note_failure(hash_of(1), 2, false, NOW), []);
     // A copy that was running when the request became known as poison still counted; its failure is
     // withdrawn at once.
-    assert_eq!(memory.note_failure(mark(1), 7, true, NOW), [counted(7, 1)]);
-    assert_eq!(memory.note_failure(mark(1), 8, true, NOW), [counted(8, 1)]);
-    assert_eq!(memory.note_failure(mark(1), 7, false, NOW), []);
+    assert_eq!(table.note_failure(hash_of(1), 7, true, NOW), [counted(7, 1)]);
+    assert_eq!(table.note_failure(hash_of(1), 8, true, NOW), [counted(8, 1)]);
+    assert_eq!(table.note_failure(hash_of(1), 7, false, NOW), []);
 }
 
 #[test]
 fn verify_failures_at_one_upstream_do_not_make_a_request_poison() {
-    let mut memory = PoisonTable::default();
+    let mut table = PoisonTable::default();
     for _ in 0..100 {
-        memory.note_failure(mark(1), 4, true, NOW);
+        table.note_failure(hash_of(1), 4, true, NOW);
     }
-    assert!(!memory.is_poison(mark(1), NOW));
-    assert!(!memory.forbids_retry(mark(1), NOW));
+    assert!(!table.is_poison(hash_of(1), NOW));
+    assert!(!table.forbids_retry(hash_of(1), NOW));
 }
 
 #[test]
 fn verify_failures_at_several_upstreams_make_a_request_poison_until_it_succeeds() {
-    let mut memory = PoisonTable::default();
-    assert_eq!(memory.note_failure(mark(1), 4, true, NOW), []);
-    assert_eq!(memory.note_failure(mark(1), 4, true, NOW), []);
-    let withdrawn = memory.note_failure(mark(1), 2, true, NOW);
+    let mut table = PoisonTable::default();
+    assert_eq!(table.note_failure(hash_of(1), 4, true, NOW), []);
+    assert_eq!(table.note_failure(hash_of(1), 4, true, NOW), []);
+    let withdrawn = table.note_failure(hash_of(1), 2, true, NOW);
     assert_eq!(withdrawn, [counted(4, 2), counted(2, 1)], "failures counted before are withdrawn");
-    assert!(memory.is_poison(mark(1), NOW) && !memory.forbids_retry(mark(1), NOW));
-    assert!(!memory.is_poison(mark(2), NOW));
-    assert_eq!(memory.note_failure(mark(1), 3, false, NOW), []);
-    assert!(memory.forbids_retry(mark(1), NOW));
-    memory.note_success(mark(1));
-    assert!(!memory.is_poison(mark(1), NOW));
-    assert!(memory.is_empty());
+    assert!(table.is_poison(hash_of(1), NOW) && !table.forbids_retry(hash_of(1), NOW));
+    assert!(!table.is_poison(hash_of(2), NOW));
+    assert_eq!(table.note_failure(hash_of(1), 3, false, NOW), []);
+    assert!(table.forbids_retry(hash_of(1), NOW));
+    table.note_success(hash_of(1));
+    assert!(!table.is_poison(hash_of(1), NOW));
+    assert!(table.is_empty());
 }
 
 #[test]
 fn verify_marks_expire_and_are_bounded() {
-    let mut memory = PoisonTable::default();
-    memory.note_failure(mark(0), 1, true, NOW);
-    memory.note_failure(mark(0), 2, true, NOW);
+    let mut table = PoisonTable::default();
+    table.note_failure(hash_of(0), 1, true, NOW);
+    table.note_failure(hash_of(0), 2, true, NOW);
     for number in 1..10 * POISON_MAX {
-        memory.note_failure(mark(number), 1, true, NOW);
+        table.note_failure(hash_of(number), 1, true, NOW);
     }
-    assert_eq!(memory.len(), POISON_MAX);
-    assert!(memory.is_poison(mark(0), NOW), "a known poison request is kept");
-    assert!(!memory.is_poison(mark(0), NOW + POISON_LIFE));
-    memory.note_failure(mark(9999), 1, true, NOW + POISON_LIFE);
-    assert_eq!(memory.len(), 1);
+    assert_eq!(table.len(), POISON_MAX);
+    assert!(table.is_poison(hash_of(0), NOW), "a known poison request is kept");
+    assert!(!table.is_poison(hash_of(0), NOW + POISON_LIFE));
+    table.note_failure(hash_of(9999), 1, true, NOW + POISON_LIFE);
+    assert_eq!(table.len(), 1);
 }
 
 #[test]
 fn verify_a_single_failure_expires_without_another() {
-    let mut memory = PoisonTable::default();
-    memory.note_failure(mark(1), 1, true, NOW);
-    memory.forget_old(NOW + POISON_LIFE / 2);
-    assert_eq!(memory.len(), 1);
-    memory.forget_old(NOW + POISON_LIFE);
-    assert!(memory.is_empty());
+    let mut table = PoisonTable::default();
+    table.note_failure(hash_of(1), 1, true, NOW);
+    table.forget_old(NOW + POISON_LIFE / 2);
+    assert_eq!(table.len(), 1);
+    table.forget_old(NOW + POISON_LIFE);
+    assert!(table.is_empty());
 }
 
 #[test]
@@ -104,16 +104,16 @@
     fn verify_a_single_failing_upstream_is_never_spared(
         outcomes in prop::collection::vec((0usize..40, 0u32..9), 1..300),
     ) {
-        let mut memory = PoisonTable::default();
+        let mut table = PoisonTable::default();
         for (step, (number, upstream)) in outcomes.into_iter().enumerate() {
             let now = NOW + Duration::from_millis(step as u64);
             if upstream == 4 {
-                memory.note_failure(mark(number), upstream, true, now);
+                table.note_failure(hash_of(number), upstream, true, now);
             } else {
-                memory.note_success(mark(number));
+                table.note_success(hash_of(number));
             }
-            prop_assert!(!memory.is_poison(mark(number), now));
-            prop_assert!(memory.len() <= POISON_MAX);
+            prop_assert!(!table.is_poison(hash_of(number), now));
+            prop_assert!(table.len() <= POISON_MAX);
         }
     }
 }
--- a/crates/decide/tests/reservations.rs
+++ b/crates/decide/tests/reservations.rs
@@ -96,10 +96,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let mut counts = vec![0; view.upstreams().len()];
     for _ in 0..600 {
-        let places = view.draw_reservations(NOW, &request, |_| true, &mut rng);
-        assert_eq!(places.len(), 2);
-        assert_ne!(places[0], places[1], "two reservations at one host count as one");
-        places.into_iter().for_each(|index| counts[index] += 1);
+        let reservations = view.draw_reservations(NOW, &request, |_| true, &mut rng);
+        assert_eq!(reservations.len(), 2);
+        assert_ne!(reservations[0], reservations[1], "two reservations at one host count as one");
+        reservations.into_iter().for_each(|index| counts[index] += 1);
     }
     counts
 }
--- a/crates/decide/tests/suspects.rs
+++ b/crates/decide/tests/suspects.rs
@@ -40,8 +40,8 @@
     }
 }
 
-fn judge(table: &mut SuspectTable, number: usize, is_home: bool, now: Duration) -> CopyVerdict {
-    table.judge(&request(number), || is_home, now)
+fn judge(table: &mut SuspectTable, number: usize, is_owner: bool, now: Duration) -> CopyVerdict {
+    table.judge(&request(number), || is_owner, now)
 }
 
 #[test]
@@ -143,13 +143,13 @@
     #[test]
     fn verify_daemons_that_notify_each_other_converge(
         notices in prop::collection::vec((0_usize..6, 0_u32..4, 0_u32..6), 1..40),
-        turn in 0_usize..40,
+        offset in 0_usize..40,
     ) {
         let (mut left, mut right) = (SuspectTable::default(), SuspectTable::default());
         for (number, round, crashes) in &notices {
             left.apply_notice(&notice(*number, *round, *crashes), NOW);
         }
-        let start = turn % notices.len();
+        let start = offset % notices.len();
         for (number, round, crashes) in notices[start..].iter().chain(&notices) {
             right.apply_notice(&notice(*number, *round, *crashes), NOW);
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -17,7 +17,7 @@
 use monoio::net::TcpStream;
 
 /// Bytes read at once.
-const PIECE_BYTES: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// Interval at which a held direction is checked for its release.
 const HELD_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Connections at once: each of a few hundred daemons may link to the same one.
@@ -117,9 +117,9 @@
     silent: &Cell<bool>,
     is_held: impl Fn() -> bool,
 ) {
-    let mut buffer = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let (result, piece) = from.read(buffer).await;
+        let (result, chunk) = from.read(buffer).await;
         let count = match result {
             Ok(count) if count > 0 => count,
             _ => return,
@@ -127,7 +127,7 @@
         while is_held() && !silent.get() {
             monoio::time::sleep(HELD_POLL_INTERVAL).await;
         }
-        buffer = piece;
+        buffer = chunk;
         if silent.get() {
             continue;
         }
--- a/crates/standin/src/backend/control.rs
+++ b/crates/standin/src/backend/control.rs
@@ -28,8 +28,8 @@
 ) -> Result<(), HttpError> {
     let mut reader = BodyReader::new(framing, BodyLimits::default());
     let mut body = BytesMut::new();
-    while let Some(piece) = reader.next(&mut stream.reader).await? {
-        body.extend_from_slice(&piece);
+    while let Some(chunk) = reader.next(&mut stream.reader).await? {
+        body.extend_from_slice(&chunk);
     }
     let (status, text) = control_reply(standin, head, &body);
     let mut buffer = BytesMut::new();
--- a/crates/standin/src/backend/execution.rs
+++ b/crates/standin/src/backend/execution.rs
@@ -29,8 +29,8 @@
         return future::pending().await;
     }
     let mut time = standin.service_time(faults);
-    if let Some(asked) = fields::single(&head.headers, &HeaderName::from_static("x-work-ms")) {
-        time = Duration::from_millis(asked.parse().unwrap_or(0));
+    if let Some(value) = fields::single(&head.headers, &HeaderName::from_static("x-work-ms")) {
+        time = Duration::from_millis(value.parse().unwrap_or(0));
     }
     if faults.quick_errors || time.is_zero() {
         return true;
--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -82,8 +82,8 @@
             return Duration::ZERO;
         }
         let mut rng = self.rng.borrow_mut();
-        let factor =
-            LogNormal::new(0.0, self.options.spread).map_or(1.0, |law| law.sample(&mut *rng));
+        let factor = LogNormal::new(0.0, self.options.spread)
+            .map_or(1.0, |distribution| distribution.sample(&mut *rng));
         let slow = rng.random_bool(faults.slow_rate.clamp(0.0, 1.0));
         let slowness = if slow { faults.slow_factor } else { 1.0 };
         Duration::from_secs_f64(median * factor * slowness)
--- a/crates/standin/src/backend/sending.rs
+++ b/crates/standin/src/backend/sending.rs
@@ -13,7 +13,7 @@
 use crate::backend::{BackendFaults, BreakPoint};
 
 /// Bytes of a generated body that are sent at once.
-const PIECE_BYTES: usize = 32 * 1024;
+const CHUNK_BYTES: usize = 32 * 1024;
 
 /// Sends a response whose body is in memory.
 pub async fn send_buffered(
@@ -51,15 +51,15 @@
     let mut buffer = BytesMut::new();
     writer::put_response_head(&mut buffer, StatusCode::OK, headers, framing, false);
     writer::flush(&mut stream.writer, &mut buffer).await?;
-    let piece = Bytes::from(vec![b'x'; PIECE_BYTES]);
+    let chunk = Bytes::from(vec![b'x'; CHUNK_BYTES]);
     let wanted = match faults.break_at {
         BreakPoint::InAnswerBody => length / 2,
         _ => length,
     };
     let mut left = wanted;
     while left > 0 {
-        let count = left.min(PIECE_BYTES as u64);
-        let next = piece.slice(..count as usize);
+        let count = left.min(CHUNK_BYTES as u64);
+        let next = chunk.slice(..count as usize);
         writer::send_piece(&mut stream.writer, &mut buffer, framing, next, false).await?;
         left -= count;
     }
--- a/crates/standin/src/backend/serving.rs
+++ b/crates/standin/src/backend/serving.rs
@@ -118,10 +118,10 @@
     let keep = head.uri.path() == "/echo";
     let mut reader = BodyReader::new(framing, BodyLimits::default());
     let mut body = BytesMut::new();
-    while let Some(piece) = reader.next(&mut stream.reader).await? {
-        standin.runs.borrow_mut().body_bytes += piece.len() as u64;
+    while let Some(chunk) = reader.next(&mut stream.reader).await? {
+        standin.runs.borrow_mut().body_bytes += chunk.len() as u64;
         if keep {
-            body.extend_from_slice(&piece);
+            body.extend_from_slice(&chunk);
         }
     }
     Ok(body.freeze())
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -23,7 +23,7 @@
 const KEEP: u64 = 3;
 const PARTITIONS: u32 = 256;
 
-/// A stand-in platform and one daemon's view of it.
+/// A simulated platform and one daemon's view of it.
 struct TestStore {
     address: SocketAddr,
     ledger: Rc<OnceLedger>,
--- a/crates/waiting/tests/reservations.rs
+++ b/crates/waiting/tests/reservations.rs
@@ -16,7 +16,7 @@
 /// `HostReservation` is the state of the reservation at one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum HostReservation {
-    /// The host was never asked, or the reservation is over.
+    /// None was requested from the host, or it is over.
     None,
     /// The reservation waits for a slot.
     Waiting,
--- a/crates/waiting/tests/slots.rs
+++ b/crates/waiting/tests/slots.rs
@@ -113,7 +113,7 @@
         let late = queue.request(WorkClass::Normal, 150);
         queue.acquire_as("declined", SlotRequest { passable: true, ..late }).await;
         assert_eq!(queue.outcome_of("declined"), Some(Err(NotRunReason::QueueFull)));
-        // The last upstream tried queues it while no other request misses its objective by that.
+        // The last upstream tried queues it, as that makes no other request miss its objective.
         queue.acquire_as("queued", late).await;
         assert_eq!(queue.outcome_of("queued"), None);
         queue.release_slot().await;
@@ -130,7 +130,7 @@
         }
         queue.acquire_as("late", queue.request(WorkClass::Normal, 320)).await;
         queue.acquire_as("in time", queue.request(WorkClass::Normal, 60_000)).await;
-        // Until the first of them can no longer meet its objective.
+        // Waits until the first of them can no longer meet its objective.
         while queue.clock.now() < Duration::from_millis(400) {
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
