--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -211,7 +211,7 @@
     }
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let later = millis(10_000);
-    let chosen = (0..100).filter(|_| {
+    let choices = (0..100).filter(|_| {
         let choice = view
             .choose(
                 later,
@@ -221,7 +221,7 @@
             .expect("an upstream");
         choice.index == 0
     });
-    assert!(chosen.count() > 10, "an old suspicion no longer counts");
+    assert!(choices.count() > 10, "an old suspicion no longer counts");
 }
 
 #[test]
