--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -115,7 +115,7 @@
             }
             /// Generates an API key for an organisation and shows it once; needs no daemon.
             cmd key {}
-            /// Drains the daemon at the address given by --server, or a backend server.
+            /// Drains the daemon at the server address, or a backend server.
             cmd drain {
                 /// Backend server; the daemon itself when absent.
                 optional server: String
