--- a/crates/peer/idl/protocol.thrift
+++ b/crates/peer/idl/protocol.thrift
@@ -7,9 +7,8 @@
 namespace rs protocol
 
 /**
- * Load and health of one upstream, for the route of the dispatch, as its host's daemon reports them
- * on every answer. Fractions are in thousandths: an eighth of the bytes of a double, and finer than
- * the measurements.
+ * What a host's daemon reports of one upstream, for the route of the dispatch, on every answer.
+ * Fractions are in thousandths: an eighth of the bytes, and finer than what is measured.
  */
 struct LoadReport {
   1: required i32 in_flight
@@ -27,12 +26,12 @@
   13: required bool ejected
   14: required i32 took_us
   15: required bool doubtful
-  /** Decayed counts of requests that outlasted nearly all healthy ones: hung, and answered late. */
+  /** Work that lasted longer than nearly all sound work: that hung, and that was answered late. */
   16: optional i32 hung_milli
   17: optional i32 late_milli
 }
 
-/** Statistics of an ingress for a route over all upstreams of its service, in thousandths. */
+/** What an ingress knows of a route over all upstreams of its service, in thousandths. */
 struct BaselineNote {
   1: required i32 median_ln_milli
   2: required i32 spread_milli
@@ -40,27 +39,27 @@
   4: required i32 overdue_rate_milli
   5: required i32 sickness_milli
   6: required i32 upstreams
-  /** Sums of these counts over the other upstreams. */
+  /** Sums of what the other upstreams saw of work that hung, and that was answered late. */
   7: optional i32 hung_milli
   8: optional i32 late_milli
 }
 
-/** Crash tally of a suspect request: one that ran at backend servers when they crashed. */
+/** What counts against a request that ran at servers when they crashed. */
 struct TallyNote {
   1: required i32 round
   2: required i32 crashes
 }
 
-/** What a daemon knows of a suspect request. */
+/** What a daemon knows of such a request. */
 struct SuspectNote {
   1: required binary fingerprint
   2: required TallyNote tally
   3: required i64 seen_ms_ago
-  /** The upstream that crashed last while the request ran there. */
+  /** The upstream that crashed under it last. */
   4: required string upstream
 }
 
-/** Announces suspect requests: the new ones, or all that are known. */
+/** Tells of such requests: what is new, or all that is known. */
 struct SuspectNews {
   1: required list<SuspectNote> suspects
 }
@@ -87,38 +86,37 @@
   17: optional string organisation
   18: required i64 revision
   19: required bool after_failure
-  /** The ingress can try another upstream if this one is doubted (its circuit breaker is open). */
+  /** The ingress can ask another upstream if this one is doubted. */
   20: required bool passable
-  /** Time left of the latency objective; 0 if none was declared or it has passed. */
+  /** Time left in which an answer is worth most, 0 when none was declared or it has passed. */
   21: required i32 objective_ms
-  /** The ingress logs this request from its start, and the host's daemon must do so as well. */
+  /** The ingress logs this request from its start, so that the host's daemon does as well. */
   22: optional bool logged
-  /** The request reached a backend server before, so its nested calls may repeat earlier ones. */
+  /** The request reached a server before, so that the calls of this work repeat others. */
   23: required bool repeated
-  /** Fingerprint by which copies of the request are recognised. Set where the host's daemon can't
-      compute it, as it covers the body too, which may be withheld. */
+  /** What tells the copies of the request from others, where the host's daemon can't find it out: a
+      body that is withheld counts as well. */
   24: optional binary fingerprint
-  /** Crash tally that the ingress has for the request, if any. */
+  /** What the ingress knows against the request, if anything. */
   25: optional TallyNote tally
-  /** Asks for a reservation only: the host's daemon grants credit once it holds a slot for the
-      request, and the request follows in a called_in frame, or never. Fields that only the request
-      needs are empty here. */
+  /** Only a place before the slots is asked for: the host's daemon gives credit once a slot is held for the work,
+      and the work comes in a frame of its own, then or never. What only the work needs is left empty here. */
   26: optional bool reserved
-  /** The request is a nested call of a running request, which fails with it. */
+  /** The request is a call of work that runs, which is lost with it. */
   27: optional bool called
 }
 
-/** Load probe: asks a host's daemon for the load of an upstream before a request is sent to it. */
+/** Asks a host's daemon how an upstream is, before work is sent to it. */
 struct LoadQuestion {
   1: required string upstream
-  /** Route of the request, for which the health is reported. */
+  /** Route of the work, for which the health is reported. */
   2: required string route
   3: required i64 sequence
 }
 
 struct LoadAnswer {
   1: required i64 sequence
-  /** Absent if there is no such upstream. */
+  /** None where there is no such upstream. */
   2: optional LoadReport report
 }
 
@@ -138,19 +136,19 @@
   2: required bool last
 }
 
-/** Flow control: allows the other side to send this many more body bytes of the exchange. */
+/** Allows the other side to send this many more body bytes of the exchange. */
 struct CreditGrant {
   1: required i32 bytes
 }
 
-/** Ends an exchange without a complete answer. */
+/** Ends an exchange that gave no complete answer. */
 struct ExchangeFailure {
   1: required i16 outcome
   2: required i32 retry_after_ms
   3: optional LoadReport report
 }
 
-/** Ends an exchange that the ingress cancelled. */
+/** Ends an exchange that the ingress gave up. */
 struct CancelNotice {
   1: required bool caller_gone
 }
@@ -166,24 +164,23 @@
   8: required i64 revision
 }
 
-/** A heartbeat or the reply to one; carries the revision in force and some members. */
+/** Asks for, or is, a sign of life; carries the revision in force and some members. */
 struct HeartbeatNote {
   1: required bool reply
   2: required i64 revision
   3: required list<MemberEntry> members
-  /** Digest of the known suspects; absent if there are none. */
+  /** Digest of the suspects that are known; none if there are none. */
   4: optional i64 suspects
-  /** Clock of the asking daemon in milliseconds, which the reply echoes. */
+  /** Time of the asking daemon's clock in milliseconds, which the answer repeats. */
   5: optional i64 asked_ms
-  /** Age in milliseconds of the last confirmation that the revision is the newest; absent if there
-      was none. */
+  /** Age in milliseconds of the last word that the revision is the newest; none if there was none. */
   6: optional i64 fresh_ms
-  /** The reply may wait briefly until the asked daemon knows whether the revision is the newest: it
-      asks the store on behalf of many others. */
+  /** The answer may wait a moment until this daemon knows whether the revision is the newest: it asks the store
+      for many others. */
   7: optional bool wants_word
 }
 
-/** Withdraws a failure counted against an upstream: the request failed at another one as well. */
+/** Takes back a failure that followed its request to another upstream. */
 struct WithdrawNote {
   1: required string service_name
   2: required string upstream
@@ -200,10 +197,9 @@
   2: required list<binary> records
   3: optional binary snapshot_part
   4: required bool last
-  /** Number of the snapshot transfer that a part belongs to; later transfers of a sender have
-      higher ones. */
+  /** Which telling of a snapshot a part belongs to; later ones of a sender have higher numbers. */
   5: optional i64 telling
-  /** Index of the part in the transfer, from 0. */
+  /** Place of the part in it, from 0. */
   6: optional i32 place
 }
 
@@ -211,10 +207,9 @@
   1: required string limit
   2: required double wanted
   3: required i64 sequence
-  /** Requests that were admitted ahead and are paid for now. */
+  /** What was let in ahead and is paid for now. */
   4: optional double spent
-  /** Requests a second that are claimed from the backup owner while the owner of the limit can't be
-      reached. */
+  /** Requests a second that are claimed from the deputy of a home that can't be reached. */
   5: optional double claim
 }
 
@@ -222,13 +217,13 @@
   1: required i64 sequence
   2: required double granted
   3: required i32 valid_ms
-  /** Requests that the asking daemon may admit ahead of its next GrantRequest. */
+  /** Requests that the asking daemon may let in ahead of its next question. */
   4: optional i32 ahead
-  /** The asking daemon's share of the limit in requests a second while it can't reach the owner. */
+  /** Its part of the limit, in requests a second, for as long as it can't reach the home. */
   5: optional double share
 }
 
-/** Subscribes to host row changes at a daemon of the own failure domain, for a limited time. */
+/** Asks a daemon of the own failure domain to pass on how the rows of hosts change, for a while. */
 struct RowsRequest {
   /** Version of the table that the asking daemon has. */
   1: required i64 version
@@ -236,18 +231,18 @@
 
 struct RowNote {
   1: required string key
-  /** Absent if the row was removed. */
+  /** None when the row was removed. */
   2: optional binary value
   3: required i64 version
 }
 
-/** Rows of hosts that changed from one version of the table to another; an empty list is a
-    heartbeat. Rows of version 0 were relayed directly by a daemon, bypassing the store. */
+/** Rows of hosts that changed from one version of the table to another; none is a sign of life.
+    Those of version 0 were told past the store by a daemon. */
 struct RowsNews {
   1: required i64 after
   2: required i64 version
   3: required list<RowNote> rows
-  /** The changes after the requested version are no longer known. */
+  /** What changed after the version that was asked for is no longer known. */
   4: required bool forgotten
 }
 
@@ -257,11 +252,11 @@
   2: required i64 incarnation
   3: required binary nonce
   4: required i32 protocol_version
-  /** Links between failure domains are compressed after the handshake. */
+  /** Between failure domains, what follows the handshake is compressed. */
   5: required string failure_domain
-  /** Whether the daemon answers a LoadQuestion; daemons of earlier versions end the link on one. */
+  /** Whether it answers a LoadQuestion; daemons of an earlier version end the link at one. */
   6: optional bool answers_looks
-  /** Whether the daemon accepts reservations. */
+  /** Whether the daemon takes reservations. */
   7: optional bool takes_reservations
 }
 
@@ -290,9 +285,8 @@
   17: SuspectNews suspect_news
   18: LoadQuestion load_question
   19: LoadAnswer load_answer
-  /** The request of a reservation that was offered a slot, on the exchange of the reservation.
-      Unlike a dispatch it opens no exchange: a host that has dropped the reservation ignores it,
-      since it has already reported to the ingress that the request did not run. */
+  /** The work that was called in, on the exchange of its place. Unlike a dispatch it opens no exchange: at a host
+      that has given the place up it is passed over, as the ingress was told that it did not run. */
   20: DispatchHead called_in
 }
 
--- a/crates/peer/src/protocol.rs
+++ b/crates/peer/src/protocol.rs
@@ -29,9 +29,8 @@
 // LoadReport
 //
 
-/// Load and health of one upstream, for the route of the dispatch, as its host's daemon reports them
-/// on every answer. Fractions are in thousandths: an eighth of the bytes of a double, and finer than
-/// the measurements.
+/// What a host's daemon reports of one upstream, for the route of the dispatch, on every answer.
+/// Fractions are in thousandths: an eighth of the bytes, and finer than what is measured.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LoadReport {
   pub in_flight: i32,
@@ -49,7 +48,7 @@
   pub ejected: bool,
   pub took_us: i32,
   pub doubtful: bool,
-  /// Decayed counts of requests that outlasted nearly all healthy ones: hung, and answered late.
+  /// Work that lasted longer than nearly all sound work: that hung, and that was answered late.
   pub hung_milli: Option<i32>,
   pub late_milli: Option<i32>,
 }
@@ -283,7 +282,7 @@
 // BaselineNote
 //
 
-/// Statistics of an ingress for a route over all upstreams of its service, in thousandths.
+/// What an ingress knows of a route over all upstreams of its service, in thousandths.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct BaselineNote {
   pub median_ln_milli: i32,
@@ -292,7 +291,7 @@
   pub overdue_rate_milli: i32,
   pub sickness_milli: i32,
   pub upstreams: i32,
-  /// Sums of these counts over the other upstreams.
+  /// Sums of what the other upstreams saw of work that hung, and that was answered late.
   pub hung_milli: Option<i32>,
   pub late_milli: Option<i32>,
 }
@@ -427,7 +426,7 @@
 // TallyNote
 //
 
-/// Crash tally of a suspect request: one that ran at backend servers when they crashed.
+/// What counts against a request that ran at servers when they crashed.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct TallyNote {
   pub round: i32,
@@ -496,13 +495,13 @@
 // SuspectNote
 //
 
-/// What a daemon knows of a suspect request.
+/// What a daemon knows of such a request.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct SuspectNote {
   pub fingerprint: Vec<u8>,
   pub tally: TallyNote,
   pub seen_ms_ago: i64,
-  /// The upstream that crashed last while the request ran there.
+  /// The upstream that crashed under it last.
   pub upstream: String,
 }
 
@@ -590,7 +589,7 @@
 // SuspectNews
 //
 
-/// Announces suspect requests: the new ones, or all that are known.
+/// Tells of such requests: what is new, or all that is known.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct SuspectNews {
   pub suspects: Vec<SuspectNote>,
@@ -680,24 +679,23 @@
   pub organisation: Option<String>,
   pub revision: i64,
   pub after_failure: bool,
-  /// The ingress can try another upstream if this one is doubted (its circuit breaker is open).
+  /// The ingress can ask another upstream if this one is doubted.
   pub passable: bool,
-  /// Time left of the latency objective; 0 if none was declared or it has passed.
+  /// Time left in which an answer is worth most, 0 when none was declared or it has passed.
   pub objective_ms: i32,
-  /// The ingress logs this request from its start, and the host's daemon must do so as well.
+  /// The ingress logs this request from its start, so that the host's daemon does as well.
   pub logged: Option<bool>,
-  /// The request reached a backend server before, so its nested calls may repeat earlier ones.
+  /// The request reached a server before, so that the calls of this work repeat others.
   pub repeated: bool,
-  /// Fingerprint by which copies of the request are recognised. Set where the host's daemon can't
-  /// compute it, as it covers the body too, which may be withheld.
+  /// What tells the copies of the request from others, where the host's daemon can't find it out: a
+  /// body that is withheld counts as well.
   pub fingerprint: Option<Vec<u8>>,
-  /// Crash tally that the ingress has for the request, if any.
+  /// What the ingress knows against the request, if anything.
   pub tally: Option<TallyNote>,
-  /// Asks for a reservation only: the host's daemon grants credit once it holds a slot for the
-  /// request, and the request follows in a called_in frame, or never. Fields that only the request
-  /// needs are empty here.
+  /// Only a place before the slots is asked for: the host's daemon gives credit once a slot is held for the work,
+  /// and the work comes in a frame of its own, then or never. What only the work needs is left empty here.
   pub reserved: Option<bool>,
-  /// The request is a nested call of a running request, which fails with it.
+  /// The request is a call of work that runs, which is lost with it.
   pub called: Option<bool>,
 }
 
@@ -1046,11 +1044,11 @@
 // LoadQuestion
 //
 
-/// Load probe: asks a host's daemon for the load of an upstream before a request is sent to it.
+/// Asks a host's daemon how an upstream is, before work is sent to it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LoadQuestion {
   pub upstream: String,
-  /// Route of the request, for which the health is reported.
+  /// Route of the work, for which the health is reported.
   pub route: String,
   pub sequence: i64,
 }
@@ -1131,7 +1129,7 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LoadAnswer {
   pub sequence: i64,
-  /// Absent if there is no such upstream.
+  /// None where there is no such upstream.
   pub report: Option<LoadReport>,
 }
 
@@ -1384,7 +1382,7 @@
 // CreditGrant
 //
 
-/// Flow control: allows the other side to send this many more body bytes of the exchange.
+/// Allows the other side to send this many more body bytes of the exchange.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CreditGrant {
   pub bytes: i32,
@@ -1441,7 +1439,7 @@
 // ExchangeFailure
 //
 
-/// Ends an exchange without a complete answer.
+/// Ends an exchange that gave no complete answer.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct ExchangeFailure {
   pub outcome: i16,
@@ -1523,7 +1521,7 @@
 // CancelNotice
 //
 
-/// Ends an exchange that the ingress cancelled.
+/// Ends an exchange that the ingress gave up.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CancelNotice {
   pub caller_gone: bool,
@@ -1720,21 +1718,20 @@
 // HeartbeatNote
 //
 
-/// A heartbeat or the reply to one; carries the revision in force and some members.
+/// Asks for, or is, a sign of life; carries the revision in force and some members.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct HeartbeatNote {
   pub reply: bool,
   pub revision: i64,
   pub members: Vec<MemberEntry>,
-  /// Digest of the known suspects; absent if there are none.
+  /// Digest of the suspects that are known; none if there are none.
   pub suspects: Option<i64>,
-  /// Clock of the asking daemon in milliseconds, which the reply echoes.
+  /// Time of the asking daemon's clock in milliseconds, which the answer repeats.
   pub asked_ms: Option<i64>,
-  /// Age in milliseconds of the last confirmation that the revision is the newest; absent if there
-  /// was none.
+  /// Age in milliseconds of the last word that the revision is the newest; none if there was none.
   pub fresh_ms: Option<i64>,
-  /// The reply may wait briefly until the asked daemon knows whether the revision is the newest: it
-  /// asks the store on behalf of many others.
+  /// The answer may wait a moment until this daemon knows whether the revision is the newest: it asks the store
+  /// for many others.
   pub wants_word: Option<bool>,
 }
 
@@ -1869,7 +1866,7 @@
 // WithdrawNote
 //
 
-/// Withdraws a failure counted against an upstream: the request failed at another one as well.
+/// Takes back a failure that followed its request to another upstream.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WithdrawNote {
   pub service_name: String,
@@ -2013,10 +2010,9 @@
   pub records: Vec<Vec<u8>>,
   pub snapshot_part: Option<Vec<u8>>,
   pub last: bool,
-  /// Number of the snapshot transfer that a part belongs to; later transfers of a sender have
-  /// higher ones.
+  /// Which telling of a snapshot a part belongs to; later ones of a sender have higher numbers.
   pub telling: Option<i64>,
-  /// Index of the part in the transfer, from 0.
+  /// Place of the part in it, from 0.
   pub place: Option<i32>,
 }
 
@@ -2144,10 +2140,9 @@
   pub limit: String,
   pub wanted: OrderedFloat<f64>,
   pub sequence: i64,
-  /// Requests that were admitted ahead and are paid for now.
+  /// What was let in ahead and is paid for now.
   pub spent: Option<OrderedFloat<f64>>,
-  /// Requests a second that are claimed from the backup owner while the owner of the limit can't be
-  /// reached.
+  /// Requests a second that are claimed from the deputy of a home that can't be reached.
   pub claim: Option<OrderedFloat<f64>>,
 }
 
@@ -2253,9 +2248,9 @@
   pub sequence: i64,
   pub granted: OrderedFloat<f64>,
   pub valid_ms: i32,
-  /// Requests that the asking daemon may admit ahead of its next GrantRequest.
+  /// Requests that the asking daemon may let in ahead of its next question.
   pub ahead: Option<i32>,
-  /// The asking daemon's share of the limit in requests a second while it can't reach the owner.
+  /// Its part of the limit, in requests a second, for as long as it can't reach the home.
   pub share: Option<OrderedFloat<f64>>,
 }
 
@@ -2356,7 +2351,7 @@
 // RowsRequest
 //
 
-/// Subscribes to host row changes at a daemon of the own failure domain, for a limited time.
+/// Asks a daemon of the own failure domain to pass on how the rows of hosts change, for a while.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RowsRequest {
   /// Version of the table that the asking daemon has.
@@ -2417,7 +2412,7 @@
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RowNote {
   pub key: String,
-  /// Absent if the row was removed.
+  /// None when the row was removed.
   pub value: Option<Vec<u8>>,
   pub version: i64,
 }
@@ -2496,14 +2491,14 @@
 // RowsNews
 //
 
-/// Rows of hosts that changed from one version of the table to another; an empty list is a
-/// heartbeat. Rows of version 0 were relayed directly by a daemon, bypassing the store.
+/// Rows of hosts that changed from one version of the table to another; none is a sign of life.
+/// Those of version 0 were told past the store by a daemon.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RowsNews {
   pub after: i64,
   pub version: i64,
   pub rows: Vec<RowNote>,
-  /// The changes after the requested version are no longer known.
+  /// What changed after the version that was asked for is no longer known.
   pub forgotten: bool,
 }
 
@@ -2608,11 +2603,11 @@
   pub incarnation: i64,
   pub nonce: Vec<u8>,
   pub protocol_version: i32,
-  /// Links between failure domains are compressed after the handshake.
+  /// Between failure domains, what follows the handshake is compressed.
   pub failure_domain: String,
-  /// Whether the daemon answers a LoadQuestion; daemons of earlier versions end the link on one.
+  /// Whether it answers a LoadQuestion; daemons of an earlier version end the link at one.
   pub answers_looks: Option<bool>,
-  /// Whether the daemon accepts reservations.
+  /// Whether the daemon takes reservations.
   pub takes_reservations: Option<bool>,
 }
 
