--- a/crates/base/src/metrics.rs
+++ b/crates/base/src/metrics.rs
@@ -49,7 +49,7 @@
 pub static EJECTIONS: [CounterCell; EVIDENCE_KINDS.len()] =
     [const { CounterCell::new() }; EVIDENCE_KINDS.len()];
 /// Transitions of upstreams to doubted after a failure.
-pub static DOUBTS: CounterCell = CounterCell::new();
+pub static BREAKER_OPENINGS: CounterCell = CounterCell::new();
 /// Returns of ejected upstreams to service.
 pub static RETURNS: CounterCell = CounterCell::new();
 /// Times from the first sign of sickness to the ejection, in seconds.
@@ -227,7 +227,11 @@
             &SURPLUS_ANSWERS,
         ),
         counter("host_refused", "Requests refused by the host role.", &HOST_REFUSED),
-        counter("doubts", "Transitions of upstreams to doubted after a failure.", &DOUBTS),
+        counter(
+            "doubts",
+            "Transitions of upstreams to doubted after a failure.",
+            &BREAKER_OPENINGS,
+        ),
         counter("returns", "Returns of ejected upstreams to service.", &RETURNS),
         histogram(
             "detection_seconds",
--- a/crates/bench/src/decisions/bounds.rs
+++ b/crates/bench/src/decisions/bounds.rs
@@ -51,9 +51,9 @@
 
 /// Returns the plain rule with the shortest median detection time over all cases.
 pub fn best_plain(results: &[(RunKey, RunResult)]) -> Option<(RuleKind, Duration, f64)> {
-    let sick = |key: &RunKey| CASES[key.case].one_is_sick;
+    let faulty = |key: &RunKey| CASES[key.case].one_is_faulty;
     let timed = PLAIN_RULES.iter().filter_map(|rule| {
-        let median = report::select(results, *rule, sick).detection_median?;
+        let median = report::select(results, *rule, faulty).detection_median?;
         let false_rate = report::select(results, *rule, |_| true).false_ejections_hour;
         Some((*rule, median, false_rate))
     });
@@ -66,13 +66,13 @@
     require(broken == 0, format!("ejections broke the floor in {broken} runs"))?;
     let (plain, plain_median, plain_false) = best_plain(results)
         .ok_or(BenchError::Bound { message: "no plain rule detected a fault".to_owned() })?;
-    let sick = |key: &RunKey| CASES[key.case].one_is_sick;
+    let faulty = |key: &RunKey| CASES[key.case].one_is_faulty;
     for (rule, median_max, false_max) in [
         (RuleKind::Detection, DETECTION_MEDIAN_MAX, DETECTION_FALSE_MAX),
         (RuleKind::Precision, PRECISION_MEDIAN_MAX, PRECISION_FALSE_MAX),
     ] {
         let name = rule.name();
-        let median = report::select(results, rule, sick).detection_median;
+        let median = report::select(results, rule, faulty).detection_median;
         let median = median.unwrap_or(Duration::MAX);
         let false_rate = report::select(results, rule, |_| true).false_ejections_hour;
         require(
--- a/crates/bench/src/decisions/chart.rs
+++ b/crates/bench/src/decisions/chart.rs
@@ -59,9 +59,9 @@
 
 fn point(rule: RuleKind, threshold: f64) -> (f64, f64, f64) {
     let results = suite::run(&sweep_suite(rule, threshold));
-    let sick = report::select(&results, rule, |key| CASES[key.case].one_is_sick);
+    let faulty = report::select(&results, rule, |key| CASES[key.case].one_is_faulty);
     let every = report::select(&results, rule, |_| true);
-    let seconds = sick.detection_median.map_or(NEVER_AT, |median| median.as_secs_f64());
+    let seconds = faulty.detection_median.map_or(NEVER_AT, |median| median.as_secs_f64());
     (threshold, every.false_ejections_hour, seconds)
 }
 
--- a/crates/bench/src/decisions/faults.rs
+++ b/crates/bench/src/decisions/faults.rs
@@ -30,7 +30,7 @@
     /// The current virtual time.
     pub now: Duration,
     /// Whether the upstream is the one with the fault.
-    pub is_sick: bool,
+    pub is_faulty: bool,
     /// Whether the route of the request is the one that fails in [`FaultScript::RouteErrors`].
     pub is_failing_route: bool,
     /// Whether the request is of the slow route of the mixed cases.
@@ -44,20 +44,25 @@
 
 /// Returns whether the health endpoint of an upstream reports it as healthy; gray failures do not
 /// show there.
-pub fn endpoint_is_good(plan: &ScenarioPlan, now: Duration, upstream: usize, sick: usize) -> bool {
+pub fn endpoint_is_good(
+    plan: &ScenarioPlan,
+    now: Duration,
+    upstream: usize,
+    faulty: usize,
+) -> bool {
     let share = match plan.script {
         FaultScript::LyingHealth(share) if plan.in_fault(now) => share,
         _ => return true,
     };
     let others = plan.deployment.upstreams - 1;
-    let rank = (upstream + others - sick) % plan.deployment.upstreams;
-    upstream == sick || rank >= (share * others as f64).ceil() as usize
+    let rank = (upstream + others - faulty) % plan.deployment.upstreams;
+    upstream == faulty || rank >= (share * others as f64).ceil() as usize
 }
 
 /// Returns the load that the load endpoint of an upstream reports.
-pub fn claimed_load(plan: &ScenarioPlan, now: Duration, is_sick: bool, load: u32) -> u32 {
+pub fn claimed_load(plan: &ScenarioPlan, now: Duration, is_faulty: bool, load: u32) -> u32 {
     match plan.script {
-        FaultScript::LyingLoad(share) if is_sick && plan.in_fault(now) => {
+        FaultScript::LyingLoad(share) if is_faulty && plan.in_fault(now) => {
             (f64::from(load) * (1.0 - share)).round() as u32
         }
         _ => load,
@@ -101,7 +106,7 @@
 
     fn is_affected(&self) -> bool {
         let all = matches!(self.plan.script, FaultScript::AllSlow(_) | FaultScript::AllErrors(_));
-        self.plan.in_fault(self.now) && (all || self.is_sick)
+        self.plan.in_fault(self.now) && (all || self.is_faulty)
     }
 
     fn sample_fault(&self, rng: &mut ChaCha8Rng) -> FaultEffect {
@@ -132,8 +137,8 @@
                 effect.never_answers = rng.random_bool(share);
             }
             FaultScript::Flapping(period) => {
-                let sick = (since.as_millis() as u64 / period).is_multiple_of(2);
-                effect.fails = sick && rng.random_bool(0.5);
+                let faulty = (since.as_millis() as u64 / period).is_multiple_of(2);
+                effect.fails = faulty && rng.random_bool(0.5);
             }
             FaultScript::ColdStart(factor) => {
                 let left = (1.0 - since.as_secs_f64() / 10.0).max(0.0);
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -16,7 +16,7 @@
 use crate::decisions::faults::{self, JobEnd};
 use crate::decisions::rules::RuleKind;
 use crate::decisions::scenario;
-use crate::decisions::world::{World, SICK, SLOW_ROUTE};
+use crate::decisions::world::{World, FAULTY, SLOW_ROUTE};
 
 impl World {
     /// Returns the baseline of sibling upstreams that an ingress sends along with a request.
@@ -24,7 +24,7 @@
         let request = &self.requests[sent.request];
         let ingress = &self.ingresses[request.ingress];
         let mut baseline = ingress.baselines[request.route].current();
-        baseline.sickness = ingress.view.sickness_median(self.now);
+        baseline.sickness = ingress.view.median_score(self.now);
         ingress.recent.adjust(sent.upstream as u32, &mut baseline, self.now);
         baseline
     }
@@ -75,7 +75,7 @@
         let upstream = &self.upstreams[index];
         let mut load = (upstream.running.len() + upstream.queue.len()) as u32;
         if self.rule == RuleKind::Probes {
-            load = faults::claimed_load(&self.plan, self.now, index == SICK, load);
+            load = faults::claimed_load(&self.plan, self.now, index == FAULTY, load);
         }
         let mut health = upstream.health.report(ROUTES[route], self.now);
         if self.rule.prefer().is_none() {
@@ -137,7 +137,7 @@
         let sample = faults::ServiceSample {
             plan: &self.plan,
             now: self.now,
-            is_sick: sent.upstream == SICK,
+            is_faulty: sent.upstream == FAULTY,
             is_failing_route: request.route == 0,
             is_slow_route: request.route == SLOW_ROUTE,
             poison: request.poison,
@@ -260,7 +260,7 @@
         match change {
             Some(HealthChange::Ejected { .. }) => self.note_ejection(index, 1.0),
             Some(HealthChange::Returned { .. }) => self.note_return(index),
-            Some(HealthChange::Doubted | HealthChange::Trusted { .. }) | None => {}
+            Some(HealthChange::BreakerOpened | HealthChange::BreakerClosed { .. }) | None => {}
         }
     }
 }
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -10,7 +10,7 @@
 use crate::decisions::faults::{self, JobEnd};
 use crate::decisions::rules;
 use crate::decisions::scenario;
-use crate::decisions::world::{World, SICK};
+use crate::decisions::world::{World, FAULTY};
 
 /// Multiple of the median service time above which a response is slow to its caller.
 const SLOW_ANSWER: u32 = 8;
@@ -60,7 +60,7 @@
     pub(super) fn probe(&mut self) {
         let fraction = 1.0 / self.ingresses.len() as f64;
         for index in 0..self.upstreams.len() {
-            let good = faults::endpoint_is_good(&self.plan, self.now, index, SICK);
+            let good = faults::endpoint_is_good(&self.plan, self.now, index, FAULTY);
             for ingress in 0..self.ingresses.len() {
                 if self.ingresses[ingress].rule.note_probe(index, good, self.now) {
                     self.note_ejection(index, fraction);
--- a/crates/bench/src/decisions/measure.rs
+++ b/crates/bench/src/decisions/measure.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::decisions::world::{World, SICK};
+use crate::decisions::world::{World, FAULTY};
 
 /// Time without requests after which an upstream counts as cut off, as a multiple of the mean time
 /// between its requests.
@@ -44,11 +44,11 @@
     /// Records when, after the fault, the sick upstream is no longer ejected at any ingress under a
     /// plain rule.
     pub(super) fn note_plain_return(&mut self) {
-        if !self.plan.one_is_sick || self.now < self.plan.fault_end() {
+        if !self.plan.one_is_faulty || self.now < self.plan.fault_end() {
             return;
         }
         let now = self.now;
-        let ejected = self.ingresses.iter().any(|ingress| ingress.rule.is_ejected(SICK, now));
+        let ejected = self.ingresses.iter().any(|ingress| ingress.rule.is_ejected(FAULTY, now));
         self.ejected_after_fault |= ejected;
         if self.ejected_after_fault && !ejected {
             self.returned_at.get_or_insert(now);
@@ -69,14 +69,15 @@
     }
 
     pub(super) fn note_ejection(&mut self, index: usize, fraction: f64) {
-        let sick = self.plan.one_is_sick && index == SICK && self.now >= self.plan.fault_begin();
-        if !sick {
+        let faulty =
+            self.plan.one_is_faulty && index == FAULTY && self.now >= self.plan.fault_begin();
+        if !faulty {
             self.result.false_ejections += fraction;
         }
     }
 
     pub(super) fn note_return(&mut self, index: usize) {
-        if self.plan.one_is_sick && index == SICK && self.now >= self.plan.fault_end() {
+        if self.plan.one_is_faulty && index == FAULTY && self.now >= self.plan.fault_end() {
             self.returned_at.get_or_insert(self.now);
         }
     }
@@ -84,7 +85,7 @@
     pub(super) fn finish(mut self) -> RunResult {
         let upstreams = self.upstreams.len() as f64;
         self.result.upstream_hours = upstreams * self.plan.end().as_secs_f64() / 3600.0;
-        if self.plan.one_is_sick {
+        if self.plan.one_is_faulty {
             self.measure_detection();
             self.result.returned =
                 self.returned_at.map(|at| at.saturating_sub(self.plan.fault_end()));
@@ -100,7 +101,7 @@
         let gap = self.plan.gap() * self.upstreams.len() as u32;
         let quiet = (gap * QUIET_GAPS).max(QUIET_MIN);
         let mut last = begin;
-        for at in self.upstreams[SICK].accepted.iter().filter(|at| (begin..end).contains(*at)) {
+        for at in self.upstreams[FAULTY].accepted.iter().filter(|at| (begin..end).contains(*at)) {
             if *at - last > quiet {
                 break;
             }
--- a/crates/bench/src/decisions/report.rs
+++ b/crates/bench/src/decisions/report.rs
@@ -71,8 +71,8 @@
 ) -> RuleSummary {
     let chosen: Vec<&(RunKey, RunResult)> =
         results.iter().filter(|(key, _)| key.rule == rule && wanted(key)).collect();
-    let sick = chosen.first().is_some_and(|(key, _)| CASES[key.case].one_is_sick);
-    suite::summarize(chosen.iter().map(|(_, result)| result), sick)
+    let faulty = chosen.first().is_some_and(|(key, _)| CASES[key.case].one_is_faulty);
+    suite::summarize(chosen.iter().map(|(_, result)| result), faulty)
 }
 
 fn millis(time: Option<Duration>) -> String {
@@ -87,15 +87,15 @@
 pub fn markdown(plan: &SuitePlan, results: &[(RunKey, RunResult)]) -> String {
     let rows = rows(plan, results);
     let mut text = String::new();
-    let sick: Vec<CaseRow> =
-        rows.iter().filter(|row| CASES[row.case].one_is_sick).cloned().collect();
-    write_table(&mut text, plan, &sick, DETECTION_TITLE, detection_cell);
+    let faulty: Vec<CaseRow> =
+        rows.iter().filter(|row| CASES[row.case].one_is_faulty).cloned().collect();
+    write_table(&mut text, plan, &faulty, DETECTION_TITLE, detection_cell);
     write_table(&mut text, plan, &rows, "False ejections for each upstream-hour", |summary| {
         format!("{:.3}", summary.false_ejections_hour)
     });
     write_table(&mut text, plan, &rows, CALLERS_TITLE, callers_cell);
     write_table(&mut text, plan, &rows, CAPACITY_TITLE, capacity_cell);
-    write_table(&mut text, plan, &sick, RETURN_TITLE, |summary| millis(summary.returned_median));
+    write_table(&mut text, plan, &faulty, RETURN_TITLE, |summary| millis(summary.returned_median));
     write_rules(&mut text, results);
     write_slower_cases(&mut text, plan, &rows);
     text
@@ -151,7 +151,7 @@
 fn write_rules(text: &mut String, results: &[(RunKey, RunResult)]) {
     text.push_str("Over all cases\n\n| rule | detection median | received | stopped | false ejections an upstream-hour | failed answers | slow answers | lowest over floor | floor broken | return median |\n|---|---|---|---|---|---|---|---|---|---|\n");
     for rule in RULES {
-        let sick = select(results, rule, |key| CASES[key.case].one_is_sick);
+        let faulty = select(results, rule, |key| CASES[key.case].one_is_faulty);
         let all: Vec<&RunResult> =
             results.iter().filter(|(key, _)| key.rule == rule).map(|(_, result)| result).collect();
         let every = suite::summarize(all.into_iter(), false);
@@ -159,16 +159,16 @@
             text,
             "| {} | {} | {} | {} of {} | {:.3} | {:.3}% | {:.3}% | {:.2} | {} | {} |",
             rule.name(),
-            millis(sick.detection_median),
-            sick.received_median,
-            sick.stopped,
-            sick.runs,
+            millis(faulty.detection_median),
+            faulty.received_median,
+            faulty.stopped,
+            faulty.runs,
             every.false_ejections_hour,
             100.0 * every.failed_share,
             100.0 * every.slow_share,
             every.lowest_over_floor,
             every.floor_broken,
-            millis(sick.returned_median)
+            millis(faulty.returned_median)
         );
     }
 }
@@ -180,7 +180,7 @@
     rule: RuleKind,
 ) -> Vec<(usize, usize, Duration, Option<Duration>)> {
     rows.iter()
-        .filter(|row| CASES[row.case].one_is_sick)
+        .filter(|row| CASES[row.case].one_is_faulty)
         .filter_map(|row| {
             let best = row.best_plain()?;
             let own = row.summary_of(rule)?.detection_median;
--- a/crates/bench/src/decisions/scenario.rs
+++ b/crates/bench/src/decisions/scenario.rs
@@ -100,7 +100,7 @@
     /// Returns the script of a severity from 0 to 4.
     pub script: fn(usize) -> FaultScript,
     /// Whether exactly one upstream is sick, rather than none or all.
-    pub one_is_sick: bool,
+    pub one_is_faulty: bool,
 }
 
 const SHARES: [f64; 5] = [0.15, 0.3, 0.5, 0.75, 1.0];
@@ -108,89 +108,89 @@
 
 /// Every case of the bench.
 pub const CASES: [FaultCase; 20] = [
-    FaultCase { name: "errors", script: |s| FaultScript::Errors(SHARES[s]), one_is_sick: true },
+    FaultCase { name: "errors", script: |s| FaultScript::Errors(SHARES[s]), one_is_faulty: true },
     FaultCase {
         name: "one route fails",
         script: |s| FaultScript::RouteErrors([0.3, 0.5, 0.7, 0.85, 1.0][s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "quick errors",
         script: |s| FaultScript::QuickErrors(SHARES[s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "truncated",
         script: |s| FaultScript::Truncated(SHARES[s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
-    FaultCase { name: "slow", script: |s| FaultScript::Slow(FACTORS[s]), one_is_sick: true },
+    FaultCase { name: "slow", script: |s| FaultScript::Slow(FACTORS[s]), one_is_faulty: true },
     FaultCase {
         name: "slow tail",
         script: |s| FaultScript::Tail([0.1, 0.2, 0.3, 0.4, 0.6][s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
-    FaultCase { name: "stuck", script: |s| FaultScript::Stuck(SHARES[s]), one_is_sick: true },
+    FaultCase { name: "stuck", script: |s| FaultScript::Stuck(SHARES[s]), one_is_faulty: true },
     FaultCase {
         name: "flapping",
         script: |s| FaultScript::Flapping([250, 500, 1000, 2000, 4000][s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "health endpoint lies",
         script: |s| FaultScript::LyingHealth([0.1, 0.2, 0.4, 0.7, 1.0][s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "load endpoint lies",
         script: |s| FaultScript::LyingLoad([0.2, 0.4, 0.6, 0.8, 1.0][s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "stuck from its start",
         script: |s| FaultScript::ColdStuck(SHARES[s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "low traffic",
         script: |s| FaultScript::LowTraffic([0.5, 0.65, 0.8, 0.9, 1.0][s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "mixed routes, slow",
         script: |s| FaultScript::MixedSlow(FACTORS[s]),
-        one_is_sick: true,
+        one_is_faulty: true,
     },
     FaultCase {
         name: "cold start",
         script: |s| FaultScript::ColdStart([1.5, 2.0, 3.0, 4.0, 6.0][s]),
-        one_is_sick: false,
+        one_is_faulty: false,
     },
     FaultCase {
         name: "load spike on all",
         script: |s| FaultScript::AllSlow([1.3, 1.6, 2.0, 3.0, 5.0][s]),
-        one_is_sick: false,
+        one_is_faulty: false,
     },
     FaultCase {
         name: "shared dependency",
         script: |s| FaultScript::AllErrors([0.1, 0.2, 0.4, 0.7, 1.0][s]),
-        one_is_sick: false,
+        one_is_faulty: false,
     },
     FaultCase {
         name: "poison requests",
         script: |s| FaultScript::Poison([0.01, 0.02, 0.05, 0.1, 0.2][s]),
-        one_is_sick: false,
+        one_is_faulty: false,
     },
     FaultCase {
         name: "mixed routes, healthy",
         script: |s| FaultScript::MixedHealthy([1.0, 1.0, 1.0, 1.0, 1.0][s]),
-        one_is_sick: false,
+        one_is_faulty: false,
     },
-    FaultCase { name: "healthy", script: |_| FaultScript::Healthy, one_is_sick: false },
+    FaultCase { name: "healthy", script: |_| FaultScript::Healthy, one_is_faulty: false },
     FaultCase {
         name: "heavy tail and bursts",
         script: |s| FaultScript::Bursts([0.005, 0.01, 0.02, 0.03, 0.05][s]),
-        one_is_sick: false,
+        one_is_faulty: false,
     },
 ];
 
@@ -242,7 +242,7 @@
     /// The fault.
     pub script: FaultScript,
     /// Whether exactly one upstream is sick.
-    pub one_is_sick: bool,
+    pub one_is_faulty: bool,
     /// Seed of the random numbers.
     pub seed: u64,
 }
--- a/crates/bench/src/decisions/suite.rs
+++ b/crates/bench/src/decisions/suite.rs
@@ -104,7 +104,7 @@
         deployment: plan.deployments[key.deployment],
         load: plan.loads[key.load],
         script: (case.script)(key.severity),
-        one_is_sick: case.one_is_sick,
+        one_is_faulty: case.one_is_faulty,
         seed: key.seed,
     };
     let threshold = plan.threshold.unwrap_or(key.rule.default_threshold());
@@ -142,7 +142,7 @@
 /// Aggregates results.
 pub fn summarize<'a>(
     results: impl Iterator<Item = &'a RunResult>,
-    one_is_sick: bool,
+    one_is_faulty: bool,
 ) -> RuleSummary {
     let results: Vec<&RunResult> = results.collect();
     let mut summary = RuleSummary { runs: results.len(), ..RuleSummary::default() };
@@ -156,7 +156,7 @@
     summary.floor_broken = results.iter().filter(|result| result.floor_broken).count();
     summary.lowest_over_floor =
         results.iter().map(|result| result.lowest_over_floor).fold(f64::INFINITY, f64::min);
-    if !one_is_sick {
+    if !one_is_faulty {
         return summary;
     }
     summary.stopped = results.iter().filter(|result| result.detection.is_some()).count();
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -46,7 +46,7 @@
 }
 
 /// Index of the sick upstream, in cases that have one.
-pub(super) const SICK: usize = 1;
+pub(super) const FAULTY: usize = 1;
 
 impl World {
     /// Builds the initial state of a run.
@@ -104,7 +104,7 @@
             self.now = at;
             match self.scheduled[index] {
                 Event::Arrival => self.arrive(),
-                Event::Replace => self.replace_sick(),
+                Event::Replace => self.replace_faulty(),
                 Event::Probe => self.probe(),
                 Event::HostArrival { sent, refusable } => self.reach_host(sent, refusable),
                 Event::HedgeDue { sent } => self.send_hedge(sent),
@@ -127,9 +127,9 @@
 
     /// Replaces the upstream of the cold-start cases; its daemon begins with the health of a new
     /// backend server.
-    pub(super) fn replace_sick(&mut self) {
+    pub(super) fn replace_faulty(&mut self) {
         let prefer = self.rule.prefer().unwrap_or(EjectionPreference::Precision);
-        self.upstreams[SICK].health = actors::new_health(prefer, self.threshold, self.now, true);
+        self.upstreams[FAULTY].health = actors::new_health(prefer, self.threshold, self.now, true);
     }
 
     pub(super) fn in_fault(&self) -> bool {
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -24,7 +24,7 @@
     /// The backend server or its daemon is leaving.
     Draining,
     /// The backend server is considered sick and the dispatch was refusable.
-    Sick,
+    Unhealthy,
     /// The backend server could not be connected to.
     ConnectFailed,
     /// The backend server itself refused the request.
@@ -59,7 +59,7 @@
     NotRunReason::QueueFull,
     NotRunReason::DeadlinePassed,
     NotRunReason::Draining,
-    NotRunReason::Sick,
+    NotRunReason::Unhealthy,
     NotRunReason::ConnectFailed,
     NotRunReason::Shed,
     NotRunReason::UnknownUpstream,
@@ -85,7 +85,7 @@
             Self::QueueFull => "queue-full",
             Self::DeadlinePassed => "deadline-passed",
             Self::Draining => "draining",
-            Self::Sick => "sick",
+            Self::Unhealthy => "sick",
             Self::ConnectFailed => "connect-failed",
             Self::Shed => "shed",
             Self::UnknownUpstream => "unknown-upstream",
--- a/crates/ctl/src/losses/server_health.rs
+++ b/crates/ctl/src/losses/server_health.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerHealth {
     /// It is in service.
-    Trusted,
+    Healthy,
     /// Its circuit breaker is open: it declines requests while others can take them.
-    Doubted,
+    BreakerOpen,
     /// It is ejected: it is out of service.
     Ejected,
 }
@@ -28,8 +28,8 @@
     /// Returns the name in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Trusted => "trusted",
-            Self::Doubted => "doubted",
+            Self::Healthy => "trusted",
+            Self::BreakerOpen => "doubted",
             Self::Ejected => "ejected",
         }
     }
@@ -65,8 +65,8 @@
         };
         let health = match line.text("message") {
             "upstream ejected" => Some(ServerHealth::Ejected),
-            "upstream doubted" => Some(ServerHealth::Doubted),
-            "upstream trusted again" | "upstream returned" => Some(ServerHealth::Trusted),
+            "upstream doubted" => Some(ServerHealth::BreakerOpen),
+            "upstream trusted again" | "upstream returned" => Some(ServerHealth::Healthy),
             _ => None,
         };
         let load = match (line.number("in_flight"), line.number("slots")) {
@@ -100,7 +100,7 @@
     pub fn health_at(&self, server: &str, at: f64) -> ServerHealth {
         let history = self.servers.get(server);
         let before = history.and_then(|history| latest_at(&history.health, at));
-        before.map_or(ServerHealth::Trusted, |(_, health)| health)
+        before.map_or(ServerHealth::Healthy, |(_, health)| health)
     }
 
     /// Returns whether a trusted server of a service had a free slot at a moment.
@@ -109,7 +109,7 @@
         of_service.into_iter().any(|(name, history)| {
             let load = latest_at(&history.loads, at).filter(|(seen, _)| at - seen < LOAD_MAX_AGE_S);
             let is_free = load.is_some_and(|(_, load)| load.in_flight < load.slots);
-            is_free && self.health_at(name, at) == ServerHealth::Trusted
+            is_free && self.health_at(name, at) == ServerHealth::Healthy
         })
     }
 }
--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -39,13 +39,13 @@
 fn state_name(state: &DaemonState, upstream: &HostUpstream) -> &'static str {
     let now = state.now();
     let report = upstream.health.borrow().report("", now);
-    let [in_service, doubted, ejected, draining] = metrics::UPSTREAM_STATES;
+    let [in_service, breaker_open, ejected, draining] = metrics::UPSTREAM_STATES;
     if upstream.is_draining(now) {
         draining
     } else if report.ejected {
         ejected
     } else if report.doubtful {
-        doubted
+        breaker_open
     } else {
         in_service
     }
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -146,7 +146,7 @@
                 self.is_trial = true;
                 Ok(())
             }
-            AdmitVerdict::Refuse => Err(NotRunReason::Sick),
+            AdmitVerdict::Refuse => Err(NotRunReason::Unhealthy),
         }
     }
 
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -37,7 +37,7 @@
             return Err(FailureOutcome::NotRun(NotRunReason::Draining));
         }
         if self.upstream.is_unreachable() {
-            return Err(FailureOutcome::NotRun(NotRunReason::Sick));
+            return Err(FailureOutcome::NotRun(NotRunReason::Unhealthy));
         }
         let waiting = self.upstream.slots.await_offer(self.slot_request());
         let offer = exchange::unless_cancelled(body, waiting).await;
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -107,7 +107,7 @@
     /// reachable again was restarted.
     pub fn note_connected(&self, connected: bool, now: Duration) {
         if !connected {
-            self.slots.refuse_reservations(NotRunReason::Sick);
+            self.slots.refuse_reservations(NotRunReason::Unhealthy);
         }
         if self.unreachable.replace(!connected) && connected {
             servers::ServerRestarted { upstream: &self.name }.log();
@@ -117,7 +117,7 @@
 
     /// Records that the backend server crashed; says whether that was not known.
     pub fn note_crashed(&self) -> bool {
-        self.slots.refuse_reservations(NotRunReason::Sick);
+        self.slots.refuse_reservations(NotRunReason::Unhealthy);
         !self.unreachable.replace(true)
     }
 
@@ -197,14 +197,14 @@
                 let (evidence, after_ms) = (reason.name(), after.as_millis() as u64);
                 servers::UpstreamEjected { upstream, service, evidence, sickness, after_ms }.log();
             }
-            Some(HealthChange::Doubted) => {
-                metrics::DOUBTS.add_one();
+            Some(HealthChange::BreakerOpened) => {
+                metrics::BREAKER_OPENINGS.add_one();
                 self.slots.refuse_passable();
-                servers::UpstreamDoubted { upstream, service }.log();
+                servers::UpstreamBreakerOpened { upstream, service }.log();
             }
-            Some(HealthChange::Trusted { after }) => {
+            Some(HealthChange::BreakerClosed { after }) => {
                 let after_ms = after.as_millis() as u64;
-                servers::UpstreamTrusted { upstream, service, after_ms }.log();
+                servers::UpstreamBreakerClosed { upstream, service, after_ms }.log();
             }
             Some(HealthChange::Returned { out }) => {
                 metrics::RETURNS.add_one();
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -492,7 +492,7 @@
     /// says whether it did and another may be tried; a decline costs a round trip.
     fn has_declined(&mut self, index: usize, outcome: FailureOutcome) -> bool {
         let reasons = [
-            NotRunReason::Sick,
+            NotRunReason::Unhealthy,
             NotRunReason::Unproven,
             NotRunReason::QueueFull,
             NotRunReason::Draining,
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -122,9 +122,9 @@
         let mut deadline_refusals = 0;
         let mut links = 0;
         let mut full = Vec::new();
-        let mut doubted = Vec::new();
+        let mut unhealthy = Vec::new();
         loop {
-            let unlinked = self.request_reservations(set, &[&full[..], &doubted].concat());
+            let unlinked = self.request_reservations(set, &[&full[..], &unhealthy].concat());
             if set.is_empty() {
                 // Right after the daemon's start no host is linked yet.
                 let Some(index) = unlinked.filter(|_| links < LINKS_MAX) else {
@@ -155,7 +155,7 @@
                         // fails there, these may have room by then.
                         NotRunReason::QueueFull | NotRunReason::Unproven => full.push(index),
                         // The request itself is still sent there when no other upstream is left.
-                        NotRunReason::Sick => doubted.push(index),
+                        NotRunReason::Unhealthy => unhealthy.push(index),
                         _ => self.excluded.push(index),
                     }
                     deadline_refusals += usize::from(reason == NotRunReason::DeadlinePassed);
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -207,9 +207,9 @@
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
-        let is_ejected_or_doubted = upstream.health.borrow().is_ejected_or_doubted();
-        let was_out = self.with_view(|view| view.is_ejected_or_doubted(index));
-        if is_ejected_or_doubted || was_out {
+        let is_ejected_or_breaker_open = upstream.health.borrow().is_ejected_or_breaker_open();
+        let was_out = self.with_view(|view| view.is_ejected_or_breaker_open(index));
+        if is_ejected_or_breaker_open || was_out {
             let report = upstream.report(state, route, None);
             self.note_report(index, route, &report, None, state.now());
         }
@@ -314,7 +314,7 @@
             Some(baseline) => baseline.current(),
             None => return ServiceBaseline::default(),
         };
-        baseline.sickness = self.view.borrow().sickness_median(now);
+        baseline.sickness = self.view.borrow().median_score(now);
         self.recent.borrow().adjust(index as u32, &mut baseline, now);
         baseline
     }
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -127,14 +127,14 @@
 fn verify_false_health_and_load_reports_change_nothing() {
     let fleet = precision_fleet();
     // One server fails requests but answers health checks with 200 and reports no load.
-    let sick = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
+    let faulty = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
     // Another serves requests but answers health checks with 503 and reports full load.
     fleet.backends[0].faults(json!({"health_status": 503, "claimed_load": 1000}));
     let probe = client::call(fleet.backends[0].address, "GET", "/health", &[], "");
     assert_eq!(probe.status, 503);
     let load = Load::start(&fleet, 12, "/puzzle");
     eventually("the fleet is warmed up", || load.good() > 600);
-    fleet.backends[4].faults(sick);
+    fleet.backends[4].faults(faulty);
     eventually("the sick server is ejected", || is_ejected(&fleet, "server-5"));
     let before = fleet.backends[0].total();
     eventually("the healthy server receives requests", || fleet.backends[0].total() > before + 100);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn verify_many_sick_servers_never_take_the_service_below_its_floor() {
+fn verify_many_faulty_servers_never_take_the_service_below_its_floor() {
     let plan = FleetPlan {
         daemons: 3,
         backends: 6,
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn verify_the_last_server_is_used_although_all_are_doubted_and_others_are_gone() {
+fn verify_the_last_server_is_used_although_all_breakers_are_open_and_others_are_gone() {
     let mut fleet = RegisteredFleet::start(3);
     fleet.wait_served(0, &[0, 1, 2]);
     // The row of a host that is gone stays in the store for a long time.
--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -110,7 +110,7 @@
         baseline.note(index as u32, &report(0.1));
         view.note_median(baseline.current().median_ln);
         view.note_report(index, 1, report(0.1), now);
-        view.sickness_median(now)
+        view.median_score(now)
     });
 }
 
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -354,7 +354,7 @@
     }
 
     /// Says whether an upstream last reported that it is ejected or doubted.
-    pub fn is_ejected_or_doubted(&self, index: usize) -> bool {
+    pub fn is_ejected_or_breaker_open(&self, index: usize) -> bool {
         let health = self.upstreams.get(index).and_then(|view| view.health);
         health.is_some_and(|health| health.ejected || health.doubtful)
     }
@@ -426,7 +426,7 @@
     }
 
     /// Returns the median sickness of the upstreams with a recent report.
-    pub fn sickness_median(&self, now: Duration) -> f64 {
+    pub fn median_score(&self, now: Duration) -> f64 {
         self.median_in(now, &mut Vec::new())
     }
 
@@ -559,9 +559,9 @@
             return Some((ChoiceGround::Near, drawn));
         }
         let local_waiting = |index: usize, view: &LoadView| {
-            let is_trusted = view.is_local && !view.is_suspect(terms) && has_room(view);
+            let is_healthy = view.is_local && !view.is_suspect(terms) && has_room(view);
             let in_service = self.in_service(index) && !request.excluded.contains(&index);
-            is_trusted && in_service && load(view) < 1.0 + request.local_wait_rounds
+            is_healthy && in_service && load(view) < 1.0 + request.local_wait_rounds
         };
         let waits_locally = request.local_wait_rounds > 0.0;
         if let Some(drawn) =
@@ -573,17 +573,17 @@
         if let Some(drawn) = self.draw(terms, rng, candidates, free) {
             return Some((ChoiceGround::Sound, drawn));
         }
-        let trusted = |index: usize, view: &LoadView| {
+        let healthy = |index: usize, view: &LoadView| {
             let in_service = self.in_service(index) && !request.excluded.contains(&index);
             in_service && !view.is_suspect(terms) && has_room(view)
         };
         let waiting =
-            |index: usize, view: &LoadView| trusted(index, view) && load(view) < WAIT_LOAD_MAX;
+            |index: usize, view: &LoadView| healthy(index, view) && load(view) < WAIT_LOAD_MAX;
         if let Some(drawn) = self.draw(terms, rng, candidates, waiting) {
             return Some((ChoiceGround::Waiting, drawn));
         }
         let views = || self.upstreams.iter().enumerate();
-        let is_refused = terms.repeatable && !views().any(|(index, view)| trusted(index, view));
+        let is_refused = terms.repeatable && !views().any(|(index, view)| healthy(index, view));
         let idle =
             |index: usize, view: &LoadView| is_refused && may_send(index) && load(view) < 1.0;
         if let Some(drawn) = self.draw(terms, rng, candidates, idle) {
@@ -681,7 +681,7 @@
         let mut values = std::mem::take(&mut self.values);
         let median = self.median_in(now, &mut values);
         self.values = values;
-        health::sickness_bound(median)
+        health::score_bound(median)
     }
 
     /// Draws a few of the eligible upstreams and returns the one of least cost.
--- a/crates/decide/src/balance/reservations.rs
+++ b/crates/decide/src/balance/reservations.rs
@@ -51,9 +51,9 @@
         let terms = ChoiceTerms { now, suspect_threshold, repeatable };
         let eligible = |index: &usize| self.in_service(*index) && fits(*index);
         let eligible: Vec<usize> = (0..self.upstreams.len()).filter(eligible).collect();
-        let is_trusted = |index: &usize| !self.upstreams[*index].is_suspect(&terms);
-        let trusted: Vec<usize> = eligible.iter().copied().filter(is_trusted).collect();
-        let eligible = if trusted.is_empty() { eligible } else { trusted };
+        let is_healthy = |index: &usize| !self.upstreams[*index].is_suspect(&terms);
+        let healthy: Vec<usize> = eligible.iter().copied().filter(is_healthy).collect();
+        let eligible = if healthy.is_empty() { eligible } else { healthy };
         let local: Vec<usize> =
             eligible.iter().copied().filter(|index| self.is_local(*index)).collect();
         // A sample of all upstreams alone would hold few local ones in a service of many failure
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -74,14 +74,14 @@
     }
 }
 
-/// `SicknessDetector` keeps the sums of one upstream.
+/// `AnomalyDetector` keeps the sums of one upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SicknessDetector {
+pub struct AnomalyDetector {
     sums: [f64; EVIDENCE_KINDS.len()],
     threshold: f64,
 }
 
-impl SicknessDetector {
+impl AnomalyDetector {
     /// Builds a detector that a healthy upstream triggers once in `exp(threshold)` requests.
     pub fn new(threshold: f64) -> Self {
         Self { sums: [0.0; EVIDENCE_KINDS.len()], threshold }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -10,7 +10,7 @@
 use fnv::FnvHashMap;
 
 use crate::breaker::{FailureBreaker, FailureKind};
-use crate::detector::{EvidenceKind, SicknessDetector};
+use crate::detector::{AnomalyDetector, EvidenceKind};
 use crate::estimates::{DecayingPeak, LatencyEstimate, RateEstimate};
 use crate::evidence::{self, RequestEvidence, ServiceBaseline, OVERDUE_DEVIATIONS};
 use crate::hang::{HangDetector, UsualTime};
@@ -51,7 +51,7 @@
 }
 
 /// Returns the sickness from which an upstream stands out from siblings with this median sickness.
-pub fn sickness_bound(siblings: f64) -> f64 {
+pub fn score_bound(siblings: f64) -> f64 {
     1.0 + SIBLING_WEIGHT * siblings
 }
 
@@ -145,9 +145,9 @@
         out: Duration,
     },
     /// The upstream is doubted after a failure or a hang.
-    Doubted,
+    BreakerOpened,
     /// The upstream is no longer doubted.
-    Trusted {
+    BreakerClosed {
         /// How long it was doubted.
         after: Duration,
     },
@@ -167,7 +167,7 @@
 /// `UpstreamHealth` is the health of one upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamHealth {
-    detector: SicknessDetector,
+    detector: AnomalyDetector,
     recovery: RecoveryPlan,
     failures: RateEstimate,
     routes: FnvHashMap<Rc<str>, RouteStats>,
@@ -186,7 +186,7 @@
     /// Builds the health of an upstream from `now` on; the load of a `cold` one rises slowly.
     pub fn new(prefer: EjectionPreference, now: Duration, cold: bool) -> Self {
         Self {
-            detector: SicknessDetector::new(threshold_of(prefer)),
+            detector: AnomalyDetector::new(threshold_of(prefer)),
             recovery: RecoveryPlan::new(now, cold),
             failures: RateEstimate::default(),
             routes: FnvHashMap::default(),
@@ -226,7 +226,7 @@
     }
 
     /// Says whether the upstream is ejected or doubted.
-    pub fn is_ejected_or_doubted(&self) -> bool {
+    pub fn is_ejected_or_breaker_open(&self) -> bool {
         self.is_doubtful() || self.recovery.is_ejected()
     }
 
@@ -386,12 +386,12 @@
         match failure {
             Some(kind) => {
                 let doubted = self.breaker.note_failure(kind, now);
-                doubted.then_some(HealthChange::Doubted)
+                doubted.then_some(HealthChange::BreakerOpened)
             }
             None => {
                 let after = self.breaker.note_success(started, now)?;
                 self.hang.forget();
-                Some(HealthChange::Trusted { after })
+                Some(HealthChange::BreakerClosed { after })
             }
         }
     }
@@ -448,7 +448,7 @@
         if end == WatchEnd::Progressed {
             // The slow requests that caused the doubt were answered.
             let after = self.hang.is_over(now).then(|| self.breaker.retract(now)).flatten()?;
-            return Some(HealthChange::Trusted { after });
+            return Some(HealthChange::BreakerClosed { after });
         }
         if evidence > 0.0 {
             // The trial request hung as well.
@@ -469,7 +469,7 @@
             return None;
         }
         let doubted = self.breaker.note_hang(now);
-        doubted.then_some(HealthChange::Doubted)
+        doubted.then_some(HealthChange::BreakerOpened)
     }
 
     /// Withdraws a failure, as the request failed at another upstream as well.
@@ -505,7 +505,7 @@
     }
 
     fn stands_out(&self, sickness: f64) -> bool {
-        sickness >= sickness_bound(self.sibling_sickness)
+        sickness >= score_bound(self.sibling_sickness)
     }
 
     /// Says whether the upstream is ejected.
--- a/crates/decide/tests/hang.rs
+++ b/crates/decide/tests/hang.rs
@@ -110,7 +110,7 @@
     let usual = health.usual_time("r", None).expect("the baseline of the siblings");
     health.start_request(usual, millis(0));
     for now in 0..5000 {
-        if health.check_running(millis(now)) == Some(HealthChange::Doubted) {
+        if health.check_running(millis(now)) == Some(HealthChange::BreakerOpened) {
             return (health, millis(now));
         }
     }
@@ -150,7 +150,7 @@
     let doubted =
         (0..5000).find(|now| health.check_running(millis(*now)).is_some()).expect("doubted");
     let change = health.end_request(request, WatchEnd::Progressed, millis(doubted + 5));
-    assert_eq!(change, Some(HealthChange::Trusted { after: millis(5) }));
+    assert_eq!(change, Some(HealthChange::BreakerClosed { after: millis(5) }));
 }
 
 #[test]
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -47,7 +47,7 @@
         match change {
             Some(HealthChange::Ejected { .. }) => self.ejected.push(self.now),
             Some(HealthChange::Returned { .. }) => self.returned.push(self.now),
-            Some(HealthChange::Doubted | HealthChange::Trusted { .. }) | None => {}
+            Some(HealthChange::BreakerOpened | HealthChange::BreakerClosed { .. }) | None => {}
         }
     }
 
--- a/crates/events/src/servers.rs
+++ b/crates/events/src/servers.rs
@@ -128,7 +128,7 @@
 
     /// A failure opened the circuit breaker of a backend server, which is doubted now: it declines
     /// requests while others can take them.
-    "upstream doubted" INFO UpstreamDoubted<'a> {
+    "upstream doubted" INFO UpstreamBreakerOpened<'a> {
         /// Name of the backend server.
         upstream: &'a str,
         /// Service that it is an upstream of.
@@ -136,7 +136,7 @@
     }
 
     /// A doubted backend server gave enough successful responses, which closed its circuit breaker.
-    "upstream trusted again" INFO UpstreamTrusted<'a> {
+    "upstream trusted again" INFO UpstreamBreakerClosed<'a> {
         /// Name of the backend server.
         upstream: &'a str,
         /// Service that it is an upstream of.
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -347,7 +347,7 @@
     /// Refuses all waiting requests that can be served elsewhere, when the backend server is
     /// ejected.
     pub fn refuse_refusable(&self) {
-        self.refuse_where(NotRunReason::Sick, |waiter| waiter.request.refusable);
+        self.refuse_where(NotRunReason::Unhealthy, |waiter| waiter.request.refusable);
     }
 
     /// Refuses all waiting requests that can try another upstream, when the backend server is
@@ -357,7 +357,7 @@
             WaitKind::Queued | WaitKind::Reservation => waiter.request.passable,
             WaitKind::Offered => true,
         };
-        self.refuse_where(NotRunReason::Sick, is_refused);
+        self.refuse_where(NotRunReason::Unhealthy, is_refused);
     }
 
     /// Refuses all reservations, and all requests that came for an offer and have no slot yet: they
