--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -207,7 +207,7 @@
         self.linked_dial.set(dial);
         self.back_off.set(BACK_OFF_MIN);
         let former = self.link.borrow_mut().replace(link);
-        self.health.borrow_mut().note_heard(now);
+        self.health.borrow_mut().note_frame(now);
         self.changed.raise();
         former
     }
@@ -239,8 +239,8 @@
     }
 
     /// Records that a frame arrived over the link.
-    pub fn note_heard(&self, now: Duration) {
-        self.health.borrow_mut().note_heard(now);
+    pub fn note_frame(&self, now: Duration) {
+        self.health.borrow_mut().note_frame(now);
     }
 
     /// Records that an attempt outlasted its hedging delay or that a load probe was not answered in
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -111,7 +111,7 @@
         let was_slow = request.slow_attempts.len() < before;
         let is_good = matches!(answer, Answer::Done { end: JobEnd::Good, .. });
         if was_slow {
-            self.ingresses[request.ingress].view.note_over(sent.upstream);
+            self.ingresses[request.ingress].view.note_ended(sent.upstream);
         }
         if was_slow && is_good && !request.finished {
             self.cancel_current(sent.request);
@@ -128,7 +128,7 @@
 
     fn cancel_from_ingress(&mut self, sent: Dispatch) {
         let ingress = &mut self.ingresses[self.requests[sent.request].ingress];
-        ingress.view.note_over(sent.upstream);
+        ingress.view.note_ended(sent.upstream);
         let delay = actors::delay_between(&self.plan, ingress.domain, sent.upstream);
         self.schedule(delay, Event::Cancel { sent });
     }
@@ -140,7 +140,7 @@
         let (number, index) = (sent.request, sent.upstream);
         let request = self.requests[number].clone();
         let ingress = &mut self.ingresses[request.ingress];
-        ingress.view.note_over(index);
+        ingress.view.note_ended(index);
         let (load, health) = match answer {
             Answer::Done { load, health, .. } | Answer::Refused { load, health } => (load, health),
         };
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -62,8 +62,8 @@
     }
 
     /// Records a confirmation by the store, as of a moment.
-    pub fn note_store(&self, as_of: Duration) {
-        self.note(FreshConfirmation { as_of, source: ConfirmationSource::Store });
+    pub fn note_store(&self, valid_at: Duration) {
+        self.note(FreshConfirmation { valid_at, source: ConfirmationSource::Store });
     }
 
     /// Records that the store has a later configuration that can't be put in force here.
@@ -189,7 +189,7 @@
         return;
     }
     let confirmation =
-        FreshConfirmation { as_of: asked.saturating_sub(age), source: ConfirmationSource::Peer };
+        FreshConfirmation { valid_at: asked.saturating_sub(age), source: ConfirmationSource::Peer };
     state.freshness.note(confirmation);
 }
 
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -252,17 +252,17 @@
     pub fn slot_request(&self) -> SlotRequest {
         let usual = self.usual_time();
         let deviations = if self.is_reservation() { RESERVED_DEVIATIONS } else { 0.0 };
-        let work = QueuedRequest {
+        let scheduling = QueuedRequest {
             class: wire::class_of(self.head.work_class),
             is_call: self.head.called == Some(true),
             deadline: self.deadline,
             objective: self.objective,
             usual: usual.map(|usual| usual.at(0.0)),
-            most: usual.map(|usual| usual.at(deviations)),
+            needed_time: usual.map(|usual| usual.at(deviations)),
         };
         let is_repeatable = wire::mode_of(self.head.work_mode) == WorkMode::Repeatable;
         SlotRequest {
-            work,
+            scheduling,
             refusable: self.head.refusable,
             passable: self.head.passable,
             needs_recent_progress: self.state.live().prove_once_only && !is_repeatable,
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -407,8 +407,8 @@
         let path = self.request.service.path(choice.index);
         let left = Some(self.objective_left()).filter(|left| !left.is_zero());
         let left = left.unwrap_or_else(|| self.left());
-        let is_worth = probing::is_worth(choice.report_age, path.round_trip(), left);
-        is_open_choice && !path.is_self && is_worth && self.request.service.should_probe()
+        let is_worthwhile = probing::is_worthwhile(choice.report_age, path.round_trip(), left);
+        is_open_choice && !path.is_self && is_worthwhile && self.request.service.should_probe()
     }
 
     /// Leaves out upstreams that would decline the request by their load probe, or did not answer
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -142,7 +142,7 @@
             let mut backed_up = self.backed_up.borrow_mut();
             let backup = backed_up
                 .entry(limit.to_owned())
-                .or_insert_with(|| LimitOwner::following(rate, burst, now));
+                .or_insert_with(|| LimitOwner::with_predecessor(rate, burst, now));
             return Some(backup.answer_as_backup(rate, burst, claim, token_request, now));
         }
         let since = self.eligible.borrow().changed_at;
@@ -150,8 +150,8 @@
         let mut owned = self.owned.borrow_mut();
         let owner = owned.entry(limit.to_owned()).or_insert_with(|| match fleet_start(state) {
             FleetStart::First => LimitOwner::new(rate, burst, now),
-            FleetStart::Restart => LimitOwner::restarted(rate, burst, &tolerance, since),
-            FleetStart::Settled => LimitOwner::following(rate, burst, since),
+            FleetStart::Restart => LimitOwner::after_restart(rate, burst, &tolerance, since),
+            FleetStart::Settled => LimitOwner::with_predecessor(rate, burst, since),
         });
         Some(owner.answer(rate, burst, &tolerance, token_request, now))
     }
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -134,7 +134,7 @@
     let on_control = |body: FrameBody| {
         control::handle(state, Some(path), &sender, &link.peer, body);
     };
-    let on_frame = || path.note_heard(state.now());
+    let on_frame = || path.note_frame(state.now());
     let reading = link.run(&mut reader, on_frame, on_control);
     let encoder = crosses_domains(state, &link.peer).then(LinkEncoder::default);
     let error = run_halves(reading, &sender, writer, encoder).await;
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -73,7 +73,7 @@
         }
         let verdict = trackers.entry(server.clone()).or_default().judge(claim, now);
         if verdict == IncarnationVerdict::Current && !self.is_newer(heartbeat) {
-            return IncarnationVerdict::Late;
+            return IncarnationVerdict::Outdated;
         }
         verdict
     }
@@ -105,7 +105,7 @@
         if let (Some(tracker), Some(born)) =
             (trackers.get_mut(&incarnation.server), incarnation.born)
         {
-            tracker.note_over(born);
+            tracker.note_ended(born);
         }
         self.sequences.borrow_mut().remove(upstream);
         self.cold_until.borrow_mut().remove(upstream);
@@ -145,7 +145,7 @@
                 servers::ServerCallRefused { error: problem, from }.log();
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
             }
-            if note_heartbeat(state, &heartbeat) == IncarnationVerdict::Unnamed {
+            if note_heartbeat(state, &heartbeat) == IncarnationVerdict::NoStartTime {
                 return admin::problem(StatusCode::BAD_REQUEST, "the heartbeat tells no start");
             }
         }
@@ -188,7 +188,7 @@
     match verdict {
         IncarnationVerdict::Current => {}
         IncarnationVerdict::Replaces => drop(state.registrations.is_newer(heartbeat)),
-        IncarnationVerdict::Late | IncarnationVerdict::Unnamed => {
+        IncarnationVerdict::Outdated | IncarnationVerdict::NoStartTime => {
             let (upstream, sequence) = (&heartbeat.incarnation.upstream(), heartbeat.sequence);
             servers::HeartbeatLate { upstream, sequence }.log();
             return verdict;
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -373,7 +373,7 @@
 
     /// Returns the number of retries left in the budget.
     pub fn retries_left(&self, now: Duration) -> f64 {
-        self.budget.borrow_mut().left(now)
+        self.budget.borrow_mut().remaining(now)
     }
 
     /// Takes a retry from the budget, and says whether there was one.
@@ -487,7 +487,9 @@
     let index = known.entry.upstreams.iter().position(|upstream| &*upstream.name == name);
     let view = known.view.borrow();
     match index.and_then(|index| view.upstreams().get(index)) {
-        Some(old) => LoadView { slots: fresh.slots, is_local: fresh.is_local, own: 0, ..*old },
+        Some(old) => {
+            LoadView { slots: fresh.slots, is_local: fresh.is_local, own_in_flight: 0, ..*old }
+        }
         None => fresh,
     }
 }
@@ -500,6 +502,6 @@
 
 impl Drop for SentGuard {
     fn drop(&mut self) {
-        self.service.view.borrow_mut().note_over(self.index);
+        self.service.view.borrow_mut().note_ended(self.index);
     }
 }
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -39,12 +39,12 @@
 /// chosen before it, so it gets only what the others have no room for.
 const SUSPECT_FACTOR: f64 = 10.0;
 /// Age up to which a report that an upstream is doubted is acted on.
-const DOUBT_REPORT_LIFE: Duration = Duration::from_secs(5);
+const OPEN_BREAKER_REPORT_LIFE: Duration = Duration::from_secs(5);
 /// Age up to which a report or a late attempt makes an upstream a suspect; after that it is tried
 /// again.
 const SUSPECT_LIFE: Duration = Duration::from_millis(1500);
 /// Age from which a report's sickness says nothing about a change that all upstreams share.
-const SICKNESS_LIFE: Duration = Duration::from_secs(30);
+const SCORE_LIFE: Duration = Duration::from_secs(30);
 /// Age up to which a report of ejection holds: an ejected upstream that has sent none since is
 /// tried again after it.
 const EJECTION_REPORT_LIFE: Duration = Duration::from_secs(90);
@@ -72,7 +72,7 @@
     /// Whether it is draining, whoever reported it.
     pub draining: bool,
     /// Requests of this ingress that are in flight there.
-    pub own: u32,
+    pub own_in_flight: u32,
     /// Requests in its slots and its queue, by the last report.
     pub load: u32,
     /// Health in the last report.
@@ -80,7 +80,7 @@
     /// When that report arrived.
     pub reported_at: Duration,
     /// When an attempt there last outlasted its hedging delay.
-    pub late_at: Option<Duration>,
+    pub hedge_due_at: Option<Duration>,
 }
 
 impl LoadView {
@@ -92,16 +92,16 @@
             reachable: true,
             proving: false,
             draining: false,
-            own: 0,
+            own_in_flight: 0,
             load: 0,
             health: None,
             reported_at: Duration::ZERO,
-            late_at: None,
+            hedge_due_at: None,
         }
     }
 
     /// Returns the sickness of an upstream that recently reported its ejection, 0 for others.
-    fn ejected_sickness(&self, now: Duration) -> f64 {
+    fn ejected_score(&self, now: Duration) -> f64 {
         let fresh = now.saturating_sub(self.reported_at) < EJECTION_REPORT_LIFE;
         let ejected = self.health.filter(|health| fresh && health.ejected);
         ejected.map_or(0.0, |health| health.sickness.max(1.0))
@@ -118,7 +118,7 @@
         } else {
             ASSUMED_LOAD
         };
-        estimate.max(f64::from(self.own) / slots)
+        estimate.max(f64::from(self.own_in_flight) / slots)
     }
 
     /// Returns how many service rounds are ahead of a new request, by the last report if it is
@@ -165,7 +165,7 @@
     fn is_suspect(&self, terms: &ChoiceTerms) -> bool {
         let ChoiceTerms { now, suspect_threshold: threshold, repeatable } = *terms;
         let silent = self
-            .late_at
+            .hedge_due_at
             .is_some_and(|at| at >= self.reported_at && now.saturating_sub(at) < SUSPECT_LIFE);
         let fresh = now.saturating_sub(self.reported_at) < SUSPECT_LIFE;
         let sick = |health: HealthReport| {
@@ -407,21 +407,21 @@
     /// Records that a request was sent to an upstream.
     pub fn note_sent(&mut self, index: usize) {
         if let Some(view) = self.upstreams.get_mut(index) {
-            view.own += 1;
+            view.own_in_flight += 1;
         }
     }
 
     /// Records that an attempt at an upstream is late.
     pub fn note_late(&mut self, index: usize, now: Duration) {
         if let Some(view) = self.upstreams.get_mut(index) {
-            view.late_at = Some(now);
+            view.hedge_due_at = Some(now);
         }
     }
 
     /// Records that a request to an upstream has ended.
-    pub fn note_over(&mut self, index: usize) {
+    pub fn note_ended(&mut self, index: usize) {
         if let Some(view) = self.upstreams.get_mut(index) {
-            view.own = view.own.saturating_sub(1);
+            view.own_in_flight = view.own_in_flight.saturating_sub(1);
         }
     }
 
@@ -433,7 +433,7 @@
     /// Computes the median sickness with `values` as the buffer.
     fn median_in(&self, now: Duration, values: &mut Vec<f64>) -> f64 {
         values.clear();
-        let recent = |view: &&LoadView| now.saturating_sub(view.reported_at) < SICKNESS_LIFE;
+        let recent = |view: &&LoadView| now.saturating_sub(view.reported_at) < SCORE_LIFE;
         let reported = self.upstreams.iter().filter(recent);
         values.extend(reported.filter_map(|view| view.health.map(|health| health.sickness)));
         if values.is_empty() {
@@ -459,7 +459,7 @@
             .map(|view| CapacityEntry {
                 slots: view.slots,
                 available: view.reachable && !view.draining,
-                sickness: view.ejected_sickness(now),
+                sickness: view.ejected_score(now),
             })
             .collect();
         self.plan = floor::plan(self.floor, &entries);
@@ -484,7 +484,7 @@
             }
         }
         if repeatable && request.is_first_attempt() {
-            if let Some(index) = self.due_doubted_trial(now) {
+            if let Some(index) = self.due_breaker_trial(now) {
                 return Some(self.choice_of(index, ChoiceGround::Trial, now));
             }
         }
@@ -636,7 +636,7 @@
         let view = &self.upstreams[oldest];
         // An upstream that leaves requests unanswered is not silent for want of requests, so it is
         // not worth exploring.
-        let is_old = view.own == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
+        let is_old = view.own_in_flight == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
         let ramps = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
         let fits = self.in_service(oldest) && !ramps && !view.is_suspect(terms);
         (is_old && fits).then_some(oldest)
@@ -645,11 +645,11 @@
     /// Finds a doubted upstream in the failure domain of the ingress whose trial is due: a healthy
     /// one must not wait long for a request that happens to test it, or too few upstreams of a
     /// service would get requests.
-    fn due_doubted_trial(&self, now: Duration) -> Option<usize> {
+    fn due_breaker_trial(&self, now: Duration) -> Option<usize> {
         self.oldest_report(|index, view| {
             let age = now.saturating_sub(view.reported_at);
             let is_due = |health: HealthReport| health.doubtful && age >= health.trial_in;
-            let fits = view.is_local && view.own == 0 && age < DOUBT_REPORT_LIFE;
+            let fits = view.is_local && view.own_in_flight == 0 && age < OPEN_BREAKER_REPORT_LIFE;
             fits && self.in_service(index) && view.health.is_some_and(is_due)
         })
     }
@@ -660,7 +660,9 @@
         }
         self.oldest_report(|index, view| {
             let trial_in = view.health.map_or(Duration::ZERO, |health| health.trial_in);
-            self.plan.avoided[index] && view.own == 0 && now >= view.reported_at + trial_in
+            self.plan.avoided[index]
+                && view.own_in_flight == 0
+                && now >= view.reported_at + trial_in
         })
     }
 
--- a/crates/decide/src/breaker.rs
+++ b/crates/decide/src/breaker.rs
@@ -43,12 +43,12 @@
 /// open.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct FailureBreaker {
-    doubted_at: Option<Duration>,
+    opened_at: Option<Duration>,
     trial_at: Duration,
     hold: Duration,
     successes: u32,
     failures: u32,
-    trusted_at: Duration,
+    closed_at: Duration,
     /// Whether running requests are the only evidence behind the doubt.
     is_hang: bool,
 }
@@ -56,13 +56,13 @@
 impl FailureBreaker {
     /// Says whether the upstream is doubted.
     pub fn is_doubtful(&self) -> bool {
-        self.doubted_at.is_some()
+        self.opened_at.is_some()
     }
 
     /// Returns how long until a repeatable request may be admitted as a trial; zero when the
     /// upstream is not doubted.
     pub fn trial_in(&self, now: Duration) -> Duration {
-        match self.doubted_at {
+        match self.opened_at {
             Some(_) => self.trial_at.saturating_sub(now),
             None => Duration::ZERO,
         }
@@ -70,7 +70,7 @@
 
     /// Says whether a request is admitted, and records it if so.
     pub fn admit(&mut self, repeatable: bool, now: Duration) -> bool {
-        if self.doubted_at.is_none() {
+        if self.opened_at.is_none() {
             return true;
         }
         let due = if repeatable { self.trial_at } else { self.trial_at + ANY_REQUEST_AFTER };
@@ -83,24 +83,24 @@
 
     /// Records that requests run too long; says whether the upstream is doubted from now on.
     pub fn note_hang(&mut self, now: Duration) -> bool {
-        let doubted = self.note_failure(FailureKind::Broken, now);
-        self.is_hang = doubted;
-        doubted
+        let opened = self.note_failure(FailureKind::Broken, now);
+        self.is_hang = opened;
+        opened
     }
 
     /// Withdraws a doubt for which running requests were the only evidence, as they were answered;
     /// returns how long the upstream was doubted.
     pub fn retract(&mut self, now: Duration) -> Option<Duration> {
-        let since = self.doubted_at.filter(|_| self.is_hang)?;
+        let since = self.opened_at.filter(|_| self.is_hang)?;
         self.close(now);
         Some(now.saturating_sub(since))
     }
 
     fn close(&mut self, now: Duration) {
-        self.doubted_at = None;
+        self.opened_at = None;
         self.is_hang = false;
         self.successes = 0;
-        self.trusted_at = now;
+        self.closed_at = now;
     }
 
     /// Records a failure; says whether the upstream is doubted from now on.
@@ -111,15 +111,15 @@
             return false;
         }
         self.is_hang = false;
-        if self.doubted_at.is_some() {
+        if self.opened_at.is_some() {
             self.hold = (self.hold * 2).min(HOLD_MAX);
             self.trial_at = now + self.hold;
             return false;
         }
         let recent =
-            self.hold > Duration::ZERO && now.saturating_sub(self.trusted_at) < FORGET_AFTER;
+            self.hold > Duration::ZERO && now.saturating_sub(self.closed_at) < FORGET_AFTER;
         self.hold = if recent { (self.hold * 2).min(HOLD_MAX) } else { HOLD_MIN };
-        self.doubted_at = Some(now);
+        self.opened_at = Some(now);
         self.trial_at = now + self.hold;
         true
     }
@@ -129,7 +129,7 @@
     /// the upstream's state after it.
     pub fn note_success(&mut self, started: Duration, now: Duration) -> Option<Duration> {
         self.failures = 0;
-        let since = self.doubted_at.filter(|since| started >= *since)?;
+        let since = self.opened_at.filter(|since| started >= *since)?;
         self.successes += 1;
         // The next trial may follow at once.
         self.trial_at = now;
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -61,11 +61,11 @@
 
     /// Says whether the budget allows a retry.
     pub fn has_room(&mut self, now: Duration) -> bool {
-        self.left(now) >= 1.0
+        self.remaining(now) >= 1.0
     }
 
     /// Returns the retries that may be made now.
-    pub fn left(&mut self, now: Duration) -> f64 {
+    pub fn remaining(&mut self, now: Duration) -> f64 {
         self.slot_mut(now);
         let requests: u32 = self.slots.iter().map(|slot| slot.requests).sum();
         let retries: u32 = self.slots.iter().map(|slot| slot.retries).sum();
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -217,10 +217,10 @@
 }
 
 /// Returns the log-likelihood ratio of "sick" against "usual" for one request.
-fn log_ratio(is_true: bool, usual: f64, sick: f64) -> f64 {
+fn log_ratio(is_true: bool, usual: f64, anomalous: f64) -> f64 {
     if is_true {
-        (sick / usual).ln()
+        (anomalous / usual).ln()
     } else {
-        ((1.0 - sick) / (1.0 - usual)).ln()
+        ((1.0 - anomalous) / (1.0 - usual)).ln()
     }
 }
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -48,11 +48,11 @@
         in_service: available.map(|entry| entry.slots).sum(),
         floor: floor_slots(floor, configured),
     };
-    let mut sick: Vec<usize> = (0..entries.len())
+    let mut anomalous: Vec<usize> = (0..entries.len())
         .filter(|index| entries[*index].available && entries[*index].sickness >= 1.0)
         .collect();
-    sick.sort_by(|left, right| entries[*right].sickness.total_cmp(&entries[*left].sickness));
-    for index in sick {
+    anomalous.sort_by(|left, right| entries[*right].sickness.total_cmp(&entries[*left].sickness));
+    for index in anomalous {
         if plan.can_spare(entries[index].slots) {
             plan.avoided[index] = true;
             plan.in_service -= entries[index].slots;
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshConfirmation {
     /// Time for which it holds.
-    pub as_of: Duration,
+    pub valid_at: Duration,
     /// Who confirmed it.
     pub source: ConfirmationSource,
 }
@@ -56,7 +56,8 @@
     /// Records a confirmation. It also holds for any later configuration that comes into force; one
     /// that is older than the known confirmation changes nothing.
     pub fn note_confirmation(&mut self, confirmation: FreshConfirmation) {
-        if !self.outdated && self.confirmation.is_none_or(|known| confirmation.as_of > known.as_of)
+        if !self.outdated
+            && self.confirmation.is_none_or(|known| confirmation.valid_at > known.valid_at)
         {
             self.confirmation = Some(confirmation);
         }
@@ -87,7 +88,7 @@
 
     /// Returns the age of the last confirmation, if there was any.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.confirmation.map(|confirmation| now.saturating_sub(confirmation.as_of))
+        self.confirmation.map(|confirmation| now.saturating_sub(confirmation.valid_at))
     }
 
     /// Says whether a refusal by the configuration would be right.
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -133,15 +133,20 @@
 
     /// Builds the owner of a limit that may have had another owner until `since`, which granted the
     /// whole burst: the bucket fills from then on.
-    pub fn following(rate: f64, burst: f64, since: Duration) -> Self {
+    pub fn with_predecessor(rate: f64, burst: f64, since: Duration) -> Self {
         Self::with_bucket(TokenBucket::empty(rate, burst, since), burst)
     }
 
     /// Builds the owner of a limit after all daemons restarted at `since`, when it is not known
     /// what was granted before: callers come back all at once then, and the tolerated excess spares
     /// those within their usual rate a refusal.
-    pub fn restarted(rate: f64, burst: f64, tolerance: &LimitTolerance, since: Duration) -> Self {
-        let mut owner = Self::following(rate, burst, since);
+    pub fn after_restart(
+        rate: f64,
+        burst: f64,
+        tolerance: &LimitTolerance,
+        since: Duration,
+    ) -> Self {
+        let mut owner = Self::with_predecessor(rate, burst, since);
         owner.bucket.put(tolerance.excess(rate, burst) * RESTART_SHARE, since);
         owner
     }
@@ -170,7 +175,7 @@
         let excess = tolerance.excess(rate, burst);
         self.recount_requesters(now);
         self.burst = burst + excess * BURST_SHARE;
-        let is_short = self.bucket.left(now) < self.burst * RESERVE_BELOW;
+        let is_short = self.bucket.available(now) < self.burst * RESERVE_BELOW;
         let reserved = if is_short { self.silent_share } else { 0.0 };
         self.bucket.set_rate((rate - reserved).max(0.0), self.burst, now);
         self.bucket.pay(request.spent, now);
@@ -178,7 +183,7 @@
         let admitted = granted + request.spent;
         self.admitted.note(admitted, now);
         let ahead_most = excess * AHEAD_SHARE;
-        let has_headroom = self.bucket.left(now) >= self.burst * AHEAD_BURST_MIN;
+        let has_headroom = self.bucket.available(now) >= self.burst * AHEAD_BURST_MIN;
         let requester = self.requesters.entry(request.requester.into()).or_default();
         self.ahead_total -= requester.ahead;
         requester.asked_at = now;
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -23,7 +23,7 @@
 /// 3.9.
 const TAIL_SHARE: f64 = 0.01;
 /// Evidence from which an upstream is doubted.
-const DOUBT_THRESHOLD: f64 = 2.0;
+const HANG_THRESHOLD: f64 = 2.0;
 /// Average evidence of a healthy running request and a little more, which is subtracted: without
 /// it, a healthy upstream with four requests at a time was doubted for a quarter of the time
 /// (`decide/tests/hang.rs`).
@@ -160,7 +160,7 @@
 
     /// Says whether the upstream should be doubted.
     pub fn is_doubtful(&self, now: Duration) -> bool {
-        self.evidence(now) >= DOUBT_THRESHOLD
+        self.evidence(now) >= HANG_THRESHOLD
     }
 
     /// Says whether the evidence no longer suggests a hang.
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -171,7 +171,7 @@
     recovery: RecoveryPlan,
     failures: RateEstimate,
     routes: FnvHashMap<Rc<str>, RouteStats>,
-    sibling_sickness: f64,
+    sibling_score: f64,
     peak_failure_rate: DecayingPeak,
     rising_since: Option<Duration>,
     reason: Option<EvidenceKind>,
@@ -190,7 +190,7 @@
             recovery: RecoveryPlan::new(now, cold),
             failures: RateEstimate::default(),
             routes: FnvHashMap::default(),
-            sibling_sickness: 0.0,
+            sibling_score: 0.0,
             peak_failure_rate: DecayingPeak::default(),
             rising_since: None,
             reason: None,
@@ -265,7 +265,7 @@
             return;
         }
         let mut baseline = terms.baseline;
-        self.sibling_sickness = baseline.sickness;
+        self.sibling_score = baseline.sickness;
         baseline.failure_rate = self.peak_failure_rate.note(baseline.failure_rate, now);
         self.route_mut(terms.route).baseline = baseline;
     }
@@ -385,8 +385,8 @@
     ) -> Option<HealthChange> {
         match failure {
             Some(kind) => {
-                let doubted = self.breaker.note_failure(kind, now);
-                doubted.then_some(HealthChange::BreakerOpened)
+                let opened = self.breaker.note_failure(kind, now);
+                opened.then_some(HealthChange::BreakerOpened)
             }
             None => {
                 let after = self.breaker.note_success(started, now)?;
@@ -468,8 +468,8 @@
         if self.breaker.is_doubtful() || now < self.cold_until || !self.hang.is_doubtful(now) {
             return None;
         }
-        let doubted = self.breaker.note_hang(now);
-        doubted.then_some(HealthChange::BreakerOpened)
+        let opened = self.breaker.note_hang(now);
+        opened.then_some(HealthChange::BreakerOpened)
     }
 
     /// Withdraws a failure, as the request failed at another upstream as well.
@@ -505,7 +505,7 @@
     }
 
     fn stands_out(&self, sickness: f64) -> bool {
-        sickness >= score_bound(self.sibling_sickness)
+        sickness >= score_bound(self.sibling_score)
     }
 
     /// Says whether the upstream is ejected.
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the tokens that are left.
-    pub fn left(&mut self, now: Duration) -> f64 {
+    pub fn available(&mut self, now: Duration) -> f64 {
         self.fill(now);
         self.tokens
     }
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -25,7 +25,7 @@
 /// calls that they make had slots themselves: a deadlock until the timeouts.
 const RESERVED_FOR_CALLS: u32 = 1;
 /// Time for which slots stay reserved after a nested call had to wait.
-pub const KEEP_TIME: Duration = Duration::from_secs(5);
+pub const CALL_RESERVE_TIME: Duration = Duration::from_secs(5);
 
 /// Returns how many of a backend server's slots requests of this kind may fill; `calls_wait` says
 /// whether nested calls recently had to wait there.
@@ -51,7 +51,7 @@
     pub usual: Option<Duration>,
     /// Time in which most such requests end, if known: a request that starts with less time than
     /// this left until its objective misses it as often as not.
-    pub most: Option<Duration>,
+    pub needed_time: Option<Duration>,
 }
 
 impl QueuedRequest {
@@ -62,8 +62,8 @@
 
     /// Says whether a request that starts at `start` usually meets its objective.
     pub fn meets_objective(&self, start: Duration) -> bool {
-        match (self.objective, self.most) {
-            (Some(objective), Some(most)) => start + most <= objective,
+        match (self.objective, self.needed_time) {
+            (Some(objective), Some(needed_time)) => start + needed_time <= objective,
             _ => true,
         }
     }
@@ -75,13 +75,13 @@
 }
 
 /// Returns the position of the request that gets a slot now, among requests in the order of their
-/// arrival. `turn` counts the slots that were given to requests that had waited.
+/// arrival. `grant_count` counts the slots that were given to requests that had waited.
 pub fn first(
     waiting: impl Iterator<Item = QueuedRequest>,
-    turn: u32,
+    grant_count: u32,
     now: Duration,
 ) -> Option<usize> {
-    let goes_by_age = turn % LONGEST_EVERY == LONGEST_EVERY - 1;
+    let goes_by_age = grant_count % LONGEST_EVERY == LONGEST_EVERY - 1;
     let ranks = waiting.enumerate().map(|(index, request)| {
         let in_time = request.meets_objective(now);
         let urgency = if goes_by_age { None } else { Some(request.urgency()) };
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -38,7 +38,7 @@
 /// `PathHealth` is the health of the path to one peer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PathHealth {
-    heard_at: Duration,
+    received_at: Duration,
     probed_at: Option<Duration>,
     answers: u32,
     answers_needed: u32,
@@ -54,7 +54,7 @@
     /// Builds the health of a path that was just opened.
     pub fn new(now: Duration) -> Self {
         Self {
-            heard_at: now,
+            received_at: now,
             probed_at: None,
             answers: 0,
             answers_needed: 0,
@@ -67,7 +67,7 @@
 
     /// Says whether the peer should be probed, and records the probe if so.
     pub fn probe(&mut self, now: Duration, in_use: bool) -> bool {
-        let silent = now.saturating_sub(self.heard_at) >= PROBE_AFTER;
+        let silent = now.saturating_sub(self.received_at) >= PROBE_AFTER;
         let wanted = self.was_cut || ((in_use || self.was_late) && silent);
         if wanted && self.probed_at.is_none() {
             self.probed_at = Some(now);
@@ -84,10 +84,10 @@
     }
 
     /// Records that a frame arrived from the peer.
-    pub fn note_heard(&mut self, now: Duration) {
+    pub fn note_frame(&mut self, now: Duration) {
         self.refresh(now);
         self.was_late = false;
-        self.heard_at = now;
+        self.received_at = now;
         self.probed_at = None;
     }
 
@@ -108,7 +108,7 @@
         if let Some(probed_at) = self.probed_at {
             self.note_round_trip(now.saturating_sub(probed_at));
         }
-        self.note_heard(now);
+        self.note_frame(now);
         if !self.was_cut {
             return;
         }
@@ -164,7 +164,7 @@
 
     /// Returns the time since the last frame from the peer.
     pub fn silent_for(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.heard_at)
+        now.saturating_sub(self.received_at)
     }
 
     /// Returns the state of the path at `now`.
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -102,7 +102,7 @@
 
 /// Says whether to probe before a request is sent over a path, with `left` as the request's
 /// remaining time.
-pub fn is_worth(
+pub fn is_worthwhile(
     report_age: Option<Duration>,
     round_trip: Option<Duration>,
     left: Duration,
--- a/crates/decide/src/server_incarnation.rs
+++ b/crates/decide/src/server_incarnation.rs
@@ -36,9 +36,9 @@
     /// It is from an incarnation that replaces the current one.
     Replaces,
     /// It is from an earlier incarnation, or may be.
-    Late,
+    Outdated,
     /// It reports no start time, although others of the server did.
-    Unnamed,
+    NoStartTime,
 }
 
 /// `OlderIncarnation` is an incarnation that claims to be older than the current one, and of which
@@ -68,7 +68,7 @@
     pub fn judge(&mut self, claim: IncarnationClaim, now: Duration) -> IncarnationVerdict {
         let (current, born) = match (self.current, claim.born) {
             (None, None) => return IncarnationVerdict::Current,
-            (Some(_), None) => return IncarnationVerdict::Unnamed,
+            (Some(_), None) => return IncarnationVerdict::NoStartTime,
             (None, Some(born)) => return self.replace(born),
             (Some(current), Some(born)) => (current, born),
         };
@@ -77,17 +77,17 @@
             return IncarnationVerdict::Current;
         }
         if self.earlier.contains(&born) {
-            return IncarnationVerdict::Late;
+            return IncarnationVerdict::Outdated;
         }
         if born > current || self.has_taken_over(born, claim.sequence, now) {
             return self.replace(born);
         }
-        IncarnationVerdict::Late
+        IncarnationVerdict::Outdated
     }
 
     /// Records that an incarnation has ended. The next heartbeat is of another one, whatever its
     /// start time.
-    pub fn note_over(&mut self, born: u64) {
+    pub fn note_ended(&mut self, born: u64) {
         if self.current == Some(born) {
             self.current = None;
         }
@@ -96,7 +96,7 @@
 
     fn replace(&mut self, born: u64) -> IncarnationVerdict {
         if self.earlier.contains(&born) {
-            return IncarnationVerdict::Late;
+            return IncarnationVerdict::Outdated;
         }
         if let Some(before) = self.current.replace(born) {
             self.note_earlier(before);
--- a/crates/decide/tests/floor.rs
+++ b/crates/decide/tests/floor.rs
@@ -50,12 +50,12 @@
 
 #[test]
 fn verify_upstreams_that_are_down_count_against_the_floor() {
-    let sick = CapacityEntry { slots: 4, available: true, sickness: 2.0 };
-    let down = CapacityEntry { available: false, ..sick };
-    let healthy = CapacityEntry { sickness: 0.0, ..sick };
-    let plan = floor::plan(0.5, &[sick, down, down, healthy]);
+    let anomalous = CapacityEntry { slots: 4, available: true, sickness: 2.0 };
+    let down = CapacityEntry { available: false, ..anomalous };
+    let healthy = CapacityEntry { sickness: 0.0, ..anomalous };
+    let plan = floor::plan(0.5, &[anomalous, down, down, healthy]);
     assert_eq!(plan.avoided, [false; 4], "half is left, and half is the floor");
-    let plan = floor::plan(0.5, &[sick, down, healthy, healthy]);
+    let plan = floor::plan(0.5, &[anomalous, down, healthy, healthy]);
     assert_eq!(plan.avoided, [true, false, false, false]);
 }
 
@@ -178,7 +178,7 @@
 /// Builds the view under a changed configuration; upstreams that stay keep their state.
 fn configured(old: &ServiceView, floor: f64, slots: &[u32]) -> ServiceView {
     let views = slots.iter().enumerate().map(|(index, slots)| match old.upstreams().get(index) {
-        Some(known) => LoadView { slots: *slots, own: 0, ..*known },
+        Some(known) => LoadView { slots: *slots, own_in_flight: 0, ..*known },
         None => LoadView::new(*slots, true),
     });
     ServiceView::new(floor, views.collect())
--- a/crates/decide/tests/freshness.rs
+++ b/crates/decide/tests/freshness.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 
 fn confirmation(millis: u64) -> FreshConfirmation {
-    FreshConfirmation { as_of: Duration::from_millis(millis), source: ConfirmationSource::Store }
+    FreshConfirmation { valid_at: Duration::from_millis(millis), source: ConfirmationSource::Store }
 }
 
 #[test]
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -204,7 +204,7 @@
         now: Duration,
     ) -> Self {
         let (rate, burst) = (simulation.rate, simulation.burst);
-        let backup = LimitOwner::following(rate, burst, now);
+        let backup = LimitOwner::with_predecessor(rate, burst, now);
         Self { backup, limiters, rate, burst, daemons, admitted: Vec::new(), refused: 0 }
     }
 
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -83,7 +83,7 @@
         shares[choice.index] += 1;
         view.note_sent(choice.index);
         if answers(choice.index) {
-            view.note_over(choice.index);
+            view.note_ended(choice.index);
             view.note_report(choice.index, 0, healthy(20.0), now);
         }
     }
@@ -271,7 +271,7 @@
     assert_eq!(path.state(PROBE_AFTER + SILENCE_MAX), PathState::Up);
     let late = PROBE_AFTER + SILENCE_MAX + millis(1);
     assert_eq!(path.state(late), PathState::Cut);
-    path.note_heard(late + millis(10));
+    path.note_frame(late + millis(10));
     assert_eq!(path.state(late + millis(10)), PathState::Proving, "a delayed frame is not enough");
     path.note_answer(late + millis(20));
     assert_eq!(path.state(late + millis(20)), PathState::Up);
@@ -496,7 +496,7 @@
     assert!(!path.probe(millis(400), false), "an idle path is not probed");
     path.note_late();
     assert!(path.probe(millis(400), false));
-    path.note_heard(millis(410));
+    path.note_frame(millis(410));
     assert!(!path.probe(millis(900), false), "a frame has arrived since");
 }
 
--- a/crates/decide/tests/look.rs
+++ b/crates/decide/tests/look.rs
@@ -42,10 +42,13 @@
 fn verify_a_probe_is_worth_a_round_trip_that_is_short_for_the_time_left() {
     let left = Duration::from_millis(150);
     let old = Some(Duration::from_secs(1));
-    assert!(probing::is_worth(old, Some(Duration::from_millis(1)), left));
-    assert!(probing::is_worth(None, None, left), "nothing is known");
-    assert!(!probing::is_worth(old, Some(Duration::from_millis(40)), left), "a long round trip");
-    assert!(!probing::is_worth(Some(FRESH_FOR / 2), Some(Duration::from_millis(1)), left));
+    assert!(probing::is_worthwhile(old, Some(Duration::from_millis(1)), left));
+    assert!(probing::is_worthwhile(None, None, left), "nothing is known");
+    assert!(
+        !probing::is_worthwhile(old, Some(Duration::from_millis(40)), left),
+        "a long round trip"
+    );
+    assert!(!probing::is_worthwhile(Some(FRESH_FOR / 2), Some(Duration::from_millis(1)), left));
 }
 
 #[test]
--- a/crates/decide/tests/order.rs
+++ b/crates/decide/tests/order.rs
@@ -19,7 +19,7 @@
         deadline: arrived_at + DEADLINE,
         objective: Some(arrived_at + OBJECTIVE),
         usual: Some(USUAL),
-        most: Some(USUAL),
+        needed_time: Some(USUAL),
     }
 }
 
@@ -128,11 +128,11 @@
 fn verify_a_service_that_calls_itself_does_not_deadlock() {
     // A request and its nested call take 0.3 s each: 8 slots, 60 s, half of the time for nested
     // calls.
-    let most = 8.0 * 60.0 / 0.6;
+    let needed_time = 8.0 * 60.0 / 0.6;
     let kept = completed_with_calls(true) as f64;
-    assert!(kept > most / 3.0, "{kept} of {most}");
+    assert!(kept > needed_time / 3.0, "{kept} of {needed_time}");
     assert!(
-        (completed_with_calls(false) as f64) < 0.1 * most,
+        (completed_with_calls(false) as f64) < 0.1 * needed_time,
         "without kept slots the simulation deadlocks"
     );
 }
--- a/crates/decide/tests/progress.rs
+++ b/crates/decide/tests/progress.rs
@@ -18,7 +18,11 @@
 const USUAL: Duration = Duration::from_millis(500);
 
 fn terms(running: u32, quiet_ms: Option<u64>) -> ProgressTerms {
-    ProgressTerms { running, quiet: quiet_ms.map(Duration::from_millis), usual: Some(USUAL) }
+    ProgressTerms {
+        running,
+        since_success: quiet_ms.map(Duration::from_millis),
+        usual: Some(USUAL),
+    }
 }
 
 #[test_case(terms(0, None), false ; "nothing runs and nothing is known: one request finds out")]
@@ -61,8 +65,9 @@
         if !rng.random_bool(8.0 * STEP.as_secs_f64()) {
             continue;
         }
-        let quiet = last_completion.map(|at| now.saturating_sub(at));
-        let terms = ProgressTerms { running: running.len() as u32, quiet, usual: Some(USUAL) };
+        let since_success = last_completion.map(|at| now.saturating_sub(at));
+        let terms =
+            ProgressTerms { running: running.len() as u32, since_success, usual: Some(USUAL) };
         if running.len() == 8 || checks_progress && terms.is_unproven() {
             simulation.declined += 1;
             continue;
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -83,14 +83,14 @@
     limit: Cell<u32>,
     waiting: RefCell<Vec<Rc<QueueWaiter>>>,
     /// Number of slots that were given to waiting requests.
-    turn: Cell<u32>,
+    grant_count: Cell<u32>,
 }
 
 /// `SlotRequest` asks for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotRequest {
     /// Properties that decide the order of waiting requests.
-    pub work: QueuedRequest,
+    pub scheduling: QueuedRequest,
     /// Whether the ingress can send the request elsewhere without taking the service below its
     /// capacity floor.
     pub refusable: bool,
@@ -113,7 +113,7 @@
             completed_at: Cell::new(None),
             limit: Cell::new(limit),
             waiting: RefCell::default(),
-            turn: Cell::new(0),
+            grant_count: Cell::new(0),
         }
     }
 
@@ -135,17 +135,18 @@
     fn lacks_recent_progress(&self, request: &SlotRequest, now: Duration) -> bool {
         let terms = ProgressTerms {
             running: self.used.get() + self.offered.get(),
-            quiet: self.completed_at.get().map(|at| now.saturating_sub(at)),
-            usual: request.work.usual,
+            since_success: self.completed_at.get().map(|at| now.saturating_sub(at)),
+            usual: request.scheduling.usual,
         };
         request.needs_recent_progress && terms.is_unproven()
     }
 
     /// Says whether a request may get a slot, or a reservation be offered one, now.
     fn may_start(&self, kind: WaitKind, request: &SlotRequest, now: Duration) -> bool {
-        let queued = &request.work;
+        let queued = &request.scheduling;
         let queued_at = self.call_queued_at.get();
-        let calls_wait = queued_at.is_some_and(|at| now.saturating_sub(at) < order::KEEP_TIME);
+        let calls_wait =
+            queued_at.is_some_and(|at| now.saturating_sub(at) < order::CALL_RESERVE_TIME);
         let open = order::open_slots(self.slots.get(), queued.is_call, calls_wait);
         let taken = self.used.get() + self.offered.get();
         match kind {
@@ -185,7 +186,7 @@
         let mut queued_requests = waiting.iter().filter(|waiter| waiter.kind == WaitKind::Queued);
         self.used.get() < self.slots.get()
             || queued_requests.clone().count() < self.limit.get() as usize
-            || queued_requests.any(|waiter| waiter.request.work.class < class)
+            || queued_requests.any(|waiter| waiter.request.scheduling.class < class)
     }
 
     /// Acquires a slot, waiting for one if the queue has room.
@@ -263,10 +264,10 @@
     /// Returns how long a request may wait. The holder of a reservation releases it by itself when
     /// it goes elsewhere.
     fn longest_wait(&self, kind: WaitKind, request: &SlotRequest) -> Duration {
-        let left = request.work.deadline.saturating_sub(self.clock.now());
+        let left = request.scheduling.deadline.saturating_sub(self.clock.now());
         match kind {
             WaitKind::Queued => left.mul_f64(WAIT_SHARE_MAX),
-            _ => left.saturating_sub(request.work.usual.unwrap_or_default()),
+            _ => left.saturating_sub(request.scheduling.usual.unwrap_or_default()),
         }
     }
 
@@ -277,7 +278,7 @@
         request: &SlotRequest,
         now: Duration,
     ) -> Result<(), NotRunReason> {
-        let queued = &request.work;
+        let queued = &request.scheduling;
         if queued.deadline <= now {
             return Err(NotRunReason::DeadlinePassed);
         }
@@ -287,7 +288,7 @@
         };
         let waiting = self.waiting.borrow();
         let is_ahead =
-            |waiter: &&Rc<QueueWaiter>| waiter.request.work.urgency() >= queued.urgency();
+            |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.urgency() >= queued.urgency();
         let ahead = weight_of(waiting.iter().filter(is_ahead));
         let start = order::start_after(ahead, self.slots.get(), usual, now);
         if start > queued.deadline {
@@ -321,17 +322,17 @@
                 .enumerate()
                 .rev()
                 .filter(|(_, waiter)| is_same_kind(waiter))
-                .min_by_key(|(_, waiter)| waiter.request.work.class)
-                .map(|(index, waiter)| (index, waiter.request.work.class));
+                .min_by_key(|(_, waiter)| waiter.request.scheduling.class)
+                .map(|(index, waiter)| (index, waiter.request.scheduling.class));
             match lowest {
-                Some((index, class)) if class < request.work.class => {
+                Some((index, class)) if class < request.scheduling.class => {
                     let evicted = waiting.remove(index);
                     evicted.resolve(WaitState::Refused(NotRunReason::QueueFull));
                 }
                 _ => return Err(NotRunReason::QueueFull),
             }
         }
-        if request.work.is_call {
+        if request.scheduling.is_call {
             self.call_queued_at.set(Some(self.clock.now()));
         }
         let waiter = Rc::new(QueueWaiter {
@@ -370,7 +371,7 @@
     /// all reservations, whose holders lose nothing by going elsewhere.
     pub fn refuse_late(&self, is_late: impl Fn(Duration) -> bool) {
         let is_refused = |waiter: &QueueWaiter| {
-            waiter.kind == WaitKind::Reservation || is_late(waiter.request.work.deadline)
+            waiter.kind == WaitKind::Reservation || is_late(waiter.request.scheduling.deadline)
         };
         self.refuse_where(NotRunReason::Draining, is_refused);
     }
@@ -378,7 +379,7 @@
     /// Refuses all waiting requests that can no longer complete by their deadline.
     pub fn refuse_expired(&self) {
         let now = self.clock.now();
-        let is_refused = |waiter: &QueueWaiter| !waiter.request.work.meets_deadline(now);
+        let is_refused = |waiter: &QueueWaiter| !waiter.request.scheduling.meets_deadline(now);
         self.refuse_where(NotRunReason::DeadlinePassed, is_refused);
     }
 
@@ -433,13 +434,14 @@
             }
         }
         // Without reservations only the class and then the order of arrival decide.
-        let turn = match waiting.iter().any(|waiter| waiter.kind == WaitKind::Reservation) {
-            true => self.turn.replace(self.turn.get().wrapping_add(1)),
+        let grant_count = match waiting.iter().any(|waiter| waiter.kind == WaitKind::Reservation) {
+            true => self.grant_count.replace(self.grant_count.get().wrapping_add(1)),
             false => 0,
         };
         let next = waiting.iter().enumerate().filter(|(_, each)| self.may_be_next(each, now));
         let positions: Vec<usize> = next.clone().map(|(position, _)| position).collect();
-        let first = order::first(next.map(|(_, waiter)| waiter.request.work), turn, now)?;
+        let first =
+            order::first(next.map(|(_, waiter)| waiter.request.scheduling), grant_count, now)?;
         Some(waiting.remove(positions[first]))
     }
 
@@ -453,11 +455,12 @@
 /// reservations of requests that miss their objective and would wait too long behind those that
 /// meet it.
 fn refuse_unservable(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
-    let meets_objective = |waiter: &&Rc<QueueWaiter>| waiter.request.work.meets_objective(now);
+    let meets_objective =
+        |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.meets_objective(now);
     let in_time = weight_of(waiting.iter().filter(meets_objective));
     let accepts_late = order::accepts_late(in_time, slots);
     waiting.retain(|waiter| {
-        let queued = &waiter.request.work;
+        let queued = &waiter.request.scheduling;
         let expired = !queued.meets_deadline(now);
         let is_kept = match waiter.kind {
             WaitKind::Queued => in_time == 0.0,
--- a/crates/waiting/tests/slots.rs
+++ b/crates/waiting/tests/slots.rs
@@ -59,15 +59,15 @@
 
     fn request(&self, class: WorkClass, within_ms: u64) -> SlotRequest {
         let now = self.clock.now();
-        let work = QueuedRequest {
+        let scheduling = QueuedRequest {
             class,
             is_call: false,
             deadline: now + Duration::from_secs(60),
             objective: Some(now + Duration::from_millis(within_ms)),
             usual: Some(USUAL),
-            most: Some(USUAL),
+            needed_time: Some(USUAL),
         };
-        SlotRequest { work, refusable: false, passable: false, needs_recent_progress: false }
+        SlotRequest { scheduling, refusable: false, passable: false, needs_recent_progress: false }
     }
 
     fn outcome_of(&self, name: &str) -> Option<Result<(), NotRunReason>> {
@@ -150,7 +150,7 @@
         let now = queue.clock.now();
         let deadline = now + Duration::from_millis(50);
         let mut request = queue.request(WorkClass::Normal, 60_000);
-        request.work.deadline = deadline;
+        request.scheduling.deadline = deadline;
         queue.acquire_as("too late", request).await;
         assert_eq!(queue.outcome_of("too late"), Some(Err(NotRunReason::DeadlinePassed)));
     });
@@ -165,7 +165,8 @@
         }
         let deadline = queue.clock.now() + Duration::from_secs(2);
         let mut request = queue.request(WorkClass::Normal, 60_000);
-        request.work = QueuedRequest { deadline, usual: None, most: None, ..request.work };
+        request.scheduling =
+            QueuedRequest { deadline, usual: None, needed_time: None, ..request.scheduling };
         queue.acquire_as("waits", request).await;
         while queue.outcome_of("waits").is_none() {
             assert!(queue.clock.now() < deadline, "the request waited until its deadline");
