--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -10,7 +10,7 @@
 use crate::decisions::faults::{self, JobEnd};
 use crate::decisions::rules;
 use crate::decisions::scenario;
-use crate::decisions::world::{World, SICK};
+use crate::decisions::world::{World, FAULTY};
 
 /// Multiple of the median service time above which a response is slow to its caller.
 const SLOW_ANSWER: u32 = 8;
@@ -60,7 +60,7 @@
     pub(super) fn probe(&mut self) {
         let fraction = 1.0 / self.ingresses.len() as f64;
         for index in 0..self.upstreams.len() {
-            let good = faults::endpoint_is_good(&self.plan, self.now, index, SICK);
+            let good = faults::endpoint_is_good(&self.plan, self.now, index, FAULTY);
             for ingress in 0..self.ingresses.len() {
                 if self.ingresses[ingress].rule.note_probe(index, good, self.now) {
                     self.note_ejection(index, fraction);
@@ -111,7 +111,7 @@
         let was_slow = request.slow_attempts.len() < before;
         let is_good = matches!(answer, Answer::Done { end: JobEnd::Good, .. });
         if was_slow {
-            self.ingresses[request.ingress].view.note_over(sent.upstream);
+            self.ingresses[request.ingress].view.note_ended(sent.upstream);
         }
         if was_slow && is_good && !request.finished {
             self.cancel_current(sent.request);
@@ -128,7 +128,7 @@
 
     fn cancel_from_ingress(&mut self, sent: Dispatch) {
         let ingress = &mut self.ingresses[self.requests[sent.request].ingress];
-        ingress.view.note_over(sent.upstream);
+        ingress.view.note_ended(sent.upstream);
         let delay = actors::delay_between(&self.plan, ingress.domain, sent.upstream);
         self.schedule(delay, Event::Cancel { sent });
     }
@@ -140,7 +140,7 @@
         let (number, index) = (sent.request, sent.upstream);
         let request = self.requests[number].clone();
         let ingress = &mut self.ingresses[request.ingress];
-        ingress.view.note_over(index);
+        ingress.view.note_ended(index);
         let (load, health) = match answer {
             Answer::Done { load, health, .. } | Answer::Refused { load, health } => (load, health),
         };
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -207,9 +207,9 @@
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
-        let is_ejected_or_doubted = upstream.health.borrow().is_ejected_or_doubted();
-        let was_out = self.with_view(|view| view.is_ejected_or_doubted(index));
-        if is_ejected_or_doubted || was_out {
+        let is_ejected_or_breaker_open = upstream.health.borrow().is_ejected_or_breaker_open();
+        let was_out = self.with_view(|view| view.is_ejected_or_breaker_open(index));
+        if is_ejected_or_breaker_open || was_out {
             let report = upstream.report(state, route, None);
             self.note_report(index, route, &report, None, state.now());
         }
@@ -314,7 +314,7 @@
             Some(baseline) => baseline.current(),
             None => return ServiceBaseline::default(),
         };
-        baseline.sickness = self.view.borrow().sickness_median(now);
+        baseline.sickness = self.view.borrow().median_score(now);
         self.recent.borrow().adjust(index as u32, &mut baseline, now);
         baseline
     }
@@ -373,7 +373,7 @@
 
     /// Returns the number of retries left in the budget.
     pub fn retries_left(&self, now: Duration) -> f64 {
-        self.budget.borrow_mut().left(now)
+        self.budget.borrow_mut().remaining(now)
     }
 
     /// Takes a retry from the budget, and says whether there was one.
@@ -487,7 +487,9 @@
     let index = known.entry.upstreams.iter().position(|upstream| &*upstream.name == name);
     let view = known.view.borrow();
     match index.and_then(|index| view.upstreams().get(index)) {
-        Some(old) => LoadView { slots: fresh.slots, is_local: fresh.is_local, own: 0, ..*old },
+        Some(old) => {
+            LoadView { slots: fresh.slots, is_local: fresh.is_local, own_in_flight: 0, ..*old }
+        }
         None => fresh,
     }
 }
@@ -500,6 +502,6 @@
 
 impl Drop for SentGuard {
     fn drop(&mut self) {
-        self.service.view.borrow_mut().note_over(self.index);
+        self.service.view.borrow_mut().note_ended(self.index);
     }
 }
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -74,14 +74,14 @@
     }
 }
 
-/// `SicknessDetector` keeps the sums of one upstream.
+/// `AnomalyDetector` keeps the sums of one upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SicknessDetector {
+pub struct AnomalyDetector {
     sums: [f64; EVIDENCE_KINDS.len()],
     threshold: f64,
 }
 
-impl SicknessDetector {
+impl AnomalyDetector {
     /// Builds a detector that a healthy upstream triggers once in `exp(threshold)` requests.
     pub fn new(threshold: f64) -> Self {
         Self { sums: [0.0; EVIDENCE_KINDS.len()], threshold }
@@ -217,10 +217,10 @@
 }
 
 /// Returns the log-likelihood ratio of "sick" against "usual" for one request.
-fn log_ratio(is_true: bool, usual: f64, sick: f64) -> f64 {
+fn log_ratio(is_true: bool, usual: f64, anomalous: f64) -> f64 {
     if is_true {
-        (sick / usual).ln()
+        (anomalous / usual).ln()
     } else {
-        ((1.0 - sick) / (1.0 - usual)).ln()
+        ((1.0 - anomalous) / (1.0 - usual)).ln()
     }
 }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -10,7 +10,7 @@
 use fnv::FnvHashMap;
 
 use crate::breaker::{FailureBreaker, FailureKind};
-use crate::detector::{EvidenceKind, SicknessDetector};
+use crate::detector::{AnomalyDetector, EvidenceKind};
 use crate::estimates::{DecayingPeak, LatencyEstimate, RateEstimate};
 use crate::evidence::{self, RequestEvidence, ServiceBaseline, OVERDUE_DEVIATIONS};
 use crate::hang::{HangDetector, UsualTime};
@@ -51,7 +51,7 @@
 }
 
 /// Returns the sickness from which an upstream stands out from siblings with this median sickness.
-pub fn sickness_bound(siblings: f64) -> f64 {
+pub fn score_bound(siblings: f64) -> f64 {
     1.0 + SIBLING_WEIGHT * siblings
 }
 
@@ -145,9 +145,9 @@
         out: Duration,
     },
     /// The upstream is doubted after a failure or a hang.
-    Doubted,
+    BreakerOpened,
     /// The upstream is no longer doubted.
-    Trusted {
+    BreakerClosed {
         /// How long it was doubted.
         after: Duration,
     },
@@ -167,11 +167,11 @@
 /// `UpstreamHealth` is the health of one upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamHealth {
-    detector: SicknessDetector,
+    detector: AnomalyDetector,
     recovery: RecoveryPlan,
     failures: RateEstimate,
     routes: FnvHashMap<Rc<str>, RouteStats>,
-    sibling_sickness: f64,
+    sibling_score: f64,
     peak_failure_rate: DecayingPeak,
     rising_since: Option<Duration>,
     reason: Option<EvidenceKind>,
@@ -186,11 +186,11 @@
     /// Builds the health of an upstream from `now` on; the load of a `cold` one rises slowly.
     pub fn new(prefer: EjectionPreference, now: Duration, cold: bool) -> Self {
         Self {
-            detector: SicknessDetector::new(threshold_of(prefer)),
+            detector: AnomalyDetector::new(threshold_of(prefer)),
             recovery: RecoveryPlan::new(now, cold),
             failures: RateEstimate::default(),
             routes: FnvHashMap::default(),
-            sibling_sickness: 0.0,
+            sibling_score: 0.0,
             peak_failure_rate: DecayingPeak::default(),
             rising_since: None,
             reason: None,
@@ -226,7 +226,7 @@
     }
 
     /// Says whether the upstream is ejected or doubted.
-    pub fn is_ejected_or_doubted(&self) -> bool {
+    pub fn is_ejected_or_breaker_open(&self) -> bool {
         self.is_doubtful() || self.recovery.is_ejected()
     }
 
@@ -265,7 +265,7 @@
             return;
         }
         let mut baseline = terms.baseline;
-        self.sibling_sickness = baseline.sickness;
+        self.sibling_score = baseline.sickness;
         baseline.failure_rate = self.peak_failure_rate.note(baseline.failure_rate, now);
         self.route_mut(terms.route).baseline = baseline;
     }
@@ -385,13 +385,13 @@
     ) -> Option<HealthChange> {
         match failure {
             Some(kind) => {
-                let doubted = self.breaker.note_failure(kind, now);
-                doubted.then_some(HealthChange::Doubted)
+                let opened = self.breaker.note_failure(kind, now);
+                opened.then_some(HealthChange::BreakerOpened)
             }
             None => {
                 let after = self.breaker.note_success(started, now)?;
                 self.hang.forget();
-                Some(HealthChange::Trusted { after })
+                Some(HealthChange::BreakerClosed { after })
             }
         }
     }
@@ -448,7 +448,7 @@
         if end == WatchEnd::Progressed {
             // The slow requests that caused the doubt were answered.
             let after = self.hang.is_over(now).then(|| self.breaker.retract(now)).flatten()?;
-            return Some(HealthChange::Trusted { after });
+            return Some(HealthChange::BreakerClosed { after });
         }
         if evidence > 0.0 {
             // The trial request hung as well.
@@ -468,8 +468,8 @@
         if self.breaker.is_doubtful() || now < self.cold_until || !self.hang.is_doubtful(now) {
             return None;
         }
-        let doubted = self.breaker.note_hang(now);
-        doubted.then_some(HealthChange::Doubted)
+        let opened = self.breaker.note_hang(now);
+        opened.then_some(HealthChange::BreakerOpened)
     }
 
     /// Withdraws a failure, as the request failed at another upstream as well.
@@ -505,7 +505,7 @@
     }
 
     fn stands_out(&self, sickness: f64) -> bool {
-        sickness >= sickness_bound(self.sibling_sickness)
+        sickness >= score_bound(self.sibling_score)
     }
 
     /// Says whether the upstream is ejected.
