--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -118,7 +118,7 @@
         Err(error) => return problem(StatusCode::NOT_FOUND, error),
     };
     match request.head.method.as_str() {
-        "GET" => read::one(state, kind, name),
+        "GET" => read::read_one(state, kind, name),
         "PUT" => changes::put(state, request, kind, name).await,
         "DELETE" => changes::delete(state, request, kind, name).await,
         _ => method_not_allowed("GET, PUT, DELETE"),
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -44,7 +44,7 @@
 }
 
 /// Reads one resource.
-pub fn one(state: &Rc<DaemonState>, kind: ResourceKind, name: &str) -> ServerReply {
+pub fn read_one(state: &Rc<DaemonState>, kind: ResourceKind, name: &str) -> ServerReply {
     with_resources(state, |fleet| match fleet.get(kind, name) {
         Some(stored) => {
             let reply = ServerReply::json(StatusCode::OK, &stored.value.to_json());
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -109,7 +109,7 @@
                 return attempts.end_with(stream, &mut slow, fallback, failure).await;
             }
         };
-        let choice = match waiting::unless_gone(stream, attempts.probe(choice)).await {
+        let choice = match waiting::unless_caller_gone(stream, attempts.probe(choice)).await {
             Some(Some(choice)) => choice,
             // None of the probed upstreams would accept the request.
             Some(None) => continue,
@@ -147,9 +147,9 @@
                 return AttemptEnd::CallerGone;
             }
         };
-        let left = attempts.left();
+        let time_left = attempts.time_left();
         let first =
-            waiting::first_event(state, request, left, stream, body, &live, &mut slow).await;
+            waiting::first_event(state, request, time_left, stream, body, &live, &mut slow).await;
         match first {
             FirstEvent::CallerGone => {
                 attempts.log_end(&start, StepEnd::CallerGone, None, NextStep::End);
@@ -292,8 +292,8 @@
         failure: CallerFailure,
     ) -> AttemptEnd {
         if !slow.is_empty() {
-            let (left, outcome) = (self.left(), failure.outcome);
-            match waiting::last_event(self.state, left, stream, slow, outcome).await {
+            let (time_left, outcome) = (self.time_left(), failure.outcome);
+            match waiting::last_event(self.state, time_left, stream, slow, outcome).await {
                 FirstEvent::SlowAnswer(attempt, head) => return self.end_slow(attempt, head),
                 FirstEvent::CallerGone => return AttemptEnd::CallerGone,
                 _ => {}
@@ -329,7 +329,7 @@
     }
 
     /// Returns the time left until the deadline of the request.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.request.deadline.saturating_sub(self.state.now())
     }
 
@@ -350,7 +350,7 @@
         if !self.may_dispatch() {
             return Err(CallerFailure::not_run(NotRunReason::Draining));
         }
-        if self.left().is_zero() && self.dispatches == 0 {
+        if self.time_left().is_zero() && self.dispatches == 0 {
             return Err(CallerFailure::not_run(NotRunReason::DeadlinePassed));
         }
         self.refuse_revoked_key()?;
@@ -405,9 +405,9 @@
     fn is_probe_useful(&self, choice: &UpstreamChoice) -> bool {
         let is_open_choice = matches!(choice.ground, ChoiceGround::Near | ChoiceGround::Sound);
         let path = self.request.service.path(choice.index);
-        let left = Some(self.objective_left()).filter(|left| !left.is_zero());
-        let left = left.unwrap_or_else(|| self.left());
-        let is_worth = probing::is_worth(choice.report_age, path.round_trip(), left);
+        let time_left = Some(self.objective_left()).filter(|time_left| !time_left.is_zero());
+        let time_left = time_left.unwrap_or_else(|| self.time_left());
+        let is_worth = probing::is_worth(choice.report_age, path.round_trip(), time_left);
         is_open_choice && !path.is_self && is_worth && self.request.service.should_probe()
     }
 
@@ -474,7 +474,7 @@
                 | NotRunReason::LedgerUnavailable
                 | NotRunReason::CrashesServers
         );
-        let may = !would_recur && self.dispatches < DISPATCHES_MAX && !self.left().is_zero();
+        let may = !would_recur && self.dispatches < DISPATCHES_MAX && !self.time_left().is_zero();
         // Shedding a request costs a backend server processing time, so sending the request
         // elsewhere counts as a retry.
         let is_free = reason != NotRunReason::Shed;
@@ -502,7 +502,7 @@
         let offer_was_void = is_down && self.state.live().waiting == WaitingMode::Reservations;
         let declined = reasons.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason));
         let declined = declined || offer_was_void;
-        if !declined || !self.is_passable() || self.left().is_zero() {
+        if !declined || !self.is_passable() || self.time_left().is_zero() {
             return false;
         }
         self.dispatches -= 1;
@@ -552,7 +552,7 @@
         self.is_repeatable()
             && body.is_done()
             && self.dispatches < DISPATCHES_MAX
-            && !self.left().is_zero()
+            && !self.time_left().is_zero()
             && self.has_server_attempts_left()
             && !self.fails_everywhere()
             && self.request.tally(self.state).is_none_or(CrashTally::allows_retry)
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -80,7 +80,7 @@
         let path = service.path(choice.index).clone();
         let sent = service.count_sent(choice.index);
         // Establishing a link uses up part of the deadline, so the head is built after it.
-        let link = match waiting::unless_gone(stream, self.link(&path)).await {
+        let link = match waiting::unless_caller_gone(stream, self.link(&path)).await {
             // The daemon may have begun to give up requests meanwhile, and then starts none.
             Some(Ok(Some(_))) if self.state.stop.giving_up.is_raised() => {
                 return DispatchEnd::Unreachable;
@@ -163,7 +163,7 @@
             method: request.method.as_str().to_owned(),
             target: request.target.clone(),
             field_lines: request.field_lines.clone(),
-            deadline_ms: self.left().as_millis().min(i32::MAX as u128) as i32,
+            deadline_ms: self.time_left().as_millis().min(i32::MAX as u128) as i32,
             refusable: choice.refusable,
             work_class: wire::class_number(request.class()),
             work_mode: wire::mode_number(self.dispatch_mode()),
@@ -227,8 +227,8 @@
         if !self.may_hedge() {
             return None;
         }
-        let left = Some(self.objective_left()).filter(|left| !left.is_zero());
-        let usual = baseline.usual_time().or(left.map(UsualTime::of_objective))?;
-        Some(hedge::due_after(&usual, left) + usual.at(0.0).mul_f64(queued))
+        let time_left = Some(self.objective_left()).filter(|time_left| !time_left.is_zero());
+        let usual = baseline.usual_time().or(time_left.map(UsualTime::of_objective))?;
+        Some(hedge::due_after(&usual, time_left) + usual.at(0.0).mul_f64(queued))
     }
 }
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -167,8 +167,8 @@
             return AfterRequest::Abort;
         }
     }
-    let left = request.deadline.saturating_sub(state.now());
-    match read_open_prefix(state, stream, &mut body, id, left).await {
+    let time_left = request.deadline.saturating_sub(state.now());
+    match read_open_prefix(state, stream, &mut body, id, time_left).await {
         Ok(prefix) => request.prefix = prefix,
         Err(PrefixFault::Unreadable(error)) => {
             return refuse_unreadable(state, stream, &method, id, &error).await;
@@ -291,9 +291,9 @@
     stream: &mut HttpStream,
     body: &mut BodyReader,
     id: &str,
-    left: Duration,
+    time_left: Duration,
 ) -> Result<Bytes, PrefixFault> {
-    let mut reading = std::pin::pin!(read_prefix(stream, body, left).fuse());
+    let mut reading = std::pin::pin!(read_prefix(stream, body, time_left).fuse());
     let mut stopping = std::pin::pin!(refused_by_stop(state, id).fuse());
     select_biased! {
         read = reading => read.map_err(PrefixFault::Unreadable),
@@ -313,7 +313,7 @@
 async fn read_prefix(
     stream: &mut HttpStream,
     body: &mut BodyReader,
-    left: Duration,
+    time_left: Duration,
 ) -> Result<Bytes, HttpError> {
     if body.is_done() {
         return Ok(Bytes::new());
@@ -328,7 +328,7 @@
         }
         Ok(prefix.freeze())
     };
-    match monoio::time::timeout(left, reading).await {
+    match monoio::time::timeout(time_left, reading).await {
         Ok(result) => result,
         Err(_) => Err(HttpError::TimedOut { what: "the body" }),
     }
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -118,7 +118,7 @@
         body_is_done: bool,
     ) -> SlotEnd {
         let now = self.state.now();
-        let until = *self.wait_until.get_or_insert(now + self.left().mul_f64(WAIT_SHARE_MAX));
+        let until = *self.wait_until.get_or_insert(now + self.time_left().mul_f64(WAIT_SHARE_MAX));
         let mut deadline_refusals = 0;
         let mut links = 0;
         let mut full = Vec::new();
@@ -173,7 +173,7 @@
     /// connected.
     async fn establish_link(&mut self, stream: &mut HttpStream, index: usize) -> bool {
         let path = self.request.service.path(index).clone();
-        let linked = waiting::unless_gone(stream, self.link(&path)).await;
+        let linked = waiting::unless_caller_gone(stream, self.link(&path)).await;
         if matches!(linked, Some(Err(_))) {
             self.note_unreachable(index);
         }
@@ -276,9 +276,9 @@
         stream: &mut HttpStream,
         until: Duration,
     ) -> WaitStep {
-        let left = until.saturating_sub(self.state.now());
+        let time_left = until.saturating_sub(self.state.now());
         let mut reply = std::pin::pin!(set.next(poll_reservation).fuse());
-        let mut wait_over = std::pin::pin!(monoio::time::sleep(left).fuse());
+        let mut wait_over = std::pin::pin!(monoio::time::sleep(time_left).fuse());
         let mut deadline_passed =
             std::pin::pin!(self.state.clock.passed_after_resume(self.request.deadline).fuse());
         let widen_every = ReservationPlan::default().widen_every;
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -51,7 +51,7 @@
 pub async fn first_event(
     state: &DaemonState,
     request: &CallerRequest,
-    left: Duration,
+    time_left: Duration,
     stream: &mut HttpStream,
     body: &mut BodyReader,
     live: &LiveExchange,
@@ -59,7 +59,7 @@
 ) -> FirstEvent {
     let answer = live.exchange.answer.clone();
     let mut event = std::pin::pin!(answer.next().fuse());
-    let wait = left + DEADLINE_GRACE;
+    let wait = time_left + DEADLINE_GRACE;
     let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
     let hedging_delay = live.hedging_delay.filter(|_| body.is_done()).unwrap_or(wait * 2);
     let mut hedging = std::pin::pin!(monoio::time::sleep(hedging_delay).fuse());
@@ -92,7 +92,10 @@
 /// Waits for what an attempt needs before it can be sent, unless the caller disconnects; returns
 /// `None` then. A request whose caller is gone is of no use, and once it is sent a cancel may come
 /// too late.
-pub async fn unless_gone<T>(stream: &mut HttpStream, needed: impl Future<Output = T>) -> Option<T> {
+pub async fn unless_caller_gone<T>(
+    stream: &mut HttpStream,
+    needed: impl Future<Output = T>,
+) -> Option<T> {
     let mut needed = std::pin::pin!(needed.fuse());
     let mut watching = std::pin::pin!(watch_caller(stream).fuse());
     loop {
@@ -110,15 +113,15 @@
 /// none of them succeeds.
 pub async fn last_event(
     state: &DaemonState,
-    left: Duration,
+    time_left: Duration,
     stream: &mut HttpStream,
     slow: &mut SlowAttempts,
     failure: FailureOutcome,
 ) -> FirstEvent {
     let mut answered = std::pin::pin!(slow.answered_if_any().fuse());
-    let wait = left + DEADLINE_GRACE;
+    let wait = time_left + DEADLINE_GRACE;
     let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
-    let mut resumed = std::pin::pin!(passed_while_suspended(state, state.now() + left).fuse());
+    let mut resumed = std::pin::pin!(passed_while_suspended(state, state.now() + time_left).fuse());
     let mut watching = std::pin::pin!(watch_caller(stream).fuse());
     let mut stopping = std::pin::pin!(state.stop.giving_up.raised().fuse());
     loop {
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -33,14 +33,14 @@
         let caller = std::net::TcpStream::connect(address).expect("connect");
         let (stream, _) = listener.accept().await.expect("accept");
         let mut stream = HttpStream::new(stream);
-        let link = waiting::unless_gone(&mut stream, async { "link" }).await;
+        let link = waiting::unless_caller_gone(&mut stream, async { "link" }).await;
         assert_eq!(link, Some("link"));
         drop(caller);
         let never = future::pending::<&str>();
-        assert_eq!(waiting::unless_gone(&mut stream, never).await, None);
+        assert_eq!(waiting::unless_caller_gone(&mut stream, never).await, None);
         // A caller that has already left is detected at once, so nothing is sent although the link
         // is up.
-        assert_eq!(waiting::unless_gone(&mut stream, async { "link" }).await, None);
+        assert_eq!(waiting::unless_caller_gone(&mut stream, async { "link" }).await, None);
     };
     runtime::run(test).expect("runtime");
 }
