--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -101,8 +101,9 @@
     let value = match fields::single(headers, &header::IF_MATCH) {
         Some(value) => value,
         None => {
-            let message = "give If-Match: \"REVISION\" (of the ETag read), If-Match: * for \
-                           whatever is there, or If-None-Match: * for a new resource";
+            let message = "one precondition is required: If-Match: \"REVISION\" (from the \
+                           resource's ETag), If-Match: * to replace or delete any revision, or \
+                           If-None-Match: * to create the resource";
             let reply = admin::problem(StatusCode::PRECONDITION_REQUIRED, message);
             return Err(Box::new(reply));
         }
@@ -166,7 +167,8 @@
     })
 }
 
-/// Returns the author of a change, as its request names it.
+/// Returns the author of a change: the operator that its request names, and the address that the
+/// request came from.
 pub fn author(request: &ServerRequest) -> ChangeAuthor {
     let actor = fields::single(&request.head.headers, &ACTOR).unwrap_or("operator");
     ChangeAuthor { actor: actor.to_owned(), from: request.from.to_string() }
@@ -196,16 +198,17 @@
     let record = result?;
     let has_gap = record.revision > state.config.revision().next();
     if has_gap {
-        // Other daemons committed changes in between; these are read and applied first.
+        // Other daemons committed changes since the revision in force here; these are read and
+        // applied first.
         if let Ok(missing) = state.changes.changes_after(state.config.revision()).await {
             state.config.apply(&missing, state.now());
         }
     }
-    let fresh = [record];
-    if state.config.apply(&fresh, state.now()) > 0 {
-        config_sync::forward_changes(state, &fresh);
+    let committed = [record];
+    if state.config.apply(&committed, state.now()) > 0 {
+        config_sync::forward_changes(state, &committed);
     }
-    let [record] = fresh;
+    let [record] = committed;
     if record.revision.0.is_multiple_of(changes::SNAPSHOT_EVERY) {
         monoio::spawn(write_snapshot(state.clone()));
     }
--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -53,14 +53,14 @@
 
 fn refresh_services(state: &DaemonState) {
     let now = state.now();
-    let (mut spare, mut left) = (i64::MAX, i64::MAX);
+    let (mut spare_slots_min, mut retries_left_min) = (i64::MAX, i64::MAX);
     state.services.for_each(|service| {
         let surplus = service
             .with_view(|view| i64::from(view.plan().in_service) - i64::from(view.plan().floor));
-        spare = spare.min(surplus);
-        left = left.min(service.retries_left(now) as i64);
+        spare_slots_min = spare_slots_min.min(surplus);
+        retries_left_min = retries_left_min.min(service.retries_left(now) as i64);
     });
-    // Without a service in use there is no shortage, so that both gauges are 0.
-    metrics::FLOOR_SPARE.set(if spare == i64::MAX { 0 } else { spare });
-    metrics::RETRIES_LEFT.set(if left == i64::MAX { 0 } else { left });
+    // If no service is in use, there is no minimum to report, so both gauges are 0.
+    metrics::FLOOR_SPARE.set(if spare_slots_min == i64::MAX { 0 } else { spare_slots_min });
+    metrics::RETRIES_LEFT.set(if retries_left_min == i64::MAX { 0 } else { retries_left_min });
 }
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -24,7 +24,7 @@
 
 /// Maximum number of operators' connections: people, scripts and watches.
 const CONNECTIONS_MAX: usize = 512;
-/// Largest request: one transaction of 20,000 resources.
+/// Largest size of a request's body: enough for one transaction of 20,000 resources.
 const BODY_BYTES_MAX: u64 = 16 << 20;
 
 /// Accepts operators' connections for as long as the daemon runs.
@@ -49,7 +49,10 @@
         _ => {}
     }
     if !is_operator(state, request) {
-        let reply = problem(StatusCode::UNAUTHORIZED, "a bearer token is needed");
+        let reply = problem(
+            StatusCode::UNAUTHORIZED,
+            "a valid admin token is required as the bearer token",
+        );
         return reply.with_field(header::WWW_AUTHENTICATE, "Bearer");
     }
     route(state, request).await
@@ -67,14 +70,14 @@
             _ => method_not_allowed("DELETE"),
         };
     }
-    let writes = method != Method::GET && path != "drain";
-    if writes && state.options.source == ConfigSource::Document {
+    let is_write = method != Method::GET && path != "drain";
+    if is_write && state.options.source == ConfigSource::Document {
         let message = "the configuration comes from the operator's document; change it there";
         let reply = problem(StatusCode::METHOD_NOT_ALLOWED, message);
         return reply.with_field(header::ALLOW, "GET");
     }
     // A shutdown waits for changes in progress, so that the operator gets their results.
-    let _counted = writes.then(|| state.stop.count_in_flight());
+    let _counted = is_write.then(|| state.stop.count_in_flight());
     match (method.as_str(), path.as_str()) {
         ("GET", "status") => status::fleet(state),
         ("GET", "health") => status::health(state, request.query("service")),
@@ -149,7 +152,8 @@
     token.is_some_and(|token| tokens_match(token.as_bytes(), state.options.admin_token.as_bytes()))
 }
 
-/// Compares in constant time, so that timing does not reveal a matching prefix.
+/// Compares two tokens in a time that does not depend on their contents, so that timing does not
+/// reveal a matching prefix.
 fn tokens_match(given: &[u8], expected: &[u8]) -> bool {
     let differences = given.iter().zip(expected).fold(0, |sum, (left, right)| sum | (left ^ right));
     given.len() == expected.len() && differences == 0
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -54,16 +54,17 @@
     })
 }
 
-/// Reads the audit trail from the store, or the records cached here while the store is unavailable.
+/// Reads the audit trail from the store, or from the records cached at this daemon if the store
+/// does not answer.
 pub async fn audit(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     let filter = match AuditFilter::try_new(request) {
         Ok(filter) => filter,
         Err(message) => return admin::problem(StatusCode::UNPROCESSABLE_ENTITY, message),
     };
-    let mut found = Vec::new();
+    let mut selected = Vec::new();
     let mut after = filter.after;
     let mut complete = true;
-    while found.len() < AUDIT_LIMIT {
+    while selected.len() < AUDIT_LIMIT {
         let records = match state.changes.changes_after(after).await {
             Ok(records) => records,
             Err(_) => {
@@ -76,18 +77,18 @@
             None => break,
         };
         let matching = records.into_iter().filter_map(|record| filter.select(record));
-        found.extend(matching.map(|record| audit_json(&record)));
+        selected.extend(matching.map(|record| audit_json(&record)));
         after = last;
         if !complete {
             break;
         }
     }
-    found.truncate(AUDIT_LIMIT);
+    selected.truncate(AUDIT_LIMIT);
     let source = if complete { "store" } else { "kept here; the store did not answer" };
-    ServerReply::json(StatusCode::OK, &json!({"records": found, "source": source}))
+    ServerReply::json(StatusCode::OK, &json!({"records": selected, "source": source}))
 }
 
-/// Returns the change records that are cached here.
+/// Returns the change records after a revision that are cached at this daemon.
 fn cached_records(state: &DaemonState, after: FleetRevision) -> Vec<ChangeRecord> {
     let records = state.config.records_after(after).unwrap_or_default();
     records.iter().map(|record| (**record).clone()).collect()
@@ -132,7 +133,7 @@
         })
     }
 
-    /// Returns the part of a record that was asked for.
+    /// Returns a record with only the changes that match the filter; `None` if nothing matches.
     fn select(&self, mut record: ChangeRecord) -> Option<ChangeRecord> {
         let matches = |expected: &Option<String>, value: &str| {
             expected.as_deref().is_none_or(|expected| expected == value)
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -157,7 +157,7 @@
     })
 }
 
-/// Returns the health of an upstream of this host, which only its own daemon knows in full.
+/// Returns the health of an upstream of this host. Only the host's own daemon knows it in full.
 fn own_health(state: &DaemonState, own: &HostUpstream) -> Value {
     let now = state.now();
     let health = own.health.borrow();
--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Lists the requests that ran at backend servers when they crashed, and lifts their refusal.
+//! Lists the requests that were running at backend servers when the servers crashed, and lifts the
+//! refusal of such requests.
 
 use std::rc::Rc;
 
@@ -35,8 +36,9 @@
     ServerReply::json(StatusCode::OK, &body)
 }
 
-/// Lifts the refusal of a request in the whole fleet. It changes no configuration, so that it is
-/// allowed whatever the source of the configuration is; the log records who did it.
+/// Lifts the refusal of a request in the whole fleet. This changes no configuration, so it is
+/// allowed whatever the source of the configuration is. The log records which operator lifted the
+/// refusal.
 pub fn lift(state: &Rc<DaemonState>, request: &ServerRequest, text: &str) -> ServerReply {
     let fingerprint = match RequestFingerprint::parse(text) {
         Some(fingerprint) => fingerprint,
@@ -44,7 +46,10 @@
     };
     let fingerprint_text = fingerprint.to_string();
     if !suspects::lift(state, &fingerprint) {
-        return problem(StatusCode::NOT_FOUND, "nothing is known against such a request");
+        return problem(
+            StatusCode::NOT_FOUND,
+            "no request with this fingerprint is suspected here",
+        );
     }
     let author = changes::author(request);
     let (actor, from) = (&author.actor, &author.from);
--- a/crates/daemon/src/admin/watch.rs
+++ b/crates/daemon/src/admin/watch.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Watches: streams of accepted changes as JSON lines, from any revision that is still cached.
+//! Watches: streams of accepted changes as JSON lines, starting after any revision whose following
+//! changes are still cached.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +20,7 @@
 use crate::admin::{self, read};
 use crate::state::DaemonState;
 
-/// Time between bookmarks on an idle watch, which show its reader that the stream is alive.
+/// Time between the bookmarks that an idle watch sends to show its reader that the stream is alive.
 const BOOKMARK_EVERY: Duration = Duration::from_secs(10);
 
 struct WatchState {
@@ -45,7 +46,7 @@
     };
     if state.config.records_after(seen).is_none() {
         let body = json!({
-            "error": "changes after this revision are no longer kept here",
+            "error": "changes after this revision are no longer cached here",
             "start_again_at": state.config.revision(),
         });
         return ServerReply::json(StatusCode::GONE, &body);
@@ -65,10 +66,10 @@
         let count = watch.daemon.config.changed().get();
         let records = match watch.daemon.config.records_after(watch.seen) {
             Some(records) => records,
-            None => return Some(watch.end("changes are no longer kept here")),
+            None => return Some(watch.end("the next changes are no longer cached here")),
         };
         if watch.daemon.is_stopping() {
-            return Some(watch.end("this daemon is leaving; go on at another"));
+            return Some(watch.end("this daemon is shutting down; continue at another one"));
         }
         if let Some(last) = records.last() {
             watch.seen = last.revision;
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -12,12 +12,11 @@
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
 
-/// Timeout for connecting to a backend server of the same host; the requirements put the cost of it
-/// at 1 ms.
+/// Timeout for connecting to a backend server of the same host, which is expected to take 1 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Timeout of a check whether a process listens: a host answers its own processes within a
-/// millisecond, and the ingress waits for the outcome.
+/// Timeout of a check whether a process listens at an address of this host. The check normally
+/// takes less than a millisecond, and the ingress waits for its result.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time after which a new connection is checked again: a process that exits closes its sockets one
@@ -75,8 +74,9 @@
         self.open.get()
     }
 
-    /// Says whether nothing listens at the address. If a connection can be made, it is kept for the
-    /// next request, instead of the one that broke.
+    /// Says whether the address refuses connections, so that no process listens there. If a
+    /// connection can be opened, it is kept for the next request, in place of the connection that
+    /// broke.
     pub async fn is_refused(&self) -> bool {
         if self.open.get() >= self.limit.get() {
             return false;
@@ -117,7 +117,8 @@
         if self.open.get() >= self.limit.get() {
             return Err(HttpError::TimedOut { what: "a free connection" });
         }
-        // Counted before it is opened, so that the limit holds while several are being opened.
+        // The connection is counted before it is opened, so that the limit holds while several are
+        // being opened.
         self.open.set(self.open.get() + 1);
         let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
         pooled.stream = Some(HttpStream::connect(pooled.address, CONNECT_TIMEOUT).await?);
@@ -142,9 +143,9 @@
 impl PooledStream<'_> {
     /// Returns the connection.
     pub fn stream(&mut self) -> &mut HttpStream {
-        self.stream
-            .as_mut()
-            .unwrap_or_else(|| unreachable!("taken only when the connection is given back"))
+        self.stream.as_mut().unwrap_or_else(|| {
+            unreachable!("the stream is taken only when the connection is given back")
+        })
     }
 
     /// Returns the connection to the pool after a complete exchange; `keep_alive` is the keep-alive
@@ -167,7 +168,8 @@
 
 impl Drop for PooledStream<'_> {
     fn drop(&mut self) {
-        // `give_back` counts a connection that it keeps once more, so that one count remains.
+        // `give_back` counts a connection that it returns to the pool a second time, so that one
+        // count remains after this.
         self.pool.open.set(self.pool.open.get() - 1);
     }
 }
--- a/crates/daemon/src/host/calls.rs
+++ b/crates/daemon/src/host/calls.rs
@@ -5,8 +5,8 @@
 //! serve other requests.
 //!
 //! A server that forwards the id of a request appends its own id to it, so that a nested call names
-//! its parent request. A request that makes a nested call is not hung. If the nested call fails, an
-//! error of the parent is not attributed to its server.
+//! its parent request. A request that makes a nested call does not count as hung. If the nested
+//! call fails, an error of the parent is not attributed to its server.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,24 +23,24 @@
     pub repeated: bool,
     /// Organisation of the parent request, which its nested calls inherit.
     pub organisation: Option<Rc<str>>,
-    made: Cell<bool>,
-    failed: Cell<bool>,
+    call_made: Cell<bool>,
+    call_failed: Cell<bool>,
 }
 
 impl NestedCalls {
     /// Says whether the request made a nested call.
     pub fn has_called(&self) -> bool {
-        self.made.get()
+        self.call_made.get()
     }
 
     /// Says whether a nested call got no successful response.
     pub fn has_failed_call(&self) -> bool {
-        self.failed.get()
+        self.call_failed.get()
     }
 
     /// Records that a nested call got no successful response.
     pub fn note_failed_call(&self) {
-        self.failed.set(true);
+        self.call_failed.set(true);
     }
 }
 
@@ -74,7 +74,7 @@
     pub fn parent_of(&self, call: &str) -> Option<Rc<NestedCalls>> {
         let (request, _) = call.rsplit_once(CALL_SEPARATOR)?;
         let calls = self.running.borrow().get(request).cloned()?;
-        calls.made.set(true);
+        calls.call_made.set(true);
         Some(calls)
     }
 }
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -42,7 +42,8 @@
 
 /// Time after which a caller may retry when a backend server was full or out of service.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Standard deviations above the typical service time within which five of six requests complete.
+/// Standard deviations above the typical service time up to which a reserved request is expected to
+/// take: five of six requests complete within this time.
 const RESERVED_DEVIATIONS: f64 = 1.0;
 /// Duration of the overdue timer of a request that never counts as overdue.
 const NEVER: Duration = Duration::from_secs(3600);
@@ -69,7 +70,7 @@
             retry_after_ms: RETRY_AFTER.as_millis() as i32,
             report: upstream.map(|upstream| upstream.report(state, &head.route, None)),
         };
-        // An ingress that is gone needs no report.
+        // A send error is ignored: an ingress that disconnected needs no report.
         let _ = answer.send(StreamEvent::Failed(failure)).await;
     }
 }
@@ -82,8 +83,8 @@
     answer: &EventSink,
 ) -> Result<(), FailureOutcome> {
     let deadline = state.now() + Duration::from_millis(head.deadline_ms.max(0) as u64);
-    let within = Duration::from_millis(head.objective_ms.max(0) as u64);
-    let objective = (head.objective_ms > 0).then(|| state.now() + within);
+    let objective_time = Duration::from_millis(head.objective_ms.max(0) as u64);
+    let objective = (head.objective_ms > 0).then(|| state.now() + objective_time);
     let arrived_at = state.now();
     let (is_trial, tally) = (false, Cell::default());
     let mut attempt =
@@ -97,7 +98,8 @@
         attempt.log_refused(reason);
     }
     if attempt.is_trial && result.is_err() {
-        // A trial that never reached the server proves nothing, but lets another one start.
+        // A trial that did not reach the server is no evidence, but once its end is recorded
+        // another trial can start.
         attempt.record_result(RequestEvidence::Neutral, false, None);
     }
     result
@@ -121,8 +123,9 @@
 }
 
 impl HostAttempt<'_> {
-    /// Returns the attempt for the request that was dispatched after a slot offer, with its own
-    /// head. Its evidence about the server counts from now on: before, only a reservation was here.
+    /// Builds the attempt for a request that was dispatched after a slot offer, from its dispatch
+    /// head. Its evidence about the server counts from now on, as the host only held a reservation
+    /// before.
     pub fn with_dispatch_head<'b>(&'b self, head: &'b DispatchHead) -> HostAttempt<'b> {
         HostAttempt { head, tally: self.tally.clone(), arrived_at: self.state.now(), ..*self }
     }
@@ -150,8 +153,9 @@
         }
     }
 
-    /// Refuses a request that crashes the servers that run it; otherwise stores its crash tally. An
-    /// ingress that knows of as many crashes sends a copy deliberately, as a trial.
+    /// Refuses a request that crashes the servers that run it; otherwise stores its crash tally. If
+    /// the ingress knows of at least as many crashes as this host, it sent this copy deliberately
+    /// as a trial, and the copy is not refused.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
         let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
         let known = match self.state.suspects.is_empty() {
@@ -189,8 +193,8 @@
         was_overdue: bool,
         failure: Option<FailureKind>,
     ) {
-        // A request that failed elsewhere before may be at fault itself. An attempt during which
-        // the host was suspended counts neither as failed nor as fast or slow.
+        // A request that failed at another upstream before may be at fault itself. An attempt
+        // during which the host was suspended counts neither as failed nor as fast or slow.
         let suspended = self.was_suspended();
         let evidence = match evidence {
             RequestEvidence::Failed if self.head.after_failure => RequestEvidence::Neutral,
@@ -224,8 +228,9 @@
         result
     }
 
-    /// Releases the claim of a request that did not run. The refusal does not wait for this once a
-    /// shutdown gives up its pending requests, since it would never be sent.
+    /// Releases the claim of a request that did not run. The refusal of the request is sent after
+    /// this. Once a shutdown gives up pending requests, the release is no longer awaited, since the
+    /// refusal would then never be sent.
     async fn release(&self, token: ClaimToken) {
         let mut releasing = std::pin::pin!(self.state.ledger.release(token).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
@@ -236,7 +241,7 @@
     }
 
     async fn take_slot(&self) -> Result<SlotGuard, NotRunReason> {
-        // While the claim was written, the daemon may have begun to hand over.
+        // While the claim was written, the daemon may have begun to shut down.
         if !self.may_start() {
             return Err(NotRunReason::Draining);
         }
@@ -269,7 +274,8 @@
         }
     }
 
-    /// Returns the distribution of the service time of such requests, if it is known or assumed.
+    /// Returns the distribution of the service time of requests on this route, if it is known or
+    /// can be assumed from the objective.
     pub fn usual_time(&self) -> Option<UsualTime> {
         let objective = self.objective.map(|at| at.saturating_sub(self.state.now()));
         let objective = objective.filter(|left| !left.is_zero());
@@ -323,7 +329,7 @@
         }
     }
 
-    /// Returns the fingerprint of the request, which its copies share with no other request.
+    /// Returns the fingerprint of the request, which all its copies share and no other request has.
     pub fn fingerprint(&self) -> RequestFingerprint {
         let reported = self.head.fingerprint.as_deref().and_then(RequestFingerprint::from_bytes);
         reported.unwrap_or_else(|| {
@@ -341,8 +347,8 @@
         })
     }
 
-    /// Checks, after a connection broke, whether the backend server crashed. A server that is
-    /// draining, or that no longer belongs to this host, ends as planned.
+    /// Checks, after a connection broke, whether the backend server crashed. The exit of a server
+    /// that is draining, or that no longer belongs to this host, is no crash.
     async fn detect_crash(&self) -> bool {
         let upstream = self.upstream;
         let is_own = self.state.host.get(&upstream.name).is_some();
@@ -410,14 +416,15 @@
                 return Err(FailureOutcome::NotRun(NotRunReason::ConnectFailed));
             }
         };
-        // A drain or shutdown that was acknowledged while the connection was opened must hold.
+        // A drain or shutdown may have been acknowledged while the connection was opened; no
+        // request may start after that.
         if self.upstream.is_draining(self.state.now())
             || !stop::allows_start(self.state, self.deadline)
         {
             pooled.give_back(None);
             return Err(FailureOutcome::NotRun(NotRunReason::Draining));
         }
-        // News of a crash may have arrived while the request waited for its slot.
+        // A crash may have been reported while the request waited for its slot.
         if let Err(reason) = self.refuse_suspect() {
             pooled.give_back(None);
             return Err(FailureOutcome::NotRun(reason));
@@ -519,9 +526,9 @@
     }
 }
 
-/// Waits for what a request needs before it can be sent to its backend server, unless the ingress
-/// cancels it because the caller has left. A cancel that arrived together with the request takes
-/// effect before the request starts.
+/// Waits for `needed`, which a request needs before it can be sent to its backend server, unless
+/// the ingress cancels the request because its caller disconnected. The cancel is polled first, so
+/// that one that arrived together with the request takes effect before the request starts.
 pub async fn unless_cancelled<T>(
     body: &EventPipe,
     needed: impl Future<Output = Result<T, NotRunReason>>,
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -56,7 +56,8 @@
         all
     }
 
-    /// Applies a configuration to the backend servers. Those that stay keep their health state.
+    /// Applies a configuration to the backend servers. Servers that remain on this host keep their
+    /// health state.
     pub fn configure(&self, state: &DaemonState, active: &ActiveConfig, touched: &TouchedServices) {
         // No server counts as cold at the first configuration: the daemon was replaced, not the
         // servers.
@@ -89,18 +90,20 @@
         service: Option<&ServiceEntry>,
         cold: bool,
     ) {
-        let is_own = |upstream: &&UpstreamEntry| upstream.server.host == state.options.host;
-        let own: Vec<&UpstreamEntry> =
-            service.iter().flat_map(|service| &service.upstreams).filter(is_own).collect();
+        let is_local = |upstream: &&UpstreamEntry| upstream.server.host == state.options.host;
+        let local_upstreams: Vec<&UpstreamEntry> =
+            service.iter().flat_map(|service| &service.upstreams).filter(is_local).collect();
         let mut upstreams = self.upstreams.borrow_mut();
         upstreams.retain(|known, upstream| {
-            let stays = upstream.service != *name || own.iter().any(|each| each.name == *known);
+            let stays =
+                upstream.service != *name || local_upstreams.iter().any(|each| each.name == *known);
             if !stays {
                 upstream.release();
             }
             stays
         });
-        for (service, upstream) in service.into_iter().flat_map(|s| own.iter().map(move |u| (s, u)))
+        for (service, upstream) in
+            service.into_iter().flat_map(|s| local_upstreams.iter().map(move |u| (s, u)))
         {
             match upstreams.get(&upstream.name) {
                 Some(known) if known.service == *name => {
@@ -113,8 +116,8 @@
                             state.registrations.is_cold(&upstream.name, state.now())
                         }
                     };
-                    let made = HostUpstream::new(upstream, service, state.clock.clone(), cold);
-                    upstreams.insert(upstream.name.clone(), Rc::new(made));
+                    let created = HostUpstream::new(upstream, service, state.clock.clone(), cold);
+                    upstreams.insert(upstream.name.clone(), Rc::new(created));
                 }
             }
         }
@@ -141,7 +144,8 @@
     link.forget(exchange);
 }
 
-/// Starts an exchange with a backend server of this host, by the code that serves remote ones.
+/// Starts an exchange between the ingress of this daemon and a backend server of this host. The
+/// code that serves exchanges over peer links serves it too.
 pub fn dispatch_local(state: &Rc<DaemonState>, head: DispatchHead) -> OutboundExchange {
     let body = Rc::new(EventPipe::default());
     body.shut_window();
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -34,13 +34,13 @@
 const INFORMATIONAL_MAX: usize = 8;
 /// Responses with a body of up to this many bytes go to the ingress in one frame.
 const INLINE_BYTES_MAX: u64 = 32 * 1024;
-/// Time for which a short body is awaited before its start is sent: a body that was ready together
-/// with its head takes a few milliseconds, and one that is still being produced must not be held
-/// back.
+/// Time for which the end of a short body is awaited before the part that has arrived is sent. A
+/// body that was ready together with its head arrives within a few milliseconds; a body that is
+/// still being produced must not be held back.
 const BUFFER_TIME: Duration = Duration::from_millis(150);
-/// Responses read until one must match the request: one late response, the expected one, and one
-/// more as a margin.
-const SURPLUS_MAX: usize = 3;
+/// Largest number of responses that are read to find the one to the request: a surplus response to
+/// an earlier request, the expected response, and one more as a margin.
+const RESPONSES_MAX: usize = 3;
 
 /// `AttemptFault` says how an attempt failed after the request was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -113,13 +113,14 @@
     }
 }
 
-/// `AttemptProgress` is how far an attempt got.
+/// `AttemptProgress` records how far an attempt has got.
 pub struct AttemptProgress {
     slot: Cell<Option<SlotGuard>>,
     started: Instant,
     /// Timeout that the server was given.
     pub timeout: AttemptTimeout,
-    /// Whether it was counted as hung, having passed `late_after` without progress.
+    /// Whether the attempt was counted as hung, because it took longer than `late_after` of its
+    /// timeout.
     pub counted_as_hung: Cell<bool>,
     /// Whether the response head arrived.
     pub head_seen: Cell<bool>,
@@ -162,7 +163,7 @@
 pub struct AnswerRelay<'a> {
     /// The attempt.
     pub attempt: &'a HostAttempt<'a>,
-    /// How far it got.
+    /// Progress of the attempt.
     pub progress: &'a AttemptProgress,
     /// Where the response goes.
     pub answer: &'a EventSink,
@@ -177,8 +178,8 @@
     head: response::Parts,
     framing: BodyFraming,
     verdict: AnswerVerdict,
-    /// Whether nothing else preceded it on the connection.
-    clean: bool,
+    /// Whether no surplus response preceded this one on the connection.
+    is_first_response: bool,
 }
 
 type BackendReader =
@@ -187,14 +188,15 @@
 impl AnswerRelay<'_> {
     /// Relays the response; says whether the connection can be reused after it.
     pub async fn run(self, reader: &mut BackendReader) -> Result<bool, AttemptFault> {
-        let AnswerStart { mut head, framing, verdict, clean } = self.start(reader).await?;
+        let AnswerStart { mut head, framing, verdict, is_first_response } =
+            self.start(reader).await?;
         self.progress.head_seen.set(true);
         let now = self.attempt.state.now();
         let drain = &self.attempt.state.fields.drain;
         self.attempt.upstream.note_drain_notice(head.headers.contains_key(drain), now);
         match verdict {
             AnswerVerdict::Shed => {
-                let close = fields::wants_close(head.version, &head.headers) || !clean;
+                let close = fields::wants_close(head.version, &head.headers) || !is_first_response;
                 return self.finish_shed(reader, framing, close).await;
             }
             AnswerVerdict::Moved => return Err(AttemptFault::Moved),
@@ -203,7 +205,7 @@
         }
         let close = framing == BodyFraming::UntilClose
             || fields::wants_close(head.version, &head.headers)
-            || !clean;
+            || !is_first_response;
         let length = declared_length(&head, framing);
         let keep_alive = fields::keep_alive_timeout(&head.headers);
         self.progress.keep_alive.set(keep_alive);
@@ -214,7 +216,8 @@
             self.record_end(head.status, self.progress.started.elapsed());
             self.store_answer(&head, &inline);
             self.send_head(&head, length, inline, true).await?;
-            // Bytes after the complete response belong to no request.
+            // Bytes after the complete response belong to no request, so they make the connection
+            // unusable.
             return Ok(!close && reader.buffer.is_empty());
         }
         self.send_head(&head, length, inline, false).await?;
@@ -225,17 +228,17 @@
     /// Reads heads until one belongs to the request; responses to earlier requests are discarded.
     async fn start(&self, reader: &mut BackendReader) -> Result<AnswerStart, AttemptFault> {
         let method = self.attempt.head.method.parse().unwrap_or(Method::GET);
-        let mut clean = true;
-        for _ in 0..SURPLUS_MAX {
+        let mut is_first_response = true;
+        for _ in 0..RESPONSES_MAX {
             let head = self.read_head(reader).await?;
             let framing =
                 framing::of_response(&head, &method).map_err(|_| AttemptFault::BadAnswer)?;
             let names = &self.attempt.state.fields;
             let verdict = verify::classify(names, &self.attempt.head.field_lines, &head);
             if verdict != AnswerVerdict::Surplus {
-                return Ok(AnswerStart { head, framing, verdict, clean });
+                return Ok(AnswerStart { head, framing, verdict, is_first_response });
             }
-            clean = false;
+            is_first_response = false;
             metrics::SURPLUS_ANSWERS.add_one();
             self.attempt.log_surplus(head.status.as_u16());
             self.discard_body(reader, framing).await?;
@@ -277,8 +280,8 @@
         Err(AttemptFault::BadAnswer)
     }
 
-    /// Buffers the start of a body: all of a short one, if it arrives within [`BUFFER_TIME`], so
-    /// that a truncated one reaches no caller and the request can be retried.
+    /// Buffers the start of a body. A short body that arrives within [`BUFFER_TIME`] is buffered
+    /// whole: if it is truncated, no part of it reaches the caller, and the request can be retried.
     async fn buffer_start(
         &self,
         body: &mut BodyReader,
@@ -323,7 +326,8 @@
         let evidence = match status {
             // An error after a failed nested call is not attributed to this server.
             _ if failed && self.calls.has_failed_call() => RequestEvidence::Neutral,
-            // The server gave up at its timeout, which shows no more than that it was too short.
+            // The server gave up the request at the timeout that it was given, which shows only
+            // that this timeout was too short.
             StatusCode::GATEWAY_TIMEOUT => AttemptFault::TimedOut.evidence(was_overdue),
             _ if failed => RequestEvidence::Failed,
             _ => RequestEvidence::Answered(took),
@@ -373,7 +377,8 @@
         reader: &mut BackendReader,
         status: StatusCode,
     ) -> Result<(), AttemptFault> {
-        // Time that the caller takes to read does not count as the server's.
+        // Time that the caller takes to read the response does not count as service time of the
+        // server.
         let mut waited = Duration::ZERO;
         loop {
             let piece = body.next(reader).await.map_err(|_| AttemptFault::BadAnswer)?;
@@ -411,7 +416,8 @@
     }
 }
 
-/// Returns the length that the response declares, even if it has no body, as in reply to `HEAD`.
+/// Returns the length that the response declares, even if it has no body, such as a response to
+/// `HEAD`. A negative length means that none is declared.
 fn declared_length(head: &response::Parts, framing: BodyFraming) -> i64 {
     match framing {
         BodyFraming::Empty => match framing::content_length(&head.headers) {
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -1,11 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reservations for the slots here, held for requests that wait at their ingress.
+//! Reservations for the slots of this host, held for requests that wait at their ingress.
 //!
-//! When a slot is free or about to become free, the ingress is offered it and either dispatches the
-//! request or loses the reservation. Until then nothing of the request is here that could be sent
-//! to the backend server, so that the request has not run, however the reservation ends.
+//! When a slot is free or about to become free, the host offers it to the ingress, which either
+//! dispatches the request or loses the reservation. Before the dispatch, the host has nothing of
+//! the request that it could send to the backend server. The request has therefore not run, however
+//! the reservation ends.
 
 use std::time::Duration;
 
@@ -18,7 +19,7 @@
 
 /// Time for which a slot offer waits for its dispatch: several round trips between failure domains,
 /// plus a pause of a busy daemon. An offer to an ingress that was killed, or that is cut off in one
-/// direction, holds back the next offer for as long.
+/// direction, delays the next offer by this time.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl HostAttempt<'_> {
@@ -56,7 +57,7 @@
     async fn await_dispatch(&self, body: &EventPipe) -> Result<DispatchHead, NotRunReason> {
         match monoio::time::timeout(OFFER_TIMEOUT, body.next()).await {
             Ok(StreamEvent::Begin(head)) => Ok(*head),
-            // The ingress accepted the offer of another host, or the caller left.
+            // The ingress accepted the offer of another host, or the caller disconnected.
             Ok(_) => Err(NotRunReason::CallerGone),
             Err(_) => {
                 metrics::OFFERS_UNANSWERED.add_one();
--- a/crates/daemon/src/host/trace.rs
+++ b/crates/daemon/src/host/trace.rs
@@ -21,8 +21,8 @@
 
 /// Returns the id of the request, as the ingress logs it.
 pub fn request_id(state: &DaemonState, head: &DispatchHead) -> String {
-    let own = basaltarch_http::fields::REQUEST_ID;
-    let name = state.fields.request.as_ref().unwrap_or(&own);
+    let default_name = basaltarch_http::fields::REQUEST_ID;
+    let name = state.fields.request.as_ref().unwrap_or(&default_name);
     let id = wire::field_value(&head.field_lines, name.as_str());
     id.map(|id| String::from_utf8_lossy(id).into_owned()).unwrap_or_default()
 }
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The state of one backend server of this host at its daemon.
+//! The state of one backend server of this host, as kept by the host's daemon.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -51,7 +51,8 @@
 }
 
 impl HostUpstream {
-    /// Builds a backend server; the share of requests that a `cold` one gets ramps up slowly.
+    /// Builds the state of a backend server. The share of requests that a `cold` server gets ramps
+    /// up slowly.
     pub fn new(
         upstream: &UpstreamEntry,
         service: &ServiceEntry,
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Stops serving the backend server: requests that wait for it are refused and go elsewhere.
+    /// Stops serving the backend server: requests that wait for a slot of it are refused, so that
+    /// they can be sent to other upstreams.
     pub fn release(&self) {
         self.slots.refuse_all(NotRunReason::Draining);
     }
@@ -96,9 +98,9 @@
         self.draining_until.set(until);
     }
 
-    /// Says whether the last attempt to connect to the backend server failed, or it crashed since.
-    /// Slots of such a server become free again at once, so that they would be offered to all
-    /// waiting requests, one after the other.
+    /// Says whether the last attempt to connect to the backend server failed, or the server has
+    /// crashed since. Such a server gets no reservations: its slots become free again at once, so
+    /// that they would be offered to all waiting requests, one after the other.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable.get()
     }
@@ -115,13 +117,15 @@
         }
     }
 
-    /// Records that the backend server crashed; says whether that was not known.
+    /// Records that the backend server crashed. Returns `false` if it was already known to be
+    /// unreachable.
     pub fn note_crashed(&self) -> bool {
         self.slots.refuse_reservations(NotRunReason::Sick);
         !self.unreachable.replace(true)
     }
 
-    /// Says whether the backend server takes no new requests, by its resource or its drain notice.
+    /// Says whether the backend server takes no new requests, because of the state in its resource
+    /// or a drain notice.
     pub fn is_draining(&self, now: Duration) -> bool {
         self.server.borrow().state == ServerState::Draining || self.draining_until.get() > now
     }
@@ -159,15 +163,15 @@
         self.log_change(breaker);
     }
 
-    /// Records that a running request is overdue.
+    /// Records that a running request is overdue, before it has ended.
     pub fn note_overdue(&self, route: &str, now: Duration) {
         let change = self.health.borrow_mut().note_overdue(route, now);
         self.log_change(change);
     }
 
     /// Handles the resume of the host from a suspend: the age of running requests is no evidence of
-    /// a hang, idle connections may have been closed long ago, and waiting requests that can no
-    /// longer meet their deadline are refused now.
+    /// a hang, idle connections may have been closed by the server meanwhile, and waiting requests
+    /// that can no longer meet their deadline are refused now.
     pub fn note_resumed(&self) {
         self.health.borrow_mut().forget_running();
         self.pool.clear();
--- a/crates/daemon/src/host/verify.rs
+++ b/crates/daemon/src/host/verify.rs
@@ -34,7 +34,8 @@
     if head.headers.contains_key(&fields.shed) && allows_shed(fields, head.status) {
         return AnswerVerdict::Shed;
     }
-    // Callers take these statuses as proof that nothing ran, but this server sent no shed notice.
+    // Callers take these statuses as proof that the request did not run, but this server sent no
+    // shed notice.
     if fields.has_not_run_statuses && implies_not_run(head.status) {
         return AnswerVerdict::Invalid;
     }
@@ -56,7 +57,7 @@
     match head.headers.get(name) {
         Some(value) if value.as_bytes() == expected => None,
         Some(_) => Some(AnswerVerdict::Surplus),
-        // A server may refuse a request before it has read its id.
+        // An error may lack the id: a server may refuse a request before it has read the id.
         None if head.status.is_success() => Some(AnswerVerdict::Invalid),
         None => None,
     }
@@ -64,12 +65,13 @@
 
 /// Says whether a response of this status may carry a shed notice.
 fn allows_shed(fields: &ExchangeFields, status: StatusCode) -> bool {
-    let full = status == StatusCode::SERVICE_UNAVAILABLE;
-    full || fields.has_not_run_statuses
-        && (implies_not_run(status) || status == StatusCode::BAD_REQUEST)
+    let is_unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
+    is_unavailable
+        || fields.has_not_run_statuses
+            && (implies_not_run(status) || status == StatusCode::BAD_REQUEST)
 }
 
-/// Says whether callers may take this status as proof that nothing ran.
+/// Says whether callers may take this status as proof that the request did not run.
 fn implies_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -42,7 +42,8 @@
         &self.calls
     }
 
-    /// Checks the request periodically for as long as it runs and makes no nested call.
+    /// Checks the request periodically until it makes a nested call, which shows progress; never
+    /// returns.
     pub async fn check_until_settled(&self) {
         let usual = match &self.usual {
             Some(usual) => usual,
--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -24,8 +24,8 @@
 use crate::ingress::trace;
 use crate::state::DaemonState;
 
-/// Most bytes of an answer of unknown length that are buffered for an HTTP/1.0 caller, which could
-/// not tell a truncated answer from a complete one.
+/// Largest size in bytes of an answer of unknown length that is buffered whole for an HTTP/1.0
+/// caller, which could not distinguish a truncated answer from a complete one.
 const BUFFERED_BYTES_MAX: usize = 1024 * units::KIB;
 
 /// Relays an answer, and meanwhile sends the rest of the request's body.
@@ -84,7 +84,7 @@
     }
 }
 
-/// Writes the answer; says whether the connection ends after it.
+/// Writes the answer; says whether the connection is closed after it.
 async fn relay_answer(
     writer: &mut OwnedWriteHalf<TcpStream>,
     request: &CallerRequest,
@@ -156,11 +156,11 @@
     let sending = writer::send_piece(writer, buffer, framing, piece, last);
     match monoio::time::timeout(WRITE_TIMEOUT, sending).await {
         Ok(result) => result,
-        Err(_) => Err(HttpError::TimedOut { what: "a slow caller" }),
+        Err(_) => Err(HttpError::TimedOut { what: "the caller to read its answer" }),
     }
 }
 
-/// Buffers the complete answer in its head.
+/// Buffers the whole body of the answer in its head.
 async fn buffer_answer(answer: &EventPipe, head: &mut AnswerHead) -> Result<(), HttpError> {
     loop {
         match answer.next().await {
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -4,10 +4,10 @@
 //! The attempts at one request: choosing an upstream, dispatching, and deciding what may be tried
 //! again.
 //!
-//! A request that certainly did not run may be sent to another upstream without harm, at most
-//! twice; the last dispatch is not refusable. A request that may have run is retried only if its
-//! route allows that, out of the retry budget of its service. Nothing is retried once the head of
-//! an answer went to the caller.
+//! A request that certainly did not run can be sent to another upstream without harm, which happens
+//! at most twice; the last of these dispatches is marked as not refusable. A request that may have
+//! run is retried only if its route allows it, and the retry is charged to the retry budget of its
+//! service. Nothing is retried once the head of an answer was sent to the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,13 +35,14 @@
 use crate::suspects;
 use crate::wire;
 
-/// Upstreams that may decline one request because they are doubted: with a third of the upstreams
-/// doubted, the fifth is reached once in 80 times.
+/// Number of upstreams that may decline one request, for example because their circuit breaker is
+/// open. If the circuit breakers of a third of the upstreams are open, one request in 80 reaches a
+/// fifth upstream.
 const DECLINES_MAX: usize = 4;
 
 /// `AttemptEnd` is how the attempts at a request ended.
 pub enum AttemptEnd {
-    /// The head of an answer came, and the exchange it came from.
+    /// The exchange that brought an answer, and the head of that answer.
     Answer(LiveExchange, AnswerHead),
     /// No attempt brought an answer.
     Failed(CallerFailure),
@@ -55,24 +56,25 @@
     pub state: &'a Rc<DaemonState>,
     /// The request.
     pub request: &'a CallerRequest,
-    /// Upstreams that it must not go to.
+    /// Upstreams to which the request must not be sent.
     pub excluded: Vec<usize>,
-    /// Upstreams that declined it because they were full.
+    /// Upstreams that declined the request because they were full.
     pub full: Vec<usize>,
     /// Dispatches so far.
     pub dispatches: usize,
     /// Attempts that reached a backend server, or may have.
     pub server_attempts: usize,
     decline_count: usize,
-    /// Whether the request is refused fleet-wide for crashing servers, and this one is its trial.
+    /// Whether copies of the request are refused fleet-wide for crashing servers, and this copy is
+    /// sent as a trial.
     is_crash_trial: bool,
-    /// Whether no trusted upstream accepts a reservation for it.
+    /// Whether no healthy upstream accepts a reservation for the request.
     pub is_unreservable: bool,
-    /// Time until which it may wait for a slot, set when that wait begins.
+    /// Time until which the request may wait for a slot; set when its first wait begins.
     pub wait_until: Option<Duration>,
     /// How the last attempt ended.
     pub last_outcome: FailureOutcome,
-    /// Why it is not known whether an earlier attempt ran, if one may have.
+    /// Why an earlier attempt may have run; `None` if none can have run.
     may_have_run: Option<UnknownReason>,
     /// Upstream at which an earlier attempt failed.
     pub failed_at: Option<usize>,
@@ -179,13 +181,13 @@
                 }
                 attempts.note_end(choice.index, &live, failed);
                 let is_final = !failed || !head.last;
-                let again = !is_final && fallback.is_none() && attempts.may_retry(body);
-                if is_final || !again && slow.is_empty() {
+                let has_next_attempt = !is_final && fallback.is_none() && attempts.may_retry(body);
+                if is_final || !has_next_attempt && slow.is_empty() {
                     attempts.log_end(&start, end, load, NextStep::Answer);
                     return AttemptEnd::Answer(live, head);
                 }
                 live.exchange.finish();
-                if !again {
+                if !has_next_attempt {
                     attempts.log_end(&start, end, load, NextStep::End);
                     let failure = CallerFailure::new(attempts.last_outcome);
                     let fallback = Some((live, head));
@@ -223,12 +225,12 @@
                 attempts.excluded.push(choice.index);
                 attempts.note_outcome(outcome);
                 attempts.server_attempts += usize::from(may_have_reached_server(outcome));
-                let again = match outcome {
+                let has_next_attempt = match outcome {
                     FailureOutcome::NotRun(reason) => attempts.may_go_elsewhere(reason),
                     FailureOutcome::Unknown(_) => attempts.may_retry(body),
                 };
-                attempts.log_end(&start, end, load, next_step(outcome, again));
-                if !again {
+                attempts.log_end(&start, end, load, next_step(outcome, has_next_attempt));
+                if !has_next_attempt {
                     let failure = CallerFailure::new(outcome);
                     return attempts.end_with(stream, &mut slow, fallback, failure).await;
                 }
@@ -238,9 +240,9 @@
 }
 
 /// Returns what follows a failed attempt.
-fn next_step(outcome: FailureOutcome, again: bool) -> NextStep {
+fn next_step(outcome: FailureOutcome, has_next_attempt: bool) -> NextStep {
     match outcome {
-        _ if !again => NextStep::End,
+        _ if !has_next_attempt => NextStep::End,
         FailureOutcome::NotRun(reason) if reason != NotRunReason::Shed => NextStep::Elsewhere,
         _ => NextStep::Retry,
     }
@@ -282,8 +284,9 @@
         AttemptEnd::Answer(live, head)
     }
 
-    /// Ends without another attempt: with the successful answer of a slow attempt, else with the
-    /// complete answer of an earlier attempt if there is one, though it was a server error.
+    /// Ends the request without another attempt: with the successful answer of a slow attempt, else
+    /// with `fallback`, a server error that an earlier attempt got as its answer, else with
+    /// `failure`.
     async fn end_with(
         &self,
         stream: &mut HttpStream,
@@ -333,8 +336,8 @@
         self.request.deadline.saturating_sub(self.state.now())
     }
 
-    /// Returns the time left of the route's objective, in which an answer is worth most; zero if
-    /// none was declared.
+    /// Returns the time left until the objective of the request, after which an answer is worth
+    /// less; zero if the route declares no objective.
     pub fn objective_left(&self) -> Duration {
         self.request.objective.map_or(Duration::ZERO, |at| at.saturating_sub(self.state.now()))
     }
@@ -342,8 +345,8 @@
     /// Returns the service rounds that the request may wait in the local failure domain before a
     /// remote one is preferred.
     pub fn local_wait_rounds(&self) -> f64 {
-        let worth = self.state.live().far_megabyte;
-        self.request.service.local_wait_rounds(&self.request.route.name, worth)
+        let far_megabyte_time = self.state.live().far_megabyte;
+        self.request.service.local_wait_rounds(&self.request.route.name, far_megabyte_time)
     }
 
     fn choose(&mut self) -> Result<UpstreamChoice, CallerFailure> {
@@ -373,8 +376,9 @@
             .ok_or_else(|| CallerFailure::new(self.last_outcome))
     }
 
-    /// Probes the load of the chosen upstream and its rival, and returns the choice of the better
-    /// one; `None` if both would decline the request, or don't answer, and others can be tried.
+    /// Probes the load of the chosen upstream and of the other candidate of the choice, and returns
+    /// the choice of the better one. Returns `None` if each of them would decline the request or
+    /// doesn't answer, and other upstreams can be tried.
     async fn probe(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
         if !self.is_probe_useful(&choice) {
             return Some(choice);
@@ -400,8 +404,9 @@
         Some(UpstreamChoice { index: best.map_or(choice.index, |best| best.index), ..choice })
     }
 
-    /// Says whether a load probe may change where the request goes. With a ground other than `Near`
-    /// or `Sound`, the request queues, is a trial, or goes to one of the upstreams that are left.
+    /// Says whether a load probe may change to which upstream the request is sent. If the ground of
+    /// the choice is neither `Near` nor `Sound`, a probe has no use: the request queues, is a
+    /// trial, or is sent to one of the few remaining upstreams.
     fn is_probe_useful(&self, choice: &UpstreamChoice) -> bool {
         let is_open_choice = matches!(choice.ground, ChoiceGround::Near | ChoiceGround::Sound);
         let path = self.request.service.path(choice.index);
@@ -411,8 +416,8 @@
         is_open_choice && !path.is_self && is_worth && self.request.service.should_probe()
     }
 
-    /// Leaves out upstreams that would decline the request by their load probe, or did not answer
-    /// it.
+    /// Skips the upstreams that were probed, because each would decline the request or did not
+    /// answer its probe.
     fn skip_probed(&mut self, probed: &[ProbedUpstream]) {
         self.decline_count += 1;
         for each in probed {
@@ -434,8 +439,9 @@
         Err(caller.revoked())
     }
 
-    /// Refuses a request that crashes the servers that run it, unless this one is its trial. This
-    /// is checked before each dispatch: another daemon may have reported a crash since the last.
+    /// Refuses a request whose copies crash the servers that run them, unless this copy is sent as
+    /// a trial. This is checked before each dispatch, since another daemon may have reported a
+    /// crash after the last check.
     pub fn refuse_suspect(&mut self) -> Result<(), CallerFailure> {
         if self.is_crash_trial || self.state.suspects.is_empty() {
             return Ok(());
@@ -474,11 +480,12 @@
                 | NotRunReason::LedgerUnavailable
                 | NotRunReason::CrashesServers
         );
-        let may = !would_recur && self.dispatches < DISPATCHES_MAX && !self.time_left().is_zero();
+        let is_allowed =
+            !would_recur && self.dispatches < DISPATCHES_MAX && !self.time_left().is_zero();
         // Shedding a request costs a backend server processing time, so sending the request
         // elsewhere counts as a retry.
-        let is_free = reason != NotRunReason::Shed;
-        may && (is_free || self.has_server_attempts_left() && self.take_retry())
+        let is_uncharged = reason != NotRunReason::Shed;
+        is_allowed && (is_uncharged || self.has_server_attempts_left() && self.take_retry())
     }
 
     /// Says whether another upstream can be tried if this one declines the request.
@@ -488,19 +495,22 @@
         self.decline_count < DECLINES_MAX && others > 1
     }
 
-    /// Records that an upstream declined the request because it is doubted, full or draining, and
-    /// says whether it did and another may be tried; a decline costs a round trip.
+    /// Records that an upstream declined the request because its circuit breaker is open or because
+    /// it is full or draining. Returns whether the upstream declined and another one may be tried.
+    /// A decline costs only a round trip, so it does not count as a dispatch.
     fn has_declined(&mut self, index: usize, outcome: FailureOutcome) -> bool {
-        let reasons = [
+        let decline_reasons = [
             NotRunReason::Sick,
             NotRunReason::Unproven,
             NotRunReason::QueueFull,
             NotRunReason::Draining,
         ];
-        let is_down = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
+        let connect_failed = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
         // A host offers a slot before it knows whether its backend server accepts a connection.
-        let offer_was_void = is_down && self.state.live().waiting == WaitingMode::Reservations;
-        let declined = reasons.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason));
+        let offer_was_void =
+            connect_failed && self.state.live().waiting == WaitingMode::Reservations;
+        let declined =
+            decline_reasons.iter().any(|reason| outcome == FailureOutcome::NotRun(*reason));
         let declined = declined || offer_was_void;
         if !declined || !self.is_passable() || self.time_left().is_zero() {
             return false;
@@ -516,9 +526,9 @@
         true
     }
 
-    /// Says whether the request may be a trial of an upstream that may not work: its failure must
-    /// be one that would be retried. A retry itself should succeed, and so should a request for
-    /// which the retry budget has nothing left.
+    /// Says whether the request may be sent as a trial to an upstream that may fail it. A request
+    /// that fails as a trial must be retried, so neither a retry nor a request for which the retry
+    /// budget is exhausted is used as a trial.
     fn may_be_trial(&self) -> bool {
         self.is_repeatable()
             && self.server_attempts == 0
@@ -538,7 +548,7 @@
     fn has_server_attempts_left(&self) -> bool {
         match self.request.route.rule.attempts {
             0 => true,
-            most => self.server_attempts < most as usize,
+            attempts_max => self.server_attempts < attempts_max as usize,
         }
     }
 
@@ -546,8 +556,7 @@
         self.request.service.take_retry(self.state)
     }
 
-    /// Says whether a request that may have run may be sent again, and charges the retry budget for
-    /// it.
+    /// Says whether a request that may have run may be sent again; if so, charges the retry budget.
     fn may_retry(&self, body: &BodyReader) -> bool {
         self.is_repeatable()
             && body.is_done()
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -44,9 +44,9 @@
     Abort,
 }
 
-/// Accepts callers' connections for ever.
+/// Accepts callers' connections; never returns.
 pub async fn accept(state: Rc<DaemonState>, listener: TcpListener) {
-    let most = state.options.connections;
+    let connections_max = state.options.connections;
     let count = ConnectionCount::default();
     let open = count.clone();
     let callers = Rc::new(CallerCounts::default());
@@ -63,10 +63,10 @@
             metrics::CALLER_CONNECTIONS.set(open.get() as i64 - 1);
         }
     };
-    connection::accept_all(listener, most, count, serve).await;
+    connection::accept_all(listener, connections_max, count, serve).await;
 }
 
-/// Logs that a connection was refused, because its address has too many open.
+/// Logs that a connection was refused, because its address has too many connections open.
 fn log_refused_connection(caller: IpAddr, allowed: usize) {
     process::CallerRefused { caller: &caller.to_string(), allowed: allowed as u64 }.log();
 }
@@ -84,10 +84,10 @@
 }
 
 impl CallerCounts {
-    fn enter(self: &Rc<Self>, address: IpAddr, most: usize) -> Option<CallerGuard> {
+    fn enter(self: &Rc<Self>, address: IpAddr, connections_max: usize) -> Option<CallerGuard> {
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(address).or_default();
-        if *count >= most {
+        if *count >= connections_max {
             return None;
         }
         *count += 1;
@@ -147,9 +147,9 @@
     }
 }
 
-/// Reads the next head; returns `None` when the connection ends, or is idle as the daemon ends. A
-/// daemon that shuts down keeps reading until then: callers learn of it late, and a refusal tells
-/// them that the request did not run.
+/// Reads the head of the next request. Returns `None` if the connection has ended, or if it is idle
+/// when the daemon is about to exit. Until then a daemon that shuts down keeps reading: callers
+/// learn of the shutdown late, and a refusal shows them that the request did not run.
 async fn next_head(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
@@ -187,7 +187,7 @@
     }
 }
 
-/// Says whether the connection ends after the answer to this request.
+/// Says whether the connection is closed after the answer to this request.
 pub fn closes_after(state: &DaemonState, head: &Parts) -> bool {
     state.is_stopping() || fields::wants_close(head.version, &head.headers)
 }
--- a/crates/daemon/src/ingress/caller_key.rs
+++ b/crates/daemon/src/ingress/caller_key.rs
@@ -32,7 +32,7 @@
 pub enum GivenKey {
     /// No key.
     Missing,
-    /// More than one key, so that none of them counts.
+    /// More than one key, so that none of them is used.
     Several,
     /// One key.
     One(KeyDigest),
@@ -49,17 +49,18 @@
         }
     }
 
-    /// Returns the message of a refusal.
+    /// Returns the message for the caller when its request is refused for its key.
     fn refusal_message(&self) -> String {
         match self {
-            Self::Missing => "the route asks for an API key".to_owned(),
-            Self::Several => "more than one API key".to_owned(),
+            Self::Missing => "the route requires an API key, but the request has none".to_owned(),
+            Self::Several => "the request has more than one API key".to_owned(),
             Self::One(digest) => format!("the API key {} is not known", digest.public_part()),
         }
     }
 }
 
-/// Finds the owner of a key. A route that needs no key is served whatever key is given.
+/// Finds the organisation that owns the given key. A route that needs no key is served with any
+/// key, known or not, and without one.
 pub fn identify(
     active: &ActiveConfig,
     given: &GivenKey,
@@ -103,7 +104,7 @@
     /// Builds the refusal of a request whose key was revoked.
     pub fn revoked(&self) -> CallerFailure {
         let key = self.key.as_ref().map(KeyDigest::public_part).unwrap_or_default();
-        unknown_key(format!("the API key {key} was taken away"))
+        unknown_key(format!("the API key {key} was revoked"))
     }
 }
 
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -27,9 +27,10 @@
 use crate::services::SentGuard;
 use crate::wire;
 
-/// Dispatches of one request at the most: the first and two more.
+/// Largest number of dispatches of one request: the first and two more.
 pub const DISPATCHES_MAX: usize = 3;
-/// Size above which withholding a body until it is asked for is worth a round trip.
+/// Size in bytes above which a body may be withheld until the host has started the request. For a
+/// shorter body, that is not worth the extra round trip.
 const WITHHELD_BYTES_MIN: usize = 256;
 
 /// `LiveExchange` is the exchange of an attempt that was dispatched.
@@ -81,7 +82,8 @@
         let sent = service.count_sent(choice.index);
         // Establishing a link uses up part of the deadline, so the head is built after it.
         let link = match waiting::unless_caller_gone(stream, self.link(&path)).await {
-            // The daemon may have begun to give up requests meanwhile, and then starts none.
+            // While the link was established, this daemon may have begun to give up requests on
+            // shutdown; it then starts none.
             Some(Ok(Some(_))) if self.state.stop.giving_up.is_raised() => {
                 return DispatchEnd::Unreachable;
             }
@@ -122,8 +124,8 @@
         })
     }
 
-    /// Returns the link to an upstream's daemon, establishing it if needed; `None` if that is this
-    /// daemon.
+    /// Returns the link to an upstream's daemon, establishing it if needed; `None` if the upstream
+    /// is on this host.
     pub async fn link(&self, path: &Rc<PeerPath>) -> Result<Option<Rc<DialledLink>>, LinkError> {
         if path.is_self {
             return Ok(None);
@@ -187,16 +189,17 @@
         }
     }
 
-    /// Says whether the request is a nested call made by a request that runs on this host, for
-    /// hosts that let such calls go first.
+    /// Says whether the request is a nested call made by a request that runs on this host. Hosts
+    /// give such calls priority if requests wait for slots with reservations; otherwise the field
+    /// is not sent.
     fn is_call(&self) -> Option<bool> {
-        let is_sent = self.state.live().waiting == WaitingMode::Reservations;
-        is_sent.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
+        let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
+        uses_reservations.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
     }
 
-    /// Builds the baseline of the service for the host's daemon. The slow requests seen at the
-    /// other upstreams bound the timeout there, so they are sent only where requests wait for slots
-    /// with reservations.
+    /// Builds the baseline of the service for the host's daemon. Only if requests wait for slots
+    /// with reservations does it include the slow requests seen at the other upstreams, which bound
+    /// the timeout at that host.
     fn baseline_note(&self, index: usize, baseline: &ServiceBaseline) -> Option<BaselineNote> {
         if self.state.live().waiting == WaitingMode::Reservations {
             let slow_requests =
@@ -206,13 +209,14 @@
         (baseline.upstreams > 0).then(|| wire::baseline_note(baseline))
     }
 
-    /// Says whether another attempt may follow the one that was just dispatched.
+    /// Says whether the attempt that was just dispatched may be followed by a hedge.
     pub fn may_hedge(&self) -> bool {
         // The attempt that was just dispatched may reach a server too.
-        let most = self.request.route.rule.attempts as usize;
-        let has_attempts_left = most == 0 || self.server_attempts + 1 < most;
-        let may = self.is_repeatable() && self.dispatches < DISPATCHES_MAX && has_attempts_left;
-        may && !self.state.is_stopping()
+        let attempts_max = self.request.route.rule.attempts as usize;
+        let has_attempts_left = attempts_max == 0 || self.server_attempts + 1 < attempts_max;
+        let is_allowed =
+            self.is_repeatable() && self.dispatches < DISPATCHES_MAX && has_attempts_left;
+        is_allowed && !self.state.is_stopping()
     }
 
     /// Returns the path of an attempt if the attempt may be hedged when the path is cut.
@@ -221,8 +225,9 @@
         is_watched.then_some(path)
     }
 
-    /// Returns the hedging delay of an attempt, if it may be hedged. Service rounds that are
-    /// `queued` before it are not the upstream's fault and extend the delay.
+    /// Returns the hedging delay of an attempt, if it may be hedged. The service rounds that are
+    /// `queued` at the upstream ahead of the attempt are not the upstream's fault, so they extend
+    /// the delay.
     pub fn hedging_delay(&self, baseline: &ServiceBaseline, queued: f64) -> Option<Duration> {
         if !self.may_hedge() {
             return None;
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -16,8 +16,8 @@
         request.service.forbids_retry(request.method.as_str(), &request.target, self.state.now())
     }
 
-    /// Says whether a failure of the request is no evidence against its upstream: the request
-    /// failed at another one, now or recently.
+    /// Says whether a failure of the request is no evidence against its upstream, because the
+    /// request failed at another upstream in an earlier attempt or recently.
     pub fn exempts_failure(&self) -> bool {
         let request = self.request;
         self.failed_at.is_some()
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Withdraws the first failure: the same request failed on a second upstream, so the request is
-    /// at fault rather than the servers.
+    /// Withdraws the failure of the first attempt: the same request failed at a second upstream, so
+    /// the request is at fault rather than the servers.
     pub fn withdraw(&self) {
         let index = match self.failed_at {
             Some(index) => index,
--- a/crates/daemon/src/ingress/failure.rs
+++ b/crates/daemon/src/ingress/failure.rs
@@ -13,9 +13,9 @@
 use http::{header, Method, StatusCode};
 
 /// Shortest wait in a `Retry-After`, which has whole seconds (RFC 9110).
-const RETRY_AFTER_MIN: u64 = 1;
+const RETRY_AFTER_MIN_SECONDS: u64 = 1;
 
-/// Challenge sent to a caller without a known key; RFC 9110 requires one with this status.
+/// Challenge sent with status 401 to a caller without a known key; RFC 9110 requires one.
 const CHALLENGE: &str = "ApiKey";
 
 /// `CallerFailure` is the reply that a caller gets in place of an answer.
@@ -25,7 +25,7 @@
     pub status: StatusCode,
     /// Outcome of the exchange.
     pub outcome: FailureOutcome,
-    /// Time after which the caller may retry, if that makes sense.
+    /// Time after which the caller may retry, if a retry may succeed.
     pub retry_after: Option<Duration>,
     /// Human-readable message.
     pub message: String,
@@ -76,7 +76,7 @@
         put(header::CONTENT_LENGTH, &body.len().to_string());
         if let Some(wait) = self.retry_after {
             let seconds = wait.as_secs_f64().ceil() as u64;
-            put(header::RETRY_AFTER, &seconds.max(RETRY_AFTER_MIN).to_string());
+            put(header::RETRY_AFTER, &seconds.max(RETRY_AFTER_MIN_SECONDS).to_string());
         }
         if let Some(allow) = &self.allow {
             put(header::ALLOW, allow);
@@ -143,6 +143,6 @@
 }
 
 fn retry_after_of(outcome: FailureOutcome) -> Option<Duration> {
-    let later = status_of(outcome) == StatusCode::SERVICE_UNAVAILABLE;
-    later.then(|| Duration::from_secs(RETRY_AFTER_MIN))
+    let is_unavailable = status_of(outcome) == StatusCode::SERVICE_UNAVAILABLE;
+    is_unavailable.then(|| Duration::from_secs(RETRY_AFTER_MIN_SECONDS))
 }
--- a/crates/daemon/src/ingress/load_probe.rs
+++ b/crates/daemon/src/ingress/load_probe.rs
@@ -38,15 +38,16 @@
 
 /// `ProbedUpstream` is an upstream whose load was probed.
 pub struct ProbedUpstream {
-    /// Its position.
+    /// Position of the upstream in its service.
     pub index: usize,
-    /// Report of its daemon; none if it did not answer in time or knows no such upstream.
+    /// Load report of its daemon; `None` if the daemon did not answer in time or does not know the
+    /// upstream.
     pub report: Option<LoadReport>,
     slots: u32,
 }
 
 impl ProbedUpstream {
-    /// Returns its load, if its daemon answered.
+    /// Returns the load of the upstream, if its daemon reported it.
     pub fn load(&self) -> Option<ProbedLoad> {
         let report = self.report.as_ref()?;
         Some(ProbedLoad {
@@ -59,21 +60,21 @@
         })
     }
 
-    /// Says whether its daemon would decline a request, or did not answer.
+    /// Says whether the daemon of the upstream would decline a request, or reported no load.
     pub fn declines(&self) -> bool {
         self.load().is_none_or(|load| load.declines())
     }
 }
 
-/// Returns the best of the upstreams whose daemons answered.
+/// Returns the best of the upstreams whose daemons reported their load.
 pub fn best_of(probed: &[ProbedUpstream]) -> Option<&ProbedUpstream> {
     let answered = || probed.iter().filter(|each| each.report.is_some());
     let loads: Vec<ProbedLoad> = answered().filter_map(ProbedUpstream::load).collect();
     probing::best(&loads).and_then(|position| answered().nth(position))
 }
 
-/// Probes some upstreams of a request's service at once; those of this host and those without a
-/// link are left out.
+/// Probes several upstreams of a request's service concurrently. Upstreams of this host are left
+/// out, and those whose daemon is not linked or does not support probes.
 pub async fn probe_all(
     state: &Rc<DaemonState>,
     request: &CallerRequest,
@@ -111,7 +112,8 @@
     Some(ProbedUpstream { index, report, slots: upstream.server.slots })
 }
 
-/// Records what the answer to a probe, or its absence, says about the path.
+/// Records at the path the round-trip time of an answered probe, or that the answer did not arrive
+/// in time. Returns the report in the answer.
 fn note_answer(
     path: &PeerPath,
     answer: Option<Option<Option<LoadReport>>>,
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -40,11 +40,11 @@
 use crate::wire;
 
 /// Bytes of a body that are read before the request is dispatched, and kept for a retry. Shorter
-/// bodies are sent in the first frame, and a slow caller holds no slot while it sends them.
+/// bodies are sent in the first frame, and a slow caller holds no slot while it sends such a body.
 pub const PREFIX_BYTES: usize = 64 * units::KIB;
-/// Characters of a request's id that the logs keep.
+/// Largest length of a request's id in the logs, in characters; the rest is cut off.
 const REQUEST_ID_MAX: usize = 128;
-/// Longest idempotency key.
+/// Largest length of an idempotency key, in bytes.
 const ONCE_KEY_MAX: usize = 256;
 
 /// `CallerRequest` is a request that passed its checks.
@@ -69,13 +69,13 @@
     pub once_key: Option<String>,
     /// Time by which it must be answered.
     pub deadline: Duration,
-    /// Time by which an answer is worth most, if the route declares it.
+    /// Time after which an answer is worth less, if the route declares an objective.
     pub objective: Option<Duration>,
     /// How its body is framed.
     pub framing: BodyFraming,
     /// Start of its body.
     pub prefix: Bytes,
-    /// Whether the connection ends after it.
+    /// Whether the connection is closed after the request.
     pub close: bool,
     /// Its trace.
     pub trace: RequestTrace,
@@ -83,12 +83,13 @@
 }
 
 impl CallerRequest {
-    /// Returns the number of servers at which requests like it are remembered to have failed.
+    /// Returns the number of servers at which requests with the same method and target recently
+    /// failed.
     pub fn failed_servers(&self, now: Duration) -> usize {
         self.service.failed_servers(self.method.as_str(), &self.target, now)
     }
 
-    /// Returns the subject of the limits that it counts against.
+    /// Returns the organisation, route and service against whose limits the request counts.
     fn limit_subject(&self) -> LimitSubject<'_> {
         LimitSubject {
             organisation: self.caller.limited_organisation(),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Returns its class: that of its organisation overrides that of the route.
+    /// Returns its class: the class of its organisation overrides that of its route.
     pub fn class(&self) -> WorkClass {
         self.caller.class.unwrap_or(self.route.rule.criticality)
     }
@@ -107,10 +108,10 @@
         self.prefix.len() < PREFIX_BYTES
     }
 
-    /// Returns its crash tally, if any request is suspected and something counts against this one.
+    /// Returns its crash tally; `None` if nothing counts against the request.
     pub fn tally(&self, state: &DaemonState) -> Option<CrashTally> {
-        let known = !state.suspects.is_empty();
-        let tally = known.then(|| state.suspects.tally(&self.fingerprint(state)));
+        let has_suspects = !state.suspects.is_empty();
+        let tally = has_suspects.then(|| state.suspects.tally(&self.fingerprint(state)));
         tally.filter(|tally| *tally != CrashTally::default())
     }
 
@@ -181,7 +182,7 @@
     }
     trace::log_received(state, &request);
     if request.once_key.is_some() && !body.is_done() {
-        let message = "once-only work with a key has a body of at most 65536 bytes";
+        let message = "an at-most-once request with a key may have a body of at most 65536 bytes";
         let failure = CallerFailure::bad_request(StatusCode::PAYLOAD_TOO_LARGE, message);
         trace::log_rejected(state, id, &failure);
         return refuse(stream, &method, &failure, true).await;
@@ -213,14 +214,14 @@
     };
     match attempt::run(state, stream, request, body).await {
         AttemptEnd::Answer(mut exchange, head) => {
-            let whole = body.is_done();
+            let body_was_read = body.is_done();
             if wire::is_server_error(head.status as u16) {
                 note_failed_call();
             }
             let after = answer::relay(state, stream, request, body, &mut exchange, head).await;
             record(if after == AfterRequest::Abort { "cut-short" } else { "complete" });
             match after {
-                AfterRequest::Keep if !whole && !body.is_done() => AfterRequest::Close,
+                AfterRequest::Keep if !body_was_read && !body.is_done() => AfterRequest::Close,
                 after => after,
             }
         }
@@ -279,7 +280,7 @@
 enum PrefixFault {
     /// It can't be read.
     Unreadable(HttpError),
-    /// It did not arrive before the daemon that shuts down closed to new requests.
+    /// It did not arrive before the daemon, which is shutting down, stopped admitting requests.
     Refused,
 }
 
@@ -393,11 +394,11 @@
     })
 }
 
-/// Returns the id by which the logs name a request: the caller's, else one that this daemon
-/// assigns.
+/// Returns the id that identifies a request in the logs: the one that the caller sent, else one
+/// that this daemon assigns.
 pub fn id_of(state: &DaemonState, head: &request::Parts) -> String {
-    let own = fields::REQUEST_ID;
-    let name = state.fields.request.as_ref().unwrap_or(&own);
+    let default_name = fields::REQUEST_ID;
+    let name = state.fields.request.as_ref().unwrap_or(&default_name);
     match head.headers.get(name).and_then(|value| value.to_str().ok()) {
         Some(id) => id.chars().take(REQUEST_ID_MAX).collect(),
         None => {
@@ -421,7 +422,7 @@
             Ok(Some(key.to_owned()))
         }
         _ => {
-            let message = "Idempotency-Key must be one text of 1 to 256 characters";
+            let message = "there must be one Idempotency-Key field, of 1 to 256 characters";
             Err(CallerFailure::bad_request(StatusCode::BAD_REQUEST, message))
         }
     }
@@ -433,15 +434,15 @@
     route: &RouteEntry,
     head: &request::Parts,
 ) -> Result<Duration, CallerFailure> {
-    let most = Duration::from_millis(route.rule.timeout_ms);
+    let route_timeout = Duration::from_millis(route.rule.timeout_ms);
     let name = &state.fields.deadline;
     let value = match head.headers.get(name) {
         Some(value) => value,
-        None => return Ok(most),
+        None => return Ok(route_timeout),
     };
     let requested = value.to_str().ok().and_then(|text| text.parse().ok());
     match requested {
-        Some(millis) => Ok(most.min(Duration::from_millis(millis))),
+        Some(millis) => Ok(route_timeout.min(Duration::from_millis(millis))),
         None => {
             let message = format!("{name} must be a number of milliseconds");
             Err(CallerFailure::bad_request(StatusCode::BAD_REQUEST, message))
@@ -449,8 +450,8 @@
     }
 }
 
-/// Removes the caller's key and names its organisation to the backend server, whatever the caller
-/// claims.
+/// Removes the caller's key, and sets the organisation field for the backend server to the
+/// identified organisation, whatever the caller claims.
 fn set_organisation(state: &DaemonState, headers: &mut HeaderMap, organisation: Option<&str>) {
     headers.remove(&state.fields.api_key);
     headers.remove(&state.fields.organisation);
@@ -460,7 +461,8 @@
     }
 }
 
-/// Removes the hop-by-hop fields and adds where the request came from.
+/// Removes the fields that are not meant for the backend server, and adds those that say where the
+/// request came from.
 fn forward_fields(state: &DaemonState, head: &mut request::Parts, host: &str, from: SocketAddr) {
     let headers = &mut head.headers;
     fields::remove_hop_fields(headers);
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Lets a request that finds no free slot wait here, with reservations for the slots of several
-//! hosts.
+//! Lets a request that finds no free slot wait at its ingress, with reservations for the slots of
+//! several hosts.
 //!
-//! The request is sent once a host offers it a slot; until then it has not run, whatever happens to
-//! the hosts.
+//! The request itself is sent only to a host that has offered it a slot. Until then it has
+//! certainly not run, even if hosts that hold a reservation fail.
 
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -34,13 +34,14 @@
 use crate::ingress::waiting;
 use crate::links;
 
-/// Share of the time left that a request may wait for a slot: a caller that is refused after it
-/// still has time to go elsewhere or to retry.
+/// Share of the time until the deadline that a request may wait for a slot. A caller that is
+/// refused at the end of the wait still has time to retry, here or at another ingress.
 const WAIT_SHARE_MAX: f64 = 0.6;
-/// Links that a request without a reservation waits for before it is dispatched without one.
+/// Number of links that a request without any reservation tries to establish, one after the other,
+/// before it is dispatched without one.
 const LINKS_MAX: usize = 2;
-/// Hosts that may refuse because they can't run the request within its deadline before no other is
-/// asked.
+/// Number of hosts that refuse a reservation because they can't run the request within its
+/// deadline, after which no further host is asked.
 const DEADLINE_REFUSALS_MAX: usize = 2;
 
 /// `SlotEnd` is how the wait for a slot ended.
@@ -65,15 +66,15 @@
 
 impl RequestAttempts<'_> {
     /// Says whether the request waits for a slot with reservations rather than being dispatched at
-    /// once: all trusted upstreams are full, or one has just reported that it is. Once no host
-    /// accepts a reservation, it is dispatched to one of the upstreams that are left. A request
-    /// that has a row in the ledger is dispatched at once, as its row is written before it takes a
-    /// slot.
+    /// once: all healthy upstreams are full, or one has just reported that it is full. Once no host
+    /// accepts a reservation, the request is dispatched to one of the remaining upstreams. A
+    /// request that has a row in the ledger is dispatched at once, as its row is written before it
+    /// takes a slot.
     pub fn needs_reservation(&self, choice: &UpstreamChoice) -> bool {
-        let is_set = self.state.live().waiting == WaitingMode::Reservations;
-        let is_full = matches!(choice.ground, ChoiceGround::Waiting | ChoiceGround::Any);
+        let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
+        let has_no_free_slot = matches!(choice.ground, ChoiceGround::Waiting | ChoiceGround::Any);
         let may_wait = !self.is_unreservable && self.request.once_key.is_none();
-        is_set && may_wait && (is_full || !self.full.is_empty())
+        uses_reservations && may_wait && (has_no_free_slot || !self.full.is_empty())
     }
 
     /// Waits until a host offers the request a slot, and sends it there.
@@ -120,19 +121,20 @@
         let now = self.state.now();
         let until = *self.wait_until.get_or_insert(now + self.time_left().mul_f64(WAIT_SHARE_MAX));
         let mut deadline_refusals = 0;
-        let mut links = 0;
+        let mut links_tried = 0;
         let mut full = Vec::new();
         let mut doubted = Vec::new();
         loop {
             let unlinked = self.request_reservations(set, &[&full[..], &doubted].concat());
             if set.is_empty() {
                 // Right after the daemon's start no host is linked yet.
-                let Some(index) = unlinked.filter(|_| links < LINKS_MAX) else {
-                    // The hosts that are full would not queue the request itself either.
+                let Some(index) = unlinked.filter(|_| links_tried < LINKS_MAX) else {
+                    // Hosts that refused a reservation because they are full would not queue the
+                    // request itself either.
                     self.excluded.append(&mut full);
                     return SlotEnd::NoReservation;
                 };
-                links += 1;
+                links_tried += 1;
                 if !self.establish_link(stream, index).await {
                     return SlotEnd::CallerGone;
                 }
@@ -151,10 +153,11 @@
                     let index = reservation.index;
                     let reason = self.note_refused(reservation, &failure);
                     match reason {
-                        // They are not excluded: if a slot is offered elsewhere and the request
-                        // fails there, these may have room by then.
+                        // These hosts are not excluded: if another host offers a slot and the
+                        // request fails there, they may have room by then.
                         NotRunReason::QueueFull | NotRunReason::Unproven => full.push(index),
-                        // The request itself is still sent there when no other upstream is left.
+                        // These hosts are not excluded either: the request itself is still sent
+                        // there when no other upstream remains.
                         NotRunReason::Sick => doubted.push(index),
                         _ => self.excluded.push(index),
                     }
@@ -169,8 +172,8 @@
         }
     }
 
-    /// Establishes the link to the daemon of an upstream; says whether the caller is still
-    /// connected.
+    /// Establishes the link to the daemon of an upstream. Returns `false` if the caller
+    /// disconnected meanwhile.
     async fn establish_link(&mut self, stream: &mut HttpStream, index: usize) -> bool {
         let path = self.request.service.path(index).clone();
         let linked = waiting::unless_caller_gone(stream, self.link(&path)).await;
@@ -180,9 +183,9 @@
         linked.is_some()
     }
 
-    /// Requests as many reservations as are missing, at hosts that are linked and not `full`; links
-    /// to the others are established meanwhile. Returns an upstream that was drawn and is not
-    /// linked, if there is one.
+    /// Requests the missing reservations, at linked hosts that are not in `full`. Links to the
+    /// other hosts that were drawn are established in the background. Returns an upstream that was
+    /// drawn but is not linked yet, if there is one.
     fn request_reservations(
         &mut self,
         set: &mut ReservationSet<OutboundExchange>,
@@ -194,8 +197,8 @@
         if missing == 0 {
             return None;
         }
-        let left_out = [&held[..], &self.excluded, full].concat();
-        let fits = |index: usize| !left_out.contains(&index);
+        let unavailable = [&held[..], &self.excluded, full].concat();
+        let fits = |index: usize| !unavailable.contains(&index);
         let service = self.request.service.clone();
         let request = ReservationRequest {
             count: missing,
@@ -204,7 +207,7 @@
         };
         for index in service.draw_reservations(self.state.now(), &request, fits) {
             match self.reservation_link(index) {
-                ReservationLink::Own => {
+                ReservationLink::Local => {
                     let head = self.reservation_head(index);
                     let handle = host::dispatch_local(self.state, head);
                     set.push(HeldReservation { index, handle });
@@ -224,12 +227,12 @@
         unlinked
     }
 
-    /// Returns how a reservation is requested at an upstream; a missing link is established for
-    /// later requests.
+    /// Returns how a reservation is requested at an upstream. A missing link is established in the
+    /// background, for later requests.
     fn reservation_link(&self, index: usize) -> ReservationLink {
         let path = self.request.service.path(index).clone();
         if path.is_self {
-            return ReservationLink::Own;
+            return ReservationLink::Local;
         }
         path.note_used(self.state.now());
         match path.link() {
@@ -238,7 +241,8 @@
             None => {
                 let state = self.state.clone();
                 monoio::spawn(async move {
-                    // The next choice sees that a link can't be established.
+                    // An error is not handled here: the next choice of an upstream takes into
+                    // account that its link can't be established.
                     let _ = links::link_to(&state, &path).await;
                 });
                 ReservationLink::Missing
@@ -246,9 +250,9 @@
         }
     }
 
-    /// Builds the head that requests a reservation. What only the request itself needs is sent with
-    /// the request: most reservations are released unused, and traffic between failure domains is
-    /// expensive.
+    /// Builds the head that requests a reservation. It leaves out what is needed only to run the
+    /// request, such as the body, because most reservations are released unused and traffic between
+    /// failure domains is expensive.
     fn reservation_head(&self, index: usize) -> DispatchHead {
         let now = self.state.now();
         let choice = self.request.service.with_view(|view| view.offered_choice(index, now));
@@ -284,18 +288,18 @@
         let widen_every = ReservationPlan::default().widen_every;
         let mut widen = std::pin::pin!(monoio::time::sleep(widen_every).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
-        let mut gone = std::pin::pin!(waiting::caller_gone(stream).fuse());
+        let mut disconnected = std::pin::pin!(waiting::caller_gone(stream).fuse());
         select_biased! {
             (reservation, reply) = reply => WaitStep::Reply(reservation, reply),
             () = stopping => WaitStep::GiveUp(NotRunReason::Draining),
             () = wait_over => WaitStep::GiveUp(NotRunReason::QueueFull),
             () = deadline_passed => WaitStep::GiveUp(NotRunReason::DeadlinePassed),
             () = widen => WaitStep::Widen,
-            () = gone => WaitStep::CallerGone,
+            () = disconnected => WaitStep::CallerGone,
         }
     }
 
-    /// Records that a host refused or ended a reservation, and returns why.
+    /// Records that a host refused or ended a reservation, and returns the reason.
     fn note_refused(
         &mut self,
         mut reservation: HeldReservation<OutboundExchange>,
@@ -307,14 +311,17 @@
         }
         let reason = match FailureOutcome::from_wire(failure.outcome) {
             FailureOutcome::NotRun(reason) => reason,
-            // The request was never sent there, whatever happened to the host.
+            // Only a reservation was held there, so the request has not run even if the host
+            // failed.
             FailureOutcome::Unknown(_) => NotRunReason::PeerUnreachable,
         };
         self.last_outcome = FailureOutcome::NotRun(reason);
         reason
     }
 
-    /// Sends the request to the host that offered it a slot, unless it may not be sent any more.
+    /// Sends the request to the host that offered it a slot, if it may still be sent: the daemon
+    /// may be shutting down, the caller's key may have been revoked, or copies of the request may
+    /// have crashed servers meanwhile.
     fn send_offered(
         &mut self,
         reservation: HeldReservation<OutboundExchange>,
@@ -335,7 +342,7 @@
         let choice = service.with_view(|view| view.offered_choice(index, now));
         let head = self.head(choice, body_is_done, &baseline);
         if exchange.begin(head).is_err() {
-            // Its link was lost just now, before anything was sent.
+            // The link was lost after the slot was offered; the request was not sent.
             self.excluded.push(index);
             return SlotEnd::Failed(CallerFailure::not_run(NotRunReason::PeerUnreachable));
         }
@@ -353,7 +360,7 @@
 
 /// `ReservationLink` is how a reservation is requested at an upstream.
 enum ReservationLink {
-    Own,
+    Local,
     Linked(Rc<DialledLink>),
     Missing,
     /// The daemon there runs a version without reservations.
--- a/crates/daemon/src/ingress/slow_attempts.rs
+++ b/crates/daemon/src/ingress/slow_attempts.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Slow attempts: those that outlasted their hedging delay or whose path was cut, and that run on
-//! beside their hedge. The first successful answer wins.
+//! Slow attempts: attempts that took longer than their hedging delay, or whose path was cut, and
+//! that continue beside their hedge. The first successful answer is used.
 //!
-//! Cancelling a slow attempt would discard a run that may be about to end, and start the request
-//! over.
+//! A slow attempt is not cancelled when its hedge is sent: that would discard a run that may be
+//! about to complete, and start the request over.
 
 use std::future::poll_fn;
 use std::task::{Context, Poll};
@@ -37,18 +37,18 @@
         self.attempts.push(attempt);
     }
 
-    /// Says whether there are none.
+    /// Says whether no slow attempt is running.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// Waits until one of them answers successfully, for ever if none does; those that fail are
-    /// dropped.
+    /// Waits until one of the attempts answers successfully; never returns if none does. Attempts
+    /// that fail are dropped.
     pub async fn answered(&mut self) -> (SlowAttempt, AnswerHead) {
         poll_fn(|context| self.poll_answered(context)).await
     }
 
-    /// Waits until one of them answers successfully; returns `None` once all have failed.
+    /// Waits until one of the attempts answers successfully; returns `None` once all have failed.
     pub async fn answered_if_any(&mut self) -> Option<(SlowAttempt, AnswerHead)> {
         poll_fn(|context| match self.poll_answered(context) {
             Poll::Ready(answered) => Poll::Ready(Some(answered)),
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -33,10 +33,10 @@
     pub id: &'a str,
 }
 
-/// Resolves the route and the caller of a request. A refusal says that something isn't configured,
-/// which the caller takes as permanent; so it is given only if the configuration is known to be the
-/// newest. Without this rule, a daemon that had heard of no changes for 5.6 s denied a route that
-/// had been added.
+/// Resolves the route and the caller of a request. A refusal says that something is not configured,
+/// and callers treat that as permanent. A request is therefore refused only if the configuration is
+/// confirmed to be the newest. Without this rule, a daemon that had received no changes for 5.6 s
+/// refused requests for a route that had been added meanwhile.
 pub async fn resolve(
     state: &Rc<DaemonState>,
     query: &TargetQuery<'_>,
@@ -84,43 +84,45 @@
         RouteMatch::Missing => Err(CallerFailure::not_run(NotRunReason::NoRoute)),
         RouteMatch::WrongMethod(methods) => {
             let status = StatusCode::METHOD_NOT_ALLOWED;
-            let mut failure = CallerFailure::bad_request(status, "the method is not served here");
+            let mut failure =
+                CallerFailure::bad_request(status, "the route does not serve this method");
             failure.allow = Some(methods.join(", "));
             Err(failure)
         }
     }
 }
 
-/// Returns the host name that a request is addressed to: that of an absolute target, or of the one
-/// `Host` field.
+/// Returns the host name that a request is addressed to: the one in an absolute target, else the
+/// one in the `Host` field.
 pub fn caller_host(head: &request::Parts) -> Result<String, CallerFailure> {
     let bad = |message: &str| CallerFailure::bad_request(StatusCode::BAD_REQUEST, message);
     if head.method == Method::CONNECT {
-        let message = "CONNECT is not served";
+        let message = "the method CONNECT is not supported";
         return Err(CallerFailure::bad_request(StatusCode::NOT_IMPLEMENTED, message));
     }
     let mut hosts = head.headers.get_all(header::HOST).iter();
     let field = hosts.next();
     if hosts.next().is_some() {
-        return Err(bad("more than one Host"));
+        return Err(bad("the request has more than one Host field"));
     }
     if field.is_none() && head.version == Version::HTTP_11 {
-        return Err(bad("no Host"));
+        return Err(bad("the request has no Host field"));
     }
     let absolute = head.uri.authority().map(|authority| authority.as_str());
     if absolute.is_some() && head.uri.scheme().is_none() {
-        return Err(bad("the target has no path"));
+        return Err(bad("the request target is an authority without a path"));
     }
     let field = match field.map(HeaderValue::to_str) {
         Some(Ok(text)) => Some(text),
-        Some(Err(_)) => return Err(bad("Host can't be read")),
+        Some(Err(_)) => return Err(bad("the Host field is not visible ASCII")),
         None => None,
     };
     let host = absolute.or(field).unwrap_or_default();
     Ok(without_port(host).to_ascii_lowercase())
 }
 
-/// Returns a host without its port; the colons of an IPv6 address stand in brackets.
+/// Returns a host without its port. The colons of an IPv6 address are enclosed in brackets, and are
+/// not taken for the start of a port.
 fn without_port(host: &str) -> &str {
     match host.rfind(':') {
         Some(colon) if !host[colon..].contains(']') => &host[..colon],
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -3,9 +3,10 @@
 
 //! Traces one request at the ingress: the log lines of its steps.
 //!
-//! For as many requests a second as the settings allow, every line is written as it happens, here
-//! and at the hosts that run them. For the others, the steps are buffered, a few dozen bytes each,
-//! and written only if the request fails, within a rate limit of their own.
+//! Up to a configured number of requests a second are logged in full: each line is written when its
+//! step happens, at the ingress and at the hosts that run the request. For the other requests, the
+//! steps are buffered, a few dozen bytes each, and written only if the request fails, within a
+//! separate rate limit for failures.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -30,9 +31,9 @@
 use crate::state::DaemonState;
 use crate::wire;
 
-/// Time between lines that report what was not logged.
-const LOSSES_EVERY: Duration = Duration::from_secs(5);
-/// Most steps of one request that are buffered: those of every attempt and every decline.
+/// Time between log lines that report how many requests and lines were not logged.
+const LOSS_REPORT_INTERVAL: Duration = Duration::from_secs(5);
+/// Largest number of buffered steps of one request: enough for all its attempts and declines.
 const STEPS_MAX: usize = 32;
 
 /// `LogBudget` limits how many requests are logged.
@@ -44,8 +45,8 @@
 }
 
 impl LogBudget {
-    /// Builds the budget of `requests` logged from their start and `failures` logged only as they
-    /// fail, a second.
+    /// Builds a budget of `requests` a second that are logged from their start, and `failures` a
+    /// second that are logged only because they fail.
     pub fn new(requests: u32, failures: u32) -> Self {
         let bucket = |rate: u32| {
             let rate = f64::from(rate);
@@ -66,7 +67,7 @@
         self.failures.borrow_mut().set_rate(failures, failures, now);
     }
 
-    /// Says whether one more request is logged from its start.
+    /// Says whether a new request is logged from its start; counts it as skipped otherwise.
     fn takes_request(&self, now: Duration) -> bool {
         let takes = self.requests.borrow_mut().take(now);
         if !takes {
@@ -76,7 +77,8 @@
         takes
     }
 
-    /// Says whether one more failed request is logged that was not logged from its start.
+    /// Says whether a failed request that was not logged from its start is logged now; counts it as
+    /// skipped otherwise.
     pub fn takes_failure(&self, now: Duration) -> bool {
         let takes = self.failures.borrow_mut().take(now);
         if !takes {
@@ -101,10 +103,10 @@
     pub failed: u64,
 }
 
-/// Reports how many requests and lines were not logged, for ever.
+/// Reports periodically how many requests and lines were not logged; never returns.
 pub async fn report_losses(state: Rc<DaemonState>) {
     loop {
-        monoio::time::sleep(LOSSES_EVERY).await;
+        monoio::time::sleep(LOSS_REPORT_INTERVAL).await;
         let skipped = state.log_budget.take_skipped();
         if skipped.all > 0 || skipped.failed > 0 {
             process::RequestsSkipped { requests: skipped.all, failed: skipped.failed }.log();
@@ -152,7 +154,7 @@
     Awaited {
         /// Number of the attempt that the slot was for.
         attempt: usize,
-        /// When it began to wait, since the daemon's start.
+        /// Start of the wait, as time since the daemon's start.
         began: Duration,
         /// Hosts that were asked for a reservation.
         hosts_asked: usize,
@@ -167,11 +169,11 @@
         index: usize,
         /// How it ended.
         end: StepEnd,
-        /// When it began, since the daemon's start.
+        /// Start of the attempt, as time since the daemon's start.
         began: Duration,
-        /// What the upstream's daemon reported with it.
+        /// Load that the upstream's daemon reported with the end of the attempt.
         load: Option<StepLoad>,
-        /// What follows.
+        /// What follows the attempt.
         next: NextStep,
     },
 }
@@ -181,7 +183,7 @@
 pub enum StepEnd {
     /// With the head of an answer of this status.
     Answered(u16),
-    /// It is slow, and a hedge is sent beside it.
+    /// The attempt is slow; it continues, and a hedge is sent beside it.
     Hedged,
     /// Without an answer.
     Failed(FailureOutcome),
@@ -189,7 +191,7 @@
     CallerGone,
 }
 
-/// `StepLoad` is the part of a report that explains a choice.
+/// `StepLoad` is the part of a load report that helps to explain the choice of an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct StepLoad {
     in_flight: u64,
@@ -198,7 +200,7 @@
 }
 
 impl StepLoad {
-    /// Extracts this part of a report.
+    /// Extracts this part of a load report.
     pub fn of(report: &LoadReport) -> Self {
         Self {
             in_flight: report.in_flight.max(0) as u64,
@@ -215,9 +217,9 @@
     Answer,
     /// Another attempt, charged to the retry budget.
     Retry,
-    /// Another upstream, not charged to that budget.
+    /// Another upstream, not charged to the retry budget.
     Elsewhere,
-    /// Nothing.
+    /// No further attempt.
     End,
 }
 
@@ -374,7 +376,8 @@
     .log();
 }
 
-/// Logs that the caller got a complete answer; if that is a server error, with the buffered steps.
+/// Logs that the caller got a complete answer. If the answer is a server error, the buffered steps
+/// are logged first.
 pub fn log_answered(state: &DaemonState, request: &CallerRequest, status: u16) {
     let should_log = if wire::is_server_error(status) {
         write_buffered(state, request)
@@ -396,7 +399,7 @@
     .log();
 }
 
-/// Logs that the caller got no answer of a backend server, with the buffered steps.
+/// Logs the buffered steps and that the caller got no answer from a backend server.
 pub fn log_failed(state: &DaemonState, request: &CallerRequest, failure: &CallerFailure) {
     if !write_buffered(state, request) {
         return;
@@ -419,13 +422,13 @@
     .log();
 }
 
-/// Logs that a request that is refused fleet-wide is served as a trial.
+/// Logs that a request whose copies are refused fleet-wide is sent as a trial.
 pub fn log_trial(state: &DaemonState, request: &CallerRequest) {
     let fingerprint = &request.fingerprint(state).to_string();
     RefusedTried { request: &request.trace.id, fingerprint }.log();
 }
 
-/// Logs that the daemon ends before the answer came.
+/// Logs that the daemon stops before the request was answered.
 pub fn log_given_up(state: &DaemonState, request: &CallerRequest) {
     let trace = &request.trace;
     RequestGivenUp {
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Waits for the first event of an attempt, while the rest of the request is sent.
+//! Waits for the first event of an attempt, while the rest of the request's body is sent.
 
 use std::future::{self, Future};
 use std::time::Duration;
@@ -21,12 +21,13 @@
 use crate::ingress::slow_attempts::{SlowAttempt, SlowAttempts};
 use crate::state::DaemonState;
 
-/// Time that the answer may take beyond the deadline: the host's daemon enforces the deadline by
-/// itself, so if it is silent for longer the path is at fault.
+/// Time for which an answer is awaited after the deadline. The host's daemon enforces the deadline
+/// itself, so if nothing arrives from it within this time, the path is at fault.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 /// Time between checks of the path of an attempt in flight.
 const PATH_CHECK_EVERY: Duration = Duration::from_millis(150);
-/// Bytes of pipelined requests that are read while one is served.
+/// Size in bytes at which the buffer for pipelined requests counts as full while a request is
+/// served.
 const PIPELINE_BYTES_MAX: usize = 64 * 1024;
 
 /// `FirstEvent` is the first event of an attempt.
@@ -43,7 +44,7 @@
     SlowAnswer(SlowAttempt, AnswerHead),
     /// The caller disconnected.
     CallerGone,
-    /// The daemon ends before an answer can be awaited.
+    /// The daemon stops, and no longer waits for an answer.
     Stopping,
 }
 
@@ -89,9 +90,9 @@
     }
 }
 
-/// Waits for what an attempt needs before it can be sent, unless the caller disconnects; returns
-/// `None` then. A request whose caller is gone is of no use, and once it is sent a cancel may come
-/// too late.
+/// Waits for `needed`, which an attempt needs before it can be sent; returns `None` if the caller
+/// disconnects first. The request of a caller that has disconnected must not be sent: nobody reads
+/// its answer, and a cancel that is sent after the request may arrive too late.
 pub async fn unless_caller_gone<T>(
     stream: &mut HttpStream,
     needed: impl Future<Output = T>,
@@ -142,8 +143,8 @@
 }
 
 /// Waits until the machine has resumed from a suspend in which the deadline passed, and then for
-/// the same grace period as after a deadline that passes awake: the host's daemon may still report
-/// whether the request ran.
+/// [`DEADLINE_GRACE`], as after any deadline: the host's daemon may still report whether the
+/// request ran.
 async fn passed_while_suspended(state: &DaemonState, deadline: Duration) {
     state.clock.passed_after_resume(deadline).await;
     monoio::time::sleep(DEADLINE_GRACE).await;
@@ -198,8 +199,8 @@
         }
     }
     while !body.is_done() {
-        // The body is not read before the host's daemon has started the request, so that what a
-        // refusal leaves unread can be sent to another upstream.
+        // The body is not read before the host's daemon has started the request. If the daemon
+        // refuses the request, the unread body can still be sent to another upstream.
         if sink.ready().await.is_err() {
             break;
         }
@@ -220,8 +221,8 @@
 pub async fn caller_gone(stream: &mut HttpStream) {
     match watch_caller(stream).await {
         SendEnd::CallerGone => {}
-        // The buffer for pipelined requests is full, so a disconnect only shows when the answer is
-        // written.
+        // The buffer for pipelined requests is full, so a disconnect is noticed only when the
+        // answer is written.
         SendEnd::Done => future::pending().await,
     }
 }
