--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Returns the name of the state of a backend server.
+/// Returns the state of a backend server, as named in the metrics.
 fn state_name(state: &DaemonState, upstream: &HostUpstream) -> &'static str {
     let now = state.now();
     let report = upstream.health.borrow().report("", now);
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -63,12 +63,12 @@
     };
     let mut selected = Vec::new();
     let mut after = filter.after;
-    let mut complete = true;
+    let mut store_answered = true;
     while selected.len() < AUDIT_LIMIT {
         let records = match state.changes.changes_after(after).await {
             Ok(records) => records,
             Err(_) => {
-                complete = false;
+                store_answered = false;
                 cached_records(state, after)
             }
         };
@@ -79,12 +79,12 @@
         let matching = records.into_iter().filter_map(|record| filter.select(record));
         selected.extend(matching.map(|record| audit_json(&record)));
         after = last;
-        if !complete {
+        if !store_answered {
             break;
         }
     }
     selected.truncate(AUDIT_LIMIT);
-    let source = if complete { "store" } else { "kept here; the store did not answer" };
+    let source = if store_answered { "store" } else { "kept here; the store did not answer" };
     ServerReply::json(StatusCode::OK, &json!({"records": selected, "source": source}))
 }
 
--- a/crates/daemon/src/admin/watch.rs
+++ b/crates/daemon/src/admin/watch.rs
@@ -26,8 +26,8 @@
 struct WatchState {
     daemon: Rc<DaemonState>,
     kind: Option<ResourceKind>,
-    seen: FleetRevision,
-    ended: bool,
+    seen_revision: FleetRevision,
+    has_ended: bool,
 }
 
 /// Starts a watch; `watch=` or `after=` gives the last revision that the reader has seen.
@@ -37,21 +37,21 @@
     kind: Option<ResourceKind>,
 ) -> ServerReply {
     let text = request.query("watch").or_else(|| request.query("after")).unwrap_or("");
-    let seen = match text.parse() {
+    let seen_revision = match text.parse() {
         Ok(revision) => FleetRevision(revision),
         Err(_) => {
             let message = format!("watch: {text:?} is not a revision");
             return admin::problem(StatusCode::UNPROCESSABLE_ENTITY, message);
         }
     };
-    if state.config.records_after(seen).is_none() {
+    if state.config.records_after(seen_revision).is_none() {
         let body = json!({
             "error": "changes after this revision are no longer cached here",
             "start_again_at": state.config.revision(),
         });
         return ServerReply::json(StatusCode::GONE, &body);
     }
-    let watch = WatchState { daemon: state.clone(), kind, seen, ended: false };
+    let watch = WatchState { daemon: state.clone(), kind, seen_revision, has_ended: false };
     let lines = stream::unfold(watch, next_lines).boxed_local();
     let mut reply = ServerReply::whole(StatusCode::OK, "application/jsonlines", Bytes::new());
     reply.body = ReplyBody::Stream(lines);
@@ -59,12 +59,12 @@
 }
 
 async fn next_lines(mut watch: WatchState) -> Option<(Bytes, WatchState)> {
-    if watch.ended {
+    if watch.has_ended {
         return None;
     }
     loop {
-        let count = watch.daemon.config.changed().get();
-        let records = match watch.daemon.config.records_after(watch.seen) {
+        let change_count = watch.daemon.config.changed().get();
+        let records = match watch.daemon.config.records_after(watch.seen_revision) {
             Some(records) => records,
             None => return Some(watch.end("the next changes are no longer cached here")),
         };
@@ -72,7 +72,7 @@
             return Some(watch.end("this daemon is shutting down; continue at another one"));
         }
         if let Some(last) = records.last() {
-            watch.seen = last.revision;
+            watch.seen_revision = last.revision;
             let lines = watch.lines(&records);
             if !lines.is_empty() {
                 return Some((lines, watch));
@@ -80,14 +80,14 @@
             continue;
         }
         let daemon = watch.daemon.clone();
-        let mut changed = std::pin::pin!(daemon.config.changed().above(count).fuse());
+        let mut changed = std::pin::pin!(daemon.config.changed().above(change_count).fuse());
         let mut stopping = std::pin::pin!(daemon.stop.asked.raised().fuse());
         let mut idle = std::pin::pin!(monoio::time::sleep(BOOKMARK_EVERY).fuse());
         select_biased! {
             _ = changed => {}
             () = stopping => {}
             () = idle => {
-                let line = line_of(&json!({ "bookmark": watch.seen }));
+                let line = line_of(&json!({ "bookmark": watch.seen_revision }));
                 return Some((line, watch));
             }
         }
@@ -114,9 +114,10 @@
     }
 
     fn end(mut self, reason: &str) -> (Bytes, Self) {
-        self.ended = true;
+        self.has_ended = true;
         let revision = self.daemon.config.revision();
-        let value = json!({"error": reason, "seen": self.seen, "start_again_at": revision});
+        let value =
+            json!({"error": reason, "seen": self.seen_revision, "start_again_at": revision});
         (line_of(&value), self)
     }
 }
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Connections to one backend server, and the HTTP exchange over one of them.
+//! Pools the connections to one backend server, and checks whether the server still accepts
+//! connections.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -65,8 +66,8 @@
 
     /// Closes the idle connections.
     pub fn clear(&self) {
-        let closed = self.idle.borrow_mut().drain(..).count();
-        self.open.set(self.open.get() - closed);
+        let closed_count = self.idle.borrow_mut().drain(..).count();
+        self.open.set(self.open.get() - closed_count);
     }
 
     /// Returns the number of open connections.
@@ -157,9 +158,9 @@
         }
         if let Some(mut stream) = self.stream.take() {
             stream.reader.release();
-            let usable = keep_alive
+            let reuse_time = keep_alive
                 .map_or(IDLE_TIME_MAX, |timeout| timeout.saturating_sub(KEEP_ALIVE_MARGIN));
-            let usable_until = Instant::now() + usable.min(IDLE_TIME_MAX);
+            let usable_until = Instant::now() + reuse_time.min(IDLE_TIME_MAX);
             pool.idle.borrow_mut().push(IdleStream { stream, usable_until });
             pool.open.set(pool.open.get() + 1);
         }
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -378,7 +378,8 @@
         }
     }
 
-    /// Answers a later attempt with the stored response of the first.
+    /// Answers a later attempt at an at-most-once request with the stored response of the first
+    /// attempt.
     async fn replay(&self, answer: &EventSink, stored: KeptAnswer) -> Result<(), FailureOutcome> {
         let mut lines = BytesMut::new();
         writer::put_field(&mut lines, b"content-type", stored.media_type.as_bytes());
@@ -436,8 +437,8 @@
         let progress = AttemptProgress::new(slot, self.attempt_timeout());
         let result = self.run_exchange(pooled.stream(), &progress, body, answer, claim).await;
         let was_overdue = progress.was_overdue.get();
-        let ending = if result.is_ok() { "answered" } else { "broke" };
-        metrics::ATTEMPT_SECONDS.record_as(progress.elapsed(), [("result", ending)]);
+        let result_label = if result.is_ok() { "answered" } else { "broke" };
+        metrics::ATTEMPT_SECONDS.record_as(progress.elapsed(), [("result", result_label)]);
         match result {
             Ok(reusable) => {
                 self.log_ended(&progress);
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The host role: the only process that sends requests to the backend servers of its host.
+//! The host role: the daemon is the only process that sends requests to the backend servers of its
+//! host.
 //!
 //! Slots are counted here and nowhere else. A refusal made here proves that the request did not
 //! run, since this is the only place where it could have started.
@@ -38,7 +39,7 @@
 #[derive(Default)]
 pub struct HostRole {
     upstreams: RefCell<FnvHashMap<Rc<str>, Rc<HostUpstream>>>,
-    configured: Cell<bool>,
+    was_configured: Cell<bool>,
     /// Requests that run here, to which nested calls are attributed.
     pub calls: CallTable,
 }
@@ -61,7 +62,7 @@
     pub fn configure(&self, state: &DaemonState, active: &ActiveConfig, touched: &TouchedServices) {
         // No server counts as cold at the first configuration: the daemon was replaced, not the
         // servers.
-        let cold = self.configured.replace(true);
+        let cold = self.was_configured.replace(true);
         match touched {
             TouchedServices::Some(names) => {
                 for name in names {
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Withdraws a failure after the same request also failed at another upstream.
+    /// Withdraws a failure that was recorded for an upstream, after the same request also failed at
+    /// another one.
     pub fn withdraw_failure(&self, upstream: &str, route: &str) {
         if let Some(upstream) = self.get(upstream) {
             upstream.health.borrow_mut().withdraw_failure(route);
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -292,10 +292,10 @@
             return Ok(Bytes::new());
         }
         let mut inline = BytesMut::new();
-        let begin = Instant::now();
+        let buffering_since = Instant::now();
         while inline.len() < INLINE_BYTES_MAX as usize && !body.is_done() {
-            let left = BUFFER_TIME.saturating_sub(begin.elapsed());
-            match monoio::time::timeout(left, body.next(reader)).await {
+            let buffer_time_left = BUFFER_TIME.saturating_sub(buffering_since.elapsed());
+            match monoio::time::timeout(buffer_time_left, body.next(reader)).await {
                 Ok(Ok(Some(piece))) => inline.extend_from_slice(&piece),
                 Ok(Ok(None)) => break,
                 Ok(Err(_)) => return Err(AttemptFault::BadAnswer),
@@ -336,9 +336,9 @@
         self.progress.has_succeeded.set(!failed);
         if !failed && !self.attempt.was_suspended() {
             let mut adaptive_timeout = self.attempt.upstream.adaptive_timeout.borrow_mut();
-            let counted = self.progress.counted_as_hung.get();
+            let was_counted_as_hung = self.progress.counted_as_hung.get();
             let now = self.attempt.state.now();
-            adaptive_timeout.note_answered(&self.progress.timeout, took, counted, now);
+            adaptive_timeout.note_answered(&self.progress.timeout, took, was_counted_as_hung, now);
         }
         self.attempt.record_result(evidence, was_overdue, failure);
         self.progress.is_recorded.set(true);
@@ -379,18 +379,21 @@
     ) -> Result<(), AttemptFault> {
         // Time that the caller takes to read the response does not count as service time of the
         // server.
-        let mut waited = Duration::ZERO;
+        let mut sending_time = Duration::ZERO;
         loop {
             let piece = body.next(reader).await.map_err(|_| AttemptFault::BadAnswer)?;
             let last = piece.is_none();
             if last {
-                self.record_end(status, self.progress.started.elapsed().saturating_sub(waited));
+                self.record_end(
+                    status,
+                    self.progress.started.elapsed().saturating_sub(sending_time),
+                );
             }
             let data = piece.unwrap_or_default();
-            let before = Instant::now();
+            let sending_since = Instant::now();
             let sending = self.answer.send(StreamEvent::Data(data, last));
             sending.await.map_err(|_| AttemptFault::SinkGone)?;
-            waited += before.elapsed();
+            sending_time += sending_since.elapsed();
             if last {
                 return Ok(());
             }
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -154,13 +154,13 @@
             self.last_success_at.set(now);
             self.slots.note_end();
         }
-        let breaker = match (result.failure, result.evidence) {
+        let breaker_change = match (result.failure, result.evidence) {
             (None, RequestEvidence::Neutral) => None,
             (failure, _) => health.note_end(failure, result.started, now),
         };
         drop(health);
         self.log_change(change);
-        self.log_change(breaker);
+        self.log_change(breaker_change);
     }
 
     /// Records that a running request is overdue, before it has ended.
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -20,7 +20,7 @@
     request: String,
     calls: Rc<NestedCalls>,
     usual: Option<UsualTime>,
-    number: u64,
+    request_number: u64,
     progress: &'a AttemptProgress,
 }
 
@@ -33,8 +33,8 @@
         let calls = attempt.state.host.calls.begin(&request, attempt.head.repeated, organisation);
         let usual = attempt.usual_time();
         let mut health = attempt.upstream.health.borrow_mut();
-        let number = usual.map_or(0, |usual| health.start_request(usual, now));
-        Self { attempt, request, calls, usual, number, progress }
+        let request_number = usual.map_or(0, |usual| health.start_request(usual, now));
+        Self { attempt, request, calls, usual, request_number, progress }
     }
 
     /// Returns the nested calls of the request.
@@ -61,15 +61,15 @@
     fn check_once(&self) {
         let now = self.attempt.state.now();
         self.attempt.upstream.detect_hang(now);
-        let is_long = self.progress.elapsed() > self.progress.timeout.late_after;
-        if is_long && !self.progress.counted_as_hung.replace(true) {
+        let took_too_long = self.progress.elapsed() > self.progress.timeout.late_after;
+        if took_too_long && !self.progress.counted_as_hung.replace(true) {
             self.attempt.upstream.adaptive_timeout.borrow_mut().note_overrun(now);
         }
     }
 
     fn end(&self, end: WatchEnd) {
         if self.usual.is_some() {
-            self.attempt.upstream.end_request(self.number, end, self.attempt.state.now());
+            self.attempt.upstream.end_request(self.request_number, end, self.attempt.state.now());
         }
     }
 }
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -305,12 +305,12 @@
         if let Some((live, head)) = fallback {
             return AttemptEnd::Answer(live, head);
         }
-        self.failed(failure)
+        self.end_failed(failure)
     }
 
     /// Builds the end of a request without an answer. If any attempt may have run, the request is
     /// not reported as not run.
-    fn failed(&self, failure: CallerFailure) -> AttemptEnd {
+    fn end_failed(&self, failure: CallerFailure) -> AttemptEnd {
         match (self.may_have_run, failure.outcome) {
             (Some(reason), FailureOutcome::NotRun(_)) => {
                 AttemptEnd::Failed(CallerFailure::new(FailureOutcome::Unknown(reason)))
@@ -389,9 +389,9 @@
         if probed.is_empty() {
             return Some(choice);
         }
-        for each in &probed {
-            if let Some(report) = &each.report {
-                self.note_report(each.index, report, None);
+        for probed_upstream in &probed {
+            if let Some(report) = &probed_upstream.report {
+                self.note_report(probed_upstream.index, report, None);
             }
         }
         let best = ingress_probe::best_of(&probed);
@@ -420,10 +420,11 @@
     /// answer its probe.
     fn skip_probed(&mut self, probed: &[ProbedUpstream]) {
         self.decline_count += 1;
-        for each in probed {
-            let is_full = each.load().is_some_and(|load| load.is_full() && !load.doubtful);
+        for probed_upstream in probed {
+            let is_full =
+                probed_upstream.load().is_some_and(|load| load.is_full() && !load.doubtful);
             let list = if is_full { &mut self.full } else { &mut self.excluded };
-            list.push(each.index);
+            list.push(probed_upstream.index);
         }
     }
 
@@ -506,7 +507,8 @@
             NotRunReason::Draining,
         ];
         let connect_failed = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
-        // A host offers a slot before it knows whether its backend server accepts a connection.
+        // A host offers a slot before it knows whether its backend server accepts a connection. If
+        // the server refuses it, the offer was void and counts as a decline.
         let offer_was_void =
             connect_failed && self.state.live().waiting == WaitingMode::Reservations;
         let declined =
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -48,19 +48,19 @@
 pub async fn accept(state: Rc<DaemonState>, listener: TcpListener) {
     let connections_max = state.options.connections;
     let count = ConnectionCount::default();
-    let open = count.clone();
+    let open_count = count.clone();
     let callers = Rc::new(CallerCounts::default());
     let serve = move |stream, from: SocketAddr| {
         let state = state.clone();
-        metrics::CALLER_CONNECTIONS.set(open.get() as i64);
-        let open = open.clone();
+        metrics::CALLER_CONNECTIONS.set(open_count.get() as i64);
+        let open_count = open_count.clone();
         let callers = callers.clone();
         async move {
             match callers.enter(from.ip(), state.options.connections_each) {
                 Some(_guard) => serve(&state, stream, from).await,
                 None => log_refused_connection(from.ip(), state.options.connections_each),
             }
-            metrics::CALLER_CONNECTIONS.set(open.get() as i64 - 1);
+            metrics::CALLER_CONNECTIONS.set(open_count.get() as i64 - 1);
         }
     };
     connection::accept_all(listener, connections_max, count, serve).await;
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -487,7 +487,7 @@
     }
     let address = from.ip().to_string();
     let chain = match headers.get(fields::FORWARDED_FOR).and_then(|value| value.to_str().ok()) {
-        Some(before) => format!("{before}, {address}"),
+        Some(earlier_addresses) => format!("{earlier_addresses}, {address}"),
         None => address,
     };
     let mut set = |name, value: &str| {
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -40,8 +40,8 @@
 /// Number of links that a request without any reservation tries to establish, one after the other,
 /// before it is dispatched without one.
 const LINKS_MAX: usize = 2;
-/// Number of hosts that refuse a reservation because they can't run the request within its
-/// deadline, after which no further host is asked.
+/// Number of refusals, by hosts that can't run the request within its deadline, after which no
+/// further host is asked for a reservation.
 const DEADLINE_REFUSALS_MAX: usize = 2;
 
 /// `SlotEnd` is how the wait for a slot ended.
@@ -58,9 +58,13 @@
 
 /// `WaitStep` is the next event while a request waits.
 enum WaitStep {
+    /// A host offered a slot, or refused or ended its reservation.
     Reply(HeldReservation<OutboundExchange>, ReservationReply<ExchangeFailure>),
+    /// No host has offered a slot for a while, so one more reservation is due.
     Widen,
+    /// The request may not wait any longer.
     GiveUp(NotRunReason),
+    /// The caller disconnected.
     CallerGone,
 }
 
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -74,8 +74,8 @@
             event = event => return first_event_of(event),
             (attempt, head) = slow_answer => return FirstEvent::SlowAnswer(attempt, head),
             outcome = sending => match outcome {
-                SendEnd::Done => {}
-                SendEnd::CallerGone => return FirstEvent::CallerGone,
+                WatchOutcome::BufferFull => {}
+                WatchOutcome::CallerGone => return FirstEvent::CallerGone,
             },
             () = overdue => return timed_out(),
             () = resumed => return timed_out(),
@@ -102,8 +102,8 @@
     loop {
         select_biased! {
             outcome = watching => match outcome {
-                SendEnd::Done => {}
-                SendEnd::CallerGone => return None,
+                WatchOutcome::BufferFull => {}
+                WatchOutcome::CallerGone => return None,
             },
             result = needed => return Some(result),
         }
@@ -135,8 +135,8 @@
             () = resumed => return timed_out(),
             () = stopping => return FirstEvent::Stopping,
             outcome = watching => match outcome {
-                SendEnd::Done => {}
-                SendEnd::CallerGone => return FirstEvent::CallerGone,
+                WatchOutcome::BufferFull => {}
+                WatchOutcome::CallerGone => return FirstEvent::CallerGone,
             },
         }
     }
@@ -180,13 +180,20 @@
     }
 }
 
-enum SendEnd {
-    Done,
+/// `WatchOutcome` is why the caller's connection is no longer read.
+enum WatchOutcome {
+    /// The buffer for pipelined requests is full.
+    BufferFull,
+    /// The caller disconnected.
     CallerGone,
 }
 
 /// Sends the rest of the body, then waits until the caller disconnects.
-async fn send_body(stream: &mut HttpStream, body: &mut BodyReader, live: &LiveExchange) -> SendEnd {
+async fn send_body(
+    stream: &mut HttpStream,
+    body: &mut BodyReader,
+    live: &LiveExchange,
+) -> WatchOutcome {
     let sink = &live.exchange.body;
     if let Some(prefix) = &live.withheld {
         let last = body.is_done();
@@ -207,7 +214,7 @@
         let data = match body.next(&mut stream.reader).await {
             Ok(Some(data)) => data,
             Ok(None) => Bytes::new(),
-            Err(_) => return SendEnd::CallerGone,
+            Err(_) => return WatchOutcome::CallerGone,
         };
         let last = body.is_done();
         if sink.send(StreamEvent::Data(data, last)).await.is_err() {
@@ -220,22 +227,22 @@
 /// Waits until the caller disconnects.
 pub async fn caller_gone(stream: &mut HttpStream) {
     match watch_caller(stream).await {
-        SendEnd::CallerGone => {}
+        WatchOutcome::CallerGone => {}
         // The buffer for pipelined requests is full, so a disconnect is noticed only when the
         // answer is written.
-        SendEnd::Done => future::pending().await,
+        WatchOutcome::BufferFull => future::pending().await,
     }
 }
 
 /// Waits until the caller disconnects, or the buffer for pipelined requests is full.
-async fn watch_caller(stream: &mut HttpStream) -> SendEnd {
+async fn watch_caller(stream: &mut HttpStream) -> WatchOutcome {
     loop {
         if stream.reader.buffer.len() > PIPELINE_BYTES_MAX {
-            return SendEnd::Done;
+            return WatchOutcome::BufferFull;
         }
         match stream.reader.fill(HEAD_READ_BYTES).await {
             Ok(count) if count > 0 => {}
-            _ => return SendEnd::CallerGone,
+            _ => return WatchOutcome::CallerGone,
         }
     }
 }
