--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -30,11 +30,11 @@
 /// Accepts operators' connections for as long as the daemon runs.
 pub async fn accept(state: Rc<DaemonState>, listener: TcpListener) {
     let limits = ServerLimits::with_body_bytes(BODY_BYTES_MAX);
-    let answer = move |request| {
+    let handle_request = move |request| {
         let state = state.clone();
         async move { handle(&state, &request).await }
     };
-    server::serve_all(listener, CONNECTIONS_MAX, limits, answer).await;
+    server::serve_all(listener, CONNECTIONS_MAX, limits, handle_request).await;
 }
 
 async fn handle(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
@@ -55,10 +55,10 @@
         );
         return reply.with_field(header::WWW_AUTHENTICATE, "Bearer");
     }
-    route(state, request).await
+    serve_api(state, request).await
 }
 
-async fn route(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
+async fn serve_api(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     let path = match request.path().strip_prefix("/v1/") {
         Some(path) => path.to_owned(),
         None => return problem(StatusCode::NOT_FOUND, "paths begin with /v1/"),
@@ -90,13 +90,13 @@
             ServerReply::json(StatusCode::ACCEPTED, &json!({"draining": state.options.host}))
         }
         (_, path) => match path.split_once('/') {
-            Some((kind, name)) => resource(state, request, kind, name).await,
-            None => collection(state, request, path),
+            Some((kind, name)) => serve_resource(state, request, kind, name).await,
+            None => serve_collection(state, request, path),
         },
     }
 }
 
-fn collection(state: &Rc<DaemonState>, request: &ServerRequest, kind: &str) -> ServerReply {
+fn serve_collection(state: &Rc<DaemonState>, request: &ServerRequest, kind: &str) -> ServerReply {
     let kind = match ResourceKind::parse(kind) {
         Ok(kind) => kind,
         Err(error) => return problem(StatusCode::NOT_FOUND, error),
@@ -110,7 +110,7 @@
     read::list(state, kind)
 }
 
-async fn resource(
+async fn serve_resource(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
     kind: &str,
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -207,6 +207,7 @@
         self.upstream.record_result(&self.head.route, &result, self.state.now());
     }
 
+    /// Claims the ledger row if the request needs one, waits for a slot and runs the request.
     async fn run(&self, body: &EventPipe, answer: &EventSink) -> Result<(), FailureOutcome> {
         let class = wire::class_of(self.head.work_class);
         if !self.upstream.slots.has_room(class) {
@@ -408,10 +409,11 @@
             return Err(FailureOutcome::NotRun(NotRunReason::DeadlinePassed));
         }
         let connecting = async { Ok(self.upstream.pool.take().await) };
-        let taken = unless_cancelled(body, connecting).await.map_err(FailureOutcome::NotRun)?;
-        self.upstream.note_connected(taken.is_ok(), self.state.now());
-        let mut pooled = match taken {
-            Ok(pooled) => pooled,
+        let take_result =
+            unless_cancelled(body, connecting).await.map_err(FailureOutcome::NotRun)?;
+        self.upstream.note_connected(take_result.is_ok(), self.state.now());
+        let mut pooled_stream = match take_result {
+            Ok(pooled_stream) => pooled_stream,
             Err(_) => {
                 self.record_result(RequestEvidence::Failed, false, Some(FailureKind::Broken));
                 return Err(FailureOutcome::NotRun(NotRunReason::ConnectFailed));
@@ -422,12 +424,12 @@
         if self.upstream.is_draining(self.state.now())
             || !stop::allows_start(self.state, self.deadline)
         {
-            pooled.give_back(None);
+            pooled_stream.give_back(None);
             return Err(FailureOutcome::NotRun(NotRunReason::Draining));
         }
         // A crash may have been reported while the request waited for its slot.
         if let Err(reason) = self.refuse_suspect() {
-            pooled.give_back(None);
+            pooled_stream.give_back(None);
             return Err(FailureOutcome::NotRun(reason));
         }
         metrics::HOST_ATTEMPTS.add_one();
@@ -435,7 +437,8 @@
         metrics::SLOT_WAIT_SECONDS.record(waited);
         self.log_started(waited);
         let progress = AttemptProgress::new(slot, self.attempt_timeout());
-        let result = self.run_exchange(pooled.stream(), &progress, body, answer, claim).await;
+        let result =
+            self.run_exchange(pooled_stream.stream(), &progress, body, answer, claim).await;
         let was_overdue = progress.was_overdue.get();
         let result_label = if result.is_ok() { "answered" } else { "broke" };
         metrics::ATTEMPT_SECONDS.record_as(progress.elapsed(), [("result", result_label)]);
@@ -443,13 +446,13 @@
             Ok(reusable) => {
                 self.log_ended(&progress);
                 if reusable {
-                    pooled.give_back(progress.keep_alive.get());
+                    pooled_stream.give_back(progress.keep_alive.get());
                 }
                 Ok(())
             }
             Err(AttemptFault::Shed) => {
                 if progress.reusable.get() {
-                    pooled.give_back(None);
+                    pooled_stream.give_back(None);
                 }
                 Err(AttemptFault::Shed.outcome())
             }
@@ -459,7 +462,7 @@
             }
             Err(fault) => {
                 // The slot is released after the connection is closed, not before.
-                drop(pooled);
+                drop(pooled_stream);
                 let crashed = fault.is_connection_failure() && self.detect_crash().await;
                 self.log_broke(fault, crashed, &progress);
                 if !progress.is_recorded.get() {
@@ -542,7 +545,10 @@
     }
 }
 
+/// `ClaimStep` is what follows the claim of a request's ledger row.
 enum ClaimStep {
+    /// The request is run; if it has a ledger row, its claim is held.
     Run(Option<ClaimToken>),
+    /// An earlier attempt was answered, and its stored response is sent.
     Answered(KeptAnswer),
 }
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -190,6 +190,7 @@
     finish(state, stream, &request, &mut body).await
 }
 
+/// Runs the attempts at an admitted request and replies to its caller.
 async fn finish(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
