--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Connections to one backend server, and the HTTP exchange over one of them.
+//! Pools the connections to one backend server, and checks whether the server still accepts
+//! connections.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -12,12 +13,11 @@
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
 
-/// Timeout for connecting to a backend server of the same host; the requirements put the cost of it
-/// at 1 ms.
+/// Timeout for connecting to a backend server of the same host, which is expected to take 1 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Timeout of a check whether a process listens: a host answers its own processes within a
-/// millisecond, and the ingress waits for the outcome.
+/// Timeout of a check whether a process listens at an address of this host. The check normally
+/// takes less than a millisecond, and the ingress waits for its result.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time after which a new connection is checked again: a process that exits closes its sockets one
@@ -66,8 +66,8 @@
 
     /// Closes the idle connections.
     pub fn clear(&self) {
-        let closed = self.idle.borrow_mut().drain(..).count();
-        self.open.set(self.open.get() - closed);
+        let closed_count = self.idle.borrow_mut().drain(..).count();
+        self.open.set(self.open.get() - closed_count);
     }
 
     /// Returns the number of open connections.
@@ -75,8 +75,9 @@
         self.open.get()
     }
 
-    /// Says whether nothing listens at the address. If a connection can be made, it is kept for the
-    /// next request, instead of the one that broke.
+    /// Says whether the address refuses connections, so that no process listens there. If a
+    /// connection can be opened, it is kept for the next request, in place of the connection that
+    /// broke.
     pub async fn is_refused(&self) -> bool {
         if self.open.get() >= self.limit.get() {
             return false;
@@ -117,7 +118,8 @@
         if self.open.get() >= self.limit.get() {
             return Err(HttpError::TimedOut { what: "a free connection" });
         }
-        // Counted before it is opened, so that the limit holds while several are being opened.
+        // The connection is counted before it is opened, so that the limit holds while several are
+        // being opened.
         self.open.set(self.open.get() + 1);
         let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
         pooled.stream = Some(HttpStream::connect(pooled.address, CONNECT_TIMEOUT).await?);
@@ -142,9 +144,9 @@
 impl PooledStream<'_> {
     /// Returns the connection.
     pub fn stream(&mut self) -> &mut HttpStream {
-        self.stream
-            .as_mut()
-            .unwrap_or_else(|| unreachable!("taken only when the connection is given back"))
+        self.stream.as_mut().unwrap_or_else(|| {
+            unreachable!("the stream is taken only when the connection is given back")
+        })
     }
 
     /// Returns the connection to the pool after a complete exchange; `keep_alive` is the keep-alive
@@ -156,9 +158,9 @@
         }
         if let Some(mut stream) = self.stream.take() {
             stream.reader.release();
-            let usable = keep_alive
+            let reuse_time = keep_alive
                 .map_or(IDLE_TIME_MAX, |timeout| timeout.saturating_sub(KEEP_ALIVE_MARGIN));
-            let usable_until = Instant::now() + usable.min(IDLE_TIME_MAX);
+            let usable_until = Instant::now() + reuse_time.min(IDLE_TIME_MAX);
             pool.idle.borrow_mut().push(IdleStream { stream, usable_until });
             pool.open.set(pool.open.get() + 1);
         }
@@ -167,7 +169,8 @@
 
 impl Drop for PooledStream<'_> {
     fn drop(&mut self) {
-        // `give_back` counts a connection that it keeps once more, so that one count remains.
+        // `give_back` counts a connection that it returns to the pool a second time, so that one
+        // count remains after this.
         self.pool.open.set(self.pool.open.get() - 1);
     }
 }
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The host role: the only process that sends requests to the backend servers of its host.
+//! The host role: the daemon is the only process that sends requests to the backend servers of its
+//! host.
 //!
 //! Slots are counted here and nowhere else. A refusal made here proves that the request did not
 //! run, since this is the only place where it could have started.
@@ -38,7 +39,7 @@
 #[derive(Default)]
 pub struct HostRole {
     upstreams: RefCell<FnvHashMap<Rc<str>, Rc<HostUpstream>>>,
-    configured: Cell<bool>,
+    was_configured: Cell<bool>,
     /// Requests that run here, to which nested calls are attributed.
     pub calls: CallTable,
 }
@@ -56,11 +57,12 @@
         all
     }
 
-    /// Applies a configuration to the backend servers. Those that stay keep their health state.
+    /// Applies a configuration to the backend servers. Servers that remain on this host keep their
+    /// health state.
     pub fn configure(&self, state: &DaemonState, active: &ActiveConfig, touched: &TouchedServices) {
         // No server counts as cold at the first configuration: the daemon was replaced, not the
         // servers.
-        let cold = self.configured.replace(true);
+        let cold = self.was_configured.replace(true);
         match touched {
             TouchedServices::Some(names) => {
                 for name in names {
@@ -89,18 +91,20 @@
         service: Option<&ServiceEntry>,
         cold: bool,
     ) {
-        let is_own = |upstream: &&UpstreamEntry| upstream.server.host == state.options.host;
-        let own: Vec<&UpstreamEntry> =
-            service.iter().flat_map(|service| &service.upstreams).filter(is_own).collect();
+        let is_local = |upstream: &&UpstreamEntry| upstream.server.host == state.options.host;
+        let local_upstreams: Vec<&UpstreamEntry> =
+            service.iter().flat_map(|service| &service.upstreams).filter(is_local).collect();
         let mut upstreams = self.upstreams.borrow_mut();
         upstreams.retain(|known, upstream| {
-            let stays = upstream.service != *name || own.iter().any(|each| each.name == *known);
+            let stays =
+                upstream.service != *name || local_upstreams.iter().any(|each| each.name == *known);
             if !stays {
                 upstream.release();
             }
             stays
         });
-        for (service, upstream) in service.into_iter().flat_map(|s| own.iter().map(move |u| (s, u)))
+        for (service, upstream) in
+            service.into_iter().flat_map(|s| local_upstreams.iter().map(move |u| (s, u)))
         {
             match upstreams.get(&upstream.name) {
                 Some(known) if known.service == *name => {
@@ -113,14 +117,15 @@
                             state.registrations.is_cold(&upstream.name, state.now())
                         }
                     };
-                    let made = HostUpstream::new(upstream, service, state.clock.clone(), cold);
-                    upstreams.insert(upstream.name.clone(), Rc::new(made));
+                    let created = HostUpstream::new(upstream, service, state.clock.clone(), cold);
+                    upstreams.insert(upstream.name.clone(), Rc::new(created));
                 }
             }
         }
     }
 
-    /// Withdraws a failure after the same request also failed at another upstream.
+    /// Withdraws a failure that was recorded for an upstream, after the same request also failed at
+    /// another one.
     pub fn withdraw_failure(&self, upstream: &str, route: &str) {
         if let Some(upstream) = self.get(upstream) {
             upstream.health.borrow_mut().withdraw_failure(route);
@@ -141,7 +146,8 @@
     link.forget(exchange);
 }
 
-/// Starts an exchange with a backend server of this host, by the code that serves remote ones.
+/// Starts an exchange between the ingress of this daemon and a backend server of this host. The
+/// code that serves exchanges over peer links serves it too.
 pub fn dispatch_local(state: &Rc<DaemonState>, head: DispatchHead) -> OutboundExchange {
     let body = Rc::new(EventPipe::default());
     body.shut_window();
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Waits for the first event of an attempt, while the rest of the request is sent.
+//! Waits for the first event of an attempt, while the rest of the request's body is sent.
 
 use std::future::{self, Future};
 use std::time::Duration;
@@ -21,12 +21,13 @@
 use crate::ingress::slow_attempts::{SlowAttempt, SlowAttempts};
 use crate::state::DaemonState;
 
-/// Time that the answer may take beyond the deadline: the host's daemon enforces the deadline by
-/// itself, so if it is silent for longer the path is at fault.
+/// Time for which an answer is awaited after the deadline. The host's daemon enforces the deadline
+/// itself, so if nothing arrives from it within this time, the path is at fault.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 /// Time between checks of the path of an attempt in flight.
 const PATH_CHECK_EVERY: Duration = Duration::from_millis(150);
-/// Bytes of pipelined requests that are read while one is served.
+/// Size in bytes at which the buffer for pipelined requests counts as full while a request is
+/// served.
 const PIPELINE_BYTES_MAX: usize = 64 * 1024;
 
 /// `FirstEvent` is the first event of an attempt.
@@ -43,7 +44,7 @@
     SlowAnswer(SlowAttempt, AnswerHead),
     /// The caller disconnected.
     CallerGone,
-    /// The daemon ends before an answer can be awaited.
+    /// The daemon stops, and no longer waits for an answer.
     Stopping,
 }
 
@@ -51,7 +52,7 @@
 pub async fn first_event(
     state: &DaemonState,
     request: &CallerRequest,
-    left: Duration,
+    time_left: Duration,
     stream: &mut HttpStream,
     body: &mut BodyReader,
     live: &LiveExchange,
@@ -59,7 +60,7 @@
 ) -> FirstEvent {
     let answer = live.exchange.answer.clone();
     let mut event = std::pin::pin!(answer.next().fuse());
-    let wait = left + DEADLINE_GRACE;
+    let wait = time_left + DEADLINE_GRACE;
     let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
     let hedging_delay = live.hedging_delay.filter(|_| body.is_done()).unwrap_or(wait * 2);
     let mut hedging = std::pin::pin!(monoio::time::sleep(hedging_delay).fuse());
@@ -73,8 +74,8 @@
             event = event => return first_event_of(event),
             (attempt, head) = slow_answer => return FirstEvent::SlowAnswer(attempt, head),
             outcome = sending => match outcome {
-                SendEnd::Done => {}
-                SendEnd::CallerGone => return FirstEvent::CallerGone,
+                WatchOutcome::BufferFull => {}
+                WatchOutcome::CallerGone => return FirstEvent::CallerGone,
             },
             () = overdue => return timed_out(),
             () = resumed => return timed_out(),
@@ -89,17 +90,20 @@
     }
 }
 
-/// Waits for what an attempt needs before it can be sent, unless the caller disconnects; returns
-/// `None` then. A request whose caller is gone is of no use, and once it is sent a cancel may come
-/// too late.
-pub async fn unless_gone<T>(stream: &mut HttpStream, needed: impl Future<Output = T>) -> Option<T> {
+/// Waits for `needed`, which an attempt needs before it can be sent; returns `None` if the caller
+/// disconnects first. The request of a caller that has disconnected must not be sent: nobody reads
+/// its answer, and a cancel that is sent after the request may arrive too late.
+pub async fn unless_caller_gone<T>(
+    stream: &mut HttpStream,
+    needed: impl Future<Output = T>,
+) -> Option<T> {
     let mut needed = std::pin::pin!(needed.fuse());
     let mut watching = std::pin::pin!(watch_caller(stream).fuse());
     loop {
         select_biased! {
             outcome = watching => match outcome {
-                SendEnd::Done => {}
-                SendEnd::CallerGone => return None,
+                WatchOutcome::BufferFull => {}
+                WatchOutcome::CallerGone => return None,
             },
             result = needed => return Some(result),
         }
@@ -110,15 +114,15 @@
 /// none of them succeeds.
 pub async fn last_event(
     state: &DaemonState,
-    left: Duration,
+    time_left: Duration,
     stream: &mut HttpStream,
     slow: &mut SlowAttempts,
     failure: FailureOutcome,
 ) -> FirstEvent {
     let mut answered = std::pin::pin!(slow.answered_if_any().fuse());
-    let wait = left + DEADLINE_GRACE;
+    let wait = time_left + DEADLINE_GRACE;
     let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
-    let mut resumed = std::pin::pin!(passed_while_suspended(state, state.now() + left).fuse());
+    let mut resumed = std::pin::pin!(passed_while_suspended(state, state.now() + time_left).fuse());
     let mut watching = std::pin::pin!(watch_caller(stream).fuse());
     let mut stopping = std::pin::pin!(state.stop.giving_up.raised().fuse());
     loop {
@@ -131,16 +135,16 @@
             () = resumed => return timed_out(),
             () = stopping => return FirstEvent::Stopping,
             outcome = watching => match outcome {
-                SendEnd::Done => {}
-                SendEnd::CallerGone => return FirstEvent::CallerGone,
+                WatchOutcome::BufferFull => {}
+                WatchOutcome::CallerGone => return FirstEvent::CallerGone,
             },
         }
     }
 }
 
 /// Waits until the machine has resumed from a suspend in which the deadline passed, and then for
-/// the same grace period as after a deadline that passes awake: the host's daemon may still report
-/// whether the request ran.
+/// [`DEADLINE_GRACE`], as after any deadline: the host's daemon may still report whether the
+/// request ran.
 async fn passed_while_suspended(state: &DaemonState, deadline: Duration) {
     state.clock.passed_after_resume(deadline).await;
     monoio::time::sleep(DEADLINE_GRACE).await;
@@ -176,13 +180,20 @@
     }
 }
 
-enum SendEnd {
-    Done,
+/// `WatchOutcome` is why the caller's connection is no longer read.
+enum WatchOutcome {
+    /// The buffer for pipelined requests is full.
+    BufferFull,
+    /// The caller disconnected.
     CallerGone,
 }
 
 /// Sends the rest of the body, then waits until the caller disconnects.
-async fn send_body(stream: &mut HttpStream, body: &mut BodyReader, live: &LiveExchange) -> SendEnd {
+async fn send_body(
+    stream: &mut HttpStream,
+    body: &mut BodyReader,
+    live: &LiveExchange,
+) -> WatchOutcome {
     let sink = &live.exchange.body;
     if let Some(prefix) = &live.withheld {
         let last = body.is_done();
@@ -195,15 +206,15 @@
         }
     }
     while !body.is_done() {
-        // The body is not read before the host's daemon has started the request, so that what a
-        // refusal leaves unread can be sent to another upstream.
+        // The body is not read before the host's daemon has started the request. If the daemon
+        // refuses the request, the unread body can still be sent to another upstream.
         if sink.ready().await.is_err() {
             break;
         }
         let data = match body.next(&mut stream.reader).await {
             Ok(Some(data)) => data,
             Ok(None) => Bytes::new(),
-            Err(_) => return SendEnd::CallerGone,
+            Err(_) => return WatchOutcome::CallerGone,
         };
         let last = body.is_done();
         if sink.send(StreamEvent::Data(data, last)).await.is_err() {
@@ -216,22 +227,22 @@
 /// Waits until the caller disconnects.
 pub async fn caller_gone(stream: &mut HttpStream) {
     match watch_caller(stream).await {
-        SendEnd::CallerGone => {}
-        // The buffer for pipelined requests is full, so a disconnect only shows when the answer is
-        // written.
-        SendEnd::Done => future::pending().await,
+        WatchOutcome::CallerGone => {}
+        // The buffer for pipelined requests is full, so a disconnect is noticed only when the
+        // answer is written.
+        WatchOutcome::BufferFull => future::pending().await,
     }
 }
 
 /// Waits until the caller disconnects, or the buffer for pipelined requests is full.
-async fn watch_caller(stream: &mut HttpStream) -> SendEnd {
+async fn watch_caller(stream: &mut HttpStream) -> WatchOutcome {
     loop {
         if stream.reader.buffer.len() > PIPELINE_BYTES_MAX {
-            return SendEnd::Done;
+            return WatchOutcome::BufferFull;
         }
         match stream.reader.fill(HEAD_READ_BYTES).await {
             Ok(count) if count > 0 => {}
-            _ => return SendEnd::CallerGone,
+            _ => return WatchOutcome::CallerGone,
         }
     }
 }
