--- a/crates/daemon/src/announce.rs
+++ b/crates/daemon/src/announce.rs
@@ -3,11 +3,11 @@
 
 //! Announces the revision in force here to the neighbours, until each is known to have it.
 //!
-//! An announcement may be lost unnoticed, as a link can fall silent without breaking. A neighbour
-//! that does not reply is therefore sent it again along a new link, and one that replies with an
-//! earlier revision is sent it again as well, since what it then asks for may also be lost. Without
-//! this, where the connections of 24 hosts all fell silent, daemons that received nothing for 5.6 s
-//! answered from the previous document; see the tests of daemons that are behind.
+//! An announcement may be lost without an error, as a connection can be black-holed. It is
+//! therefore repeated along a new link to a neighbour that does not reply. It is also repeated to a
+//! neighbour that replies with an earlier revision, since its request for the changes may be lost
+//! as well. Without the repeats, when all connections of 24 hosts were black-holed, daemons that
+//! received nothing for 5.6 s answered from the previous document.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,11 +22,12 @@
 use crate::state::DaemonState;
 
 /// Time after which the revision is announced again to a neighbour that is not known to have it: a
-/// reply takes a few milliseconds, and 200 ms more where a packet is lost; a change must be in
-/// force everywhere within two seconds.
+/// reply takes a few milliseconds, and 200 ms more if a packet is lost; a change must be in force
+/// everywhere within two seconds.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
-/// Maximum number of announcements to one neighbour: they go on for as long as a change may take,
-/// and heartbeats continue after that.
+/// Maximum number of announcements to one neighbour: they are repeated for the two seconds that a
+/// change may take to be in force everywhere. After that, only the regular heartbeats report the
+/// revision.
 const ANNOUNCEMENTS_MAX: usize = 5;
 
 /// Announces the revision in force to each neighbour, in a task for each.
@@ -52,8 +53,8 @@
     }
 }
 
-/// Logs that an announcement is repeated. Dials a new link to a neighbour that was not heard of
-/// since the last one.
+/// Logs that an announcement is repeated. Dials a new link to a neighbour from which nothing has
+/// been received since `announced_at`.
 async fn prepare_retry(
     state: &Rc<DaemonState>,
     path: &Rc<PeerPath>,
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -36,7 +36,7 @@
 const PART_BYTES: usize = 64 * units::KIB;
 /// Maximum number of bytes queued on a link while a snapshot is sent.
 const SNAPSHOT_BUFFER_MAX: u64 = 1024 * 1024;
-/// Pause while the receiver of a snapshot is behind.
+/// Time between checks whether the receiver of a snapshot has read enough of it for more parts.
 const SNAPSHOT_PAUSE: Duration = Duration::from_millis(5);
 
 /// Pause between two slices of a long task. It is at least as long as a slice, so that requests get
@@ -75,11 +75,12 @@
     if revision > state.config.revision() {
         catch_up(state, revision).await?;
     } else if revision < state.config.revision() {
-        // The answer was stale: the configuration here was accepted, and stays.
+        // The answer was stale. The later configuration here was accepted by the store, and stays
+        // in force.
         metrics::OLD_REVISIONS.add_one();
     }
     state.config.mark_loaded();
-    // A stale answer does not confirm what is the newest.
+    // A stale answer does not confirm that the configuration here is the newest.
     if state.config.revision() == revision {
         state.freshness.note_store(asked_at);
     }
@@ -122,7 +123,8 @@
     Ok(())
 }
 
-/// `SnapshotReadGuard` is held while a snapshot is read: reading one at a time bounds the memory.
+/// `SnapshotReadGuard` is held while a snapshot is read. Only one snapshot is read at a time, which
+/// bounds the memory.
 struct SnapshotReadGuard {
     state: Rc<DaemonState>,
 }
@@ -187,8 +189,8 @@
     }
 }
 
-/// Compares the revision of a peer: sends it the changes that it lacks, or asks for those that are
-/// missing here.
+/// Compares the revision of a peer with the own one: sends the peer the changes that it lacks, or
+/// asks it for those that are missing here.
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let ours = state.config.revision();
     if state.options.source == ConfigSource::Document {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -66,7 +66,8 @@
     let revision = FleetRevision(note.revision.max(0) as u64);
     state.members.note_heard(state, peer, revision);
     state.members.note_entries(state, &note.members);
-    // Sent before the reply, as the peer may ask for all that is known here.
+    // The record is sent before the reply, which may prompt the peer to ask for all that is known
+    // here.
     roster::send_previous_record(state, sender, peer);
     if note.reply {
         freshness::note_answer(state, &note);
@@ -82,7 +83,7 @@
     }
     let (state, sender) = (state.clone(), sender.clone());
     monoio::spawn(async move {
-        // The reply reports what is known by then, whether or not that is certain.
+        // The reply reports the last confirmation known by then, even if none is recent.
         freshness::is_certain(&state).await;
         answer_heartbeat(&state, &sender, &note);
     });
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -4,8 +4,8 @@
 //! The operator's document as the source of the configuration.
 //!
 //! The document is adopted as a whole, and only if its version is higher than that of the one in
-//! force. The upstreams of its services are the backend servers that registered, by the rows of the
-//! hosts.
+//! force. The upstreams of its services are the registered backend servers, which the rows of the
+//! hosts list.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -39,12 +39,12 @@
 use crate::roster::{self, RelayedRecord};
 use crate::state::DaemonState;
 
-/// Longest wait of a call: every daemon makes such calls, and the store charges each whether or not
-/// there is news. The store waits no longer than 30 s.
+/// Longest wait of a call: every daemon makes such calls, and the store charges for each, whether
+/// or not anything changed. The store waits no longer than 30 s.
 const WAIT_MAX: Duration = Duration::from_secs(28);
-/// How the operator's table is followed. Failed calls cost as much as others, and after an outage
-/// the first of many daemons that learns of a change sends it to the others, so that retries every
-/// 1.5 s are enough.
+/// How the operator's table is followed. Failed calls cost as much as others, and after an outage,
+/// the first daemon that reads a change announces it to the others, so that retries every 1.5 s are
+/// enough.
 const FEED: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
@@ -58,7 +58,8 @@
 /// Time for which a daemon waits for a document that it pulls from a peer before it may ask
 /// another: a document of some hundred kilobytes takes a few tens of milliseconds within a region.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Source of a document that came from the store, as named in logs; that of others is the peer.
+/// Name of the store in logs, as the source of a document; a document from a peer is logged with
+/// the name of the peer's host.
 const STORE: &str = "store";
 
 /// `DocumentCell` holds the document in force, if there is one.
@@ -68,7 +69,8 @@
     pulling: Cell<bool>,
     /// Position up to which the operator's table was read, if it was.
     position: Cell<Option<TablePosition>>,
-    /// Raised when a peer has a document that the pending call to the store did not return.
+    /// Raised when a peer has a later document, which the pending call to the store has not
+    /// returned.
     stale_call: RisingSignal,
 }
 
@@ -98,9 +100,9 @@
     }
 }
 
-/// Waits for the next news from the store. Abandons the call if a peer turns out to have what the
-/// call did not return: its connection may have fallen silent, and would hold the call for up to
-/// 8.7 s.
+/// Waits for the next changes from the store. Abandons the call if a peer turns out to have a later
+/// document, which the call has not returned: the connection of the call may be black-holed, and
+/// would hold the call for up to 8.7 s.
 async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedNews> {
     let began = state.now();
     let became_stale = state.document.stale_call.above(state.document.stale_call.get());
@@ -118,7 +120,7 @@
 /// Applies an answer of the store, which is complete as of the moment `as_of`.
 fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, as_of: Duration) {
     let outcomes: Vec<_> = page.rows.iter().filter_map(|row| apply_row(state, row)).collect();
-    // A stale answer does not confirm what is the newest.
+    // A stale answer does not confirm that the document in force is the newest.
     if outcomes.last() != Some(&DocumentOutcome::Outdated) {
         state.freshness.note_store(as_of);
     }
@@ -127,8 +129,8 @@
 /// Queries the store for a later document, and adopts it.
 pub async fn query_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
-    // A document that could not be read before may be readable now, and the feed will not report
-    // its change again.
+    // A document that could not be read may be readable now. The feed does not report its change
+    // again, so the whole table is read.
     let is_outdated = state.freshness.known().is_outdated();
     let position = state.document.position.get().filter(|_| !is_outdated);
     let changes = match position {
@@ -339,8 +341,8 @@
     })
 }
 
-/// Pulls the document of a peer that has a later revision in force: at once if there is none here,
-/// or else if the store has not delivered it a little later.
+/// Pulls the document of a peer that has a later revision in force: at once if no document is in
+/// force here, or else if the store has not delivered it within [`STORE_TIMEOUT`].
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let is_behind = move |state: &DaemonState| theirs > state.config.revision();
     if !is_behind(state) || state.document.pulling.replace(true) {
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -13,9 +13,10 @@
 
 use crate::state::DaemonState;
 
-/// Longest wait of a call for each daemon of the fleet. A connection that fell silent holds its
-/// call until its wait is over, and the first daemon whose call ends informs the others. The calls
-/// of a small fleet therefore end as often as those of twelve daemons, one every half second.
+/// Longest wait of a call, per daemon of the fleet. A black-holed connection holds its call until
+/// the wait is over, and the first daemon whose call ends informs the others. The calls of a small
+/// fleet are therefore bounded so that, together, they end as often as those of twelve daemons, one
+/// every half second.
 const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
 /// Returns the longest wait of a call in a fleet of `members` daemons, but no more than `most`.
@@ -53,7 +54,7 @@
     plan: FeedPlan,
     /// Position up to which the table was read, `None` before all of it was.
     position: Option<TablePosition>,
-    /// Moment as of which the last answer of the store was complete.
+    /// Time up to which the last answer of the store includes all changes.
     as_of: Duration,
     backoff: RetryBackoff,
     lost_at: Option<Duration>,
@@ -73,7 +74,7 @@
         self.position = Some(TablePosition { version, ..self.position.unwrap_or_default() });
     }
 
-    /// Returns the moment as of which the last answer of the store was complete.
+    /// Returns the time up to which the last answer of the store includes all changes.
     pub fn as_of(&self) -> Duration {
         self.as_of
     }
@@ -130,8 +131,9 @@
         let wait = platform::draw_wait(longest_wait(state.members.count(), self.plan.wait_max));
         match state.platform.follow(self.plan.table, position, wait).await? {
             FeedReply::Changes(page, position) => {
-                // An answer may have been delayed on its way; one without changes was sent no
-                // sooner than the end of its wait.
+                // An answer may have been delayed on its way, so it includes all changes only up to
+                // the start of the call. An answer without changes was sent no sooner than the end
+                // of its wait.
                 let waited = page.rows.is_empty() && state.now() >= began + wait;
                 self.as_of = if waited { began + wait } else { began };
                 self.position = Some(position);
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -1,14 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! How fresh the configuration of this daemon is: who last confirmed that there is no later one,
-//! and as of when; and the query whether it is the newest, before a request is refused because of
-//! it.
+//! Tracks by whom and when the configuration in force was last confirmed as the newest. Before a
+//! request is refused because of the configuration, this is queried if it is uncertain.
 //!
 //! One query at a time serves all waiting requests, so that callers who ask for unknown routes cost
-//! one query a second, however many they are. It goes to the two daemons of the failure domain that
-//! read the store for the others, and to the store itself only if neither confirms. While nobody
-//! answers, requests are refused at once as not run.
+//! one query a second, however many they are. The query goes to the two daemons of the failure
+//! domain that read the store for the others, and to the store itself only if neither confirms. For
+//! a while after a query without a confirmation, requests are refused at once as not run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -32,16 +31,16 @@
 
 /// Longest wait for a confirmation. The store answers within a few milliseconds when it is healthy,
 /// and so does a peer; a request for a route that was just added is still served well within the
-/// time of most requests.
+/// timeout of most requests.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest wait for the daemons that read the store for the failure domain. The store answers them
-/// within a few milliseconds, and a request for an unknown route waits as long.
+/// within a few milliseconds, and a request for an unknown route waits for them up to this time.
 const READER_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after a query without a confirmation within which no other is made. Requests that need one
 /// are refused at once.
 const QUERY_PAUSE: Duration = Duration::from_millis(500);
-/// Peers that are queried along with the store: one may be silent, and one may know of nothing
-/// newer.
+/// Number of peers that are queried along with the store: one may be unresponsive, and another may
+/// not have the newest configuration.
 const ASKED_PEERS: usize = 3;
 
 /// `FreshnessTracker` is how recently the configuration of this daemon was confirmed as the newest.
@@ -51,7 +50,7 @@
     /// Raised at each confirmation, and at the end of a query.
     confirmed: RisingSignal,
     is_querying: Cell<bool>,
-    /// Until when no query is made, as the last got no answer.
+    /// Time until which no query is made, because the last one brought no confirmation.
     paused_until: Cell<Duration>,
 }
 
@@ -61,7 +60,7 @@
         *self.known.borrow()
     }
 
-    /// Records a confirmation by the store, as of a moment.
+    /// Records that the store confirmed the configuration as the newest at the time `as_of`.
     pub fn note_store(&self, as_of: Duration) {
         self.note(FreshConfirmation { as_of, source: ConfirmationSource::Store });
     }
@@ -71,8 +70,8 @@
         self.known.borrow_mut().note_outdated();
     }
 
-    /// Records that the latest configuration can be put in force after all, or that another came
-    /// after it.
+    /// Records that the latest configuration can be put in force after all, or that a later one has
+    /// replaced it.
     pub fn note_readable(&self) {
         self.known.borrow_mut().note_readable();
     }
@@ -84,7 +83,7 @@
 }
 
 /// Says whether the configuration in force is confirmed as the newest, or was a moment ago; makes a
-/// query if necessary. A later configuration may come in force meanwhile.
+/// query if necessary. A later configuration may come in force before this returns.
 pub async fn is_certain(state: &Rc<DaemonState>) -> bool {
     let tracker = &state.freshness;
     let give_up_at = state.now() + ANSWER_TIMEOUT;
@@ -177,9 +176,9 @@
 }
 
 /// Records what a peer's reply to a heartbeat of this daemon confirms. The reply was sent after the
-/// request, so that what the peer knew is no older than the time of the request less the age that
-/// it reports. A request of another incarnation of this daemon would count by another clock, but
-/// its reply is lost with its link.
+/// request, so that the peer's last confirmation is no older than the time of the request less the
+/// age that the peer reports. The time in a request of an earlier incarnation of this daemon is of
+/// another clock, but the reply to such a request is lost with its link.
 pub fn note_answer(state: &DaemonState, answer: &HeartbeatNote) {
     let (Some(asked), Some(age)) = (millis(answer.asked_ms), millis(answer.fresh_ms)) else {
         return;
@@ -193,10 +192,10 @@
     state.freshness.note(confirmation);
 }
 
-/// Returns the age of the last confirmation as it is reported to peers.
+/// Returns the age of the last confirmation in milliseconds, as it is reported to peers.
 pub fn reported_age(state: &DaemonState) -> Option<i64> {
     let age = state.freshness.known().age(state.now())?;
-    // Rounded up, as what is reported must not be fresher than what is known.
+    // Rounded up, as the reported age must not be less than the actual one.
     Some(age.as_millis() as i64 + 1)
 }
 
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -21,11 +21,12 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Time after a start within which a daemon may have started together with all others. On a first
-/// start the owner then grants the whole burst, as a fleet that starts must not refuse requests.
+/// Time after a daemon's start for which the whole fleet may have started together. If the fleet
+/// started for the first time, the owner then grants the whole burst, as a fleet that starts must
+/// not refuse requests.
 const FIRST_START_WINDOW: Duration = Duration::from_secs(3);
 /// Time for which the list of eligible hosts is kept. Owners change only when a daemon leaves or
-/// has been silent for seconds.
+/// has been unresponsive for seconds.
 const ELIGIBLE_TTL: Duration = Duration::from_millis(200);
 
 /// Minimum age of an owner, if any daemon is that old. A new daemon is known to some daemons sooner
@@ -39,7 +40,7 @@
     pub owner: Option<Rc<str>>,
     /// Host that counts the limit for ingresses that can't reach the owner.
     pub backup: Option<Rc<str>>,
-    /// Generation of the eligible hosts from which this follows.
+    /// Generation of the eligible hosts among which the owners were chosen.
     generation: u64,
 }
 
@@ -95,8 +96,8 @@
         eligible.refreshed_at = now;
         let hosts = eligible_hosts(state);
         if eligible.generation == 0 || hosts != eligible.hosts {
-            // Which hosts were eligible before the first list is not known, so that it counts as
-            // unchanged since this daemon's start.
+            // Which hosts were eligible before the first list was built is not known, so that this
+            // list counts as unchanged since this daemon's start.
             eligible.changed_at = if eligible.generation == 0 { Duration::ZERO } else { now };
             eligible.generation += 1;
             eligible.hosts = hosts;
@@ -169,7 +170,7 @@
     Settled,
 }
 
-/// Returns how the daemon started. The row of a host whose daemon started before shows this.
+/// Returns how the daemon started. An earlier start of a daemon shows in the row of its host.
 pub fn fleet_start(state: &DaemonState) -> FleetStart {
     if state.now() >= FIRST_START_WINDOW {
         return FleetStart::Settled;
@@ -184,8 +185,8 @@
 /// there are any, those that started long enough ago.
 ///
 /// A daemon that itself restarted a moment ago knows the start times of the others only from their
-/// rows. If all daemons were killed at once, those rows describe starts that are over, so that they
-/// are ignored.
+/// rows. If all daemons were killed at once, those rows describe earlier incarnations. A daemon
+/// that restarted a moment ago therefore ignores start times.
 fn eligible_hosts(state: &DaemonState) -> Vec<String> {
     let started_by = units::wall_millis() as i64 - OWNER_AGE_MIN.as_millis() as i64;
     let now = state.now();
@@ -202,8 +203,8 @@
     hosts
 }
 
-/// Checks whether the owner of a limit is reachable, after a peer took this daemon for the owner:
-/// the peer may know that the owner is lost.
+/// Checks whether the owner of a limit is reachable, after a peer asked this daemon as the owner:
+/// the peer may already know that the actual owner is unreachable.
 fn check_owner(state: &Rc<DaemonState>, limit: &str) {
     let Some(owner) = state.limits.owned.assignment(state, limit).owner else { return };
     let path = state.peers.path(&owner);
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -26,12 +26,12 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Longest wait for a grant of the owner along a link that is up. Two round trips between failure
-/// domains take 6 ms; an owner that takes this long is treated as cut off. Right after a start,
-/// links take longer than that to be established.
+/// Longest wait for a grant of the owner along an established link. Two round trips between failure
+/// domains take 6 ms; an owner that takes longer than this timeout is treated as unreachable. The
+/// time to establish the link is not included, as it is longer right after a start.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which an ingress without an owner keeps to its own share before it asks the owner
-/// again.
+/// Time for which an ingress that can't reach the owner of a limit does without it, before it asks
+/// the owner again.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// `LimitState` is what this ingress knows of one limit.
@@ -39,7 +39,7 @@
     limiter: LocalLimiter,
     pending_request: Option<Rc<RisingSignal>>,
     retry_owner_at: Duration,
-    /// Until when the owner, which could not be reached, is not asked again.
+    /// Time until which the owner is not asked again, because it could not be reached.
     owner_lost_until: Option<Duration>,
     /// The daemons that count the limit.
     assignment: OwnerAssignment,
@@ -202,13 +202,14 @@
     }
 }
 
-/// Asks the owner for tokens. Requests that arrive meanwhile wait for the same reply.
+/// Asks the owner for tokens. Requests that arrive before its reply wait for the same reply.
 async fn request_tokens(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
     start_token_request(state, entry, wanted).raised().await;
 }
 
-/// Asks the owner for tokens and reports the requests admitted ahead, unless such a request is
-/// pending. Returns the signal that is raised once the reply is in.
+/// Asks the owner for tokens, and reports the requests that were admitted before their tokens were
+/// granted, unless a token request is pending. Returns the signal that is raised once the token
+/// request has ended.
 fn start_token_request(
     state: &Rc<DaemonState>,
     entry: &LimitEntry,
@@ -242,13 +243,14 @@
     state.limits.with_limit(entry, |known| known.pending_request = pending_request);
 }
 
-/// Asks the owner, or the backup owner for as long as the owner can't be reached. Without both, the
-/// ingress keeps to its own share.
+/// Asks the owner, or the backup owner for as long as the owner can't be reached. If neither can be
+/// reached, the ingress admits only its own share of the limit.
 async fn request_from_any(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
     let lost_until = state.limits.with_limit(entry, |known| known.owner_lost_until).flatten();
     match lost_until {
         Some(until) if state.now() < until => {}
-        // An owner that may still be unreachable does not delay the request that waits.
+        // The owner is asked in a task of its own: it may still be unreachable, and must not delay
+        // the requests that wait.
         Some(_) => {
             let (state, entry) = (state.clone(), entry.clone());
             monoio::spawn(async move { request_from_owner(&state, &entry, 0.0).await });
@@ -259,8 +261,8 @@
     request_from_backup(state, entry, wanted).await;
 }
 
-/// Asks the owner for tokens and reports the requests admitted ahead. Says whether the owner
-/// replied.
+/// Asks the owner for tokens, and reports the requests that were admitted before their tokens were
+/// granted. Says whether the owner replied.
 async fn request_from_owner(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) -> bool {
     let spent = state.limits.with_limit(entry, |known| known.limiter.take_spent()).unwrap_or(0.0);
     let owner = state.limits.assignment(state, entry).and_then(|assignment| assignment.owner);
@@ -306,8 +308,8 @@
             note_grant(known, entry, wanted, answer, now);
         }
         None => {
-            // Only in a fleet that starts for the first time is the whole share of the burst known
-            // to be left.
+            // Only in a fleet that starts for the first time is this daemon's share of the burst
+            // known to be unused.
             let is_first = limit_owners::fleet_start(state) == FleetStart::First;
             let since = (!is_first).then_some(Duration::ZERO);
             let terms = StandaloneTerms { rate: rule.rate, burst: rule.burst, daemons, since };
@@ -317,9 +319,9 @@
     });
 }
 
-/// Reports to the owner what this daemon granted as the backup owner. Where only some daemons can't
-/// reach the owner, one count then covers all grants. An owner that is gone is not notified, as its
-/// successor starts with a new count.
+/// Reports to the owner what this daemon granted as the backup owner. If only some daemons can't
+/// reach the owner, the owner's count then covers all grants. An owner that is gone is not
+/// notified, as its successor starts with a new count.
 pub fn charge_owner(state: &Rc<DaemonState>, limit: &str, granted: f64) {
     let active = state.config.active();
     let Some(entry) = active.limit(limit).cloned().filter(|_| granted > 0.0) else { return };
@@ -346,7 +348,8 @@
     }
 }
 
-/// `GrantTerms` is what an ingress asks for and reports.
+/// `GrantTerms` is what a token request asks for and reports: the tokens wanted, the tokens used
+/// before they were granted, and, for a backup owner, the claimed part of the limit.
 #[derive(Debug, Clone, Copy)]
 struct GrantTerms {
     wanted: f64,
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -27,7 +27,7 @@
 use crate::membership;
 use crate::state::DaemonState;
 
-/// Timeout for connecting to another daemon: distant regions are 0.3 s away.
+/// Timeout for connecting to another daemon: a round trip to a distant region takes up to 0.3 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time that a request waits for a link to be established.
 ///
@@ -39,8 +39,9 @@
 const IDLE_MAX: Duration = Duration::from_secs(120);
 /// Time for which a path may be cut before its link is closed and established again.
 const CUT_MAX: Duration = Duration::from_secs(10);
-/// Silence of a cut path after which a second link is dialled beside the first: a connection may
-/// stay silent for good while new ones work. Requests in flight on the first are not lost by that.
+/// Time without a received frame after which a second link is dialled along a cut path, beside the
+/// first: a connection may be black-holed for good while new ones work. Requests in flight on the
+/// first link are not lost by that.
 const RENEW_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of accepted links: every other daemon at the fleet size expected in two years,
 /// and room for restarts.
@@ -95,8 +96,9 @@
     true
 }
 
-/// Dials a second link beside a silent one, and waits for it no longer than a request would.
-/// Requests in flight stay on the old link, as the silence may end; new ones use the new link.
+/// Dials a second link beside one that may be black-holed, and waits for it no longer than a
+/// request would. Requests in flight stay on the old link, as it may recover; new ones use the new
+/// link.
 pub async fn renew(state: &Rc<DaemonState>, path: &Rc<PeerPath>) {
     let seen = path.change_count();
     if start_dial(state, path) || path.is_dialling() {
@@ -206,9 +208,9 @@
     }
 }
 
-/// Says whether a link crosses failure domains, on which both sides agree. Frames are compressed
-/// there, as bytes between failure domains are expensive; within a failure domain the processor's
-/// time is.
+/// Says whether a link crosses failure domains, on which both sides agree. Frames are compressed on
+/// such a link, as traffic between failure domains is expensive. Within a failure domain, the
+/// processor time for compression would cost more.
 fn crosses_domains(state: &DaemonState, peer: &PeerIdentity) -> bool {
     state.options.failure_domain != peer.failure_domain
 }
@@ -261,7 +263,7 @@
     fleet::AcceptedEnded { host: &link.peer.host, error: &error.to_string() }.log();
 }
 
-/// Monitors the dialled links for ever: probes silent ones and closes idle ones.
+/// Monitors the dialled links for ever: probes unresponsive ones and closes idle ones.
 pub async fn watch(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(WATCH_INTERVAL).await;
@@ -272,7 +274,8 @@
     }
 }
 
-/// Logs when a link falls silent, and when it is heard on again.
+/// Logs when a path is cut, as nothing has been received along it for a while, and when frames
+/// arrive again.
 fn log_silence(path: &PeerPath, in_flight: usize, now: Duration) {
     let is_silent = path.state(now) == PathState::Cut;
     if path.note_silence(is_silent) == is_silent {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -4,8 +4,8 @@
 //! This daemon's view of the fleet's membership: which daemons are live, suspect or leaving.
 //!
 //! The view is seeded by the rows of the hosts and kept up to date by gossip, in heartbeats between
-//! a few peers. Daemons never agree on it, and nothing that must hold depends on it. What is known
-//! of a later incarnation of a daemon takes precedence.
+//! a few peers. The views of two daemons may always differ, so no guarantee of the fleet depends on
+//! them. Information about a later incarnation of a daemon takes precedence.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,13 +30,13 @@
 
 /// Time between attempts to contact the seeds while no other daemon is known.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum number of members in one heartbeat: 64 entries a second keep the view fresh within the
-/// suspect time.
+/// Maximum number of members in one heartbeat: the resulting 64 entries a second keep the view
+/// fresh within the suspect time.
 const ENTRIES_MAX: usize = 8;
-/// Heartbeat intervals after which a member that was not heard of is suspect, in a small fleet.
+/// Heartbeat intervals after which a member without a known heartbeat is suspect, in a small fleet.
 const SUSPECT_HEARTBEATS: u32 = 12;
-/// Members whose entries one round of heartbeats renews. The suspect time grows by one interval for
-/// each such number of members.
+/// Number of members whose entries one round of heartbeats renews. The suspect time grows by one
+/// heartbeat interval for every so many members of the fleet.
 const RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
@@ -47,11 +47,11 @@
 /// `MemberState` is the assumed state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It was heard of recently.
+    /// Its latest known heartbeat is recent.
     Live,
-    /// It was not heard of recently.
+    /// Its latest known heartbeat is older than the suspect time.
     Suspect,
-    /// It is leaving.
+    /// It announced that it is leaving.
     Leaving,
 }
 
@@ -77,7 +77,7 @@
     pub admin_address: String,
     /// Number of its incarnation; that of a later start is higher.
     pub incarnation: i64,
-    /// When it was last heard of, directly or through others.
+    /// Time of its latest known heartbeat, received directly or reported by another member.
     pub heard_at: Duration,
     /// Whether it announced that it is leaving, in this incarnation.
     pub leaving: bool,
@@ -95,7 +95,8 @@
     round: Cell<u64>,
 }
 
-/// Returns the silence after which a member of a fleet of this size is suspect.
+/// Returns the time without a heartbeat after which a member is suspect, in a fleet of `members`
+/// members.
 pub fn suspect_after(heartbeat: Duration, members: usize) -> Duration {
     heartbeat * (SUSPECT_HEARTBEATS + (members / RENEWED_EACH_ROUND) as u32)
 }
@@ -150,7 +151,7 @@
         self.members.borrow().len().max(1)
     }
 
-    /// Records an accepted link, so that news can be sent along it.
+    /// Records an accepted link, so that frames can be sent along it.
     pub fn note_accepted(&self, link: &Rc<AcceptedLink>) {
         let mut accepted = self.accepted.borrow_mut();
         accepted.retain(|known| known.strong_count() > 0);
@@ -169,7 +170,7 @@
         self.members.borrow().get(host).map_or(0, |view| view.incarnation)
     }
 
-    /// Records the row of a host. A row is no sign of life, unless it is that of a later
+    /// Records the row of a host. A row does not count as a heartbeat, unless it is of a later
     /// incarnation.
     pub fn note_record(&self, state: &DaemonState, host: &str, record: &HostRecord) {
         if host == state.options.host {
@@ -206,14 +207,14 @@
         members.retain(|_, view| view.listed || silent(view) < forget_after);
     }
 
-    /// Records that a host has no row any more. Heartbeats about it still count.
+    /// Records that a host has no row any more. Reports of its heartbeats are still used.
     pub fn note_removed(&self, host: &str) {
         if let Some(view) = self.members.borrow_mut().get_mut(host) {
             view.listed = false;
         }
     }
 
-    /// Returns the hosts with a row that have been silent for so long that they are considered
+    /// Returns the hosts with a row whose latest known heartbeat is so old that they are considered
     /// gone.
     pub fn silent_hosts(&self, state: &DaemonState) -> Vec<String> {
         let now = state.now();
@@ -234,8 +235,8 @@
             failure_domain: String::new(),
             peer_address: address.to_string(),
             admin_address: String::new(),
-            // The daemon's own entry, which comes next, has the actual incarnation and fills in the
-            // other fields.
+            // One less than the actual incarnation, so that the daemon's own entry, which follows
+            // in a heartbeat, takes precedence and fills in the other fields.
             incarnation: peer.incarnation.saturating_sub(1),
             heard_at: state.now(),
             leaving: false,
@@ -246,7 +247,7 @@
         self.members.borrow_mut().entry(peer.host).or_insert(view);
     }
 
-    /// Records that a peer was heard of directly.
+    /// Records a heartbeat that came from the peer itself.
     pub fn note_heard(&self, state: &DaemonState, peer: &PeerIdentity, revision: FleetRevision) {
         let mut members = self.members.borrow_mut();
         if let Some(view) = members.get_mut(&peer.host) {
@@ -326,8 +327,9 @@
     }
 }
 
-/// Merges a reported view into the known one: a later incarnation replaces it, and within one the
-/// later report counts. A daemon that is leaving stays so within the same incarnation.
+/// Merges a reported view into the known one. A later incarnation replaces the known view. Within
+/// one incarnation, the later heartbeat and revision are kept, and a daemon that is leaving stays
+/// so.
 fn merge(view: &mut MemberView, reported: MemberView) {
     if reported.incarnation < view.incarnation {
         return;
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -33,7 +33,7 @@
 /// `SnapshotPart` is a part of a snapshot as a peer sends it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SnapshotPart {
-    /// Number of the sender's transfer that it belongs to.
+    /// Number of the sender's transfer that the part belongs to.
     pub telling: i64,
     /// Its index in the transfer, from 0.
     pub place: i32,
@@ -52,8 +52,7 @@
     }
 
     /// Adds a part, and returns the whole snapshot with the last one. A part that does not follow
-    /// the one before belongs to a transfer that broke off, or that a later one replaced, and is
-    /// dropped.
+    /// the last received one is dropped: its transfer broke off or was replaced by a later one.
     pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
         if part.place == 0 {
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -29,15 +29,16 @@
 use crate::roster::{self, HostRecord, ServerRecord};
 use crate::state::DaemonState;
 
-/// Maximum number of connections of backend servers of this host, and of the platform.
+/// Maximum number of connections to one listener: of the backend servers of this host, or of the
+/// platform for the readiness check.
 const CONNECTIONS_MAX: usize = 64;
 /// Largest heartbeat, in bytes.
 const BODY_BYTES_MAX: u64 = 16 * 1024;
 /// Timeout of a health check, which may wait for a slot of the server. After a failed check, the
 /// server's next heartbeat comes soon.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Maximum number of ended incarnations of backend servers that are remembered, to recognise their
-/// late heartbeats.
+/// Maximum number of ended incarnations of backend servers that are remembered, to recognise
+/// heartbeats that arrive after their end.
 const GONE_MAX: usize = 64;
 /// Maximum number of backend servers whose incarnations are tracked: a host has few, and a client
 /// that names more of them is no backend server of this host.
@@ -130,8 +131,8 @@
 }
 
 fn answer_server(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
-    // An acknowledgement also binds the next incarnation of this daemon, but this one no longer
-    // waits until the next can learn of it. The backend server retries.
+    // An acknowledged change must also reach the next incarnation of this daemon, through the
+    // store, but this daemon no longer waits until it is stored. The backend server retries.
     if state.stop.is_over(state.now()) {
         return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon ends");
     }
@@ -164,9 +165,9 @@
     ServerReply::whole(StatusCode::OK, "application/json", body)
 }
 
-/// Returns why a heartbeat is refused as coming from some other client: its service is not
-/// configured and its server not registered with it, or its service or address differs from that
-/// registered for the same incarnation.
+/// Returns why a heartbeat is refused, as it may come from some other client than a backend server
+/// of this host. Either its service or its address differs from those registered for the same
+/// incarnation, or the incarnation is not registered and its service is not configured.
 fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
     let servers = state.roster.own_servers();
@@ -229,8 +230,8 @@
         sequence: heartbeat.sequence,
     }
     .log();
-    // A server that listens on the address of another or has its name replaces it for good: a
-    // heartbeat of the replaced one may be delayed and arrive only now.
+    // A server with the address or the name of another replaces it for good, so that a delayed
+    // heartbeat of the replaced server does not register it again.
     let is_replaced = |other: &ServerRecord| {
         let same_server = incarnation::server_of(&other.name) == heartbeat.incarnation.server;
         other.name != record.name && (same_server || other.address == record.address)
@@ -256,7 +257,7 @@
         servers::ServerGone { upstream: name }.log();
         roster::set_own_servers(state, servers);
     }
-    // The row may list a server that this incarnation of the daemon has not heard of.
+    // The row may list a server that has not registered with this incarnation of the daemon.
     roster::note_departure(state);
 }
 
@@ -280,8 +281,8 @@
     }
 }
 
-/// Removes backend servers that an earlier record listed and this later one no longer does. A
-/// server that has sent a heartbeat since stays.
+/// Removes backend servers that an earlier record listed and `record` does not list as in use. A
+/// server that has sent this incarnation of the daemon a heartbeat stays.
 fn remove_departed(state: &Rc<DaemonState>, record: &HostRecord) {
     let mut servers = state.roster.own_servers();
     let before = servers.len();
@@ -333,7 +334,7 @@
 
 fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
-    // The server's own heartbeat, which may have come meanwhile, takes precedence.
+    // A heartbeat that the server has sent in the meantime takes precedence.
     let own_name = incarnation::server_of(&server.name);
     let is_known = servers.iter().any(|known| {
         incarnation::server_of(&known.name) == own_name || known.address == server.address
@@ -341,7 +342,7 @@
     if is_known || state.registrations.gone.borrow().contains(&server.name) {
         return;
     }
-    // A later record of the earlier incarnation may have come meanwhile as well.
+    // A later record of the daemon's earlier incarnation may no longer list the server as in use.
     let recovered = state.registrations.recovered.borrow();
     if !recovered.as_ref().is_some_and(|record| record.is_in_use(&server.name)) {
         return;
--- a/crates/daemon/src/resume.rs
+++ b/crates/daemon/src/resume.rs
@@ -3,9 +3,9 @@
 
 //! Handles the resume of a suspended host.
 //!
-//! Time limits are measured by a clock that runs on during a suspend, so deadlines, grants, budgets
-//! and the ages of what was heard of other daemons have expired by themselves. What the clock can't
-//! do is done here: a path is not considered usable before something is heard on it, a time that
+//! Time limits are measured by a clock that also runs during a suspend, so deadlines, grants,
+//! budgets and the reports of other daemons have expired without further action. The rest is done
+//! here: a path is not considered usable before a frame is received on it, a response time that
 //! spans the suspend is not counted against a server, and the peers are informed.
 
 use std::rc::Rc;
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -14,8 +14,8 @@
 
 /// Minimum time between two rounds of one daemon.
 const ROUND_MIN: Duration = Duration::from_secs(30);
-/// Time between two rounds for each daemon of the fleet: 20 rounds a second over all of it, a tenth
-/// of the fleet's reads.
+/// Time between two rounds for each daemon of the fleet: 20 rounds a second in the whole fleet, a
+/// tenth of the fleet's reads.
 const ROUND_PER_DAEMON: Duration = Duration::from_millis(50);
 /// Time to the first round, short so that rows soon carry an epoch.
 const ROUND_FIRST: Duration = Duration::from_millis(500);
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -3,7 +3,7 @@
 
 //! The hosts of the fleet: one row for each in the platform's store.
 //!
-//! A daemon writes its own row when something about it changes, and never as a sign of life. All
+//! A daemon writes its own row when something about it changes, and never as a heartbeat. All
 //! daemons read the rows once and follow the table's feed. A row names the incarnation of the
 //! daemon that wrote it, and a later incarnation replaces it. Rows do not expire, so that an outage
 //! of the store removes no host.
@@ -39,18 +39,19 @@
 
 /// Table of the rows.
 pub const HOSTS_TABLE: &str = "hosts";
-/// Longest pause after consecutive failed calls: what changed during an outage must be known within
-/// about two seconds of its end.
+/// Longest pause after consecutive failed calls to the store: what changed during an outage of the
+/// store must be known within about two seconds of its end.
 pub const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(2000);
 /// Time for which a starting daemon waits for the backend server on its host before it writes its
 /// row without one: a little longer than the usual time between two heartbeats.
 const FIRST_SERVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which the peers are notified of what the store has not accepted. A slow store takes
-/// 250 ms for a write, and a daemon that gives up during its shutdown waits 300 ms more.
+/// Time after which the own record is sent to the peers if the store has not accepted it. A write
+/// takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends 300 ms
+/// later.
 const NOTIFY_AFTER: Duration = Duration::from_millis(200);
-/// Time between checks for rows of hosts that are gone.
+/// Shortest time between checks for rows of hosts that are gone.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// Longest pause between such checks as a multiple of the shortest, so that not all daemons check
+/// Longest time between these checks as a multiple of the shortest, so that not all daemons check
 /// at once.
 const SWEEP_JITTER: f64 = 1.5;
 
@@ -68,8 +69,8 @@
     pub peer_address: String,
     /// Address of its administration.
     pub admin_address: String,
-    /// Number of changes of the servers in this incarnation: of two records, the one with more is
-    /// later.
+    /// Number of changes of the servers in this incarnation. Of two records of one incarnation, the
+    /// one with more changes is later.
     #[serde(default)]
     pub changes: u64,
     /// Whether the daemon is leaving.
@@ -149,7 +150,7 @@
     own_servers: RefCell<Vec<ServerRecord>>,
     own_changes: Cell<u64>,
     own_version: Cell<u64>,
-    /// The own row as the store holds it, unless that is not known.
+    /// This daemon's own row as the store holds it, `None` if that is not known.
     written: RefCell<Option<HostRecord>>,
     /// Whether a backend server left and the own row in the store may still list it.
     has_unwritten: Cell<bool>,
@@ -183,8 +184,8 @@
         self.records.borrow().get(host).cloned()
     }
 
-    /// Returns the hosts whose daemon had the address of `record` before its daemon, which started
-    /// later.
+    /// Returns the other hosts whose daemon has the same peer address as `record` and an earlier
+    /// start: the daemon of `host` replaced them at that address.
     fn replaced_by(&self, host: &str, record: &HostRecord) -> Vec<String> {
         let records = self.records.borrow();
         let replaced = records.iter().filter(|(other, known)| {
@@ -195,8 +196,8 @@
         replaced.map(|(other, _)| other.clone()).collect()
     }
 
-    /// Says whether a record is of a host whose daemon was replaced by another host's at its
-    /// address.
+    /// Says whether the daemon of another host has the same peer address as `record` and a later
+    /// start, and so replaced the daemon of `host`.
     fn is_replaced(&self, host: &str, record: &HostRecord) -> bool {
         let records = self.records.borrow();
         let mut others = records.iter().filter(|(other, _)| *other != host);
@@ -213,8 +214,8 @@
             upstreams.extend(servers.map(|server| server.upstream(host, record, connections)));
         }
         upstreams.sort_by(|left, right| left.name.cmp(&right.name));
-        // A name that two hosts list belongs to the one with the later start of the server; a
-        // request that goes to the other is refused there as for an unknown upstream.
+        // If two hosts list the same server, the entry with the later start of the server is used.
+        // The other host refuses requests for it as for an unknown upstream.
         upstreams.dedup_by(|right, left| {
             let is_same = incarnation::server_of(&left.name) == incarnation::server_of(&right.name);
             if is_same && started(left) < started(right) {
@@ -225,8 +226,8 @@
         upstreams
     }
 
-    /// Says whether a backend server of this host has left with an acknowledgement while the row in
-    /// the store may still list it as in use.
+    /// Says whether the departure of a backend server of this host was acknowledged while the row
+    /// in the store may still list the server as in use.
     pub fn has_unwritten_servers(&self) -> bool {
         self.has_unwritten.get()
     }
@@ -303,7 +304,8 @@
     state.roster.touch();
 }
 
-/// Records that a backend server of this host has left, which is acknowledged to it.
+/// Records that a backend server of this host has left, which is acknowledged to the server. If the
+/// store does not accept the changed row soon, the peers are notified.
 pub fn note_departure(state: &Rc<DaemonState>) {
     if state.roster.is_row_current() {
         return;
@@ -329,7 +331,8 @@
     }
 }
 
-/// Sends a daemon the record of its previous incarnation, while none of the current one is known.
+/// Sends a daemon the record of its previous incarnation, if no record of its current incarnation
+/// is known here.
 pub fn send_previous_record(state: &DaemonState, sender: &FrameSender, peer: &PeerIdentity) {
     let records = state.roster.records.borrow();
     let known = records.get(&peer.host);
@@ -356,8 +359,8 @@
             fleet::EarlierStart { host, incarnation, latest }.log();
             return;
         }
-        // A later record came directly from its daemon, or the daemon's own record changed while
-        // this one was being written.
+        // The known record is later: it came directly from its daemon, or it is this daemon's own
+        // and changed while `record` was being written.
         if known.as_ref().is_some_and(|known| known.order() > record.order()) {
             return;
         }
@@ -389,7 +392,7 @@
     document::put_services_in_force(state, &touched);
 }
 
-/// Logs the record of a host, or that it is gone.
+/// Logs the new record of a host, or that the host is gone.
 fn log_record(host: &str, record: Option<&HostRecord>) {
     let record = match record {
         Some(record) => record,
@@ -424,7 +427,7 @@
     }
 }
 
-/// Applies the whole table.
+/// Applies the whole table: adopts its rows, and removes the hosts that have no row in it.
 pub fn apply_table(state: &Rc<DaemonState>, page: &RowsPage) {
     for row in &page.rows {
         apply_row(state, row);
@@ -456,7 +459,7 @@
     if row.key != state.options.host {
         return update_record(state, &row.key, Some(record));
     }
-    // The answer to a later write may have come before this row.
+    // This row is outdated if the answer to a later write of this daemon came before it.
     if row.version > state.roster.own_version.get() {
         state.roster.own_version.set(row.version);
         state.roster.note_written(Some(record.clone()));
@@ -469,8 +472,8 @@
     state.roster.touch();
 }
 
-/// Records that another writer wrote a row that can't be read. The known record of its host stays,
-/// as its daemon will write the row again.
+/// Handles a row that can't be read, as some other writer wrote it. The known record of its host
+/// stays, as the daemon there will write the row again; for the own row, that write is scheduled.
 fn note_unreadable(state: &DaemonState, row: &StoredRow) {
     if row.key == state.options.host {
         state.roster.own_version.set(row.version);
@@ -527,7 +530,7 @@
     if host != state.options.host {
         return update_record(state, host, None);
     }
-    // Other daemons considered this one gone. Its row is written again.
+    // Other daemons considered this one gone and removed its row, which is written again.
     state.roster.own_version.set(0);
     state.roster.note_written(None);
     state.roster.touch();
@@ -567,7 +570,8 @@
             seen = state.roster.changed.above(seen).await;
         }
     };
-    // Without a backend server the row describes the daemon alone.
+    // After the timeout, the row is written without a backend server and describes the daemon
+    // alone.
     let _ = monoio::time::timeout(FIRST_SERVER_TIMEOUT, registered).await;
 }
 
@@ -575,7 +579,7 @@
     let key = row_key(&state.options.host);
     let check = RowCheck { key: key.clone(), version: state.roster.own_version.get() };
     let write = RowWrite { key, value: Some(json!(record)) };
-    // A write without an answer may have taken effect, or may do so later: until a later one is
+    // A write without an answer may have taken effect, or may do so later: until a later write is
     // answered, the content of the row is not known.
     state.roster.note_written(None);
     match state.platform.transact(vec![check], vec![write]).await {
@@ -585,8 +589,8 @@
             update_record(state, &state.options.host, Some(record.clone()));
             Ok(())
         }
-        // The conflicting row shows who wrote it: one of an earlier incarnation is replaced by the
-        // next attempt.
+        // Records the row that the store holds instead, such as one of an earlier incarnation. The
+        // next attempt replaces it.
         Err(StoreError::Conflict { rows }) => {
             for row in rows {
                 state.roster.own_version.set(row.version);
@@ -603,7 +607,7 @@
     format!("{HOSTS_TABLE}/{host}")
 }
 
-/// Runs for ever: removes the rows of hosts that have been silent for a long time.
+/// Runs for ever: removes the rows of hosts whose latest known heartbeat is very old.
 ///
 /// One daemon is responsible for each host, by rendezvous hashing over the live ones. A row is
 /// removed only while the store answers and only if it has not been written since; a daemon that is
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -3,12 +3,13 @@
 
 //! Distributes the rows of the hosts to every daemon.
 //!
-//! Each change of a row wakes every call that waits for one, so that with each daemon waiting at
-//! the store, the calls would grow with the square of the number of daemons. Two daemons of each
-//! failure domain, the readers, follow the feed and relay what it brings; the others subscribe to
-//! it, renewed each second. A daemon that hears nothing for a while reads the store itself. All
-//! daemons find the same two readers by rendezvous hashing over the members they know; that two
-//! daemons differ for a moment only costs calls.
+//! Each change of a row completes every call that waits for changes at the store. If all daemons
+//! waited there, the calls would grow with the square of the number of daemons. Therefore two
+//! daemons of each failure domain, the readers, follow the feed and relay its changes. The others
+//! subscribe to the readers and renew the subscription each second. A daemon that receives nothing
+//! for a while reads the store itself. All daemons choose the same two readers by rendezvous
+//! hashing over the members they know. If two daemons choose differently for a moment, that only
+//! costs additional calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -31,34 +32,37 @@
 use crate::roster::{self, RelayedRecord, FAILURE_PAUSE_MAX, HOSTS_TABLE};
 use crate::state::DaemonState;
 
-/// How the feed is followed. Changes at the same time, as when a fleet starts, are read in one
-/// call. No request waits for them, since a host refuses what its server must not get.
+/// How the feed is followed. Changes in quick succession, as when a fleet starts, are read in one
+/// call. No request waits for a change, since the daemon of a host refuses requests that its server
+/// must not get.
 const FEED: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
     failure_max: FAILURE_PAUSE_MAX,
-    // Two daemons of a failure domain read for all others, so a call of theirs on a connection that
-    // fell silent must end soon.
+    // Two daemons of a failure domain read for all others, so a call of theirs on a black-holed
+    // connection must end soon.
     wait_max: FEED_WAIT,
 };
-/// Daemons of a failure domain that follow the feed: one may be cut off without being known to be.
+/// Daemons of a failure domain that follow the feed: one may be unreachable before this is
+/// detected.
 const READERS: usize = 2;
 /// The key of the rendezvous hashing by which the readers are chosen.
 const READERS_KEY: &str = "rows of hosts";
-/// Time between requests for news, which renew the subscription.
+/// Time between requests for changes, which renew the subscription.
 const RENEW_INTERVAL: Duration = Duration::from_secs(1);
-/// Silence after which a reader is avoided, and after which a daemon without any reads the store:
-/// two requests may be lost, and a new backend server should get requests within four seconds.
+/// Time without a message after which a reader is avoided, and after which a daemon that has
+/// received nothing from any reader reads the store. It allows for two lost requests, and a new
+/// backend server should get requests within four seconds.
 const SILENCE_MAX: Duration = Duration::from_millis(2500);
-/// Time for which a reader that was silent is not chosen; after it, the reader may be back.
+/// Time for which an unresponsive reader is not chosen. After it the reader may have recovered.
 const AVOID_TIME: Duration = Duration::from_secs(20);
 /// Maximum number of removed rows that are remembered: as many as the hosts that are removed in an
 /// hour of a large fleet.
 const REMOVED_MAX: usize = 512;
-/// Version of news that a daemon sends about a host directly, bypassing the store; the table's
-/// versions are higher.
+/// Version of the changes that carry a relayed record, which a daemon sends directly, bypassing the
+/// store. The versions of the table are higher.
 const RELAYED_VERSION: i64 = 0;
-/// Time for which news is sent after a request.
+/// Time for which changes are sent to a daemon after its request.
 const SUBSCRIPTION_TTL: Duration = Duration::from_millis(3500);
 
 /// `RowsRelay` is this daemon's part in reading the rows and relaying them.
@@ -68,11 +72,13 @@
     version: Cell<u64>,
     /// Whether the store answered this daemon's last call for the rows.
     is_reading: Cell<bool>,
-    /// When a reader was last heard of.
+    /// When a reader last sent changes.
     news_at: Cell<Option<Duration>>,
-    /// Raised when changes that no reader remembers any more did not arrive here.
+    /// Raised when this daemon missed changes that a reader no longer holds, so that it must read
+    /// the whole table.
     gap: RisingSignal,
-    /// Every row with the version of its last change, for daemons that are behind.
+    /// Every row with the version of its last change, to be sent to daemons with an earlier version
+    /// of the table.
     notes: RefCell<BTreeMap<String, RowNote>>,
     /// Version up to which removed rows may have been forgotten.
     forgotten_to: Cell<i64>,
@@ -80,16 +86,16 @@
     subscribers: RefCell<Vec<RowsSubscriber>>,
 }
 
-/// `RowsReader` is a daemon that news was requested from.
+/// `RowsReader` is a daemon that changes were requested from.
 struct RowsReader {
     host: String,
-    /// When it last sent news, or was first asked.
+    /// When it last sent changes, or was first asked for them.
     heard_at: Duration,
-    /// Until when it is avoided because it was silent.
+    /// Time until which it is avoided because it was unresponsive.
     avoided_until: Duration,
 }
 
-/// `RowsSubscriber` is a daemon that news is sent to.
+/// `RowsSubscriber` is a daemon that changes are sent to.
 struct RowsSubscriber {
     host: String,
     sender: FrameSender,
@@ -102,7 +108,7 @@
         self.version.get() > 0
     }
 
-    /// Says whether a reader has sent news recently.
+    /// Says whether a reader has sent changes recently.
     fn has_recent_news(&self, now: Duration) -> bool {
         self.news_at.get().is_some_and(|at| now.saturating_sub(at) <= SILENCE_MAX)
     }
@@ -112,7 +118,8 @@
         readers.iter().any(|reader| reader.host == host && reader.avoided_until > now)
     }
 
-    /// Records that a reader is asked for news, and avoids it if it has been silent for too long.
+    /// Records that a reader is asked for changes, and avoids it if it has been unresponsive for
+    /// too long.
     fn note_asked(&self, host: &str, now: Duration) {
         let mut readers = self.readers.borrow_mut();
         match readers.iter_mut().find(|reader| reader.host == host) {
@@ -131,7 +138,8 @@
         }
     }
 
-    /// Records that a daemon sent news. Says whether it is one that was asked.
+    /// Records that a daemon sent changes. Says whether it is a reader that this daemon asked for
+    /// them.
     fn note_heard(&self, host: &str, now: Duration) -> bool {
         let mut readers = self.readers.borrow_mut();
         let reader = readers.iter_mut().find(|reader| reader.host == host);
@@ -159,7 +167,8 @@
         }
     }
 
-    /// Stores the whole table as of a version: a row that it lacks was removed by then.
+    /// Stores the whole table. A known row that is not in it was removed by the version of the
+    /// table.
     fn keep_table(&self, page: &RowsPage) {
         let version = page.version as i64;
         let lacks = |note: &&RowNote| {
@@ -170,7 +179,7 @@
         page.rows.iter().filter_map(row_note).for_each(|note| self.keep(note));
     }
 
-    /// Returns what changed after a version.
+    /// Returns the changes after a version.
     fn news_after(&self, after: i64) -> RowsNews {
         let version = self.version.get() as i64;
         let forgotten = after > 0 && after < self.forgotten_to.get();
@@ -179,7 +188,7 @@
         RowsNews { after: after.min(version), version, rows: rows.cloned().collect(), forgotten }
     }
 
-    /// Sends news to all subscribers.
+    /// Sends changes to all subscribers.
     fn forward_news(&self, news: &RowsNews, now: Duration) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|subscriber| {
@@ -222,7 +231,7 @@
     }
 }
 
-/// Reads the store once and relays what it brings.
+/// Reads the store once and relays the changes that it returns.
 async fn read_store(state: &Rc<DaemonState>, reader: &mut FeedReader) {
     if state.rows.is_known() && !state.rows.is_reading.get() {
         reader.skip_to(state.rows.version.get());
@@ -258,7 +267,7 @@
     state.rows.version.set(page.version);
 }
 
-/// Waits a while for news, and reads the whole table if some was missed.
+/// Waits for up to [`RENEW_INTERVAL`], and reads the whole table if relayed changes were missed.
 async fn await_news(state: &Rc<DaemonState>, reader: &mut FeedReader) {
     let seen = state.rows.gap.get();
     let waiting = state.rows.gap.above(seen);
@@ -266,14 +275,14 @@
         return;
     }
     metrics::ROWS_CALLS.add_one();
-    // If the store does not answer, the next news raises the same signal.
+    // If the store does not answer, the next message of a reader raises the same signal.
     if let Ok(FeedNews::Whole(page)) = reader.read_whole(state).await {
         adopt_table(state, &page);
     }
 }
 
-/// Asks the readers of the own failure domain for news, for ever. A reader that gets no answer from
-/// the store asks the other one.
+/// Asks the readers of the own failure domain for changes, for ever. A reader that gets no answer
+/// from the store asks the other one.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(RENEW_INTERVAL).await;
@@ -290,7 +299,8 @@
     }
 }
 
-/// Sends a request for news. A link that can't be established shows as silence.
+/// Sends a reader a request for changes. If no link can be established, the reader counts as
+/// unresponsive after a while.
 fn subscribe(state: &Rc<DaemonState>, host: &str) {
     let path = state.peers.path(host);
     let state = state.clone();
@@ -303,7 +313,8 @@
     });
 }
 
-/// Answers a request for news with what changed since, if this daemon reads the store.
+/// Answers a request with the changes after the requester's version, and adds the requester to the
+/// subscribers, if this daemon reads the store.
 pub fn answer_request(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
@@ -326,7 +337,8 @@
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
-/// Applies news, unless it is older than what is known or news before it is missing.
+/// Applies changes that a peer sent, unless they are already known or earlier changes are missing
+/// here.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: RowsNews) {
     if news.version == RELAYED_VERSION && !news.rows.is_empty() {
         let relayed = news.rows.iter().filter_map(|note| relayed_record(peer, note));
@@ -352,8 +364,8 @@
     state.rows.version.set(news.version as u64);
 }
 
-/// Sends a peer a host's record directly, bypassing the store. A daemon of a release without this
-/// ignores the record, as the version of the news is older than any known.
+/// Sends a peer a host's record directly, bypassing the store. A daemon of a release without
+/// relayed records ignores it, as its version is lower than any version of the table.
 pub fn send_relayed(sender: &FrameSender, relayed: &RelayedRecord) {
     // The record holds texts and numbers only, so that its serialization can't fail.
     let value = serde_json::to_vec(&relayed.record).ok();
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -33,9 +33,10 @@
 /// Time for which a report that an upstream is draining counts without being renewed.
 const DRAIN_REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// Share of the retry budget that is used. A retry that is counted now reaches a server a little
-/// later, in another window, and a retry that a server refuses unexpectedly was received by it as
-/// well, although no daemon charges it. With 0.85 a service received 217 retries in a window that
+/// Share of the configured retry budget that daemons spend; the rest covers retries that are
+/// counted too early or not at all. A retry reaches a server a little after it is counted, possibly
+/// in another window. A retry that a server refuses unexpectedly was received as well, although no
+/// daemon charges it to the budget. With 0.85, a service received 217 retries in a window that
 /// allowed 198.
 const BUDGET_FRACTION: f64 = 0.7;
 /// Maximum number of split routes whose state is kept. Beyond it the states of all are dropped, so
@@ -201,9 +202,9 @@
         &self.paths[index]
     }
 
-    /// Updates the view of the upstream on this host while it is ejected or doubted. The daemon of
-    /// that host knows without a response when the next trial is due; other daemons learn of it
-    /// from reports, which are rare.
+    /// Updates the view of the upstream on this host while it is ejected or its circuit breaker is
+    /// open. The daemon of that host knows without a response when the next trial is due. Other
+    /// daemons learn this from reports, which are rare for such an upstream.
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
@@ -251,8 +252,8 @@
         self.view.borrow_mut().draw_reservations(now, request, fits, &mut rand::rng())
     }
 
-    /// Returns how many service rounds of queued requests an upstream last reported to be ahead of
-    /// a new one.
+    /// Returns how many service rounds a new request would wait at an upstream by its last report.
+    /// In one service round, the upstream serves as many requests as it has slots.
     pub fn queued_rounds(&self, index: usize, now: Duration) -> f64 {
         let view = self.view.borrow();
         view.upstreams().get(index).map_or(0.0, |upstream| upstream.queued_rounds(now))
@@ -270,7 +271,8 @@
         }
     }
 
-    /// Records a report of an upstream. `failed` says how the request went, if it ran.
+    /// Records a report of an upstream. `failed` says whether the request failed, `None` if it did
+    /// not run.
     pub fn note_report(
         &self,
         index: usize,
@@ -324,8 +326,8 @@
         self.bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
     }
 
-    /// Returns how many service rounds a request of a route waits for an upstream in its own
-    /// failure domain, where sending a megabyte to another failure domain is worth a wait of
+    /// Returns the longest wait of a request for an upstream in its own failure domain, in service
+    /// rounds. To avoid sending one megabyte to another failure domain, a request may wait for
     /// `worth`.
     pub fn local_wait_rounds(&self, route: &str, worth: Duration) -> f64 {
         if worth.is_zero() {
@@ -399,7 +401,8 @@
     }
 
     /// Records that a request failed at an upstream, and whether that `counted` as evidence against
-    /// it. Returns the failures to withdraw if the request turns out to fail at every upstream.
+    /// the upstream. Returns the failures to withdraw if the request turns out to fail at every
+    /// upstream.
     pub fn note_failure(
         &self,
         method: &str,
@@ -451,8 +454,8 @@
     }
 }
 
-/// Returns the retry budget of a service. A rebuilt service keeps its budget, so that retries made
-/// before still count.
+/// Returns the retry budget of a service. A service that is rebuilt keeps its budget, so that its
+/// earlier retries still count.
 fn budget_of(
     state: &DaemonState,
     entry: &ServiceEntry,
@@ -465,7 +468,7 @@
 }
 
 /// Returns the retry budget of this daemon. The retries that the whole fleet may make beyond the
-/// share are divided by the number of daemons.
+/// share of requests are divided by the number of daemons.
 fn budget_terms(state: &DaemonState, entry: &ServiceEntry) -> BudgetTerms {
     let live = state.live();
     let defaults = &live.defaults;
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -38,8 +38,8 @@
     pub interrupted: RisingSignal,
     /// Raised when no more requests of callers are accepted.
     pub closing: RisingSignal,
-    /// Raised shortly before the end of the shutdown: requests that still wait get their final
-    /// response.
+    /// Raised shortly before the end of the shutdown: requests that are still in flight get their
+    /// final response.
     pub giving_up: RisingSignal,
     /// Raised when the daemon ends: idle connections are closed.
     pub ending: RisingSignal,
@@ -87,8 +87,9 @@
         !matches!(self.phase.get(), StopPhase::Open | StopPhase::HandingOver)
     }
 
-    /// Says whether the daemon no longer waits for anything new: it gives up on what it waits for,
-    /// or ends. For a daemon that was suspended past its longest drain, the clock decides.
+    /// Says whether the daemon no longer waits for anything new: it gives up the requests that it
+    /// waits for, or ends. For a daemon that was suspended past its longest drain, the clock
+    /// decides.
     pub fn is_over(&self, now: Duration) -> bool {
         let is_past_longest =
             |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
@@ -210,8 +211,8 @@
     state.stop.in_flight() + usize::from(state.roster.has_unwritten_servers())
 }
 
-/// Accepts no more requests of other daemons from here on, and notifies them. Requests that wait
-/// for a slot here and are not sure to end in time are sent elsewhere at once.
+/// Accepts no more requests of other daemons from here on, and notifies them. Queued requests that
+/// might not end in time are refused at once, so that they are sent to another host.
 fn hand_over(state: &Rc<DaemonState>, elapsed: Duration) {
     let in_flight = state.stop.in_flight() as u64;
     process::DaemonHandingOver { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -5,10 +5,10 @@
 //!
 //! The daemon on a server's host observes the crash and notifies all daemons that it has a link to,
 //! among them the ingress of the request, before that ingress learns that its attempt failed. A
-//! daemon that receives something new forwards it to a few others. Heartbeats carry a digest, so
-//! that a daemon that was cut off, suspended or not running catches up with the first daemon it
-//! hears from. Refused requests are also recorded in the row of the host that saw the crash, in
-//! case every daemon ends at once.
+//! daemon that receives a new notice forwards it to a few others. Heartbeats carry a digest, so
+//! that a daemon that was unreachable, suspended or not running receives what it missed from the
+//! first daemon with which it exchanges heartbeats. Refused requests are also recorded in the row
+//! of the host that saw the crash, so that they are known even after every daemon ended at once.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -216,13 +216,13 @@
 
 fn send(sender: &FrameSender, notices: &[SuspectNotice]) {
     let suspects = notices.iter().map(wire::suspect_note).collect();
-    // After a link breaks, a new one is established, and the first heartbeat on it shows what is
-    // missing.
+    // Notices that are lost with a broken link are sent again: the digest in the first heartbeat on
+    // the next link shows that they are missing.
     let _ = sender.send(NO_EXCHANGE, FrameBody::SuspectNews(SuspectNews { suspects }));
 }
 
-/// Records what another daemon reports, and forwards what is new here. The sender gets what it
-/// lacks in return.
+/// Records the notices of another daemon, and forwards those that are new here. A sender that has
+/// not learnt of a successful run of a request gets the newer notice in return.
 pub fn handle_news(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
@@ -255,7 +255,7 @@
     };
     let notices: Vec<SuspectNotice> = records.iter().filter_map(notice).collect();
     record_notices(state, &notices, host);
-    // What an earlier incarnation of this daemon saw stays in its row.
+    // Crashes that an earlier incarnation of this daemon recorded stay in its row.
     if host == state.options.host {
         notices.iter().for_each(|notice| add_to_own_row(state, notice.fingerprint));
     }
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Reads what is known of such a request. Returns `None` if its fingerprint is of an unknown form.
+/// Reads what a peer reports of a request that ran at servers when they crashed. Returns `None` if
+/// the fingerprint of the request is of an unknown form.
 pub fn suspect_notice(note: &SuspectNote) -> Option<SuspectNotice> {
     Some(SuspectNotice {
         fingerprint: RequestFingerprint::from_bytes(&note.fingerprint)?,
@@ -105,7 +106,7 @@
     })
 }
 
-/// Converts a baseline.
+/// Converts the baseline of a route to its note in the peer protocol.
 pub fn baseline_note(baseline: &ServiceBaseline) -> BaselineNote {
     BaselineNote {
         median_ln_milli: milli(baseline.median_ln),
@@ -119,7 +120,7 @@
     }
 }
 
-/// Converts a baseline, with what the other upstreams reported of slow requests.
+/// Converts the baseline of a route, with what the other upstreams reported of slow requests.
 pub fn baseline_with(baseline: &ServiceBaseline, slow_requests: &SlowRequests) -> BaselineNote {
     BaselineNote {
         hung_milli: Some(milli(slow_requests.hung)),
@@ -139,7 +140,7 @@
     SlowRequests { hung: count(hung_milli), late: count(late_milli) }
 }
 
-/// Reads a baseline.
+/// Reads the baseline of a route; the default if the note is missing.
 pub fn baseline_of(note: Option<&BaselineNote>) -> ServiceBaseline {
     let note = match note {
         Some(note) => note,
@@ -172,7 +173,7 @@
     pub slow_requests: SlowRequests,
 }
 
-/// Converts a report.
+/// Converts an upstream's load and health to its report in the peer protocol.
 pub fn report_note(load: HostLoad, health: &HealthReport) -> LoadReport {
     LoadReport {
         in_flight: load.in_flight as i32,
@@ -195,7 +196,7 @@
     }
 }
 
-/// Reads a report.
+/// Reads an upstream's report as its load and health.
 pub fn report_of(report: &LoadReport) -> (HostLoad, HealthReport) {
     let load = HostLoad {
         in_flight: report.in_flight.max(0) as u32,
--- a/crates/options/src/bounds.rs
+++ b/crates/options/src/bounds.rs
@@ -17,10 +17,11 @@
 const CALLER_DESCRIPTORS_DIVISOR: u64 = 2;
 /// Divisor of the memory that yields the share for callers' connections.
 const CALLER_MEMORY_DIVISOR: u64 = 2;
-/// Memory of a caller's connection with a request in progress, in bytes: 11.3 KiB and 21.2 KiB
-/// (scripts/measure-memory, docs/MEASUREMENTS.md).
+/// Memory of a caller's connection with a request in progress, in bytes. The idle connection takes
+/// 11.3 KiB and the request takes 21.2 KiB at the ingress, as scripts/measure-memory reports them.
 const CALLER_BYTES: u64 = 33 * 1024;
-/// Longest accepted time until the platform's kill; a longer one is taken for a mistake in units.
+/// Longest accepted time until the platform's kill; a longer one is refused as a probable mistake
+/// in units.
 const KILL_AFTER_MS_MAX: u64 = 86_400_000;
 /// Longest accepted drain, as no platform waits longer for a host.
 pub const DRAIN_MS_MAX: u64 = 3_600_000;
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -6,8 +6,8 @@
 //! `raw` holds the settings as given by flags and the settings file, `check` validates them into
 //! the options that the daemon runs with, and `restart` lists the settings that can't change while
 //! it runs. `values` parses values by form, and `bounds` derives limits from the resources that the
-//! platform grants the daemon. `source` and `defaults` are the base of the configuration, and
-//! `waiting` says where requests are queued.
+//! platform grants the daemon. `source` says where the configuration comes from, `defaults` holds
+//! the defaults for services, and `waiting` says where requests are queued.
 
 mod bounds;
 mod check;
