--- a/crates/daemon/src/announce.rs
+++ b/crates/daemon/src/announce.rs
@@ -45,8 +45,8 @@
         let announced_at = state.now();
         membership::send_heartbeat(state, host, HeartbeatContent::Own).await;
         monoio::time::sleep(CONFIRM_TIMEOUT).await;
-        let is_over = state.config.revision() > revision;
-        if is_over || state.members.revision_of(host) >= revision {
+        let is_superseded = state.config.revision() > revision;
+        if is_superseded || state.members.revision_of(host) >= revision {
             return;
         }
         prepare_retry(state, &path, announced_at, count).await;
@@ -62,17 +62,17 @@
     count: usize,
 ) {
     let now = state.now();
-    let silent = path.silent_for(now);
-    let is_silent = silent >= now.saturating_sub(announced_at);
+    let silence = path.silent_for(now);
+    let is_unresponsive = silence >= now.saturating_sub(announced_at);
     metrics::REVISION_REANNOUNCED.add_one();
     fleet::ToldAgain {
         host: &path.host,
         revision: state.config.revision().0,
         told: count as u64 + 1,
-        silent_ms: silent.as_millis() as u64,
+        silent_ms: silence.as_millis() as u64,
     }
     .log();
-    if is_silent {
+    if is_unresponsive {
         links::renew(state, path).await;
     }
 }
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -64,8 +64,8 @@
 }
 
 fn poll_period(state: &DaemonState) -> Duration {
-    let each = state.members.count() as f64 / state.options.store_reads;
-    Duration::from_secs_f64(each).max(POLL_MIN)
+    let period_s = state.members.count() as f64 / state.options.store_reads;
+    Duration::from_secs_f64(period_s).max(POLL_MIN)
 }
 
 /// Reads the newest revision from the store, and the changes that are missing here.
@@ -221,11 +221,11 @@
         return;
     }
     let records = state.config.records_after(after);
-    let small = |record: &Rc<ChangeRecord>| {
+    let fits_frame = |record: &Rc<ChangeRecord>| {
         serde_json::to_vec(&**record).is_ok_and(|text| text.len() <= 2 * PART_BYTES)
     };
     match records {
-        Some(records) if records.iter().all(small) => {
+        Some(records) if records.iter().all(fits_frame) => {
             send_records(state, sender, records.iter().map(|record| &**record));
         }
         _ => {
@@ -277,10 +277,10 @@
         let part = SnapshotPart { telling, place, bytes, last: news.last };
         return handle_part(state, peer, part);
     }
-    let mut fresh = Vec::new();
+    let mut new_records = Vec::new();
     for text in &news.records {
         match serde_json::from_slice::<ChangeRecord>(text) {
-            Ok(record) if record.revision > state.config.revision() => fresh.push(record),
+            Ok(record) if record.revision > state.config.revision() => new_records.push(record),
             Ok(_) => {}
             Err(error) => {
                 let (from, error) = (&*peer.host, &error.to_string());
@@ -288,8 +288,8 @@
             }
         }
     }
-    if state.config.apply(&fresh, state.now()) > 0 {
-        forward_changes(state, &fresh);
+    if state.config.apply(&new_records, state.now()) > 0 {
+        forward_changes(state, &new_records);
     }
 }
 
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -134,8 +134,8 @@
                 // An answer may have been delayed on its way, so it includes all changes only up to
                 // the start of the call. An answer without changes was sent no sooner than the end
                 // of its wait.
-                let waited = page.rows.is_empty() && state.now() >= began + wait;
-                self.as_of = if waited { began + wait } else { began };
+                let has_waited_fully = page.rows.is_empty() && state.now() >= began + wait;
+                self.as_of = if has_waited_fully { began + wait } else { began };
                 self.position = Some(position);
                 Ok(FeedNews::Changes(page))
             }
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -41,7 +41,7 @@
 const QUERY_PAUSE: Duration = Duration::from_millis(500);
 /// Number of peers that are queried along with the store: one may be unresponsive, and another may
 /// not have the newest configuration.
-const ASKED_PEERS: usize = 3;
+const QUERIED_PEERS: usize = 3;
 
 /// `FreshnessTracker` is how recently the configuration of this daemon was confirmed as the newest.
 #[derive(Default)]
@@ -89,11 +89,11 @@
     let give_up_at = state.now() + ANSWER_TIMEOUT;
     while !tracker.known().is_certain(state.now()) {
         let seen = tracker.confirmed.get();
-        let left = give_up_at.saturating_sub(state.now());
-        if left.is_zero() || !(tracker.is_querying.get() || start_query(state)) {
+        let remaining = give_up_at.saturating_sub(state.now());
+        if remaining.is_zero() || !(tracker.is_querying.get() || start_query(state)) {
             return false;
         }
-        let _ = monoio::time::timeout(left, tracker.confirmed.above(seen)).await;
+        let _ = monoio::time::timeout(remaining, tracker.confirmed.above(seen)).await;
     }
     true
 }
@@ -161,7 +161,7 @@
 
 /// Queries some peers. Their answers are replies to heartbeats.
 fn query_peers(state: &DaemonState) {
-    for sender in membership::sample_senders(state, ASKED_PEERS) {
+    for sender in membership::sample_senders(state, QUERIED_PEERS) {
         let request = membership::heartbeat_request(state, Vec::new());
         // A link that ended brings no reply.
         let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(request));
@@ -180,15 +180,18 @@
 /// age that the peer reports. The time in a request of an earlier incarnation of this daemon is of
 /// another clock, but the reply to such a request is lost with its link.
 pub fn note_answer(state: &DaemonState, answer: &HeartbeatNote) {
-    let (Some(asked), Some(age)) = (millis(answer.asked_ms), millis(answer.fresh_ms)) else {
+    let (Some(asked_at), Some(age)) = (millis(answer.asked_ms), millis(answer.fresh_ms)) else {
         return;
     };
-    let theirs = FleetRevision(answer.revision.max(0) as u64);
-    if asked > state.now() || theirs > state.config.revision() || !state.config.is_loaded() {
+    let peer_revision = FleetRevision(answer.revision.max(0) as u64);
+    if asked_at > state.now()
+        || peer_revision > state.config.revision()
+        || !state.config.is_loaded()
+    {
         return;
     }
     let confirmation =
-        FreshConfirmation { as_of: asked.saturating_sub(age), source: ConfirmationSource::Peer };
+        FreshConfirmation { as_of: asked_at.saturating_sub(age), source: ConfirmationSource::Peer };
     state.freshness.note(confirmation);
 }
 
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -215,9 +215,9 @@
     entry: &LimitEntry,
     wanted: f64,
 ) -> Rc<RisingSignal> {
-    let running =
+    let pending_signal =
         state.limits.states.borrow().get(&entry.name).and_then(|l| l.pending_request.clone());
-    if let Some(signal) = running {
+    if let Some(signal) = pending_signal {
         return signal;
     }
     let signal = Rc::new(RisingSignal::default());
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -117,7 +117,7 @@
 }
 
 /// Dials a link and runs it until it ends.
-async fn run_dialled(state: &Rc<DaemonState>, path: &Rc<PeerPath>, number: u64) {
+async fn run_dialled(state: &Rc<DaemonState>, path: &Rc<PeerPath>, dial_number: u64) {
     let (mut reader, writer, link) = match dial(state, path).await {
         Ok(parts) => parts,
         Err(error) => {
@@ -127,7 +127,7 @@
             return;
         }
     };
-    if let Some(former) = path.note_linked(number, link.clone(), state.now()) {
+    if let Some(former) = path.note_linked(dial_number, link.clone(), state.now()) {
         monoio::spawn(retire(former));
     }
     metrics::LINKS.add(1);
@@ -277,12 +277,12 @@
 /// Logs when a path is cut, as nothing has been received along it for a while, and when frames
 /// arrive again.
 fn log_silence(path: &PeerPath, in_flight: usize, now: Duration) {
-    let is_silent = path.state(now) == PathState::Cut;
-    if path.note_silence(is_silent) == is_silent {
+    let is_unresponsive = path.state(now) == PathState::Cut;
+    if path.note_silence(is_unresponsive) == is_unresponsive {
         return;
     }
     let host = &*path.host;
-    if is_silent {
+    if is_unresponsive {
         let silent_ms = path.silent_for(now).as_millis() as u64;
         fleet::PeerSilent { host, silent_ms, in_flight: in_flight as u64 }.log();
     } else {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -104,11 +104,11 @@
 impl MemberTable {
     /// Returns the assumed state of a member.
     pub fn state_of(&self, state: &DaemonState, view: &MemberView) -> MemberState {
-        let silent = state.now().saturating_sub(view.heard_at);
+        let heartbeat_age = state.now().saturating_sub(view.heard_at);
         let members = self.members.borrow().len();
         if view.leaving {
             MemberState::Leaving
-        } else if silent > suspect_after(state.options.heartbeat, members) {
+        } else if heartbeat_age > suspect_after(state.options.heartbeat, members) {
             MemberState::Suspect
         } else {
             MemberState::Live
@@ -203,8 +203,8 @@
         }
         let now = state.now();
         let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_FACTOR;
-        let silent = |view: &MemberView| now.saturating_sub(view.heard_at);
-        members.retain(|_, view| view.listed || silent(view) < forget_after);
+        let heartbeat_age = |view: &MemberView| now.saturating_sub(view.heard_at);
+        members.retain(|_, view| view.listed || heartbeat_age(view) < forget_after);
     }
 
     /// Records that a host has no row any more. Reports of its heartbeats are still used.
@@ -227,7 +227,7 @@
     }
 
     /// Records which daemon answered at the address of a seed.
-    fn note_seed(&self, state: &DaemonState, peer: PeerIdentity, address: SocketAddr) {
+    fn record_seed_peer(&self, state: &DaemonState, peer: PeerIdentity, address: SocketAddr) {
         if peer.host == state.options.host {
             return;
         }
@@ -303,8 +303,8 @@
         let round = self.round.get();
         self.round.set(round + 1);
         let members = self.members.borrow();
-        let stay = members.iter().filter(|(_, view)| !view.leaving);
-        let hosts = stay.map(|(host, _)| host.clone()).collect();
+        let remaining = members.iter().filter(|(_, view)| !view.leaving);
+        let hosts = remaining.map(|(host, _)| host.clone()).collect();
         neighbours::choose(&state.options.host, hosts, round)
     }
 
@@ -409,7 +409,7 @@
         if state.members.members.borrow().is_empty() {
             for address in &state.live().seeds {
                 match links::identify(&state, *address).await {
-                    Ok(peer) => state.members.note_seed(&state, peer, *address),
+                    Ok(peer) => state.members.record_seed_peer(&state, peer, *address),
                     Err(error) => {
                         let (address, error) = (&address.to_string(), &error.to_string());
                         fleet::SeedSilent { address, error }.log();
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 struct PartialSnapshot {
     transfer: i64,
-    next: i32,
+    next_index: i32,
     bytes: Vec<u8>,
 }
 
@@ -60,10 +60,10 @@
             parts.insert(host.to_owned(), fresh);
         }
         let partial = parts.get_mut(host)?;
-        if partial.transfer != part.telling || partial.next != part.place {
+        if partial.transfer != part.telling || partial.next_index != part.place {
             return None;
         }
-        partial.next += 1;
+        partial.next_index += 1;
         partial.bytes.extend_from_slice(&part.bytes);
         if partial.bytes.len() > SNAPSHOT_MAX {
             parts.remove(host);
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -94,7 +94,7 @@
 
     /// Returns the incarnation that a deregistration is about: the one it names, or else the known
     /// one.
-    fn leaving(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
+    fn departing_incarnation(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
         let trackers = self.trackers.borrow();
         let known = trackers.get(&incarnation.server).and_then(IncarnationTracker::current);
         ServerIncarnation { born: incarnation.born.or(known), ..incarnation }
@@ -134,7 +134,7 @@
     // An acknowledged change must also reach the next incarnation of this daemon, through the
     // store, but this daemon no longer waits until it is stored. The backend server retries.
     if state.stop.is_over(state.now()) {
-        return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon ends");
+        return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon is shutting down");
     }
     let uri = &request.head.uri;
     let call =
@@ -147,11 +147,14 @@
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
             }
             if note_heartbeat(state, &heartbeat) == IncarnationVerdict::Unnamed {
-                return admin::problem(StatusCode::BAD_REQUEST, "the heartbeat tells no start");
+                return admin::problem(
+                    StatusCode::BAD_REQUEST,
+                    "the heartbeat lacks the start time of the server",
+                );
             }
         }
         Ok(Some(ServerCall::Deregister(incarnation))) => {
-            let incarnation = state.registrations.leaving(incarnation);
+            let incarnation = state.registrations.departing_incarnation(incarnation);
             note_gone(state, &incarnation.upstream());
         }
         Ok(None) => return admin::problem(StatusCode::NOT_FOUND, "no such call"),
@@ -175,7 +178,8 @@
         let same = known.service == heartbeat.service && known.address == heartbeat.address;
         // A server that does not report its incarnation may have restarted under its name.
         let may_differ = heartbeat.incarnation.born.is_none();
-        return (!same && !may_differ).then_some("a start keeps its service and its address");
+        return (!same && !may_differ)
+            .then_some("the service or the address differs from the registered one");
     }
     let document = state.document.get()?;
     let is_configured =
@@ -287,8 +291,8 @@
     let mut servers = state.roster.own_servers();
     let before = servers.len();
     servers.retain(|server| {
-        let is_heard = state.registrations.sequences.borrow().contains_key(&server.name);
-        let stays = is_heard || record.is_in_use(&server.name);
+        let has_sent_heartbeat = state.registrations.sequences.borrow().contains_key(&server.name);
+        let stays = has_sent_heartbeat || record.is_in_use(&server.name);
         if !stays {
             servers::ServerGone { upstream: &server.name }.log();
         }
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -35,9 +35,9 @@
             count = asked => { seen = count; true }
             () = tick => false,
         };
-        let now = file_version(&state);
-        if by_signal || now != version {
-            version = now;
+        let current_version = file_version(&state);
+        if by_signal || current_version != version {
+            version = current_version;
             reload(&state, if by_signal { "signal" } else { "file" });
         }
     }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -352,8 +352,8 @@
         return;
     }
     if let Some(record) = &record {
-        let of_row = known.as_ref().map_or(0, |known| known.incarnation);
-        let latest = of_row.max(state.members.incarnation(host));
+        let known_incarnation = known.as_ref().map_or(0, |known| known.incarnation);
+        let latest = known_incarnation.max(state.members.incarnation(host));
         if record.incarnation < latest {
             let incarnation = record.incarnation;
             fleet::EarlierStart { host, incarnation, latest }.log();
@@ -372,12 +372,12 @@
             state.roster.stale.borrow_mut().push(replaced);
         }
     }
-    let mut touched: Vec<String> = Vec::new();
+    let mut touched_services: Vec<String> = Vec::new();
     for each in known.iter().chain(&record) {
-        touched.extend(each.services().map(str::to_owned));
+        touched_services.extend(each.services().map(str::to_owned));
     }
-    touched.sort();
-    touched.dedup();
+    touched_services.sort();
+    touched_services.dedup();
     log_record(host, record.as_ref());
     let mut records = state.roster.records.borrow_mut();
     match &record {
@@ -389,7 +389,7 @@
         Some(record) => state.members.note_record(state, host, record),
         None => state.members.note_removed(host),
     }
-    document::put_services_in_force(state, &touched);
+    document::put_services_in_force(state, &touched_services);
 }
 
 /// Logs the new record of a host, or that the host is gone.
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -53,7 +53,7 @@
 /// Time without a message after which a reader is avoided, and after which a daemon that has
 /// received nothing from any reader reads the store. It allows for two lost requests, and a new
 /// backend server should get requests within four seconds.
-const SILENCE_MAX: Duration = Duration::from_millis(2500);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2500);
 /// Time for which an unresponsive reader is not chosen. After it the reader may have recovered.
 const AVOID_TIME: Duration = Duration::from_secs(20);
 /// Maximum number of removed rows that are remembered: as many as the hosts that are removed in an
@@ -73,7 +73,7 @@
     /// Whether the store answered this daemon's last call for the rows.
     is_reading: Cell<bool>,
     /// When a reader last sent changes.
-    news_at: Cell<Option<Duration>>,
+    changes_received_at: Cell<Option<Duration>>,
     /// Raised when this daemon missed changes that a reader no longer holds, so that it must read
     /// the whole table.
     gap: RisingSignal,
@@ -90,7 +90,7 @@
 struct RowsReader {
     host: String,
     /// When it last sent changes, or was first asked for them.
-    heard_at: Duration,
+    last_message_at: Duration,
     /// Time until which it is avoided because it was unresponsive.
     avoided_until: Duration,
 }
@@ -99,7 +99,7 @@
 struct RowsSubscriber {
     host: String,
     sender: FrameSender,
-    until: Duration,
+    expires_at: Duration,
 }
 
 impl RowsRelay {
@@ -109,8 +109,10 @@
     }
 
     /// Says whether a reader has sent changes recently.
-    fn has_recent_news(&self, now: Duration) -> bool {
-        self.news_at.get().is_some_and(|at| now.saturating_sub(at) <= SILENCE_MAX)
+    fn has_recent_changes(&self, now: Duration) -> bool {
+        self.changes_received_at
+            .get()
+            .is_some_and(|at| now.saturating_sub(at) <= UNRESPONSIVE_AFTER)
     }
 
     fn is_avoided(&self, host: &str, now: Duration) -> bool {
@@ -120,18 +122,22 @@
 
     /// Records that a reader is asked for changes, and avoids it if it has been unresponsive for
     /// too long.
-    fn note_asked(&self, host: &str, now: Duration) {
+    fn note_request(&self, host: &str, now: Duration) {
         let mut readers = self.readers.borrow_mut();
         match readers.iter_mut().find(|reader| reader.host == host) {
             None => {
                 let host = host.to_owned();
-                readers.push(RowsReader { host, heard_at: now, avoided_until: Duration::ZERO });
+                readers.push(RowsReader {
+                    host,
+                    last_message_at: now,
+                    avoided_until: Duration::ZERO,
+                });
             }
             Some(reader) if reader.avoided_until > Duration::ZERO => {
                 reader.avoided_until = Duration::ZERO;
-                reader.heard_at = now;
+                reader.last_message_at = now;
             }
-            Some(reader) if now.saturating_sub(reader.heard_at) > SILENCE_MAX => {
+            Some(reader) if now.saturating_sub(reader.last_message_at) > UNRESPONSIVE_AFTER => {
                 reader.avoided_until = now + AVOID_TIME;
             }
             Some(_) => {}
@@ -140,20 +146,20 @@
 
     /// Records that a daemon sent changes. Says whether it is a reader that this daemon asked for
     /// them.
-    fn note_heard(&self, host: &str, now: Duration) -> bool {
+    fn note_sender(&self, host: &str, now: Duration) -> bool {
         let mut readers = self.readers.borrow_mut();
         let reader = readers.iter_mut().find(|reader| reader.host == host);
         if let Some(reader) = reader {
-            reader.heard_at = now;
+            reader.last_message_at = now;
             reader.avoided_until = Duration::ZERO;
-            self.news_at.set(Some(now));
+            self.changes_received_at.set(Some(now));
             return true;
         }
         false
     }
 
     /// Stores the current state of a row. A removed row is remembered as such for a while.
-    fn keep(&self, note: RowNote) {
+    fn store_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
         let removed = notes.values().filter(|note| note.value.is_none());
@@ -169,18 +175,21 @@
 
     /// Stores the whole table. A known row that is not in it was removed by the version of the
     /// table.
-    fn keep_table(&self, page: &RowsPage) {
+    fn store_table(&self, page: &RowsPage) {
         let version = page.version as i64;
-        let lacks = |note: &&RowNote| {
+        let is_missing = |note: &&RowNote| {
             note.value.is_some() && !page.rows.iter().any(|row| row.key == note.key)
         };
-        let gone: Vec<RowNote> = self.notes.borrow().values().filter(lacks).cloned().collect();
-        gone.into_iter().for_each(|note| self.keep(RowNote { value: None, version, ..note }));
-        page.rows.iter().filter_map(row_note).for_each(|note| self.keep(note));
+        let missing: Vec<RowNote> =
+            self.notes.borrow().values().filter(is_missing).cloned().collect();
+        missing
+            .into_iter()
+            .for_each(|note| self.store_note(RowNote { value: None, version, ..note }));
+        page.rows.iter().filter_map(row_note).for_each(|note| self.store_note(note));
     }
 
     /// Returns the changes after a version.
-    fn news_after(&self, after: i64) -> RowsNews {
+    fn changes_after(&self, after: i64) -> RowsNews {
         let version = self.version.get() as i64;
         let forgotten = after > 0 && after < self.forgotten_to.get();
         let notes = self.notes.borrow();
@@ -189,12 +198,12 @@
     }
 
     /// Sends changes to all subscribers.
-    fn forward_news(&self, news: &RowsNews, now: Duration) {
+    fn forward_changes(&self, news: &RowsNews, now: Duration) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|subscriber| {
             let sending = || subscriber.sender.send(NO_EXCHANGE, FrameBody::RowsNews(news.clone()));
             // A subscriber that is gone or has a new link asks again.
-            subscriber.until > now && sending().is_ok()
+            subscriber.expires_at > now && sending().is_ok()
         });
     }
 }
@@ -222,9 +231,9 @@
     let mut reader = FeedReader::new(FEED);
     loop {
         let is_reader = readers(&state).contains(&state.options.host);
-        if state.rows.is_known() && !is_reader && state.rows.has_recent_news(state.now()) {
+        if state.rows.is_known() && !is_reader && state.rows.has_recent_changes(state.now()) {
             state.rows.is_reading.set(false);
-            await_news(&state, &mut reader).await;
+            await_changes(&state, &mut reader).await;
         } else {
             read_store(&state, &mut reader).await;
         }
@@ -244,15 +253,15 @@
         }
         FeedNews::Changes(page) => {
             state.rows.is_reading.set(true);
-            let news = news_of(state.rows.version.get(), &page);
+            let news = changes_of_page(state.rows.version.get(), &page);
             for row in &page.rows {
                 roster::apply_row(state, row);
                 if let Some(note) = row_note(row) {
-                    state.rows.keep(note);
+                    state.rows.store_note(note);
                 }
             }
             state.rows.version.set(state.rows.version.get().max(page.version));
-            state.rows.forward_news(&news, state.now());
+            state.rows.forward_changes(&news, state.now());
             if !page.rows.is_empty() {
                 reader.pause_after_changes().await;
             }
@@ -263,12 +272,12 @@
 
 fn adopt_table(state: &Rc<DaemonState>, page: &RowsPage) {
     roster::apply_table(state, page);
-    state.rows.keep_table(page);
+    state.rows.store_table(page);
     state.rows.version.set(page.version);
 }
 
 /// Waits for up to [`RENEW_INTERVAL`], and reads the whole table if relayed changes were missed.
-async fn await_news(state: &Rc<DaemonState>, reader: &mut FeedReader) {
+async fn await_changes(state: &Rc<DaemonState>, reader: &mut FeedReader) {
     let seen = state.rows.gap.get();
     let waiting = state.rows.gap.above(seen);
     if monoio::time::timeout(RENEW_INTERVAL, waiting).await.is_err() {
@@ -293,7 +302,7 @@
         }
         readers.retain(|host| *host != state.options.host);
         for host in readers {
-            state.rows.note_asked(&host, state.now());
+            state.rows.note_request(&host, state.now());
             subscribe(&state, &host);
         }
     }
@@ -327,12 +336,12 @@
     let subscriber = RowsSubscriber {
         host: peer.host.clone(),
         sender: sender.clone(),
-        until: state.now() + SUBSCRIPTION_TTL,
+        expires_at: state.now() + SUBSCRIPTION_TTL,
     };
     let mut subscribers = state.rows.subscribers.borrow_mut();
     subscribers.retain(|known| known.host != peer.host);
     subscribers.push(subscriber);
-    let news = state.rows.news_after(request.version);
+    let news = state.rows.changes_after(request.version);
     // A peer that is gone needs no answer.
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
@@ -344,7 +353,7 @@
         let relayed = news.rows.iter().filter_map(|note| relayed_record(peer, note));
         return roster::apply_relayed(state, relayed.collect());
     }
-    if !state.rows.note_heard(&peer.host, state.now()) {
+    if !state.rows.note_sender(&peer.host, state.now()) {
         return;
     }
     let known = state.rows.version.get() as i64;
@@ -359,7 +368,7 @@
     }
     for note in news.rows {
         roster::apply_row(state, &stored_row(&note));
-        state.rows.keep(note);
+        state.rows.store_note(note);
     }
     state.rows.version.set(news.version as u64);
 }
@@ -391,7 +400,7 @@
     }
 }
 
-fn news_of(after: u64, page: &RowsPage) -> RowsNews {
+fn changes_of_page(after: u64, page: &RowsPage) -> RowsNews {
     RowsNews {
         after: after as i64,
         version: page.version.max(after) as i64,
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -173,7 +173,7 @@
             .map(|upstream| {
                 let is_local = upstream.server.failure_domain == *own_domain;
                 let fresh = LoadView::new(upstream.server.slots, is_local);
-                keep_view(known, &upstream.name, fresh)
+                carried_over_view(known, &upstream.name, fresh)
             })
             .collect();
         let hosts = entry.upstreams.iter().map(|upstream| upstream.server.host.as_str());
@@ -209,8 +209,8 @@
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
         let is_ejected_or_doubted = upstream.health.borrow().is_ejected_or_doubted();
-        let was_out = self.with_view(|view| view.is_ejected_or_doubted(index));
-        if is_ejected_or_doubted || was_out {
+        let was_out_of_service = self.with_view(|view| view.is_ejected_or_doubted(index));
+        if is_ejected_or_doubted || was_out_of_service {
             let report = upstream.report(state, route, None);
             self.note_report(index, route, &report, None, state.now());
         }
@@ -264,10 +264,13 @@
         let mut view = self.view.borrow_mut();
         for (index, upstream) in self.entry.upstreams.iter().enumerate() {
             let path = &self.paths[index];
-            let is_configured = upstream.server.state == ServerState::Draining;
-            let is_reported = self.draining_until[index].get() > now;
+            let is_declared_draining = upstream.server.state == ServerState::Draining;
+            let is_reported_draining = self.draining_until[index].get() > now;
             view.note_reachable(index, path.is_usable(now), path.is_proving(now));
-            view.note_draining(index, is_configured || is_reported || path.is_leaving());
+            view.note_draining(
+                index,
+                is_declared_draining || is_reported_draining || path.is_leaving(),
+            );
         }
     }
 
@@ -282,8 +285,8 @@
         now: Duration,
     ) {
         let (load, health) = wire::report_of(report);
-        let until = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
-        self.draining_until[index].set(until);
+        let expires_at = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
+        self.draining_until[index].set(expires_at);
         self.slow_requests.borrow_mut()[index] = (load.slow_requests, now);
         let mut baselines = self.baselines.borrow_mut();
         if !baselines.contains_key(route) {
@@ -482,7 +485,7 @@
     }
 }
 
-fn keep_view(known: Option<&ServiceState>, name: &str, fresh: LoadView) -> LoadView {
+fn carried_over_view(known: Option<&ServiceState>, name: &str, fresh: LoadView) -> LoadView {
     let known = match known {
         Some(known) => known,
         None => return fresh,
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -157,24 +157,24 @@
 
     /// Returns the limits on heads of callers' requests: those of the document, if there is one.
     pub fn head_limits(&self) -> HeadLimits {
-        let set = self.options.head;
+        let configured = self.options.head;
         match self.document.get() {
             Some(document) => HeadLimits {
                 bytes: document.limits.head_bytes,
                 time: document.limits.head_time,
                 idle: document.limits.idle_time,
-                ..set
+                ..configured
             },
-            None => set,
+            None => configured,
         }
     }
 
     /// Returns the limits on bodies of callers' requests: those of the document, if there is one.
     pub fn body_limits(&self) -> BodyLimits {
-        let set = self.options.body;
+        let configured = self.options.body;
         match self.document.get() {
-            Some(document) => BodyLimits { bytes: document.limits.body_bytes, ..set },
-            None => set,
+            Some(document) => BodyLimits { bytes: document.limits.body_bytes, ..configured },
+            None => configured,
         }
     }
 
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -124,8 +124,9 @@
     upstream: &str,
 ) {
     let now = state.now();
-    let risen = state.suspects.table.borrow_mut().note_crash(fingerprint, before, upstream, now);
-    let tally = match risen {
+    let new_tally =
+        state.suspects.table.borrow_mut().note_crash(fingerprint, before, upstream, now);
+    let tally = match new_tally {
         Some(tally) => tally,
         None => return,
     };
