--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -29,7 +29,7 @@
             "state": state.members.state_of(state, view).name(),
             "incarnation": view.incarnation,
             "revision": view.revision,
-            "heard_ms_ago": now.saturating_sub(view.heard_at).as_millis() as u64,
+            "heard_ms_ago": now.saturating_sub(view.last_heartbeat_at).as_millis() as u64,
             "peer_address": view.peer_address,
             "admin_address": view.admin_address,
         }));
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -273,8 +273,8 @@
 /// Applies changes, or a part of a snapshot, from a peer.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: ChangeNews) {
     if let Some(bytes) = news.snapshot_part {
-        let (telling, place) = (news.telling.unwrap_or(0), news.place.unwrap_or(0));
-        let part = SnapshotPart { telling, place, bytes, last: news.last };
+        let (transfer, index) = (news.telling.unwrap_or(0), news.place.unwrap_or(0));
+        let part = SnapshotPart { transfer, index, bytes, last: news.last };
         return handle_part(state, peer, part);
     }
     let mut new_records = Vec::new();
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -64,7 +64,7 @@
         path.note_answer(now);
     }
     let revision = FleetRevision(note.revision.max(0) as u64);
-    state.members.note_heard(state, peer, revision);
+    state.members.note_heartbeat(state, peer, revision);
     state.members.note_entries(state, &note.members);
     // The record is sent before the reply, which may prompt the peer to ask for all that is known
     // here.
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -35,7 +35,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-use crate::feed::{FeedNews, FeedPlan, FeedReader};
+use crate::feed::{FeedPlan, FeedReader, FeedUpdate};
 use crate::roster::{self, RelayedRecord};
 use crate::state::DaemonState;
 
@@ -94,7 +94,7 @@
     let mut reader = FeedReader::new(FEED);
     loop {
         let Some(news) = next_unless_stale(&state, &mut reader).await else { continue };
-        let (FeedNews::Whole(page) | FeedNews::Changes(page)) = news else { continue };
+        let (FeedUpdate::Whole(page) | FeedUpdate::Changes(page)) = news else { continue };
         state.document.position.set(reader.position());
         apply_answer(&state, &page, reader.as_of());
     }
@@ -103,7 +103,7 @@
 /// Waits for the next changes from the store. Abandons the call if a peer turns out to have a later
 /// document, which the call has not returned: the connection of the call may be black-holed, and
 /// would hold the call for up to 8.7 s.
-async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedNews> {
+async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedUpdate> {
     let began = state.now();
     let became_stale = state.document.stale_call.above(state.document.stale_call.get());
     select_biased! {
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -38,9 +38,9 @@
     pub wait_max: Duration,
 }
 
-/// `FeedNews` is the result of one call.
+/// `FeedUpdate` is the result of one call.
 #[derive(Debug)]
-pub enum FeedNews {
+pub enum FeedUpdate {
     /// Every row of the table as of one moment.
     Whole(RowsPage),
     /// Rows that changed or were removed, oldest first; none if the wait ended without a change.
@@ -85,7 +85,7 @@
     }
 
     /// Reads the whole table, or waits for the next changes.
-    pub async fn next(&mut self, state: &DaemonState) -> FeedNews {
+    pub async fn next(&mut self, state: &DaemonState) -> FeedUpdate {
         let began = state.now();
         match self.fetch(state).await {
             Ok(news) => {
@@ -95,14 +95,14 @@
             }
             Err(error) => {
                 self.note_failure(state, &error, began).await;
-                FeedNews::Failed
+                FeedUpdate::Failed
             }
         }
     }
 
     /// Logs and counts rows that can't be read; the other rows are used.
-    fn log_unreadable(&self, news: &FeedNews) {
-        let (FeedNews::Whole(page) | FeedNews::Changes(page)) = news else { return };
+    fn log_unreadable(&self, news: &FeedUpdate) {
+        let (FeedUpdate::Whole(page) | FeedUpdate::Changes(page)) = news else { return };
         let table = self.plan.table;
         for row in &page.rows {
             if let RowValue::Unreadable(error) = &row.value {
@@ -122,7 +122,7 @@
         monoio::time::sleep(self.plan.batch_pause).await;
     }
 
-    async fn fetch(&mut self, state: &DaemonState) -> Result<FeedNews, StoreError> {
+    async fn fetch(&mut self, state: &DaemonState) -> Result<FeedUpdate, StoreError> {
         let position = match self.position {
             Some(position) => position,
             None => return self.read_whole(state).await,
@@ -137,7 +137,7 @@
                 let has_waited_fully = page.rows.is_empty() && state.now() >= began + wait;
                 self.as_of = if has_waited_fully { began + wait } else { began };
                 self.position = Some(position);
-                Ok(FeedNews::Changes(page))
+                Ok(FeedUpdate::Changes(page))
             }
             FeedReply::Forgotten => {
                 let version = position.version;
@@ -149,12 +149,12 @@
     }
 
     /// Reads the whole table now.
-    pub async fn read_whole(&mut self, state: &DaemonState) -> Result<FeedNews, StoreError> {
+    pub async fn read_whole(&mut self, state: &DaemonState) -> Result<FeedUpdate, StoreError> {
         let began = state.now();
         let (page, position) = state.platform.read_table(self.plan.table).await?;
         self.as_of = began;
         self.position = Some(position);
-        Ok(FeedNews::Whole(page))
+        Ok(FeedUpdate::Whole(page))
     }
 
     /// Records that a call was answered.
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -78,7 +78,7 @@
     /// Number of its incarnation; that of a later start is higher.
     pub incarnation: i64,
     /// Time of its latest known heartbeat, received directly or reported by another member.
-    pub heard_at: Duration,
+    pub last_heartbeat_at: Duration,
     /// Whether it announced that it is leaving, in this incarnation.
     pub leaving: bool,
     /// Whether it has a row in the platform's store.
@@ -104,7 +104,7 @@
 impl MemberTable {
     /// Returns the assumed state of a member.
     pub fn state_of(&self, state: &DaemonState, view: &MemberView) -> MemberState {
-        let heartbeat_age = state.now().saturating_sub(view.heard_at);
+        let heartbeat_age = state.now().saturating_sub(view.last_heartbeat_at);
         let members = self.members.borrow().len();
         if view.leaving {
             MemberState::Leaving
@@ -181,7 +181,7 @@
             peer_address: record.peer_address.clone(),
             admin_address: record.admin_address.clone(),
             incarnation: record.incarnation,
-            heard_at: state.now(),
+            last_heartbeat_at: state.now(),
             leaving: record.leaving,
             listed: true,
             revision: FleetRevision(0),
@@ -189,11 +189,11 @@
         let mut members = self.members.borrow_mut();
         match members.get_mut(host) {
             Some(view) => {
-                let heard_at = view.heard_at;
+                let last_heartbeat_at = view.last_heartbeat_at;
                 let is_later = reported.incarnation > view.incarnation;
                 merge(view, reported);
                 if !is_later {
-                    view.heard_at = heard_at;
+                    view.last_heartbeat_at = last_heartbeat_at;
                 }
             }
             None => drop(members.insert(host.to_owned(), reported)),
@@ -203,7 +203,7 @@
         }
         let now = state.now();
         let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_FACTOR;
-        let heartbeat_age = |view: &MemberView| now.saturating_sub(view.heard_at);
+        let heartbeat_age = |view: &MemberView| now.saturating_sub(view.last_heartbeat_at);
         members.retain(|_, view| view.listed || heartbeat_age(view) < forget_after);
     }
 
@@ -216,13 +216,13 @@
 
     /// Returns the hosts with a row whose latest known heartbeat is so old that they are considered
     /// gone.
-    pub fn silent_hosts(&self, state: &DaemonState) -> Vec<String> {
+    pub fn expired_hosts(&self, state: &DaemonState) -> Vec<String> {
         let now = state.now();
         let members = self.members.borrow();
         let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_FACTOR;
-        let gone = members
-            .iter()
-            .filter(|(_, view)| view.listed && now.saturating_sub(view.heard_at) > forget_after);
+        let gone = members.iter().filter(|(_, view)| {
+            view.listed && now.saturating_sub(view.last_heartbeat_at) > forget_after
+        });
         gone.map(|(host, _)| host.clone()).collect()
     }
 
@@ -238,7 +238,7 @@
             // One less than the actual incarnation, so that the daemon's own entry, which follows
             // in a heartbeat, takes precedence and fills in the other fields.
             incarnation: peer.incarnation.saturating_sub(1),
-            heard_at: state.now(),
+            last_heartbeat_at: state.now(),
             leaving: false,
             listed: false,
             revision: FleetRevision(0),
@@ -248,14 +248,19 @@
     }
 
     /// Records a heartbeat that came from the peer itself.
-    pub fn note_heard(&self, state: &DaemonState, peer: &PeerIdentity, revision: FleetRevision) {
+    pub fn note_heartbeat(
+        &self,
+        state: &DaemonState,
+        peer: &PeerIdentity,
+        revision: FleetRevision,
+    ) {
         let mut members = self.members.borrow_mut();
         if let Some(view) = members.get_mut(&peer.host) {
             if peer.incarnation >= view.incarnation {
                 if peer.incarnation > view.incarnation {
                     view.leaving = false;
                 }
-                view.heard_at = state.now();
+                view.last_heartbeat_at = state.now();
                 view.revision = view.revision.max(revision);
                 update_path(state, &peer.host, view);
             }
@@ -271,8 +276,8 @@
                 continue;
             }
             let age = Duration::from_millis(entry.age_ms.max(0) as u64);
-            let heard_at = now.saturating_sub(age);
-            let reported = view_of(entry, heard_at);
+            let last_heartbeat_at = now.saturating_sub(age);
+            let reported = view_of(entry, last_heartbeat_at);
             let view = members.entry(entry.host.clone()).or_insert_with(|| reported.clone());
             merge(view, reported);
             update_path(state, &entry.host, view);
@@ -314,13 +319,13 @@
     }
 }
 
-fn view_of(entry: &MemberEntry, heard_at: Duration) -> MemberView {
+fn view_of(entry: &MemberEntry, last_heartbeat_at: Duration) -> MemberView {
     MemberView {
         failure_domain: entry.failure_domain.clone(),
         peer_address: entry.peer_address.clone(),
         admin_address: entry.admin_address.clone(),
         incarnation: entry.incarnation,
-        heard_at,
+        last_heartbeat_at,
         leaving: entry.state == STATE_LEAVING,
         listed: false,
         revision: FleetRevision(entry.revision.max(0) as u64),
@@ -342,7 +347,7 @@
     }
     view.leaving |= reported.leaving;
     view.listed |= reported.listed;
-    view.heard_at = view.heard_at.max(reported.heard_at);
+    view.last_heartbeat_at = view.last_heartbeat_at.max(reported.last_heartbeat_at);
     view.revision = view.revision.max(reported.revision);
 }
 
@@ -362,7 +367,7 @@
         admin_address: view.admin_address.clone(),
         incarnation: view.incarnation,
         state: if view.leaving { STATE_LEAVING } else { STATE_LIVE },
-        age_ms: now.saturating_sub(view.heard_at).as_millis() as i64,
+        age_ms: now.saturating_sub(view.last_heartbeat_at).as_millis() as i64,
         revision: view.revision.0 as i64,
     }
 }
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -34,9 +34,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct SnapshotPart {
     /// Number of the sender's transfer that the part belongs to.
-    pub telling: i64,
+    pub transfer: i64,
     /// Its index in the transfer, from 0.
-    pub place: i32,
+    pub index: i32,
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// Whether it is the last.
@@ -55,12 +55,12 @@
     /// the last received one is dropped: its transfer broke off or was replaced by a later one.
     pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
-        if part.place == 0 {
-            let fresh = PartialSnapshot { transfer: part.telling, ..PartialSnapshot::default() };
+        if part.index == 0 {
+            let fresh = PartialSnapshot { transfer: part.transfer, ..PartialSnapshot::default() };
             parts.insert(host.to_owned(), fresh);
         }
         let partial = parts.get_mut(host)?;
-        if partial.transfer != part.telling || partial.next_index != part.place {
+        if partial.transfer != part.transfer || partial.next_index != part.index {
             return None;
         }
         partial.next_index += 1;
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -616,7 +616,7 @@
     loop {
         let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER));
         monoio::time::sleep(pause).await;
-        let mut gone = state.members.silent_hosts(&state);
+        let mut gone = state.members.expired_hosts(&state);
         gone.extend(state.roster.stale.borrow_mut().drain(..));
         for host in gone {
             let live = state.members.live_hosts(&state);
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -27,7 +27,7 @@
 use basaltarch_platform::rows::{RowValue, RowsPage, StoredRow};
 use basaltarch_store::platform::FEED_WAIT;
 
-use crate::feed::{FeedNews, FeedPlan, FeedReader};
+use crate::feed::{FeedPlan, FeedReader, FeedUpdate};
 use crate::links;
 use crate::roster::{self, RelayedRecord, FAILURE_PAUSE_MAX, HOSTS_TABLE};
 use crate::state::DaemonState;
@@ -247,11 +247,11 @@
     }
     metrics::ROWS_CALLS.add_one();
     match reader.next(state).await {
-        FeedNews::Whole(page) => {
+        FeedUpdate::Whole(page) => {
             state.rows.is_reading.set(true);
             adopt_table(state, &page);
         }
-        FeedNews::Changes(page) => {
+        FeedUpdate::Changes(page) => {
             state.rows.is_reading.set(true);
             let news = changes_of_page(state.rows.version.get(), &page);
             for row in &page.rows {
@@ -266,7 +266,7 @@
                 reader.pause_after_changes().await;
             }
         }
-        FeedNews::Failed => state.rows.is_reading.set(false),
+        FeedUpdate::Failed => state.rows.is_reading.set(false),
     }
 }
 
@@ -285,7 +285,7 @@
     }
     metrics::ROWS_CALLS.add_one();
     // If the store does not answer, the next message of a reader raises the same signal.
-    if let Ok(FeedNews::Whole(page)) = reader.read_whole(state).await {
+    if let Ok(FeedUpdate::Whole(page)) = reader.read_whole(state).await {
         adopt_table(state, &page);
     }
 }
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -7,8 +7,8 @@
 
 const HOST: &str = "host-a";
 
-fn part(telling: i64, place: i32, text: &str, last: bool) -> SnapshotPart {
-    SnapshotPart { telling, place, bytes: text.as_bytes().to_vec(), last }
+fn part(transfer: i64, index: i32, text: &str, last: bool) -> SnapshotPart {
+    SnapshotPart { transfer, index, bytes: text.as_bytes().to_vec(), last }
 }
 
 #[test]
