--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -60,7 +60,7 @@
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Name of the store in logs, as the source of a document; a document from a peer is logged with
 /// the name of the peer's host.
-const STORE: &str = "store";
+const STORE_NAME: &str = "store";
 
 /// `DocumentCell` holds the document in force, if there is one.
 #[derive(Debug, Default)]
@@ -174,11 +174,11 @@
     match document::read(bytes) {
         Ok(document) => {
             state.freshness.note_readable();
-            adopt_document(state, document, STORE)
+            adopt_document(state, document, STORE_NAME)
         }
         Err(error) => {
             let in_force = state.config.revision().0;
-            fleet::ConfigUnreadable { error: &error.to_string(), from: STORE, in_force }.log();
+            fleet::ConfigUnreadable { error: &error.to_string(), from: STORE_NAME, in_force }.log();
             state.freshness.note_outdated();
             DocumentOutcome::Unreadable
         }
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -57,7 +57,9 @@
     /// Time up to which the last answer of the store includes all changes.
     as_of: Duration,
     backoff: RetryBackoff,
+    /// When the first of the latest consecutive failed calls ended, `None` after an answer.
     lost_at: Option<Duration>,
+    /// Number of these failed calls.
     failures: u64,
 }
 
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -37,7 +37,9 @@
 /// `LimitState` is what this ingress knows of one limit.
 struct LimitState {
     limiter: LocalLimiter,
+    /// Raised when the token request in progress has ended, `None` if there is none.
     pending_request: Option<Rc<RisingSignal>>,
+    /// Time from which the owner is asked again, while neither it nor its backup can be reached.
     retry_owner_at: Duration,
     /// Time until which the owner is not asked again, because it could not be reached.
     owner_lost_until: Option<Duration>,
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -86,12 +86,12 @@
 /// Starts to dial a link in a task of its own, unless a dial is in progress or must wait for its
 /// back-off.
 fn start_dial(state: &Rc<DaemonState>, path: &Rc<PeerPath>) -> bool {
-    let Some(dial) = path.start_dial(state.now()) else { return false };
+    let Some(dial_number) = path.start_dial(state.now()) else { return false };
     let state = state.clone();
     let path = path.clone();
     monoio::spawn(async move {
-        connection::catch_panics("dialled link", run_dialled(&state, &path, dial)).await;
-        path.note_unlinked(dial, state.now());
+        connection::catch_panics("dialled link", run_dialled(&state, &path, dial_number)).await;
+        path.note_unlinked(dial_number, state.now());
     });
     true
 }
@@ -180,13 +180,13 @@
 async fn connect(address: SocketAddr) -> Result<(LinkReader, LinkWriter), LinkError> {
     let connect = TcpStream::connect_addr(address);
     match monoio::time::timeout(CONNECT_TIMEOUT, connect).await {
-        Ok(Ok(stream)) => Ok(halves(stream)),
+        Ok(Ok(stream)) => Ok(split_stream(stream)),
         Ok(Err(source)) => Err(LinkError::Broken { source }),
         Err(_) => Err(LinkError::TimedOut),
     }
 }
 
-fn halves(stream: TcpStream) -> (LinkReader, LinkWriter) {
+fn split_stream(stream: TcpStream) -> (LinkReader, LinkWriter) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     (FrameReader::new(read, count_received), write)
@@ -233,7 +233,7 @@
 }
 
 async fn run_accepted(state: &Rc<DaemonState>, stream: TcpStream) {
-    let (mut reader, mut writer) = halves(stream);
+    let (mut reader, mut writer) = split_stream(stream);
     let key = &state.options.fleet_key;
     let side = LinkSide::Acceptor;
     let peer = match handshake::run(&mut reader, &mut writer, side, &state.identity, key).await {
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -39,7 +39,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Maximum number of ended incarnations of backend servers that are remembered, to recognise
 /// heartbeats that arrive after their end.
-const GONE_MAX: usize = 64;
+const ENDED_MAX: usize = 64;
 /// Maximum number of backend servers whose incarnations are tracked: a host has few, and a client
 /// that names more of them is no backend server of this host.
 const TRACKERS_MAX: usize = 256;
@@ -53,7 +53,8 @@
     trackers: RefCell<FnvHashMap<String, IncarnationTracker>>,
     sequences: RefCell<FnvHashMap<String, u64>>,
     cold_until: RefCell<FnvHashMap<String, Duration>>,
-    gone: RefCell<VecDeque<String>>,
+    /// Upstreams whose incarnation has ended, oldest first.
+    ended_upstreams: RefCell<VecDeque<String>>,
     /// Latest known record of an earlier incarnation of the daemon.
     recovered: RefCell<Option<HostRecord>>,
 }
@@ -82,7 +83,7 @@
     /// Says whether a heartbeat is later than the earlier ones of its incarnation, and records it.
     fn is_newer(&self, heartbeat: &ServerHeartbeat) -> bool {
         let upstream = heartbeat.incarnation.upstream();
-        if self.gone.borrow().contains(&upstream) {
+        if self.ended_upstreams.borrow().contains(&upstream) {
             return false;
         }
         let mut sequences = self.sequences.borrow_mut();
@@ -110,12 +111,12 @@
         }
         self.sequences.borrow_mut().remove(upstream);
         self.cold_until.borrow_mut().remove(upstream);
-        let mut gone = self.gone.borrow_mut();
-        if !gone.iter().any(|known| known == upstream) {
-            gone.push_back(upstream.to_owned());
+        let mut ended_upstreams = self.ended_upstreams.borrow_mut();
+        if !ended_upstreams.iter().any(|known| known == upstream) {
+            ended_upstreams.push_back(upstream.to_owned());
         }
-        if gone.len() > GONE_MAX {
-            gone.pop_front();
+        if ended_upstreams.len() > ENDED_MAX {
+            ended_upstreams.pop_front();
         }
     }
 }
@@ -336,6 +337,8 @@
     Some(declaration.health_path.clone())
 }
 
+/// Registers a recovered backend server, unless it or a server that replaced it is registered, it
+/// has left, or the latest recovered record does not list it as in use.
 fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
     // A heartbeat that the server has sent in the meantime takes precedence.
@@ -343,7 +346,7 @@
     let is_known = servers.iter().any(|known| {
         incarnation::server_of(&known.name) == own_name || known.address == server.address
     });
-    if is_known || state.registrations.gone.borrow().contains(&server.name) {
+    if is_known || state.registrations.ended_upstreams.borrow().contains(&server.name) {
         return;
     }
     // A later record of the daemon's earlier incarnation may no longer list the server as in use.
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -218,7 +218,7 @@
         // The other host refuses requests for it as for an unknown upstream.
         upstreams.dedup_by(|right, left| {
             let is_same = incarnation::server_of(&left.name) == incarnation::server_of(&right.name);
-            if is_same && started(left) < started(right) {
+            if is_same && server_started_at(left) < server_started_at(right) {
                 mem::swap(left, right);
             }
             is_same
@@ -258,7 +258,7 @@
 }
 
 /// Returns when the backend server of an upstream started, if that is known.
-fn started(upstream: &UpstreamEntry) -> Option<u64> {
+fn server_started_at(upstream: &UpstreamEntry) -> Option<u64> {
     ServerIncarnation::of_upstream(&upstream.name).born
 }
 
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -201,9 +201,10 @@
     fn forward_changes(&self, news: &RowsNews, now: Duration) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|subscriber| {
-            let sending = || subscriber.sender.send(NO_EXCHANGE, FrameBody::RowsNews(news.clone()));
+            let try_send =
+                || subscriber.sender.send(NO_EXCHANGE, FrameBody::RowsNews(news.clone()));
             // A subscriber that is gone or has a new link asks again.
-            subscriber.expires_at > now && sending().is_ok()
+            subscriber.expires_at > now && try_send().is_ok()
         });
     }
 }
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -107,12 +107,12 @@
 
 /// Says whether a copy of a request that came to this daemon is served, tried or refused.
 pub fn judge(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
-    let is_owner = || {
+    let makes_trials = || {
         let live = state.members.live_hosts(state);
         let key = fingerprint.to_string();
         limits::owner_of(&key, live.iter().map(String::as_str)) == Some(&*state.options.host)
     };
-    state.suspects.table.borrow_mut().judge(fingerprint, is_owner, state.now())
+    state.suspects.table.borrow_mut().judge(fingerprint, makes_trials, state.now())
 }
 
 /// Records that a backend server of this host crashed while it ran a request. `before` is the
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -48,9 +48,9 @@
     let allowed = "1 to 128 of a-z, 0-9, '-', '.', '_'";
     let name: String = settings::required(flag, given, allowed)?;
     settings::checked(flag, Some(name), String::new(), allowed, |name: &String| {
-        let plain =
+        let is_allowed =
             |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-._".contains(&byte);
-        (1..=128).contains(&name.len()) && name.bytes().all(plain)
+        (1..=128).contains(&name.len()) && name.bytes().all(is_allowed)
     })
 }
 
