--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -48,7 +48,7 @@
 const FEED: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
-    failure_max: Duration::from_millis(1500),
+    failure_pause_max: Duration::from_millis(1500),
     wait_max: WAIT_MAX,
 };
 /// Time for which a daemon waits for the store to deliver a document that a peer already has: the
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -33,7 +33,7 @@
     /// Pause after a call that brought changes, so that changes close together are read together.
     pub batch_pause: Duration,
     /// Longest pause after consecutive failed calls.
-    pub failure_max: Duration,
+    pub failure_pause_max: Duration,
     /// Longest wait of a call.
     pub wait_max: Duration,
 }
@@ -66,7 +66,7 @@
 impl FeedReader {
     /// Builds a reader that has read nothing yet.
     pub fn new(plan: FeedPlan) -> Self {
-        let backoff = RetryBackoff::up_to(plan.failure_max);
+        let backoff = RetryBackoff::up_to(plan.failure_pause_max);
         let as_of = Duration::ZERO;
         Self { plan, position: None, as_of, backoff, lost_at: None, failures: 0 }
     }
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -446,7 +446,7 @@
                 Err(AttemptFault::Shed.outcome())
             }
             Err(AttemptFault::Moved) => {
-                registration::note_gone(self.state, &self.upstream.name);
+                registration::note_ended(self.state, &self.upstream.name);
                 Err(AttemptFault::Moved.outcome())
             }
             Err(fault) => {
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -101,7 +101,7 @@
         ServerIncarnation { born: incarnation.born.or(known), ..incarnation }
     }
 
-    fn note_gone(&self, upstream: &str) {
+    fn note_ended(&self, upstream: &str) {
         let incarnation = ServerIncarnation::of_upstream(upstream);
         let mut trackers = self.trackers.borrow_mut();
         if let (Some(tracker), Some(born)) =
@@ -156,7 +156,7 @@
         }
         Ok(Some(ServerCall::Deregister(incarnation))) => {
             let incarnation = state.registrations.departing_incarnation(incarnation);
-            note_gone(state, &incarnation.upstream());
+            note_ended(state, &incarnation.upstream());
         }
         Ok(None) => return admin::problem(StatusCode::NOT_FOUND, "no such call"),
         Err(error) => {
@@ -242,7 +242,7 @@
         other.name != record.name && (same_server || other.address == record.address)
     };
     for other in servers.iter().filter(|server| is_replaced(server)) {
-        state.registrations.note_gone(&other.name);
+        state.registrations.note_ended(&other.name);
         servers::ServerGone { upstream: &other.name }.log();
     }
     servers.retain(|server| server.name != record.name && !is_replaced(server));
@@ -253,8 +253,8 @@
 
 /// Records that an incarnation of a backend server has ended, by its deregistration or because
 /// another server answers in its place.
-pub fn note_gone(state: &Rc<DaemonState>, name: &str) {
-    state.registrations.note_gone(name);
+pub fn note_ended(state: &Rc<DaemonState>, name: &str) {
+    state.registrations.note_ended(name);
     let mut servers = state.roster.own_servers();
     let before = servers.len();
     servers.retain(|server| server.name != name);
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -38,7 +38,7 @@
 const FEED: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
-    failure_max: FAILURE_PAUSE_MAX,
+    failure_pause_max: FAILURE_PAUSE_MAX,
     // Two daemons of a failure domain read for all others, so a call of theirs on a black-holed
     // connection must end soon.
     wait_max: FEED_WAIT,
