--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Applies an answer of the store, which is complete as of the moment `as_of`.
+/// Applies an answer of the store, which includes all changes up to the time `as_of`.
 fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, as_of: Duration) {
     let outcomes: Vec<_> = page.rows.iter().filter_map(|row| apply_row(state, row)).collect();
     // A stale answer does not confirm that the document in force is the newest.
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -41,7 +41,7 @@
 /// `FeedUpdate` is the result of one call.
 #[derive(Debug)]
 pub enum FeedUpdate {
-    /// Every row of the table as of one moment.
+    /// Every row of the table, all read at the same time.
     Whole(RowsPage),
     /// Rows that changed or were removed, oldest first; none if the wait ended without a change.
     Changes(RowsPage),
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// Says whether the configuration in force is confirmed as the newest, or was a moment ago; makes a
-/// query if necessary. A later configuration may come in force before this returns.
+/// Says whether the configuration in force is confirmed as the newest, or was confirmed a moment
+/// ago; makes a query if necessary. A later configuration may come into force before this returns.
 pub async fn is_certain(state: &Rc<DaemonState>) -> bool {
     let tracker = &state.freshness;
     let give_up_at = state.now() + ANSWER_TIMEOUT;
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -322,8 +322,8 @@
 }
 
 /// Reports to the owner what this daemon granted as the backup owner. If only some daemons can't
-/// reach the owner, the owner's count then covers all grants. An owner that is gone is not
-/// notified, as its successor starts with a new count.
+/// reach the owner, the owner's count then covers all grants. An owner that has left the fleet is
+/// not notified, as its successor starts with a new count.
 pub fn charge_owner(state: &Rc<DaemonState>, limit: &str, granted: f64) {
     let active = state.config.active();
     let Some(entry) = active.limit(limit).cloned().filter(|_| granted > 0.0) else { return };
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -174,7 +174,7 @@
     monoio::spawn(follow_configuration(state.clone()));
 }
 
-/// Applies each configuration that comes in force to the roles.
+/// Applies each configuration that comes into force to the roles.
 async fn follow_configuration(state: Rc<DaemonState>) {
     let mut seen = 0;
     let mut announced = None;
