--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -36,7 +36,7 @@
 const PART_BYTES: usize = 64 * units::KIB;
 /// Maximum number of bytes queued on a link while a snapshot is sent.
 const SNAPSHOT_BUFFER_MAX: u64 = 1024 * 1024;
-/// Pause while the receiver of a snapshot is behind.
+/// Time between checks whether the receiver of a snapshot has read enough of it for more parts.
 const SNAPSHOT_PAUSE: Duration = Duration::from_millis(5);
 
 /// Pause between two slices of a long task. It is at least as long as a slice, so that requests get
@@ -64,8 +64,8 @@
 }
 
 fn poll_period(state: &DaemonState) -> Duration {
-    let each = state.members.count() as f64 / state.options.store_reads;
-    Duration::from_secs_f64(each).max(POLL_MIN)
+    let period_s = state.members.count() as f64 / state.options.store_reads;
+    Duration::from_secs_f64(period_s).max(POLL_MIN)
 }
 
 /// Reads the newest revision from the store, and the changes that are missing here.
@@ -75,11 +75,12 @@
     if revision > state.config.revision() {
         catch_up(state, revision).await?;
     } else if revision < state.config.revision() {
-        // The answer was stale: the configuration here was accepted, and stays.
+        // The answer was stale. The later configuration here was accepted by the store, and stays
+        // in force.
         metrics::OLD_REVISIONS.add_one();
     }
     state.config.mark_loaded();
-    // A stale answer does not confirm what is the newest.
+    // A stale answer does not confirm that the configuration here is the newest.
     if state.config.revision() == revision {
         state.freshness.note_store(asked_at);
     }
@@ -122,7 +123,8 @@
     Ok(())
 }
 
-/// `SnapshotReadGuard` is held while a snapshot is read: reading one at a time bounds the memory.
+/// `SnapshotReadGuard` is held while a snapshot is read. Only one snapshot is read at a time, which
+/// bounds the memory.
 struct SnapshotReadGuard {
     state: Rc<DaemonState>,
 }
@@ -187,8 +189,8 @@
     }
 }
 
-/// Compares the revision of a peer: sends it the changes that it lacks, or asks for those that are
-/// missing here.
+/// Compares the revision of a peer with the own one: sends the peer the changes that it lacks, or
+/// asks it for those that are missing here.
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let ours = state.config.revision();
     if state.options.source == ConfigSource::Document {
@@ -219,11 +221,11 @@
         return;
     }
     let records = state.config.records_after(after);
-    let small = |record: &Rc<ChangeRecord>| {
+    let fits_frame = |record: &Rc<ChangeRecord>| {
         serde_json::to_vec(&**record).is_ok_and(|text| text.len() <= 2 * PART_BYTES)
     };
     match records {
-        Some(records) if records.iter().all(small) => {
+        Some(records) if records.iter().all(fits_frame) => {
             send_records(state, sender, records.iter().map(|record| &**record));
         }
         _ => {
@@ -271,14 +273,14 @@
 /// Applies changes, or a part of a snapshot, from a peer.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: ChangeNews) {
     if let Some(bytes) = news.snapshot_part {
-        let (telling, place) = (news.telling.unwrap_or(0), news.place.unwrap_or(0));
-        let part = SnapshotPart { telling, place, bytes, last: news.last };
+        let (transfer, index) = (news.telling.unwrap_or(0), news.place.unwrap_or(0));
+        let part = SnapshotPart { transfer, index, bytes, last: news.last };
         return handle_part(state, peer, part);
     }
-    let mut fresh = Vec::new();
+    let mut new_records = Vec::new();
     for text in &news.records {
         match serde_json::from_slice::<ChangeRecord>(text) {
-            Ok(record) if record.revision > state.config.revision() => fresh.push(record),
+            Ok(record) if record.revision > state.config.revision() => new_records.push(record),
             Ok(_) => {}
             Err(error) => {
                 let (from, error) = (&*peer.host, &error.to_string());
@@ -286,8 +288,8 @@
             }
         }
     }
-    if state.config.apply(&fresh, state.now()) > 0 {
-        forward_changes(state, &fresh);
+    if state.config.apply(&new_records, state.now()) > 0 {
+        forward_changes(state, &new_records);
     }
 }
 
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -13,9 +13,10 @@
 
 use crate::state::DaemonState;
 
-/// Longest wait of a call for each daemon of the fleet. A connection that fell silent holds its
-/// call until its wait is over, and the first daemon whose call ends informs the others. The calls
-/// of a small fleet therefore end as often as those of twelve daemons, one every half second.
+/// Longest wait of a call, per daemon of the fleet. A black-holed connection holds its call until
+/// the wait is over, and the first daemon whose call ends informs the others. The calls of a small
+/// fleet are therefore bounded so that, together, they end as often as those of twelve daemons, one
+/// every half second.
 const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
 /// Returns the longest wait of a call in a fleet of `members` daemons, but no more than `most`.
@@ -32,15 +33,15 @@
     /// Pause after a call that brought changes, so that changes close together are read together.
     pub batch_pause: Duration,
     /// Longest pause after consecutive failed calls.
-    pub failure_max: Duration,
+    pub failure_pause_max: Duration,
     /// Longest wait of a call.
     pub wait_max: Duration,
 }
 
-/// `FeedNews` is the result of one call.
+/// `FeedUpdate` is the result of one call.
 #[derive(Debug)]
-pub enum FeedNews {
-    /// Every row of the table as of one moment.
+pub enum FeedUpdate {
+    /// Every row of the table, all read at the same time.
     Whole(RowsPage),
     /// Rows that changed or were removed, oldest first; none if the wait ended without a change.
     Changes(RowsPage),
@@ -53,17 +54,19 @@
     plan: FeedPlan,
     /// Position up to which the table was read, `None` before all of it was.
     position: Option<TablePosition>,
-    /// Moment as of which the last answer of the store was complete.
+    /// Time up to which the last answer of the store includes all changes.
     as_of: Duration,
     backoff: RetryBackoff,
+    /// When the first of the latest consecutive failed calls ended, `None` after an answer.
     lost_at: Option<Duration>,
+    /// Number of these failed calls.
     failures: u64,
 }
 
 impl FeedReader {
     /// Builds a reader that has read nothing yet.
     pub fn new(plan: FeedPlan) -> Self {
-        let backoff = RetryBackoff::up_to(plan.failure_max);
+        let backoff = RetryBackoff::up_to(plan.failure_pause_max);
         let as_of = Duration::ZERO;
         Self { plan, position: None, as_of, backoff, lost_at: None, failures: 0 }
     }
@@ -73,7 +76,7 @@
         self.position = Some(TablePosition { version, ..self.position.unwrap_or_default() });
     }
 
-    /// Returns the moment as of which the last answer of the store was complete.
+    /// Returns the time up to which the last answer of the store includes all changes.
     pub fn as_of(&self) -> Duration {
         self.as_of
     }
@@ -84,7 +87,7 @@
     }
 
     /// Reads the whole table, or waits for the next changes.
-    pub async fn next(&mut self, state: &DaemonState) -> FeedNews {
+    pub async fn next(&mut self, state: &DaemonState) -> FeedUpdate {
         let began = state.now();
         match self.fetch(state).await {
             Ok(news) => {
@@ -94,14 +97,14 @@
             }
             Err(error) => {
                 self.note_failure(state, &error, began).await;
-                FeedNews::Failed
+                FeedUpdate::Failed
             }
         }
     }
 
     /// Logs and counts rows that can't be read; the other rows are used.
-    fn log_unreadable(&self, news: &FeedNews) {
-        let (FeedNews::Whole(page) | FeedNews::Changes(page)) = news else { return };
+    fn log_unreadable(&self, news: &FeedUpdate) {
+        let (FeedUpdate::Whole(page) | FeedUpdate::Changes(page)) = news else { return };
         let table = self.plan.table;
         for row in &page.rows {
             if let RowValue::Unreadable(error) = &row.value {
@@ -121,7 +124,7 @@
         monoio::time::sleep(self.plan.batch_pause).await;
     }
 
-    async fn fetch(&mut self, state: &DaemonState) -> Result<FeedNews, StoreError> {
+    async fn fetch(&mut self, state: &DaemonState) -> Result<FeedUpdate, StoreError> {
         let position = match self.position {
             Some(position) => position,
             None => return self.read_whole(state).await,
@@ -130,12 +133,13 @@
         let wait = platform::draw_wait(longest_wait(state.members.count(), self.plan.wait_max));
         match state.platform.follow(self.plan.table, position, wait).await? {
             FeedReply::Changes(page, position) => {
-                // An answer may have been delayed on its way; one without changes was sent no
-                // sooner than the end of its wait.
-                let waited = page.rows.is_empty() && state.now() >= began + wait;
-                self.as_of = if waited { began + wait } else { began };
+                // An answer may have been delayed on its way, so it includes all changes only up to
+                // the start of the call. An answer without changes was sent no sooner than the end
+                // of its wait.
+                let has_waited_fully = page.rows.is_empty() && state.now() >= began + wait;
+                self.as_of = if has_waited_fully { began + wait } else { began };
                 self.position = Some(position);
-                Ok(FeedNews::Changes(page))
+                Ok(FeedUpdate::Changes(page))
             }
             FeedReply::Forgotten => {
                 let version = position.version;
@@ -147,12 +151,12 @@
     }
 
     /// Reads the whole table now.
-    pub async fn read_whole(&mut self, state: &DaemonState) -> Result<FeedNews, StoreError> {
+    pub async fn read_whole(&mut self, state: &DaemonState) -> Result<FeedUpdate, StoreError> {
         let began = state.now();
         let (page, position) = state.platform.read_table(self.plan.table).await?;
         self.as_of = began;
         self.position = Some(position);
-        Ok(FeedNews::Whole(page))
+        Ok(FeedUpdate::Whole(page))
     }
 
     /// Records that a call was answered.
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -27,7 +27,7 @@
 use crate::membership;
 use crate::state::DaemonState;
 
-/// Timeout for connecting to another daemon: distant regions are 0.3 s away.
+/// Timeout for connecting to another daemon: a round trip to a distant region takes up to 0.3 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time that a request waits for a link to be established.
 ///
@@ -39,8 +39,9 @@
 const IDLE_MAX: Duration = Duration::from_secs(120);
 /// Time for which a path may be cut before its link is closed and established again.
 const CUT_MAX: Duration = Duration::from_secs(10);
-/// Silence of a cut path after which a second link is dialled beside the first: a connection may
-/// stay silent for good while new ones work. Requests in flight on the first are not lost by that.
+/// Time without a received frame after which a second link is dialled along a cut path, beside the
+/// first: a connection may be black-holed for good while new ones work. Requests in flight on the
+/// first link are not lost by that.
 const RENEW_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of accepted links: every other daemon at the fleet size expected in two years,
 /// and room for restarts.
@@ -85,18 +86,19 @@
 /// Starts to dial a link in a task of its own, unless a dial is in progress or must wait for its
 /// back-off.
 fn start_dial(state: &Rc<DaemonState>, path: &Rc<PeerPath>) -> bool {
-    let Some(dial) = path.start_dial(state.now()) else { return false };
+    let Some(dial_number) = path.start_dial(state.now()) else { return false };
     let state = state.clone();
     let path = path.clone();
     monoio::spawn(async move {
-        connection::catch_panics("dialled link", run_dialled(&state, &path, dial)).await;
-        path.note_unlinked(dial, state.now());
+        connection::catch_panics("dialled link", run_dialled(&state, &path, dial_number)).await;
+        path.note_unlinked(dial_number, state.now());
     });
     true
 }
 
-/// Dials a second link beside a silent one, and waits for it no longer than a request would.
-/// Requests in flight stay on the old link, as the silence may end; new ones use the new link.
+/// Dials a second link beside one that may be black-holed, and waits for it no longer than a
+/// request would. Requests in flight stay on the old link, as it may recover; new ones use the new
+/// link.
 pub async fn renew(state: &Rc<DaemonState>, path: &Rc<PeerPath>) {
     let seen = path.change_count();
     if start_dial(state, path) || path.is_dialling() {
@@ -115,7 +117,7 @@
 }
 
 /// Dials a link and runs it until it ends.
-async fn run_dialled(state: &Rc<DaemonState>, path: &Rc<PeerPath>, number: u64) {
+async fn run_dialled(state: &Rc<DaemonState>, path: &Rc<PeerPath>, dial_number: u64) {
     let (mut reader, writer, link) = match dial(state, path).await {
         Ok(parts) => parts,
         Err(error) => {
@@ -125,7 +127,7 @@
             return;
         }
     };
-    if let Some(former) = path.note_linked(number, link.clone(), state.now()) {
+    if let Some(former) = path.note_linked(dial_number, link.clone(), state.now()) {
         monoio::spawn(retire(former));
     }
     metrics::LINKS.add(1);
@@ -178,13 +180,13 @@
 async fn connect(address: SocketAddr) -> Result<(LinkReader, LinkWriter), LinkError> {
     let connect = TcpStream::connect_addr(address);
     match monoio::time::timeout(CONNECT_TIMEOUT, connect).await {
-        Ok(Ok(stream)) => Ok(halves(stream)),
+        Ok(Ok(stream)) => Ok(split_stream(stream)),
         Ok(Err(source)) => Err(LinkError::Broken { source }),
         Err(_) => Err(LinkError::TimedOut),
     }
 }
 
-fn halves(stream: TcpStream) -> (LinkReader, LinkWriter) {
+fn split_stream(stream: TcpStream) -> (LinkReader, LinkWriter) {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     (FrameReader::new(read, count_received), write)
@@ -206,9 +208,9 @@
     }
 }
 
-/// Says whether a link crosses failure domains, on which both sides agree. Frames are compressed
-/// there, as bytes between failure domains are expensive; within a failure domain the processor's
-/// time is.
+/// Says whether a link crosses failure domains, on which both sides agree. Frames are compressed on
+/// such a link, as traffic between failure domains is expensive. Within a failure domain, the
+/// processor time for compression would cost more.
 fn crosses_domains(state: &DaemonState, peer: &PeerIdentity) -> bool {
     state.options.failure_domain != peer.failure_domain
 }
@@ -231,7 +233,7 @@
 }
 
 async fn run_accepted(state: &Rc<DaemonState>, stream: TcpStream) {
-    let (mut reader, mut writer) = halves(stream);
+    let (mut reader, mut writer) = split_stream(stream);
     let key = &state.options.fleet_key;
     let side = LinkSide::Acceptor;
     let peer = match handshake::run(&mut reader, &mut writer, side, &state.identity, key).await {
@@ -261,7 +263,7 @@
     fleet::AcceptedEnded { host: &link.peer.host, error: &error.to_string() }.log();
 }
 
-/// Monitors the dialled links for ever: probes silent ones and closes idle ones.
+/// Monitors the dialled links for ever: probes unresponsive ones and closes idle ones.
 pub async fn watch(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(WATCH_INTERVAL).await;
@@ -272,14 +274,15 @@
     }
 }
 
-/// Logs when a link falls silent, and when it is heard on again.
+/// Logs when a path is cut, as nothing has been received along it for a while, and when frames
+/// arrive again.
 fn log_silence(path: &PeerPath, in_flight: usize, now: Duration) {
-    let is_silent = path.state(now) == PathState::Cut;
-    if path.note_silence(is_silent) == is_silent {
+    let is_unresponsive = path.state(now) == PathState::Cut;
+    if path.note_silence(is_unresponsive) == is_unresponsive {
         return;
     }
     let host = &*path.host;
-    if is_silent {
+    if is_unresponsive {
         let silent_ms = path.silent_for(now).as_millis() as u64;
         fleet::PeerSilent { host, silent_ms, in_flight: in_flight as u64 }.log();
     } else {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -4,8 +4,8 @@
 //! This daemon's view of the fleet's membership: which daemons are live, suspect or leaving.
 //!
 //! The view is seeded by the rows of the hosts and kept up to date by gossip, in heartbeats between
-//! a few peers. Daemons never agree on it, and nothing that must hold depends on it. What is known
-//! of a later incarnation of a daemon takes precedence.
+//! a few peers. The views of two daemons may always differ, so no guarantee of the fleet depends on
+//! them. Information about a later incarnation of a daemon takes precedence.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,13 +30,13 @@
 
 /// Time between attempts to contact the seeds while no other daemon is known.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum number of members in one heartbeat: 64 entries a second keep the view fresh within the
-/// suspect time.
+/// Maximum number of members in one heartbeat: the resulting 64 entries a second keep the view
+/// fresh within the suspect time.
 const ENTRIES_MAX: usize = 8;
-/// Heartbeat intervals after which a member that was not heard of is suspect, in a small fleet.
+/// Heartbeat intervals after which a member without a known heartbeat is suspect, in a small fleet.
 const SUSPECT_HEARTBEATS: u32 = 12;
-/// Members whose entries one round of heartbeats renews. The suspect time grows by one interval for
-/// each such number of members.
+/// Number of members whose entries one round of heartbeats renews. The suspect time grows by one
+/// heartbeat interval for every so many members of the fleet.
 const RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
@@ -47,11 +47,11 @@
 /// `MemberState` is the assumed state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It was heard of recently.
+    /// Its latest known heartbeat is recent.
     Live,
-    /// It was not heard of recently.
+    /// Its latest known heartbeat is older than the suspect time.
     Suspect,
-    /// It is leaving.
+    /// It announced that it is leaving.
     Leaving,
 }
 
@@ -77,8 +77,8 @@
     pub admin_address: String,
     /// Number of its incarnation; that of a later start is higher.
     pub incarnation: i64,
-    /// When it was last heard of, directly or through others.
-    pub heard_at: Duration,
+    /// Time of its latest known heartbeat, received directly or reported by another member.
+    pub last_heartbeat_at: Duration,
     /// Whether it announced that it is leaving, in this incarnation.
     pub leaving: bool,
     /// Whether it has a row in the platform's store.
@@ -95,7 +95,8 @@
     round: Cell<u64>,
 }
 
-/// Returns the silence after which a member of a fleet of this size is suspect.
+/// Returns the time without a heartbeat after which a member is suspect, in a fleet of `members`
+/// members.
 pub fn suspect_after(heartbeat: Duration, members: usize) -> Duration {
     heartbeat * (SUSPECT_HEARTBEATS + (members / RENEWED_EACH_ROUND) as u32)
 }
@@ -103,11 +104,11 @@
 impl MemberTable {
     /// Returns the assumed state of a member.
     pub fn state_of(&self, state: &DaemonState, view: &MemberView) -> MemberState {
-        let silent = state.now().saturating_sub(view.heard_at);
+        let heartbeat_age = state.now().saturating_sub(view.last_heartbeat_at);
         let members = self.members.borrow().len();
         if view.leaving {
             MemberState::Leaving
-        } else if silent > suspect_after(state.options.heartbeat, members) {
+        } else if heartbeat_age > suspect_after(state.options.heartbeat, members) {
             MemberState::Suspect
         } else {
             MemberState::Live
@@ -150,7 +151,7 @@
         self.members.borrow().len().max(1)
     }
 
-    /// Records an accepted link, so that news can be sent along it.
+    /// Records an accepted link, so that frames can be sent along it.
     pub fn note_accepted(&self, link: &Rc<AcceptedLink>) {
         let mut accepted = self.accepted.borrow_mut();
         accepted.retain(|known| known.strong_count() > 0);
@@ -169,7 +170,7 @@
         self.members.borrow().get(host).map_or(0, |view| view.incarnation)
     }
 
-    /// Records the row of a host. A row is no sign of life, unless it is that of a later
+    /// Records the row of a host. A row does not count as a heartbeat, unless it is of a later
     /// incarnation.
     pub fn note_record(&self, state: &DaemonState, host: &str, record: &HostRecord) {
         if host == state.options.host {
@@ -180,7 +181,7 @@
             peer_address: record.peer_address.clone(),
             admin_address: record.admin_address.clone(),
             incarnation: record.incarnation,
-            heard_at: state.now(),
+            last_heartbeat_at: state.now(),
             leaving: record.leaving,
             listed: true,
             revision: FleetRevision(0),
@@ -188,11 +189,11 @@
         let mut members = self.members.borrow_mut();
         match members.get_mut(host) {
             Some(view) => {
-                let heard_at = view.heard_at;
+                let last_heartbeat_at = view.last_heartbeat_at;
                 let is_later = reported.incarnation > view.incarnation;
                 merge(view, reported);
                 if !is_later {
-                    view.heard_at = heard_at;
+                    view.last_heartbeat_at = last_heartbeat_at;
                 }
             }
             None => drop(members.insert(host.to_owned(), reported)),
@@ -202,31 +203,31 @@
         }
         let now = state.now();
         let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_FACTOR;
-        let silent = |view: &MemberView| now.saturating_sub(view.heard_at);
-        members.retain(|_, view| view.listed || silent(view) < forget_after);
+        let heartbeat_age = |view: &MemberView| now.saturating_sub(view.last_heartbeat_at);
+        members.retain(|_, view| view.listed || heartbeat_age(view) < forget_after);
     }
 
-    /// Records that a host has no row any more. Heartbeats about it still count.
+    /// Records that a host has no row any more. Reports of its heartbeats are still used.
     pub fn note_removed(&self, host: &str) {
         if let Some(view) = self.members.borrow_mut().get_mut(host) {
             view.listed = false;
         }
     }
 
-    /// Returns the hosts with a row that have been silent for so long that they are considered
+    /// Returns the hosts with a row whose latest known heartbeat is so old that they are considered
     /// gone.
-    pub fn silent_hosts(&self, state: &DaemonState) -> Vec<String> {
+    pub fn expired_hosts(&self, state: &DaemonState) -> Vec<String> {
         let now = state.now();
         let members = self.members.borrow();
         let forget_after = suspect_after(state.options.heartbeat, members.len()) * FORGET_FACTOR;
-        let gone = members
-            .iter()
-            .filter(|(_, view)| view.listed && now.saturating_sub(view.heard_at) > forget_after);
+        let gone = members.iter().filter(|(_, view)| {
+            view.listed && now.saturating_sub(view.last_heartbeat_at) > forget_after
+        });
         gone.map(|(host, _)| host.clone()).collect()
     }
 
     /// Records which daemon answered at the address of a seed.
-    fn note_seed(&self, state: &DaemonState, peer: PeerIdentity, address: SocketAddr) {
+    fn record_seed_peer(&self, state: &DaemonState, peer: PeerIdentity, address: SocketAddr) {
         if peer.host == state.options.host {
             return;
         }
@@ -234,10 +235,10 @@
             failure_domain: String::new(),
             peer_address: address.to_string(),
             admin_address: String::new(),
-            // The daemon's own entry, which comes next, has the actual incarnation and fills in the
-            // other fields.
+            // One less than the actual incarnation, so that the daemon's own entry, which follows
+            // in a heartbeat, takes precedence and fills in the other fields.
             incarnation: peer.incarnation.saturating_sub(1),
-            heard_at: state.now(),
+            last_heartbeat_at: state.now(),
             leaving: false,
             listed: false,
             revision: FleetRevision(0),
@@ -246,15 +247,20 @@
         self.members.borrow_mut().entry(peer.host).or_insert(view);
     }
 
-    /// Records that a peer was heard of directly.
-    pub fn note_heard(&self, state: &DaemonState, peer: &PeerIdentity, revision: FleetRevision) {
+    /// Records a heartbeat that came from the peer itself.
+    pub fn note_heartbeat(
+        &self,
+        state: &DaemonState,
+        peer: &PeerIdentity,
+        revision: FleetRevision,
+    ) {
         let mut members = self.members.borrow_mut();
         if let Some(view) = members.get_mut(&peer.host) {
             if peer.incarnation >= view.incarnation {
                 if peer.incarnation > view.incarnation {
                     view.leaving = false;
                 }
-                view.heard_at = state.now();
+                view.last_heartbeat_at = state.now();
                 view.revision = view.revision.max(revision);
                 update_path(state, &peer.host, view);
             }
@@ -270,8 +276,8 @@
                 continue;
             }
             let age = Duration::from_millis(entry.age_ms.max(0) as u64);
-            let heard_at = now.saturating_sub(age);
-            let reported = view_of(entry, heard_at);
+            let last_heartbeat_at = now.saturating_sub(age);
+            let reported = view_of(entry, last_heartbeat_at);
             let view = members.entry(entry.host.clone()).or_insert_with(|| reported.clone());
             merge(view, reported);
             update_path(state, &entry.host, view);
@@ -302,8 +308,8 @@
         let round = self.round.get();
         self.round.set(round + 1);
         let members = self.members.borrow();
-        let stay = members.iter().filter(|(_, view)| !view.leaving);
-        let hosts = stay.map(|(host, _)| host.clone()).collect();
+        let remaining = members.iter().filter(|(_, view)| !view.leaving);
+        let hosts = remaining.map(|(host, _)| host.clone()).collect();
         neighbours::choose(&state.options.host, hosts, round)
     }
 
@@ -313,21 +319,22 @@
     }
 }
 
-fn view_of(entry: &MemberEntry, heard_at: Duration) -> MemberView {
+fn view_of(entry: &MemberEntry, last_heartbeat_at: Duration) -> MemberView {
     MemberView {
         failure_domain: entry.failure_domain.clone(),
         peer_address: entry.peer_address.clone(),
         admin_address: entry.admin_address.clone(),
         incarnation: entry.incarnation,
-        heard_at,
+        last_heartbeat_at,
         leaving: entry.state == STATE_LEAVING,
         listed: false,
         revision: FleetRevision(entry.revision.max(0) as u64),
     }
 }
 
-/// Merges a reported view into the known one: a later incarnation replaces it, and within one the
-/// later report counts. A daemon that is leaving stays so within the same incarnation.
+/// Merges a reported view into the known one. A later incarnation replaces the known view. Within
+/// one incarnation, the later heartbeat and revision are kept, and a daemon that is leaving stays
+/// so.
 fn merge(view: &mut MemberView, reported: MemberView) {
     if reported.incarnation < view.incarnation {
         return;
@@ -340,7 +347,7 @@
     }
     view.leaving |= reported.leaving;
     view.listed |= reported.listed;
-    view.heard_at = view.heard_at.max(reported.heard_at);
+    view.last_heartbeat_at = view.last_heartbeat_at.max(reported.last_heartbeat_at);
     view.revision = view.revision.max(reported.revision);
 }
 
@@ -360,7 +367,7 @@
         admin_address: view.admin_address.clone(),
         incarnation: view.incarnation,
         state: if view.leaving { STATE_LEAVING } else { STATE_LIVE },
-        age_ms: now.saturating_sub(view.heard_at).as_millis() as i64,
+        age_ms: now.saturating_sub(view.last_heartbeat_at).as_millis() as i64,
         revision: view.revision.0 as i64,
     }
 }
@@ -407,7 +414,7 @@
         if state.members.members.borrow().is_empty() {
             for address in &state.live().seeds {
                 match links::identify(&state, *address).await {
-                    Ok(peer) => state.members.note_seed(&state, peer, *address),
+                    Ok(peer) => state.members.record_seed_peer(&state, peer, *address),
                     Err(error) => {
                         let (address, error) = (&address.to_string(), &error.to_string());
                         fleet::SeedSilent { address, error }.log();
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -26,17 +26,17 @@
 #[derive(Debug, Default)]
 struct PartialSnapshot {
     transfer: i64,
-    next: i32,
+    next_index: i32,
     bytes: Vec<u8>,
 }
 
 /// `SnapshotPart` is a part of a snapshot as a peer sends it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SnapshotPart {
-    /// Number of the sender's transfer that it belongs to.
-    pub telling: i64,
+    /// Number of the sender's transfer that the part belongs to.
+    pub transfer: i64,
     /// Its index in the transfer, from 0.
-    pub place: i32,
+    pub index: i32,
     /// Its bytes.
     pub bytes: Vec<u8>,
     /// Whether it is the last.
@@ -52,19 +52,18 @@
     }
 
     /// Adds a part, and returns the whole snapshot with the last one. A part that does not follow
-    /// the one before belongs to a transfer that broke off, or that a later one replaced, and is
-    /// dropped.
+    /// the last received one is dropped: its transfer broke off or was replaced by a later one.
     pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
-        if part.place == 0 {
-            let fresh = PartialSnapshot { transfer: part.telling, ..PartialSnapshot::default() };
+        if part.index == 0 {
+            let fresh = PartialSnapshot { transfer: part.transfer, ..PartialSnapshot::default() };
             parts.insert(host.to_owned(), fresh);
         }
         let partial = parts.get_mut(host)?;
-        if partial.transfer != part.telling || partial.next != part.place {
+        if partial.transfer != part.transfer || partial.next_index != part.index {
             return None;
         }
-        partial.next += 1;
+        partial.next_index += 1;
         partial.bytes.extend_from_slice(&part.bytes);
         if partial.bytes.len() > SNAPSHOT_MAX {
             parts.remove(host);
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -29,16 +29,17 @@
 use crate::roster::{self, HostRecord, ServerRecord};
 use crate::state::DaemonState;
 
-/// Maximum number of connections of backend servers of this host, and of the platform.
+/// Maximum number of connections to one listener: of the backend servers of this host, or of the
+/// platform for the readiness check.
 const CONNECTIONS_MAX: usize = 64;
 /// Largest heartbeat, in bytes.
 const BODY_BYTES_MAX: u64 = 16 * 1024;
 /// Timeout of a health check, which may wait for a slot of the server. After a failed check, the
 /// server's next heartbeat comes soon.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Maximum number of ended incarnations of backend servers that are remembered, to recognise their
-/// late heartbeats.
-const GONE_MAX: usize = 64;
+/// Maximum number of ended incarnations of backend servers that are remembered, to recognise
+/// heartbeats that arrive after their end.
+const ENDED_MAX: usize = 64;
 /// Maximum number of backend servers whose incarnations are tracked: a host has few, and a client
 /// that names more of them is no backend server of this host.
 const TRACKERS_MAX: usize = 256;
@@ -52,7 +53,8 @@
     trackers: RefCell<FnvHashMap<String, IncarnationTracker>>,
     sequences: RefCell<FnvHashMap<String, u64>>,
     cold_until: RefCell<FnvHashMap<String, Duration>>,
-    gone: RefCell<VecDeque<String>>,
+    /// Upstreams whose incarnation has ended, oldest first.
+    ended_upstreams: RefCell<VecDeque<String>>,
     /// Latest known record of an earlier incarnation of the daemon.
     recovered: RefCell<Option<HostRecord>>,
 }
@@ -81,7 +83,7 @@
     /// Says whether a heartbeat is later than the earlier ones of its incarnation, and records it.
     fn is_newer(&self, heartbeat: &ServerHeartbeat) -> bool {
         let upstream = heartbeat.incarnation.upstream();
-        if self.gone.borrow().contains(&upstream) {
+        if self.ended_upstreams.borrow().contains(&upstream) {
             return false;
         }
         let mut sequences = self.sequences.borrow_mut();
@@ -93,28 +95,28 @@
 
     /// Returns the incarnation that a deregistration is about: the one it names, or else the known
     /// one.
-    fn leaving(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
+    fn departing_incarnation(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
         let trackers = self.trackers.borrow();
         let known = trackers.get(&incarnation.server).and_then(IncarnationTracker::current);
         ServerIncarnation { born: incarnation.born.or(known), ..incarnation }
     }
 
-    fn note_gone(&self, upstream: &str) {
+    fn note_ended(&self, upstream: &str) {
         let incarnation = ServerIncarnation::of_upstream(upstream);
         let mut trackers = self.trackers.borrow_mut();
         if let (Some(tracker), Some(born)) =
             (trackers.get_mut(&incarnation.server), incarnation.born)
         {
-            tracker.note_ended(born);
+            tracker.note_end(born);
         }
         self.sequences.borrow_mut().remove(upstream);
         self.cold_until.borrow_mut().remove(upstream);
-        let mut gone = self.gone.borrow_mut();
-        if !gone.iter().any(|known| known == upstream) {
-            gone.push_back(upstream.to_owned());
+        let mut ended_upstreams = self.ended_upstreams.borrow_mut();
+        if !ended_upstreams.iter().any(|known| known == upstream) {
+            ended_upstreams.push_back(upstream.to_owned());
         }
-        if gone.len() > GONE_MAX {
-            gone.pop_front();
+        if ended_upstreams.len() > ENDED_MAX {
+            ended_upstreams.pop_front();
         }
     }
 }
@@ -130,10 +132,10 @@
 }
 
 fn answer_server(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
-    // An acknowledgement also binds the next incarnation of this daemon, but this one no longer
-    // waits until the next can learn of it. The backend server retries.
+    // An acknowledged change must also reach the next incarnation of this daemon, through the
+    // store, but this daemon no longer waits until it is stored. The backend server retries.
     if state.stop.is_over(state.now()) {
-        return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon ends");
+        return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon is shutting down");
     }
     let uri = &request.head.uri;
     let call =
@@ -146,12 +148,15 @@
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
             }
             if note_heartbeat(state, &heartbeat) == IncarnationVerdict::NoStartTime {
-                return admin::problem(StatusCode::BAD_REQUEST, "the heartbeat tells no start");
+                return admin::problem(
+                    StatusCode::BAD_REQUEST,
+                    "the heartbeat lacks the start time of the server",
+                );
             }
         }
         Ok(Some(ServerCall::Deregister(incarnation))) => {
-            let incarnation = state.registrations.leaving(incarnation);
-            note_gone(state, &incarnation.upstream());
+            let incarnation = state.registrations.departing_incarnation(incarnation);
+            note_ended(state, &incarnation.upstream());
         }
         Ok(None) => return admin::problem(StatusCode::NOT_FOUND, "no such call"),
         Err(error) => {
@@ -164,9 +169,9 @@
     ServerReply::whole(StatusCode::OK, "application/json", body)
 }
 
-/// Returns why a heartbeat is refused as coming from some other client: its service is not
-/// configured and its server not registered with it, or its service or address differs from that
-/// registered for the same incarnation.
+/// Returns why a heartbeat is refused, as it may come from some other client than a backend server
+/// of this host. Either its service or its address differs from those registered for the same
+/// incarnation, or the incarnation is not registered and its service is not configured.
 fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
     let servers = state.roster.own_servers();
@@ -174,7 +179,8 @@
         let same = known.service == heartbeat.service && known.address == heartbeat.address;
         // A server that does not report its incarnation may have restarted under its name.
         let may_differ = heartbeat.incarnation.born.is_none();
-        return (!same && !may_differ).then_some("a start keeps its service and its address");
+        return (!same && !may_differ)
+            .then_some("the service or the address differs from the registered one");
     }
     let document = state.document.get()?;
     let is_configured =
@@ -229,14 +235,14 @@
         sequence: heartbeat.sequence,
     }
     .log();
-    // A server that listens on the address of another or has its name replaces it for good: a
-    // heartbeat of the replaced one may be delayed and arrive only now.
+    // A server with the address or the name of another replaces it for good, so that a delayed
+    // heartbeat of the replaced server does not register it again.
     let is_replaced = |other: &ServerRecord| {
         let same_server = incarnation::server_of(&other.name) == heartbeat.incarnation.server;
         other.name != record.name && (same_server || other.address == record.address)
     };
     for other in servers.iter().filter(|server| is_replaced(server)) {
-        state.registrations.note_gone(&other.name);
+        state.registrations.note_ended(&other.name);
         servers::ServerGone { upstream: &other.name }.log();
     }
     servers.retain(|server| server.name != record.name && !is_replaced(server));
@@ -247,8 +253,8 @@
 
 /// Records that an incarnation of a backend server has ended, by its deregistration or because
 /// another server answers in its place.
-pub fn note_gone(state: &Rc<DaemonState>, name: &str) {
-    state.registrations.note_gone(name);
+pub fn note_ended(state: &Rc<DaemonState>, name: &str) {
+    state.registrations.note_ended(name);
     let mut servers = state.roster.own_servers();
     let before = servers.len();
     servers.retain(|server| server.name != name);
@@ -256,7 +262,7 @@
         servers::ServerGone { upstream: name }.log();
         roster::set_own_servers(state, servers);
     }
-    // The row may list a server that this incarnation of the daemon has not heard of.
+    // The row may list a server that has not registered with this incarnation of the daemon.
     roster::note_departure(state);
 }
 
@@ -280,14 +286,14 @@
     }
 }
 
-/// Removes backend servers that an earlier record listed and this later one no longer does. A
-/// server that has sent a heartbeat since stays.
+/// Removes backend servers that an earlier record listed and `record` does not list as in use. A
+/// server that has sent this incarnation of the daemon a heartbeat stays.
 fn remove_departed(state: &Rc<DaemonState>, record: &HostRecord) {
     let mut servers = state.roster.own_servers();
     let before = servers.len();
     servers.retain(|server| {
-        let is_heard = state.registrations.sequences.borrow().contains_key(&server.name);
-        let stays = is_heard || record.is_in_use(&server.name);
+        let has_sent_heartbeat = state.registrations.sequences.borrow().contains_key(&server.name);
+        let stays = has_sent_heartbeat || record.is_in_use(&server.name);
         if !stays {
             servers::ServerGone { upstream: &server.name }.log();
         }
@@ -331,17 +337,19 @@
     Some(declaration.health_path.clone())
 }
 
+/// Registers a recovered backend server, unless it or a server that replaced it is registered, it
+/// has left, or the latest recovered record does not list it as in use.
 fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
-    // The server's own heartbeat, which may have come meanwhile, takes precedence.
+    // A heartbeat that the server has sent in the meantime takes precedence.
     let own_name = incarnation::server_of(&server.name);
     let is_known = servers.iter().any(|known| {
         incarnation::server_of(&known.name) == own_name || known.address == server.address
     });
-    if is_known || state.registrations.gone.borrow().contains(&server.name) {
+    if is_known || state.registrations.ended_upstreams.borrow().contains(&server.name) {
         return;
     }
-    // A later record of the earlier incarnation may have come meanwhile as well.
+    // A later record of the daemon's earlier incarnation may no longer list the server as in use.
     let recovered = state.registrations.recovered.borrow();
     if !recovered.as_ref().is_some_and(|record| record.is_in_use(&server.name)) {
         return;
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -3,12 +3,13 @@
 
 //! Distributes the rows of the hosts to every daemon.
 //!
-//! Each change of a row wakes every call that waits for one, so that with each daemon waiting at
-//! the store, the calls would grow with the square of the number of daemons. Two daemons of each
-//! failure domain, the readers, follow the feed and relay what it brings; the others subscribe to
-//! it, renewed each second. A daemon that hears nothing for a while reads the store itself. All
-//! daemons find the same two readers by rendezvous hashing over the members they know; that two
-//! daemons differ for a moment only costs calls.
+//! Each change of a row completes every call that waits for changes at the store. If all daemons
+//! waited there, the calls would grow with the square of the number of daemons. Therefore two
+//! daemons of each failure domain, the readers, follow the feed and relay its changes. The others
+//! subscribe to the readers and renew the subscription each second. A daemon that receives nothing
+//! for a while reads the store itself. All daemons choose the same two readers by rendezvous
+//! hashing over the members they know. If two daemons choose differently for a moment, that only
+//! costs additional calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,39 +27,42 @@
 use basaltarch_platform::rows::{RowValue, RowsPage, StoredRow};
 use basaltarch_store::platform::FEED_WAIT;
 
-use crate::feed::{FeedNews, FeedPlan, FeedReader};
+use crate::feed::{FeedPlan, FeedReader, FeedUpdate};
 use crate::links;
 use crate::roster::{self, RelayedRecord, FAILURE_PAUSE_MAX, HOSTS_TABLE};
 use crate::state::DaemonState;
 
-/// How the feed is followed. Changes at the same time, as when a fleet starts, are read in one
-/// call. No request waits for them, since a host refuses what its server must not get.
+/// How the feed is followed. Changes in quick succession, as when a fleet starts, are read in one
+/// call. No request waits for a change, since the daemon of a host refuses requests that its server
+/// must not get.
 const FEED: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
-    failure_max: FAILURE_PAUSE_MAX,
-    // Two daemons of a failure domain read for all others, so a call of theirs on a connection that
-    // fell silent must end soon.
+    failure_pause_max: FAILURE_PAUSE_MAX,
+    // Two daemons of a failure domain read for all others, so a call of theirs on a black-holed
+    // connection must end soon.
     wait_max: FEED_WAIT,
 };
-/// Daemons of a failure domain that follow the feed: one may be cut off without being known to be.
+/// Daemons of a failure domain that follow the feed: one may be unreachable before this is
+/// detected.
 const READERS: usize = 2;
 /// The key of the rendezvous hashing by which the readers are chosen.
 const READERS_KEY: &str = "rows of hosts";
-/// Time between requests for news, which renew the subscription.
+/// Time between requests for changes, which renew the subscription.
 const RENEW_INTERVAL: Duration = Duration::from_secs(1);
-/// Silence after which a reader is avoided, and after which a daemon without any reads the store:
-/// two requests may be lost, and a new backend server should get requests within four seconds.
-const SILENCE_MAX: Duration = Duration::from_millis(2500);
-/// Time for which a reader that was silent is not chosen; after it, the reader may be back.
+/// Time without a message after which a reader is avoided, and after which a daemon that has
+/// received nothing from any reader reads the store. It allows for two lost requests, and a new
+/// backend server should get requests within four seconds.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2500);
+/// Time for which an unresponsive reader is not chosen. After it the reader may have recovered.
 const AVOID_TIME: Duration = Duration::from_secs(20);
 /// Maximum number of removed rows that are remembered: as many as the hosts that are removed in an
 /// hour of a large fleet.
 const REMOVED_MAX: usize = 512;
-/// Version of news that a daemon sends about a host directly, bypassing the store; the table's
-/// versions are higher.
+/// Version of the changes that carry a relayed record, which a daemon sends directly, bypassing the
+/// store. The versions of the table are higher.
 const RELAYED_VERSION: i64 = 0;
-/// Time for which news is sent after a request.
+/// Time for which changes are sent to a daemon after its request.
 const SUBSCRIPTION_TTL: Duration = Duration::from_millis(3500);
 
 /// `RowsRelay` is this daemon's part in reading the rows and relaying them.
@@ -68,11 +72,13 @@
     version: Cell<u64>,
     /// Whether the store answered this daemon's last call for the rows.
     is_reading: Cell<bool>,
-    /// When a reader was last heard of.
-    news_at: Cell<Option<Duration>>,
-    /// Raised when changes that no reader remembers any more did not arrive here.
+    /// When a reader last sent changes.
+    changes_received_at: Cell<Option<Duration>>,
+    /// Raised when this daemon missed changes that a reader no longer holds, so that it must read
+    /// the whole table.
     gap: RisingSignal,
-    /// Every row with the version of its last change, for daemons that are behind.
+    /// Every row with the version of its last change, to be sent to daemons with an earlier version
+    /// of the table.
     notes: RefCell<BTreeMap<String, RowNote>>,
     /// Version up to which removed rows may have been forgotten.
     forgotten_to: Cell<i64>,
@@ -80,20 +86,20 @@
     subscribers: RefCell<Vec<RowsSubscriber>>,
 }
 
-/// `RowsReader` is a daemon that news was requested from.
+/// `RowsReader` is a daemon that changes were requested from.
 struct RowsReader {
     host: String,
-    /// When it last sent news, or was first asked.
-    heard_at: Duration,
-    /// Until when it is avoided because it was silent.
+    /// When it last sent changes, or was first asked for them.
+    last_message_at: Duration,
+    /// Time until which it is avoided because it was unresponsive.
     avoided_until: Duration,
 }
 
-/// `RowsSubscriber` is a daemon that news is sent to.
+/// `RowsSubscriber` is a daemon that changes are sent to.
 struct RowsSubscriber {
     host: String,
     sender: FrameSender,
-    until: Duration,
+    expires_at: Duration,
 }
 
 impl RowsRelay {
@@ -102,9 +108,11 @@
         self.version.get() > 0
     }
 
-    /// Says whether a reader has sent news recently.
-    fn has_recent_news(&self, now: Duration) -> bool {
-        self.news_at.get().is_some_and(|at| now.saturating_sub(at) <= SILENCE_MAX)
+    /// Says whether a reader has sent changes recently.
+    fn has_recent_changes(&self, now: Duration) -> bool {
+        self.changes_received_at
+            .get()
+            .is_some_and(|at| now.saturating_sub(at) <= UNRESPONSIVE_AFTER)
     }
 
     fn is_avoided(&self, host: &str, now: Duration) -> bool {
@@ -112,40 +120,46 @@
         readers.iter().any(|reader| reader.host == host && reader.avoided_until > now)
     }
 
-    /// Records that a reader is asked for news, and avoids it if it has been silent for too long.
-    fn note_asked(&self, host: &str, now: Duration) {
+    /// Records that a reader is asked for changes, and avoids it if it has been unresponsive for
+    /// too long.
+    fn note_request(&self, host: &str, now: Duration) {
         let mut readers = self.readers.borrow_mut();
         match readers.iter_mut().find(|reader| reader.host == host) {
             None => {
                 let host = host.to_owned();
-                readers.push(RowsReader { host, heard_at: now, avoided_until: Duration::ZERO });
+                readers.push(RowsReader {
+                    host,
+                    last_message_at: now,
+                    avoided_until: Duration::ZERO,
+                });
             }
             Some(reader) if reader.avoided_until > Duration::ZERO => {
                 reader.avoided_until = Duration::ZERO;
-                reader.heard_at = now;
+                reader.last_message_at = now;
             }
-            Some(reader) if now.saturating_sub(reader.heard_at) > SILENCE_MAX => {
+            Some(reader) if now.saturating_sub(reader.last_message_at) > UNRESPONSIVE_AFTER => {
                 reader.avoided_until = now + AVOID_TIME;
             }
             Some(_) => {}
         }
     }
 
-    /// Records that a daemon sent news. Says whether it is one that was asked.
-    fn note_heard(&self, host: &str, now: Duration) -> bool {
+    /// Records that a daemon sent changes. Says whether it is a reader that this daemon asked for
+    /// them.
+    fn note_sender(&self, host: &str, now: Duration) -> bool {
         let mut readers = self.readers.borrow_mut();
         let reader = readers.iter_mut().find(|reader| reader.host == host);
         if let Some(reader) = reader {
-            reader.heard_at = now;
+            reader.last_message_at = now;
             reader.avoided_until = Duration::ZERO;
-            self.news_at.set(Some(now));
+            self.changes_received_at.set(Some(now));
             return true;
         }
         false
     }
 
     /// Stores the current state of a row. A removed row is remembered as such for a while.
-    fn keep(&self, note: RowNote) {
+    fn store_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
         let removed = notes.values().filter(|note| note.value.is_none());
@@ -159,19 +173,23 @@
         }
     }
 
-    /// Stores the whole table as of a version: a row that it lacks was removed by then.
-    fn keep_table(&self, page: &RowsPage) {
+    /// Stores the whole table. A known row that is not in it was removed by the version of the
+    /// table.
+    fn store_table(&self, page: &RowsPage) {
         let version = page.version as i64;
-        let lacks = |note: &&RowNote| {
+        let is_missing = |note: &&RowNote| {
             note.value.is_some() && !page.rows.iter().any(|row| row.key == note.key)
         };
-        let gone: Vec<RowNote> = self.notes.borrow().values().filter(lacks).cloned().collect();
-        gone.into_iter().for_each(|note| self.keep(RowNote { value: None, version, ..note }));
-        page.rows.iter().filter_map(row_note).for_each(|note| self.keep(note));
+        let missing: Vec<RowNote> =
+            self.notes.borrow().values().filter(is_missing).cloned().collect();
+        missing
+            .into_iter()
+            .for_each(|note| self.store_note(RowNote { value: None, version, ..note }));
+        page.rows.iter().filter_map(row_note).for_each(|note| self.store_note(note));
     }
 
-    /// Returns what changed after a version.
-    fn news_after(&self, after: i64) -> RowsNews {
+    /// Returns the changes after a version.
+    fn changes_after(&self, after: i64) -> RowsNews {
         let version = self.version.get() as i64;
         let forgotten = after > 0 && after < self.forgotten_to.get();
         let notes = self.notes.borrow();
@@ -179,13 +197,14 @@
         RowsNews { after: after.min(version), version, rows: rows.cloned().collect(), forgotten }
     }
 
-    /// Sends news to all subscribers.
-    fn forward_news(&self, news: &RowsNews, now: Duration) {
+    /// Sends changes to all subscribers.
+    fn forward_changes(&self, news: &RowsNews, now: Duration) {
         let mut subscribers = self.subscribers.borrow_mut();
         subscribers.retain(|subscriber| {
-            let sending = || subscriber.sender.send(NO_EXCHANGE, FrameBody::RowsNews(news.clone()));
+            let try_send =
+                || subscriber.sender.send(NO_EXCHANGE, FrameBody::RowsNews(news.clone()));
             // A subscriber that is gone or has a new link asks again.
-            subscriber.until > now && sending().is_ok()
+            subscriber.expires_at > now && try_send().is_ok()
         });
     }
 }
@@ -213,67 +232,67 @@
     let mut reader = FeedReader::new(FEED);
     loop {
         let is_reader = readers(&state).contains(&state.options.host);
-        if state.rows.is_known() && !is_reader && state.rows.has_recent_news(state.now()) {
+        if state.rows.is_known() && !is_reader && state.rows.has_recent_changes(state.now()) {
             state.rows.is_reading.set(false);
-            await_news(&state, &mut reader).await;
+            await_changes(&state, &mut reader).await;
         } else {
             read_store(&state, &mut reader).await;
         }
     }
 }
 
-/// Reads the store once and relays what it brings.
+/// Reads the store once and relays the changes that it returns.
 async fn read_store(state: &Rc<DaemonState>, reader: &mut FeedReader) {
     if state.rows.is_known() && !state.rows.is_reading.get() {
         reader.skip_to(state.rows.version.get());
     }
     metrics::ROWS_CALLS.add_one();
     match reader.next(state).await {
-        FeedNews::Whole(page) => {
+        FeedUpdate::Whole(page) => {
             state.rows.is_reading.set(true);
             adopt_table(state, &page);
         }
-        FeedNews::Changes(page) => {
+        FeedUpdate::Changes(page) => {
             state.rows.is_reading.set(true);
-            let news = news_of(state.rows.version.get(), &page);
+            let news = changes_of_page(state.rows.version.get(), &page);
             for row in &page.rows {
                 roster::apply_row(state, row);
                 if let Some(note) = row_note(row) {
-                    state.rows.keep(note);
+                    state.rows.store_note(note);
                 }
             }
             state.rows.version.set(state.rows.version.get().max(page.version));
-            state.rows.forward_news(&news, state.now());
+            state.rows.forward_changes(&news, state.now());
             if !page.rows.is_empty() {
                 reader.pause_after_changes().await;
             }
         }
-        FeedNews::Failed => state.rows.is_reading.set(false),
+        FeedUpdate::Failed => state.rows.is_reading.set(false),
     }
 }
 
 fn adopt_table(state: &Rc<DaemonState>, page: &RowsPage) {
     roster::apply_table(state, page);
-    state.rows.keep_table(page);
+    state.rows.store_table(page);
     state.rows.version.set(page.version);
 }
 
-/// Waits a while for news, and reads the whole table if some was missed.
-async fn await_news(state: &Rc<DaemonState>, reader: &mut FeedReader) {
+/// Waits for up to [`RENEW_INTERVAL`], and reads the whole table if relayed changes were missed.
+async fn await_changes(state: &Rc<DaemonState>, reader: &mut FeedReader) {
     let seen = state.rows.gap.get();
     let waiting = state.rows.gap.above(seen);
     if monoio::time::timeout(RENEW_INTERVAL, waiting).await.is_err() {
         return;
     }
     metrics::ROWS_CALLS.add_one();
-    // If the store does not answer, the next news raises the same signal.
-    if let Ok(FeedNews::Whole(page)) = reader.read_whole(state).await {
+    // If the store does not answer, the next message of a reader raises the same signal.
+    if let Ok(FeedUpdate::Whole(page)) = reader.read_whole(state).await {
         adopt_table(state, &page);
     }
 }
 
-/// Asks the readers of the own failure domain for news, for ever. A reader that gets no answer from
-/// the store asks the other one.
+/// Asks the readers of the own failure domain for changes, for ever. A reader that gets no answer
+/// from the store asks the other one.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(RENEW_INTERVAL).await;
@@ -284,13 +303,14 @@
         }
         readers.retain(|host| *host != state.options.host);
         for host in readers {
-            state.rows.note_asked(&host, state.now());
+            state.rows.note_request(&host, state.now());
             subscribe(&state, &host);
         }
     }
 }
 
-/// Sends a request for news. A link that can't be established shows as silence.
+/// Sends a reader a request for changes. If no link can be established, the reader counts as
+/// unresponsive after a while.
 fn subscribe(state: &Rc<DaemonState>, host: &str) {
     let path = state.peers.path(host);
     let state = state.clone();
@@ -303,7 +323,8 @@
     });
 }
 
-/// Answers a request for news with what changed since, if this daemon reads the store.
+/// Answers a request with the changes after the requester's version, and adds the requester to the
+/// subscribers, if this daemon reads the store.
 pub fn answer_request(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
@@ -316,23 +337,24 @@
     let subscriber = RowsSubscriber {
         host: peer.host.clone(),
         sender: sender.clone(),
-        until: state.now() + SUBSCRIPTION_TTL,
+        expires_at: state.now() + SUBSCRIPTION_TTL,
     };
     let mut subscribers = state.rows.subscribers.borrow_mut();
     subscribers.retain(|known| known.host != peer.host);
     subscribers.push(subscriber);
-    let news = state.rows.news_after(request.version);
+    let news = state.rows.changes_after(request.version);
     // A peer that is gone needs no answer.
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
-/// Applies news, unless it is older than what is known or news before it is missing.
+/// Applies changes that a peer sent, unless they are already known or earlier changes are missing
+/// here.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: RowsNews) {
     if news.version == RELAYED_VERSION && !news.rows.is_empty() {
         let relayed = news.rows.iter().filter_map(|note| relayed_record(peer, note));
         return roster::apply_relayed(state, relayed.collect());
     }
-    if !state.rows.note_heard(&peer.host, state.now()) {
+    if !state.rows.note_sender(&peer.host, state.now()) {
         return;
     }
     let known = state.rows.version.get() as i64;
@@ -347,13 +369,13 @@
     }
     for note in news.rows {
         roster::apply_row(state, &stored_row(&note));
-        state.rows.keep(note);
+        state.rows.store_note(note);
     }
     state.rows.version.set(news.version as u64);
 }
 
-/// Sends a peer a host's record directly, bypassing the store. A daemon of a release without this
-/// ignores the record, as the version of the news is older than any known.
+/// Sends a peer a host's record directly, bypassing the store. A daemon of a release without
+/// relayed records ignores it, as its version is lower than any version of the table.
 pub fn send_relayed(sender: &FrameSender, relayed: &RelayedRecord) {
     // The record holds texts and numbers only, so that its serialization can't fail.
     let value = serde_json::to_vec(&relayed.record).ok();
@@ -379,7 +401,7 @@
     }
 }
 
-fn news_of(after: u64, page: &RowsPage) -> RowsNews {
+fn changes_of_page(after: u64, page: &RowsPage) -> RowsNews {
     RowsNews {
         after: after as i64,
         version: page.version.max(after) as i64,
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -33,9 +33,10 @@
 /// Time for which a report that an upstream is draining counts without being renewed.
 const DRAIN_REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// Share of the retry budget that is used. A retry that is counted now reaches a server a little
-/// later, in another window, and a retry that a server refuses unexpectedly was received by it as
-/// well, although no daemon charges it. With 0.85 a service received 217 retries in a window that
+/// Share of the configured retry budget that daemons spend; the rest covers retries that are
+/// counted too early or not at all. A retry reaches a server a little after it is counted, possibly
+/// in another window. A retry that a server refuses unexpectedly was received as well, although no
+/// daemon charges it to the budget. With 0.85, a service received 217 retries in a window that
 /// allowed 198.
 const BUDGET_FRACTION: f64 = 0.7;
 /// Maximum number of split routes whose state is kept. Beyond it the states of all are dropped, so
@@ -172,7 +173,7 @@
             .map(|upstream| {
                 let is_local = upstream.server.failure_domain == *own_domain;
                 let fresh = LoadView::new(upstream.server.slots, is_local);
-                keep_view(known, &upstream.name, fresh)
+                carried_over_view(known, &upstream.name, fresh)
             })
             .collect();
         let hosts = entry.upstreams.iter().map(|upstream| upstream.server.host.as_str());
@@ -201,15 +202,15 @@
         &self.paths[index]
     }
 
-    /// Updates the view of the upstream on this host while it is ejected or doubted. The daemon of
-    /// that host knows without a response when the next trial is due; other daemons learn of it
-    /// from reports, which are rare.
+    /// Updates the view of the upstream on this host while it is ejected or its circuit breaker is
+    /// open. The daemon of that host knows without a response when the next trial is due. Other
+    /// daemons learn this from reports, which are rare for such an upstream.
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
         let is_ejected_or_breaker_open = upstream.health.borrow().is_ejected_or_breaker_open();
-        let was_out = self.with_view(|view| view.is_ejected_or_breaker_open(index));
-        if is_ejected_or_breaker_open || was_out {
+        let was_out_of_service = self.with_view(|view| view.is_ejected_or_breaker_open(index));
+        if is_ejected_or_breaker_open || was_out_of_service {
             let report = upstream.report(state, route, None);
             self.note_report(index, route, &report, None, state.now());
         }
@@ -251,8 +252,8 @@
         self.view.borrow_mut().draw_reservations(now, request, fits, &mut rand::rng())
     }
 
-    /// Returns how many service rounds of queued requests an upstream last reported to be ahead of
-    /// a new one.
+    /// Returns how many service rounds a new request would wait at an upstream by its last report.
+    /// In one service round, the upstream serves as many requests as it has slots.
     pub fn queued_rounds(&self, index: usize, now: Duration) -> f64 {
         let view = self.view.borrow();
         view.upstreams().get(index).map_or(0.0, |upstream| upstream.queued_rounds(now))
@@ -263,14 +264,18 @@
         let mut view = self.view.borrow_mut();
         for (index, upstream) in self.entry.upstreams.iter().enumerate() {
             let path = &self.paths[index];
-            let is_configured = upstream.server.state == ServerState::Draining;
-            let is_reported = self.draining_until[index].get() > now;
+            let is_declared_draining = upstream.server.state == ServerState::Draining;
+            let is_reported_draining = self.draining_until[index].get() > now;
             view.note_reachable(index, path.is_usable(now), path.is_proving(now));
-            view.note_draining(index, is_configured || is_reported || path.is_leaving());
+            view.note_draining(
+                index,
+                is_declared_draining || is_reported_draining || path.is_leaving(),
+            );
         }
     }
 
-    /// Records a report of an upstream. `failed` says how the request went, if it ran.
+    /// Records a report of an upstream. `failed` says whether the request failed, `None` if it did
+    /// not run.
     pub fn note_report(
         &self,
         index: usize,
@@ -280,8 +285,8 @@
         now: Duration,
     ) {
         let (load, health) = wire::report_of(report);
-        let until = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
-        self.draining_until[index].set(until);
+        let expires_at = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
+        self.draining_until[index].set(expires_at);
         self.slow_requests.borrow_mut()[index] = (load.slow_requests, now);
         let mut baselines = self.baselines.borrow_mut();
         if !baselines.contains_key(route) {
@@ -324,8 +329,8 @@
         self.bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
     }
 
-    /// Returns how many service rounds a request of a route waits for an upstream in its own
-    /// failure domain, where sending a megabyte to another failure domain is worth a wait of
+    /// Returns the longest wait of a request for an upstream in its own failure domain, in service
+    /// rounds. To avoid sending one megabyte to another failure domain, a request may wait for
     /// `worth`.
     pub fn local_wait_rounds(&self, route: &str, worth: Duration) -> f64 {
         if worth.is_zero() {
@@ -399,7 +404,8 @@
     }
 
     /// Records that a request failed at an upstream, and whether that `counted` as evidence against
-    /// it. Returns the failures to withdraw if the request turns out to fail at every upstream.
+    /// the upstream. Returns the failures to withdraw if the request turns out to fail at every
+    /// upstream.
     pub fn note_failure(
         &self,
         method: &str,
@@ -451,8 +457,8 @@
     }
 }
 
-/// Returns the retry budget of a service. A rebuilt service keeps its budget, so that retries made
-/// before still count.
+/// Returns the retry budget of a service. A service that is rebuilt keeps its budget, so that its
+/// earlier retries still count.
 fn budget_of(
     state: &DaemonState,
     entry: &ServiceEntry,
@@ -465,7 +471,7 @@
 }
 
 /// Returns the retry budget of this daemon. The retries that the whole fleet may make beyond the
-/// share are divided by the number of daemons.
+/// share of requests are divided by the number of daemons.
 fn budget_terms(state: &DaemonState, entry: &ServiceEntry) -> BudgetTerms {
     let live = state.live();
     let defaults = &live.defaults;
@@ -479,7 +485,9 @@
     }
 }
 
-fn keep_view(known: Option<&ServiceState>, name: &str, fresh: LoadView) -> LoadView {
+/// Returns the view of an upstream in a rebuilt service: the known view with the new slots and
+/// locality, or `fresh` if the upstream is new.
+fn carried_over_view(known: Option<&ServiceState>, name: &str, fresh: LoadView) -> LoadView {
     let known = match known {
         Some(known) => known,
         None => return fresh,
--- a/crates/decide/src/server_incarnation.rs
+++ b/crates/decide/src/server_incarnation.rs
@@ -87,7 +87,7 @@
 
     /// Records that an incarnation has ended. The next heartbeat is of another one, whatever its
     /// start time.
-    pub fn note_ended(&mut self, born: u64) {
+    pub fn note_end(&mut self, born: u64) {
         if self.current == Some(born) {
             self.current = None;
         }
--- a/crates/decide/tests/server_incarnation.rs
+++ b/crates/decide/tests/server_incarnation.rs
@@ -48,7 +48,7 @@
     let mut track = IncarnationTracker::default();
     let claim = |born| IncarnationClaim { born: Some(born), sequence: 1 };
     track.judge(claim(6), Duration::ZERO);
-    track.note_ended(6);
+    track.note_end(6);
     assert_eq!(track.current(), None);
     assert_eq!(track.judge(claim(6), Duration::ZERO), Outdated);
     // The clock was set back meanwhile; no running incarnation contradicts the older stamp.
