--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -109,7 +109,7 @@
         _ = std::pin::pin!(became_stale.fuse()) => {
             let waited_ms = state.now().saturating_sub(began).as_millis() as u64;
             fleet::CallGivenUp { table: OPERATOR_TABLE, waited_ms }.log();
-            state.platform.forget_connections();
+            state.platform.close_idle_connections();
             None
         }
     }
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -63,7 +63,7 @@
 impl FeedReader {
     /// Builds a reader that has read nothing yet.
     pub fn new(plan: FeedPlan) -> Self {
-        let backoff = RetryBackoff::up_to(plan.failure_max);
+        let backoff = RetryBackoff::with_max_delay(plan.failure_max);
         let as_of = Duration::ZERO;
         Self { plan, position: None, as_of, backoff, lost_at: None, failures: 0 }
     }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -535,7 +535,7 @@
 
 /// Writes this daemon's row whenever its record has changed, for ever.
 pub async fn publish(state: Rc<DaemonState>) {
-    let mut backoff = RetryBackoff::up_to(FAILURE_PAUSE_MAX);
+    let mut backoff = RetryBackoff::with_max_delay(FAILURE_PAUSE_MAX);
     await_first_server(&state).await;
     loop {
         let seen = state.roster.changed.get();
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -226,7 +226,7 @@
         author: &ChangeAuthor,
     ) -> Result<ChangeRecord, ChangeError> {
         let writer = fresh_token();
-        let mut backoff = RetryBackoff::up_to(CONTENDED_BACKOFF_MAX);
+        let mut backoff = RetryBackoff::with_max_delay(CONTENDED_BACKOFF_MAX);
         for _ in 0..TRIES_MAX {
             let version = self.sync_to_head(config).await?;
             let record = plan_change(config, edits, author, &writer)?;
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -221,7 +221,7 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let mut backoff = RetryBackoff::up_to(Duration::from_millis(400));
+        let mut backoff = RetryBackoff::with_max_delay(Duration::from_millis(400));
         loop {
             self.release_abandoned().await;
             let group = self.next_group();
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -267,7 +267,7 @@
     ///
     /// After a call without an answer, the idle connections may be as dead as that of the call.
     /// Each would delay one more call until its timeout, which is 8.7 s for the feed.
-    pub fn forget_connections(&self) {
+    pub fn close_idle_connections(&self) {
         self.client.close_idle();
         self.feeds.close_idle();
     }
@@ -306,7 +306,7 @@
             Ok(_) => counts.answered += 1,
             Err(_) => {
                 counts.no_answer += 1;
-                self.forget_connections();
+                self.close_idle_connections();
             }
         }
         self.counts.set(counts);
@@ -370,13 +370,13 @@
 
 impl Default for RetryBackoff {
     fn default() -> Self {
-        Self::up_to(BACKOFF_MAX)
+        Self::with_max_delay(BACKOFF_MAX)
     }
 }
 
 impl RetryBackoff {
     /// Builds a backoff with delays of at most `longest`.
-    pub fn up_to(longest: Duration) -> Self {
+    pub fn with_max_delay(longest: Duration) -> Self {
         Self { current: BACKOFF_MIN, longest }
     }
 
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -51,7 +51,7 @@
 
 impl EpochWatch {
     /// Records that the table holds this epoch; a stale answer changes nothing.
-    pub fn note(&mut self, epoch: u64, now: Duration) {
+    pub fn record_epoch(&mut self, epoch: u64, now: Duration) {
         if epoch > self.epoch {
             self.epoch = epoch;
             self.seen_at = now;
@@ -116,7 +116,7 @@
             Some(row) => (read_epoch(&row)?, row.version),
             None => (0, 0),
         };
-        self.watch.borrow_mut().note(epoch, now);
+        self.watch.borrow_mut().record_epoch(epoch, now);
         let over = self.watch.borrow().is_over(now);
         if version != 0 && !over {
             return Ok(());
@@ -126,7 +126,7 @@
         let check = RowCheck { key: EPOCH_KEY.to_owned(), version };
         let write = RowWrite { key: EPOCH_KEY.to_owned(), value: Some(json!(next)) };
         match self.platform.transact(vec![check], vec![write]).await {
-            Ok(_) => self.watch.borrow_mut().note(next.epoch, now),
+            Ok(_) => self.watch.borrow_mut().record_epoch(next.epoch, now),
             // Another daemon advanced the epoch; the next round reads it.
             Err(StoreError::Conflict { .. }) => {}
             Err(error) => return Err(error),
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -94,12 +94,12 @@
     let minutes = |count: u64| Duration::from_secs(60 * count);
     let mut watch = EpochWatch::default();
     assert!(!watch.is_over(minutes(500)), "no epoch is known");
-    watch.note(7, minutes(50));
+    watch.record_epoch(7, minutes(50));
     assert!(!watch.is_over(minutes(109)));
     assert!(watch.is_over(minutes(110)));
-    watch.note(8, minutes(100));
+    watch.record_epoch(8, minutes(100));
     assert!(!watch.is_over(minutes(159)), "the new epoch counts from when it was seen");
-    watch.note(7, minutes(158));
+    watch.record_epoch(7, minutes(158));
     assert_eq!(watch.current(minutes(159)), 8, "a stale answer changes nothing");
     assert_eq!(watch.current(minutes(161)), 0, "an epoch that was last read long ago may be over");
 }
