--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -14,8 +14,8 @@
 use crate::config::StoredResource;
 use crate::packing;
 
-/// Maximum number of resources in one block. Larger blocks compress little better, and a lookup
-/// scans half a block on average (docs/MEASUREMENTS.md, memory).
+/// Maximum number of resources in one block. Larger blocks would compress only a little better, but
+/// slow down lookups, which scan half a block on average.
 pub const BLOCK_MAX: usize = 128;
 
 /// `ResourceBlocks` is the set of resources of one kind.
@@ -55,9 +55,9 @@
         let bytes = packing::decompress(block);
         let mut rest = &bytes[..];
         while !rest.is_empty() {
-            let (known, value): BlockItem = packing::unpack_next(&mut rest);
-            if known >= name {
-                return (known == name).then(|| read(value));
+            let (item_name, value): BlockItem = packing::unpack_next(&mut rest);
+            if item_name >= name {
+                return (item_name == name).then(|| read(value));
             }
         }
         None
@@ -89,15 +89,16 @@
         let value = packing::pack(stored);
         let bytes = self.take_block(name);
         let mut items: Vec<BlockItem> = packing::unpack_all(&bytes);
-        match items.binary_search_by(|(known, _)| (*known).cmp(name)) {
+        match items.binary_search_by(|(item_name, _)| (*item_name).cmp(name)) {
             Ok(index) => items[index] = (name, &value),
             Err(index) => {
                 items.insert(index, (name, &value));
                 self.len += 1;
             }
         }
-        let half = if items.len() > BLOCK_MAX { items.len() / 2 } else { items.len() };
-        let (front, back) = items.split_at(half);
+        // A block that is too long is split in two.
+        let front_len = if items.len() > BLOCK_MAX { items.len() / 2 } else { items.len() };
+        let (front, back) = items.split_at(front_len);
         self.put_block(front);
         self.put_block(back);
     }
@@ -106,17 +107,17 @@
     pub fn remove(&mut self, name: &str) {
         let bytes = self.take_block(name);
         let mut items: Vec<BlockItem> = packing::unpack_all(&bytes);
-        let before = items.len();
-        items.retain(|(known, _)| *known != name);
-        self.len -= before - items.len();
+        let len_before = items.len();
+        items.retain(|(item_name, _)| *item_name != name);
+        self.len -= len_before - items.len();
         self.put_block(&items);
     }
 
-    /// Removes the block that a name belongs to and returns it decompressed; empty if there are no
-    /// blocks.
+    /// Removes the block that a name belongs to and returns it decompressed, empty if there are no
+    /// blocks. A name before the first block belongs to that block.
     fn take_block(&mut self, name: &str) -> Vec<u8> {
-        let before = self.blocks.get_prev(name).map(|(first, _)| first.clone());
-        let first = before.or_else(|| self.blocks.keys().next().cloned());
+        let containing = self.blocks.get_prev(name).map(|(first, _)| first.clone());
+        let first = containing.or_else(|| self.blocks.keys().next().cloned());
         let first = match first {
             Some(first) => first,
             None => return Vec::new(),
@@ -124,6 +125,7 @@
         self.blocks.remove(&first).map_or(Vec::new(), |block| packing::decompress(&block))
     }
 
+    /// Adds a block of these items; does nothing if there are none.
     fn put_block(&mut self, items: &[BlockItem]) {
         if let Some((first, _)) = items.first() {
             let bytes: Vec<u8> = items.iter().flat_map(packing::pack).collect();
@@ -133,30 +135,32 @@
 }
 
 /// `BlockBuilder` builds blocks from a stream of resources. Resources that arrive in the order of
-/// their names are cheap; one out of order is inserted individually.
+/// their names are packed a block at a time. A resource out of order is inserted individually, which
+/// rewrites a block.
 #[derive(Debug, Default)]
 pub struct BlockBuilder {
     built: ResourceBlocks,
     pending: Vec<(Rc<str>, Vec<u8>)>,
-    last: Option<Rc<str>>,
+    last_name: Option<Rc<str>>,
 }
 
 impl BlockBuilder {
-    /// Adds a resource; of two with the same name the later one wins.
+    /// Adds a resource; it replaces an earlier one of the same name.
     pub fn push(&mut self, name: &str, stored: &StoredResource) {
-        if self.last.as_ref().is_some_and(|last| **last >= *name) {
+        if self.last_name.as_ref().is_some_and(|last_name| **last_name >= *name) {
             self.flush();
             self.built.insert(name, stored);
             return;
         }
         let name: Rc<str> = Rc::from(name);
-        self.last = Some(name.clone());
+        self.last_name = Some(name.clone());
         self.pending.push((name, packing::pack(stored)));
         if self.pending.len() == BLOCK_MAX {
             self.flush();
         }
     }
 
+    /// Moves the pending resources into a block.
     fn flush(&mut self) {
         let items: Vec<BlockItem> =
             self.pending.iter().map(|(name, value)| (&**name, &**value)).collect();
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -49,16 +49,16 @@
 pub struct ChangeRecord {
     /// Revision that this change creates.
     pub revision: FleetRevision,
-    /// Who made it.
+    /// Name of the operator who made the change.
     pub actor: String,
-    /// Time of acceptance, in milliseconds since 1970 UTC, by the accepting daemon's clock.
+    /// Time of acceptance in Unix milliseconds, by the clock of the daemon that accepted it.
     pub at_ms: u64,
     /// Address that the request came from.
     pub from: String,
     /// Token of the writer, by which a writer that lost the store's response finds out whether its
     /// change was accepted.
     pub writer: String,
-    /// What changed.
+    /// Effects on the resources.
     pub changes: Vec<ResourceChange>,
 }
 
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Checks that every reference of every resource has a target.
+    /// Checks that every reference of every resource has a target, and that no two organisations own
+    /// the same key.
     pub fn check_references(&self) -> Result<(), ResourceError> {
         slices::poll_to_completion(self.check_references_in_slices(&slices::no_pause))
     }
@@ -187,8 +188,8 @@
         &self,
         pause: &impl AsyncFn(),
     ) -> Result<(), ResourceError> {
-        // Many resources refer to few services and failure domains, so the names of these are
-        // unpacked only once.
+        // Many resources refer to few services and failure domains, so the names of the services and
+        // failure domains are unpacked only once.
         let names = |kind| self.kinds[kind as usize].names().collect::<FnvHashSet<Rc<str>>>();
         let services = names(ResourceKind::Service);
         let domains = names(ResourceKind::FailureDomain);
@@ -206,9 +207,9 @@
         Ok(())
     }
 
-    /// Checks the references that a change affects. Must be called on the configuration that
-    /// results from the change. Deleting a resource scans all resources of the kinds that may refer
-    /// to it.
+    /// Checks the references and keys that a change affects. Must be called on the configuration
+    /// that results from the change. For a deleted resource, all resources of the kinds that may
+    /// refer to it are scanned.
     pub fn check_change(&self, record: &ChangeRecord) -> Result<(), ResourceError> {
         for change in &record.changes {
             let kind = ResourceKind::parse(&change.kind)?;
@@ -255,7 +256,7 @@
 }
 
 impl ConfigBuilder {
-    /// Adds a resource, with every check of a single resource that a change goes through.
+    /// Validates a resource as a change of this resource alone would be, and adds it.
     pub fn push(&mut self, resource: &SnapshotResource) -> Result<(), ResourceError> {
         let SnapshotResource(kind, name, revision, value) = resource;
         let kind = ResourceKind::parse(kind)?;
@@ -267,12 +268,12 @@
         Ok(())
     }
 
-    /// Checks all references and returns the configuration at this revision.
+    /// Checks all references and keys and returns the configuration at this revision.
     pub fn finish(self, revision: FleetRevision) -> Result<FleetConfig, ResourceError> {
         slices::poll_to_completion(self.finish_in_slices(revision, &slices::no_pause))
     }
 
-    /// Does the same as [`Self::finish`] in time slices.
+    /// Checks all references and keys in time slices and returns the configuration.
     pub async fn finish_in_slices(
         self,
         revision: FleetRevision,
@@ -285,7 +286,7 @@
     }
 }
 
-/// Checks that every target that a resource refers to exists, according to `exists`.
+/// Checks that every target that a resource refers to exists according to the predicate `exists`.
 fn check_references_of(
     kind: ResourceKind,
     name: &str,
@@ -320,15 +321,15 @@
         }
         slices.step().await;
     }
-    let mut all = SharedMap::default();
+    let mut packed_services = SharedMap::default();
     for (name, stored) in config.list(ResourceKind::Service) {
         if let ResourceValue::Service(spec) = &stored.value {
             let upstreams = packed_upstreams.remove(&*name).unwrap_or_default();
-            all.insert(name, Rc::new(PackedService::with_upstreams(spec, &upstreams)));
+            packed_services.insert(name, Rc::new(PackedService::with_upstreams(spec, &upstreams)));
         }
         slices.step().await;
     }
-    all
+    packed_services
 }
 
 /// `ActiveConfig` is a configuration laid out for lookups on the request path. Copies share all
@@ -348,7 +349,7 @@
     limit_names: SharedMap<Rc<str>, Rc<LimitEntry>>,
 }
 
-/// Number of scopes that limits count by.
+/// Number of variants of [`LimitScope`].
 const LIMIT_SCOPES: usize = 3;
 
 /// `LimitEntry` is a limit in force.
@@ -356,7 +357,7 @@
 pub struct LimitEntry {
     /// Name of the limit.
     pub name: Rc<str>,
-    /// Its resource.
+    /// The rule that its resource declares.
     pub rule: LimitRule,
 }
 
@@ -400,8 +401,8 @@
         Some(packed.unpack(name))
     }
 
-    /// Adopts the organisations in the packed form that the configuration keeps; a copy of the map
-    /// shares all of it.
+    /// Takes over the organisations and their keys in the packed form that the configuration keeps.
+    /// The copies share all data with the configuration.
     fn share_organisations(&mut self, config: &FleetConfig) {
         self.organisations = config.kinds[ResourceKind::Organisation as usize].clone();
         self.keys = config.keys.clone();
@@ -427,8 +428,8 @@
         self.limit_names.get(name)
     }
 
-    /// Updates the layout from `before` to `after`, which results from `record`, at a cost
-    /// proportional to the change. Returns the services that were touched.
+    /// Updates the layout from the configuration `before` the change `record` to that `after` it, at
+    /// a cost proportional to the change. Returns the names of the services that the change affects.
     pub fn update(
         &mut self,
         before: &FleetConfig,
@@ -436,28 +437,29 @@
         record: &ChangeRecord,
     ) -> Vec<Rc<str>> {
         let mut touched = Vec::new();
-        let changed = |config: &FleetConfig,
-                       wants_services: bool,
-                       each: &mut dyn FnMut(&str, &ResourceValue)| {
-            for change in &record.changes {
-                let kind = match ResourceKind::parse(&change.kind) {
-                    Ok(kind) if (kind == ResourceKind::Service) == wants_services => kind,
-                    _ => continue,
-                };
-                if let Some(stored) = config.get(kind, &change.name) {
-                    each(&change.name, &stored.value);
+        let visit_changed =
+            |config: &FleetConfig,
+             is_service: bool,
+             visit: &mut dyn FnMut(&str, &ResourceValue)| {
+                for change in &record.changes {
+                    let kind = match ResourceKind::parse(&change.kind) {
+                        Ok(kind) if (kind == ResourceKind::Service) == is_service => kind,
+                        _ => continue,
+                    };
+                    if let Some(stored) = config.get(kind, &change.name) {
+                        visit(&change.name, &stored.value);
+                    }
                 }
-            }
-        };
+            };
         // Resources that belong to a service are removed before it and added after it.
-        changed(before, false, &mut |name, value| self.remove(name, value, &mut touched));
-        changed(before, true, &mut |name, value| {
+        visit_changed(before, false, &mut |name, value| self.remove(name, value, &mut touched));
+        visit_changed(before, true, &mut |name, value| {
             if after.get(ResourceKind::Service, name).is_none() {
                 self.remove(name, value, &mut touched);
             }
         });
-        for services in [true, false] {
-            changed(after, services, &mut |name, value| {
+        for is_service in [true, false] {
+            visit_changed(after, is_service, &mut |name, value| {
                 touched.extend(self.insert(&Rc::from(name), value));
             });
         }
@@ -468,7 +470,7 @@
         touched
     }
 
-    /// Adds or replaces a resource; returns the service that is affected.
+    /// Adds or replaces a resource; returns the name of the affected service, if there is one.
     fn insert(&mut self, name: &Rc<str>, value: &ResourceValue) -> Option<Rc<str>> {
         match value {
             ResourceValue::FailureDomain(_) | ResourceValue::Organisation(_) => None,
@@ -500,9 +502,11 @@
         self.limit_names.insert(name.clone(), entry);
     }
 
+    /// Adds a service without upstreams, or replaces the settings of a service and keeps its
+    /// upstreams.
     fn insert_service(&mut self, name: &Rc<str>, spec: &ServiceSpec) {
-        let known = self.service(name);
-        let upstreams = known.map(|entry| entry.upstreams).unwrap_or_default();
+        let existing = self.service(name);
+        let upstreams = existing.map(|entry| entry.upstreams).unwrap_or_default();
         let entry = ServiceEntry { name: name.clone(), spec: spec.clone(), upstreams };
         self.services.insert(name.clone(), Rc::new(PackedService::new(&entry)));
     }
--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -28,7 +28,7 @@
         message: String,
     },
     /// A resource refers to another one that does not exist.
-    #[snafu(display("{path}: names {target}, which does not exist"))]
+    #[snafu(display("{path}: refers to {target}, which does not exist"))]
     Dangling {
         /// Path of the field that holds the reference.
         path: String,
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -2,15 +2,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Incarnations of backend servers. A backend server that restarts keeps nothing of its previous
-//! incarnation, so state that is held about it must not carry over.
+//! incarnation, so what a daemon recorded about that incarnation must not apply to the next one.
 
 use std::fmt;
 
 /// Separator between the name of a backend server and its start time. It can't occur in a query
-/// string, so no backend server can register with it in its name.
+/// string, so no backend server can register under a name that contains it.
 const START_SEPARATOR: char = '#';
-/// Radix of the start time behind the separator: a high one keeps the name short, as daemons send
-/// it to each other with every request.
+/// Radix of the start time after the separator. A high radix keeps the name short, which daemons
+/// send to each other with every request.
 const START_RADIX: u32 = 36;
 
 /// `ServerIncarnation` is one run of a backend server, from its start to its end. Its text form is
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns the name of the backend server behind the name of an upstream.
+/// Returns the name of the backend server in the name of an upstream.
 pub fn server_of(upstream: &str) -> &str {
     upstream.split_once(START_SEPARATOR).map_or(upstream, |(server, _)| server)
 }
--- a/crates/core/src/organisations.rs
+++ b/crates/core/src/organisations.rs
@@ -57,14 +57,14 @@
     type Error = &'static str;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        const ALLOWED: &str = "the digest of a key has 32 hexadecimal digits";
+        const EXPECTED: &str = "the digest of a key has 32 hexadecimal digits";
         if text.len() != 2 * DIGEST_BYTES || !text.is_ascii() {
-            return Err(ALLOWED);
+            return Err(EXPECTED);
         }
         let mut bytes = [0; DIGEST_BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * index..2 * index + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| ALLOWED)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| EXPECTED)?;
         }
         Ok(Self(bytes))
     }
@@ -155,8 +155,8 @@
 
     /// Returns the packed shard that a key belongs to, without the key.
     fn shard_without(&self, digest: &KeyDigest) -> Vec<u8> {
-        let Some(known) = self.shards.get(&digest.shard()) else { return Vec::new() };
-        let records: Vec<KeyRecord> = packing::unpack_all(known);
+        let Some(packed_records) = self.shards.get(&digest.shard()) else { return Vec::new() };
+        let records: Vec<KeyRecord> = packing::unpack_all(packed_records);
         let others = records.iter().filter(|record| record.digest != digest.0);
         others.flat_map(packing::pack).collect()
     }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -12,8 +12,8 @@
     NoRoute,
     /// The daemon has no configuration yet.
     NoConfiguration,
-    /// The daemon would refuse the request by its configuration, but can't confirm at the moment
-    /// that this configuration is the newest.
+    /// The daemon's configuration would refuse the request, but the daemon can't confirm at the
+    /// moment that this configuration is the newest.
     ConfigurationUnsure,
     /// The organisation, route or service is over its rate limit.
     Limited,
@@ -21,9 +21,10 @@
     QueueFull,
     /// The deadline passed before the request was started.
     DeadlinePassed,
-    /// The backend server or its daemon is leaving.
+    /// The backend server is draining, or its daemon is shutting down.
     Draining,
-    /// The backend server is considered sick and the dispatch was refusable.
+    /// The upstream's circuit breaker is open and the dispatch was refusable, or the backend server
+    /// crashed or can't be connected to.
     Sick,
     /// The backend server could not be connected to.
     ConnectFailed,
@@ -51,7 +52,7 @@
     Unproven,
 }
 
-/// Every reason, in the order of its wire number.
+/// Every reason, in the order of the wire numbers.
 pub const NOT_RUN_REASONS: [NotRunReason; 20] = [
     NotRunReason::NoRoute,
     NotRunReason::NoConfiguration,
@@ -122,7 +123,7 @@
     DaemonStopped,
 }
 
-/// Every reason, in the order of its wire number.
+/// Every reason, in the order of the wire numbers.
 pub const UNKNOWN_REASONS: [UnknownReason; 7] = [
     UnknownReason::BackendBroken,
     UnknownReason::AnswerBroken,
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Decodes a wire number; a number of a later version decodes as an unknown outcome, which is
-    /// the safe one.
+    /// Decodes a wire number. A number that only a later version knows decodes as an unknown
+    /// outcome, which is safe, as it does not claim that the request did not run.
     pub fn from_wire(number: i16) -> Self {
         let not_run = usize::try_from(number).ok().and_then(|index| NOT_RUN_REASONS.get(index));
         if let Some(reason) = not_run {
@@ -198,8 +199,8 @@
     }
 }
 
-fn position<T: PartialEq>(all: &[T], one: T) -> i16 {
-    all.iter().position(|each| *each == one).unwrap_or(0) as i16
+fn position<T: PartialEq>(reasons: &[T], wanted: T) -> i16 {
+    reasons.iter().position(|reason| *reason == wanted).unwrap_or(0) as i16
 }
 
 impl fmt::Display for FailureOutcome {
--- a/crates/core/src/packing.rs
+++ b/crates/core/src/packing.rs
@@ -14,10 +14,11 @@
 
 /// Serializes a value.
 pub fn pack<T: Serialize + ?Sized>(value: &T) -> Vec<u8> {
-    postcard::to_allocvec(value).unwrap_or_else(|_| unreachable!("memory is not bounded here"))
+    postcard::to_allocvec(value)
+        .unwrap_or_else(|_| unreachable!("serializing to a growing buffer can't fail"))
 }
 
-/// Deserializes one value that [`pack`] wrote from the front of `bytes` and advances past it.
+/// Deserializes the first value of `bytes`, which [`pack`] wrote, and advances `bytes` past it.
 pub fn unpack_next<'a, T: Deserialize<'a>>(bytes: &mut &'a [u8]) -> T {
     let (value, rest) =
         postcard::take_from_bytes(bytes).unwrap_or_else(|_| unreachable!("written by `pack`"));
@@ -46,7 +47,7 @@
     Rc::from(lz4_flex::block::compress_prepend_size(bytes))
 }
 
-/// Decompresses what [`compress`] returned.
+/// Decompresses bytes that [`compress`] returned.
 pub fn decompress(bytes: &[u8]) -> Vec<u8> {
     lz4_flex::block::decompress_size_prepended(bytes)
         .unwrap_or_else(|_| unreachable!("written by `compress`"))
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -118,9 +118,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EjectionPreference {
-    /// Eject sick upstreams early, at the cost of more false ejections.
+    /// Eject upstreams early, at the cost of more false ejections.
     Detection,
-    /// Eject only upstreams that are sick with high confidence.
+    /// Eject only upstreams that are faulty with high confidence.
     #[default]
     Precision,
 }
@@ -191,12 +191,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkMode {
-    /// Retried only when it is certain that it did not run.
+    /// A request is retried only when it is certain that it did not run.
     #[default]
     Plain,
-    /// May run more than once without harm.
+    /// A request may run more than once without harm.
     Repeatable,
-    /// Runs at most once, even over several attempts with the same idempotency key.
+    /// A request runs at most once, even over several attempts with the same idempotency key.
     Once,
 }
 
@@ -242,8 +242,8 @@
     /// limit.
     #[serde(default)]
     pub attempts: u32,
-    /// Latency objective: time within which a response has its full value to the caller, in
-    /// milliseconds; 0 when none was declared.
+    /// Latency objective in milliseconds: time within which a response has its full value to the
+    /// caller; 0 when none was declared.
     #[serde(default)]
     pub objective_ms: u32,
     /// Whether callers need the API key of an organisation.
@@ -281,7 +281,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitRule {
-    /// What is counted.
+    /// Whose requests are counted: an organisation's, a route's or a service's.
     pub scope: LimitScope,
     /// Name of the organisation, route or service.
     pub target: String,
@@ -365,9 +365,9 @@
                 ("failure_domain", ResourceKind::FailureDomain, &spec.failure_domain),
             ],
             Self::Route(spec) => {
-                let one = ("service", ResourceKind::Service, spec.service.as_str());
-                let share = |share| ("split", ResourceKind::Service, service_of(share));
-                std::iter::once(one).chain(spec.split.iter().map(share)).collect()
+                let main = ("service", ResourceKind::Service, spec.service.as_str());
+                let reference = |share| ("split", ResourceKind::Service, service_of(share));
+                std::iter::once(main).chain(spec.split.iter().map(reference)).collect()
             }
             Self::Limit(spec) => {
                 let kind = match spec.scope {
@@ -398,11 +398,11 @@
 }
 
 fn check_name(path: &str, name: &str) -> Result<(), ResourceError> {
-    let fits = !name.is_empty() && name.len() <= NAME_BYTES_MAX;
-    let plain = name
+    let has_valid_length = !name.is_empty() && name.len() <= NAME_BYTES_MAX;
+    let has_valid_bytes = name
         .bytes()
         .all(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit() || b"-._".contains(&byte));
-    if fits && plain {
+    if has_valid_length && has_valid_bytes {
         return Ok(());
     }
     Err(errors::bad_value(path, format!("{name:?}"), "1 to 128 of a-z, 0-9, '-', '.', '_'"))
@@ -440,9 +440,9 @@
         let field = format!("{path}.path_prefix");
         return Err(errors::bad_value(field, &spec.path_prefix, "a path that starts with /"));
     }
-    let host_fits = !spec.host.is_empty()
+    let is_valid_host = !spec.host.is_empty()
         && !spec.host.bytes().any(|byte| byte <= b' ' || byte.is_ascii_uppercase());
-    if !host_fits {
+    if !is_valid_host {
         let field = format!("{path}.host");
         return Err(errors::bad_value(field, &spec.host, "a host name in lower case, no port"));
     }
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -37,7 +37,7 @@
 pub enum RouteMatch {
     /// The matching route.
     Found(Rc<RouteEntry>),
-    /// Routes match the path but not the method; holds the methods that would match.
+    /// Routes match the path but not the method; holds the methods that they accept.
     WrongMethod(Vec<String>),
     /// No route matches.
     Missing,
@@ -78,7 +78,7 @@
     }
 
     fn sort_key(&self) -> (&'a str, &'a str) {
-        (trim_prefix(self.prefix), self.name)
+        (trim_trailing_slash(self.prefix), self.name)
     }
 
     fn entry(&self, host: &str) -> Rc<RouteEntry> {
@@ -125,9 +125,9 @@
     }
 
     fn prefix(&self, index: usize) -> &str {
-        // The prefix is the first field of a record.
+        // The prefix is the first field of a record, so that it can be unpacked alone.
         let prefix: &str = packing::unpack(&self.records[self.offsets[index] as usize..]);
-        trim_prefix(prefix)
+        trim_trailing_slash(prefix)
     }
 
     /// Lists the routes with exactly this prefix.
@@ -138,6 +138,7 @@
             .map(|index| self.record(index))
     }
 
+    /// Returns the index of the first route whose prefix is not less than this one.
     fn lower_bound(&self, prefix: &str) -> usize {
         let (mut low, mut high) = (0, self.offsets.len());
         while low < high {
@@ -186,9 +187,11 @@
 
     /// Adds a route.
     pub fn insert(&mut self, name: &str, rule: &RouteRule) {
-        let known = self.hosts.get(rule.host.as_str()).cloned();
-        let mut records: Vec<RouteRecord> =
-            known.iter().flat_map(|known| packing::unpack_all(&known.records)).collect();
+        let host_routes = self.hosts.get(rule.host.as_str()).cloned();
+        let mut records: Vec<RouteRecord> = host_routes
+            .iter()
+            .flat_map(|host_routes| packing::unpack_all(&host_routes.records))
+            .collect();
         records.push(RouteRecord::new(name, rule));
         self.len += 1;
         let routes = Rc::new(HostRoutes::new(records));
@@ -198,14 +201,14 @@
     /// Removes the route with this name and rule.
     pub fn remove(&mut self, name: &str, rule: &RouteRule) {
         let host = rule.host.as_str();
-        let known = match self.hosts.get(host) {
-            Some(known) => known.clone(),
+        let host_routes = match self.hosts.get(host) {
+            Some(host_routes) => host_routes.clone(),
             None => return,
         };
-        let mut records: Vec<RouteRecord> = packing::unpack_all(&known.records);
-        let before = records.len();
+        let mut records: Vec<RouteRecord> = packing::unpack_all(&host_routes.records);
+        let len_before = records.len();
         records.retain(|record| record.name != name);
-        self.len -= before - records.len();
+        self.len -= len_before - records.len();
         if records.is_empty() {
             self.hosts.remove(host);
         } else {
@@ -230,7 +233,7 @@
             None => return RouteMatch::Missing,
         };
         let mut allowed = Vec::new();
-        let mut prefix = trim_prefix(path);
+        let mut prefix = trim_trailing_slash(path);
         loop {
             for record in routes.with_prefix(prefix) {
                 if accepts(&record.methods, method) {
@@ -239,7 +242,7 @@
                 allowed.extend(record.methods.iter().map(|method| method.to_string()));
             }
             match prefix.rfind('/') {
-                Some(cut) => prefix = &prefix[..cut],
+                Some(slash) => prefix = &prefix[..slash],
                 None => break,
             }
         }
@@ -255,7 +258,7 @@
     ServiceShare { service: service.to_owned(), weight }
 }
 
-fn trim_prefix(path: &str) -> &str {
+fn trim_trailing_slash(path: &str) -> &str {
     path.strip_suffix('/').unwrap_or(path)
 }
 
--- a/crates/core/src/services.rs
+++ b/crates/core/src/services.rs
@@ -28,8 +28,8 @@
     pub upstreams: Vec<UpstreamEntry>,
 }
 
-/// `PackedService` is a service in force in its compact form, which it keeps while no request uses
-/// it. Equal services pack to equal bytes, so two of them can be compared without unpacking.
+/// `PackedService` is a service in force in the compact form in which it is kept while no request
+/// uses it. Equal services pack to equal bytes, so two services can be compared without unpacking.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PackedService {
     spec: ServiceSpec,
@@ -70,7 +70,7 @@
 impl ServiceEntry {
     /// Adds or replaces an upstream.
     pub fn put_upstream(&mut self, upstream: UpstreamEntry) {
-        match self.upstreams.binary_search_by(|known| known.name.cmp(&upstream.name)) {
+        match self.upstreams.binary_search_by(|existing| existing.name.cmp(&upstream.name)) {
             Ok(index) => self.upstreams[index] = upstream,
             Err(index) => self.upstreams.insert(index, upstream),
         }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reads settings from flags first and environment variables second.
+//! Reads settings from flags, environment variables and lines of a settings file. A flag takes
+//! precedence over its environment variable.
 
 use std::env;
 use std::str::FromStr;
@@ -56,11 +57,11 @@
 /// Reads an optional setting; the flag takes precedence over the environment variable.
 pub fn optional<T: FromStr>(
     flag: &str,
-    given: Option<String>,
+    flag_value: Option<String>,
     allowed: &str,
 ) -> Result<Option<T>, SettingError> {
     let variable = variable_of(flag);
-    let value = match given.or_else(|| env::var(&variable).ok()) {
+    let value = match flag_value.or_else(|| env::var(&variable).ok()) {
         Some(value) => value,
         None => return Ok(None),
     };
@@ -78,22 +79,22 @@
 /// Reads a setting that has no default.
 pub fn required<T: FromStr>(
     flag: &str,
-    given: Option<String>,
+    flag_value: Option<String>,
     allowed: &str,
 ) -> Result<T, SettingError> {
-    optional(flag, given, allowed)?
+    optional(flag, flag_value, allowed)?
         .ok_or_else(|| SettingError::Missing { flag: flag.to_owned(), variable: variable_of(flag) })
 }
 
 /// Reads a setting with a default and checks it with `accept`.
 pub fn checked<T: FromStr + ToString>(
     flag: &str,
-    given: Option<String>,
+    flag_value: Option<String>,
     default: T,
     allowed: &str,
     accept: impl Fn(&T) -> bool,
 ) -> Result<T, SettingError> {
-    let value = optional(flag, given, allowed)?.unwrap_or(default);
+    let value = optional(flag, flag_value, allowed)?.unwrap_or(default);
     if accept(&value) {
         return Ok(value);
     }
--- a/crates/core/src/slices.rs
+++ b/crates/core/src/slices.rs
@@ -5,35 +5,35 @@
 //! in between.
 //!
 //! Reading a configuration of the size expected in two years takes seconds. Code that iterates over
-//! all of it counts its steps here and awaits a pause after each slice; callers with nothing else
-//! to serve pass [`no_pause`].
+//! all resources counts its steps here and awaits a pause after each slice. Callers with nothing
+//! else to serve pass [`no_pause`].
 
 use std::future::Future;
 use std::pin;
 use std::task::{Context, Poll, Waker};
 
-/// Resources processed in one slice: reading one takes about 2 µs (docs/MEASUREMENTS.md), so a
-/// slice takes about 1 ms of the 7.7 ms that a request may be delayed.
+/// Number of resources processed in one slice. Reading one resource takes about 2 µs, so a slice
+/// takes about 1 ms of the 7.7 ms by which a request may be delayed.
 pub const SLICE_RESOURCES: usize = 512;
 
 /// `WorkSlices` counts the steps of a long computation.
 #[derive(Debug)]
 pub struct WorkSlices<'a, P> {
     pause: &'a P,
-    left: usize,
+    steps_left: usize,
 }
 
 impl<'a, P: AsyncFn()> WorkSlices<'a, P> {
-    /// Builds slices that end with `pause`.
+    /// Builds a counter that awaits `pause` after each slice.
     pub fn new(pause: &'a P) -> Self {
-        Self { pause, left: SLICE_RESOURCES }
+        Self { pause, steps_left: SLICE_RESOURCES }
     }
 
     /// Counts one step and pauses if the slice is over.
     pub async fn step(&mut self) {
-        self.left -= 1;
-        if self.left == 0 {
-            self.left = SLICE_RESOURCES;
+        self.steps_left -= 1;
+        if self.steps_left == 0 {
+            self.steps_left = SLICE_RESOURCES;
             (self.pause)().await;
         }
     }
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -76,7 +76,10 @@
     // Reading up to the end also verifies the checksum.
     match reader.fill_buf() {
         Ok([]) => builder.finish_in_slices(head.revision, pause).await,
-        Ok(_) => Err(errors::malformed(SNAPSHOT_PATH, "there is more than the head says")),
+        Ok(_) => Err(errors::malformed(
+            SNAPSHOT_PATH,
+            "data follows the number of resources that the head declares",
+        )),
         Err(error) => Err(errors::malformed(SNAPSHOT_PATH, error)),
     }
 }
@@ -92,7 +95,7 @@
     line.clear();
     let malformed = |message: &dyn ToString| errors::malformed(SNAPSHOT_PATH, message.to_string());
     match reader.read_until(b'\n', line) {
-        Ok(0) => Err(malformed(&"it ends too soon")),
+        Ok(0) => Err(malformed(&"truncated: the head or a resource is missing")),
         Ok(_) => serde_json::from_slice(line).map_err(|error| malformed(&error)),
         Err(error) => Err(malformed(&error)),
     }
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -46,9 +46,9 @@
     let seconds = millis / 1000;
     let day = seconds / 86_400;
     let second_of_day = seconds % 86_400;
-    let (year, month, date) = civil_date(day as i64);
+    let (year, month, day_of_month) = civil_date(day as i64);
     format!(
-        "{year:04}-{month:02}-{date:02}T{:02}:{:02}:{:02}.{:03}Z",
+        "{year:04}-{month:02}-{day_of_month:02}T{:02}:{:02}:{:02}.{:03}Z",
         second_of_day / 3600,
         second_of_day / 60 % 60,
         second_of_day % 60,
@@ -58,23 +58,23 @@
 
 fn civil_date(days_since_1970: i64) -> (i64, i64, i64) {
     let mut year = 1970;
-    let mut left = days_since_1970;
+    let mut days_left = days_since_1970;
     loop {
         let length = if is_leap(year) { 366 } else { 365 };
-        if left < length {
+        if days_left < length {
             break;
         }
-        left -= length;
+        days_left -= length;
         year += 1;
     }
     let february = if is_leap(year) { 29 } else { 28 };
     let lengths = [31, february, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31];
     let mut month = 0;
-    while left >= lengths[month] {
-        left -= lengths[month];
+    while days_left >= lengths[month] {
+        days_left -= lengths[month];
         month += 1;
     }
-    (year, month as i64 + 1, left + 1)
+    (year, month as i64 + 1, days_left + 1)
 }
 
 fn is_leap(year: i64) -> bool {
--- a/crates/core/tests/blocks.rs
+++ b/crates/core/tests/blocks.rs
@@ -29,13 +29,13 @@
 }
 
 /// Runs a fixed number of cases from a fixed seed, so that every run tests the same ones.
-fn fixed(cases: u32) -> ProptestConfig {
+fn fixed_seed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(60))]
+    #![proptest_config(fixed_seed(60))]
 
     #[test]
     fn verify_blocks_match_a_plain_map(
@@ -71,7 +71,7 @@
             prop_assert_eq!(blocks.get(&name), plain.get(&name).cloned());
             prop_assert_eq!(blocks.contains(&name), plain.contains_key(&name));
         }
-        prop_assert_eq!(contents(&copy), before, "copies keep what they had");
+        prop_assert_eq!(contents(&copy), before, "changes do not affect copies");
     }
 }
 
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Tests of resources, configurations, routes, snapshots, outcomes and settings.
+//! Resources, configurations, routes, snapshots, outcomes and settings: invalid input is rejected
+//! with a reason, and nothing is lost or changed by storing, sending or updating a configuration.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -57,7 +58,12 @@
 #[test_case("h", "/puzzle/hints", "POST", "puzzle" ; "a shorter prefix takes other methods")]
 #[test_case("other", "/", "GET", "" ; "unknown host")]
 #[test_case("g", "/x", "POST", "405" ; "wrong method")]
-fn verify_route_lookups(host: &str, path: &str, method: &str, wanted: &str) {
+fn verify_the_longest_prefix_that_accepts_the_method_is_found(
+    host: &str,
+    path: &str,
+    method: &str,
+    wanted: &str,
+) {
     let table = table(&[
         ("root", rule("h", "/", &[])),
         ("puzzle", rule("h", "/puzzle", &[])),
@@ -94,7 +100,7 @@
     }
 }
 
-fn filled() -> FleetConfig {
+fn sample_config() -> FleetConfig {
     let mut config = FleetConfig::default();
     let server = json!({"service": "s", "host": "h", "address": "127.0.0.1:1", "slots": 4,
                         "connections": 300, "failure_domain": "d"});
@@ -114,7 +120,7 @@
 
 #[test]
 fn verify_only_the_next_revision_is_applied() {
-    let mut config = filled();
+    let mut config = sample_config();
     for revision in [0, 1, 3, 9] {
         let out_of_order = record(revision, vec![("services", "s", None)]);
         assert_eq!(config.apply(&out_of_order), Ok(false));
@@ -134,7 +140,7 @@
     config.all().map(resource).collect()
 }
 
-fn built(resources: &[SnapshotResource]) -> Result<FleetConfig, ResourceError> {
+fn build_from(resources: &[SnapshotResource]) -> Result<FleetConfig, ResourceError> {
     let mut builder = ConfigBuilder::default();
     resources.iter().try_for_each(|resource| builder.push(resource))?;
     builder.finish(FleetRevision(1))
@@ -142,7 +148,7 @@
 
 #[test]
 fn verify_snapshots_hold_everything() {
-    let config = filled();
+    let config = sample_config();
     let bytes = snapshot::to_bytes(&config).expect("bytes");
     let read = snapshot::from_bytes(&bytes).expect("snapshot");
     assert_eq!(read.revision(), config.revision());
@@ -152,7 +158,7 @@
 #[test]
 fn verify_time_slices_pause_and_give_the_same_result() {
     let mut builder = ConfigBuilder::default();
-    let resources = resources_of(&filled());
+    let resources = resources_of(&sample_config());
     resources.iter().for_each(|resource| builder.push(resource).expect("resource"));
     for number in 0..3 * SLICE_RESOURCES {
         let value = json!({"title": "shop"});
@@ -167,46 +173,47 @@
     assert_eq!(pauses.replace(0), 3);
     assert_eq!(bytes, snapshot::to_bytes(&config).expect("bytes"));
     let read = slices::poll_to_completion(snapshot::read(&bytes, &pause)).expect("snapshot");
-    assert_eq!(pauses.get(), 6, "reading, then checking references");
+    assert_eq!(pauses.get(), 6, "3 while reading, 3 while checking references");
     assert_eq!(resources_of(&read), resources_of(&config));
 }
 
 #[test]
 fn verify_a_corrupted_snapshot_is_rejected() {
-    let bytes = snapshot::to_bytes(&filled()).expect("bytes");
-    // The end mark and the checksum, four bytes each, hold no resource.
+    let bytes = snapshot::to_bytes(&sample_config()).expect("bytes");
+    // The last eight bytes, the end mark and the checksum, hold no resource.
     for length in 0..bytes.len() - 8 {
         assert!(snapshot::from_bytes(&bytes[..length]).is_err(), "cut after {length} bytes");
     }
-    let whole = resources_of(&filled());
+    let original = resources_of(&sample_config());
     for index in 0..bytes.len() {
         let mut corrupted = bytes.clone();
         corrupted[index] ^= 0x10;
         if let Ok(config) = snapshot::from_bytes(&corrupted) {
-            assert_eq!(resources_of(&config), whole, "byte {index}");
+            assert_eq!(resources_of(&config), original, "byte {index}");
         }
     }
 }
 
 #[test]
 fn verify_resources_of_a_snapshot_are_checked_again() {
-    let resources = resources_of(&filled());
-    assert!(built(&resources).is_ok());
-    let without: Vec<_> = resources.iter().filter(|each| each.0 != "services").cloned().collect();
-    assert!(built(&without).is_err(), "a dangling reference");
+    let resources = resources_of(&sample_config());
+    assert!(build_from(&resources).is_ok());
+    let without_services: Vec<_> =
+        resources.iter().filter(|each| each.0 != "services").cloned().collect();
+    assert!(build_from(&without_services).is_err(), "a dangling reference");
     let mut unknown = resources.clone();
     unknown[0].0 = "things".to_owned();
-    assert!(built(&unknown).is_err());
-    let mut backwards = resources.clone();
-    backwards.reverse();
-    let config = built(&backwards).expect("any order");
+    assert!(build_from(&unknown).is_err());
+    let mut reversed = resources.clone();
+    reversed.reverse();
+    let config = build_from(&reversed).expect("any order");
     assert_eq!(resources_of(&config), resources);
 }
 
 #[test]
 fn verify_a_referenced_resource_cannot_be_deleted() {
     for (kind, name) in [("services", "s"), ("failure-domains", "d"), ("routes", "r")] {
-        let mut config = filled();
+        let mut config = sample_config();
         assert_eq!(config.apply(&record(2, vec![(kind, name, None)])), Ok(true));
         assert!(config.check_references().is_err(), "{kind}");
     }
@@ -214,7 +221,7 @@
 
 #[test]
 fn verify_the_active_layout_holds_every_resource() {
-    let active = ActiveConfig::build(&filled());
+    let active = ActiveConfig::build(&sample_config());
     let service = active.service("s").expect("service");
     assert_eq!(service.upstreams.len(), 1);
     assert_eq!(service.spec.floor, 0.7);
@@ -270,7 +277,7 @@
 #[test_case(0, "1970-01-01T00:00:00.000Z" ; "epoch")]
 #[test_case(951_782_400_123, "2000-02-29T00:00:00.123Z" ; "leap day")]
 #[test_case(1_796_234_399_999, "2026-12-02T17:59:59.999Z" ; "end of a second")]
-fn verify_utc_times(millis: u64, text: &str) {
+fn verify_times_are_formatted_as_rfc_3339(millis: u64, text: &str) {
     assert_eq!(units::format_utc(millis), text);
 }
 
@@ -289,15 +296,15 @@
 }
 
 /// Runs a fixed number of cases from a fixed seed, so that every run tests the same ones.
-fn fixed(cases: u32) -> ProptestConfig {
+fn fixed_seed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(300))]
+    #![proptest_config(fixed_seed(300))]
 
-    /// A look-up returns the longest prefix of whole segments, as a linear search does.
+    /// A lookup returns the longest prefix of whole segments, as a linear search does.
     #[test]
     fn verify_lookups_match_a_plain_search(
         prefixes in prop::collection::vec("(/[ab]{1,2}){0,3}", 1..12),
@@ -313,18 +320,18 @@
             table.insert(name, rule);
         }
         let path = if path.is_empty() { "/".to_owned() } else { path };
-        let with_end = format!("{}/", path.trim_end_matches('/'));
+        let with_slash = format!("{}/", path.trim_end_matches('/'));
         let longest = rules
             .iter()
             .map(|(_, rule)| rule.path_prefix.as_str())
-            .filter(|prefix| with_end.starts_with(prefix))
+            .filter(|prefix| with_slash.starts_with(prefix))
             .max_by_key(|prefix| prefix.len());
         match (table.find("h", &path, "GET"), longest) {
             (RouteMatch::Found(entry), Some(prefix)) => {
                 prop_assert_eq!(entry.rule.path_prefix.len(), prefix.len());
             }
             (RouteMatch::Missing, None) => {}
-            other => prop_assert!(false, "{:?}", other),
+            mismatch => prop_assert!(false, "{:?}", mismatch),
         }
     }
 }
@@ -385,7 +392,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(400))]
+    #![proptest_config(fixed_seed(400))]
 
     /// Updating a layout change by change gives the same result as building it from scratch.
     #[test]
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -30,7 +30,11 @@
 fn verify_copies_have_the_same_fingerprint() {
     let lines = b"x-request-id: 2\r\ndate: today\r\nhost: solver.example\r\n";
     let copy = RequestParts { field_lines: lines, length: -1, ..parts() };
-    assert_eq!(fingerprint(&copy), fingerprint(&parts()), "id, deadline and framing don't count");
+    assert_eq!(
+        fingerprint(&copy),
+        fingerprint(&parts()),
+        "id, deadline and framing are not hashed"
+    );
 }
 
 #[test_case(RequestParts { service: "other-app", ..parts() } ; "service")]
@@ -53,9 +57,9 @@
 
 #[test]
 fn verify_text_and_bytes_are_read_back() {
-    let known = fingerprint(&parts());
-    assert_eq!(RequestFingerprint::parse(&known.to_string()), Some(known));
-    assert_eq!(RequestFingerprint::from_bytes(known.bytes()), Some(known));
+    let original = fingerprint(&parts());
+    assert_eq!(RequestFingerprint::parse(&original.to_string()), Some(original));
+    assert_eq!(RequestFingerprint::from_bytes(original.bytes()), Some(original));
     assert_eq!(RequestFingerprint::parse("12"), None);
     assert_eq!(RequestFingerprint::parse(&"é".repeat(16)), None);
     assert_eq!(RequestFingerprint::from_bytes(&[1; 4]), None);
