--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -5,8 +5,8 @@
 //!
 //! The head row holds the revision of the fleet. Each accepted change adds a row, which is both the
 //! configuration change and its audit record. Both rows are written in one transaction that is
-//! conditional on the revision. Periodically the whole configuration is written as a snapshot
-//! object, so that a new daemon need not read all changes.
+//! conditional on the head row being unchanged. Periodically the whole configuration is written as a
+//! snapshot object, so that a new daemon need not read all changes.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -31,20 +31,20 @@
 pub const CHANGE_PREFIX: &str = "config/change/";
 /// Row that names the latest snapshot.
 pub const SNAPSHOT_KEY: &str = "config/snapshot";
-/// Changes read in one scan.
+/// Maximum number of changes read in one scan.
 const SCAN_LIMIT: usize = 200;
-/// Changes between snapshots: a new daemon reads at most two scans of changes.
+/// Number of changes between snapshots: a new daemon reads at most two scans of changes.
 pub const SNAPSHOT_EVERY: u64 = 256;
-/// Attempts to commit a change while others commit theirs.
-const TRIES_MAX: u32 = 20;
-/// Maximum backoff between such attempts: all of them together take a few seconds at most, so that
-/// an operator soon gets an answer.
+/// Maximum number of attempts to commit a change that conflicts with concurrent changes.
+const COMMIT_TRIES_MAX: u32 = 20;
+/// Maximum backoff between the attempts to commit a change: all attempts together take a few seconds
+/// at most, so that an operator soon gets an answer.
 const CONTENDED_BACKOFF_MAX: Duration = Duration::from_millis(200);
-/// Attempts to find out whether a change whose answer was lost took effect.
+/// Maximum number of attempts to find out whether a change took effect whose answer was lost.
 const SETTLE_TRIES_MAX: u32 = 8;
-/// Maximum bytes of one object; the platform accepts 8 MiB.
+/// Maximum size of one object in bytes (4 MiB); the platform accepts 8 MiB.
 const OBJECT_BYTES_MAX: usize = 4 << 20;
-/// Maximum resources in one change; at 200 bytes each they fit into one object.
+/// Maximum number of resources in one change; at 200 bytes each they fit into one object.
 pub const CHANGES_MAX: usize = 20_000;
 
 /// `ChangeGuard` is the precondition of a change on the revision of a resource.
@@ -67,7 +67,7 @@
     pub name: String,
     /// Requested value; `None` deletes the resource.
     pub value: Option<Value>,
-    /// Precondition on the resource in force.
+    /// Precondition on the revision of the resource in force.
     pub guard: ChangeGuard,
 }
 
@@ -111,7 +111,8 @@
         Self { platform }
     }
 
-    /// Reads the revision of the fleet and the version of its row.
+    /// Reads the revision of the fleet and the version of the head row; both are 0 before the first
+    /// change.
     pub async fn head(&self) -> Result<(FleetRevision, u64), StoreError> {
         match self.platform.read(HEAD_KEY).await? {
             Some(row) => Ok((parse::<HeadValue>(&row.value)?.revision, row.version)),
@@ -144,7 +145,8 @@
         serde_json::from_slice(&content).map_err(malformed)
     }
 
-    /// Reads the latest snapshot, if there is one; `pause` yields between steps.
+    /// Reads the latest snapshot, if there is one and none of its objects is missing; `pause` yields
+    /// between steps.
     pub async fn snapshot(
         &self,
         pause: &impl AsyncFn(),
@@ -194,7 +196,7 @@
         self.platform.transact(vec![check], vec![write]).await.map(drop)
     }
 
-    /// Applies the changes of the table that `config` lacks and returns them.
+    /// Reads the changes after the revision of `config`, applies them to it and returns them.
     pub async fn catch_up(
         &self,
         config: &mut FleetConfig,
@@ -202,15 +204,15 @@
         let mut new_records = Vec::new();
         loop {
             let records = self.changes_after(config.revision()).await?;
-            let full = records.len() == SCAN_LIMIT;
+            let is_full_scan = records.len() == SCAN_LIMIT;
             for record in records {
                 let applied = config.apply(&record).map_err(malformed)?;
                 if !applied {
-                    return Err(malformed("the changes have a gap"));
+                    return Err(malformed("a change is missing between two revisions"));
                 }
                 new_records.push(record);
             }
-            if !full {
+            if !is_full_scan {
                 return Ok(new_records);
             }
         }
@@ -227,7 +229,7 @@
     ) -> Result<ChangeRecord, ChangeError> {
         let writer = fresh_token();
         let mut backoff = RetryBackoff::with_max_delay(CONTENDED_BACKOFF_MAX);
-        for _ in 0..TRIES_MAX {
+        for _ in 0..COMMIT_TRIES_MAX {
             let version = self.sync_to_head(config).await?;
             let record = plan_change(config, edits, author, &writer)?;
             if record.changes.is_empty() {
@@ -249,6 +251,7 @@
         Err(ChangeError::Contended)
     }
 
+    /// Brings `config` up to date and returns the version of the head row.
     async fn sync_to_head(&self, config: &mut FleetConfig) -> Result<u64, ChangeError> {
         let store = |source| ChangeError::Store { source };
         let (revision, version) = self.head().await.map_err(store)?;
@@ -258,6 +261,7 @@
         Ok(version)
     }
 
+    /// Writes a change, provided that the head row still has this version.
     async fn write(&self, record: &ChangeRecord, version: u64) -> Result<(), StoreError> {
         let check = RowCheck { key: HEAD_KEY.to_owned(), version };
         let head = RowWrite {
@@ -281,10 +285,10 @@
         Ok(json!(ObjectValue { object }))
     }
 
-    /// Finds out whether a write whose answer was lost took effect.
+    /// Finds out whether a write took effect whose answer was lost.
     ///
     /// The same write is retried; its check ensures that it takes effect at most once. If the check
-    /// fails, the token in the row of that revision shows which writer committed it.
+    /// fails, the token in the row of that revision shows which writer committed the revision.
     async fn settle(
         &self,
         config: &mut FleetConfig,
@@ -347,11 +351,15 @@
         return Err(invalid(error));
     }
     let mut changes = Vec::new();
-    let mut named = HashSet::new();
+    let mut edited = HashSet::new();
     for edit in edits {
-        if !named.insert((edit.kind, edit.name.as_str())) {
+        if !edited.insert((edit.kind, edit.name.as_str())) {
             let path = resources::resource_path(edit.kind, &edit.name);
-            let error = basaltarch_core::errors::bad_value(path, "twice", "once in a change");
+            let error = basaltarch_core::errors::bad_value(
+                path,
+                "two edits",
+                "one edit of a resource per change",
+            );
             return Err(invalid(error));
         }
         check_guard(config, edit)?;
@@ -417,7 +425,7 @@
     format!("{CHANGE_PREFIX}{:020}", revision.0)
 }
 
-/// Returns a random token that is unique to a writer.
+/// Returns a random token that identifies a writer.
 pub fn fresh_token() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
@@ -426,12 +434,14 @@
     T::deserialize(value).map_err(malformed)
 }
 
-/// Returns the object name of one part of a snapshot that is too long for a single object.
+/// Returns the object name of one part of a snapshot; a snapshot may be too long for a single
+/// object.
 fn part_name(object: &str, part: u32) -> String {
     format!("{object}-{part}")
 }
 
-/// Converts an error from before the transaction: the change certainly did not take effect.
+/// Converts an error of a call that precedes the transaction: even if the answer to that call was
+/// lost, the change certainly did not take effect.
 fn as_not_applied(error: StoreError) -> StoreError {
     match error {
         StoreError::AnswerLost { message } => StoreError::Unreachable { message },
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -25,15 +25,15 @@
         message: String,
     },
     /// The platform rejected the call, for instance by rate limiting.
-    #[snafu(display("the platform refused with status {status}"))]
+    #[snafu(display("the platform refused the call with status {status}"))]
     Refused {
         /// HTTP status.
         status: u16,
     },
     /// A check of a transaction failed.
-    #[snafu(display("{} rows are not as they were", rows.len()))]
+    #[snafu(display("{} rows do not have the expected versions", rows.len()))]
     Conflict {
-        /// Current contents of the rows.
+        /// Current contents of the rows that did not have the required version.
         rows: Vec<TableRow>,
     },
     /// The answer could not be parsed.
@@ -43,12 +43,12 @@
         message: String,
     },
     /// The call exceeds this process's own rate limit and was not made.
-    #[snafu(display("the bound on calls to the platform is used up"))]
+    #[snafu(display("this daemon's rate limit on calls to the platform is exhausted"))]
     OverBudget,
 }
 
 impl StoreError {
-    /// Says whether the call may have taken effect.
+    /// Returns whether the call may have taken effect.
     pub fn may_have_happened(&self) -> bool {
         matches!(self, Self::AnswerLost { .. } | Self::Malformed { .. })
     }
@@ -69,7 +69,7 @@
         /// What is wrong.
         source: ResourceError,
     },
-    /// A guard does not match what is in force.
+    /// A guard does not match the revision of the resource in force.
     #[snafu(display("{path} is at revision {in_force}, not at {expected}"))]
     GuardFailed {
         /// Path of the resource.
@@ -82,7 +82,9 @@
         value: Option<serde_json::Value>,
     },
     /// Every attempt conflicted with a concurrent change of the configuration.
-    #[snafu(display("others change the configuration too fast; try again"))]
+    #[snafu(display(
+        "every attempt conflicted with a concurrent change of the configuration; try again"
+    ))]
     Contended,
     /// The platform failed before the change took effect.
     #[snafu(display("{source}"))]
@@ -91,7 +93,7 @@
         source: StoreError,
     },
     /// It could not be determined whether the change took effect.
-    #[snafu(display("it is not known whether the change was accepted; look for writer {writer}"))]
+    #[snafu(display("it is not known whether the change was accepted; look for writer {writer} in the audit trail"))]
     Unsettled {
         /// Token of the writer in the audit trail.
         writer: String,
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -1,12 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The ledger of at-most-once requests: one row for each key, written before the request is
-//! dispatched.
+//! The ledger of at-most-once requests: one row for each idempotency key, written before the request
+//! is dispatched.
 //!
 //! Rows of concurrent requests are written in one transaction (group commit), since the platform
 //! accepts only a few hundred writes a second. Each row carries its writer's token, by which a
-//! writer finds out whether a write whose answer was lost took effect.
+//! writer finds out whether a write took effect whose answer was lost.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -27,14 +27,15 @@
 
 /// Prefix of the ledger's rows.
 pub const LEDGER_PREFIX: &str = "once/";
-/// Maximum rows in one transaction; each takes a check and a write.
+/// Maximum number of rows in one transaction; each takes a check and a write.
 const GROUP_MAX: usize = transaction::ENTRIES_MAX / 2;
-/// Maximum requests that wait for their row; further ones are refused immediately.
+/// Maximum number of requests that wait for their rows to be written; further requests are refused
+/// immediately.
 const WAITING_MAX: usize = 4096;
-/// Time to find out whether a row whose answer was lost was written; after it the claim ends as
-/// [`ClaimOutcome::Unsettled`], an unknown outcome.
+/// Time for which a claim is retried to find out whether its row was written, after the store's
+/// answer was lost. The claim then ends as [`ClaimOutcome::Unsettled`], an unknown outcome.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// Maximum body of a recorded answer: receipts are small, and a row must stay small.
+/// Maximum body of a recorded answer in bytes: receipts are small, and a row must stay small.
 pub const KEPT_BODY_MAX: usize = 4 * units::KIB;
 
 /// `OnceKey` identifies one at-most-once request (its idempotency key).
@@ -88,12 +89,13 @@
     pub writer: String,
     /// Digest of the request.
     pub digest: String,
-    /// When the row was written, in milliseconds since 1970.
+    /// Time of the claim in Unix milliseconds, by the writer's clock.
     pub at_ms: u64,
     /// Epoch in which the row was written; 0 if the writer did not know it.
     #[serde(default)]
     pub epoch: u64,
-    /// The answer, once it is complete, if it is small enough.
+    /// The complete answer; absent until the request is finished, and for good if the answer is too
+    /// large.
     pub answer: Option<KeptAnswer>,
 }
 
@@ -102,14 +104,14 @@
 pub enum ClaimOutcome {
     /// The claimant may run the request; the token finishes or releases the claim.
     Granted(ClaimToken),
-    /// The request was started before, and this is its answer.
+    /// An earlier attempt started the request, and this is its answer.
     Answered(KeptAnswer),
-    /// The request was started before, and its answer is not known.
+    /// An earlier attempt started the request, and its answer is not known.
     Started,
     /// The key was used for a different request.
     OtherRequest,
-    /// The ledger can't be written: the request did not run, and no row remains that would block
-    /// it.
+    /// The ledger can't be written. The request did not run, and no row remains that would keep a
+    /// later attempt from running it.
     Unavailable,
     /// It could not be determined whether the row was written.
     Unsettled,
@@ -137,7 +139,7 @@
     waiting: RefCell<VecDeque<WaitingClaim>>,
     finished: RefCell<VecDeque<(ClaimToken, KeptAnswer)>>,
     abandoned: RefCell<Vec<ClaimToken>>,
-    running: Cell<bool>,
+    is_running: Cell<bool>,
     transactions: Cell<u64>,
     epoch: Cell<u64>,
 }
@@ -150,7 +152,7 @@
             waiting: RefCell::default(),
             finished: RefCell::default(),
             abandoned: RefCell::default(),
-            running: Cell::new(false),
+            is_running: Cell::new(false),
             transactions: Cell::new(0),
             epoch: Cell::new(0),
         })
@@ -166,7 +168,7 @@
         self.epoch.set(epoch);
     }
 
-    /// Claims the key of an at-most-once request before it runs.
+    /// Claims the key of an at-most-once request before the request runs.
     pub async fn claim(self: &Rc<Self>, key: &OnceKey) -> ClaimOutcome {
         if self.waiting.borrow().len() >= WAITING_MAX {
             return ClaimOutcome::Unavailable;
@@ -212,7 +214,7 @@
     }
 
     fn ensure_running(self: &Rc<Self>) {
-        if !self.running.replace(true) {
+        if !self.is_running.replace(true) {
             let ledger = self.clone();
             monoio::spawn(async move {
                 ledger.run().await;
@@ -238,10 +240,10 @@
                 monoio::time::sleep(backoff.next_delay()).await;
             }
         }
-        self.running.set(false);
+        self.is_running.set(false);
     }
 
-    /// Releases the claims of callers that were gone when their row was written.
+    /// Releases the claims of callers that had disconnected by the time their rows were written.
     async fn release_abandoned(&self) {
         loop {
             let token = self.abandoned.borrow_mut().pop();
@@ -257,21 +259,21 @@
     fn next_group(&self) -> Vec<WaitingClaim> {
         let mut waiting = self.waiting.borrow_mut();
         let mut group: Vec<WaitingClaim> = Vec::new();
-        let mut later = VecDeque::new();
+        let mut remaining = VecDeque::new();
         while let Some(claim) = waiting.pop_front() {
-            let duplicate = group.iter().any(|each| each.row_key == claim.row_key);
-            if duplicate || group.len() >= GROUP_MAX {
-                later.push_back(claim);
+            let is_duplicate = group.iter().any(|each| each.row_key == claim.row_key);
+            if is_duplicate || group.len() >= GROUP_MAX {
+                remaining.push_back(claim);
             } else {
                 group.push(claim);
             }
         }
-        *waiting = later;
+        *waiting = remaining;
         group
     }
 
-    /// Writes a group of claims in one transaction and replies to them. Says whether the platform
-    /// answered.
+    /// Writes a group of claims in one transaction and replies to them. Returns whether the
+    /// platform answered.
     async fn write_group(&self, group: Vec<WaitingClaim>) -> bool {
         let checks = group.iter().map(|claim| absent(&claim.row_key)).collect();
         let writes = group.iter().map(|claim| put(&claim.row_key, &claim.entry)).collect();
@@ -298,6 +300,7 @@
         }
     }
 
+    /// Grants a claim; if its caller has disconnected, the row is released instead.
     fn grant(&self, reply: oneshot::Sender<ClaimOutcome>, token: ClaimToken) {
         if let Err(ClaimOutcome::Granted(token)) = reply.send(ClaimOutcome::Granted(token)) {
             self.abandoned.borrow_mut().push(token);
@@ -305,8 +308,8 @@
     }
 
     /// Resolves the waiting claims of a row that was just written, since the store would only
-    /// report that row as their conflict. Claims that may themselves have been written are left
-    /// out.
+    /// report that row as their conflict. A claim whose own write may have taken effect keeps
+    /// waiting.
     fn resolve_same_row(&self, row_key: &str, version: u64, entry: &LedgerEntry) {
         let row = TableRow { key: row_key.to_owned(), version, value: json!(entry) };
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
@@ -315,7 +318,7 @@
         *self.waiting.borrow_mut() = others;
         for claim in same {
             let outcome = resolve_claim(&claim, &row);
-            // A caller that is gone needs no reply.
+            // A caller that has disconnected needs no reply.
             let _ = claim.reply.send(outcome);
         }
     }
@@ -334,15 +337,16 @@
         }
     }
 
-    /// Handles a failed write: refuses claims that certainly left no row, and retries those that
-    /// may have been written until the outcome is known or [`SETTLE_TIME`] has passed.
+    /// Handles a failed write: refuses claims whose rows were certainly not written, and retries
+    /// claims whose rows may have been written until the outcome is known or [`SETTLE_TIME`] has
+    /// passed.
     fn retry_or_refuse(&self, group: Vec<WaitingClaim>, may_have_happened: bool) {
         for mut claim in group {
             claim.maybe_written |= may_have_happened;
-            let timed_out = claim.since.elapsed() > SETTLE_TIME;
+            let has_timed_out = claim.since.elapsed() > SETTLE_TIME;
             if !claim.maybe_written {
                 let _ = claim.reply.send(ClaimOutcome::Unavailable);
-            } else if timed_out {
+            } else if has_timed_out {
                 let _ = claim.reply.send(ClaimOutcome::Unsettled);
             } else {
                 self.waiting.borrow_mut().push_back(claim);
@@ -367,8 +371,8 @@
             writes.push(put(&token.row_key, &entry));
         }
         self.transactions.set(self.transactions.get() + 1);
-        // Recording answers is best effort: without it, a later attempt gets the answer that the
-        // request was started, which is true.
+        // Recording answers is best effort: without a recorded answer, a later attempt gets
+        // the answer that the request was started, which is true.
         if let Err(error) = self.platform.transact(checks, writes).await {
             process::AnswersNotKept { error: &error.to_string() }.log();
         }
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -21,19 +21,20 @@
 
 /// Timeout of one call; a healthy platform answers in a few milliseconds.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Usual duration of one long poll of the feed: each poll costs as much as a read, and a poll that
-/// an outage left hanging must end soon after the outage.
+/// Usual maximum duration of one long poll of the feed. Each poll costs as much as a read, so polls
+/// must not be short; a poll that hangs because of an outage must end soon after the outage.
 pub const FEED_WAIT: Duration = Duration::from_secs(8);
-/// Minimum long poll as a share of the longest. The jitter spreads the ends of polls that an outage
-/// left hanging at many daemons, and the first daemon that gets an answer notifies the others.
+/// Minimum duration of a long poll as a share of its maximum. When an outage leaves polls hanging at
+/// many daemons, this jitter spreads the times at which they end, and the first daemon that gets an
+/// answer notifies the others.
 const FEED_WAIT_MIN_SHARE: f64 = 0.4;
 
-/// Draws the duration of a long poll, at most `longest`.
-pub fn draw_wait(longest: Duration) -> Duration {
-    longest.mul_f64(rand::random_range(FEED_WAIT_MIN_SHARE..=1.0))
+/// Draws the duration of a long poll, at most `max_wait`.
+pub fn draw_wait(max_wait: Duration) -> Duration {
+    max_wait.mul_f64(rand::random_range(FEED_WAIT_MIN_SHARE..=1.0))
 }
-/// Time beyond its duration after which a long poll is abandoned: a healthy store answers within a
-/// few milliseconds, a slow one takes a hundred times as long.
+/// Time from the end of the requested wait of a long poll until the poll is abandoned. A healthy
+/// store answers within a few milliseconds of the end; a slow store takes a hundred times as long.
 const FEED_GRACE: Duration = Duration::from_millis(700);
 /// Idle time after which TCP keep-alive probes the store's end of a connection.
 const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(1);
@@ -41,13 +42,13 @@
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 /// Maximum backoff after consecutive failed calls.
 const BACKOFF_MAX: Duration = Duration::from_secs(5);
-/// Maximum rows in one answer.
+/// Maximum number of rows in one answer.
 const PAGE_ROWS: usize = rows::PAGE_ROWS_MAX;
 
 /// `CallCounts` counts the calls to the platform by result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls that were answered, a conflict or a missing row included.
+    /// Calls that were answered, including those with a conflict or a missing row.
     pub answered: u64,
     /// Calls that were refused with status 429 or 503 and had no effect.
     pub refused: u64,
@@ -55,7 +56,7 @@
     pub no_answer: u64,
 }
 
-/// `CallBudget` limits the calls a second of this process (token bucket).
+/// `CallBudget` limits the calls per second of this process (token bucket).
 #[derive(Debug)]
 struct CallBudget {
     rate: f64,
@@ -81,7 +82,8 @@
 }
 
 /// `TablePosition` is the position up to which a table was read. Versions are ordered within one
-/// era only: a store that was restored from an older copy assigns the lost versions again.
+/// era only: a store that was restored from an older copy assigns the versions after that copy
+/// again.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TablePosition {
     /// Number of restores of the store from an older copy, if it reported one.
@@ -91,13 +93,13 @@
 }
 
 impl TablePosition {
-    /// Says whether an answer of `era` belongs to another history than this position. If either era
+    /// Returns whether an answer of `era` belongs to another history than this position. If either era
     /// is unknown, the history is assumed to be the same.
     fn differs_in_era(&self, era: Option<u64>) -> bool {
         matches!((self.era, era), (Some(known), Some(reported)) if known != reported)
     }
 
-    /// Returns the position after an answer that continues from here to `version`.
+    /// Returns the position after an answer that continues from this position to `version`.
     fn advanced(self, version: u64, era: Option<u64>) -> Self {
         Self { era: era.or(self.era), version: self.version.max(version) }
     }
@@ -117,8 +119,9 @@
 #[derive(Debug)]
 pub struct PlatformClient {
     client: HttpClient,
+    /// For long polls, which have a longer timeout.
     feeds: HttpClient,
-    /// For calls that must not wait on a dead connection: each opens a new one.
+    /// For calls that must not wait on a dead connection: each call opens a new connection.
     unpooled: HttpClient,
     reads: RefCell<CallBudget>,
     writes: RefCell<CallBudget>,
@@ -126,7 +129,7 @@
 }
 
 impl PlatformClient {
-    /// Builds a client that makes at most `reads` reads and `writes` writes a second.
+    /// Builds a client that makes at most `reads` reads and `writes` writes per second.
     pub fn new(address: SocketAddr, reads: f64, writes: f64) -> Self {
         let feed_timeout = FEED_WAIT + FEED_GRACE;
         Self {
@@ -162,18 +165,19 @@
             let rows = table_rows(read_page(&reply)?);
             return Err(StoreError::Conflict { rows });
         }
-        Ok(read_page(&accepted(reply)?)?.version)
+        Ok(read_page(&require_success(reply)?)?.version)
     }
 
     /// Reads the row with this key, if there is one.
     pub async fn read(&self, key: &str) -> Result<Option<TableRow>, StoreError> {
-        let RowAddress { table, part, key: wanted } = RowPath::of(key).address();
-        let (page, _) = self.read_page(table, part, wanted, 1).await?;
+        let RowAddress { table, part, key: key_in_table } = RowPath::of(key).address();
+        let (page, _) = self.read_page(table, part, key_in_table, 1).await?;
         let mut rows = table_rows(page);
         Ok(rows.pop().filter(|row| row.key == key))
     }
 
-    /// Reads rows with a key prefix in the order of their keys, starting behind `after`.
+    /// Reads at most `limit` rows with a key prefix in the order of their keys, starting after the key
+    /// `after`.
     pub async fn scan(
         &self,
         prefix: &str,
@@ -192,18 +196,18 @@
     /// of later pages may be newer than that position.
     pub async fn read_table(&self, table: &str) -> Result<(RowsPage, TablePosition), StoreError> {
         let (mut all, era) = self.read_page(table, "", "", PAGE_ROWS).await?;
-        let mut more = all.more && !all.rows.is_empty();
-        while more {
+        let mut has_more = all.more && !all.rows.is_empty();
+        while has_more {
             let from = all.rows.last().map(|row| format!("{}\0", row.key)).unwrap_or_default();
             let (next, _) = self.read_page(table, "", &from, PAGE_ROWS).await?;
             // A page without rows has no key from which the next one could start.
-            more = next.more && !next.rows.is_empty();
+            has_more = next.more && !next.rows.is_empty();
             all.rows.extend(next.rows);
             all.keyless += next.keyless;
         }
         all.more = false;
-        // Pages of two eras may be mixed here. The feed then reports another era than the first
-        // page, and the table is read again.
+        // If the store is restored between two reads, pages of two eras are mixed here. The feed
+        // then reports another era than the first page, and the table is read again.
         let position = TablePosition { era, version: all.version };
         Ok((all, position))
     }
@@ -218,7 +222,7 @@
         self.reads.borrow_mut().take()?;
         let reply = self.call(rows::read_from(table, part, from, limit)).await?;
         let era = headers::store_era(&reply.headers);
-        Ok((read_page(&accepted(reply)?)?, era))
+        Ok((read_page(&require_success(reply)?)?, era))
     }
 
     /// Long-polls the changes of a table after a position, for at most `wait`.
@@ -237,8 +241,8 @@
         self.read_feed(after, self.count(reply)?)
     }
 
-    /// Polls the changes of a table after a position without waiting, over a new connection, since
-    /// an open one may be dead.
+    /// Polls the changes of a table after a position without waiting. Uses a new connection, since an
+    /// open connection may be dead.
     pub async fn changes_now(
         &self,
         table: &str,
@@ -255,7 +259,7 @@
         if reply.status == StatusCode::GONE {
             return Ok(FeedReply::Forgotten);
         }
-        let page = read_page(&accepted(reply)?)?;
+        let page = read_page(&require_success(reply)?)?;
         if after.differs_in_era(era) {
             return Ok(FeedReply::Forgotten);
         }
@@ -265,8 +269,9 @@
 
     /// Closes the idle connections, so that no later call uses one of them.
     ///
-    /// After a call without an answer, the idle connections may be as dead as that of the call.
-    /// Each would delay one more call until its timeout, which is 8.7 s for the feed.
+    /// After a call without an answer, the idle connections may be dead, like the connection of that
+    /// call. Each dead connection would delay one more call until its timeout, which is 8.7 s for the
+    /// feed.
     pub fn close_idle_connections(&self) {
         self.client.close_idle();
         self.feeds.close_idle();
@@ -276,7 +281,7 @@
     pub async fn put_object(&self, name: &str, content: Bytes) -> Result<(), StoreError> {
         self.writes.borrow_mut().take()?;
         let reply = self.call(objects::put(name, content.into())).await?;
-        accepted(reply).map(drop)
+        require_success(reply).map(drop)
     }
 
     /// Reads an object, if there is one.
@@ -286,7 +291,7 @@
         if reply.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        Ok(Some(accepted(reply)?.body))
+        Ok(Some(require_success(reply)?.body))
     }
 
     async fn call(&self, request: StoreCall) -> Result<ClientReply, StoreError> {
@@ -298,7 +303,7 @@
         self.counts.get()
     }
 
-    /// Counts the result of a call.
+    /// Counts the result of a call; closes the idle connections after a call without an answer.
     fn count(&self, reply: Result<ClientReply, StoreError>) -> Result<ClientReply, StoreError> {
         let mut counts = self.counts.get();
         match &reply {
@@ -314,12 +319,13 @@
     }
 }
 
-/// Says whether a status means that the call had no effect.
+/// Returns whether a status means that the call had no effect.
 fn is_refusal(status: StatusCode) -> bool {
     matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Makes a call. A call without an answer closes its connection, so that the next one uses another.
+/// Makes a call. A call without an answer closes its connection, so that the next call uses another
+/// connection.
 async fn call(client: &HttpClient, request: StoreCall) -> Result<ClientReply, StoreError> {
     let StoreCall { method, target, body } = request;
     let result = client.call(method, &target, HeaderMap::new(), Bytes::from(body)).await;
@@ -333,7 +339,8 @@
     })
 }
 
-fn accepted(reply: ClientReply) -> Result<ClientReply, StoreError> {
+/// Returns a reply of a successful call; any other status is an error.
+fn require_success(reply: ClientReply) -> Result<ClientReply, StoreError> {
     if reply.status.is_success() {
         return Ok(reply);
     }
@@ -352,12 +359,12 @@
 /// Parses the values of rows. A row that never existed has version 0, and a value that can't be
 /// parsed becomes null.
 fn table_rows(page: RowsPage) -> Vec<TableRow> {
-    let read = |row: rows::StoredRow| {
+    let table_row = |row: rows::StoredRow| {
         let key = RowPath { table: &row.table, key: &row.key }.store_key();
         let value = row.value.bytes().and_then(|bytes| serde_json::from_slice(bytes).ok());
         TableRow { key, version: row.version, value: value.unwrap_or(Value::Null) }
     };
-    page.rows.into_iter().map(read).collect()
+    page.rows.into_iter().map(table_row).collect()
 }
 
 /// `RetryBackoff` is an exponential backoff between failed calls, with jitter, so that a fleet does
@@ -365,7 +372,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBackoff {
     current: Duration,
-    longest: Duration,
+    max_delay: Duration,
 }
 
 impl Default for RetryBackoff {
@@ -375,15 +382,16 @@
 }
 
 impl RetryBackoff {
-    /// Builds a backoff with delays of at most `longest`.
-    pub fn with_max_delay(longest: Duration) -> Self {
-        Self { current: BACKOFF_MIN, longest }
+    /// Builds a backoff with delays of at most `max_delay`.
+    pub fn with_max_delay(max_delay: Duration) -> Self {
+        Self { current: BACKOFF_MIN, max_delay }
     }
 
-    /// Returns the next delay: between half and all of a time that doubles.
+    /// Returns the next delay: a random time between half and all of a duration that doubles with each
+    /// call, up to the maximum.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.current.mul_f64(rand::random_range(0.5..=1.0));
-        self.current = (self.current * 2).min(self.longest);
+        self.current = (self.current * 2).min(self.max_delay);
         delay
     }
 
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -6,8 +6,8 @@
 //! Removing a row too early would let an at-most-once request run twice. Wall clocks are therefore
 //! not used for expiry: a daemon whose clock is a day ahead would remove every row. Instead, rows
 //! carry the epoch in which they were written. One row of the table holds the current epoch. Only a
-//! daemon that has seen it unchanged for a whole epoch, by its own monotonic clock, writes the next
-//! one. So an epoch never lasts less than [`EPOCH_TIME`]; pauses, restarts and outages only make it
+//! daemon that has seen that row unchanged for [`EPOCH_TIME`], by its own monotonic clock, writes the
+//! next epoch. So an epoch never lasts less than [`EPOCH_TIME`]; pauses, restarts and outages only make it
 //! longer.
 
 use std::cell::RefCell;
@@ -27,13 +27,15 @@
 /// Minimum duration of an epoch: daemons run several hours between restarts, so that nearly always
 /// some daemon sees an epoch to its end.
 pub const EPOCH_TIME: Duration = Duration::from_secs(3600);
-/// Maximum rows of one scan.
+/// Maximum number of rows of one scan.
 const SCAN_ROWS: usize = 200;
-/// Maximum rows changed in one transaction; each takes a check and a write.
+/// Maximum number of rows changed in one transaction; each takes a check and a write.
 const BATCH_ROWS: usize = transaction::ENTRIES_MAX / 2;
-/// Maximum scans of one round, so that it ends even if rows are added as fast as they are removed.
+/// Maximum number of scans of one round, so that a round ends even if rows are added as fast as they
+/// are removed.
 const SCANS_MAX: usize = 20;
-/// Partitions of the ledger, by the first two digits of the hashed key; a round sweeps one.
+/// Number of partitions of the ledger, by the first two hexadecimal digits of the hashed key; a round
+/// sweeps one partition.
 const PARTITIONS: u32 = 256;
 
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -41,16 +43,19 @@
     epoch: u64,
 }
 
-/// `EpochWatch` tracks how long this daemon has seen the current epoch.
+/// `EpochWatch` tracks for how long this daemon has read the same current epoch from the table.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EpochWatch {
     epoch: u64,
+    /// When this daemon first read the epoch, by its monotonic clock.
     seen_at: Duration,
+    /// When this daemon last read the epoch.
     read_at: Duration,
 }
 
 impl EpochWatch {
-    /// Records that the table holds this epoch; a stale answer changes nothing.
+    /// Records that the table holds this epoch. A stale answer, with an earlier epoch, changes
+    /// nothing.
     pub fn record_epoch(&mut self, epoch: u64, now: Duration) {
         if epoch > self.epoch {
             self.epoch = epoch;
@@ -63,15 +68,15 @@
 
     /// Returns the epoch, or 0 if it is unknown or was last read so long ago that it may be over.
     pub fn current(&self, now: Duration) -> u64 {
-        let fresh = now.saturating_sub(self.read_at) < EPOCH_TIME;
-        if fresh {
+        let is_fresh = now.saturating_sub(self.read_at) < EPOCH_TIME;
+        if is_fresh {
             self.epoch
         } else {
             0
         }
     }
 
-    /// Says whether this daemon has seen the epoch for its whole duration.
+    /// Returns whether this daemon has seen the epoch for at least [`EPOCH_TIME`].
     pub fn is_over(&self, now: Duration) -> bool {
         self.epoch > 0 && now.saturating_sub(self.seen_at) >= EPOCH_TIME
     }
@@ -82,9 +87,9 @@
 pub struct SweepReport {
     /// Current epoch; 0 if unknown.
     pub epoch: u64,
-    /// Rows removed.
+    /// Number of rows removed.
     pub removed: u64,
-    /// Rows without an epoch that were stamped with the current one.
+    /// Number of rows without an epoch that were stamped with the current epoch.
     pub dated: u64,
 }
 
@@ -93,16 +98,17 @@
     platform: Rc<PlatformClient>,
     ledger: Rc<OnceLedger>,
     watch: RefCell<EpochWatch>,
-    keep: u64,
+    keep_epochs: u64,
 }
 
 impl OnceRetention {
-    /// Builds a retention that keeps rows for at least `keep` epochs.
-    pub fn new(platform: Rc<PlatformClient>, ledger: Rc<OnceLedger>, keep: u64) -> Self {
-        Self { platform, ledger, watch: RefCell::default(), keep }
+    /// Builds a retention that keeps rows for at least `keep_epochs` epochs.
+    pub fn new(platform: Rc<PlatformClient>, ledger: Rc<OnceLedger>, keep_epochs: u64) -> Self {
+        Self { platform, ledger, watch: RefCell::default(), keep_epochs }
     }
 
-    /// Runs one round at `now` of a monotonic clock: updates the epoch and sweeps one partition.
+    /// Runs one round at the time `now` of a monotonic clock: updates the epoch and sweeps one
+    /// partition.
     pub async fn round(&self, now: Duration) -> Result<SweepReport, StoreError> {
         let result = self.update_epoch(now).await;
         let epoch = self.watch.borrow().current(now);
@@ -111,17 +117,18 @@
         self.sweep(rand::random_range(0..PARTITIONS), epoch).await
     }
 
+    /// Reads the current epoch, and advances it if this daemon has seen it to its end.
     async fn update_epoch(&self, now: Duration) -> Result<(), StoreError> {
         let (epoch, version) = match self.platform.read(EPOCH_KEY).await? {
             Some(row) => (read_epoch(&row)?, row.version),
             None => (0, 0),
         };
         self.watch.borrow_mut().record_epoch(epoch, now);
-        let over = self.watch.borrow().is_over(now);
-        if version != 0 && !over {
+        let is_over = self.watch.borrow().is_over(now);
+        if version != 0 && !is_over {
             return Ok(());
         }
-        // The check lets only one daemon advance each epoch, even if its answer is lost.
+        // The check lets only one daemon advance each epoch, even if the store's answer is lost.
         let next = EpochValue { epoch: self.watch.borrow().epoch + 1 };
         let check = RowCheck { key: EPOCH_KEY.to_owned(), version };
         let write = RowWrite { key: EPOCH_KEY.to_owned(), value: Some(json!(next)) };
@@ -169,11 +176,11 @@
                 Err(_) => continue,
             };
             let value = if entry.epoch == 0 {
-                // The age of the row is unknown, so that its retention starts now.
+                // The age of the row is unknown, so its retention starts now.
                 entry.epoch = report.epoch;
                 updated.dated += 1;
                 Some(json!(entry))
-            } else if report.epoch > entry.epoch + self.keep {
+            } else if report.epoch > entry.epoch + self.keep_epochs {
                 updated.removed += 1;
                 None
             } else {
--- a/crates/store/src/transaction.rs
+++ b/crates/store/src/transaction.rs
@@ -6,17 +6,17 @@
 use basaltarch_platform::rows::RowAddress;
 use serde_json::Value;
 
-/// Maximum entries of a transaction, checks and writes together.
+/// Maximum number of entries of a transaction, checks and writes together.
 pub const ENTRIES_MAX: usize = basaltarch_platform::rows::ENTRIES_MAX;
-/// Maximum bytes of a row value; longer values are written as objects.
+/// Maximum size of a row value in bytes; longer values are written as objects.
 pub const VALUE_BYTES_MAX: usize = 48 * basaltarch_core::units::KIB;
 
-/// `TableRow` is a row; version 0 means that the row does not exist.
+/// `TableRow` is a row of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableRow {
     /// Key of the row: its table, a slash, and the key within the table.
     pub key: String,
-    /// Number of the transaction that wrote the row.
+    /// Number of the transaction that wrote the row; 0 if the row does not exist.
     pub version: u64,
     /// Value of the row.
     pub value: Value,
@@ -31,12 +31,12 @@
     pub version: u64,
 }
 
-/// `RowWrite` is a write of a transaction; `None` deletes the row.
+/// `RowWrite` is a write of a transaction.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RowWrite {
     /// Key of the row.
     pub key: String,
-    /// New value.
+    /// New value; `None` deletes the row.
     pub value: Option<Value>,
 }
 
@@ -61,8 +61,8 @@
         format!("{}/{}", self.table, self.key)
     }
 
-    /// Returns the address of the row. Transactions of this crate are small and touch related rows,
-    /// so that tables are not partitioned.
+    /// Returns the address of the row. The tables of this crate are not partitioned, as its
+    /// transactions are small and touch related rows.
     pub fn address(&self) -> RowAddress<'a> {
         RowAddress { table: self.table, part: "", key: self.key }
     }
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -26,7 +26,7 @@
 struct TestStore {
     address: SocketAddr,
     client: PlatformClient,
-    /// Client of the second host group, which partial outages affect.
+    /// Client in the second host group, which alone is affected by partial outages.
     second: PlatformClient,
 }
 
@@ -65,15 +65,15 @@
 fn verify_conditions_admit_one_writer_and_return_the_current_row_to_the_other() {
     run(async {
         let store = TestStore::start();
-        let first = store.put("t/k", 0, json!(1)).await.expect("new row");
+        let first = store.put("t/k", 0, json!(1)).await.expect("the row is new");
         let refused = store.put("t/k", 0, json!(2)).await.expect_err("the row exists already");
         let StoreError::Conflict { rows } = refused else { panic!("{refused}") };
         assert_eq!((rows[0].key.as_str(), rows[0].version), ("t/k", first));
         assert_eq!(rows[0].value, json!(1));
-        let second = store.put("t/k", first, json!(2)).await.expect("as seen");
+        let second = store.put("t/k", first, json!(2)).await.expect("the expected version");
         assert!(second > first);
-        let gone = RowWrite { key: "t/k".to_owned(), value: None };
-        store.client.transact(Vec::new(), vec![gone]).await.expect("removed");
+        let removal = RowWrite { key: "t/k".to_owned(), value: None };
+        store.client.transact(Vec::new(), vec![removal]).await.expect("removed");
         assert_eq!(store.client.read("t/k").await.expect("read"), None);
         store.put("t/k", 0, json!(3)).await.expect("new again");
     });
@@ -97,7 +97,7 @@
         let next = store.client.scan("t/a", &page[6].key, 2).await.expect("scan");
         assert_eq!(next[0].key, "t/a007");
         let end = store.client.scan("t/a", "t/a598", 7).await.expect("scan");
-        assert_eq!(end.len(), 1, "neither another prefix nor another table");
+        assert_eq!(end.len(), 1, "rows of another prefix or table are not returned");
         let (all, _) = store.client.read_table("t").await.expect("table");
         assert_eq!(all.rows.len(), 601, "more than one page");
         assert!(all.rows.is_sorted_by(|left, right| left.key < right.key));
@@ -132,20 +132,24 @@
 #[test_case(Some(0), 1, true ; "the same era continues")]
 #[test_case(None, 1, true ; "no era was known before")]
 #[test_case(Some(1), 0, false ; "the position is of another era")]
-fn verify_a_position_is_valid_in_its_own_era_only(era: Option<u64>, rows: usize, goes_on: bool) {
+fn verify_a_position_is_valid_in_its_own_era_only(
+    era: Option<u64>,
+    rows: usize,
+    is_continued: bool,
+) {
     run(async {
         let store = TestStore::start();
         store.put("t/a", 0, json!(1)).await.expect("written");
         let position = TablePosition { era, version: 0 };
         let reply = store.client.changes_now("t", position).await.expect("feed");
-        let found = match reply {
+        let row_count = match reply {
             FeedReply::Changes(page, next) => {
                 assert_eq!(next, TablePosition { era: Some(0), version: page.version });
                 Some(page.rows.len())
             }
             FeedReply::Forgotten => None,
         };
-        assert_eq!(found, goes_on.then_some(rows));
+        assert_eq!(row_count, is_continued.then_some(rows));
     });
 }
 
@@ -156,13 +160,16 @@
 #[test_case(json!({"lose_write_answers": 1}), true ; "the answer is lost")]
 #[test_case(json!({"lose_writes": 1}), true ; "the write is lost")]
 #[test_case(json!({"late_writes": 1, "late_by_ms": 50}), true ; "the write takes effect late")]
-fn verify_each_outage_reports_whether_a_write_may_have_happened(faults: Value, may_have: bool) {
+fn verify_each_outage_reports_whether_a_write_may_have_happened(
+    faults: Value,
+    may_have_happened: bool,
+) {
     run(async {
         let store = TestStore::start();
         store.faults(faults).await;
         let _ = store.client.read("t/none").await;
         let error = store.put("t/k", 0, json!(1)).await.expect_err("an outage");
-        assert_eq!(error.may_have_happened(), may_have, "{error}");
+        assert_eq!(error.may_have_happened(), may_have_happened, "{error}");
         store.faults(json!({})).await;
         // Repeating the same write resolves its outcome: it takes effect at most once.
         let settled = store.put("t/k", 0, json!(1)).await;
@@ -189,13 +196,13 @@
             .await
             .expect_err("nor is its feed");
         store.faults(json!({})).await;
-        let row = store.second.read("t/k").await.expect("read").expect("there");
+        let row = store.second.read("t/k").await.expect("read").expect("the row exists");
         assert_eq!(row.version, version);
     });
 }
 
 #[test]
-fn verify_calls_over_the_own_rate_limit_are_not_made() {
+fn verify_calls_over_the_rate_limit_of_the_client_are_not_made() {
     run(async {
         let store = TestStore::start();
         let client = PlatformClient::new(store.address, 2.0, 1.0);
@@ -231,7 +238,7 @@
         assert_eq!((read.revision(), read.len()), (config.revision(), 3000));
         let no_pause = async || ();
         changes.put_snapshot(&config, &no_pause).await.expect("snapshot");
-        let snapshot = changes.snapshot(&no_pause).await.expect("read").expect("there");
+        let snapshot = changes.snapshot(&no_pause).await.expect("read").expect("a snapshot");
         assert_eq!((snapshot.revision(), snapshot.len()), (config.revision(), 3000));
     });
 }
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Ledger rows of at-most-once requests are removed once they expire, and never before. The tests
-//! pass in the monotonic clock.
+//! Ledger rows of at-most-once requests are removed once they expire, and never before: a row removed
+//! too early would let a request run twice. The tests pass in the time of the monotonic clock.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-const KEEP: u64 = 3;
+const KEEP_EPOCHS: u64 = 3;
 const PARTITIONS: u32 = 256;
 
 /// A simulated platform and one daemon's view of it.
@@ -45,7 +45,7 @@
     fn at(address: SocketAddr) -> Self {
         let platform = Rc::new(PlatformClient::new(address, 1e6, 1e6));
         let ledger = OnceLedger::new(platform.clone());
-        let retention = OnceRetention::new(platform, ledger.clone(), KEEP);
+        let retention = OnceRetention::new(platform, ledger.clone(), KEEP_EPOCHS);
         Self { address, ledger, retention }
     }
 
@@ -58,11 +58,13 @@
             .expect("faults");
     }
 
-    /// Runs a round `epochs` whole epochs after the start of the clock.
+    /// Runs a round `epochs` whole epochs after the start of the clock; returns the current epoch, or
+    /// `None` if the round failed.
     async fn epoch_at(&self, epochs: u32) -> Option<u64> {
         self.retention.round(EPOCH_TIME * epochs).await.ok().map(|report| report.epoch)
     }
 
+    /// Sweeps all partitions and returns the number of rows removed.
     async fn sweep_all(&self, epoch: u64) -> u64 {
         let mut removed = 0;
         for partition in 0..PARTITIONS {
@@ -98,7 +100,10 @@
     assert!(!watch.is_over(minutes(109)));
     assert!(watch.is_over(minutes(110)));
     watch.record_epoch(8, minutes(100));
-    assert!(!watch.is_over(minutes(159)), "the new epoch counts from when it was seen");
+    assert!(
+        !watch.is_over(minutes(159)),
+        "the new epoch lasts an hour from when it was first seen"
+    );
     watch.record_epoch(7, minutes(158));
     assert_eq!(watch.current(minutes(159)), 8, "a stale answer changes nothing");
     assert_eq!(watch.current(minutes(161)), 0, "an epoch that was last read long ago may be over");
@@ -114,14 +119,14 @@
             assert!(matches!(outcome, ClaimOutcome::Granted(_)));
         }
         let mut epoch = 1;
-        for hour in 1..=KEEP as u32 {
+        for hour in 1..=KEEP_EPOCHS as u32 {
             epoch = store.epoch_at(hour).await.expect("epoch");
             assert_eq!(epoch, 1 + u64::from(hour));
             store.claim(&format!("later-{hour}")).await;
             assert_eq!(store.sweep_all(epoch).await, 0, "epoch {epoch}");
             assert_eq!(store.claim("early-3").await, ClaimOutcome::Started, "not expired yet");
         }
-        assert_eq!(store.epoch_at(KEEP as u32 + 1).await, Some(epoch + 1));
+        assert_eq!(store.epoch_at(KEEP_EPOCHS as u32 + 1).await, Some(epoch + 1));
         // Each round has swept one partition already.
         assert!(store.sweep_all(epoch + 1).await > 20);
         assert!(matches!(store.claim("early-3").await, ClaimOutcome::Granted(_)), "expired");
@@ -139,9 +144,9 @@
             u32::from_str_radix(&once_key("undated").row_key()[5..7], 16).expect("partition");
         let report = store.retention.sweep(partition, 40).await.expect("sweep");
         assert_eq!((report.dated, report.removed), (1, 0));
-        assert_eq!(store.sweep_all(40 + KEEP).await, 0);
+        assert_eq!(store.sweep_all(40 + KEEP_EPOCHS).await, 0);
         assert_eq!(store.claim("undated").await, ClaimOutcome::Started);
-        assert_eq!(store.sweep_all(41 + KEEP).await, 1);
+        assert_eq!(store.sweep_all(41 + KEEP_EPOCHS).await, 1);
     });
 }
 
@@ -156,7 +161,7 @@
         store.faults(faults).await;
         assert_eq!(store.epoch_at(1).await, None, "the round fails");
         store.faults(json!({})).await;
-        // Whether or not the write took effect, the epoch advances by one.
+        // Whether or not the failed write took effect, the epoch advances by one.
         assert_eq!(store.epoch_at(1).await, Some(2));
         assert_eq!(store.epoch_at(1).await, Some(2));
         assert_eq!(store.epoch_at(2).await, Some(3));
@@ -201,7 +206,8 @@
         assert_eq!(store.epoch_at(1).await, Some(2));
         assert_eq!(store.epoch_at(2).await, Some(3));
         store.faults(past).await;
-        // It reads the first epoch, which it has seen for hours, and tries to write the second.
+        // The lagging daemon reads the first epoch, which it has seen for hours, and tries to write
+        // the second.
         assert_eq!(lagging.epoch_at(3).await, Some(1));
         store.faults(json!({})).await;
         let newcomer = TestStore::at(store.address);
