--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -135,8 +135,8 @@
 }
 
 /// `BlockBuilder` builds blocks from a stream of resources. Resources that arrive in the order of
-/// their names are packed a block at a time. A resource out of order is inserted individually, which
-/// rewrites a block.
+/// their names are packed a block at a time. A resource out of order is inserted individually,
+/// which rewrites a block.
 #[derive(Debug, Default)]
 pub struct BlockBuilder {
     built: ResourceBlocks,
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -51,7 +51,7 @@
     pub revision: FleetRevision,
     /// Name of the operator who made the change.
     pub actor: String,
-    /// Time of acceptance in Unix milliseconds, by the clock of the daemon that accepted it.
+    /// Time of acceptance in Unix milliseconds, by the clock of the daemon that accepted the change.
     pub at_ms: u64,
     /// Address that the request came from.
     pub from: String,
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Checks that every reference of every resource has a target, and that no two organisations own
-    /// the same key.
+    /// Checks that every reference of every resource has a target, and that no two organisations
+    /// own the same key.
     pub fn check_references(&self) -> Result<(), ResourceError> {
         slices::poll_to_completion(self.check_references_in_slices(&slices::no_pause))
     }
@@ -188,8 +188,8 @@
         &self,
         pause: &impl AsyncFn(),
     ) -> Result<(), ResourceError> {
-        // Many resources refer to few services and failure domains, so the names of the services and
-        // failure domains are unpacked only once.
+        // Many resources refer to few services and failure domains, so the names of the services
+        // and failure domains are unpacked only once.
         let names = |kind| self.kinds[kind as usize].names().collect::<FnvHashSet<Rc<str>>>();
         let services = names(ResourceKind::Service);
         let domains = names(ResourceKind::FailureDomain);
@@ -428,8 +428,9 @@
         self.limit_names.get(name)
     }
 
-    /// Updates the layout from the configuration `before` the change `record` to that `after` it, at
-    /// a cost proportional to the change. Returns the names of the services that the change affects.
+    /// Updates the layout by the change `record`, at a cost proportional to the change. `before` and
+    /// `after` are the configurations before and after the change. Returns the names of the affected
+    /// services.
     pub fn update(
         &mut self,
         before: &FleetConfig,
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -12,8 +12,8 @@
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint: with 16, the probability that any two of a billion different
-/// requests collide is 1 in 10^21.
+/// Bytes of a fingerprint: with 16, the probability that any two of a billion different requests
+/// collide is 1 in 10^21.
 pub const FINGERPRINT_BYTES: usize = 16;
 /// Header fields that are hashed. Ids, deadlines, dates and traces differ between copies and are
 /// left out. A caller that changes a hashed field evades recognition only until the changed request
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -78,7 +78,7 @@
         Ok([]) => builder.finish_in_slices(head.revision, pause).await,
         Ok(_) => Err(errors::malformed(
             SNAPSHOT_PATH,
-            "data follows the number of resources that the head declares",
+            "data follows the last of the resources that the head counts",
         )),
         Err(error) => Err(errors::malformed(SNAPSHOT_PATH, error)),
     }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -180,7 +180,7 @@
 #[test]
 fn verify_a_corrupted_snapshot_is_rejected() {
     let bytes = snapshot::to_bytes(&sample_config()).expect("bytes");
-    // The last eight bytes, the end mark and the checksum, hold no resource.
+    // The last eight bytes, four of the end mark and four of the checksum, hold no resource.
     for length in 0..bytes.len() - 8 {
         assert!(snapshot::from_bytes(&bytes[..length]).is_err(), "cut after {length} bytes");
     }
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -5,8 +5,8 @@
 //!
 //! The head row holds the revision of the fleet. Each accepted change adds a row, which is both the
 //! configuration change and its audit record. Both rows are written in one transaction that is
-//! conditional on the head row being unchanged. Periodically the whole configuration is written as a
-//! snapshot object, so that a new daemon need not read all changes.
+//! conditional on the head row being unchanged. Periodically the whole configuration is written as
+//! a snapshot object, so that a new daemon need not read all changes.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -37,8 +37,8 @@
 pub const SNAPSHOT_EVERY: u64 = 256;
 /// Maximum number of attempts to commit a change that conflicts with concurrent changes.
 const COMMIT_TRIES_MAX: u32 = 20;
-/// Maximum backoff between the attempts to commit a change: all attempts together take a few seconds
-/// at most, so that an operator soon gets an answer.
+/// Maximum backoff between the attempts to commit a change: all attempts together take a few
+/// seconds at most, so that an operator soon gets an answer.
 const CONTENDED_BACKOFF_MAX: Duration = Duration::from_millis(200);
 /// Maximum number of attempts to find out whether a change took effect whose answer was lost.
 const SETTLE_TRIES_MAX: u32 = 8;
@@ -145,8 +145,8 @@
         serde_json::from_slice(&content).map_err(malformed)
     }
 
-    /// Reads the latest snapshot, if there is one and none of its objects is missing; `pause` yields
-    /// between steps.
+    /// Reads the latest snapshot, if there is one and none of its objects is missing; `pause`
+    /// yields between steps.
     pub async fn snapshot(
         &self,
         pause: &impl AsyncFn(),
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The ledger of at-most-once requests: one row for each idempotency key, written before the request
-//! is dispatched.
+//! The ledger of at-most-once requests: one row for each idempotency key, written before the
+//! request is dispatched.
 //!
 //! Rows of concurrent requests are written in one transaction (group commit), since the platform
 //! accepts only a few hundred writes a second. Each row carries its writer's token, by which a
@@ -128,7 +128,7 @@
 struct WaitingClaim {
     row_key: String,
     entry: LedgerEntry,
-    since: Instant,
+    claimed_at: Instant,
     maybe_written: bool,
     reply: oneshot::Sender<ClaimOutcome>,
 }
@@ -184,7 +184,7 @@
         self.waiting.borrow_mut().push_back(WaitingClaim {
             row_key: key.row_key(),
             entry,
-            since: Instant::now(),
+            claimed_at: Instant::now(),
             maybe_written: false,
             reply,
         });
@@ -275,7 +275,7 @@
     /// Writes a group of claims in one transaction and replies to them. Returns whether the
     /// platform answered.
     async fn write_group(&self, group: Vec<WaitingClaim>) -> bool {
-        let checks = group.iter().map(|claim| absent(&claim.row_key)).collect();
+        let checks = group.iter().map(|claim| check_absent(&claim.row_key)).collect();
         let writes = group.iter().map(|claim| put(&claim.row_key, &claim.entry)).collect();
         self.transactions.set(self.transactions.get() + 1);
         match self.platform.transact(checks, writes).await {
@@ -343,7 +343,7 @@
     fn retry_or_refuse(&self, group: Vec<WaitingClaim>, may_have_happened: bool) {
         for mut claim in group {
             claim.maybe_written |= may_have_happened;
-            let has_timed_out = claim.since.elapsed() > SETTLE_TIME;
+            let has_timed_out = claim.claimed_at.elapsed() > SETTLE_TIME;
             if !claim.maybe_written {
                 let _ = claim.reply.send(ClaimOutcome::Unavailable);
             } else if has_timed_out {
@@ -400,7 +400,7 @@
     }
 }
 
-fn absent(key: &str) -> RowCheck {
+fn check_absent(key: &str) -> RowCheck {
     RowCheck { key: key.to_owned(), version: 0 }
 }
 
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -24,9 +24,9 @@
 /// Usual maximum duration of one long poll of the feed. Each poll costs as much as a read, so polls
 /// must not be short; a poll that hangs because of an outage must end soon after the outage.
 pub const FEED_WAIT: Duration = Duration::from_secs(8);
-/// Minimum duration of a long poll as a share of its maximum. When an outage leaves polls hanging at
-/// many daemons, this jitter spreads the times at which they end, and the first daemon that gets an
-/// answer notifies the others.
+/// Minimum duration of a long poll as a share of its maximum. When an outage leaves polls hanging
+/// at many daemons, this jitter spreads the times at which they end, and the first daemon that gets
+/// an answer notifies the others.
 const FEED_WAIT_MIN_SHARE: f64 = 0.4;
 
 /// Draws the duration of a long poll, at most `max_wait`.
@@ -93,8 +93,8 @@
 }
 
 impl TablePosition {
-    /// Returns whether an answer of `era` belongs to another history than this position. If either era
-    /// is unknown, the history is assumed to be the same.
+    /// Returns whether an answer of `era` belongs to another history than this position. If either
+    /// era is unknown, the history is assumed to be the same.
     fn differs_in_era(&self, era: Option<u64>) -> bool {
         matches!((self.era, era), (Some(known), Some(reported)) if known != reported)
     }
@@ -176,8 +176,8 @@
         Ok(rows.pop().filter(|row| row.key == key))
     }
 
-    /// Reads at most `limit` rows with a key prefix in the order of their keys, starting after the key
-    /// `after`.
+    /// Reads at most `limit` rows with a key prefix in the order of their keys, starting after the
+    /// key `after`.
     pub async fn scan(
         &self,
         prefix: &str,
@@ -241,8 +241,8 @@
         self.read_feed(after, self.count(reply)?)
     }
 
-    /// Polls the changes of a table after a position without waiting. Uses a new connection, since an
-    /// open connection may be dead.
+    /// Polls the changes of a table after a position without waiting. Uses a new connection, since
+    /// an open connection may be dead.
     pub async fn changes_now(
         &self,
         table: &str,
@@ -269,9 +269,9 @@
 
     /// Closes the idle connections, so that no later call uses one of them.
     ///
-    /// After a call without an answer, the idle connections may be dead, like the connection of that
-    /// call. Each dead connection would delay one more call until its timeout, which is 8.7 s for the
-    /// feed.
+    /// After a call without an answer, the idle connections may be dead, like the connection of
+    /// that call. Each dead connection would delay one more call until its timeout, which is 8.7 s
+    /// for the feed.
     pub fn close_idle_connections(&self) {
         self.client.close_idle();
         self.feeds.close_idle();
@@ -387,8 +387,8 @@
         Self { current: BACKOFF_MIN, max_delay }
     }
 
-    /// Returns the next delay: a random time between half and all of a duration that doubles with each
-    /// call, up to the maximum.
+    /// Returns the next delay: a random time between half and all of a duration that doubles with
+    /// each call, up to the maximum.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.current.mul_f64(rand::random_range(0.5..=1.0));
         self.current = (self.current * 2).min(self.max_delay);
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -6,9 +6,9 @@
 //! Removing a row too early would let an at-most-once request run twice. Wall clocks are therefore
 //! not used for expiry: a daemon whose clock is a day ahead would remove every row. Instead, rows
 //! carry the epoch in which they were written. One row of the table holds the current epoch. Only a
-//! daemon that has seen that row unchanged for [`EPOCH_TIME`], by its own monotonic clock, writes the
-//! next epoch. So an epoch never lasts less than [`EPOCH_TIME`]; pauses, restarts and outages only make it
-//! longer.
+//! daemon that has seen that row unchanged for [`EPOCH_TIME`], by its own monotonic clock, writes
+//! the next epoch. So an epoch never lasts less than [`EPOCH_TIME`]; pauses, restarts and outages
+//! only make it longer.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -31,11 +31,11 @@
 const SCAN_ROWS: usize = 200;
 /// Maximum number of rows changed in one transaction; each takes a check and a write.
 const BATCH_ROWS: usize = transaction::ENTRIES_MAX / 2;
-/// Maximum number of scans of one round, so that a round ends even if rows are added as fast as they
-/// are removed.
+/// Maximum number of scans of one round, so that a round ends even if rows are added as fast as
+/// they are removed.
 const SCANS_MAX: usize = 20;
-/// Number of partitions of the ledger, by the first two hexadecimal digits of the hashed key; a round
-/// sweeps one partition.
+/// Number of partitions of the ledger, by the first two hexadecimal digits of the hashed key; a
+/// round sweeps one partition.
 const PARTITIONS: u32 = 256;
 
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -1,8 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Ledger rows of at-most-once requests are removed once they expire, and never before: a row removed
-//! too early would let a request run twice. The tests pass in the time of the monotonic clock.
+//! Ledger rows of at-most-once requests are removed once they expire, and never before: a row
+//! removed too early would let a request run twice. The tests pass in the time of the monotonic
+//! clock.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -58,8 +59,8 @@
             .expect("faults");
     }
 
-    /// Runs a round `epochs` whole epochs after the start of the clock; returns the current epoch, or
-    /// `None` if the round failed.
+    /// Runs a round `epochs` whole epochs after the start of the clock; returns the current epoch,
+    /// or `None` if the round failed.
     async fn epoch_at(&self, epochs: u32) -> Option<u64> {
         self.retention.round(EPOCH_TIME * epochs).await.ok().map(|report| report.epoch)
     }
--- a/crates/store/tests/silence.rs
+++ b/crates/store/tests/silence.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// Answers each call with an empty page; a connection that becomes unresponsive answers only the first
-/// call.
+/// Answers each call with an empty page; a connection that becomes unresponsive answers only the
+/// first call.
 async fn answer(stream: TcpStream, becomes_unresponsive: bool) {
     let mut stream = HttpStream::new(stream);
     let body = serde_json::to_string(&PageBody::default()).expect("text");
