--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -51,7 +51,8 @@
     pub revision: FleetRevision,
     /// Name of the operator who made the change.
     pub actor: String,
-    /// Time of acceptance in Unix milliseconds, by the clock of the daemon that accepted the change.
+    /// Time of acceptance, in milliseconds since 1970 UTC, by the clock of the daemon that accepted
+    /// the change.
     pub at_ms: u64,
     /// Address that the request came from.
     pub from: String,
@@ -428,9 +429,9 @@
         self.limit_names.get(name)
     }
 
-    /// Updates the layout by the change `record`, at a cost proportional to the change. `before` and
-    /// `after` are the configurations before and after the change. Returns the names of the affected
-    /// services.
+    /// Updates the layout by the change `record`, at a cost proportional to the change. `before`
+    /// and `after` are the configurations before and after the change. Returns the names of the
+    /// affected services.
     pub fn update(
         &mut self,
         before: &FleetConfig,
--- a/crates/core/tests/blocks.rs
+++ b/crates/core/tests/blocks.rs
@@ -86,9 +86,9 @@
         let stored = blocks.get(&format!("n-{number:04}")).expect("stored");
         assert_eq!(stored.revision, FleetRevision(number as u64));
     }
-    assert!(!blocks.contains("a"), "before the first");
-    assert!(!blocks.contains("z"), "after the last");
-    assert!(!blocks.contains("n-0000x"), "between two");
+    assert!(!blocks.contains("a"), "a name before the first");
+    assert!(!blocks.contains("z"), "a name after the last");
+    assert!(!blocks.contains("n-0000x"), "a name between two others");
     assert_eq!(blocks.names().count(), blocks.len());
     for number in 0..3 * BLOCK_MAX {
         blocks.remove(&format!("n-{number:04}"));
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -40,7 +40,8 @@
 /// Maximum backoff between the attempts to commit a change: all attempts together take a few
 /// seconds at most, so that an operator soon gets an answer.
 const CONTENDED_BACKOFF_MAX: Duration = Duration::from_millis(200);
-/// Maximum number of attempts to find out whether a change took effect whose answer was lost.
+/// Maximum number of attempts to find out whether a change took effect after the store's answer
+/// was lost.
 const SETTLE_TRIES_MAX: u32 = 8;
 /// Maximum size of one object in bytes (4 MiB); the platform accepts 8 MiB.
 const OBJECT_BYTES_MAX: usize = 4 << 20;
@@ -285,7 +286,7 @@
         Ok(json!(ObjectValue { object }))
     }
 
-    /// Finds out whether a write took effect whose answer was lost.
+    /// Finds out whether a write took effect after the store's answer was lost.
     ///
     /// The same write is retried; its check ensures that it takes effect at most once. If the check
     /// fails, the token in the row of that revision shows which writer committed the revision.
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -43,7 +43,7 @@
         message: String,
     },
     /// The call exceeds this process's own rate limit and was not made.
-    #[snafu(display("this daemon's rate limit on calls to the platform is exhausted"))]
+    #[snafu(display("this process's rate limit on calls to the platform is exhausted"))]
     OverBudget,
 }
 
@@ -93,7 +93,7 @@
         source: StoreError,
     },
     /// It could not be determined whether the change took effect.
-    #[snafu(display("it is not known whether the change was accepted; look for writer {writer} in the audit trail"))]
+    #[snafu(display("it is unknown whether the change was accepted; look for writer {writer} in the audit trail"))]
     Unsettled {
         /// Token of the writer in the audit trail.
         writer: String,
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -6,7 +6,7 @@
 //!
 //! Rows of concurrent requests are written in one transaction (group commit), since the platform
 //! accepts only a few hundred writes a second. Each row carries its writer's token, by which a
-//! writer finds out whether a write took effect whose answer was lost.
+//! writer finds out whether a write took effect after the store's answer was lost.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -89,13 +89,13 @@
     pub writer: String,
     /// Digest of the request.
     pub digest: String,
-    /// Time of the claim in Unix milliseconds, by the writer's clock.
+    /// Time of the claim, in milliseconds since 1970 UTC, by the writer's clock.
     pub at_ms: u64,
     /// Epoch in which the row was written; 0 if the writer did not know it.
     #[serde(default)]
     pub epoch: u64,
-    /// The complete answer; absent until the request is finished, and for good if the answer is too
-    /// large.
+    /// The complete answer; absent until the request has finished, or if the answer was too large
+    /// or could not be recorded.
     pub answer: Option<KeptAnswer>,
 }
 
@@ -371,8 +371,8 @@
             writes.push(put(&token.row_key, &entry));
         }
         self.transactions.set(self.transactions.get() + 1);
-        // Recording answers is best effort: without a recorded answer, a later attempt gets
-        // the answer that the request was started, which is true.
+        // Recording answers is best effort: without a recorded answer, a later attempt gets the
+        // answer that the request was started, which is true.
         if let Err(error) = self.platform.transact(checks, writes).await {
             process::AnswersNotKept { error: &error.to_string() }.log();
         }
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The contract with the platform's store, against the simulated one: calls, conditions, change
-//! feed and outages.
+//! The contract with the platform's store: calls, conditions, change feed and outages, tested
+//! against a simulated store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -189,8 +189,8 @@
             );
         }
         // The clock of a new daemon may be high, but it has not seen the epoch before.
-        let newcomer = TestStore::at(store.address);
-        assert_eq!(newcomer.epoch_at(900).await, Some(2));
+        let new_daemon = TestStore::at(store.address);
+        assert_eq!(new_daemon.epoch_at(900).await, Some(2));
     });
 }
 
@@ -201,18 +201,18 @@
         let lagging = TestStore::at(store.address);
         assert_eq!(store.epoch_at(0).await, Some(1));
         assert_eq!(lagging.epoch_at(0).await, Some(1));
-        let past = json!({"reads_from_past_ms": 3_600_000});
-        store.faults(past.clone()).await;
+        let stale_reads = json!({"reads_from_past_ms": 3_600_000});
+        store.faults(stale_reads.clone()).await;
         store.faults(json!({})).await;
         assert_eq!(store.epoch_at(1).await, Some(2));
         assert_eq!(store.epoch_at(2).await, Some(3));
-        store.faults(past).await;
+        store.faults(stale_reads).await;
         // The lagging daemon reads the first epoch, which it has seen for hours, and tries to write
         // the second.
         assert_eq!(lagging.epoch_at(3).await, Some(1));
         store.faults(json!({})).await;
-        let newcomer = TestStore::at(store.address);
-        assert_eq!(newcomer.epoch_at(0).await, Some(3));
+        let new_daemon = TestStore::at(store.address);
+        assert_eq!(new_daemon.epoch_at(0).await, Some(3));
     });
 }
 
