--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -93,7 +93,9 @@
         source: StoreError,
     },
     /// It could not be determined whether the change took effect.
-    #[snafu(display("it is unknown whether the change was accepted; look for writer {writer} in the audit trail"))]
+    #[snafu(display(
+        "unknown whether the change was accepted; look for writer {writer} in the audit trail"
+    ))]
     Unsettled {
         /// Token of the writer in the audit trail.
         writer: String,
