--- a/crates/daemon/tests/adopting.rs
+++ b/crates/daemon/tests/adopting.rs
@@ -32,8 +32,8 @@
 
 fn config_at(revision: u64) -> (FleetConfig, ActiveConfig) {
     let mut config = FleetConfig::default();
-    for each in 1..=revision {
-        assert_eq!(config.apply(&record(each)), Ok(true));
+    for number in 1..=revision {
+        assert_eq!(config.apply(&record(number)), Ok(true));
     }
     let layout = ActiveConfig::build(&config);
     (config, layout)
@@ -42,9 +42,9 @@
 #[test]
 fn verify_a_snapshot_that_was_overtaken_while_it_was_read_changes_nothing() {
     let cell = ConfigCell::default();
-    let (slow, slow_layout) = config_at(3);
+    let (snapshot, snapshot_layout) = config_at(3);
     assert_eq!(cell.apply(&[record(1), record(2), record(3), record(4)], NOW), 4);
-    assert!(!cell.adopt(slow, slow_layout, NOW), "revision 4 was applied meanwhile");
+    assert!(!cell.adopt(snapshot, snapshot_layout, NOW), "revision 4 was applied meanwhile");
     assert_eq!(cell.revision(), FleetRevision(4));
     assert!(cell.active().has_organisation("shop-4"));
 }
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -82,7 +82,7 @@
 
     /// Requests the route of a document from a daemon; no request is served, as there are no
     /// servers.
-    fn status(&self, daemon: usize, version: u64) -> u16 {
+    fn request_status(&self, daemon: usize, version: u64) -> u16 {
         let path = format!("/added-{version}/x");
         self.fleet.request(daemon, "GET", &path, "asked").status
     }
@@ -95,39 +95,39 @@
     let proxied = ProxiedFleet::start("4000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.stores.iter().chain(&proxied.peers).for_each(Forwarder::silence);
-    let silent_at = Instant::now();
+    proxied.stores.iter().chain(&proxied.peers).for_each(Forwarder::black_hole);
+    let black_holed_at = Instant::now();
     proxied.write(3);
     let acked_at = Instant::now();
-    let bound = (silent_at + RECOVERY_GRACE).max(acked_at + IN_FORCE_MAX);
-    let mut late = Vec::new();
+    let deadline = (black_holed_at + RECOVERY_GRACE).max(acked_at + IN_FORCE_MAX);
+    let mut stale_answers = Vec::new();
     eventually("the document is in force everywhere", || {
         for (daemon, host) in HOSTS.iter().enumerate() {
             let sent_at = Instant::now();
-            if proxied.status(daemon, 3) == 404 && sent_at > bound {
-                late.push((host, sent_at - acked_at));
+            if proxied.request_status(daemon, 3) == 404 && sent_at > deadline {
+                stale_answers.push((host, sent_at - acked_at));
             }
         }
         thread::sleep(REQUEST_INTERVAL);
         proxied.fleet.daemons.iter().all(|daemon| daemon.revision() == 3)
     });
-    assert!(late.is_empty(), "answered 404 after the change: {late:?}");
+    assert!(stale_answers.is_empty(), "answered 404 after the change: {stale_answers:?}");
 }
 
 /// One daemon can't reach the store, all links have fallen silent, and no heartbeat is due for a
 /// minute.
 #[test]
-fn verify_a_document_arrives_although_links_fell_silent() {
-    const LAST: usize = HOSTS.len() - 1;
+fn verify_a_document_arrives_although_links_are_black_holed() {
+    const CUT_OFF: usize = HOSTS.len() - 1;
     let proxied = ProxiedFleet::start("60000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.stores[LAST].cuts.forward.store(true, Ordering::SeqCst);
-    proxied.stores[LAST].cuts.back.store(true, Ordering::SeqCst);
-    proxied.peers.iter().for_each(Forwarder::silence);
+    proxied.stores[CUT_OFF].cuts.forward.store(true, Ordering::SeqCst);
+    proxied.stores[CUT_OFF].cuts.backward.store(true, Ordering::SeqCst);
+    proxied.peers.iter().for_each(Forwarder::black_hole);
     proxied.write(3);
     proxied.wait_revision(3);
-    let log = proxied.fleet.daemons[LAST].log_text();
+    let log = proxied.fleet.daemons[CUT_OFF].log_text();
     assert!(log.contains("store call given up"), "the silent call was not given up");
 }
 
@@ -137,17 +137,21 @@
 fn verify_unknown_routes_cause_few_freshness_checks() {
     let proxied = ProxiedFleet::start("4000");
     let began = Instant::now();
-    let questions = || proxied.fleet.daemons[0].metric("configuration_questions");
+    let check_count = || proxied.fleet.daemons[0].metric("configuration_questions");
     let mut requests = 0;
     eventually("three freshness checks were made", || {
         for _ in 0..100 {
-            assert_eq!(proxied.status(0, 99), 404);
+            assert_eq!(proxied.request_status(0, 99), 404);
             requests += 1;
         }
-        questions() >= 3.0
+        check_count() >= 3.0
     });
-    let most = 1.0 + began.elapsed().as_secs_f64() / CERTAIN_FOR.as_secs_f64();
-    assert!(questions() <= most, "{} freshness checks, at most {most}", questions());
+    let most_checks = 1.0 + began.elapsed().as_secs_f64() / CERTAIN_FOR.as_secs_f64();
+    assert!(
+        check_count() <= most_checks,
+        "{} freshness checks, at most {most_checks}",
+        check_count()
+    );
     assert!(requests >= 300, "{requests} requests");
 }
 
@@ -158,33 +162,33 @@
     let proxied = ProxiedFleet::start("4000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.fleet.platform.faults(json!({"busy": true}));
+    proxied.fleet.platform.set_faults(json!({"busy": true}));
     // Until then a peer may hold a confirmation and send it late to a daemon that has stopped
     // waiting.
     let busy_since = Instant::now();
     eventually("all confirmations have expired", || busy_since.elapsed() > CERTAIN_FOR);
-    assert_eq!(proxied.status(0, 99), 503);
+    assert_eq!(proxied.request_status(0, 99), 503);
     let reply = proxied.fleet.request(0, "GET", "/added-99/x", "asked");
     assert_eq!(reply.header("basaltarch-reason").as_deref(), Some("configuration-unsure"));
     assert!(reply.header("retry-after").is_some());
     let known = proxied.fleet.request(0, "GET", "/added-2/x", "asked");
     assert_eq!(known.header("basaltarch-reason").as_deref(), Some("no-upstream"));
-    proxied.fleet.platform.faults(json!({}));
-    eventually("there is a confirmation again", || proxied.status(0, 99) == 404);
+    proxied.fleet.platform.set_faults(json!({}));
+    eventually("there is a confirmation again", || proxied.request_status(0, 99) == 404);
 }
 
 /// A daemon that can't reach the store uses the confirmation of peers that can.
 #[test]
 fn verify_the_confirmation_of_a_peer_suffices() {
     let proxied = ProxiedFleet::start("4000");
-    let last = HOSTS.len() - 1;
-    let cuts = &proxied.stores[last].cuts;
+    let cut_off = HOSTS.len() - 1;
+    let cuts = &proxied.stores[cut_off].cuts;
     cuts.forward.store(true, Ordering::SeqCst);
-    cuts.back.store(true, Ordering::SeqCst);
+    cuts.backward.store(true, Ordering::SeqCst);
     for _ in 0..3 {
         // The others ask the store, and the last daemon asks them.
         eventually("a peer has a confirmation of the store and forwards it", || {
-            proxied.status(0, 99) == 404 && proxied.status(last, 99) == 404
+            proxied.request_status(0, 99) == 404 && proxied.request_status(cut_off, 99) == 404
         });
     }
 }
@@ -192,11 +196,11 @@
 /// While an unreadable document is later than the one in force, no daemon is certain of its
 /// configuration; the next readable document ends that.
 #[test]
-fn verify_an_unreadable_document_leaves_no_daemon_certain() {
+fn verify_after_an_unreadable_document_no_route_is_reported_missing() {
     let proxied = ProxiedFleet::start("4000");
-    assert_eq!(proxied.status(0, 99), 404);
+    assert_eq!(proxied.request_status(0, 99), 404);
     proxied.fleet.write_text(r#"{"version": "nine"}"#);
-    eventually("it was read", || proxied.status(0, 99) == 503);
+    eventually("it was read", || proxied.request_status(0, 99) == 503);
     proxied.write(9);
-    eventually("the next is in force", || proxied.status(0, 99) == 404);
+    eventually("the next is in force", || proxied.request_status(0, 99) == 404);
 }
--- a/crates/daemon/tests/bounds.rs
+++ b/crates/daemon/tests/bounds.rs
@@ -17,16 +17,17 @@
 /// Memory of the daemon in MB, and its descriptors: each allows 744 and 750 callers' connections.
 const MEMORY_MB: u64 = 48;
 const DESCRIPTORS: u64 = 1500;
-const ALLOWED: usize = 744;
+const CONNECTIONS_ALLOWED: usize = 744;
 /// Connections that callers try to open.
-const ASKED: usize = 900;
+const CONNECTIONS_TRIED: usize = 900;
 
-fn descriptors(daemon: &TestDaemon) -> u64 {
-    fs::read_dir(format!("/proc/{}/fd", daemon.id())).expect("fd").count() as u64
+fn open_descriptors(daemon: &TestDaemon) -> u64 {
+    fs::read_dir(format!("/proc/{}/fd", daemon.process_id())).expect("fd").count() as u64
 }
 
-fn resident_mb(daemon: &TestDaemon) -> u64 {
-    let status = fs::read_to_string(format!("/proc/{}/status", daemon.id())).expect("status");
+fn peak_resident_mb(daemon: &TestDaemon) -> u64 {
+    let status =
+        fs::read_to_string(format!("/proc/{}/status", daemon.process_id())).expect("status");
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("peak");
     let kib: u64 = line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).expect("number");
     kib / 1024
@@ -35,43 +36,51 @@
 /// Sends a request on a connection that stays open; returns whether it was answered.
 fn is_served(stream: &mut TcpStream, id: usize) -> bool {
     let text = format!("GET /safe/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: many-{id}\r\n\r\n");
-    let mut start = [0; 15];
+    let mut status_line = [0; 15];
     // A connection that was refused may break at either step.
     stream.write_all(text.as_bytes()).is_ok()
-        && stream.read_exact(&mut start).is_ok()
-        && &start == b"HTTP/1.1 200 OK"
+        && stream.read_exact(&mut status_line).is_ok()
+        && &status_line == b"HTTP/1.1 200 OK"
 }
 
 #[test]
 fn verify_many_callers_leave_the_daemon_within_its_memory_and_descriptors() {
     let mut fleet = RegisteredFleet::start(1);
     fleet.daemons[0].kill();
-    let (memory, files) = (MEMORY_MB.to_string(), DESCRIPTORS.to_string());
+    let (memory_limit, descriptor_limit) = (MEMORY_MB.to_string(), DESCRIPTORS.to_string());
     let extra_flags = [
-        ("memory-mb", memory.as_str()),
-        ("descriptors", files.as_str()),
-        ("connections-each", files.as_str()),
+        ("memory-mb", memory_limit.as_str()),
+        ("descriptors", descriptor_limit.as_str()),
+        ("connections-each", descriptor_limit.as_str()),
     ];
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &extra_flags);
     assert_eq!(fleet.send_heartbeat(0, false).status, 200);
     fleet.wait_served(0, &[0]);
     let daemon = &fleet.daemons[0];
-    let before = descriptors(daemon);
-    let mut streams: Vec<TcpStream> = (0..ASKED).map(|_| client::connect(daemon.callers)).collect();
+    let descriptors_before = open_descriptors(daemon);
+    let mut streams: Vec<TcpStream> =
+        (0..CONNECTIONS_TRIED).map(|_| client::connect(daemon.callers)).collect();
     let served = streams
         .iter_mut()
         .enumerate()
         .filter_map(|(id, stream)| is_served(stream, id).then_some(()));
     let served = served.count();
-    assert!((ALLOWED - 1..=ALLOWED).contains(&served), "{served} connections served");
-    assert!(descriptors(daemon) <= before + ALLOWED as u64 + 8, "{}", descriptors(daemon));
-    assert!(descriptors(daemon) < DESCRIPTORS);
-    assert!(resident_mb(daemon) < MEMORY_MB, "{} MB", resident_mb(daemon));
+    assert!(
+        (CONNECTIONS_ALLOWED - 1..=CONNECTIONS_ALLOWED).contains(&served),
+        "{served} connections served"
+    );
+    assert!(
+        open_descriptors(daemon) <= descriptors_before + CONNECTIONS_ALLOWED as u64 + 8,
+        "{}",
+        open_descriptors(daemon)
+    );
+    assert!(open_descriptors(daemon) < DESCRIPTORS);
+    assert!(peak_resident_mb(daemon) < MEMORY_MB, "{} MB", peak_resident_mb(daemon));
     drop(streams);
     eventually("new connections are served once these are closed", || {
         let mut stream = client::connect(daemon.callers);
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
-        is_served(&mut stream, ASKED)
+        is_served(&mut stream, CONNECTIONS_TRIED)
     });
 }
 
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -45,7 +45,7 @@
     runtime::run(test).expect("runtime");
 }
 
-fn dispatch(id: &str) -> PeerFrame {
+fn dispatch_frame(id: &str) -> PeerFrame {
     let lines = format!("host: {}\r\nrequest-id: {id}\r\n", common::registered::HOST);
     let head = DispatchHead {
         service_name: SERVICE.to_owned(),
@@ -84,7 +84,7 @@
     let fleet = RegisteredFleet::start(1);
     fleet.wait_served(0, &[0]);
     let server = &fleet.backends[0];
-    let before = server.total();
+    let before = server.total_runs();
     let peers = fleet.daemons[0].peers;
     let test = async {
         let stream = TcpStream::connect(peers).await.expect("connect");
@@ -102,11 +102,14 @@
         handshake::run(&mut reader, &mut writer, side, &identity, key).await.expect("handshake");
         let mut buffer = BytesMut::new();
         let cancel = FrameBody::Cancel(CancelNotice { caller_gone: true });
-        let gone = [
-            PeerFrame { exchange: 1, ..dispatch("gone") },
+        let frames_of_cancelled = [
+            PeerFrame { exchange: 1, ..dispatch_frame("gone") },
             PeerFrame { exchange: 1, body: cancel },
         ];
-        for frame in gone.iter().chain(&[PeerFrame { exchange: 2, ..dispatch("stays") }]) {
+        for frame in frames_of_cancelled
+            .iter()
+            .chain(&[PeerFrame { exchange: 2, ..dispatch_frame("stays") }])
+        {
             frames::encode(frame, &mut buffer).expect("a frame");
         }
         writer.write_all(buffer.freeze()).await.0.expect("write");
@@ -118,6 +121,6 @@
         }
     };
     runtime::run(test).expect("runtime");
-    assert_eq!((server.ran("gone"), server.ran("stays")), (0, 1));
-    assert_eq!(server.total(), before + 1);
+    assert_eq!((server.run_count("gone"), server.run_count("stays")), (0, 1));
+    assert_eq!(server.total_runs(), before + 1);
 }
--- a/crates/daemon/tests/common/backend.rs
+++ b/crates/daemon/tests/common/backend.rs
@@ -52,7 +52,7 @@
         Self { name: name.to_owned(), address: receiver.recv().expect("backend server starts") }
     }
 
-    pub fn faults(&self, faults: Value) {
+    pub fn set_faults(&self, faults: Value) {
         let reply =
             client::call(self.address, "PUT", backend::FAULTS_PATH, &[], &faults.to_string());
         assert_eq!(reply.status, 200, "{}", reply.text());
@@ -62,12 +62,12 @@
         client::call(self.address, "GET", backend::RUNS_PATH, &[], "").json()
     }
 
-    pub fn total(&self) -> u64 {
+    pub fn total_runs(&self) -> u64 {
         self.runs()["total"].as_u64().expect("total")
     }
 
     /// Returns how often the request with this id ran here.
-    pub fn ran(&self, id: &str) -> u64 {
+    pub fn run_count(&self, id: &str) -> u64 {
         self.runs()["by_id"][id].as_u64().unwrap_or(0)
     }
 }
--- a/crates/daemon/tests/common/client.rs
+++ b/crates/daemon/tests/common/client.rs
@@ -9,7 +9,7 @@
 
 use serde_json::Value;
 
-const TIMEOUT: Duration = Duration::from_secs(40);
+const READ_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A reply as it was received.
 #[derive(Debug, Clone, Default)]
@@ -49,7 +49,7 @@
 /// Connects to a daemon, backend server or platform.
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("connect");
-    stream.set_read_timeout(Some(TIMEOUT)).expect("timeout");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("timeout");
     stream.set_nodelay(true).expect("nodelay");
     stream
 }
@@ -91,14 +91,14 @@
     body: &str,
 ) -> Option<Reply> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(TIMEOUT)).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let text = request_text(method, path, headers, body);
     stream.write_all(text.as_bytes()).ok()?;
     read_reply(&mut stream, method)
 }
 
 /// Sends raw bytes and reads the reply.
-pub fn raw(address: SocketAddr, bytes: &[u8]) -> Option<Reply> {
+pub fn send_raw(address: SocketAddr, bytes: &[u8]) -> Option<Reply> {
     let mut stream = connect(address);
     stream.write_all(bytes).ok()?;
     read_reply(&mut stream, "GET")
@@ -108,7 +108,7 @@
 pub fn read_reply(stream: &mut TcpStream, method: &str) -> Option<Reply> {
     let mut buffer = Vec::new();
     loop {
-        let reply = read_one(stream, method, &mut buffer)?;
+        let reply = read_next_reply(stream, method, &mut buffer)?;
         if reply.status >= 200 {
             return Some(reply);
         }
@@ -116,7 +116,11 @@
 }
 
 /// Reads one reply; bytes that follow it stay in `buffer`.
-pub fn read_one(stream: &mut TcpStream, method: &str, buffer: &mut Vec<u8>) -> Option<Reply> {
+pub fn read_next_reply(
+    stream: &mut TcpStream,
+    method: &str,
+    buffer: &mut Vec<u8>,
+) -> Option<Reply> {
     let end = loop {
         if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             break end + 4;
@@ -136,9 +140,9 @@
     }
     let length = reply.header("content-length").and_then(|text| text.parse().ok());
     match length {
-        Some(length) => read_length(stream, buffer, length, &mut reply),
+        Some(length) => read_sized_body(stream, buffer, length, &mut reply),
         None if reply.header("transfer-encoding").is_some() => {
-            read_chunks(stream, buffer, &mut reply)
+            read_chunked_body(stream, buffer, &mut reply)
         }
         None => while fill(stream, &mut reply.body) {},
     }
@@ -161,13 +165,13 @@
     }
 }
 
-fn read_length(stream: &mut TcpStream, buffer: &mut Vec<u8>, length: usize, reply: &mut Reply) {
+fn read_sized_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, length: usize, reply: &mut Reply) {
     while buffer.len() < length && fill(stream, buffer) {}
     reply.complete = buffer.len() >= length;
     reply.body = buffer.drain(..length.min(buffer.len())).collect();
 }
 
-fn read_chunks(stream: &mut TcpStream, buffer: &mut Vec<u8>, reply: &mut Reply) {
+fn read_chunked_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, reply: &mut Reply) {
     loop {
         let line_end = loop {
             if let Some(end) = buffer.windows(2).position(|window| window == b"\r\n") {
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -37,28 +37,33 @@
 
 impl TestDaemon {
     /// Starts a daemon that logs into a file.
-    pub fn start(platform: SocketAddr, host: &str, domain: &str, extra: &[(&str, &str)]) -> Self {
+    pub fn start(
+        platform: SocketAddr,
+        host: &str,
+        domain: &str,
+        extra_flags: &[(&str, &str)],
+    ) -> Self {
         let log = logs::new_path(host);
         let file = File::create(&log).expect("log file");
-        let errors = file.try_clone().expect("log file");
-        let mut command = daemon_command(platform, host, domain, extra);
+        let stderr_file = file.try_clone().expect("log file");
+        let mut command = daemon_command(platform, host, domain, extra_flags);
         let child = command
             .stdout(Stdio::from(file))
-            .stderr(Stdio::from(errors))
+            .stderr(Stdio::from(stderr_file))
             .spawn()
             .expect("daemon starts");
         let line = logs::wait_line(&log, "listening");
-        Self::listening(child, log, &line, host, domain)
+        Self::from_start_line(child, log, &line, host, domain)
     }
 
-    /// Starts a daemon whose standard output is a pipe, read up to the line `listening`.
+    /// Starts a daemon whose standard output is a pipe, read up to the line `from_start_line`.
     pub fn start_piped(
         platform: SocketAddr,
         host: &str,
         domain: &str,
-        extra: &[(&str, &str)],
+        extra_flags: &[(&str, &str)],
     ) -> Self {
-        let mut command = daemon_command(platform, host, domain, extra);
+        let mut command = daemon_command(platform, host, domain, extra_flags);
         let mut child = command.stdout(Stdio::piped()).spawn().expect("daemon starts");
         let mut output = BufReader::new(child.stdout.take().expect("output"));
         let mut line = Value::Null;
@@ -67,12 +72,12 @@
             assert!(output.read_line(&mut text).expect("output") > 0, "the daemon ended");
             line = serde_json::from_str(&text).unwrap_or(Value::Null);
         }
-        let mut daemon = Self::listening(child, logs::new_path(host), &line, host, domain);
+        let mut daemon = Self::from_start_line(child, logs::new_path(host), &line, host, domain);
         daemon.output = Some(output);
         daemon
     }
 
-    fn listening(child: Child, log: PathBuf, line: &Value, host: &str, domain: &str) -> Self {
+    fn from_start_line(child: Child, log: PathBuf, line: &Value, host: &str, domain: &str) -> Self {
         let address = |field: &str| line[field].as_str().expect(field).parse().expect(field);
         let parse = |text: &str| text.parse().expect("address");
         Self {
@@ -94,7 +99,7 @@
         self.log.to_str().expect("path").to_owned()
     }
 
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
@@ -109,7 +114,7 @@
     }
 
     /// Waits for the end of the process and returns its status.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_exit(&mut self) -> ExitStatus {
         let mut status = None;
         eventually("the daemon ends", || {
             status = self.child.try_wait().expect("wait");
@@ -124,9 +129,9 @@
 
     pub fn call(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
         let bearer = format!("Bearer {TOKEN}");
-        let mut all = vec![("Authorization", bearer.as_str())];
-        all.extend_from_slice(headers);
-        client::call(self.admin, method, path, &all, body)
+        let mut all_headers = vec![("Authorization", bearer.as_str())];
+        all_headers.extend_from_slice(headers);
+        client::call(self.admin, method, path, &all_headers, body)
     }
 
     pub fn get(&self, path: &str) -> Value {
@@ -174,7 +179,7 @@
             let tail: Vec<&str> = text.lines().rev().take(60).collect();
             eprintln!("-- log of {}, last line first\n{}", self.host, tail.join("\n"));
         }
-        logs::keep_events(&self.log);
+        logs::save_event_names(&self.log);
         let _ = fs::remove_file(&self.log);
     }
 }
@@ -183,7 +188,7 @@
     platform: SocketAddr,
     host: &str,
     domain: &str,
-    extra: &[(&str, &str)],
+    extra_flags: &[(&str, &str)],
 ) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_basaltarchd"));
     command
@@ -194,7 +199,7 @@
         .env("BASALTARCH_DRAIN_MS", "20000")
         // Logs every request, so that a failed test can be traced.
         .env("BASALTARCH_LOG_REQUESTS", "1000000");
-    for (flag, value) in extra {
+    for (flag, value) in extra_flags {
         command.arg(format!("--{flag}")).arg(value);
     }
     command
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -92,9 +92,9 @@
     pub fn restart_all(&mut self, flags: &[(&str, &str)]) {
         self.daemons.iter_mut().for_each(TestDaemon::kill);
         for daemon in &mut self.daemons {
-            let started =
+            let restarted =
                 TestDaemon::start(self.platform.address, &daemon.host, &daemon.domain, flags);
-            *daemon = started;
+            *daemon = restarted;
         }
         self.wait_members();
     }
@@ -155,14 +155,14 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> Reply {
-        let mut all = vec![("Host", "solver.example")];
-        all.extend_from_slice(headers);
-        client::call(self.daemons[daemon].callers, method, path, &all, body)
+        let mut all_headers = vec![("Host", "solver.example")];
+        all_headers.extend_from_slice(headers);
+        client::call(self.daemons[daemon].callers, method, path, &all_headers, body)
     }
 
     /// Returns how often a request ran on any backend server.
-    pub fn ran(&self, id: &str) -> u64 {
-        self.backends.iter().map(|backend| backend.ran(id)).sum()
+    pub fn run_count(&self, id: &str) -> u64 {
+        self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
 
     /// Checks that no daemon has violated a floor or panicked.
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -19,23 +19,23 @@
     /// Nothing is forwarded from the side that connected.
     pub forward: AtomicBool,
     /// Nothing is forwarded back to the side that connected.
-    pub back: AtomicBool,
+    pub backward: AtomicBool,
     /// New connections are closed at once.
     pub refuse: AtomicBool,
     /// Connections up to this number are silent: what is sent is read and dropped, and they stay
     /// open.
-    silent_to: AtomicU64,
+    black_holed_to: AtomicU64,
     /// Number of connections so far.
-    opened: AtomicU64,
+    opened_count: AtomicU64,
     /// Hosts whose links are cut; all when empty. A daemon names its host in its first frame.
-    pub only: Mutex<Vec<String>>,
+    pub only_hosts: Mutex<Vec<String>>,
 }
 
 impl Cuts {
     fn applies_to(&self, first_frame: &[u8]) -> bool {
-        let only = self.only.lock().expect("lock");
+        let only_hosts = self.only_hosts.lock().expect("lock");
         let names = |host: &String| first_frame.windows(host.len()).any(|w| w == host.as_bytes());
-        only.is_empty() || only.iter().any(names)
+        only_hosts.is_empty() || only_hosts.iter().any(names)
     }
 }
 
@@ -44,7 +44,7 @@
     pub address: SocketAddr,
     pub cuts: Arc<Cuts>,
     target: Arc<Mutex<Option<SocketAddr>>>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    open_streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Forwarder {
@@ -54,16 +54,16 @@
             address: listener.local_addr().expect("address"),
             cuts: Arc::default(),
             target: Arc::default(),
-            open: Arc::default(),
+            open_streams: Arc::default(),
         };
         let cuts = forwarder.cuts.clone();
         let target = forwarder.target.clone();
-        let open = forwarder.open.clone();
+        let open_streams = forwarder.open_streams.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let address = *target.lock().expect("lock");
                 if let (Some(address), false) = (address, cuts.refuse.load(Ordering::SeqCst)) {
-                    forward_connection(stream, address, &cuts, &open);
+                    forward_connection(stream, address, &cuts, &open_streams);
                 }
             }
         });
@@ -75,13 +75,15 @@
     }
 
     /// Silences every open connection permanently; new connections work.
-    pub fn silence(&self) {
-        self.cuts.silent_to.store(self.cuts.opened.load(Ordering::SeqCst), Ordering::SeqCst);
+    pub fn black_hole(&self) {
+        self.cuts
+            .black_holed_to
+            .store(self.cuts.opened_count.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
     /// Closes every connection.
     pub fn break_all(&self) {
-        for stream in self.open.lock().expect("lock").drain(..) {
+        for stream in self.open_streams.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
@@ -91,38 +93,38 @@
     near: TcpStream,
     address: SocketAddr,
     cuts: &Arc<Cuts>,
-    open: &Arc<Mutex<Vec<TcpStream>>>,
+    open_streams: &Arc<Mutex<Vec<TcpStream>>>,
 ) {
     let far = match TcpStream::connect(address) {
         Ok(far) => far,
         Err(_) => return,
     };
-    let mut list = open.lock().expect("lock");
-    list.push(near.try_clone().expect("clone"));
-    list.push(far.try_clone().expect("clone"));
+    let mut streams = open_streams.lock().expect("lock");
+    streams.push(near.try_clone().expect("clone"));
+    streams.push(far.try_clone().expect("clone"));
     let (near_read, far_write) =
         (near.try_clone().expect("clone"), far.try_clone().expect("clone"));
-    let number = cuts.opened.fetch_add(1, Ordering::SeqCst) + 1;
-    let is_silent = |cuts: &Arc<Cuts>| {
+    let number = cuts.opened_count.fetch_add(1, Ordering::SeqCst) + 1;
+    let is_black_holed = |cuts: &Arc<Cuts>| {
         let cuts = cuts.clone();
-        move || number <= cuts.silent_to.load(Ordering::SeqCst)
+        move || number <= cuts.black_holed_to.load(Ordering::SeqCst)
     };
-    let (silent_forward, silent_back) = (is_silent(cuts), is_silent(cuts));
+    let (black_holed_forward, black_holed_backward) = (is_black_holed(cuts), is_black_holed(cuts));
     let first_frame = Arc::<OnceLock<Vec<u8>>>::default();
     let forward = (cuts.clone(), first_frame.clone());
-    let back = (cuts.clone(), first_frame.clone());
+    let backward = (cuts.clone(), first_frame.clone());
     thread::spawn(move || {
         let (cuts, first) = &forward;
-        pump(near_read, far_write, silent_forward, |chunk| {
+        pump(near_read, far_write, black_holed_forward, |chunk| {
             let first = first.get_or_init(|| chunk.to_vec());
             cuts.forward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
     thread::spawn(move || {
-        let (cuts, first) = &back;
-        pump(far, near, silent_back, |_| {
+        let (cuts, first) = &backward;
+        pump(far, near, black_holed_backward, |_| {
             let first = first.get().map_or(&[][..], Vec::as_slice);
-            cuts.back.load(Ordering::SeqCst) && cuts.applies_to(first)
+            cuts.backward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
 }
@@ -130,7 +132,7 @@
 fn pump(
     mut from: TcpStream,
     mut to: TcpStream,
-    is_silent: impl Fn() -> bool,
+    is_black_holed: impl Fn() -> bool,
     is_cut: impl Fn(&[u8]) -> bool,
 ) {
     let mut chunk = [0; 16384];
@@ -139,17 +141,17 @@
             Ok(count) if count > 0 => count,
             _ => break,
         };
-        while is_cut(&chunk[..count]) && !is_silent() {
+        while is_cut(&chunk[..count]) && !is_black_holed() {
             thread::sleep(POLL_INTERVAL);
         }
-        if is_silent() {
+        if is_black_holed() {
             continue;
         }
         if to.write_all(&chunk[..count]).is_err() {
             break;
         }
     }
-    if is_silent() {
+    if is_black_holed() {
         return;
     }
     let _ = to.shutdown(std::net::Shutdown::Both);
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -23,7 +23,7 @@
     pub host: String,
     pub callers: SocketAddr,
     pub admin: SocketAddr,
-    suspends: Sender<Duration>,
+    suspend_sender: Sender<Duration>,
 }
 
 impl InlineDaemon {
@@ -37,7 +37,7 @@
             ..RawOptions::default()
         };
         let options = DaemonOptions::try_new(raw).expect("settings");
-        let (suspends, suspend_requests) = mpsc::channel();
+        let (suspend_sender, suspend_requests) = mpsc::channel();
         let (sender, receiver) = mpsc::channel();
         thread::spawn(move || {
             let on_start = |state: &Rc<DaemonState>| {
@@ -48,12 +48,12 @@
             runtime::run(running).expect("runtime").expect("daemon");
         });
         let (callers, admin) = receiver.recv().expect("daemon starts");
-        Self { host: host.to_owned(), callers, admin, suspends }
+        Self { host: host.to_owned(), callers, admin, suspend_sender }
     }
 
     /// Simulates a suspend of the host of this length, without waiting.
     pub fn suspend(&self, length: Duration) {
-        self.suspends.send(length).expect("the daemon runs");
+        self.suspend_sender.send(length).expect("the daemon runs");
     }
 }
 
--- a/crates/daemon/tests/common/logs.rs
+++ b/crates/daemon/tests/common/logs.rs
@@ -22,23 +22,23 @@
 
 /// Waits for a line with this message.
 pub fn wait_line(log: &std::path::Path, message: &str) -> Value {
-    let mut found = Value::Null;
+    let mut matching_line = Value::Null;
     eventually("a line in the log", || {
         let file = File::open(log).expect("log");
         for line in BufReader::new(file).lines().map_while(Result::ok) {
             let value: Value = serde_json::from_str(&line).unwrap_or(Value::Null);
             if value["message"] == message {
-                found = value;
+                matching_line = value;
                 return true;
             }
         }
         false
     });
-    found
+    matching_line
 }
 
 /// Saves the names of the events in a log, for scripts/check-events.
-pub fn keep_events(log: &std::path::Path) {
+pub fn save_event_names(log: &std::path::Path) {
     let text = fs::read_to_string(log).unwrap_or_default();
     let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     let names: BTreeSet<String> =
--- a/crates/daemon/tests/common/operator.rs
+++ b/crates/daemon/tests/common/operator.rs
@@ -18,22 +18,22 @@
     daemon: &TestDaemon,
     name: &str,
     title: &str,
-    guard: (&str, &str),
+    precondition: (&str, &str),
 ) -> client::Reply {
     let path = format!("/v1/organisations/{name}");
-    daemon.call("PUT", &path, &[guard], &json!({"title": title}).to_string())
+    daemon.call("PUT", &path, &[precondition], &json!({"title": title}).to_string())
 }
 
-pub const ANY: (&str, &str) = ("If-Match", "*");
+pub const ANY_REVISION: (&str, &str) = ("If-Match", "*");
 
 /// Checks that the audit trail has one record for each revision, and each change once and in order.
 pub fn check_audit(fleet: &TestFleet, revisions: u64) {
     for daemon in &fleet.daemons {
         let audit = daemon.get("/v1/audit?after=0");
         let records = audit["records"].as_array().expect("records").clone();
-        let seen: Vec<u64> =
+        let record_revisions: Vec<u64> =
             records.iter().map(|record| record["revision"].as_u64().expect("revision")).collect();
-        assert_eq!(seen, (1..=revisions).collect::<Vec<u64>>());
+        assert_eq!(record_revisions, (1..=revisions).collect::<Vec<u64>>());
         let mut state: BTreeMap<String, Value> = BTreeMap::new();
         for record in &records {
             assert!(record["actor"].as_str().is_some_and(|actor| !actor.is_empty()));
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -42,7 +42,7 @@
         Self { address, second }
     }
 
-    pub fn faults(&self, faults: Value) {
+    pub fn set_faults(&self, faults: Value) {
         let reply =
             client::call(self.address, "PUT", platform::FAULTS_PATH, &[], &faults.to_string());
         assert_eq!(reply.status, 204, "{}", reply.text());
@@ -68,17 +68,17 @@
     pub fn rows(&self, table: &str) -> Vec<Value> {
         let path = format!("{}?table={table}&part=", rows::READ_PATH);
         let page = client::call(self.address, "GET", &path, &[], "").json();
-        let value = |row: &Value| {
+        let decoded_value = |row: &Value| {
             let bytes = rows::decode_value(row["value"].as_str()?).ok()?;
             serde_json::from_slice(&bytes).ok()
         };
-        page["rows"].as_array().into_iter().flatten().filter_map(value).collect()
+        page["rows"].as_array().into_iter().flatten().filter_map(decoded_value).collect()
     }
 
     /// Writes or removes a row without any checks, as a writer other than its daemon.
-    pub fn change_row(&self, method: &str, table: &str, key: &str, value: &str) {
+    pub fn change_row(&self, method: &str, table: &str, key: &str, decoded_value: &str) {
         let path = format!("{}{table}/{key}", platform::ROWS_CONTROL_PATH);
-        let reply = client::call(self.address, method, &path, &[], value);
+        let reply = client::call(self.address, method, &path, &[], decoded_value);
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
 }
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -142,8 +142,8 @@
     }
 
     /// Writes the operator's document.
-    pub fn write(&self, wanted: &ConfigDocument) {
-        let text = String::from_utf8(document::write(wanted)).expect("text");
+    pub fn write(&self, new_document: &ConfigDocument) {
+        let text = String::from_utf8(document::write(new_document)).expect("text");
         self.write_text(&text);
     }
 
@@ -222,14 +222,14 @@
     }
 
     /// Waits until a daemon has sent requests to each of these backend servers.
-    pub fn wait_served(&self, daemon: usize, wanted: &[usize]) {
+    pub fn wait_served(&self, daemon: usize, new_document: &[usize]) {
         let mut number = 0;
         eventually("every backend server receives requests", || {
             for _ in 0..20 {
                 number += 1;
                 self.request(daemon, "GET", "/safe/x", &format!("wait-{daemon}-{number}"));
             }
-            wanted.iter().all(|index| {
+            new_document.iter().all(|index| {
                 let runs = self.backends[*index].runs();
                 runs["by_id"]
                     .as_object()
@@ -241,8 +241,8 @@
     }
 
     /// Returns how often a request ran on any backend server.
-    pub fn ran(&self, id: &str) -> u64 {
-        self.backends.iter().map(|backend| backend.ran(id)).sum()
+    pub fn run_count(&self, id: &str) -> u64 {
+        self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
 
     pub fn is_ready(&self, daemon: usize) -> bool {
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -9,22 +9,23 @@
 
 use basaltarch_core::organisations::KeyDigest;
 use common::fleet::SHOP_KEY;
-use common::operator::{check_audit, fleet_of, put_organisation, ANY};
+use common::operator::{check_audit, fleet_of, put_organisation, ANY_REVISION};
 use common::{client, eventually};
 use serde_json::{json, Value};
 
 #[test]
-fn verify_each_bad_change_has_its_answer() {
+fn verify_each_invalid_change_is_refused_with_its_status_and_cause() {
     let fleet = fleet_of(1);
     let daemon = &fleet.daemons[0];
-    let put = |path: &str, value: Value| daemon.call("PUT", path, &[ANY], &value.to_string());
+    let put =
+        |path: &str, value: Value| daemon.call("PUT", path, &[ANY_REVISION], &value.to_string());
     let server = daemon.get("/v1/backend-servers/server-1");
-    let changed = |field: &str, value: Value| {
+    let server_with = |field: &str, value: Value| {
         let mut server = server.clone();
         server[field] = value;
         server
     };
-    let table: Vec<(&str, client::Reply, u16, &str)> = vec![
+    let cases: Vec<(&str, client::Reply, u16, &str)> = vec![
         (
             "floor above one",
             put("/v1/services/s", json!({"floor": 1.5})),
@@ -34,22 +35,27 @@
         ("unknown field", put("/v1/services/s", json!({"flor": 0.5})), 422, "unknown field `flor`"),
         ("unknown preference", put("/v1/services/s", json!({"prefer": "luck"})), 422, "luck"),
         ("bad name", put("/v1/services/UPPER", json!({})), 422, "services/UPPER"),
-        ("no slots", put("/v1/backend-servers/server-1", changed("slots", json!(0))), 422, "slots"),
+        (
+            "no slots",
+            put("/v1/backend-servers/server-1", server_with("slots", json!(0))),
+            422,
+            "slots",
+        ),
         (
             "no address",
-            put("/v1/backend-servers/server-1", changed("address", json!("here"))),
+            put("/v1/backend-servers/server-1", server_with("address", json!("here"))),
             422,
             "address",
         ),
         (
             "dangling service",
-            put("/v1/backend-servers/server-1", changed("service", json!("gone"))),
+            put("/v1/backend-servers/server-1", server_with("service", json!("gone"))),
             422,
             "services/gone",
         ),
         (
             "dangling domain",
-            put("/v1/backend-servers/server-1", changed("failure_domain", json!("gone"))),
+            put("/v1/backend-servers/server-1", server_with("failure_domain", json!("gone"))),
             422,
             "failure-domains/gone",
         ),
@@ -83,7 +89,7 @@
             422,
             "routes/gone",
         ),
-        ("not JSON", daemon.call("PUT", "/v1/services/s", &[ANY], "{"), 400, "body"),
+        ("not JSON", daemon.call("PUT", "/v1/services/s", &[ANY_REVISION], "{"), 400, "body"),
         ("unknown kind", put("/v1/serviecs/s", json!({})), 404, "serviecs"),
         ("no guard", daemon.call("PUT", "/v1/services/s", &[], "{}"), 428, "If-Match"),
         (
@@ -106,13 +112,13 @@
         ),
         (
             "delete in use",
-            daemon.call("DELETE", "/v1/services/solver-app", &[ANY], ""),
+            daemon.call("DELETE", "/v1/services/solver-app", &[ANY_REVISION], ""),
             422,
             "services/solver-app",
         ),
         (
             "wrong method",
-            daemon.call("POST", "/v1/services/solver-app", &[ANY], ""),
+            daemon.call("POST", "/v1/services/solver-app", &[ANY_REVISION], ""),
             405,
             "GET, PUT, DELETE",
         ),
@@ -130,9 +136,9 @@
             "chnges",
         ),
     ];
-    for (case, reply, status, part) in table {
+    for (case, reply, status, expected_text) in cases {
         assert_eq!(reply.status, status, "{case}: {}", reply.text());
-        assert!(reply.text().contains(part), "{case}: {}", reply.text());
+        assert!(reply.text().contains(expected_text), "{case}: {}", reply.text());
     }
     assert_eq!(daemon.revision(), 1, "nothing was changed");
 }
@@ -148,11 +154,11 @@
     assert_eq!(daemon.call("POST", "/v1/apply", &[], &body.to_string()).status, 422);
     assert_eq!(daemon.call("GET", "/v1/organisations/good", &[], "").status, 404);
     assert_eq!(daemon.revision(), 1);
-    let same = json!({"changes": [
+    let unchanged = json!({"changes": [
         {"kind": "organisations", "name": "khlung-shop",
          "value": {"title": "Khlung", "keys": [KeyDigest::of(SHOP_KEY)]}},
     ]});
-    let reply = daemon.call("POST", "/v1/apply", &[], &same.to_string());
+    let reply = daemon.call("POST", "/v1/apply", &[], &unchanged.to_string());
     assert_eq!(reply.json()["changed"], json!(0));
     assert_eq!(daemon.revision(), 1, "a transaction without a change makes no revision");
 }
@@ -178,9 +184,9 @@
                 .collect();
             threads.into_iter().map(|thread| thread.join().expect("join")).collect()
         });
-        let good: Vec<_> = replies.iter().filter(|reply| reply.status == 200).collect();
-        assert_eq!(good.len(), 1, "{replies:?}");
-        let revision = good[0].json()["revision"].as_u64().expect("revision");
+        let accepted: Vec<_> = replies.iter().filter(|reply| reply.status == 200).collect();
+        assert_eq!(accepted.len(), 1, "{replies:?}");
+        let revision = accepted[0].json()["revision"].as_u64().expect("revision");
         for reply in replies.iter().filter(|reply| reply.status != 200) {
             assert_eq!(reply.status, 412, "{}", reply.text());
             assert_eq!(reply.json()["in_force"]["revision"], json!(revision));
@@ -190,7 +196,7 @@
 }
 
 #[test]
-fn verify_unguarded_changes_of_many_operators_lose_none() {
+fn verify_concurrent_changes_at_any_revision_are_all_kept() {
     let fleet = fleet_of(3);
     thread::scope(|scope| {
         for number in 0..24 {
@@ -198,7 +204,7 @@
             scope.spawn(move || {
                 let name = format!("org-{number}");
                 eventually("the change is accepted", || {
-                    let reply = put_organisation(daemon, &name, "t", ANY);
+                    let reply = put_organisation(daemon, &name, "t", ANY_REVISION);
                     assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.text());
                     reply.status == 200
                 });
@@ -216,25 +222,25 @@
 }
 
 #[test]
-fn verify_the_audit_trail_filters() {
+fn verify_the_audit_trail_can_be_filtered() {
     let fleet = fleet_of(1);
     let daemon = &fleet.daemons[0];
-    let by = |actor: &'static str| [("Basaltarch-Actor", actor), ANY];
+    let request_headers = |actor: &'static str| [("Basaltarch-Actor", actor), ANY_REVISION];
     for (actor, name) in [("somsri", "a"), ("uwase", "b"), ("somsri", "c")] {
         let path = format!("/v1/organisations/{name}");
-        let reply = daemon.call("PUT", &path, &by(actor), "{\"title\": \"t\"}");
+        let reply = daemon.call("PUT", &path, &request_headers(actor), "{\"title\": \"t\"}");
         assert_eq!(reply.status, 200);
     }
-    let count = |query: &str| {
+    let record_count = |query: &str| {
         daemon.get(&format!("/v1/audit?{query}"))["records"].as_array().expect("records").len()
     };
-    assert_eq!(count("actor=somsri"), 2);
-    assert_eq!(count("kind=organisations&name=b"), 1);
-    assert_eq!(count("after=2"), 2);
-    assert_eq!(count("since_ms=9999999999999"), 0);
+    assert_eq!(record_count("actor=somsri"), 2);
+    assert_eq!(record_count("kind=organisations&name=b"), 1);
+    assert_eq!(record_count("after=2"), 2);
+    assert_eq!(record_count("since_ms=9999999999999"), 0);
     let records = daemon.get("/v1/audit?name=a")["records"].clone();
     let change = &records[0]["changes"][0];
-    let written = json!({"title": "t", "keys": [], "criticality": null});
-    assert_eq!((&change["before"], &change["after"]), (&Value::Null, &written));
+    let expected_value = json!({"title": "t", "keys": [], "criticality": null});
+    assert_eq!((&change["before"], &change["after"]), (&Value::Null, &expected_value));
     assert!(records[0]["from"].as_str().expect("from").starts_with("127.0.0.1:"));
 }
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -21,7 +21,7 @@
 use serde_json::json;
 
 /// Path of the bad request.
-const BAD: &str = "/puzzle/bad";
+const BAD_PATH: &str = "/puzzle/bad";
 /// Number of copies of it that are sent.
 const COPIES: usize = 40;
 /// Servers that it may crash: three before it is identified, and three by copies that were sent
@@ -44,7 +44,8 @@
         ..FleetPlan::default()
     });
     for backend in &fleet.backends {
-        backend.faults(json!({"crash_path": BAD, "crash_after_ms": 20, "down_ms": DOWN_MS}));
+        backend
+            .set_faults(json!({"crash_path": BAD_PATH, "crash_after_ms": 20, "down_ms": DOWN_MS}));
     }
     fleet
 }
@@ -60,7 +61,7 @@
     crashes.expect("a count")
 }
 
-fn all_crashes(fleet: &TestFleet) -> u64 {
+fn total_crashes(fleet: &TestFleet) -> u64 {
     fleet.backends.iter().map(crashes).sum()
 }
 
@@ -69,22 +70,22 @@
     let fleet = fragile_fleet(6, 9);
     for number in 0..COPIES {
         let id = format!("copy-{number}");
-        let reply = fleet.request(number % 6, "GET", BAD, &[("x-request-id", &id)], "");
+        let reply = fleet.request(number % 6, "GET", BAD_PATH, &[("x-request-id", &id)], "");
         assert_ne!(reply.status, 200, "no server can answer the bad request");
         // Waits for a running server: while all are down, further copies could crash none.
         eventually("a server is up", || {
             fleet.request(number % 6, "GET", "/puzzle/good", &[], "").status == 200
         });
     }
-    let crashed = all_crashes(&fleet);
+    let crashed = total_crashes(&fleet);
     assert!(crashed <= CRASHES_MAX, "{COPIES} copies crashed {crashed} servers");
     for daemon in 0..6 {
-        let reply = fleet.request(daemon, "GET", BAD, &[], "");
+        let reply = fleet.request(daemon, "GET", BAD_PATH, &[], "");
         let refusal = (reply.status, reply.outcome(), reply.reason());
-        let wanted = (503, Some("not-run".to_owned()), Some("crashes-servers".to_owned()));
-        assert_eq!(refusal, wanted, "refused as not run by every daemon");
+        let expected_parts = (503, Some("not-run".to_owned()), Some("crashes-servers".to_owned()));
+        assert_eq!(refusal, expected_parts, "refused as not run by every daemon");
     }
-    assert_eq!(all_crashes(&fleet), crashed, "it has not run");
+    assert_eq!(total_crashes(&fleet), crashed, "it has not run");
     fleet.check_invariants();
 }
 
@@ -92,21 +93,24 @@
 fn verify_a_crash_is_distinguished_from_a_broken_connection() {
     let fleet = fragile_fleet(1, 1);
     let log = || fleet.daemons[0].log_text();
-    fleet.request(0, "GET", BAD, &[("x-request-id", "crashes")], "");
-    let broke = |id: &str, crashed: bool| {
-        let wanted = [format!("\"request\":\"{id}\""), format!("\"crashed\":{crashed}")];
-        let of_break = |line: &&str| line.contains("work broke");
-        log().lines().filter(of_break).any(|line| wanted.iter().all(|part| line.contains(part)))
+    fleet.request(0, "GET", BAD_PATH, &[("x-request-id", "crashes")], "");
+    let has_logged_break = |id: &str, crashed: bool| {
+        let expected_parts = [format!("\"request\":\"{id}\""), format!("\"crashed\":{crashed}")];
+        let is_break = |line: &&str| line.contains("work broke");
+        log()
+            .lines()
+            .filter(is_break)
+            .any(|line| expected_parts.iter().all(|part| line.contains(part)))
     };
-    eventually("the crash is logged", || broke("crashes", true));
+    eventually("the crash is logged", || has_logged_break("crashes", true));
     assert!(log().contains("backend server crashed"));
     crashes(&fleet.backends[0]);
-    fleet.backends[0].faults(json!({"break_at": "after-run"}));
+    fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     eventually("the broken connection is logged", || {
         fleet.request(0, "GET", "/plain/x", &[("x-request-id", "breaks")], "");
-        broke("breaks", false)
+        has_logged_break("breaks", false)
     });
-    assert!(!broke("breaks", true), "a server that still listens has not crashed");
+    assert!(!has_logged_break("breaks", true), "a server that still listens has not crashed");
 }
 
 /// Returns how many distinct requests a daemon refuses because they crash servers.
@@ -117,7 +121,7 @@
 /// Sends copies of the bad request until it is refused, and waits until every daemon refuses it.
 fn wait_until_refused(fleet: &TestFleet) {
     eventually("the request is refused", || {
-        let reply = fleet.request(0, "GET", BAD, &[], "");
+        let reply = fleet.request(0, "GET", BAD_PATH, &[], "");
         reply.reason().as_deref() == Some("crashes-servers")
     });
     for daemon in &fleet.daemons {
@@ -129,7 +133,7 @@
 fn verify_the_logs_show_why_a_copy_is_refused() {
     let fleet = fragile_fleet(3, 6);
     wait_until_refused(&fleet);
-    fleet.request(1, "GET", BAD, &[("x-request-id", "refused-copy")], "");
+    fleet.request(1, "GET", BAD_PATH, &[("x-request-id", "refused-copy")], "");
     let files: Vec<String> = fleet.daemons.iter().map(TestDaemon::log_file).collect();
     let gather = || explain::gather("refused-copy", &files).expect("logs");
     let count_events = |event: &str| {
@@ -168,7 +172,8 @@
             let backend = &fleet.backends[number % 9];
             crashes(backend);
             let single_use = format!("/puzzle/lone-{number}");
-            backend.faults(json!({"crash_path": single_use, "crash_after_ms": 20, "down_ms": 50}));
+            backend
+                .set_faults(json!({"crash_path": single_use, "crash_after_ms": 20, "down_ms": 50}));
             fleet.request(number % 3, "GET", &single_use, &[], "");
             // The server crashes without a reply.
             let _ = client::try_call(backend.address, "GET", &single_use, &[], "");
@@ -180,7 +185,7 @@
             wrongly_refused += refused;
         }
     });
-    assert!(all_crashes(&fleet) >= 15, "servers crashed while they ran the popular request");
+    assert!(total_crashes(&fleet) >= 15, "servers crashed while they ran the popular request");
     assert!(good > 100, "{good} popular requests were served");
     assert_eq!(wrongly_refused, 0, "popular requests were refused");
     let has_good_runs = |daemon: &TestDaemon| {
@@ -196,17 +201,19 @@
 }
 
 #[test]
-fn verify_a_daemon_that_starts_later_refuses_it_as_well() {
+fn verify_a_daemon_that_starts_later_refuses_the_bad_request() {
     let mut fleet = fragile_fleet(3, 6);
     wait_until_refused(&fleet);
-    let crashed = all_crashes(&fleet);
+    let crashed = total_crashes(&fleet);
     let platform = fleet.platform.address;
-    let late = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
-    eventually("the late daemon refuses it", || late.is_ready() && refused(&late) == 1.0);
-    fleet.daemons.push(late);
-    let reply = fleet.request(3, "GET", BAD, &[], "");
+    let later_daemon = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
+    eventually("the late daemon refuses it", || {
+        later_daemon.is_ready() && refused(&later_daemon) == 1.0
+    });
+    fleet.daemons.push(later_daemon);
+    let reply = fleet.request(3, "GET", BAD_PATH, &[], "");
     assert_eq!(reply.reason().as_deref(), Some("crashes-servers"));
-    assert_eq!(all_crashes(&fleet), crashed);
+    assert_eq!(total_crashes(&fleet), crashed);
 }
 
 #[test]
@@ -217,22 +224,22 @@
         list["suspects"].as_array().is_some_and(|suspects| !suspects.is_empty())
     };
     eventually("it is suspected", || {
-        fleet.request(0, "GET", BAD, &[], "");
+        fleet.request(0, "GET", BAD_PATH, &[], "");
         knows(&fleet.daemons[0])
     });
     assert_eq!(refused(&fleet.daemons[0]), 0.0, "no row holds a request that isn't refused");
-    let late = TestDaemon::start(fleet.platform.address, "host-late", "bkk-b", &[]);
-    eventually("the late daemon learns of it from a heartbeat", || knows(&late));
-    fleet.daemons.push(late);
+    let later_daemon = TestDaemon::start(fleet.platform.address, "host-late", "bkk-b", &[]);
+    eventually("the late daemon learns of it from a heartbeat", || knows(&later_daemon));
+    fleet.daemons.push(later_daemon);
 }
 
 #[test]
-fn verify_it_stays_refused_when_all_daemons_end_at_once() {
+fn verify_the_bad_request_stays_refused_after_all_daemons_are_killed() {
     let mut fleet = fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     let stored = || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
     eventually("a row holds it", stored);
-    let crashed = all_crashes(&fleet);
+    let crashed = total_crashes(&fleet);
     fleet.daemons.iter_mut().for_each(TestDaemon::kill);
     fleet.daemons = ["host-a", "host-b", "host-c"]
         .iter()
@@ -243,9 +250,9 @@
         eventually("every new daemon refuses it", || refused(daemon) == 1.0);
     }
     fleet.wait_members();
-    let reply = fleet.request(1, "GET", BAD, &[], "");
+    let reply = fleet.request(1, "GET", BAD_PATH, &[], "");
     assert_eq!(reply.reason().as_deref(), Some("crashes-servers"));
-    assert_eq!(all_crashes(&fleet), crashed);
+    assert_eq!(total_crashes(&fleet), crashed);
 }
 
 #[test]
@@ -254,7 +261,7 @@
     wait_until_refused(&fleet);
     for backend in &fleet.backends {
         crashes(backend);
-        backend.faults(json!({}));
+        backend.set_faults(json!({}));
     }
     let list = fleet.daemons[1].get("/v1/suspects");
     let worst = &list["suspects"][0];
@@ -266,13 +273,13 @@
     assert_eq!(fleet.daemons[2].call("DELETE", &path, &[actor], "").status, 404);
     assert_eq!(fleet.daemons[2].call("DELETE", "/v1/suspects/x", &[], "").status, 400);
     eventually("the log names the operator", || {
-        let audit = fleet.daemons[2].log_text();
-        let mut lines = audit.lines().filter(|line| line.contains("request lifted"));
+        let log_text_of_daemon = fleet.daemons[2].log_text();
+        let mut lines = log_text_of_daemon.lines().filter(|line| line.contains("request lifted"));
         lines.any(|line| line.contains("somsak") && line.contains(fingerprint))
     });
     for daemon in 0..3 {
         eventually("it is served again", || {
-            fleet.request(daemon, "GET", BAD, &[], "").status == 200
+            fleet.request(daemon, "GET", BAD_PATH, &[], "").status == 200
         });
     }
 }
--- a/crates/daemon/tests/deployed.rs
+++ b/crates/daemon/tests/deployed.rs
@@ -12,7 +12,7 @@
 use test_case::test_case;
 
 /// Typical values that the platform fills in.
-const TYPICAL: [(&str, &str); 17] = [
+const TYPICAL_VALUES: [(&str, &str); 17] = [
     ("nodeName", "host-1"),
     ("zone", "zone-1"),
     ("service", "shop"),
@@ -33,7 +33,7 @@
 ];
 
 /// Values that the platform fills in only where callers have organisations.
-const OPTIONAL: [(&str, &str); 3] =
+const OPTIONAL_VALUES: [(&str, &str); 3] =
     [("bounds.quotaWindowS", "5"), ("bounds.quotaOverage", "0.1"), ("bounds.quotaSlack", "20")];
 
 /// Keeps an optional section of the settings if its placeholder is filled in, and removes it
@@ -41,42 +41,43 @@
 fn resolve_section(text: &str, placeholder: &str, is_filled: bool) -> String {
     let (open, close) = (format!("{{{{#{placeholder}}}}}"), format!("{{{{/{placeholder}}}}}"));
     let (before, rest) = text.split_once(&open).expect("the start of an optional part");
-    let (part, after) = rest.split_once(&close).expect("the end of an optional part");
-    format!("{before}{}{after}", if is_filled { part } else { "" })
+    let (section, after) = rest.split_once(&close).expect("the end of an optional part");
+    format!("{before}{}{after}", if is_filled { section } else { "" })
 }
 
 /// Reads the deployed settings with this value for one placeholder and typical values for the
 /// others.
-fn read(placeholder: &str, value: &str) -> Result<DaemonOptions, SettingError> {
-    read_with(placeholder, value, true)
+fn read_options(placeholder: &str, value: &str) -> Result<DaemonOptions, SettingError> {
+    read_options_with(placeholder, value, true)
 }
 
-fn read_with(
+fn read_options_with(
     placeholder: &str,
     value: &str,
-    organisations: bool,
+    has_organisations: bool,
 ) -> Result<DaemonOptions, SettingError> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/basaltarchd.conf");
     let mut text = fs::read_to_string(path).expect("deployed settings");
-    for (optional, _) in OPTIONAL {
-        text = resolve_section(&text, optional, organisations);
+    for (optional, _) in OPTIONAL_VALUES {
+        text = resolve_section(&text, optional, has_organisations);
     }
     text = text.replace(&format!("{{{{{placeholder}}}}}"), value);
     for (placeholder, typical) in
-        TYPICAL.iter().chain(&OPTIONAL).chain(&[("bounds.budgetWindowS", "10")])
+        TYPICAL_VALUES.iter().chain(&OPTIONAL_VALUES).chain(&[("bounds.budgetWindowS", "10")])
     {
         text = text.replace(&format!("{{{{{placeholder}}}}}"), typical);
     }
     assert!(!text.contains("{{"), "a placeholder that this test does not fill:\n{text}");
     let placeholder = placeholder.replace('.', "-");
-    let name = format!("deployed-{placeholder}-{}-{organisations}.conf", value.replace(':', "-"));
-    let filled = format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"));
-    fs::write(&filled, text).expect("write");
+    let name =
+        format!("deployed-{placeholder}-{}-{has_organisations}.conf", value.replace(':', "-"));
+    let filled_path = format!("{}/{name}", env!("CARGO_TARGET_TMPDIR"));
+    fs::write(&filled_path, text).expect("write");
     let options = DaemonOptions::try_new(RawOptions {
-        config: Some(filled.clone()),
+        config: Some(filled_path.clone()),
         ..RawOptions::default()
     });
-    fs::remove_file(&filled).expect("remove");
+    fs::remove_file(&filled_path).expect("remove");
     options
 }
 
@@ -87,9 +88,9 @@
 #[test_case("0.4", 0 ; "less than one")]
 #[test_case("630.0", 630 ; "whole with a point")]
 #[test_case("1e3", 1000 ; "with an exponent")]
-fn verify_a_bound_on_retries_is_accepted(value: &str, wanted: u32) {
-    let options = read("bounds.budgetExtraRetries", value).expect("settings");
-    assert_eq!(options.defaults.retry_extra, wanted);
+fn verify_a_bound_on_retries_is_accepted(value: &str, expected: u32) {
+    let options = read_options("bounds.budgetExtraRetries", value).expect("settings");
+    assert_eq!(options.defaults.retry_extra, expected);
 }
 
 #[test_case("6", 5750 ; "whole")]
@@ -97,27 +98,27 @@
 #[test_case("0", 0 ; "no time at all")]
 #[test_case("0.1", 0 ; "less than the reserved time")]
 #[test_case("7200", 30_000 ; "longer than any drain")]
-fn verify_the_time_until_a_kill_is_accepted(value: &str, wanted_ms: u64) {
-    let options = read("bounds.graceS", value).expect("settings");
-    assert_eq!(options.drain, Duration::from_millis(wanted_ms));
+fn verify_the_time_until_a_kill_is_accepted(value: &str, expected_ms: u64) {
+    let options = read_options("bounds.graceS", value).expect("settings");
+    assert_eq!(options.drain, Duration::from_millis(expected_ms));
 }
 
 #[test]
-fn verify_the_tolerances_of_limits_are_accepted_where_there_are_any() {
-    let tolerance = read("bounds.quotaSlack", "20").expect("settings").limit_tolerance;
-    let wanted = LimitTolerance { window: Duration::from_secs(5), over: 0.1, extra: 20.0 };
-    assert_eq!(tolerance, wanted);
-    let options = read_with("zone", "zone-1", false).expect("settings");
-    let none = LimitTolerance { window: Duration::from_secs(1), over: 0.0, extra: 0.0 };
-    assert_eq!(options.limit_tolerance, none, "nothing over a limit is tolerated");
+fn verify_limit_tolerances_are_accepted_if_configured() {
+    let tolerance = read_options("bounds.quotaSlack", "20").expect("settings").limit_tolerance;
+    let expected = LimitTolerance { window: Duration::from_secs(5), over: 0.1, extra: 20.0 };
+    assert_eq!(tolerance, expected);
+    let options = read_options_with("zone", "zone-1", false).expect("settings");
+    let no_tolerance = LimitTolerance { window: Duration::from_secs(1), over: 0.0, extra: 0.0 };
+    assert_eq!(options.limit_tolerance, no_tolerance, "nothing over a limit is tolerated");
 }
 
 #[test_case("10", 10_000 ; "whole")]
 #[test_case("0.25", 250 ; "with a fraction")]
 #[test_case("3600", 3_600_000 ; "an hour")]
-fn verify_the_retry_window_is_accepted(value: &str, wanted_ms: u64) {
-    let options = read("bounds.budgetWindowS", value).expect("settings");
-    assert_eq!(options.defaults.retry_window, Duration::from_millis(wanted_ms));
+fn verify_the_retry_window_is_accepted(value: &str, expected_ms: u64) {
+    let options = read_options("bounds.budgetWindowS", value).expect("settings");
+    assert_eq!(options.defaults.retry_window, Duration::from_millis(expected_ms));
 }
 
 #[test_case("bounds.retryBudgetRatio", "0" ; "no retries")]
@@ -134,7 +135,7 @@
 #[test_case("bounds.quotaSlack", "3.03" ; "requests over a limit with a fraction")]
 #[test_case("seeds", "" ; "no seeds")]
 fn verify_values_that_the_platform_may_fill_in_are_accepted(placeholder: &str, value: &str) {
-    read(placeholder, value).expect("settings");
+    read_options(placeholder, value).expect("settings");
 }
 
 #[test_case("bounds.budgetExtraRetries", "-1", "retry-extra" ; "negative retries")]
@@ -157,6 +158,6 @@
     value: &str,
     flag: &str,
 ) {
-    let error = read(placeholder, value).expect_err("refused").to_string();
+    let error = read_options(placeholder, value).expect_err("refused").to_string();
     assert!(error.contains(&format!("--{flag}")) && error.contains("allowed:"), "{error}");
 }
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -17,7 +17,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-fn with_route(version: u64, path: &str) -> ConfigDocument {
+fn document_with_route(version: u64, path: &str) -> ConfigDocument {
     let mut document = document(version);
     document.routes.push(route("r-new", path, WorkMode::Repeatable));
     document
@@ -26,19 +26,19 @@
 #[test]
 fn verify_only_newer_documents_take_effect_and_bad_ones_change_nothing() {
     let fleet = RegisteredFleet::start(2);
-    fleet.write(&with_route(5, "/new/"));
+    fleet.write(&document_with_route(5, "/new/"));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         eventually("the document is in force", || daemon.revision() == 5);
         let id = format!("new-{index}");
         assert_eq!(fleet.request(index, "GET", "/new/x", &id).status, 200);
     }
     let texts = [r#"{"version": 9}"#, "text", r#"{"version": "nine"}"#];
-    for (bad, text) in texts.into_iter().enumerate() {
+    for (bad_index, text) in texts.into_iter().enumerate() {
         fleet.write_text(text);
         // A document that is replaced before it was read would not be logged.
         for daemon in &fleet.daemons {
             let logged = || daemon.log_text().matches("configuration unreadable").count();
-            eventually("the bad document was read", || logged() > bad);
+            eventually("the bad document was read", || logged() > bad_index);
         }
     }
     fleet.write(&document(3));
@@ -46,19 +46,19 @@
         let logged = || daemon.log_text().contains("older configuration passed over");
         eventually("the older document was read", logged);
     }
-    fleet.write(&with_route(7, "/newer/"));
+    fleet.write(&document_with_route(7, "/newer/"));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         eventually("the last document is in force", || daemon.revision() == 7);
         assert_eq!(fleet.request(index, "GET", "/newer/x", "a").status, 200);
         assert_eq!(fleet.request(index, "GET", "/new/x", "b").status, 404);
         let text = daemon.log_text();
-        let seen: Vec<u64> = text
+        let revisions: Vec<u64> = text
             .lines()
             .filter_map(|line| serde_json::from_str::<Value>(line).ok())
             .filter(|line| line["message"] == "configuration in force")
             .filter_map(|line| line["revision"].as_u64())
             .collect();
-        assert!(seen.is_sorted(), "{seen:?}");
+        assert!(revisions.is_sorted(), "{revisions:?}");
     }
 }
 
@@ -98,17 +98,18 @@
             number += 1;
             let id = format!("known-{daemon}-{number}");
             fleet.request(daemon, "GET", "/split/x", &id);
-            fleet.backends[1].ran(&id) == 1
+            fleet.backends[1].run_count(&id) == 1
         });
     }
     for number in 0..200 {
         let reply = fleet.request(number % 2, "GET", "/split/x", &format!("split-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    let other = (0..200).filter(|n| fleet.backends[1].ran(&format!("split-{n}")) > 0).count();
+    let at_other_service =
+        (0..200).filter(|n| fleet.backends[1].run_count(&format!("split-{n}")) > 0).count();
     // Each of the two ingresses is off by less than one request.
-    assert!((48..=52).contains(&other), "{other} of 200");
-    assert!((0..200).all(|number| fleet.ran(&format!("split-{number}")) == 1));
+    assert!((48..=52).contains(&at_other_service), "{at_other_service} of 200");
+    assert!((0..200).all(|number| fleet.run_count(&format!("split-{number}")) == 1));
 }
 
 /// The cases hold the fault of the server, whether the other server still serves repeatable
@@ -129,13 +130,13 @@
 ) {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    fleet.backends[1].faults(faults);
+    fleet.backends[1].set_faults(faults);
     let mut at_faulty = 0;
     for number in 0..60 {
         let id = format!("unsafe-{number}");
         let reply = fleet.request(1, "POST", "/unsafe/x", &id);
-        assert!(fleet.ran(&id) <= 1, "{id} ran {} times", fleet.ran(&id));
-        if fleet.backends[1].ran(&id) == 0 {
+        assert!(fleet.run_count(&id) <= 1, "{id} ran {} times", fleet.run_count(&id));
+        if fleet.backends[1].run_count(&id) == 0 {
             assert_eq!(reply.status, 200, "{}", reply.text());
             continue;
         }
@@ -162,12 +163,12 @@
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     let mut stream = client::connect(fleet.daemons[0].callers);
-    let field = headers::exchange_fields().request.expect("a name");
+    let request_field = headers::exchange_fields().request.expect("a name");
     let request = |number: usize| {
         let work_ms = if number == 0 { 200 } else { 1 };
         let last = if number == 9 { "Connection: close\r\n" } else { "" };
         format!(
-            "GET /safe/{number} HTTP/1.1\r\nHost: {HOST}\r\n{field}: order-{number}\r\n\
+            "GET /safe/{number} HTTP/1.1\r\nHost: {HOST}\r\n{request_field}: order-{number}\r\n\
              x-work-ms: {work_ms}\r\n{last}\r\n"
         )
     };
@@ -177,7 +178,7 @@
     stream.read_to_string(&mut answers).expect("read");
     let order: Vec<&str> = answers
         .lines()
-        .filter_map(|line| line.strip_prefix(&format!("{field}: ")))
+        .filter_map(|line| line.strip_prefix(&format!("{request_field}: ")))
         .map(str::trim_end)
         .collect();
     let wanted: Vec<String> = (0..10).map(|number| format!("order-{number}")).collect();
@@ -185,17 +186,17 @@
 }
 
 #[test]
-fn verify_a_route_time_out_ends_with_its_final_answer() {
+fn verify_a_route_timeout_is_answered_with_504_and_cancels_the_request() {
     let fleet = RegisteredFleet::start(1);
-    let mut short = document(2);
-    short.routes[1].rule.timeout_ms = 300;
-    fleet.write(&short);
+    let mut short_document = document(2);
+    short_document.routes[1].rule.timeout_ms = 300;
+    fleet.write(&short_document);
     eventually("the document is in force", || fleet.daemons[0].revision() == 2);
     let request = headers::exchange_fields().request.expect("a name");
     let headers = [("Host", HOST), (request.as_str(), "slow"), ("x-work-ms", "60000")];
     let reply = client::call(fleet.daemons[0].callers, "POST", "/unsafe/x", &headers, "x");
     // It may have run, so the status must not mean that it has not.
-    assert_eq!((reply.status, fleet.ran("slow")), (504, 1), "{}", reply.text());
+    assert_eq!((reply.status, fleet.run_count("slow")), (504, 1), "{}", reply.text());
     eventually("the request is cancelled", || fleet.backends[0].runs()["cancelled"] == json!(1));
 }
 
@@ -203,8 +204,8 @@
 fn verify_settings_are_reloaded_and_wrong_ones_change_nothing() {
     let mut fleet = RegisteredFleet::start(1);
     let path = std::env::temp_dir().join(format!("basaltarch-{}.conf", std::process::id()));
-    let write = |text: &str| fs::write(&path, text).expect("settings");
-    write("# settings\nown-service = first-app\nready = 127.0.0.1:0\n");
+    let write_settings = |text: &str| fs::write(&path, text).expect("settings");
+    write_settings("# settings\nown-service = first-app\nready = 127.0.0.1:0\n");
     fleet.daemons.clear();
     let config = path.to_str().expect("path").to_owned();
     let flags = [("source", "document"), ("config", config.as_str())];
@@ -215,12 +216,12 @@
         let text = text.to_owned();
         eventually(&format!("the log contains {text}"), || daemon.log_text().contains(&text));
     };
-    write("own-service = second-app\nfloor = 7\n");
+    write_settings("own-service = second-app\nfloor = 7\n");
     daemon.signal("-HUP");
     logged(&daemon, "\"message\":\"settings refused\"");
-    write("own-service = second-app\nhost = another\n");
+    write_settings("own-service = second-app\nhost = another\n");
     logged(&daemon, "\"cause\":\"file\"");
-    write("own-service = third-app\nfailure-domain = elsewhere\n");
+    write_settings("own-service = third-app\nfailure-domain = elsewhere\n");
     daemon.signal("-HUP");
     logged(&daemon, "\"cause\":\"signal\"");
     logged(&daemon, "settings need a restart");
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -20,7 +20,7 @@
     stop: Arc<AtomicBool>,
 ) -> thread::JoinHandle<(usize, Vec<String>)> {
     thread::spawn(move || {
-        let mut bad = Vec::new();
+        let mut failures = Vec::new();
         let mut count = 0;
         while !stop.load(Ordering::SeqCst) {
             let headers = [("Host", "solver.example"), ("x-work-ms", "30")];
@@ -28,10 +28,10 @@
             count += 1;
             match reply {
                 Some(reply) if reply.status == 200 && reply.complete => {}
-                other => bad.push(format!("{other:?}")),
+                failure => failures.push(format!("{failure:?}")),
             }
         }
-        (count, bad)
+        (count, failures)
     })
 }
 
@@ -45,27 +45,31 @@
         .collect();
     // A long request through the daemon that stops.
     let callers = fleet.daemons[2].callers;
-    let long = thread::spawn(move || {
+    let long_request = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "long")];
         client::call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the long request runs", || fleet.ran("long") == 1);
+    eventually("the long request runs", || fleet.run_count("long") == 1);
     fleet.daemons[2].signal("-TERM");
-    let status = fleet.daemons[2].ended();
+    let status = fleet.daemons[2].wait_exit();
     assert_eq!(status.code(), Some(0));
-    assert_eq!(long.join().expect("join").status, 200);
+    assert_eq!(long_request.join().expect("join").status, 200);
     let total = |fleet: &TestFleet| -> u64 {
-        [2, 5].iter().map(|index| fleet.backends[*index].total()).sum()
+        [2, 5].iter().map(|index| fleet.backends[*index].total_runs()).sum()
     };
-    let after = total(&fleet);
-    let before_stop = fleet.backends[0].total();
-    eventually("load continues", || fleet.backends[0].total() > before_stop + 20);
-    assert_eq!(total(&fleet), after, "no new requests for the servers of the daemon that stopped");
+    let total_after_stop = total(&fleet);
+    let before_stop = fleet.backends[0].total_runs();
+    eventually("load continues", || fleet.backends[0].total_runs() > before_stop + 20);
+    assert_eq!(
+        total(&fleet),
+        total_after_stop,
+        "no new requests for the servers of the daemon that stopped"
+    );
     stop.store(true, Ordering::SeqCst);
     for load in loads {
-        let (count, bad) = load.join().expect("join");
+        let (count, failures) = load.join().expect("join");
         assert!(count > 0);
-        assert!(bad.is_empty(), "{bad:?}");
+        assert!(failures.is_empty(), "{failures:?}");
     }
     fleet.daemons.truncate(2);
     fleet.check_invariants();
@@ -77,19 +81,19 @@
     let flags = vec![("drain-min-ms", "5s")];
     let plan = FleetPlan { daemons: 2, backends: 2, daemon_flags: flags, ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
-    let mut kept_alive = client::connect(fleet.daemons[0].callers);
+    let mut keep_alive = client::connect(fleet.daemons[0].callers);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon is leaving", || !fleet.daemons[0].is_ready());
     // Both this connection and a new one are served, as callers learn late that a daemon is
     // leaving.
-    kept_alive.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
+    keep_alive.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
     let mut answer = String::new();
-    kept_alive.read_to_string(&mut answer).expect("an answer, then the end of the connection");
+    keep_alive.read_to_string(&mut answer).expect("an answer, then the end of the connection");
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     let reply = fleet.request(0, "GET", "/plain", &[], "");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
 
 #[test]
@@ -101,12 +105,12 @@
         let headers = [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "cut")];
         client::try_call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the request runs", || fleet.ran("cut") == 1);
+    eventually("the request runs", || fleet.run_count("cut") == 1);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon leaves", || fleet.daemons[0].log_text().contains("\"leaving\""));
     assert!(fleet.daemons[0].is_running());
     fleet.daemons[0].signal("-INT");
-    assert_eq!(fleet.daemons[0].ended().code(), Some(3));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(3));
     assert!(fleet.daemons[0].log_text().contains("requests cut"));
     assert!(request.join().expect("join").is_none());
 }
@@ -132,11 +136,11 @@
             [("Host", "solver.example"), ("x-work-ms", "3000"), ("x-request-id", "whole")];
         client::call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the request runs", || fleet.ran("whole") == 1);
+    eventually("the request runs", || fleet.run_count("whole") == 1);
     request_stop(&fleet.daemons[0]);
     eventually("the daemon leaves", || fleet.daemons[0].log_text().contains("\"leaving\""));
     fleet.daemons[0].signal("-TERM");
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
     assert_eq!(request.join().expect("join").status, 200);
 }
 
@@ -155,9 +159,9 @@
             [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "late")];
         client::try_call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the request runs", || fleet.ran("late") == 1);
+    eventually("the request runs", || fleet.run_count("late") == 1);
     fleet.daemons[0].signal("-TERM");
-    assert_eq!(fleet.daemons[0].ended().code(), Some(3));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(3));
     let reply = request.join().expect("join").expect("an answer, not a closed connection");
     assert_eq!(reply.status, 504);
     assert_eq!(reply.header("basaltarch-outcome").as_deref(), Some("unknown"), "it may have run");
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn verify_a_draining_backend_server_receives_no_new_requests_and_finishes_its_own() {
+fn verify_a_draining_backend_server_receives_no_new_requests_and_finishes_running_ones() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
     let mut server = fleet.daemons[0].get("/v1/backend-servers/server-1");
     let callers = fleet.daemons[0].callers;
@@ -186,7 +190,7 @@
             })
         })
         .collect();
-    eventually("server-1 runs requests", || fleet.backends[0].total() > 0);
+    eventually("server-1 runs requests", || fleet.backends[0].total_runs() > 0);
     server["state"] = json!("draining");
     let reply = fleet.daemons[1].call(
         "PUT",
@@ -209,16 +213,16 @@
 #[test]
 fn verify_a_backend_server_that_sends_a_drain_notice_receives_no_new_requests() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
-    fleet.backends[1].faults(json!({"drain": true}));
+    fleet.backends[1].set_faults(json!({"drain": true}));
     let received =
         |fleet: &TestFleet| fleet.backends[1].runs()["received"].as_u64().expect("count");
     eventually("its drain notice is received", || {
         assert_eq!(fleet.request(1, "GET", "/puzzle", &[], "").status, 200);
         received(&fleet) > 0
     });
-    let noticed_at = received(&fleet);
+    let received_by_notice = received(&fleet);
     for number in 0..60 {
         assert_eq!(fleet.request(number % 2, "GET", "/puzzle", &[], "").status, 200);
     }
-    assert_eq!(received(&fleet), noticed_at);
+    assert_eq!(received(&fleet), received_by_notice);
 }
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -13,17 +13,17 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn small_fleet() -> TestFleet {
+fn fleet_with_short_timeouts() -> TestFleet {
     let flags = vec![("head-ms", "400"), ("body-idle-ms", "400"), ("body-bytes", "2000000000")];
     TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() })
 }
 
 #[test]
-fn verify_each_bad_input_has_its_answer() {
+fn verify_each_unusual_request_gets_its_status() {
     let many_fields = (0..70).map(|i| format!("x-{i}: 1\r\n")).collect::<String>();
-    let long = "y".repeat(20_000);
+    let long_value = "y".repeat(20_000);
     let host = "Host: solver.example\r\n";
-    let table: Vec<(&str, String, u16)> = vec![
+    let cases: Vec<(&str, String, u16)> = vec![
         ("CL with TE", format!("POST / HTTP/1.1\r\n{host}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"), 400),
         ("two CLs", format!("POST / HTTP/1.1\r\n{host}Content-Length: 3\r\nContent-Length: 4\r\n\r\nabc"), 400),
         ("two equal CLs", format!("POST / HTTP/1.1\r\n{host}Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc"), 400),
@@ -33,7 +33,7 @@
         ("bad chunk size", format!("POST / HTTP/1.1\r\n{host}Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n"), 400),
         ("bad chunk end", format!("POST / HTTP/1.1\r\n{host}Transfer-Encoding: chunked\r\n\r\n3\r\nabcX\r\n0\r\n\r\n"), 400),
         ("huge chunk size", format!("POST / HTTP/1.1\r\n{host}Transfer-Encoding: chunked\r\n\r\nffffffffffffffff1\r\n"), 400),
-        ("head too large", format!("GET / HTTP/1.1\r\n{host}x: {long}\r\n\r\n"), 431),
+        ("head too large", format!("GET / HTTP/1.1\r\n{host}x: {long_value}\r\n\r\n"), 431),
         ("too many fields", format!("GET / HTTP/1.1\r\n{host}{many_fields}\r\n"), 431),
         ("bare LF", "GET / HTTP/1.1\nHost: solver.example\n\n".to_owned(), 400),
         ("bare LF within", format!("GET / HTTP/1.1\r\n{host}a: b\nc: d\r\n\r\n"), 400),
@@ -55,9 +55,9 @@
         ("bad deadline", format!("GET / HTTP/1.1\r\n{host}Basaltarch-Deadline-Ms: soon\r\n\r\n"), 400),
         ("empty lines first", format!("\r\n\r\nGET / HTTP/1.1\r\n{host}\r\n"), 200),
     ];
-    let fleet = small_fleet();
-    for (case, text, status) in table {
-        let reply = client::raw(fleet.daemons[0].callers, text.as_bytes());
+    let fleet = fleet_with_short_timeouts();
+    for (case, text, status) in cases {
+        let reply = client::send_raw(fleet.daemons[0].callers, text.as_bytes());
         let reply = reply.unwrap_or_else(|| panic!("{case}: no reply"));
         assert_eq!(reply.status, status, "{case}: {}", reply.text());
         if status >= 400 {
@@ -65,7 +65,7 @@
             assert!(reply.header("proxy-status").is_some(), "{case}");
         }
     }
-    assert_eq!(fleet.ran("-"), 0);
+    assert_eq!(fleet.run_count("-"), 0);
     fleet.check_invariants();
 }
 
@@ -82,7 +82,7 @@
     stream.write_all(text.as_bytes()).expect("write");
     let mut buffer = Vec::new();
     for number in 0..20 {
-        let reply = client::read_one(&mut stream, "GET", &mut buffer).expect("reply");
+        let reply = client::read_next_reply(&mut stream, "GET", &mut buffer).expect("reply");
         assert_eq!(reply.header("x-request-id"), Some(format!("pipe-{number}")));
         assert!(reply.complete);
     }
@@ -99,7 +99,7 @@
     for _ in 0..3 {
         let text = client::request_text(method, path, &[("Host", "solver.example")], "");
         stream.write_all(text.as_bytes()).expect("write");
-        let reply = client::read_one(&mut stream, method, &mut buffer).expect("reply");
+        let reply = client::read_next_reply(&mut stream, method, &mut buffer).expect("reply");
         assert_eq!(reply.status, status);
         assert!(buffer.is_empty());
     }
@@ -107,7 +107,7 @@
 
 #[test]
 fn verify_chunked_and_expected_bodies_arrive_complete() {
-    let fleet = small_fleet();
+    let fleet = fleet_with_short_timeouts();
     let mut stream = client::connect(fleet.daemons[0].callers);
     let head = "POST /echo HTTP/1.1\r\nHost: solver.example\r\nTransfer-Encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("write");
@@ -118,16 +118,17 @@
                 Expect: 100-continue\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("write");
     let mut buffer = Vec::new();
-    let first = client::read_one(&mut stream, "POST", &mut buffer).expect("an interim response");
-    assert_eq!(first.status, 100);
+    let interim =
+        client::read_next_reply(&mut stream, "POST", &mut buffer).expect("an interim response");
+    assert_eq!(interim.status, 100);
     stream.write_all(b"abc").expect("write");
-    let reply = client::read_one(&mut stream, "POST", &mut buffer).expect("reply");
+    let reply = client::read_next_reply(&mut stream, "POST", &mut buffer).expect("reply");
     assert_eq!((reply.status, reply.text()), (200, "abc".to_owned()));
 }
 
 #[test]
 fn verify_hop_by_hop_fields_are_dropped_and_forwarding_fields_are_set() {
-    let fleet = small_fleet();
+    let fleet = fleet_with_short_timeouts();
     let headers = [
         ("Connection", "x-private, close"),
         ("X-Private", "1"),
@@ -154,28 +155,30 @@
 }
 
 #[test]
-fn verify_a_large_answer_to_a_slow_caller_does_not_grow_the_daemons() {
+fn verify_a_large_answer_to_a_slow_caller_does_not_grow_the_memory_of_daemons() {
     const LENGTH: usize = 1 << 30;
     // The only server is beside the first daemon, so that the body passes over the link.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, ..FleetPlan::default() });
-    let before: Vec<u64> = fleet.daemons.iter().map(|daemon| resident_kib(daemon.id())).collect();
+    let before_kib: Vec<u64> =
+        fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
     let path = format!("/bytes/{LENGTH}");
     let text = client::request_text("GET", &path, &[("Host", "solver.example")], "");
     stream.write_all(text.as_bytes()).expect("write");
     let mut chunk = vec![0; 1 << 20];
-    let mut read = 0;
-    let mut grown = 0;
-    while read < LENGTH {
+    let mut received_bytes = 0;
+    let mut growth_kib = 0;
+    while received_bytes < LENGTH {
         let count = stream.read(&mut chunk).expect("read");
-        assert!(count > 0, "cut after {read}");
-        read += count;
-        for (daemon, before) in fleet.daemons.iter().zip(&before) {
-            grown = grown.max(resident_kib(daemon.id()).saturating_sub(*before));
+        assert!(count > 0, "cut after {received_bytes}");
+        received_bytes += count;
+        for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
+            growth_kib =
+                growth_kib.max(resident_kib(daemon.process_id()).saturating_sub(*before_kib));
         }
     }
     // A window in each direction and the link's queue: far below the GiB that was transferred.
-    assert!(grown < 16 * 1024, "grew by {grown} KiB");
+    assert!(growth_kib < 16 * 1024, "grew by {growth_kib} KiB");
 }
 
 #[test]
@@ -185,7 +188,8 @@
         "service": "solver-app", "timeout_ms": LONG_TIMEOUT_MS}});
     // The only server is beside the first daemon, so that the body passes over the link.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, routes, ..FleetPlan::default() });
-    let before: Vec<u64> = fleet.daemons.iter().map(|daemon| resident_kib(daemon.id())).collect();
+    let before_kib: Vec<u64> =
+        fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
     let head =
         format!("POST /sink HTTP/1.1\r\nHost: solver.example\r\nContent-Length: {LENGTH}\r\n\r\n");
@@ -199,9 +203,9 @@
     let received: u64 =
         fleet.backends.iter().map(|b| b.runs()["body_bytes"].as_u64().expect("bytes")).sum();
     assert_eq!(received, LENGTH as u64);
-    for (daemon, before) in fleet.daemons.iter().zip(&before) {
-        let grown = resident_kib(daemon.id()).saturating_sub(*before);
-        assert!(grown < 16 * 1024, "{} grew by {grown} KiB", daemon.host);
+    for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
+        let growth_kib = resident_kib(daemon.process_id()).saturating_sub(*before_kib);
+        assert!(growth_kib < 16 * 1024, "{} grew by {growth_kib} KiB", daemon.host);
     }
 }
 
@@ -231,7 +235,7 @@
     let headers = [("Host", "solver.example"), ("x-work-ms", "4000")];
     let text = client::request_text("GET", "/plain", &headers, "");
     stream.write_all(text.as_bytes()).expect("write");
-    let total = || fleet.backends.iter().map(|backend| backend.total()).sum::<u64>();
+    let total = || fleet.backends.iter().map(|backend| backend.total_runs()).sum::<u64>();
     common::eventually("the request starts", || total() == 1);
     drop(stream);
     common::eventually("the backend server sees the cancellation", || {
@@ -250,11 +254,11 @@
         let sent = stream.write_all(text.as_bytes()).is_ok();
         sent.then(|| client::read_reply(stream, "GET")).flatten().map(|reply| reply.status)
     };
-    let mut first = client::connect(callers);
+    let mut interim = client::connect(callers);
     let mut second = client::connect(callers);
-    assert_eq!((send_request(&mut first), send_request(&mut second)), (Some(200), Some(200)));
+    assert_eq!((send_request(&mut interim), send_request(&mut second)), (Some(200), Some(200)));
     assert_eq!(send_request(&mut client::connect(callers)), None, "a third connection is closed");
-    drop(first);
+    drop(interim);
     common::eventually("a new connection is accepted after one has closed", || {
         send_request(&mut client::connect(callers)) == Some(200)
     });
@@ -264,7 +268,7 @@
 #[test]
 fn verify_no_io_uring_is_created() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
-    let files = fs::read_dir(format!("/proc/{}/fd", fleet.daemons[0].id())).expect("files");
+    let files = fs::read_dir(format!("/proc/{}/fd", fleet.daemons[0].process_id())).expect("files");
     let targets: Vec<String> = files
         .map_while(Result::ok)
         .filter_map(|file| fs::read_link(file.path()).ok())
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -34,14 +34,14 @@
     fleet
 }
 
-fn logs(fleet: &RegisteredFleet) -> Vec<String> {
+fn log_paths(fleet: &RegisteredFleet) -> Vec<String> {
     fleet.daemons.iter().map(TestDaemon::log_file).collect()
 }
 
 /// Waits until the conclusion from the logs about a request contains `end`, and returns its
 /// history.
 fn wait_history(fleet: &RegisteredFleet, id: &str, end: &str) -> explain::RequestHistory {
-    let paths = logs(fleet);
+    let paths = log_paths(fleet);
     let mut history = explain::RequestHistory::default();
     eventually(&format!("the logs show for {id}: {end}"), || {
         history = explain::gather(id, &paths).expect("logs");
@@ -50,7 +50,7 @@
     history
 }
 
-fn events(history: &explain::RequestHistory) -> BTreeSet<&str> {
+fn event_names(history: &explain::RequestHistory) -> BTreeSet<&str> {
     history.lines.iter().filter_map(|line| line.fields["message"].as_str()).collect()
 }
 
@@ -61,8 +61,8 @@
     fleet.request(0, method, path, id);
 }
 
-fn fault_all(fleet: &RegisteredFleet, faults: Value) {
-    fleet.backends.iter().for_each(|backend| backend.faults(faults.clone()));
+fn set_all_faults(fleet: &RegisteredFleet, faults: Value) {
+    fleet.backends.iter().for_each(|backend| backend.set_faults(faults.clone()));
 }
 
 fn no_route(fleet: &RegisteredFleet, id: &str) {
@@ -70,32 +70,32 @@
 }
 
 fn lost_answer(fleet: &RegisteredFleet, id: &str) {
-    fault_all(fleet, json!({"break_at": "after-run"}));
+    set_all_faults(fleet, json!({"break_at": "after-run"}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn no_answer(fleet: &RegisteredFleet, id: &str) {
-    fault_all(fleet, json!({"stuck": true}));
+    set_all_faults(fleet, json!({"stuck": true}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn unproved_answer(fleet: &RegisteredFleet, id: &str) {
-    fault_all(fleet, json!({"unstamped": true}));
+    set_all_faults(fleet, json!({"unstamped": true}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn cut_answer(fleet: &RegisteredFleet, id: &str) {
-    fault_all(fleet, json!({"break_at": "in-answer-body"}));
+    set_all_faults(fleet, json!({"break_at": "in-answer-body"}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn server_error(fleet: &RegisteredFleet, id: &str) {
-    fault_all(fleet, json!({"status": 500}));
+    set_all_faults(fleet, json!({"status": 500}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
 fn shed_request(fleet: &RegisteredFleet, id: &str) {
-    fault_all(fleet, json!({"shed": true}));
+    set_all_faults(fleet, json!({"shed": true}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
@@ -112,7 +112,7 @@
 }
 
 fn caller_leaves(fleet: &RegisteredFleet, id: &str) {
-    fault_all(fleet, json!({"stuck": true}));
+    set_all_faults(fleet, json!({"stuck": true}));
     let before: u64 =
         fleet.backends.iter().map(|backend| backend.runs()["received"].as_u64().unwrap_or(0)).sum();
     let headers = [("Host", HOST), ("Request-Id", id)];
@@ -147,15 +147,19 @@
     &["request received", "request failed"] ; "all servers leave")]
 #[test_case(caller_leaves, "left after",
     &["request received", "upstream chosen", "attempt ended", "caller gone"] ; "the caller leaves")]
-fn verify_each_failure_is_found_by_its_id(inject: FaultInjector, end: &str, wanted: &[&str]) {
+fn verify_each_failure_is_found_by_its_id(
+    inject: FaultInjector,
+    end: &str,
+    expected_events: &[&str],
+) {
     // Once with every request logged from its start, and once with only failures logged.
     for requests in ["1000000", "0"] {
         let fleet = fleet_logging(2, requests);
         let id = format!("harmed-{requests}");
         inject(&fleet, &id);
         let history = wait_history(&fleet, &id, end);
-        let seen = events(&history);
-        for event in wanted {
+        let seen = event_names(&history);
+        for event in expected_events {
             assert!(seen.contains(event), "{event} is missing with {requests}: {seen:?}");
         }
     }
@@ -173,7 +177,7 @@
     for requests in ["1000000", "0"] {
         let fleet = fleet_logging(2, requests);
         inject(&fleet, &format!("lost-{requests}"));
-        let paths = logs(&fleet);
+        let paths = log_paths(&fleet);
         let names = |tally: &LossTally| {
             let causes = tally.causes.iter().filter(|(_, tally)| tally.count == 1);
             causes.map(|(cause, _)| cause.to_string()).collect::<Vec<_>>()
@@ -243,7 +247,7 @@
 #[test]
 fn verify_a_retried_request_shows_both_attempts_and_the_reason() {
     let fleet = fleet_logging(2, "1000000");
-    fleet.backends[0].faults(json!({"break_at": "after-run"}));
+    fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     let mut number = 0;
     eventually("a request is retried", || {
         number += 1;
@@ -254,7 +258,7 @@
         let next: Vec<&str> =
             ends.map(|line| line.fields["next"].as_str().expect("text")).collect();
         // The lines about the state of the failed server are listed with the request's own lines.
-        next == ["repeat", "answer"] && events(&history).contains("upstream doubted")
+        next == ["repeat", "answer"] && event_names(&history).contains("upstream doubted")
     });
 }
 
@@ -276,7 +280,7 @@
     eventually("the log reports the requests that it left out", || {
         fleet.daemons[0].log_text().contains("requests not logged")
     });
-    let spans = begin.elapsed().as_secs() + 2;
+    let logged_seconds = begin.elapsed().as_secs() + 2;
     let text = fleet.daemons[0].log_text();
     let mut lines: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for line in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
@@ -288,12 +292,12 @@
     let good: Vec<_> = lines.iter().filter(|(id, _)| id.starts_with("good-")).collect();
     let bad = lines.keys().filter(|id| id.starts_with("bad-")).count() as u64;
     assert!(
-        (1..=REQUESTS * spans).contains(&(good.len() as u64)),
+        (1..=REQUESTS * logged_seconds).contains(&(good.len() as u64)),
         "{} logged completely",
         good.len()
     );
-    assert!((1..=FAILURES * spans).contains(&bad), "{bad} failures logged");
-    let complete = [
+    assert!((1..=FAILURES * logged_seconds).contains(&bad), "{bad} failures logged");
+    let expected_events_of_good = [
         "request received",
         "upstream chosen",
         "work started",
@@ -301,8 +305,11 @@
         "attempt ended",
         "request answered",
     ];
-    for (id, events) in good {
-        assert!(complete.iter().all(|event| events.contains(*event)), "{id}: {events:?}");
+    for (id, event_names) in good {
+        assert!(
+            expected_events_of_good.iter().all(|event| event_names.contains(*event)),
+            "{id}: {event_names:?}"
+        );
     }
 }
 
@@ -370,11 +377,11 @@
     for number in 0..5 {
         send_request(&fleet, "GET", "/safe/x", &format!("metrics-{number}"));
     }
-    fault_all(&fleet, json!({"break_at": "after-run"}));
+    set_all_faults(&fleet, json!({"break_at": "after-run"}));
     send_request(&fleet, "POST", "/unsafe/x", "metrics-broken");
     assert_eq!(fleet.send_heartbeat(0, true).status, 200);
     let text = client::call(fleet.daemons[0].admin, "GET", "/metrics", &[], "").text();
-    let value = |name: &str, labels: &[&str]| {
+    let metric_value = |name: &str, labels: &[&str]| {
         let names = |line: &&str| {
             line.starts_with(&format!("basaltarch_{name}"))
                 && labels.iter().all(|label| line.contains(label))
@@ -382,20 +389,20 @@
         let line = text.lines().find(names).unwrap_or_else(|| panic!("{name} {labels:?}: {text}"));
         line.rsplit(' ').next().and_then(|number| number.parse::<f64>().ok()).expect("a number")
     };
-    let ended = |route: &str, outcome: &str| {
+    let ended_requests = |route: &str, outcome: &str| {
         let labels = [
             format!("route=\"{route}\""),
             format!("outcome=\"{outcome}\""),
             "service=\"solver-app\"".to_owned(),
         ];
-        value("request_seconds_count", &labels.each_ref().map(String::as_str))
+        metric_value("request_seconds_count", &labels.each_ref().map(String::as_str))
     };
-    assert!(ended("r-safe", "complete") >= 5.0);
-    assert_eq!(ended("r-unsafe", "unknown"), 1.0);
-    assert!(value("work_seconds_count", &["result=\"answered\""]) >= 1.0);
-    assert!(value("slot_wait_seconds_count", &[]) >= 1.0);
-    assert_eq!(value("upstreams", &["state=\"draining\""]), 1.0);
-    assert_eq!(value("slots{", &[]) + value("slots_used", &[]), 4.0, "{text}");
-    assert!(value("store_calls", &["result=\"answered\""]) >= 2.0);
-    assert!(value("retries_left", &[]) > 0.0);
+    assert!(ended_requests("r-safe", "complete") >= 5.0);
+    assert_eq!(ended_requests("r-unsafe", "unknown"), 1.0);
+    assert!(metric_value("work_seconds_count", &["result=\"answered\""]) >= 1.0);
+    assert!(metric_value("slot_wait_seconds_count", &[]) >= 1.0);
+    assert_eq!(metric_value("upstreams", &["state=\"draining\""]), 1.0);
+    assert_eq!(metric_value("slots{", &[]) + metric_value("slots_used", &[]), 4.0, "{text}");
+    assert!(metric_value("store_calls", &["result=\"answered\""]) >= 2.0);
+    assert!(metric_value("retries_left", &[]) > 0.0);
 }
--- a/crates/daemon/tests/foreign.rs
+++ b/crates/daemon/tests/foreign.rs
@@ -40,8 +40,8 @@
     value
 }
 
-fn with(field: &str, other: Value, mut value: Value) -> Value {
-    value[field] = other;
+fn with(field: &str, field_value: Value, mut value: Value) -> Value {
+    value[field] = field_value;
     value
 }
 
@@ -82,7 +82,7 @@
 #[test_case("PUT", "not JSON" ; "bytes that can't be read")]
 #[test_case("PATCH", "%%%" ; "a value that can't be decoded")]
 #[test_case("PUT", "{}" ; "missing fields")]
-fn verify_a_host_whose_row_was_overwritten_stays_and_rewrites_it(method: &str, value: &str) {
+fn verify_a_host_whose_row_was_overwritten_stays_and_rewrites_its_row(method: &str, value: &str) {
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
     eventually("the row is there", || record_of(&fleet, "host-b").is_some());
@@ -109,7 +109,7 @@
     let reply = fleet.call_daemon(0, &call);
     assert_eq!(reply.status, 400, "{}", reply.text());
     let reply = fleet.request(0, "GET", "/safe/x", "still");
-    assert_eq!((reply.status, fleet.ran("still")), (200, 1));
+    assert_eq!((reply.status, fleet.run_count("still")), (200, 1));
 }
 
 #[test]
@@ -141,17 +141,17 @@
     })]
 
     #[test]
-    fn verify_a_good_server_is_kept_beside_any_entry(entry in any_server(), first in any::<bool>()) {
+    fn verify_a_good_server_is_kept_beside_any_entry(entry in any_server(), entry_first in any::<bool>()) {
         let good = with("name", json!("i-good"), foreign_server());
         let mut record = foreign_record(&good);
         let servers = record["servers"].as_array_mut().expect("servers");
-        servers.insert(usize::from(!first), entry);
+        servers.insert(usize::from(!entry_first), entry);
         let record = roster::read_record("host", record.to_string().as_bytes()).expect("a record");
         prop_assert!(record.is_in_use("i-good"));
     }
 
     #[test]
-    fn verify_corrupted_records_are_read_or_refused(
+    fn verify_corrupted_records_cause_no_panic(
         position in 0..200_usize, byte in any::<u8>(), noise in proptest::collection::vec(any::<u8>(), 0..99),
     ) {
         let mut record = foreign_record(&foreign_server()).to_string().into_bytes();
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -98,7 +98,7 @@
     let load = Load::start(&fleet, 12, "/puzzle");
     eventually("the fleet is warmed up", || load.good() > 600);
     let bad_before = load.bad();
-    fleet.backends[4].faults(fault);
+    fleet.backends[4].set_faults(fault);
     eventually("the server is ejected", || is_ejected(&fleet, "server-5"));
     let report = local_health(&fleet, "server-5");
     assert!(report["evidence"].as_str().expect("evidence").contains(evidence), "{report}");
@@ -110,15 +110,16 @@
             .filter(|line| line.contains("upstream ejected") && line.contains("server-5"));
         assert_eq!(ejections, expected.count(), "no healthy server is ejected:\n{log}");
     }
-    let counted: f64 = fleet.daemons.iter().map(|d| d.metric("detection_seconds_count")).sum();
-    assert!(counted >= 1.0, "the ejection is counted in the histogram");
-    let during = load.good();
-    eventually("callers are still served", || load.good() > during + 300);
+    let ejection_count: f64 =
+        fleet.daemons.iter().map(|d| d.metric("detection_seconds_count")).sum();
+    assert!(ejection_count >= 1.0, "the ejection is counted in the histogram");
+    let good_before = load.good();
+    eventually("callers are still served", || load.good() > good_before + 300);
     assert_eq!(load.bad(), bad_before, "no caller sees a repeatable request fail");
-    fleet.backends[4].faults(json!({}));
+    fleet.backends[4].set_faults(json!({}));
     eventually("the server is back", || !is_ejected(&fleet, "server-5"));
-    let before = fleet.backends[4].total();
-    eventually("it receives requests again", || fleet.backends[4].total() > before + 20);
+    let before = fleet.backends[4].total_runs();
+    eventually("it receives requests again", || fleet.backends[4].total_runs() > before + 20);
     load.end();
     fleet.check_invariants();
 }
@@ -129,15 +130,17 @@
     // One server fails requests but answers health checks with 200 and reports no load.
     let sick = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
     // Another serves requests but answers health checks with 503 and reports full load.
-    fleet.backends[0].faults(json!({"health_status": 503, "claimed_load": 1000}));
+    fleet.backends[0].set_faults(json!({"health_status": 503, "claimed_load": 1000}));
     let probe = client::call(fleet.backends[0].address, "GET", "/health", &[], "");
     assert_eq!(probe.status, 503);
     let load = Load::start(&fleet, 12, "/puzzle");
     eventually("the fleet is warmed up", || load.good() > 600);
-    fleet.backends[4].faults(sick);
+    fleet.backends[4].set_faults(sick);
     eventually("the sick server is ejected", || is_ejected(&fleet, "server-5"));
-    let before = fleet.backends[0].total();
-    eventually("the healthy server receives requests", || fleet.backends[0].total() > before + 100);
+    let before = fleet.backends[0].total_runs();
+    eventually("the healthy server receives requests", || {
+        fleet.backends[0].total_runs() > before + 100
+    });
     assert!(!is_ejected(&fleet, "server-1"));
     load.end();
     let probes = |backend: &common::TestBackend| backend.runs()["probes"].as_u64();
@@ -159,14 +162,14 @@
     let load = Load::start(&fleet, 9, "/puzzle");
     eventually("the fleet is warmed up", || load.good() > 400);
     for backend in &fleet.backends[..4] {
-        backend.faults(json!({"error_rate": 0.9}));
+        backend.set_faults(json!({"error_rate": 0.9}));
     }
     let ejected = || (1..=4).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
     eventually("several servers are ejected, or none stands out", || {
         ejected() >= 2 || load.good() > 6000
     });
-    let after = load.good() + load.bad();
-    eventually("load continues", || load.good() + load.bad() > after + 500);
+    let sent_before = load.good() + load.bad();
+    eventually("load continues", || load.good() + load.bad() > sent_before + 500);
     for daemon in &fleet.daemons {
         let health = daemon.get("/v1/health?service=solver-app");
         let service = &health["services"][0];
@@ -184,10 +187,10 @@
     let load = Load::start(&fleet, 12, "/puzzle");
     eventually("the fleet is warmed up", || load.good() > 600);
     for backend in &fleet.backends {
-        backend.faults(json!({"slow_rate": 1.0, "slow_factor": 3.0}));
+        backend.set_faults(json!({"slow_rate": 1.0, "slow_factor": 3.0}));
     }
-    let slow_from = load.good();
-    eventually("the fleet is still serving", || load.good() > slow_from + 1500);
+    let good_when_slow = load.good();
+    eventually("the fleet is still serving", || load.good() > good_when_slow + 1500);
     let ejected = (1..=9).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
     assert!(ejected <= 1, "{ejected} servers were ejected for a fault of all servers");
     load.end();
@@ -202,7 +205,7 @@
         FleetPlan { daemons: 3, backends: 9, service_ms: 5, service, ..FleetPlan::default() };
     let fleet = TestFleet::start(&plan);
     for backend in &fleet.backends {
-        backend.faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
+        backend.set_faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
     }
     let load = Load::start(&fleet, 9, "/puzzle");
     let poison = Load::start(&fleet, callers, "/poison");
@@ -228,7 +231,7 @@
     let plan = FleetPlan { daemons: 1, backends: 6, service, ..FleetPlan::default() };
     let fleet = TestFleet::start(&plan);
     for backend in &fleet.backends {
-        backend.faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
+        backend.set_faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
     }
     let exempted = || fleet.daemons[0].metric("poison_spared");
     let send_request = || fleet.request(0, "GET", "/poison", &[], "");
@@ -237,9 +240,9 @@
         send_request();
         exempted() > before
     });
-    let mut changed = fleet.configuration(&plan);
-    changed["services"]["solver-app"]["floor"] = json!(0.4);
-    assert_eq!(fleet.apply(&changed).status, 200);
+    let mut changed_configuration = fleet.configuration(&plan);
+    changed_configuration["services"]["solver-app"]["floor"] = json!(0.4);
+    assert_eq!(fleet.apply(&changed_configuration).status, 200);
     fleet.wait_revision(2);
     let before = exempted();
     send_request();
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -13,8 +13,8 @@
 use test_case::test_case;
 
 /// Two incarnations of the first backend server, as heartbeats name them.
-const BEFORE: &str = "i-1#a";
-const AFTER: &str = "i-1#b";
+const OLD_INCARNATION: &str = "i-1#a";
+const NEW_INCARNATION: &str = "i-1#b";
 
 /// A fleet whose first backend server has sent its incarnation.
 struct RestartFleet {
@@ -24,7 +24,7 @@
 impl RestartFleet {
     fn start() -> Self {
         let restarts = Self { fleet: RegisteredFleet::start(2) };
-        restarts.send_heartbeat(BEFORE, false);
+        restarts.send_heartbeat(OLD_INCARNATION, false);
         restarts.fleet.wait_served(1, &[0, 1]);
         restarts
     }
@@ -44,7 +44,7 @@
     /// Restarts the server: the sequence numbers of its heartbeats begin again.
     fn restart(&self) {
         self.fleet.reset_sequence();
-        self.send_heartbeat(AFTER, false);
+        self.send_heartbeat(NEW_INCARNATION, false);
     }
 
     fn registrations(&self, name: &str) -> usize {
@@ -56,29 +56,32 @@
 }
 
 #[test_case(|_| {} ; "crashed without a message")]
-#[test_case(|each| each.send_heartbeat(BEFORE, true) ; "sent a drain notice")]
-#[test_case(|each| each.send(&registered::deregistration(BEFORE)) ; "deregistered")]
+#[test_case(|each| each.send_heartbeat(OLD_INCARNATION, true) ; "sent a drain notice")]
+#[test_case(|each| each.send(&registered::deregistration(OLD_INCARNATION)) ; "deregistered")]
 #[test_case(|each| each.send(&registered::deregistration("i-1")) ; "deregistered without its incarnation")]
-fn verify_a_server_restarted_under_its_name_receives_requests(end: fn(&RestartFleet)) {
+fn verify_a_server_restarted_under_its_name_receives_requests(
+    end_old_incarnation: fn(&RestartFleet),
+) {
     let restarts = RestartFleet::start();
-    end(&restarts);
+    end_old_incarnation(&restarts);
     restarts.restart();
-    eventually("the new incarnation is known", || restarts.registrations(AFTER) == 1);
+    eventually("the new incarnation is known", || restarts.registrations(NEW_INCARNATION) == 1);
     restarts.fleet.wait_served(0, &[0, 1]);
     restarts.fleet.wait_served(1, &[0, 1]);
 }
 
-#[test_case(|each| each.heartbeat(BEFORE, false) ; "a heartbeat")]
-#[test_case(|each| each.heartbeat(BEFORE, true) ; "a drain notice")]
-#[test_case(|_| registered::deregistration(BEFORE) ; "a deregistration")]
+#[test_case(|each| each.heartbeat(OLD_INCARNATION, false) ; "a heartbeat")]
+#[test_case(|each| each.heartbeat(OLD_INCARNATION, true) ; "a drain notice")]
+#[test_case(|_| registered::deregistration(OLD_INCARNATION) ; "a deregistration")]
 fn verify_late_messages_of_the_previous_incarnation_are_ignored(
-    late: fn(&RestartFleet) -> StoreCall,
+    late_call: fn(&RestartFleet) -> StoreCall,
 ) {
     let restarts = RestartFleet::start();
-    let late = late(&restarts);
+    let late_call = late_call(&restarts);
     restarts.restart();
-    restarts.send(&late);
-    let registrations = || (restarts.registrations(BEFORE), restarts.registrations(AFTER));
+    restarts.send(&late_call);
+    let registrations =
+        || (restarts.registrations(OLD_INCARNATION), restarts.registrations(NEW_INCARNATION));
     // A separate thread writes the log, so its last lines may be delayed.
     eventually("each incarnation was registered once", || registrations() == (1, 1));
     restarts.fleet.wait_served(0, &[0]);
@@ -89,12 +92,12 @@
 #[test]
 fn verify_a_restarted_daemon_uses_the_later_incarnation_in_any_order() {
     let mut restarts = RestartFleet::start();
-    let late = restarts.heartbeat(BEFORE, true);
+    let late_call = restarts.heartbeat(OLD_INCARNATION, true);
     restarts.fleet.daemons[0].kill();
     restarts.fleet.daemons[0] = restarts.fleet.start_daemon("host-a", "bkk-a", &[]);
-    restarts.send(&late);
+    restarts.send(&late_call);
     restarts.restart();
-    restarts.send(&late);
+    restarts.send(&late_call);
     restarts.fleet.wait_served(0, &[0, 1]);
     restarts.fleet.wait_served(1, &[0, 1]);
 }
@@ -102,11 +105,11 @@
 #[test]
 fn verify_an_incarnation_started_in_a_store_outage_is_known_after_it() {
     let restarts = RestartFleet::start();
-    restarts.fleet.platform.faults(json!({"busy": true}));
-    restarts.send_heartbeat(BEFORE, true);
+    restarts.fleet.platform.set_faults(json!({"busy": true}));
+    restarts.send_heartbeat(OLD_INCARNATION, true);
     restarts.restart();
     restarts.fleet.wait_served(0, &[0]);
-    restarts.fleet.platform.faults(json!({}));
+    restarts.fleet.platform.set_faults(json!({}));
     restarts.fleet.wait_served(1, &[0, 1]);
 }
 
@@ -114,13 +117,13 @@
 fn verify_failures_of_an_incarnation_do_not_count_against_the_next() {
     let restarts = RestartFleet::start();
     let fleet = &restarts.fleet;
-    fleet.backends[0].faults(json!({"stuck": true}));
+    fleet.backends[0].set_faults(json!({"stuck": true}));
     eventually("its daemon doubts it", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
         let text = fleet.daemons[0].log_text();
         text.contains("upstream doubted") || text.contains("upstream ejected")
     });
-    fleet.backends[0].faults(json!({}));
+    fleet.backends[0].set_faults(json!({}));
     restarts.restart();
     // Non-repeatable requests, which a doubted server receives only if no other is left, reach it
     // at once.
@@ -128,7 +131,7 @@
         let id = format!("anew-{number}");
         let reply = fleet.request(0, "POST", "/unsafe/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
-        fleet.backends[0].ran(&id) == 1
+        fleet.backends[0].run_count(&id) == 1
     };
     assert!((0..20).any(reaches));
 }
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -27,7 +27,7 @@
 #[test]
 fn verify_a_request_at_a_hanging_server_is_answered_by_another() {
     let fleet = warmed_up_fleet();
-    fleet.backends[0].faults(json!({"stuck": true}));
+    fleet.backends[0].set_faults(json!({"stuck": true}));
     for number in 0..30 {
         // A server that hangs answers nothing before the route's time-out, which ends with 504.
         let reply = fleet.request(number % 3, "GET", "/safe/x", &format!("late-{number}"));
@@ -38,7 +38,7 @@
 #[test]
 fn verify_non_repeatable_requests_avoid_a_hanging_server() {
     let fleet = warmed_up_fleet();
-    fleet.backends[0].faults(json!({"stuck": true}));
+    fleet.backends[0].set_faults(json!({"stuck": true}));
     eventually("its daemon doubts it", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
         fleet.daemons[0].log_text().contains("upstream doubted")
@@ -65,13 +65,13 @@
     });
     // One server takes far longer than the objective, the other never answers: whichever was tried
     // first, only an attempt that runs on after its hedging delay gets an answer.
-    fleet.backends[0].faults(json!({"slow_rate": 1.0, "slow_factor": 60.0}));
-    fleet.backends[1].faults(json!({"stuck": true}));
+    fleet.backends[0].set_faults(json!({"slow_rate": 1.0, "slow_factor": 60.0}));
+    fleet.backends[1].set_faults(json!({"stuck": true}));
     for number in 0..5 {
         let id = format!("slow-{number}");
         let reply = fleet.request(0, "GET", "/slow/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert_eq!(fleet.ran(&id), 1, "it completed once");
+        assert_eq!(fleet.run_count(&id), 1, "it completed once");
     }
 }
 
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn verify_a_full_server_gets_an_adaptive_timeout() {
+fn verify_a_full_hanging_server_gets_a_shorter_timeout_than_the_route() {
     let fleet = RegisteredFleet::start(1);
     fleet.wait_served(0, &[0]);
     for number in 0..20 {
@@ -92,7 +92,7 @@
     }
     let server = &fleet.backends[0];
     assert!(last_timeout_ms(server) > 2000, "the whole time-out of the route while slots are free");
-    server.faults(json!({"stuck": true}));
+    server.set_faults(json!({"stuck": true}));
     // The hanging requests of the first round show that slow requests at this server get no late
     // answer.
     fill_slots(&fleet, 0);
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -56,11 +56,11 @@
         let fleet = &mut self.fleet;
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
         eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
-        let before = fleet.backends[0].total();
+        let before = fleet.backends[0].total_runs();
         for number in 0..60 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("left-{number}"));
         }
-        assert_eq!(fleet.backends[0].total(), before, "nothing reaches a server that left");
+        assert_eq!(fleet.backends[0].total_runs(), before, "nothing reaches a server that left");
         assert!(!is_recovered(fleet, "i-1"));
     }
 }
@@ -90,8 +90,8 @@
 fn store_failures(daemon: &TestDaemon) -> u64 {
     let reply = client::try_call(daemon.admin, "GET", "/metrics", &[], "");
     let text = reply.map(|reply| reply.text()).unwrap_or_default();
-    let of_store = text.lines().filter(|line| line.starts_with("basaltarch_store_failures"));
-    of_store.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum::<f64>() as u64
+    let store_lines = text.lines().filter(|line| line.starts_with("basaltarch_store_failures"));
+    store_lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum::<f64>() as u64
 }
 
 #[test_case(|fleet| fleet.deregister(0) ; "gone")]
@@ -100,7 +100,7 @@
     leave: fn(&RegisteredFleet) -> Reply,
 ) {
     let mut hosts = LeavingFleet::start(&[]);
-    hosts.fleet.platform.faults(json!({"busy": true}));
+    hosts.fleet.platform.set_faults(json!({"busy": true}));
     assert_eq!(leave(&hosts.fleet).status, 200, "it is acknowledged");
     hosts.close();
     // Restores the store only after more refused calls than fit into a stop that does not wait for
@@ -110,8 +110,8 @@
     eventually("the daemon retries, or ends", || {
         store_failures(daemon) >= before + 5 || !daemon.is_running()
     });
-    hosts.fleet.platform.faults(json!({}));
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
+    hosts.fleet.platform.set_faults(json!({}));
+    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
     hosts.check_left_server_unused(&[]);
 }
 
@@ -120,7 +120,7 @@
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
     let address = hosts.fleet.daemons[0].registration.expect("registration");
     // A short delay, so that a call can arrive while the previous one is being written.
-    hosts.fleet.platform.faults(json!({"delay_ms": 50}));
+    hosts.fleet.platform.set_faults(json!({"delay_ms": 50}));
     hosts.fleet.daemons[0].signal("-TERM");
     // One server after another drains, until the daemon no longer listens.
     let mut acknowledged = None;
@@ -134,7 +134,7 @@
             None => break,
         }
     }
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
     let record = stored_record(&hosts.fleet).expect("a record");
     let last = json!(acknowledged.expect("drains were acknowledged"));
     let servers = record["servers"].as_array().expect("servers");
@@ -144,9 +144,9 @@
 #[test]
 fn verify_a_stop_without_pending_writes_does_not_wait_for_the_store() {
     let mut hosts = LeavingFleet::start(&[]);
-    hosts.fleet.platform.faults(json!({"busy": true}));
+    hosts.fleet.platform.set_faults(json!({"busy": true}));
     hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
     let text = hosts.fleet.daemons[0].log_text();
     let stopped = text.lines().find(|line| line.contains("\"stopped\"")).expect("a line");
     assert!(stopped.contains("\"idle\""), "{stopped}");
@@ -155,10 +155,10 @@
 #[test]
 fn verify_a_server_that_left_in_an_outage_receives_nothing_after_the_restart() {
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    hosts.fleet.platform.faults(json!({"down": true}));
+    hosts.fleet.platform.set_faults(json!({"down": true}));
     assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
     hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
     // The store is still down: the restarted daemon learns the earlier state from the other daemon.
     let seeds = hosts.fleet.daemons[1].peers.to_string();
     hosts.check_left_server_unused(&[("seeds", seeds.as_str())]);
@@ -167,22 +167,22 @@
 #[test]
 fn verify_a_restarted_daemon_that_reads_an_old_row_learns_from_peers_which_server_left() {
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    hosts.fleet.platform.faults(json!({"down": true}));
+    hosts.fleet.platform.set_faults(json!({"down": true}));
     assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
     hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    hosts.fleet.platform.faults(json!({}));
+    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
+    hosts.fleet.platform.set_faults(json!({}));
     let fleet = &mut hosts.fleet;
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
     eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
     let mut round = 0;
     eventually("nothing reaches the server that left", || {
         round += 1;
-        let before = fleet.backends[0].total();
+        let before = fleet.backends[0].total_runs();
         for number in 0..60 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("old-row-{round}-{number}"));
         }
-        fleet.backends[0].total() == before
+        fleet.backends[0].total_runs() == before
     });
     eventually("the row no longer lists it", || stored_servers(fleet) == [STAYS]);
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn limited(daemons: usize, rate: f64, burst: f64) -> TestFleet {
+fn start_limited(daemons: usize, rate: f64, burst: f64) -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons,
         backends: daemons,
@@ -27,7 +27,7 @@
 
 #[test]
 fn verify_requests_over_the_limit_are_refused_with_retry_after() {
-    let fleet = limited(2, 0.5, 4.0);
+    let fleet = start_limited(2, 0.5, 4.0);
     let replies: Vec<_> = (0..20).map(|number| send_request(&fleet, number % 2)).collect();
     let good = replies.iter().filter(|reply| reply.status == 200).count();
     assert!((1..=6).contains(&good), "{good} of 20 with a burst of 4");
@@ -42,7 +42,7 @@
 
 #[test]
 fn verify_the_rate_holds_over_many_ingresses() {
-    let fleet = limited(4, 40.0, 10.0);
+    let fleet = start_limited(4, 40.0, 10.0);
     let start = Instant::now();
     let mut good = 0;
     // The number of requests is fixed: on a slow machine more time passes, and more is allowed.
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn verify_the_rate_holds_after_the_owner_of_the_limit_is_gone() {
-    let mut fleet = limited(3, 20.0, 10.0);
+fn verify_the_rate_holds_after_the_owner_of_the_limit_is_killed() {
+    let mut fleet = start_limited(3, 20.0, 10.0);
     // Whichever daemon owns the limit: with two of three gone, the last one must still enforce it.
     fleet.daemons[1].kill();
     fleet.daemons[2].kill();
@@ -74,19 +74,19 @@
 #[test_case(2 ; "twice")]
 fn verify_a_kill_of_all_daemons_grants_no_second_burst(kills: usize) {
     let (rate, burst) = (0.5, 40.0);
-    let mut fleet = limited(3, rate, burst);
+    let mut fleet = start_limited(3, rate, burst);
     let start = Instant::now();
-    let served = |fleet: &TestFleet| {
+    let count_served = |fleet: &TestFleet| {
         (0..60).filter(|number| send_request(fleet, number % 3).status == 200).count()
     };
-    let mut good = served(&fleet);
+    let mut good = count_served(&fleet);
     assert!(
         good as f64 >= burst / 2.0,
         "a fleet that starts for the first time allows the burst: {good}"
     );
     for _ in 0..kills {
         fleet.restart_all(&[]);
-        good += served(&fleet);
+        good += count_served(&fleet);
     }
     let allowed = burst + rate * start.elapsed().as_secs_f64();
     assert!(good as f64 <= allowed * 1.1, "{good} of at most {allowed}");
@@ -95,7 +95,7 @@
 #[test]
 fn verify_a_restarted_fleet_serves_callers_below_the_rate() {
     // The rate is so high that callers stay far below it on any machine.
-    let mut fleet = limited(3, 20_000.0, 40.0);
+    let mut fleet = start_limited(3, 20_000.0, 40.0);
     assert_eq!(send_request(&fleet, 0).status, 200);
     fleet.restart_all(&[]);
     let refused = (0..20).filter(|number| send_request(&fleet, number % 3).status == 429).count();
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -20,7 +20,7 @@
 
 /// Starts a fleet whose daemons reach each other through forwarders, with a backend server beside
 /// each.
-fn start() -> (RegisteredFleet, Vec<Forwarder>) {
+fn start_fleet() -> (RegisteredFleet, Vec<Forwarder>) {
     let mut fleet = RegisteredFleet::start(0);
     let mut peers = Vec::new();
     for (index, host) in HOSTS.iter().enumerate() {
@@ -39,22 +39,22 @@
 }
 
 #[test]
-fn verify_non_repeatable_requests_are_not_sent_over_a_silent_path() {
-    let (fleet, peers) = start();
+fn verify_non_repeatable_requests_are_not_sent_over_a_black_holed_path() {
+    let (fleet, peers) = start_fleet();
     fleet.wait_served(0, &[0, 1, 2]);
     eventually("requests were served there", || {
         fleet.request(0, "POST", "/unsafe/x", "before").status == 200
-            && fleet.backends[1].total() > 1
+            && fleet.backends[1].total_runs() > 1
     });
-    peers[1].silence();
-    let silent_at = Instant::now();
+    peers[1].black_hole();
+    let black_holed_at = Instant::now();
     eventually("the load reports of the other hosts are no longer fresh", || {
-        silent_at.elapsed() > FRESH_FOR
+        black_holed_at.elapsed() > FRESH_FOR
     });
     for number in 0..40 {
         let id = format!("after-{number}");
         let reply = fleet.request(0, "POST", "/unsafe/x", &id);
         assert_eq!(reply.status, 200, "request {number}: {}", reply.text());
-        assert_eq!(fleet.ran(&id), 1);
+        assert_eq!(fleet.run_count(&id), 1);
     }
 }
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -36,7 +36,7 @@
             }
         }
     });
-    assert_eq!(fleet.ran("key-1"), 1);
+    assert_eq!(fleet.run_count("key-1"), 1);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     assert_eq!(pay(&fleet, 0, "key-2", "amount=5").status, 200);
     let reply = pay(&fleet, 1, "key-2", "amount=6");
     assert_eq!((reply.status, reply.reason().as_deref()), (422, Some("key-reused")));
-    assert_eq!(fleet.ran("key-2"), 1);
+    assert_eq!(fleet.run_count("key-2"), 1);
 }
 
 #[test]
@@ -69,7 +69,7 @@
             })
             .collect();
         let replies: Vec<_> = threads.into_iter().map(|t| t.join().expect("join")).collect();
-        assert_eq!(fleet.ran(&key), 1);
+        assert_eq!(fleet.run_count(&key), 1);
         assert!(replies.iter().any(|reply| reply.status == 200));
         for reply in replies.iter().filter(|reply| reply.status != 200) {
             assert_eq!(reply.outcome().as_deref(), Some("unknown"), "{}", reply.head);
@@ -82,24 +82,24 @@
 #[test_case(json!({"lose_write_answers": 3}) ; "three answers are lost")]
 fn verify_a_lost_write_is_settled_and_the_request_runs_once(faults: serde_json::Value) {
     let fleet = TestFleet::start(&FleetPlan::default());
-    fleet.platform.faults(faults);
+    fleet.platform.set_faults(faults);
     let reply = pay(&fleet, 0, "key-3", "amount=5");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    assert_eq!(fleet.ran("key-3"), 1);
+    assert_eq!(fleet.run_count("key-3"), 1);
     let again = pay(&fleet, 1, "key-3", "amount=5");
     assert!(matches!(again.status, 200 | 409), "{}", again.head);
-    assert_eq!(fleet.ran("key-3"), 1);
+    assert_eq!(fleet.run_count("key-3"), 1);
 }
 
 #[test]
 fn verify_without_the_store_only_at_most_once_requests_are_refused() {
     let fleet = TestFleet::start(&FleetPlan::default());
     assert_eq!(pay(&fleet, 0, "before", "x").status, 200);
-    fleet.platform.faults(json!({"down": true}));
+    fleet.platform.set_faults(json!({"down": true}));
     let reply = pay(&fleet, 0, "during", "x");
     assert_eq!((reply.status, reply.outcome().as_deref()), (503, Some("not-run")));
     assert_eq!(reply.reason().as_deref(), Some("ledger-unavailable"));
-    assert_eq!(fleet.ran("during"), 0);
+    assert_eq!(fleet.run_count("during"), 0);
     for daemon in 0..2 {
         assert_eq!(fleet.request(daemon, "GET", "/puzzle", &[], "").status, 200);
         assert_eq!(fleet.request(daemon, "POST", "/plain", &[], "x").status, 200);
@@ -107,46 +107,46 @@
         // once.
         assert_eq!(fleet.request(daemon, "POST", "/payouts", &[], "x").status, 200);
     }
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     eventually("the same key runs once the store is back", || {
         let reply = pay(&fleet, 1, "during", "x");
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.head);
         reply.status == 200
     });
-    assert_eq!(fleet.ran("during"), 1);
+    assert_eq!(fleet.run_count("during"), 1);
 }
 
 #[test]
 fn verify_a_request_that_did_not_run_can_be_retried_with_its_key() {
     let fleet = TestFleet::start(&FleetPlan::default());
     for backend in &fleet.backends {
-        backend.faults(json!({"shed": true}));
+        backend.set_faults(json!({"shed": true}));
     }
     let reply = pay(&fleet, 0, "shed", "x");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("shed")));
     for backend in &fleet.backends {
-        backend.faults(json!({}));
+        backend.set_faults(json!({}));
     }
     assert_eq!(pay(&fleet, 1, "shed", "x").status, 200);
-    assert_eq!(fleet.ran("shed"), 1);
+    assert_eq!(fleet.run_count("shed"), 1);
 }
 
 #[test]
 fn verify_a_request_is_not_retried_after_its_server_broke_off() {
     let fleet = TestFleet::start(&FleetPlan::default());
     for backend in &fleet.backends {
-        backend.faults(json!({"break_at": "after-run"}));
+        backend.set_faults(json!({"break_at": "after-run"}));
     }
     let reply = pay(&fleet, 0, "broke", "x");
     assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     for backend in &fleet.backends {
-        backend.faults(json!({}));
+        backend.set_faults(json!({}));
     }
     for daemon in [0, 1] {
         let reply = pay(&fleet, daemon, "broke", "x");
         assert_eq!((reply.status, reply.reason().as_deref()), (409, Some("already-started")));
     }
-    assert_eq!(fleet.ran("broke"), 1);
+    assert_eq!(fleet.run_count("broke"), 1);
 }
 
 #[test]
@@ -162,19 +162,19 @@
         ];
         client::try_call(callers, "POST", "/payouts", &headers, "x")
     });
-    eventually("the request runs", || fleet.ran("killed") == 1);
+    eventually("the request runs", || fleet.run_count("killed") == 1);
     fleet.daemons[0].kill();
     assert!(request.join().expect("join").is_none_or(|reply| reply.status != 200));
     let reply = pay(&fleet, 1, "killed", "x");
     assert_eq!((reply.status, reply.reason().as_deref()), (409, Some("already-started")));
-    assert_eq!(fleet.ran("killed"), 1);
+    assert_eq!(fleet.run_count("killed"), 1);
 }
 
 #[test]
 fn verify_rows_of_many_requests_share_transactions() {
     let fleet =
         TestFleet::start(&FleetPlan { daemons: 1, backends: 2, slots: 64, ..FleetPlan::default() });
-    fleet.platform.faults(json!({"delay_ms": 40}));
+    fleet.platform.set_faults(json!({"delay_ms": 40}));
     let before = fleet.platform.counters()["transactions"].as_u64().expect("count");
     let callers = fleet.daemons[0].callers;
     let threads: Vec<_> = (0..64)
@@ -192,8 +192,8 @@
         .collect();
     let statuses: Vec<u16> = threads.into_iter().map(|t| t.join().expect("join")).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    let used = fleet.platform.counters()["transactions"].as_u64().expect("count") - before;
-    assert!(used <= 32, "64 rows took {used} transactions");
+    let transactions = fleet.platform.counters()["transactions"].as_u64().expect("count") - before;
+    assert!(transactions <= 32, "64 rows took {transactions} transactions");
 }
 
 #[test]
@@ -207,5 +207,5 @@
     ];
     let reply = fleet.request(0, "POST", "/payouts", &headers, "x");
     assert_eq!(reply.status, 200);
-    assert_eq!(fleet.ran("shared"), 2, "two organisations, two requests");
+    assert_eq!(fleet.run_count("shared"), 2, "two organisations, two requests");
 }
--- a/crates/daemon/tests/organisations.rs
+++ b/crates/daemon/tests/organisations.rs
@@ -30,7 +30,7 @@
     document
 }
 
-fn write(fleet: &RegisteredFleet, version: u64, organisations: &[OrganisationDraft]) {
+fn write_document(fleet: &RegisteredFleet, version: u64, organisations: &[OrganisationDraft]) {
     let bytes = document::write_with(&keyed_document(version), Some(organisations));
     fleet.write_text(&String::from_utf8(bytes).expect("text"));
     for daemon in &fleet.daemons {
@@ -41,10 +41,10 @@
 fn start(daemons: usize) -> RegisteredFleet {
     let fleet = RegisteredFleet::start(daemons);
     for daemon in 0..daemons {
-        let every: Vec<usize> = (0..daemons).collect();
-        fleet.wait_served(daemon, &every);
+        let all_servers: Vec<usize> = (0..daemons).collect();
+        fleet.wait_served(daemon, &all_servers);
     }
-    write(&fleet, 2, &[SHOP, DESK]);
+    write_document(&fleet, 2, &[SHOP, DESK]);
     fleet
 }
 
@@ -71,7 +71,7 @@
     let reply = send_request(&fleet, 0, "/unsafe/x", "stranger", extra_headers);
     assert_eq!((reply.status, reply.reason().as_deref()), (401, Some("key-unknown")));
     assert!(reply.header("www-authenticate").is_some());
-    assert_eq!(fleet.ran("stranger"), 0);
+    assert_eq!(fleet.run_count("stranger"), 0);
     assert_eq!(
         send_request(&fleet, 0, "/safe/x", "exempt", extra_headers).status,
         200,
@@ -89,7 +89,7 @@
             401,
             "{id}"
         );
-        assert_eq!(fleet.ran(id), 0);
+        assert_eq!(fleet.run_count(id), 0);
     }
 }
 
@@ -101,7 +101,8 @@
         let extra_headers = [(names::API_KEY, key), (names::ORGANISATION, claimed)];
         let id = format!("known-{number}");
         assert_eq!(send_request(&fleet, number % 3, "/unsafe/x", &id, &extra_headers).status, 200);
-        let server = fleet.backends.iter().find(|backend| backend.ran(&id) == 1).expect("ran");
+        let server =
+            fleet.backends.iter().find(|backend| backend.run_count(&id) == 1).expect("ran");
         let head = server.runs()["last_head"].as_str().expect("head").to_owned();
         let name = if number % 2 == 0 { "shop" } else { "desk" };
         let field = format!("\"{}\": \"{name}\"", names::ORGANISATION);
@@ -118,20 +119,20 @@
         let runs = backend.runs();
         ["shop", "desk"].map(|name| runs["by_organisation"][name].as_u64().unwrap_or(0))
     };
-    let sums = fleet
+    let run_counts = fleet
         .backends
         .iter()
         .map(count_each)
         .fold([0, 0], |sum, each| [sum[0] + each[0], sum[1] + each[1]]);
-    assert_eq!(sums, [15, 15]);
+    assert_eq!(run_counts, [15, 15]);
     for daemon in &fleet.daemons {
-        let shown = [
+        let exposed_texts = [
             daemon.log_text(),
             daemon.call("GET", "/metrics", &[], "").text(),
             daemon.get("/v1/organisations").to_string(),
             daemon.get("/v1/status").to_string(),
         ];
-        for text in shown {
+        for text in exposed_texts {
             for key in [SHOP_KEY, DESK_KEY] {
                 assert!(!text.contains(key), "the daemon exposes a key");
             }
@@ -144,22 +145,36 @@
     let fleet = start(2);
     // Header field names are case-insensitive.
     let name = names::API_KEY.to_uppercase();
-    let with = |key| [(&*name, key)];
-    assert_eq!(send_request(&fleet, 1, "/unsafe/x", "before", &with(SHOP_KEY)).status, 200);
-    let moved = OrganisationDraft { keys: &[DESK_KEY, SHOP_KEY], ..DESK };
-    write(&fleet, 3, &[OrganisationDraft { keys: &["an0ther"], ..SHOP }, moved]);
+    let key_header = |key| [(&*name, key)];
+    assert_eq!(send_request(&fleet, 1, "/unsafe/x", "before", &key_header(SHOP_KEY)).status, 200);
+    let desk_with_both_keys = OrganisationDraft { keys: &[DESK_KEY, SHOP_KEY], ..DESK };
+    write_document(
+        &fleet,
+        3,
+        &[OrganisationDraft { keys: &["an0ther"], ..SHOP }, desk_with_both_keys],
+    );
     for daemon in 0..2 {
         let id = format!("moved-{daemon}");
-        assert_eq!(send_request(&fleet, daemon, "/unsafe/x", &id, &with(SHOP_KEY)).status, 200);
-        let server = fleet.backends.iter().find(|backend| backend.ran(&id) == 1).expect("ran");
+        assert_eq!(
+            send_request(&fleet, daemon, "/unsafe/x", &id, &key_header(SHOP_KEY)).status,
+            200
+        );
+        let server =
+            fleet.backends.iter().find(|backend| backend.run_count(&id) == 1).expect("ran");
         assert!(server.runs()["last_head"].to_string().contains("desk"));
     }
-    write(&fleet, 4, &[SHOP]);
+    write_document(&fleet, 4, &[SHOP]);
     for daemon in 0..2 {
         let id = format!("gone-{daemon}");
-        assert_eq!(send_request(&fleet, daemon, "/unsafe/x", &id, &with(DESK_KEY)).status, 401);
-        assert_eq!(fleet.ran(&id), 0);
-        assert_eq!(send_request(&fleet, daemon, "/unsafe/x", "back", &with(SHOP_KEY)).status, 200);
+        assert_eq!(
+            send_request(&fleet, daemon, "/unsafe/x", &id, &key_header(DESK_KEY)).status,
+            401
+        );
+        assert_eq!(fleet.run_count(&id), 0);
+        assert_eq!(
+            send_request(&fleet, daemon, "/unsafe/x", "back", &key_header(SHOP_KEY)).status,
+            200
+        );
     }
 }
 
@@ -176,7 +191,7 @@
         ];
         client::call(address, "POST", "/unsafe/x", &headers, "x").status
     });
-    eventually("the parent request runs", || fleet.ran("parent") == 1);
+    eventually("the parent request runs", || fleet.run_count("parent") == 1);
     assert_eq!(send_request(&fleet, 0, "/unsafe/x", "parent.1", &[]).status, 200);
     let head = fleet.backends[0].runs()["last_head"].to_string();
     assert!(head.contains("shop"), "{head}");
@@ -192,7 +207,7 @@
 fn verify_nested_calls_count_towards_no_limit() {
     let fleet = start(1);
     let limited = OrganisationDraft { rate: Some(0.01), burst: Some(1.0), ..SHOP };
-    write(&fleet, 3, &[limited]);
+    write_document(&fleet, 3, &[limited]);
     let address = fleet.daemons[0].callers;
     let headers = [
         ("Host", HOST),
@@ -202,7 +217,7 @@
     ];
     let send_parent = move || client::call(address, "POST", "/unsafe/x", &headers, "x").status;
     let parent = std::thread::spawn(send_parent);
-    eventually("the parent request runs", || fleet.ran("parent") == 1);
+    eventually("the parent request runs", || fleet.run_count("parent") == 1);
     for number in 0..5 {
         let id = format!("parent.{number}");
         assert_eq!(send_request(&fleet, 0, "/unsafe/x", &id, &[]).status, 200);
@@ -210,14 +225,14 @@
     assert_eq!(parent.join().expect("join"), 200);
     let over = send_request(&fleet, 0, "/unsafe/x", "over", &[(names::API_KEY, SHOP_KEY)]);
     assert_eq!((over.status, over.reason().as_deref()), (429, Some("limited")));
-    assert_eq!(fleet.ran("over"), 0);
+    assert_eq!(fleet.run_count("over"), 0);
 }
 
 #[test]
 fn verify_a_bad_table_of_organisations_changes_nothing_and_no_key_is_logged() {
     let fleet = start(1);
-    let twice = OrganisationDraft { keys: &[SHOP_KEY], ..DESK };
-    let bytes = document::write_with(&keyed_document(9), Some(&[SHOP, twice]));
+    let desk_with_shop_key = OrganisationDraft { keys: &[SHOP_KEY], ..DESK };
+    let bytes = document::write_with(&keyed_document(9), Some(&[SHOP, desk_with_shop_key]));
     fleet.write_text(&String::from_utf8(bytes).expect("text"));
     let daemon = &fleet.daemons[0];
     eventually("it was read", || daemon.log_text().contains("configuration unreadable"));
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -45,20 +45,20 @@
 #[test_case("after-run", "unknown", "backend-broken", 1 ; "after the request ran")]
 #[test_case("in-answer-head", "unknown", "answer-broken", 1 ; "in the head of the answer")]
 fn verify_a_broken_backend_exchange_is_reported_with_its_outcome(
-    at: &str,
+    break_point: &str,
     outcome: &str,
     reason: &str,
     ran: u64,
 ) {
-    for entry in [0, 1] {
+    for ingress in [0, 1] {
         let hops = TwoHops::start(None);
-        hops.backend().faults(json!({ "break_at": at }));
+        hops.backend().set_faults(json!({ "break_at": break_point }));
         let headers = [("x-request-id", "broken")];
-        let reply = hops.fleet.request(entry, "POST", "/plain", &headers, "body");
+        let reply = hops.fleet.request(ingress, "POST", "/plain", &headers, "body");
         assert_eq!(reply.status, 502, "{}", reply.head);
         assert_eq!(reply.outcome().as_deref(), Some(outcome));
         assert_eq!(reply.reason().as_deref(), Some(reason));
-        assert_eq!(hops.backend().ran("broken"), ran, "dispatched once, never retried");
+        assert_eq!(hops.backend().run_count("broken"), ran, "dispatched once, never retried");
         hops.fleet.check_invariants();
     }
 }
@@ -66,16 +66,16 @@
 #[test]
 fn verify_a_truncated_answer_is_never_forwarded_as_complete() {
     let hops = TwoHops::start(None);
-    hops.backend().faults(json!({"break_at": "in-answer-body"}));
+    hops.backend().set_faults(json!({"break_at": "in-answer-body"}));
     for path in ["/plain/x", "/bytes/300000"] {
-        for entry in [0, 1] {
+        for ingress in [0, 1] {
             let headers = [("Host", "solver.example")];
-            let callers = hops.fleet.daemons[entry].callers;
+            let callers = hops.fleet.daemons[ingress].callers;
             let reply = client::try_call(callers, "GET", path, &headers, "");
-            let cut = reply.as_ref().is_none_or(|reply| {
+            let is_truncated = reply.as_ref().is_none_or(|reply| {
                 !reply.complete || reply.outcome().as_deref() == Some("unknown")
             });
-            assert!(cut, "{path} through {entry}: {reply:?}");
+            assert!(is_truncated, "{path} through {ingress}: {reply:?}");
         }
     }
 }
@@ -88,9 +88,9 @@
         "failure_domain": "bkk-b",
     }}});
     // A port that was just released: nothing listens there.
-    let free =
+    let closed_address =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
-    configuration["backend-servers"]["server-1"]["address"] = json!(free.to_string());
+    configuration["backend-servers"]["server-1"]["address"] = json!(closed_address.to_string());
     assert_eq!(hops.fleet.apply(&configuration).status, 200);
     hops.fleet.wait_revision(2);
     let reply = hops.fleet.request(0, "POST", "/plain", &[], "x");
@@ -102,17 +102,17 @@
 #[test]
 fn verify_a_shed_request_is_tried_at_another_server() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 2, ..FleetPlan::default() });
-    fleet.backends[0].faults(json!({"shed": true}));
+    fleet.backends[0].set_faults(json!({"shed": true}));
     for number in 0..20 {
         let id = format!("shed-{number}");
         let reply = fleet.request(0, "POST", "/plain", &[("x-request-id", &id)], "x");
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert_eq!(fleet.ran(&id), 1);
+        assert_eq!(fleet.run_count(&id), 1);
     }
-    fleet.backends[1].faults(json!({"shed": true}));
+    fleet.backends[1].set_faults(json!({"shed": true}));
     let reply = fleet.request(0, "POST", "/plain", &[("x-request-id", "none")], "x");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("shed")));
-    assert_eq!(fleet.ran("none"), 0);
+    assert_eq!(fleet.run_count("none"), 0);
 }
 
 #[test]
@@ -120,14 +120,14 @@
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 1.0});
     let plan = FleetPlan { daemons: 2, backends: 2, service, ..FleetPlan::default() };
     let fleet = TestFleet::start(&plan);
-    fleet.backends[0].faults(json!({"break_at": "after-run"}));
-    fleet.backends[1].faults(json!({"shed": true}));
+    fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
+    fleet.backends[1].set_faults(json!({"shed": true}));
     let mut ran = 0;
     for number in 0..40 {
         let id = format!("both-{number}");
         let reply = fleet.request(number % 2, "GET", "/puzzle", &[("x-request-id", &id)], "");
         assert!(reply.status >= 500, "{}", reply.text());
-        if fleet.ran(&id) > 0 {
+        if fleet.run_count(&id) > 0 {
             assert_eq!(reply.outcome().as_deref(), Some("unknown"), "{id}: {}", reply.head);
             ran += 1;
         }
@@ -141,12 +141,12 @@
     let hops = TwoHops::start(None);
     let headers =
         [("x-work-ms", "20000"), ("basaltarch-deadline-ms", "300"), ("x-request-id", "late")];
-    for entry in [0, 1] {
-        let reply = hops.fleet.request(entry, "GET", path, &headers, "");
+    for ingress in [0, 1] {
+        let reply = hops.fleet.request(ingress, "GET", path, &headers, "");
         assert_eq!((reply.status, reply.reason().as_deref()), (status, Some(reason)));
         assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     }
-    assert_eq!(hops.backend().ran("late"), 2);
+    assert_eq!(hops.backend().run_count("late"), 2);
     eventually("the requests are cancelled", || hops.backend().runs()["cancelled"] == json!(2));
 }
 
@@ -177,7 +177,7 @@
     for (id, reply) in &replies {
         if reply.status != 200 {
             assert_eq!(reply.reason().as_deref(), Some("queue-full"));
-            assert_eq!(fleet.ran(id), 0, "a request reported as not run must not have run");
+            assert_eq!(fleet.run_count(id), 0, "a request reported as not run must not have run");
         }
     }
     assert_eq!(fleet.backends[0].runs()["most_at_once"], json!(3));
@@ -207,7 +207,7 @@
             client::call(callers, "POST", path, &headers, "x")
         })
     };
-    let waiting = |wanted: u64| {
+    let wait_queued = |wanted: u64| {
         eventually("requests wait", || {
             let health = fleet.daemons[0].get("/v1/health?service=solver-app");
             let here = &health["services"][0]["upstreams"][0]["here"];
@@ -215,17 +215,17 @@
         });
     };
     let first = send("/hints", "hint-1");
-    waiting(0);
+    wait_queued(0);
     let second = send("/hints", "hint-2");
-    waiting(1);
+    wait_queued(1);
     let third = send("/hints", "hint-3");
-    waiting(2);
+    wait_queued(2);
     let payout = send("/payouts", "payout");
     assert_eq!(payout.join().expect("join").status, 200);
     assert_eq!(first.join().expect("join").status, 200);
     let others = [second.join().expect("join"), third.join().expect("join")];
-    let shed = others.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
-    assert_eq!(shed.count(), 1, "the last hint was displaced by the payout");
+    let displaced = others.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
+    assert_eq!(displaced.count(), 1, "the last hint was displaced by the payout");
 }
 
 #[test]
@@ -238,52 +238,53 @@
             [("Host", "solver.example"), ("x-work-ms", "20000"), ("x-request-id", "lost")];
         client::call(callers, "POST", "/plain", &headers, "x")
     });
-    eventually("the request runs", || fleet.ran("lost") == 1);
+    eventually("the request runs", || fleet.run_count("lost") == 1);
     fleet.daemons[1].kill();
     let reply = request.join().expect("join");
     assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     assert_eq!(reply.reason().as_deref(), Some("peer-lost"));
     let reply = fleet.request(0, "POST", "/plain", &[("x-request-id", "after")], "x");
     assert_eq!(reply.outcome().as_deref(), Some("not-run"), "{}", reply.head);
-    assert_eq!(fleet.ran("after"), 0);
+    assert_eq!(fleet.run_count("after"), 0);
 }
 
 #[test]
 fn verify_the_state_of_an_idle_service_is_dropped_after_its_last_request() {
     let daemon_flags = vec![("service-idle-ms", "100")];
     let fleet = TestFleet::start(&FleetPlan { daemon_flags, ..FleetPlan::default() });
-    let known = || fleet.daemons[0].metric("services{") + fleet.daemons[0].metric("services ");
-    assert_eq!(known(), 0.0);
+    let known_services =
+        || fleet.daemons[0].metric("services{") + fleet.daemons[0].metric("services ");
+    assert_eq!(known_services(), 0.0);
     let callers = fleet.daemons[0].callers;
     let slow = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "slow")];
         client::call(callers, "GET", "/plain", &headers, "")
     });
-    eventually("the service is known", || known() == 1.0);
-    eventually("the request runs", || fleet.ran("slow") == 1);
+    eventually("the service is known", || known_services() == 1.0);
+    eventually("the request runs", || fleet.run_count("slow") == 1);
     // A query for its health does not count as a request for the service.
     fleet.daemons[0].get("/v1/health");
-    eventually("its state is dropped once no request is running", || known() == 0.0);
+    eventually("its state is dropped once no request is running", || known_services() == 0.0);
     assert_eq!(slow.join().expect("join").status, 200);
     for number in 0..5 {
         let id = format!("again-{number}");
         let reply = fleet.request(0, "GET", "/plain", &[("x-request-id", &id)], "");
-        assert_eq!((reply.status, fleet.ran(&id)), (200, 1));
+        assert_eq!((reply.status, fleet.run_count(&id)), (200, 1));
     }
     fleet.check_invariants();
 }
 
 #[test]
-fn verify_operators_see_how_requests_ended() {
+fn verify_the_status_counts_requests_by_outcome() {
     let hops = TwoHops::start(None);
     let outcomes = |daemon: usize| hops.fleet.daemons[daemon].get("/v1/status")["outcomes"].clone();
     assert_eq!(outcomes(0)["complete"], json!(0));
     for _ in 0..3 {
         assert_eq!(hops.fleet.request(0, "GET", "/plain", &[], "").status, 200);
     }
-    hops.fleet.backends[0].faults(json!({"break_at": "after-run"}));
+    hops.fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 502);
-    hops.fleet.backends[0].faults(json!({"shed": true}));
+    hops.fleet.backends[0].set_faults(json!({"shed": true}));
     assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 503);
     let seen = outcomes(0);
     assert_eq!((&seen["requests"], &seen["complete"]), (&json!(5), &json!(3)), "{seen}");
@@ -296,7 +297,7 @@
 #[test]
 fn verify_repeatable_requests_succeed_beside_a_broken_server() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
-    fleet.backends[0].faults(json!({"break_at": "after-run"}));
+    fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     for number in 0..60 {
         let id = format!("again-{number}");
         let reply = fleet.request(number % 2, "GET", "/puzzle", &[("x-request-id", &id)], "");
@@ -305,9 +306,9 @@
     }
     // The sixty requests end before its daemon has established that the server is sick (200 ms).
     assert!(
-        fleet.backends[0].total() <= 14,
+        fleet.backends[0].total_runs() <= 14,
         "a suspect server is avoided: {}",
-        fleet.backends[0].total()
+        fleet.backends[0].total_runs()
     );
     fleet.check_invariants();
 }
@@ -317,9 +318,9 @@
     let hops = TwoHops::start(None);
     let callers = hops.fleet.daemons[0].callers;
     for round in 0..10 {
-        let late = format!("late-{round}");
+        let late_id = format!("late-{round}");
         let headers =
-            [("x-work-ms", "150"), ("basaltarch-deadline-ms", "60"), ("x-request-id", &late)];
+            [("x-work-ms", "150"), ("basaltarch-deadline-ms", "60"), ("x-request-id", &late_id)];
         let reply = hops.fleet.request(0, "GET", "/plain", &headers, "");
         assert_eq!(reply.status, 504);
         let mut stream = client::connect(callers);
@@ -330,7 +331,7 @@
                 [("Host", "solver.example"), ("x-work-ms", "40"), ("x-request-id", id.as_str())];
             let text = client::request_text("GET", "/plain", &headers, "");
             stream.write_all(text.as_bytes()).expect("write");
-            let reply = client::read_one(&mut stream, "GET", &mut buffer).expect("reply");
+            let reply = client::read_next_reply(&mut stream, "GET", &mut buffer).expect("reply");
             assert_eq!(reply.header("x-request-id"), Some(id.clone()));
             assert!(reply.text().contains(&id));
         }
@@ -348,11 +349,12 @@
     let platform = TestPlatform::start();
     let forwarder = Forwarder::start();
     let advertised = forwarder.address.to_string();
-    let local = TestDaemon::start(platform.address, "host-a", "bkk-a", &[]);
+    let local_daemon = TestDaemon::start(platform.address, "host-a", "bkk-a", &[]);
     let flags = [("advertise-peers", advertised.as_str())];
-    let remote = TestDaemon::start(platform.address, "host-b", "bkk-b", &flags);
-    forwarder.forward_to(remote.peers);
-    let mut fleet = TestFleet { platform, daemons: vec![local, remote], backends: Vec::new() };
+    let remote_daemon = TestDaemon::start(platform.address, "host-b", "bkk-b", &flags);
+    forwarder.forward_to(remote_daemon.peers);
+    let mut fleet =
+        TestFleet { platform, daemons: vec![local_daemon, remote_daemon], backends: Vec::new() };
     fleet.wait_members();
     fleet.backends = vec![TestBackend::start("server-1", 1), TestBackend::start("server-2", 1)];
     let configuration = fleet.configuration(&plan);
@@ -364,10 +366,10 @@
 #[test_case(true, false ; "requests do not arrive")]
 #[test_case(false, true ; "answers do not arrive")]
 #[test_case(true, true ; "nothing arrives")]
-fn verify_a_cut_path_is_avoided_and_used_again_after_recovery(forward: bool, back: bool) {
+fn verify_a_cut_path_is_avoided_and_used_again_after_recovery(forward: bool, backward: bool) {
     use std::sync::atomic::Ordering;
     let link = start_cut_link();
-    let served = |wanted: &str| {
+    let is_served_by = |wanted: &str| {
         let reply = link.fleet.request(0, "GET", "/puzzle", &[], "");
         reply.status == 200 && reply.header("x-served-by").as_deref() == Some(wanted)
     };
@@ -394,7 +396,7 @@
     };
     eventually("both servers receive requests", || from_remote(&load(1)) > 0);
     link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
-    link.forwarder.cuts.back.store(back, Ordering::SeqCst);
+    link.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
     eventually("the far server is no longer used", || {
         let replies = load(1);
         from_remote(&replies) == 0 && {
@@ -402,9 +404,9 @@
             health["services"][0]["upstreams"][1]["state"] == "unreachable"
         }
     });
-    eventually("callers are served by the near server alone", || served("server-1"));
+    eventually("callers are served by the near server alone", || is_served_by("server-1"));
     link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
-    link.forwarder.cuts.back.store(false, Ordering::SeqCst);
+    link.forwarder.cuts.backward.store(false, Ordering::SeqCst);
     eventually("the far server receives requests again", || from_remote(&load(1)) > 0);
     link.fleet.check_invariants();
 }
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -19,7 +19,7 @@
     forwarder: Forwarder,
 }
 
-const LAST: usize = 3;
+const FORWARDED: usize = 3;
 
 impl HalfCut {
     fn start() -> Self {
@@ -32,11 +32,11 @@
         for (index, name) in ["host-a", "host-b", "host-c", "host-d"].iter().enumerate() {
             // One failure domain, so that every ingress uses every server.
             let flags = [("advertise-peers", advertised.as_str())];
-            let flags = if index == LAST { &flags[..] } else { &[] };
+            let flags = if index == FORWARDED { &flags[..] } else { &[] };
             let daemon = TestDaemon::start(platform.address, name, "bkk-a", flags);
             daemons.push(daemon);
         }
-        forwarder.forward_to(daemons[LAST].peers);
+        forwarder.forward_to(daemons[FORWARDED].peers);
         let mut fleet = TestFleet { platform, daemons, backends: Vec::new() };
         fleet.wait_members();
         let start = |number| TestBackend::start(&format!("server-{number}"), 1);
@@ -48,21 +48,21 @@
     }
 
     /// Returns the state that an ingress reports for the server beside the last daemon.
-    fn seen_by(&self, daemon: usize) -> String {
+    fn state_seen_by(&self, daemon: usize) -> String {
         let health = self.fleet.daemons[daemon].get("/v1/health?service=solver-app");
-        health["services"][0]["upstreams"][LAST]["state"].as_str().expect("state").to_owned()
+        health["services"][0]["upstreams"][FORWARDED]["state"].as_str().expect("state").to_owned()
     }
 
     /// Sends requests through an ingress; returns whether all were answered, and whether the last
     /// server answered any.
     fn send_requests(&self, daemon: usize, count: usize) -> (bool, bool) {
-        let (mut all, mut last) = (true, false);
+        let (mut all_served, mut last) = (true, false);
         for _ in 0..count {
             let reply = self.fleet.request(daemon, "GET", "/puzzle", &[], "");
-            all &= reply.status == 200;
+            all_served &= reply.status == 200;
             last |= reply.header("x-served-by").as_deref() == Some("server-4");
         }
-        (all, last)
+        (all_served, last)
     }
 }
 
@@ -70,32 +70,35 @@
 #[test_case(false, true ; "answers do not arrive")]
 fn verify_ingresses_that_are_cut_off_do_not_eject_a_server_for_the_others(
     forward: bool,
-    back: bool,
+    backward: bool,
 ) {
     let half = HalfCut::start();
-    for daemon in 0..LAST {
+    for daemon in 0..FORWARDED {
         eventually("the last server is used", || half.send_requests(daemon, 20).1);
     }
-    *half.forwarder.cuts.only.lock().expect("lock") =
+    *half.forwarder.cuts.only_hosts.lock().expect("lock") =
         vec!["host-a".to_owned(), "host-b".to_owned()];
     half.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
-    half.forwarder.cuts.back.store(back, Ordering::SeqCst);
+    half.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
     for daemon in 0..2 {
         eventually("an ingress that is cut off stops using the path", || {
             half.send_requests(daemon, 5);
-            half.seen_by(daemon) == "unreachable"
+            half.state_seen_by(daemon) == "unreachable"
         });
     }
     for daemon in 0..2 {
-        let (all, last) = half.send_requests(daemon, 30);
-        assert!(all, "callers of ingress {daemon} are served by the others");
+        let (all_served, last) = half.send_requests(daemon, 30);
+        assert!(all_served, "callers of ingress {daemon} are served by the others");
         assert!(!last, "nothing is sent over the cut path");
     }
     eventually("the other ingress still uses it", || half.send_requests(2, 20) == (true, true));
-    assert_eq!(half.seen_by(2), "in service");
-    assert!(!half.fleet.daemons[LAST].log_text().contains("upstream ejected"), "it is healthy");
+    assert_eq!(half.state_seen_by(2), "in service");
+    assert!(
+        !half.fleet.daemons[FORWARDED].log_text().contains("upstream ejected"),
+        "it is healthy"
+    );
     half.forwarder.cuts.forward.store(false, Ordering::SeqCst);
-    half.forwarder.cuts.back.store(false, Ordering::SeqCst);
+    half.forwarder.cuts.backward.store(false, Ordering::SeqCst);
     half.forwarder.break_all();
     for daemon in 0..2 {
         eventually("the path is used again", || half.send_requests(daemon, 20).1);
@@ -107,13 +110,13 @@
 #[test]
 fn verify_a_paused_host_is_avoided_and_used_again_after_it_resumes() {
     let half = HalfCut::start();
-    let last = &half.fleet.daemons[LAST];
+    let last = &half.fleet.daemons[FORWARDED];
     eventually("the last server is used", || half.send_requests(0, 20).1);
     for round in 0..2 {
         last.signal("-STOP");
         eventually("its path is no longer used", || {
             half.send_requests(0, 5);
-            half.seen_by(0) == "unreachable"
+            half.state_seen_by(0) == "unreachable"
         });
         assert_eq!(
             half.send_requests(0, 30),
@@ -131,7 +134,7 @@
 /// second region reaches the store through one too.
 struct TwoRegions {
     fleet: TestFleet,
-    links: Vec<Forwarder>,
+    forwarders: Vec<Forwarder>,
     store: Forwarder,
 }
 
@@ -142,18 +145,18 @@
         let platform = TestPlatform::start();
         let store = Forwarder::start();
         store.forward_to(platform.address);
-        let mut links = Vec::new();
+        let mut forwarders = Vec::new();
         let mut daemons = Vec::new();
         for (region, hosts) in REGIONS.iter().enumerate() {
             for name in hosts {
                 let link = Forwarder::start();
                 let advertised = link.address.to_string();
                 let flags = [("advertise-peers", advertised.as_str())];
-                let table = if region == 0 { platform.address } else { store.address };
+                let store_address = if region == 0 { platform.address } else { store.address };
                 let domain = ["bkk-a", "bkk-b"][region];
-                let daemon = TestDaemon::start(table, name, domain, &flags);
+                let daemon = TestDaemon::start(store_address, name, domain, &flags);
                 link.forward_to(daemon.peers);
-                links.push(link);
+                forwarders.push(link);
                 daemons.push(daemon);
             }
         }
@@ -169,19 +172,19 @@
         let reply = fleet.apply(&configuration);
         assert_eq!(reply.status, 200, "{}", reply.text());
         fleet.wait_revision(1);
-        Self { fleet, links, store }
+        Self { fleet, forwarders, store }
     }
 
     /// Cuts the regions from each other, and the second from the store, in both directions.
-    fn cut(&self, on: bool) {
-        for (index, link) in self.links.iter().enumerate() {
+    fn set_cut(&self, is_cut: bool) {
+        for (index, link) in self.forwarders.iter().enumerate() {
             let others = REGIONS[1 - index / 2].map(str::to_owned).to_vec();
-            *link.cuts.only.lock().expect("lock") = others;
-            link.cuts.forward.store(on, Ordering::SeqCst);
-            link.cuts.back.store(on, Ordering::SeqCst);
+            *link.cuts.only_hosts.lock().expect("lock") = others;
+            link.cuts.forward.store(is_cut, Ordering::SeqCst);
+            link.cuts.backward.store(is_cut, Ordering::SeqCst);
         }
-        self.store.cuts.forward.store(on, Ordering::SeqCst);
-        self.store.cuts.back.store(on, Ordering::SeqCst);
+        self.store.cuts.forward.store(is_cut, Ordering::SeqCst);
+        self.store.cuts.backward.store(is_cut, Ordering::SeqCst);
     }
 
     fn pay(&self, daemon: usize, key: &str) -> (u16, Option<String>) {
@@ -198,7 +201,7 @@
     let served = |daemon: usize| fleet.request(daemon, "GET", "/puzzle", &[], "").status == 200;
     assert!((0..4).all(served));
     assert_eq!(regions.pay(2, "before").0, 200);
-    regions.cut(true);
+    regions.set_cut(true);
     for daemon in 0..4 {
         eventually("each region serves its own callers", || (0..10).all(|_| served(daemon)));
     }
@@ -217,11 +220,11 @@
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
     let (status, outcome) = regions.pay(3, "before");
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")), "the row can't be read");
-    regions.cut(false);
+    regions.set_cut(false);
     fleet.wait_revision(4);
     for key in ["one-key", "before"] {
         eventually("the other region learns that it has run", || regions.pay(2, key).0 == 200);
-        assert_eq!(fleet.ran(key), 1, "{key}");
+        assert_eq!(fleet.run_count(key), 1, "{key}");
     }
     let last = fleet.daemons[3].revision();
     assert!(
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -19,12 +19,12 @@
 /// Hosts of the usual fleet, with a backend server each.
 const HOSTS: usize = 3;
 /// Number of concurrent requests for each slot.
-const REQUESTS_EACH: usize = 4;
+const REQUESTS_PER_SLOT: usize = 4;
 /// Maximum number of requests with an unknown outcome after a host is killed: the one in the slot,
 /// and the one that was offered the slot in advance.
 const UNKNOWN_MAX: usize = 2;
 /// Number of requests that wait at the ingress before a fault is injected at a host.
-const WAITING: f64 = 6.0;
+const WAITING_MIN: f64 = 6.0;
 
 /// Starts hosts with a backend server of one slot each, with a service time of 300 ms.
 fn start(hosts: usize, waiting: &'static str) -> TestFleet {
@@ -55,34 +55,34 @@
     reply: Reply,
 }
 
-/// Sends [`REQUESTS_EACH`] requests for each server to the first daemon at once; `meanwhile` runs
-/// once [`WAITING`] of them wait there.
-fn send_all(fleet: &mut TestFleet, meanwhile: impl FnOnce(&mut TestFleet)) -> Vec<RequestEnd> {
-    let requests = REQUESTS_EACH * fleet.backends.len();
-    send(fleet, requests, WAITING, meanwhile)
+/// Sends [`REQUESTS_PER_SLOT`] requests for each server to the first daemon at once; `inject` runs
+/// once [`WAITING_MIN`] of them wait there.
+fn send_all(fleet: &mut TestFleet, inject: impl FnOnce(&mut TestFleet)) -> Vec<RequestEnd> {
+    let requests = REQUESTS_PER_SLOT * fleet.backends.len();
+    send(fleet, requests, WAITING_MIN, inject)
 }
 
-/// Sends this many requests to the first daemon at once; `meanwhile` runs once `waiting` of them
+/// Sends this many requests to the first daemon at once; `inject` runs once `waiting` of them
 /// wait there.
 fn send(
     fleet: &mut TestFleet,
     requests: usize,
     waiting: f64,
-    meanwhile: impl FnOnce(&mut TestFleet),
+    inject: impl FnOnce(&mut TestFleet),
 ) -> Vec<RequestEnd> {
     let callers = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..requests)
         .map(|number| {
             thread::spawn(move || {
                 let id = format!("waits-{number}");
-                let fields = [("Host", "solver.example"), ("X-Request-Id", &*id)];
-                let reply = common::client::call(callers, "POST", "/x", &fields, "body");
+                let headers = [("Host", "solver.example"), ("X-Request-Id", &*id)];
+                let reply = common::client::call(callers, "POST", "/x", &headers, "body");
                 RequestEnd { id, reply }
             })
         })
         .collect();
     eventually("requests wait", || fleet.daemons[0].metric("waiting") >= waiting);
-    meanwhile(fleet);
+    inject(fleet);
     sending.into_iter().map(|thread| thread.join().expect("a caller")).collect()
 }
 
@@ -90,7 +90,7 @@
 /// outcome is `not-run`.
 fn failed_ends(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
     for end in &ends {
-        let ran = fleet.ran(&end.id);
+        let ran = fleet.run_count(&end.id);
         assert!(ran <= 1, "{} ran {ran} times", end.id);
         if end.reply.status == 200 {
             assert_eq!(ran, 1, "{} was answered", end.id);
@@ -107,7 +107,7 @@
     let mut fleet = start(HOSTS, "places");
     let ends = send_all(&mut fleet, |_| {});
     assert!(failed_ends(&fleet, ends).is_empty());
-    assert!(fleet.daemons[0].metric("called_in") >= WAITING);
+    assert!(fleet.daemons[0].metric("called_in") >= WAITING_MIN);
     eventually("no slot stays in use", || {
         fleet.daemons.iter().all(|daemon| daemon.metric("slots_used") == 0.0)
     });
@@ -138,7 +138,7 @@
     // The next request that runs at each of them crashes it, for longer than the others need.
     let crash = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
     let ends = send_all(&mut fleet, |fleet| {
-        fleet.backends[2..].iter().for_each(|backend| backend.faults(crash.clone()));
+        fleet.backends[2..].iter().for_each(|backend| backend.set_faults(crash.clone()));
     });
     for backend in &fleet.backends {
         eventually("the server is up", || TcpStream::connect(backend.address).is_ok());
@@ -158,20 +158,20 @@
     // With a floor of 1.0 all slots are needed, so the server is doubted but stays in service.
     let service = json!({"floor": 1.0, "prefer": "detection"});
     let mut fleet = start_with(HOSTS, "places", SLOTS, service);
-    let part = REQUESTS_EACH * SLOTS as usize;
+    let requests_per_server = REQUESTS_PER_SLOT * SLOTS as usize;
     let failing = json!({"error_rate": 1.0, "quick_errors": true});
-    let ends = send(&mut fleet, part * HOSTS, part as f64, |fleet| {
-        fleet.backends[2].faults(failing);
+    let ends = send(&mut fleet, requests_per_server * HOSTS, requests_per_server as f64, |fleet| {
+        fleet.backends[2].set_faults(failing);
     });
     let failed = failed_ends(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
-    assert!(failed <= part, "{failed} requests failed at one server of three");
+    assert!(failed <= requests_per_server, "{failed} requests failed at one server of three");
 }
 
 #[test]
 fn verify_a_killed_ingress_leaves_no_slot_in_use() {
     let mut fleet = start(HOSTS, "places");
     let callers = fleet.daemons[0].callers;
-    let waiting: Vec<_> = (0..REQUESTS_EACH * HOSTS)
+    let waiting: Vec<_> = (0..REQUESTS_PER_SLOT * HOSTS)
         .map(|_| {
             thread::spawn(move || {
                 // The daemon is killed before it answers; how the connection ends does not matter.
@@ -182,7 +182,7 @@
             })
         })
         .collect();
-    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= WAITING);
+    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= WAITING_MIN);
     fleet.daemons[0].kill();
     waiting.into_iter().for_each(|thread| thread.join().expect("a caller"));
     for daemon in &fleet.daemons[1..] {
@@ -196,7 +196,7 @@
 fn verify_requests_wait_at_the_ingress_only_if_configured() {
     let fleet = start(HOSTS, "one-host");
     let callers = fleet.daemons[0].callers;
-    let sending: Vec<_> = (0..REQUESTS_EACH * HOSTS)
+    let sending: Vec<_> = (0..REQUESTS_PER_SLOT * HOSTS)
         .map(|_| {
             thread::spawn(move || {
                 common::client::call(callers, "POST", "/x", &[("Host", "solver.example")], "")
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -7,7 +7,7 @@
 
 use basaltarch_platform::rows;
 use common::forwarder::Forwarder;
-use common::operator::{check_audit, fleet_of, put_organisation, ANY};
+use common::operator::{check_audit, fleet_of, put_organisation, ANY_REVISION};
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 use test_case::test_case;
@@ -17,7 +17,7 @@
 #[test_case(json!({"lose_writes": 1}) ; "write lost")]
 fn verify_a_change_whose_answer_is_lost_is_neither_applied_twice_nor_misreported(faults: Value) {
     let fleet = fleet_of(2);
-    fleet.platform.faults(faults);
+    fleet.platform.set_faults(faults);
     let reply = put_organisation(&fleet.daemons[0], "lost", "t", ("If-None-Match", "*"));
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(reply.json()["revision"], json!(2));
@@ -29,8 +29,8 @@
 #[test]
 fn verify_with_the_store_down_changes_are_refused_and_requests_are_served() {
     let fleet = fleet_of(3);
-    fleet.platform.faults(json!({"down": true}));
-    let reply = put_organisation(&fleet.daemons[0], "x", "t", ANY);
+    fleet.platform.set_faults(json!({"down": true}));
+    let reply = put_organisation(&fleet.daemons[0], "x", "t", ANY_REVISION);
     assert!(matches!(reply.status, 503 | 504), "{}", reply.text());
     for daemon in 0..3 {
         assert_eq!(fleet.request(daemon, "GET", "/puzzle", &[], "").status, 200);
@@ -41,7 +41,7 @@
 #[test]
 fn verify_a_daemon_without_store_and_peers_is_not_ready_and_serves_nothing() {
     let mut fleet = fleet_of(1);
-    fleet.platform.faults(json!({"down": true}));
+    fleet.platform.set_faults(json!({"down": true}));
     fleet.daemons.clear();
     let fresh = TestDaemon::start(fleet.platform.address, "host-a", "bkk-a", &[]);
     let ready = client::call(fresh.admin, "GET", "/readyz", &[], "");
@@ -50,7 +50,7 @@
     let reply = client::call(fresh.callers, "GET", "/", &[("Host", "solver.example")], "");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("no-configuration")));
     assert_eq!(reply.outcome().as_deref(), Some("not-run"));
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     eventually("it is ready once the store is back", || fresh.is_ready());
     assert_eq!(fresh.revision(), 1);
 }
@@ -58,9 +58,9 @@
 #[test]
 fn verify_all_daemons_replaced_one_after_another_without_the_store_lose_nothing() {
     let mut fleet = fleet_of(3);
-    assert_eq!(put_organisation(&fleet.daemons[0], "x", "t", ANY).status, 200);
+    assert_eq!(put_organisation(&fleet.daemons[0], "x", "t", ANY_REVISION).status, 200);
     fleet.wait_revision(2);
-    fleet.platform.faults(json!({"down": true}));
+    fleet.platform.set_faults(json!({"down": true}));
     for index in 0..3 {
         let old = fleet.daemons.remove(index);
         let (host, domain) = (old.host.clone(), old.domain.clone());
@@ -82,9 +82,9 @@
 fn verify_a_replaced_daemon_learns_from_its_peers_while_the_store_is_down() {
     let mut fleet = fleet_of(3);
     let seeds = format!("{},{}", fleet.daemons[0].peers, fleet.daemons[1].peers);
-    assert_eq!(put_organisation(&fleet.daemons[0], "x", "t", ANY).status, 200);
+    assert_eq!(put_organisation(&fleet.daemons[0], "x", "t", ANY_REVISION).status, 200);
     fleet.wait_revision(2);
-    fleet.platform.faults(json!({"down": true}));
+    fleet.platform.set_faults(json!({"down": true}));
     let old = fleet.daemons.pop().expect("daemon");
     let (host, domain) = (old.host.clone(), old.domain.clone());
     drop(old);
@@ -99,29 +99,29 @@
 #[test]
 fn verify_stale_store_answers_never_restore_an_older_revision() {
     let fleet = fleet_of(2);
-    fleet.platform.faults(json!({"reads_from_past_ms": 1}));
+    fleet.platform.set_faults(json!({"reads_from_past_ms": 1}));
     for number in 0..6 {
         let name = format!("org-{number}");
         eventually("accepted", || {
-            put_organisation(&fleet.daemons[0], &name, "t", ANY).status == 200
+            put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status == 200
         });
     }
     fleet.wait_revision(7);
-    fleet.platform.faults(json!({"reads_from_past_ms": 3_600_000}));
-    let mut lowest = [7, 7];
+    fleet.platform.set_faults(json!({"reads_from_past_ms": 3_600_000}));
+    let mut lowest_revisions = [7, 7];
     let before = fleet.daemons[1].metric("old_revisions");
     eventually("stale answers were received and rejected", || {
         for (index, daemon) in fleet.daemons.iter().enumerate() {
-            lowest[index] = lowest[index].min(daemon.revision());
+            lowest_revisions[index] = lowest_revisions[index].min(daemon.revision());
         }
         fleet.daemons[1].metric("old_revisions") > before
     });
-    assert_eq!(lowest, [7, 7]);
+    assert_eq!(lowest_revisions, [7, 7]);
     // Changes are still accepted: the check on the head rejects those based on an old revision.
     eventually("accepted in the end", || {
-        let reply = put_organisation(&fleet.daemons[0], "late", "t", ANY);
+        let reply = put_organisation(&fleet.daemons[0], "late", "t", ANY_REVISION);
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.text());
-        fleet.platform.faults(json!({}));
+        fleet.platform.set_faults(json!({}));
         reply.status == 200
     });
     fleet.wait_revision(8);
@@ -135,7 +135,7 @@
     for number in 0..5 {
         let name = format!("org-{number}");
         eventually("accepted", || {
-            put_organisation(&fleet.daemons[0], &name, "t", ANY).status == 200
+            put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status == 200
         });
     }
     fleet.daemons[2].signal("-CONT");
@@ -152,12 +152,12 @@
     let nowhere =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("addr");
     let flags = [("seeds", seeds.as_str())];
-    let cut = TestDaemon::start(nowhere, "host-c", "bkk-c", &flags);
-    fleet.daemons.push(cut);
+    let cut_off = TestDaemon::start(nowhere, "host-c", "bkk-c", &flags);
+    fleet.daemons.push(cut_off);
     eventually("it is ready", || fleet.daemons[2].is_ready());
     for number in 0..5 {
         let name = format!("org-{number}");
-        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY).status, 200);
+        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
     fleet.wait_revision(6);
 }
@@ -175,26 +175,26 @@
     }
     fleet.wait_members();
     store.cuts.forward.store(true, Ordering::SeqCst);
-    store.cuts.back.store(true, Ordering::SeqCst);
+    store.cuts.backward.store(true, Ordering::SeqCst);
     for number in 0..4 {
         let name = format!("cut-{number}");
-        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY).status, 200);
+        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
     fleet.wait_revision(5);
     // A second fault at the same time: an answer to a write of the store is lost, and the daemon
     // that accepted the change is killed.
-    fleet.platform.faults(json!({"lose_write_answers": 1}));
+    fleet.platform.set_faults(json!({"lose_write_answers": 1}));
     let reply = put_organisation(&fleet.daemons[1], "second", "t", ("If-None-Match", "*"));
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.daemons.remove(1);
     fleet.wait_revision(6);
     // A daemon that is cut off can accept no change and refuses it.
-    let refused = put_organisation(&fleet.daemons[1], "third", "t", ANY);
+    let refused = put_organisation(&fleet.daemons[1], "third", "t", ANY_REVISION);
     assert!(matches!(refused.status, 503 | 504), "{}", refused.text());
     store.cuts.forward.store(false, Ordering::SeqCst);
-    store.cuts.back.store(false, Ordering::SeqCst);
+    store.cuts.backward.store(false, Ordering::SeqCst);
     eventually("the cut-off half accepts changes again", || {
-        let reply = put_organisation(&fleet.daemons[1], "fourth", "t", ANY);
+        let reply = put_organisation(&fleet.daemons[1], "fourth", "t", ANY_REVISION);
         assert!(matches!(reply.status, 200 | 409 | 503 | 504), "{}", reply.text());
         reply.status == 200
     });
@@ -216,11 +216,11 @@
     // A live daemon writes its row again after it was deleted.
     let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
     fleet.platform.change_row("DELETE", hosts, "host-b", "");
-    let row = || {
+    let read_rows = || {
         let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
-    eventually("the row is written again", || row().contains("host-b"));
+    eventually("the row is written again", || read_rows().contains("host-b"));
     let status = fleet.daemons[0].get("/v1/status");
     let members = status["members"].as_array().expect("members").clone();
     assert!(members.iter().any(|m| m["host"] == "host-b" && m["state"] == "live"), "{members:?}");
@@ -236,10 +236,10 @@
                      "admin_address": "127.0.0.1:1", "leaving": true});
     fleet.platform.change_row("PUT", hosts, "host-c", &old.to_string());
     fleet.platform.change_row("PUT", hosts, "host-y", "no record at all");
-    let read = |daemon: &TestDaemon, text: &str| daemon.log_text().contains(text);
+    let has_logged = |daemon: &TestDaemon, text: &str| daemon.log_text().contains(text);
     eventually("both rows were seen", || {
-        read(&fleet.daemons[0], "host row unreadable")
-            && read(&fleet.daemons[0], "earlier start passed over")
+        has_logged(&fleet.daemons[0], "host row unreadable")
+            && has_logged(&fleet.daemons[0], "earlier start passed over")
     });
     let status = fleet.daemons[0].get("/v1/status");
     let members = status["members"].as_array().expect("members").clone();
@@ -259,7 +259,7 @@
 #[test_case(json!({"forget_history": true}) ; "the store forgets its history")]
 fn verify_rows_that_change_in_an_outage_are_known_after_it(outage: Value) {
     let mut fleet = fleet_of(2);
-    fleet.platform.faults(outage);
+    fleet.platform.set_faults(outage);
     let seeds = fleet.daemons[0].peers.to_string();
     let flags = [("seeds", seeds.as_str())];
     let daemon = TestDaemon::start(fleet.platform.address, "host-c", "bkk-c", &flags);
@@ -268,10 +268,10 @@
     eventually("the newcomer knows the others", || {
         fleet.daemons[2].live_members() == 3 && fleet.daemons[0].live_members() == 3
     });
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
     let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
-    let row = || client::call(fleet.platform.address, "GET", &path, &[], "").text();
-    eventually("its row is written after the outage", || row().contains("host-c"));
+    let read_rows = || client::call(fleet.platform.address, "GET", &path, &[], "").text();
+    eventually("its row is written after the outage", || read_rows().contains("host-c"));
     fleet.wait_members();
 }
--- a/crates/daemon/tests/reference.rs
+++ b/crates/daemon/tests/reference.rs
@@ -69,9 +69,9 @@
 #[test_case(ResourceKind::Limit, json!({"scope": "route", "target": "r", "rate": 1, "burst": 1}) ; "limits")]
 fn verify_every_field_of_a_resource_stands_in_the_reference(
     kind: ResourceKind,
-    least: serde_json::Value,
+    minimal: serde_json::Value,
 ) {
-    let value = ResourceValue::try_new(kind, "name", &least).expect("valid").to_json();
+    let value = ResourceValue::try_new(kind, "name", &minimal).expect("valid").to_json();
     let reference = reference();
     let rows = reference.lines().filter(|line| line.starts_with(&format!("| `{}` |", kind.name())));
     let documented: Vec<&str> = rows.filter_map(|line| line.split('`').nth(3)).collect();
@@ -89,7 +89,7 @@
 #[test_case(&["--host", "h", "--failure-domain", "d", "--platform", "127.0.0.1:1", "--callers", "x"], "--callers" ; "bad listen address")]
 #[test_case(&["--host", "h", "--failure-domain", "d", "--platform", "127.0.0.1:1", "--fleet-key", "0123456789abcdef", "--admin-token", "t", "--head-bytes", "1"], "512 to 32768" ; "out of range")]
 #[test_case(&[], "BASALTARCH_HOST" ; "nothing given")]
-fn verify_a_wrong_setting_ends_with_status_2_and_its_name(arguments: &[&str], part: &str) {
+fn verify_a_wrong_setting_ends_with_status_2_and_its_name(arguments: &[&str], expected_text: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_basaltarchd"))
         .args(arguments)
         .env_clear()
@@ -97,6 +97,6 @@
         .expect("runs");
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{errors}");
-    assert!(errors.contains(part), "{errors}");
+    assert!(errors.contains(expected_text), "{errors}");
     assert!(!errors.contains("short\""), "a key never stands in an error: {errors}");
 }
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -25,14 +25,14 @@
     let reply = fleet.request(0, "POST", "/unsafe/pay", "told");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(reply.header(names::REQUEST).as_deref(), Some("told"));
-    assert_eq!(fleet.ran("told"), 1);
-    let server = fleet.backends.iter().find(|backend| backend.ran("told") == 1).expect("ran");
+    assert_eq!(fleet.run_count("told"), 1);
+    let server = fleet.backends.iter().find(|backend| backend.run_count("told") == 1).expect("ran");
     let head = server.runs()["last_head"].as_str().expect("head").to_owned();
     for (name, value) in
         [(names::EXPECTED_SERVER, &*server.name), (names::CALLER_SERVICE, "solver-app")]
     {
-        let part = format!("\"{name}\": \"{value}\"");
-        assert!(head.contains(&part), "{part} is not in {head}");
+        let header_text = format!("\"{name}\": \"{value}\"");
+        assert!(head.contains(&header_text), "{header_text} is not in {head}");
     }
     let remaining_ms = head
         .split(&*format!("\"{}\": \"", names::DEADLINE))
@@ -59,12 +59,12 @@
             })
         })
         .collect();
-    eventually("the server receives requests", || fleet.backends[0].total() > 0);
+    eventually("the server receives requests", || fleet.backends[0].total_runs() > 0);
     assert_eq!(fleet.send_heartbeat(0, true).status, 200);
     for number in 0..30 {
         let reply = fleet.request(number % 2, "GET", "/safe/x", &format!("after-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert_eq!(fleet.backends[0].ran(&format!("after-{number}")), 0);
+        assert_eq!(fleet.backends[0].run_count(&format!("after-{number}")), 0);
     }
     for caller in callers {
         let status = caller.join().expect("join");
@@ -107,31 +107,35 @@
     let fleet = RegisteredFleet::start(1);
     assert_eq!(fleet.send_heartbeat_as(0, "i-crashed", SERVICE, false).status, 200);
     assert_eq!(fleet.send_heartbeat_as(0, "i-successor", SERVICE, false).status, 200);
-    let late = fleet.heartbeat(0, "i-crashed", SERVICE, false);
-    assert_eq!(fleet.call_daemon(0, &late).status, 200, "it is acknowledged like any other");
-    let lines = |event: &str| {
+    let late_heartbeat = fleet.heartbeat(0, "i-crashed", SERVICE, false);
+    assert_eq!(
+        fleet.call_daemon(0, &late_heartbeat).status,
+        200,
+        "it is acknowledged like any other"
+    );
+    let count_lines = |event: &str| {
         let text = fleet.daemons[0].log_text();
         let of_crashed = |line: &&str| line.contains(event) && line.contains("i-crashed");
         text.lines().filter(of_crashed).count()
     };
-    eventually("it is ignored", || lines("late heartbeat passed over") == 1);
-    assert_eq!(lines("backend server registered"), 1, "its successor stays registered");
-    assert_eq!(lines("backend server gone"), 1);
+    eventually("it is ignored", || count_lines("late heartbeat passed over") == 1);
+    assert_eq!(count_lines("backend server registered"), 1, "its successor stays registered");
+    assert_eq!(count_lines("backend server gone"), 1);
 }
 
 #[test]
 fn verify_a_deregistered_server_receives_nothing_and_a_late_heartbeat_does_not_restore_it() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    let late = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
+    let late_heartbeat = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
     assert_eq!(fleet.deregister(1).status, 200);
-    assert_eq!(fleet.call_daemon(1, &late).status, 200);
-    let before = fleet.backends[1].total();
+    assert_eq!(fleet.call_daemon(1, &late_heartbeat).status, 200);
+    let before = fleet.backends[1].total_runs();
     for number in 0..30 {
         let reply = fleet.request(number % 2, "GET", "/safe/x", &format!("gone-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    assert_eq!(fleet.backends[1].total(), before);
+    assert_eq!(fleet.backends[1].total_runs(), before);
 }
 
 #[test]
@@ -144,7 +148,7 @@
         let id = format!("moved-{number}");
         let reply = fleet.request(number % 2, "POST", "/unsafe/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert_eq!((fleet.ran(&id), fleet.backends[1].ran(&id)), (1, 0));
+        assert_eq!((fleet.run_count(&id), fleet.backends[1].run_count(&id)), (1, 0));
     }
     // Its own heartbeat registers it again.
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
@@ -160,7 +164,7 @@
         let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
-    let own = |fleet: &RegisteredFleet| {
+    let is_server_listed = |fleet: &RegisteredFleet| {
         let page: Value = serde_json::from_str(&rows(fleet)).expect("rows");
         let row = page["rows"].as_array().expect("rows").iter().find(|row| row["key"] == "host-b");
         let value = row.and_then(|row| row["value"].as_str()).map(rows::decode_value);
@@ -168,26 +172,26 @@
             .and_then(Result::ok)
             .is_some_and(|value| String::from_utf8_lossy(&value).contains("\"i-2\""))
     };
-    eventually("the row lists the server", || own(&fleet));
+    eventually("the row lists the server", || is_server_listed(&fleet));
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
-    let before = fleet.backends[1].total();
+    let before = fleet.backends[1].total_runs();
     let mut number = 0;
     eventually("the server receives requests again", || {
         number += 1;
         fleet.request(1, "GET", "/safe/x", &format!("again-{number}"));
-        fleet.backends[1].total() > before
+        fleet.backends[1].total_runs() > before
     });
     // A server that answers the health check as unhealthy is not recovered.
-    fleet.backends[0].faults(json!({"health_status": 503}));
+    fleet.backends[0].set_faults(json!({"health_status": 503}));
     fleet.daemons[0].kill();
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
     eventually("its health was checked", || fleet.backends[0].runs()["probes"].as_u64() > Some(0));
-    let before = fleet.backends[0].total();
+    let before = fleet.backends[0].total_runs();
     for number in 0..20 {
         fleet.request(0, "GET", "/safe/x", &format!("ill-{number}"));
     }
-    assert_eq!(fleet.backends[0].total(), before);
+    assert_eq!(fleet.backends[0].total_runs(), before);
 }
 
 #[test_case(|call| call.body.truncate(9), 400 ; "cut short")]
@@ -203,7 +207,7 @@
     let reply = fleet.call_daemon(0, &call);
     assert_eq!(reply.status, status, "{}", reply.text());
     let reply = fleet.request(0, "GET", "/safe/x", "still");
-    assert_eq!((reply.status, fleet.backends[0].ran("still")), (200, 1));
+    assert_eq!((reply.status, fleet.backends[0].run_count("still")), (200, 1));
 }
 
 #[test]
@@ -232,13 +236,13 @@
     fleet.daemons[2].kill();
     for round in 0..5 {
         for index in [0, 1] {
-            fleet.backends[index].faults(json!({"break_at": "after-run"}));
+            fleet.backends[index].set_faults(json!({"break_at": "after-run"}));
         }
         for number in 0..8 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("breaks-{round}-{number}"));
         }
         for index in [0, 1] {
-            fleet.backends[index].faults(json!({}));
+            fleet.backends[index].set_faults(json!({}));
         }
         let reply = fleet.request(0, "POST", "/unsafe/x", &format!("last-{round}"));
         assert_eq!(reply.status, 200, "{} {:?}", reply.text(), reply.reason());
@@ -254,7 +258,7 @@
     for daemon in &mut fleet.daemons {
         daemon.kill();
     }
-    fleet.platform.faults(outage);
+    fleet.platform.set_faults(outage);
     for (index, host) in ["host-a", "host-b"].iter().enumerate() {
         fleet.daemons[index] = fleet.start_daemon(host, ["bkk-a", "bkk-b"][index], &[]);
         assert_eq!(
@@ -268,8 +272,8 @@
         let reply = fleet.request(daemon, "POST", "/unsafe/x", "dark");
         assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("no-configuration")));
     }
-    assert_eq!(fleet.ran("dark"), 0);
-    fleet.platform.faults(json!({}));
+    assert_eq!(fleet.run_count("dark"), 0);
+    fleet.platform.set_faults(json!({}));
     for daemon in 0..2 {
         eventually("the daemon is ready", || fleet.is_ready(daemon));
         fleet.wait_served(daemon, &[0, 1]);
@@ -280,7 +284,7 @@
 fn verify_servers_that_register_in_an_outage_are_used_after_it() {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    fleet.platform.faults(json!({"silent": true}));
+    fleet.platform.set_faults(json!({"silent": true}));
     fleet.daemons[1].kill();
     let seeds = fleet.daemons[0].peers.to_string();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[("seeds", seeds.as_str())]);
@@ -289,7 +293,7 @@
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     let reply = fleet.request(1, "GET", "/safe/x", "dark");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     fleet.wait_served(0, &[0, 1]);
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
@@ -311,7 +315,7 @@
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
-    fleet.platform.faults(outage);
+    fleet.platform.set_faults(outage);
     // It learns of a changed document and accepts a drain notice without the store.
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
@@ -325,12 +329,12 @@
     let reply = fleet.request(1, "POST", "/unsafe/x", "turned-away");
     assert_eq!(reply.status, 200, "{} {:?}", reply.text(), reply.reason());
     assert_eq!(
-        fleet.backends[1].ran("turned-away"),
+        fleet.backends[1].run_count("turned-away"),
         0,
         "a draining server receives no new requests"
     );
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     fleet.wait_served(0, &[0, 1, 2]);
 }
 
@@ -338,10 +342,10 @@
 fn verify_changes_made_before_the_store_lost_its_history_are_read() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    fleet.platform.faults(json!({"silent": true}));
+    fleet.platform.set_faults(json!({"silent": true}));
     fleet.write(&document(4));
-    fleet.platform.faults(json!({"silent": true, "forget_history": true}));
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({"silent": true, "forget_history": true}));
+    fleet.platform.set_faults(json!({}));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == 4);
         eventually("the table was read again", || daemon.log_text().contains("history forgotten"));
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -29,7 +29,7 @@
 
 #[test_case(false ; "the lost numbers are not passed")]
 #[test_case(true ; "other writes pass the lost numbers before a daemon asks")]
-fn verify_a_document_written_after_a_restore_takes_effect(passed: bool) {
+fn verify_a_document_written_after_a_restore_takes_effect(passes_lost_numbers: bool) {
     let fleet = RegisteredFleet::start(2);
     fleet.platform.take_copy();
     write_others(&fleet, 0..20);
@@ -37,15 +37,15 @@
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == 2);
     }
-    fleet.platform.faults(json!({"down": true}));
+    fleet.platform.set_faults(json!({"down": true}));
     fleet.platform.restore();
-    let mut wanted = document(3);
-    wanted.routes.push(route("r-new", "/new/", WorkMode::Repeatable));
-    fleet.write(&wanted);
-    if passed {
+    let mut new_document = document(3);
+    new_document.routes.push(route("r-new", "/new/", WorkMode::Repeatable));
+    fleet.write(&new_document);
+    if passes_lost_numbers {
         write_others(&fleet, 20..80);
     }
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         eventually("the document written after the restore is in force", || daemon.revision() == 3);
         assert_eq!(fleet.request(index, "GET", "/new/x", "new").status, 200);
