--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -12,9 +12,9 @@
 use test_case::test_case;
 
 /// Registers another server name at a daemon and waits until these daemons know of it.
-fn register_and_wait(fleet: &RegisteredFleet, index: usize, name: &str, knowing: &[usize]) {
+fn register_and_wait(fleet: &RegisteredFleet, index: usize, name: &str, daemons_to_know: &[usize]) {
     assert_eq!(fleet.send_heartbeat_as(index, name, SERVICE, false).status, 200);
-    for daemon in knowing {
+    for daemon in daemons_to_know {
         eventually("the daemon knows of the server", || {
             fleet.daemons[*daemon].get("/v1/backend-servers").to_string().contains(name)
         });
@@ -31,11 +31,11 @@
     assert_eq!(fleet.send_heartbeat(2, false).status, 200);
     register_and_wait(&fleet, 0, "i-before", &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
-    fleet.platform.faults(outage);
+    fleet.platform.set_faults(outage);
     // Two changes in a row, so that the second one builds on the first.
     register_and_wait(&fleet, 0, "i-during", &[0, 1, 2]);
     register_and_wait(&fleet, 1, "i-later", &[0, 1, 2]);
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     register_and_wait(&fleet, 2, "i-after", &[0, 1, 2]);
 }
 
@@ -43,12 +43,12 @@
 fn verify_rows_arrive_although_readers_are_gone() {
     let mut fleet = RegisteredFleet::start_in_one_domain(4);
     register_and_wait(&fleet, 0, "i-first", &[0, 1, 2, 3]);
-    for gone in [1, 2] {
-        fleet.daemons[gone].kill();
+    for killed in [1, 2] {
+        fleet.daemons[killed].kill();
         let remaining: Vec<usize> =
-            [0, 1, 2, 3].into_iter().filter(|index| *index > gone || *index == 0).collect();
-        register_and_wait(&fleet, 0, &format!("i-without-{gone}"), &remaining);
-        register_and_wait(&fleet, 3, &format!("i-still-{gone}"), &remaining);
+            [0, 1, 2, 3].into_iter().filter(|index| *index > killed || *index == 0).collect();
+        register_and_wait(&fleet, 0, &format!("i-without-{killed}"), &remaining);
+        register_and_wait(&fleet, 3, &format!("i-still-{killed}"), &remaining);
     }
     let domain = fleet.daemons[1].domain.clone();
     fleet.daemons[1] = fleet.start_daemon("host-b", &domain, &[]);
@@ -61,13 +61,14 @@
     let all = [0, 1, 2, 3, 4, 5];
     register_and_wait(&fleet, 0, "i-first", &all);
     // Each change ends a long poll of the readers; the other daemons learn of it from them.
-    let calls = |daemon: usize| fleet.daemons[daemon].metric("rows_calls") as u64;
+    let rows_calls = |daemon: usize| fleet.daemons[daemon].metric("rows_calls") as u64;
     eventually("at most two daemons read the rows for a while", || {
-        let before: Vec<u64> = all.iter().map(|daemon| calls(*daemon)).collect();
+        let before: Vec<u64> = all.iter().map(|daemon| rows_calls(*daemon)).collect();
         for number in 0..4 {
             register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all);
         }
-        let reading = all.iter().filter(|daemon| calls(**daemon) > before[**daemon]).count();
-        (1..=2).contains(&reading)
+        let reader_count =
+            all.iter().filter(|daemon| rows_calls(**daemon) > before[**daemon]).count();
+        (1..=2).contains(&reader_count)
     });
 }
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -36,28 +36,28 @@
 
 #[test]
 fn verify_a_daemon_paused_past_its_drain_admits_nothing_that_it_gives_up() {
-    const LONGEST: Duration = Duration::from_secs(3);
+    const LONGEST_DRAIN: Duration = Duration::from_secs(3);
     let flags = vec![("drain-ms", "3000"), ("drain-min-ms", "2000")];
     let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
     let callers = fleet.daemons[0].callers;
-    let mut kept_alive: Vec<TcpStream> = (0..4).map(|_| client::connect(callers)).collect();
-    for (number, stream) in kept_alive.iter_mut().enumerate() {
+    let mut keep_alive: Vec<TcpStream> = (0..4).map(|_| client::connect(callers)).collect();
+    for (number, stream) in keep_alive.iter_mut().enumerate() {
         let reply = stops::send(stream, &format!("before-{number}"), "0");
         assert_eq!(reply.map(|reply| reply.status), Some(200));
     }
     stops::request_stop(&fleet.daemons[0]);
-    let requested_at = Instant::now();
+    let stop_requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
-    for (number, stream) in kept_alive.iter_mut().enumerate() {
+    for (number, stream) in keep_alive.iter_mut().enumerate() {
         stops::write(stream, &format!("slept-{number}"), "1000").expect("write");
     }
-    eventually("the longest drain is over", || requested_at.elapsed() > LONGEST);
+    eventually("the longest drain is over", || stop_requested_at.elapsed() > LONGEST_DRAIN);
     fleet.daemons[0].signal("-CONT");
-    for (number, stream) in kept_alive.iter_mut().enumerate() {
+    for (number, stream) in keep_alive.iter_mut().enumerate() {
         let reply = client::read_reply(stream, "POST");
         StopRequest { id: format!("slept-{number}"), reply }.check(&fleet);
     }
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
 
 #[test]
@@ -71,9 +71,9 @@
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut stream, "POST").expect("a refusal");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("draining")));
-    assert_eq!(fleet.ran("slow"), 0);
+    assert_eq!(fleet.run_count("slow"), 0);
     drop(stream);
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
 
 #[test]
@@ -90,22 +90,24 @@
             })
         })
         .collect();
-    eventually("all requests run", || fleet.backends[0].total() + fleet.backends[1].total() == 2);
-    let here = |number: &usize| fleet.backends[0].ran(&format!("work-{number}")) == 1;
-    let parent = (0..2).find(here).expect("one of them runs at the first backend server");
+    eventually("all requests run", || {
+        fleet.backends[0].total_runs() + fleet.backends[1].total_runs() == 2
+    });
+    let runs_here = |number: &usize| fleet.backends[0].run_count(&format!("work-{number}")) == 1;
+    let parent = (0..2).find(runs_here).expect("one of them runs at the first backend server");
     stops::request_stop(&fleet.daemons[0]);
     stops::wait_event(&fleet.daemons[0], "closed");
     let mut stream = client::connect(fleet.daemons[0].callers);
     let call = stops::send(&mut stream, &format!("work-{parent}.1"), "0").expect("an answer");
     assert_eq!(call.status, 200, "{}", call.text());
     let mut stream = client::connect(fleet.daemons[0].callers);
-    let other = stops::send(&mut stream, "other", "0").expect("an answer");
-    assert_eq!((other.status, fleet.ran("other")), (503, 0), "{}", other.text());
+    let unrelated = stops::send(&mut stream, "other", "0").expect("an answer");
+    assert_eq!((unrelated.status, fleet.run_count("other")), (503, 0), "{}", unrelated.text());
     for sending in sending {
         let reply = sending.join().expect("join").expect("an answer");
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
 
 #[test]
@@ -121,7 +123,7 @@
     let callers = fleet.daemons[1].callers;
     let mut holding = client::connect(callers);
     stops::write(&mut holding, "holds", "6000").expect("write");
-    eventually("it runs", || fleet.ran("holds") == 1);
+    eventually("it runs", || fleet.run_count("holds") == 1);
     let mut long = client::connect(callers);
     stops::write(&mut long, "long", "200").expect("write");
     eventually("the first is queued", || fleet.daemons[0].metric("queued") == 1.0);
@@ -138,7 +140,7 @@
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut long, "POST").expect("a refusal");
     assert_eq!(
-        (reply.status, fleet.ran("long")),
+        (reply.status, fleet.run_count("long")),
         (503, 0),
         "its deadline of 60 s is after the end of the stop"
     );
@@ -146,7 +148,7 @@
         let reply = client::read_reply(&mut stream, "POST");
         assert_eq!(reply.map(|reply| reply.status), Some(200), "{id}");
     }
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
 
 #[test]
@@ -160,7 +162,7 @@
     };
     let mut fleet = TestFleet::start(&plan);
     for backend in &fleet.backends {
-        backend.faults(json!({"error_rate": 1.0}));
+        backend.set_faults(json!({"error_rate": 1.0}));
     }
     let mut stream = client::connect(fleet.daemons[0].callers);
     stops::request_stop(&fleet.daemons[0]);
@@ -170,8 +172,8 @@
     stream.write_all(text.as_bytes()).expect("write");
     let reply = client::read_reply(&mut stream, "GET").expect("an answer");
     assert_eq!(reply.status, 500, "{}", reply.text());
-    assert_eq!(fleet.ran("again"), 2, "the retry had begun");
-    fleet.daemons[0].ended();
+    assert_eq!(fleet.run_count("again"), 2, "the retry had begun");
+    fleet.daemons[0].wait_exit();
 }
 
 #[test]
@@ -184,13 +186,13 @@
     let mut stream = client::connect(fleet.daemons[0].callers);
     stops::request_stop(&fleet.daemons[0]);
     stops::write(&mut stream, "whole", "3000").expect("write");
-    eventually("it runs", || fleet.ran("whole") == 1);
+    eventually("it runs", || fleet.run_count("whole") == 1);
     fs::write(&path, "drain-min-ms = 500\nkill-after-ms = 1200\n").expect("settings");
     fleet.daemons[0].signal("-HUP");
     stops::wait_event(&fleet.daemons[0], "settings in force");
     let reply = client::read_reply(&mut stream, "POST").expect("an answer");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
     let _ = fs::remove_file(&path);
 }
 
@@ -206,24 +208,24 @@
     let fleet = TestFleet::start(&plan);
     let mut holding = client::connect(fleet.daemons[1].callers);
     stops::write(&mut holding, "holds", "18000").expect("write");
-    eventually("it runs", || fleet.ran("holds") == 1);
+    eventually("it runs", || fleet.run_count("holds") == 1);
     let mut waiting = client::connect(fleet.daemons[1].callers);
     let headers =
         [("Host", "solver.example"), ("Idempotency-Key", "once"), ("x-request-id", "once")];
     let text = client::request_text("POST", "/payouts", &headers, "x");
     waiting.write_all(text.as_bytes()).expect("write");
     eventually("it is queued", || fleet.daemons[0].metric("queued") > 0.0);
-    fleet.platform.faults(json!({"silent": true}));
+    fleet.platform.set_faults(json!({"silent": true}));
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut waiting, "POST").expect("a refusal");
-    assert_eq!((reply.status, fleet.ran("once")), (503, 0), "{}", reply.text());
+    assert_eq!((reply.status, fleet.run_count("once")), (503, 0), "{}", reply.text());
 }
 
 #[test]
 fn verify_a_pending_change_is_answered_before_the_daemon_ends() {
     let mut fleet = TestFleet::start(&FleetPlan::default());
     // The store answers long after the end of the shortest drain, 0.5 s.
-    fleet.platform.faults(json!({"delay_ms": 1200}));
+    fleet.platform.set_faults(json!({"delay_ms": 1200}));
     let mut changing = client::connect(fleet.daemons[0].admin);
     let change = json!({"kind": "organisations", "name": "new", "value": {"title": "New"}});
     let body = json!({"changes": [change]}).to_string();
@@ -235,5 +237,5 @@
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut changing, "POST").expect("an answer");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0));
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -28,14 +28,14 @@
 /// `callers` any more. A connection is reused until a reply announces its end or it is closed.
 fn send_until_gone(callers: SocketAddr, caller: usize) -> Vec<StopRequest> {
     let mut requests = Vec::new();
-    let mut kept_alive = None;
+    let mut keep_alive = None;
     loop {
-        let connection = kept_alive.take().or_else(|| TcpStream::connect(callers).ok());
+        let connection = keep_alive.take().or_else(|| TcpStream::connect(callers).ok());
         let Some(mut stream) = connection else { return requests };
         let id = format!("{caller}-{}", requests.len());
         let reply = stops::send(&mut stream, &id, WORK_MS);
-        let keeps = reply.as_ref().is_some_and(|reply| reply.header("connection").is_none());
-        kept_alive = keeps.then_some(stream);
+        let stays_open = reply.as_ref().is_some_and(|reply| reply.header("connection").is_none());
+        keep_alive = stays_open.then_some(stream);
         requests.push(StopRequest { id, reply });
     }
 }
@@ -52,9 +52,15 @@
     // Four callers keep something in flight at every moment.
     let sending: Vec<_> =
         (0..4).map(|caller| thread::spawn(move || send_until_gone(callers, caller))).collect();
-    eventually("requests are served", || fleet.backends[0].total() + fleet.backends[1].total() > 4);
+    eventually("requests are served", || {
+        fleet.backends[0].total_runs() + fleet.backends[1].total_runs() > 4
+    });
     fleet.daemons[0].signal("-TERM");
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0), "no request is interrupted or given up");
+    assert_eq!(
+        fleet.daemons[0].wait_exit().code(),
+        Some(0),
+        "no request is interrupted or given up"
+    );
     let requests = sending.into_iter().flat_map(|thread| thread.join().expect("join"));
     let requests: Vec<StopRequest> = requests.collect();
     requests.iter().for_each(|request| request.check(&fleet));
@@ -67,30 +73,30 @@
 
 #[test]
 fn verify_requests_that_arrive_with_the_last_check_are_answered_or_never_run() {
-    const SHORTEST: Duration = Duration::from_secs(5);
+    const SHORTEST_DRAIN: Duration = Duration::from_secs(5);
     let plan = FleetPlan { daemon_flags: vec![("drain-min-ms", "5000")], ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
-    let mut kept_alive = client::connect(callers);
+    let mut keep_alive = client::connect(callers);
     assert_eq!(
-        stops::send(&mut kept_alive, "before", WORK_MS).map(|reply| reply.status),
+        stops::send(&mut keep_alive, "before", WORK_MS).map(|reply| reply.status),
         Some(200)
     );
     stops::request_stop(&fleet.daemons[0]);
     // The daemon is paused while the requests arrive and its shortest drain passes, so on resume it
     // finds at the same moment nothing in flight and requests to read.
-    let requested_at = Instant::now();
+    let stop_requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
     let mut fresh = client::connect(callers);
-    stops::write(&mut kept_alive, "kept", WORK_MS).expect("write");
+    stops::write(&mut keep_alive, "kept", WORK_MS).expect("write");
     stops::write(&mut fresh, "fresh", WORK_MS).expect("write");
-    eventually("the shortest drain is over", || requested_at.elapsed() > SHORTEST);
+    eventually("the shortest drain is over", || stop_requested_at.elapsed() > SHORTEST_DRAIN);
     fleet.daemons[0].signal("-CONT");
-    let replies = [("kept", kept_alive), ("fresh", fresh)].map(|(id, mut stream)| {
+    let replies = [("kept", keep_alive), ("fresh", fresh)].map(|(id, mut stream)| {
         let reply = client::read_reply(&mut stream, "POST");
         StopRequest { id: id.to_owned(), reply }
     });
-    assert_eq!(fleet.daemons[0].ended().code(), Some(0), "no request is interrupted");
+    assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0), "no request is interrupted");
     replies.iter().for_each(|request| request.check(&fleet));
 }
 
@@ -113,5 +119,5 @@
     for sending in sending {
         assert_eq!(sending.join().expect("join"), Some(200));
     }
-    assert!(fleet.backends[1].total() > 0, "its backend server received requests");
+    assert!(fleet.backends[1].total_runs() > 0, "its backend server received requests");
 }
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -80,7 +80,7 @@
 #[test]
 fn verify_requests_whose_deadline_passed_in_a_suspend_are_answered_on_resume() {
     let host = SuspendableHost::start(1);
-    host.backend.faults(json!({"stuck": true}));
+    host.backend.set_faults(json!({"stuck": true}));
     let callers = host.daemon.callers;
     let running = thread::spawn(move || send_request(callers, "0"));
     host.wait_received(1);
@@ -125,7 +125,7 @@
 #[test]
 fn verify_a_refused_request_is_tried_again_and_admitted_once_it_succeeds() {
     let host = SuspendableHost::start(4);
-    host.backend.faults(json!({"crash_path": "/puzzle/7", "crash_after_ms": 5, "down_ms": 50}));
+    host.backend.set_faults(json!({"crash_path": "/puzzle/7", "crash_after_ms": 5, "down_ms": 50}));
     let callers = host.daemon.callers;
     let refused = |reply: &Reply| reply.reason().as_deref() == Some("crashes-servers");
     eventually("it is refused", || refused(&send_request(callers, "0")));
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -7,7 +7,7 @@
 
 use std::io::{BufRead, BufReader, Write};
 
-use common::operator::{fleet_of, put_organisation, ANY};
+use common::operator::{fleet_of, put_organisation, ANY_REVISION};
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 
@@ -40,27 +40,29 @@
 #[test]
 fn verify_watches_neither_miss_nor_repeat_changes_over_a_reconnect() {
     let fleet = fleet_of(2);
-    let mut seen = Vec::new();
+    let mut seen_revisions = Vec::new();
     let mut watch = Watch::start(&fleet.daemons[1], "/v1/watch?after=0");
     for number in 0..12 {
         let name = format!("org-{number}");
-        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY).status, 200);
+        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
         if number % 4 == 3 {
-            while seen.len() < number - 1 {
-                seen.push(watch.next_change()["revision"].as_u64().expect("revision"));
+            while seen_revisions.len() < number - 1 {
+                seen_revisions.push(watch.next_change()["revision"].as_u64().expect("revision"));
             }
-            let last = seen.last().expect("some");
-            let other = &fleet.daemons[number % 2];
-            eventually("the other daemon has the revision", || other.revision() >= *last);
-            watch = Watch::start(other, &format!("/v1/watch?after={last}"));
+            let last_revision = seen_revisions.last().expect("some");
+            let other_daemon = &fleet.daemons[number % 2];
+            eventually("the other daemon has the revision", || {
+                other_daemon.revision() >= *last_revision
+            });
+            watch = Watch::start(other_daemon, &format!("/v1/watch?after={last_revision}"));
         }
     }
-    while seen.len() < 13 {
-        seen.push(watch.next_change()["revision"].as_u64().expect("revision"));
+    while seen_revisions.len() < 13 {
+        seen_revisions.push(watch.next_change()["revision"].as_u64().expect("revision"));
     }
-    assert_eq!(seen, (1..=13).collect::<Vec<u64>>());
-    let mut routes = Watch::start(&fleet.daemons[0], "/v1/routes?watch=0");
-    let first = routes.next_change();
+    assert_eq!(seen_revisions, (1..=13).collect::<Vec<u64>>());
+    let mut route_watch = Watch::start(&fleet.daemons[0], "/v1/routes?watch=0");
+    let first = route_watch.next_change();
     assert!(first["changes"].as_array().expect("changes").iter().all(|c| c["kind"] == "routes"));
 }
 
@@ -75,7 +77,7 @@
     let mut fleet = TestFleet::start(&plan);
     for number in 0..303 {
         let name = format!("o-{number}");
-        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY).status, 200);
+        assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
     // A new daemon starts from a snapshot and knows only the changes since.
     eventually("a snapshot is stored", || fleet.daemons[0].log_text().contains("snapshot kept"));
@@ -87,6 +89,6 @@
     let reply = fleet.daemons[1].call("GET", "/v1/watch?after=1", &[], "");
     assert_eq!(reply.status, 410, "{}", reply.text());
     assert_eq!(reply.json()["start_again_at"], json!(304));
-    let bad = fleet.daemons[1].call("GET", "/v1/watch?after=x", &[], "");
-    assert_eq!(bad.status, 422);
+    let bad_reply = fleet.daemons[1].call("GET", "/v1/watch?after=x", &[], "");
+    assert_eq!(bad_reply.status, 422);
 }
