--- a/crates/daemon/tests/adopting.rs
+++ b/crates/daemon/tests/adopting.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A snapshot of the configuration that was read while the daemon served never replaces a newer
-//! one.
+//! A snapshot of the configuration never replaces a newer configuration that came into force while
+//! the snapshot was being read.
 
 use std::time::Duration;
 
@@ -56,7 +56,10 @@
     let (later, layout) = config_at(9);
     assert!(cell.adopt(later, layout, NOW));
     assert_eq!(cell.revision(), FleetRevision(9));
-    assert!(cell.records_after(FleetRevision(1)).is_none(), "the changes in between are not known");
+    assert!(
+        cell.records_after(FleetRevision(1)).is_none(),
+        "the changes of revisions 2 to 9 are not known"
+    );
     assert_eq!(cell.apply(&[record(10)], NOW), 1);
     assert!(cell.active().has_organisation("shop-10") && cell.active().has_organisation("shop-5"));
 }
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -5,10 +5,10 @@
 //!
 //! Guards against a fault in which daemons answered 404 for a new route for 2.0 to 2.9 s after the
 //! store had acknowledged it (12 hosts, 26 answers in 40 s, heartbeats every 4 s). Their open
-//! connections had fallen silent without being closed or reset: the long poll at the store waited
-//! for up to 8.7 s and could be followed by another one on a dead pooled connection, and peers
-//! announced the document over silent links without a retry before the next heartbeat. With no
-//! connection silent, every host has a document in force within 0.35 s.
+//! connections were black-holed, without being closed or reset: the long poll at the store waited
+//! for up to 8.7 s and could be followed by another one on a black-holed pooled connection, and
+//! peers announced the document over black-holed links without a retry before the next heartbeat.
+//! Without black-holed connections, every host has a document in force within 0.35 s.
 
 mod common;
 
@@ -68,7 +68,9 @@
 
     fn wait_revision(&self, revision: u64) {
         for daemon in &self.fleet.daemons {
-            eventually("the document is in force", || daemon.revision() >= revision);
+            eventually("the document is in force on every daemon", || {
+                daemon.revision() >= revision
+            });
         }
     }
 
@@ -80,16 +82,16 @@
         self.fleet.write(&wanted);
     }
 
-    /// Requests the route of a document from a daemon; no request is served, as there are no
-    /// servers.
+    /// Requests the route of a document version from a daemon and returns the status. The status is
+    /// never 200, as there are no servers.
     fn request_status(&self, daemon: usize, version: u64) -> u16 {
         let path = format!("/added-{version}/x");
         self.fleet.request(daemon, "GET", &path, "asked").status
     }
 }
 
-/// All connections to the store and between the daemons fall silent just after a call to the store
-/// began.
+/// All connections to the store and between the daemons become black-holed just after a call to the
+/// store began.
 #[test]
 fn verify_a_daemon_that_may_be_behind_never_reports_a_missing_route() {
     let proxied = ProxiedFleet::start("4000");
@@ -111,10 +113,13 @@
         thread::sleep(REQUEST_INTERVAL);
         proxied.fleet.daemons.iter().all(|daemon| daemon.revision() == 3)
     });
-    assert!(stale_answers.is_empty(), "answered 404 after the change: {stale_answers:?}");
+    assert!(
+        stale_answers.is_empty(),
+        "404 for the new route after its deadline: {stale_answers:?}"
+    );
 }
 
-/// One daemon can't reach the store, all links have fallen silent, and no heartbeat is due for a
+/// One daemon can't reach the store, all links are black-holed, and no heartbeat is due for a
 /// minute.
 #[test]
 fn verify_a_document_arrives_although_links_are_black_holed() {
@@ -128,11 +133,14 @@
     proxied.write(3);
     proxied.wait_revision(3);
     let log = proxied.fleet.daemons[CUT_OFF].log_text();
-    assert!(log.contains("store call given up"), "the silent call was not given up");
+    assert!(
+        log.contains("store call given up"),
+        "the black-holed call to the store was not given up"
+    );
 }
 
-/// However many requests callers send for unknown routes, they cost the store one freshness check a
-/// second.
+/// However many requests callers send for unknown routes, a daemon makes at most one freshness
+/// check at the store a second.
 #[test]
 fn verify_unknown_routes_cause_few_freshness_checks() {
     let proxied = ProxiedFleet::start("4000");
@@ -163,8 +171,8 @@
     proxied.write(2);
     proxied.wait_revision(2);
     proxied.fleet.platform.set_faults(json!({"busy": true}));
-    // Until then a peer may hold a confirmation and send it late to a daemon that has stopped
-    // waiting.
+    // Before all confirmations have expired, a peer may hold one and send it late, to a daemon that
+    // has stopped waiting for it.
     let busy_since = Instant::now();
     eventually("all confirmations have expired", || busy_since.elapsed() > CERTAIN_FOR);
     assert_eq!(proxied.request_status(0, 99), 503);
@@ -174,7 +182,7 @@
     let known = proxied.fleet.request(0, "GET", "/added-2/x", "asked");
     assert_eq!(known.header("basaltarch-reason").as_deref(), Some("no-upstream"));
     proxied.fleet.platform.set_faults(json!({}));
-    eventually("there is a confirmation again", || proxied.request_status(0, 99) == 404);
+    eventually("a confirmation arrives again", || proxied.request_status(0, 99) == 404);
 }
 
 /// A daemon that can't reach the store uses the confirmation of peers that can.
@@ -186,21 +194,21 @@
     cuts.forward.store(true, Ordering::SeqCst);
     cuts.backward.store(true, Ordering::SeqCst);
     for _ in 0..3 {
-        // The others ask the store, and the last daemon asks them.
+        // The other daemons ask the store, and the daemon that is cut off asks them.
         eventually("a peer has a confirmation of the store and forwards it", || {
             proxied.request_status(0, 99) == 404 && proxied.request_status(cut_off, 99) == 404
         });
     }
 }
 
-/// While an unreadable document is later than the one in force, no daemon is certain of its
-/// configuration; the next readable document ends that.
+/// While the newest document is unreadable, no daemon is certain that its configuration is the
+/// newest, and each answers 503 in place of 404 until the next readable document.
 #[test]
 fn verify_after_an_unreadable_document_no_route_is_reported_missing() {
     let proxied = ProxiedFleet::start("4000");
     assert_eq!(proxied.request_status(0, 99), 404);
     proxied.fleet.write_text(r#"{"version": "nine"}"#);
-    eventually("it was read", || proxied.request_status(0, 99) == 503);
+    eventually("the unreadable document was read", || proxied.request_status(0, 99) == 503);
     proxied.write(9);
-    eventually("the next is in force", || proxied.request_status(0, 99) == 404);
+    eventually("the next document is in force", || proxied.request_status(0, 99) == 404);
 }
--- a/crates/daemon/tests/bounds.rs
+++ b/crates/daemon/tests/bounds.rs
@@ -14,9 +14,11 @@
 use common::registered::{RegisteredFleet, HOST};
 use common::{eventually, TestDaemon};
 
-/// Memory of the daemon in MB, and its descriptors: each allows 744 and 750 callers' connections.
+/// Memory of the daemon, which allows 744 connections of callers.
 const MEMORY_MB: u64 = 48;
+/// Descriptors of the daemon, which allow 750 connections of callers.
 const DESCRIPTORS: u64 = 1500;
+/// Connections that the daemon allows: the lower of the two numbers.
 const CONNECTIONS_ALLOWED: usize = 744;
 /// Connections that callers try to open.
 const CONNECTIONS_TRIED: usize = 900;
@@ -37,7 +39,7 @@
 fn is_served(stream: &mut TcpStream, id: usize) -> bool {
     let text = format!("GET /safe/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: many-{id}\r\n\r\n");
     let mut status_line = [0; 15];
-    // A connection that was refused may break at either step.
+    // A refused connection may fail while the request is written or while the reply is read.
     stream.write_all(text.as_bytes()).is_ok()
         && stream.read_exact(&mut status_line).is_ok()
         && &status_line == b"HTTP/1.1 200 OK"
@@ -77,7 +79,7 @@
     assert!(open_descriptors(daemon) < DESCRIPTORS);
     assert!(peak_resident_mb(daemon) < MEMORY_MB, "{} MB", peak_resident_mb(daemon));
     drop(streams);
-    eventually("new connections are served once these are closed", || {
+    eventually("new connections are served once the earlier ones are closed", || {
         let mut stream = client::connect(daemon.callers);
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
         is_served(&mut stream, CONNECTIONS_TRIED)
@@ -97,7 +99,7 @@
     assert!(!is_served(&mut client::connect(daemon.callers), 2), "a third connection is refused");
     eventually("the refusal is logged", || daemon.log_text().contains("caller refused"));
     drop(streams);
-    eventually("new connections are served once these are closed", || {
+    eventually("new connections are served once the earlier ones are closed", || {
         is_served(&mut client::connect(daemon.callers), 3)
     });
 }
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -38,8 +38,8 @@
         drop(caller);
         let never = future::pending::<&str>();
         assert_eq!(waiting::unless_gone(&mut stream, never).await, None);
-        // A caller that has already left is detected at once, so nothing is sent although the link
-        // is up.
+        // A caller that has already disconnected is detected at once, so nothing is sent although
+        // the link is up.
         assert_eq!(waiting::unless_gone(&mut stream, async { "link" }).await, None);
     };
     runtime::run(test).expect("runtime");
--- a/crates/daemon/tests/common/backend.rs
+++ b/crates/daemon/tests/common/backend.rs
@@ -27,7 +27,8 @@
         Self::start_at(loopback(), name, service_ms, ExchangeFields::default())
     }
 
-    /// Starts a backend server at an address, with these names of the header fields of an exchange.
+    /// Starts a backend server at an address. `fields` are the names of the header fields that it
+    /// reads and sets in an exchange.
     pub fn start_at(
         address: SocketAddr,
         name: &str,
@@ -52,12 +53,14 @@
         Self { name: name.to_owned(), address: receiver.recv().expect("backend server starts") }
     }
 
+    /// Replaces the faults that the server simulates.
     pub fn set_faults(&self, faults: Value) {
         let reply =
             client::call(self.address, "PUT", backend::FAULTS_PATH, &[], &faults.to_string());
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
 
+    /// Returns the counters of the server, as its control path reports them.
     pub fn runs(&self) -> Value {
         client::call(self.address, "GET", backend::RUNS_PATH, &[], "").json()
     }
@@ -66,7 +69,7 @@
         self.runs()["total"].as_u64().expect("total")
     }
 
-    /// Returns how often the request with this id ran here.
+    /// Returns how often this server ran the request with this id.
     pub fn run_count(&self, id: &str) -> u64 {
         self.runs()["by_id"][id].as_u64().unwrap_or(0)
     }
--- a/crates/daemon/tests/common/client.rs
+++ b/crates/daemon/tests/common/client.rs
@@ -54,7 +54,7 @@
     stream
 }
 
-/// Writes a request with a body of known length.
+/// Formats a request with a body of known length.
 pub fn request_text(method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("{method} {path} HTTP/1.1\r\n");
     if !headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("host")) {
@@ -71,7 +71,7 @@
     text
 }
 
-/// Makes one request on a connection of its own.
+/// Makes one request on a new connection.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -82,7 +82,7 @@
     try_call(address, method, path, headers, body).expect("a reply")
 }
 
-/// Makes one request; returns nothing if no complete head is received.
+/// Makes one request; returns `None` if no complete reply head is received.
 pub fn try_call(
     address: SocketAddr,
     method: &str,
@@ -97,14 +97,14 @@
     read_reply(&mut stream, method)
 }
 
-/// Sends raw bytes and reads the reply.
+/// Sends these bytes unchanged on a new connection and reads the reply.
 pub fn send_raw(address: SocketAddr, bytes: &[u8]) -> Option<Reply> {
     let mut stream = connect(address);
     stream.write_all(bytes).ok()?;
     read_reply(&mut stream, "GET")
 }
 
-/// Reads one reply.
+/// Reads the final reply to a request and skips interim replies.
 pub fn read_reply(stream: &mut TcpStream, method: &str) -> Option<Reply> {
     let mut buffer = Vec::new();
     loop {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads one reply; bytes that follow it stay in `buffer`.
+/// Reads the next reply, interim or final; bytes that follow it stay in `buffer`.
 pub fn read_next_reply(
     stream: &mut TcpStream,
     method: &str,
@@ -149,6 +149,7 @@
     Some(reply)
 }
 
+/// Appends received bytes to `buffer`; returns false once the connection has ended or failed.
 fn fill(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     let mut chunk = [0; 16384];
     loop {
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -18,12 +18,15 @@
 pub const TOKEN: &str = "operator-token";
 pub const KEY: &str = "a-fleet-key-for-tests";
 
-/// A daemon as a process; killed when dropped.
+/// A daemon that runs as a process and is killed when dropped.
 pub struct TestDaemon {
     pub host: String,
     pub domain: String,
+    /// Address for callers.
     pub callers: SocketAddr,
+    /// Address for links of other daemons.
     pub peers: SocketAddr,
+    /// Address of the admin API.
     pub admin: SocketAddr,
     /// Address for heartbeats of backend servers, if the daemon has one.
     pub registration: Option<SocketAddr>,
@@ -31,7 +34,7 @@
     pub ready: Option<SocketAddr>,
     child: Child,
     log: PathBuf,
-    /// Standard output, if it is a pipe, which the test reads or leaves unread.
+    /// Standard output if it is a pipe; the test reads it or leaves it unread.
     pub output: Option<BufReader<ChildStdout>>,
 }
 
@@ -56,7 +59,7 @@
         Self::from_start_line(child, log, &line, host, domain)
     }
 
-    /// Starts a daemon whose standard output is a pipe, read up to the line `from_start_line`.
+    /// Starts a daemon whose standard output is a pipe, and reads it up to the line `listening`.
     pub fn start_piped(
         platform: SocketAddr,
         host: &str,
@@ -69,7 +72,10 @@
         let mut line = Value::Null;
         while line["message"] != "listening" {
             let mut text = String::new();
-            assert!(output.read_line(&mut text).expect("output") > 0, "the daemon ended");
+            assert!(
+                output.read_line(&mut text).expect("output") > 0,
+                "no line `listening` before the end"
+            );
             line = serde_json::from_str(&text).unwrap_or(Value::Null);
         }
         let mut daemon = Self::from_start_line(child, logs::new_path(host), &line, host, domain);
@@ -77,17 +83,18 @@
         daemon
     }
 
+    /// Reads the addresses of a daemon from its log line `listening`.
     fn from_start_line(child: Child, log: PathBuf, line: &Value, host: &str, domain: &str) -> Self {
-        let address = |field: &str| line[field].as_str().expect(field).parse().expect(field);
-        let parse = |text: &str| text.parse().expect("address");
+        let address_in = |field: &str| line[field].as_str().expect(field).parse().expect(field);
+        let parse_address = |text: &str| text.parse().expect("address");
         Self {
             host: host.to_owned(),
             domain: domain.to_owned(),
-            callers: address("callers"),
-            peers: address("peers"),
-            admin: address("admin"),
-            registration: line["registration"].as_str().map(parse),
-            ready: line["ready"].as_str().map(parse),
+            callers: address_in("callers"),
+            peers: address_in("peers"),
+            admin: address_in("admin"),
+            registration: line["registration"].as_str().map(parse_address),
+            ready: line["ready"].as_str().map(parse_address),
             child,
             log,
             output: None,
@@ -103,6 +110,7 @@
         self.child.id()
     }
 
+    /// Sends a signal, such as `-TERM`, to the process.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
@@ -113,20 +121,21 @@
         let _ = self.child.wait();
     }
 
-    /// Waits for the end of the process and returns its status.
+    /// Waits until the process ends and returns its exit status.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let mut status = None;
         eventually("the daemon ends", || {
             status = self.child.try_wait().expect("wait");
             status.is_some()
         });
-        status.expect("ended")
+        status.expect("exit status")
     }
 
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("wait").is_none()
     }
 
+    /// Calls the admin API with the token of an operator.
     pub fn call(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
         let bearer = format!("Bearer {TOKEN}");
         let mut all_headers = vec![("Authorization", bearer.as_str())];
@@ -134,6 +143,7 @@
         client::call(self.admin, method, path, &all_headers, body)
     }
 
+    /// Reads a resource of the admin API; fails unless the status is 200.
     pub fn get(&self, path: &str) -> Value {
         let reply = self.call("GET", path, &[], "");
         assert_eq!(reply.status, 200, "{path}: {}", reply.text());
@@ -148,7 +158,7 @@
         client::try_call(self.admin, "GET", "/readyz", &[], "").is_some_and(|r| r.status == 200)
     }
 
-    /// Returns the sum of a metric over its labels.
+    /// Returns the sum, over all labels, of the metrics whose names begin with `name`.
     pub fn metric(&self, name: &str) -> f64 {
         let reply = client::call(self.admin, "GET", "/metrics", &[], "");
         let prefix = format!("basaltarch_{name}");
@@ -164,6 +174,7 @@
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
+    /// Returns how many members of the fleet this daemon reports as live.
     pub fn live_members(&self) -> usize {
         let status = self.get("/v1/status");
         let members = status["members"].as_array().expect("members");
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -23,7 +23,7 @@
     pub backends: Vec<TestBackend>,
 }
 
-/// `FleetPlan` holds the daemons, backend servers and configuration of a fleet.
+/// Numbers of daemons and backend servers of a fleet, and its configuration.
 pub struct FleetPlan {
     pub daemons: usize,
     pub backends: usize,
@@ -60,7 +60,8 @@
 }
 
 impl TestFleet {
-    /// Starts a fleet and waits until every daemon knows the others and is ready.
+    /// Starts a fleet, applies its configuration, and waits until every daemon is ready, knows the
+    /// others and has the configuration in force.
     pub fn start(plan: &FleetPlan) -> Self {
         let mut fleet = Self::start_unconfigured(plan);
         fleet.backends = (0..plan.backends)
@@ -99,6 +100,7 @@
         self.wait_members();
     }
 
+    /// Waits until every daemon is ready and knows all others.
     pub fn wait_members(&self) {
         for daemon in &self.daemons {
             eventually("the daemons know each other", || {
@@ -113,6 +115,7 @@
         }
     }
 
+    /// Builds the configuration of a plan for the running daemons and backend servers.
     pub fn configuration(&self, plan: &FleetPlan) -> Value {
         let mut servers = BTreeMap::new();
         for (index, backend) in self.backends.iter().enumerate() {
@@ -160,7 +163,7 @@
         client::call(self.daemons[daemon].callers, method, path, &all_headers, body)
     }
 
-    /// Returns how often a request ran on any backend server.
+    /// Returns how often a request ran on all backend servers together.
     pub fn run_count(&self, id: &str) -> u64 {
         self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! A TCP forwarder between two processes. Each direction can be cut separately, and connections can
-//! be silenced permanently.
+//! be black-holed permanently.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,7 +13,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// `Cuts` are the faults that tests switch on and off.
+/// Faults of a forwarder, which tests switch on and off.
 #[derive(Default)]
 pub struct Cuts {
     /// Nothing is forwarded from the side that connected.
@@ -22,24 +22,26 @@
     pub backward: AtomicBool,
     /// New connections are closed at once.
     pub refuse: AtomicBool,
-    /// Connections up to this number are silent: what is sent is read and dropped, and they stay
-    /// open.
+    /// Connections up to this number are black-holed: they stay open, and all bytes sent on them
+    /// are read and dropped.
     black_holed_to: AtomicU64,
-    /// Number of connections so far.
+    /// Number of connections opened so far.
     opened_count: AtomicU64,
-    /// Hosts whose links are cut; all when empty. A daemon names its host in its first frame.
+    /// Hosts whose links are cut; if empty, all links are cut. A daemon names its host in its first
+    /// frame.
     pub only_hosts: Mutex<Vec<String>>,
 }
 
 impl Cuts {
     fn applies_to(&self, first_frame: &[u8]) -> bool {
         let only_hosts = self.only_hosts.lock().expect("lock");
-        let names = |host: &String| first_frame.windows(host.len()).any(|w| w == host.as_bytes());
-        only_hosts.is_empty() || only_hosts.iter().any(names)
+        let is_named =
+            |host: &String| first_frame.windows(host.len()).any(|w| w == host.as_bytes());
+        only_hosts.is_empty() || only_hosts.iter().any(is_named)
     }
 }
 
-/// A forwarder; connections stay open while a direction is cut, as on a network.
+/// A forwarder. Connections stay open while a direction is cut, as on a network.
 pub struct Forwarder {
     pub address: SocketAddr,
     pub cuts: Arc<Cuts>,
@@ -74,7 +76,7 @@
         *self.target.lock().expect("lock") = Some(target);
     }
 
-    /// Silences every open connection permanently; new connections work.
+    /// Black-holes every open connection permanently; new connections work.
     pub fn black_hole(&self) {
         self.cuts
             .black_holed_to
@@ -129,6 +131,7 @@
     });
 }
 
+/// Forwards bytes in one direction until the connection ends.
 fn pump(
     mut from: TcpStream,
     mut to: TcpStream,
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -18,7 +18,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A daemon in a thread. A test can have only one, as metrics are global to the process.
+/// A daemon in a thread. A test process can have only one, as metrics are global to the process.
 pub struct InlineDaemon {
     pub host: String,
     pub callers: SocketAddr,
@@ -51,7 +51,7 @@
         Self { host: host.to_owned(), callers, admin, suspend_sender }
     }
 
-    /// Simulates a suspend of the host of this length, without waiting.
+    /// Simulates a suspend of the host of this length; returns at once.
     pub fn suspend(&self, length: Duration) {
         self.suspend_sender.send(length).expect("the daemon runs");
     }
--- a/crates/daemon/tests/common/logs.rs
+++ b/crates/daemon/tests/common/logs.rs
@@ -20,10 +20,10 @@
     std::env::temp_dir().join(format!("basaltarch-{}-{number}-{host}.log", std::process::id()))
 }
 
-/// Waits for a line with this message.
+/// Waits for a line with this message and returns its fields.
 pub fn wait_line(log: &std::path::Path, message: &str) -> Value {
     let mut matching_line = Value::Null;
-    eventually("a line in the log", || {
+    eventually("the expected line is in the log", || {
         let file = File::open(log).expect("log");
         for line in BufReader::new(file).lines().map_while(Result::ok) {
             let value: Value = serde_json::from_str(&line).unwrap_or(Value::Null);
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -7,7 +7,8 @@
 //! [`platform`] and [`backend`] are simulated, [`daemon`] and [`inline`] start daemons and
 //! [`logs`] reads their logs. [`fleet`] and [`registered`] combine these, one for each source of
 //! the configuration. [`client`] sends requests, [`operator`] makes the calls of operators, and
-//! [`forwarder`] cuts connections. [`stops`] sends requests to daemons that are shutting down.
+//! [`forwarder`] cuts or black-holes connections. [`stops`] sends requests to daemons that are
+//! shutting down.
 //!
 //! The kernel assigns the ports. Tests wait for events rather than for fixed times, with a generous
 //! timeout.
@@ -39,7 +40,7 @@
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until `holds` returns true; fails with `what` after [`EVENT_TIMEOUT`].
+/// Waits until `holds` returns true, and fails with the description `what` after [`EVENT_TIMEOUT`].
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
--- a/crates/daemon/tests/common/operator.rs
+++ b/crates/daemon/tests/common/operator.rs
@@ -10,6 +10,7 @@
 use super::client;
 use super::{FleetPlan, TestDaemon, TestFleet};
 
+/// Starts a fleet with this many daemons and two backend servers.
 pub fn fleet_of(daemons: usize) -> TestFleet {
     TestFleet::start(&FleetPlan { daemons, backends: 2, ..FleetPlan::default() })
 }
@@ -24,9 +25,11 @@
     daemon.call("PUT", &path, &[precondition], &json!({"title": title}).to_string())
 }
 
+/// Precondition of a change that is made at whatever revision the resource has.
 pub const ANY_REVISION: (&str, &str) = ("If-Match", "*");
 
-/// Checks that the audit trail has one record for each revision, and each change once and in order.
+/// Checks on every daemon that the audit trail has one record for each revision, and each change
+/// once and in order.
 pub fn check_audit(fleet: &TestFleet, revisions: u64) {
     for daemon in &fleet.daemons {
         let audit = daemon.get("/v1/audit?after=0");
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -19,7 +19,7 @@
 /// The simulated platform in a thread.
 pub struct TestPlatform {
     pub address: SocketAddr,
-    /// Address for the group of hosts to which an outage can be restricted.
+    /// Address for the second group of hosts, to which an outage can be restricted.
     pub second: SocketAddr,
 }
 
@@ -42,6 +42,7 @@
         Self { address, second }
     }
 
+    /// Replaces the faults that the platform simulates.
     pub fn set_faults(&self, faults: Value) {
         let reply =
             client::call(self.address, "PUT", platform::FAULTS_PATH, &[], &faults.to_string());
@@ -54,7 +55,7 @@
         assert_eq!(reply.status, 204, "{}", reply.text());
     }
 
-    /// Restores the rows from the copy and begins the next era.
+    /// Restores the rows from the copy, after which the platform begins a new era.
     pub fn restore(&self) {
         let reply = client::call(self.address, "DELETE", platform::COPY_PATH, &[], "");
         assert_eq!(reply.status, 204, "{}", reply.text());
@@ -75,7 +76,7 @@
         page["rows"].as_array().into_iter().flatten().filter_map(decoded_value).collect()
     }
 
-    /// Writes or removes a row without any checks, as a writer other than its daemon.
+    /// Writes or removes a row without any checks, as a writer other than the daemon that owns it.
     pub fn change_row(&self, method: &str, table: &str, key: &str, decoded_value: &str) {
         let path = format!("{}{table}/{key}", platform::ROWS_CONTROL_PATH);
         let reply = client::call(self.address, method, &path, &[], decoded_value);
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -31,10 +31,11 @@
     pub platform: TestPlatform,
     pub daemons: Vec<TestDaemon>,
     pub backends: Vec<TestBackend>,
+    /// Sequence number of the next heartbeat.
     sequence: Cell<u64>,
 }
 
-/// Returns a document with a repeatable and a non-repeatable route.
+/// Returns a document with a repeatable and a non-repeatable route to [`SERVICE`].
 pub fn document(version: u64) -> ConfigDocument {
     let declaration = |name: &str| ServiceDeclaration {
         name: name.to_owned(),
@@ -58,7 +59,7 @@
     }
 }
 
-/// Returns a route to the service.
+/// Returns a route to [`SERVICE`].
 pub fn route(name: &str, path_prefix: &str, mode: WorkMode) -> NamedRoute {
     let rule = RouteRule {
         host: HOST.to_owned(),
@@ -91,7 +92,7 @@
         (0..daemons).fold(fleet, |fleet, index| fleet.with_host(index))
     }
 
-    /// Starts the same fleet in one failure domain.
+    /// Starts the fleet of [`RegisteredFleet::start`] with all hosts in one failure domain.
     pub fn start_in_one_domain(daemons: usize) -> Self {
         let platform = TestPlatform::start();
         let fleet =
@@ -123,7 +124,7 @@
         self.start_daemon_at(self.platform.address, host, domain, extra_flags)
     }
 
-    /// Starts a daemon that calls the platform at one of its addresses.
+    /// Starts a daemon that calls the platform at this address.
     pub fn start_daemon_at(
         &self,
         platform: SocketAddr,
@@ -159,7 +160,8 @@
     }
 
     /// Sends a heartbeat with any name and service and the address of a backend server. A name may
-    /// include an incarnation: `i-1#a` is the incarnation of `i-1` that started at 10 ms.
+    /// include an incarnation: `i-1#a` is the incarnation of `i-1` that started at 10 ms (`a` in
+    /// hexadecimal).
     pub fn send_heartbeat_as(
         &self,
         index: usize,
@@ -216,20 +218,21 @@
     /// Sends a caller's request with an id to a daemon.
     pub fn request(&self, daemon: usize, method: &str, path: &str, id: &str) -> Reply {
         let fields = headers::exchange_fields();
-        let request = fields.request.expect("a field that names requests");
-        let headers = [("Host", HOST), (request.as_str(), id), (fields.deadline.as_str(), "3000")];
+        let request_field = fields.request.expect("a header field for request ids");
+        let headers =
+            [("Host", HOST), (request_field.as_str(), id), (fields.deadline.as_str(), "3000")];
         client::call(self.daemons[daemon].callers, method, path, &headers, "x")
     }
 
     /// Waits until a daemon has sent requests to each of these backend servers.
-    pub fn wait_served(&self, daemon: usize, new_document: &[usize]) {
+    pub fn wait_served(&self, daemon: usize, servers: &[usize]) {
         let mut number = 0;
         eventually("every backend server receives requests", || {
             for _ in 0..20 {
                 number += 1;
                 self.request(daemon, "GET", "/safe/x", &format!("wait-{daemon}-{number}"));
             }
-            new_document.iter().all(|index| {
+            servers.iter().all(|index| {
                 let runs = self.backends[*index].runs();
                 runs["by_id"]
                     .as_object()
@@ -240,7 +243,7 @@
         });
     }
 
-    /// Returns how often a request ran on any backend server.
+    /// Returns how often a request ran on all backend servers together.
     pub fn run_count(&self, id: &str) -> u64 {
         self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
--- a/crates/daemon/tests/common/stops.rs
+++ b/crates/daemon/tests/common/stops.rs
@@ -28,17 +28,21 @@
             }
             None => 0,
         };
-        assert_eq!(ran, expected, "{} ran and got {:?}", self.id, self.reply);
+        assert_eq!(
+            ran, expected,
+            "wrong number of runs of {}, whose reply is {:?}",
+            self.id, self.reply
+        );
     }
 }
 
-/// Sends a non-repeatable request with a service time of `work_ms`.
+/// Sends a non-repeatable request with a service time of `work_ms`, without reading the reply.
 pub fn write(stream: &mut TcpStream, id: &str, work_ms: &str) -> io::Result<()> {
     let headers = [("Host", "solver.example"), ("x-work-ms", work_ms), ("x-request-id", id)];
     stream.write_all(client::request_text("POST", "/plain", &headers, "x").as_bytes())
 }
 
-/// Sends such a request and waits for the end of its reply or connection.
+/// Sends a non-repeatable request and waits until its reply is read or its connection ends.
 pub fn send(stream: &mut TcpStream, id: &str, work_ms: &str) -> Option<Reply> {
     write(stream, id, work_ms).ok()?;
     client::read_reply(stream, "POST")
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -48,13 +48,13 @@
             "address",
         ),
         (
-            "dangling service",
+            "unknown service",
             put("/v1/backend-servers/server-1", server_with("service", json!("gone"))),
             422,
             "services/gone",
         ),
         (
-            "dangling domain",
+            "unknown failure domain",
             put("/v1/backend-servers/server-1", server_with("failure_domain", json!("gone"))),
             422,
             "failure-domains/gone",
@@ -84,34 +84,34 @@
             "rate",
         ),
         (
-            "limit on nothing",
+            "limit on an unknown route",
             put("/v1/limits/l", json!({"scope": "route", "target": "gone", "rate": 1, "burst": 1})),
             422,
             "routes/gone",
         ),
         ("not JSON", daemon.call("PUT", "/v1/services/s", &[ANY_REVISION], "{"), 400, "body"),
         ("unknown kind", put("/v1/serviecs/s", json!({})), 404, "serviecs"),
-        ("no guard", daemon.call("PUT", "/v1/services/s", &[], "{}"), 428, "If-Match"),
+        ("no precondition", daemon.call("PUT", "/v1/services/s", &[], "{}"), 428, "If-Match"),
         (
-            "bad guard",
+            "malformed precondition",
             daemon.call("PUT", "/v1/services/s", &[("If-Match", "\"new\"")], "{}"),
             400,
             "If-Match",
         ),
         (
-            "new but there",
+            "creation of an existing resource",
             daemon.call("PUT", "/v1/services/solver-app", &[("If-None-Match", "*")], "{}"),
             412,
             "revision 1",
         ),
         (
-            "old guard",
+            "precondition on another revision",
             daemon.call("PUT", "/v1/services/solver-app", &[("If-Match", "\"7\"")], "{}"),
             412,
             "not at 7",
         ),
         (
-            "delete in use",
+            "deletion of a service in use",
             daemon.call("DELETE", "/v1/services/solver-app", &[ANY_REVISION], ""),
             422,
             "services/solver-app",
@@ -140,7 +140,7 @@
         assert_eq!(reply.status, status, "{case}: {}", reply.text());
         assert!(reply.text().contains(expected_text), "{case}: {}", reply.text());
     }
-    assert_eq!(daemon.revision(), 1, "nothing was changed");
+    assert_eq!(daemon.revision(), 1, "no refused change makes a revision");
 }
 
 #[test]
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -6,7 +6,7 @@
 //! Guards against a fault in which one bad request, sent repeatedly, crashed 25 servers of a
 //! service of 15 within half a minute, while over a tenth of all requests failed. Each daemon
 //! retried a copy at up to three servers, and each crash took down the other requests that ran
-//! there. What a daemon learnt of the request was not shared with other daemons, applied only to
+//! there. A daemon's record of the request was not shared with other daemons, applied only to
 //! retries and was dropped whenever the servers of the service changed, as each crash makes them
 //! do. 40 copies sent to six daemons crashed 37 servers.
 
@@ -22,12 +22,12 @@
 
 /// Path of the bad request.
 const BAD_PATH: &str = "/puzzle/bad";
-/// Number of copies of it that are sent.
+/// Number of copies of the bad request that are sent.
 const COPIES: usize = 40;
-/// Servers that it may crash: three before it is identified, and three by copies that were sent
-/// before every daemon was notified.
+/// Maximum number of servers that the bad request may crash: three before it is identified, and
+/// three by copies that were sent before every daemon was notified.
 const CRASHES_MAX: u64 = 6;
-/// Time that a server needs to restart.
+/// Time that a crashed server needs to restart.
 const DOWN_MS: u64 = 300;
 
 /// Maximum number of requests of one caller, so that a failing test ends.
@@ -51,7 +51,7 @@
 }
 
 /// Waits until a server is up and returns how often it has crashed.
-fn crashes(backend: &TestBackend) -> u64 {
+fn wait_crash_count(backend: &TestBackend) -> u64 {
     let mut crashes = None;
     eventually("the server is up", || {
         let reply = client::try_call(backend.address, "GET", "/__control/runs", &[], "");
@@ -62,7 +62,7 @@
 }
 
 fn total_crashes(fleet: &TestFleet) -> u64 {
-    fleet.backends.iter().map(crashes).sum()
+    fleet.backends.iter().map(wait_crash_count).sum()
 }
 
 #[test]
@@ -82,10 +82,11 @@
     for daemon in 0..6 {
         let reply = fleet.request(daemon, "GET", BAD_PATH, &[], "");
         let refusal = (reply.status, reply.outcome(), reply.reason());
-        let expected_parts = (503, Some("not-run".to_owned()), Some("crashes-servers".to_owned()));
-        assert_eq!(refusal, expected_parts, "refused as not run by every daemon");
+        let expected_refusal =
+            (503, Some("not-run".to_owned()), Some("crashes-servers".to_owned()));
+        assert_eq!(refusal, expected_refusal, "refused as not run by every daemon");
     }
-    assert_eq!(total_crashes(&fleet), crashed, "it has not run");
+    assert_eq!(total_crashes(&fleet), crashed, "the bad request has not run again");
     fleet.check_invariants();
 }
 
@@ -104,7 +105,7 @@
     };
     eventually("the crash is logged", || has_logged_break("crashes", true));
     assert!(log().contains("backend server crashed"));
-    crashes(&fleet.backends[0]);
+    wait_crash_count(&fleet.backends[0]);
     fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     eventually("the broken connection is logged", || {
         fleet.request(0, "GET", "/plain/x", &[("x-request-id", "breaks")], "");
@@ -125,7 +126,7 @@
         reply.reason().as_deref() == Some("crashes-servers")
     });
     for daemon in &fleet.daemons {
-        eventually("every daemon refuses it", || refused(daemon) == 1.0);
+        eventually("every daemon refuses the request", || refused(daemon) == 1.0);
     }
 }
 
@@ -141,7 +142,7 @@
         lines.iter().filter(|line| line.text("message") == event).count()
     };
     eventually("the crashes of other copies are found", || count_events("request suspected") >= 3);
-    eventually("its end is found", || count_events("request failed") == 1);
+    eventually("the end of the refused copy is found", || count_events("request failed") == 1);
     assert_eq!(count_events("work started"), 0);
     let end = explain::conclusion("refused-copy", &gather());
     assert!(end.contains("not-run (crashes-servers) with status 503 after 0 attempts"), "{end}");
@@ -170,7 +171,7 @@
         // Servers crash one by one, each by a request that is not sent again.
         for number in 0..15 {
             let backend = &fleet.backends[number % 9];
-            crashes(backend);
+            wait_crash_count(backend);
             let single_use = format!("/puzzle/lone-{number}");
             backend
                 .set_faults(json!({"crash_path": single_use, "crash_after_ms": 20, "down_ms": 50}));
@@ -207,7 +208,7 @@
     let crashed = total_crashes(&fleet);
     let platform = fleet.platform.address;
     let later_daemon = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
-    eventually("the late daemon refuses it", || {
+    eventually("the daemon that started later refuses the request", || {
         later_daemon.is_ready() && refused(&later_daemon) == 1.0
     });
     fleet.daemons.push(later_daemon);
@@ -223,13 +224,19 @@
         let list = daemon.get("/v1/suspects");
         list["suspects"].as_array().is_some_and(|suspects| !suspects.is_empty())
     };
-    eventually("it is suspected", || {
+    eventually("the request is suspected", || {
         fleet.request(0, "GET", BAD_PATH, &[], "");
         knows(&fleet.daemons[0])
     });
-    assert_eq!(refused(&fleet.daemons[0]), 0.0, "no row holds a request that isn't refused");
+    assert_eq!(
+        refused(&fleet.daemons[0]),
+        0.0,
+        "the request is suspected but not refused, so no row holds it"
+    );
     let later_daemon = TestDaemon::start(fleet.platform.address, "host-late", "bkk-b", &[]);
-    eventually("the late daemon learns of it from a heartbeat", || knows(&later_daemon));
+    eventually("the daemon that started later learns of the request from a heartbeat", || {
+        knows(&later_daemon)
+    });
     fleet.daemons.push(later_daemon);
 }
 
@@ -238,7 +245,7 @@
     let mut fleet = fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     let stored = || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
-    eventually("a row holds it", stored);
+    eventually("a row holds the refused request", stored);
     let crashed = total_crashes(&fleet);
     fleet.daemons.iter_mut().for_each(TestDaemon::kill);
     fleet.daemons = ["host-a", "host-b", "host-c"]
@@ -247,7 +254,7 @@
         .map(|(host, domain)| TestDaemon::start(fleet.platform.address, host, domain, &[]))
         .collect();
     for daemon in &fleet.daemons {
-        eventually("every new daemon refuses it", || refused(daemon) == 1.0);
+        eventually("every new daemon refuses the request", || refused(daemon) == 1.0);
     }
     fleet.wait_members();
     let reply = fleet.request(1, "GET", BAD_PATH, &[], "");
@@ -260,7 +267,7 @@
     let fleet = fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     for backend in &fleet.backends {
-        crashes(backend);
+        wait_crash_count(backend);
         backend.set_faults(json!({}));
     }
     let list = fleet.daemons[1].get("/v1/suspects");
@@ -273,12 +280,12 @@
     assert_eq!(fleet.daemons[2].call("DELETE", &path, &[actor], "").status, 404);
     assert_eq!(fleet.daemons[2].call("DELETE", "/v1/suspects/x", &[], "").status, 400);
     eventually("the log names the operator", || {
-        let log_text_of_daemon = fleet.daemons[2].log_text();
-        let mut lines = log_text_of_daemon.lines().filter(|line| line.contains("request lifted"));
+        let log = fleet.daemons[2].log_text();
+        let mut lines = log.lines().filter(|line| line.contains("request lifted"));
         lines.any(|line| line.contains("somsak") && line.contains(fingerprint))
     });
     for daemon in 0..3 {
-        eventually("it is served again", || {
+        eventually("the request is served again", || {
             fleet.request(daemon, "GET", BAD_PATH, &[], "").status == 200
         });
     }
--- a/crates/daemon/tests/deployed.rs
+++ b/crates/daemon/tests/deployed.rs
@@ -40,17 +40,18 @@
 /// otherwise.
 fn resolve_section(text: &str, placeholder: &str, is_filled: bool) -> String {
     let (open, close) = (format!("{{{{#{placeholder}}}}}"), format!("{{{{/{placeholder}}}}}"));
-    let (before, rest) = text.split_once(&open).expect("the start of an optional part");
-    let (section, after) = rest.split_once(&close).expect("the end of an optional part");
+    let (before, rest) = text.split_once(&open).expect("the start of an optional section");
+    let (section, after) = rest.split_once(&close).expect("the end of an optional section");
     format!("{before}{}{after}", if is_filled { section } else { "" })
 }
 
-/// Reads the deployed settings with this value for one placeholder and typical values for the
-/// others.
+/// Reads the deployed settings, with organisations, with this value for one placeholder and typical
+/// values for the others.
 fn read_options(placeholder: &str, value: &str) -> Result<DaemonOptions, SettingError> {
     read_options_with(placeholder, value, true)
 }
 
+/// Reads the deployed settings with or without the sections for organisations.
 fn read_options_with(
     placeholder: &str,
     value: &str,
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -35,7 +35,7 @@
     let texts = [r#"{"version": 9}"#, "text", r#"{"version": "nine"}"#];
     for (bad_index, text) in texts.into_iter().enumerate() {
         fleet.write_text(text);
-        // A document that is replaced before it was read would not be logged.
+        // Waits for the log line, as a document that is replaced before it is read is not logged.
         for daemon in &fleet.daemons {
             let logged = || daemon.log_text().matches("configuration unreadable").count();
             eventually("the bad document was read", || logged() > bad_index);
@@ -94,7 +94,7 @@
     }
     for daemon in 0..2 {
         let mut number = 0;
-        eventually("both services are known", || {
+        eventually("the ingress knows the servers of both services", || {
             number += 1;
             let id = format!("known-{daemon}-{number}");
             fleet.request(daemon, "GET", "/split/x", &id);
@@ -107,13 +107,16 @@
     }
     let at_other_service =
         (0..200).filter(|n| fleet.backends[1].run_count(&format!("split-{n}")) > 0).count();
-    // Each of the two ingresses is off by less than one request.
-    assert!((48..=52).contains(&at_other_service), "{at_other_service} of 200");
+    // The count of each of the two ingresses differs from its share by less than one request.
+    assert!(
+        (48..=52).contains(&at_other_service),
+        "{at_other_service} of 200 requests ran at the other service"
+    );
     assert!((0..200).all(|number| fleet.run_count(&format!("split-{number}")) == 1));
 }
 
-/// The cases hold the fault of the server, whether the other server still serves repeatable
-/// requests, and the status that a non-repeatable request gets.
+/// Each case is a fault of one server, whether the other server still serves repeatable requests,
+/// and the status of a non-repeatable request that the faulty server ran.
 #[test_case(json!({"surplus": true}), true, 200 ; "an answer to an earlier request comes first")]
 #[test_case(json!({"twice": true}), true, 200 ; "a second answer follows")]
 #[test_case(json!({"unstamped": true}), true, 502 ; "the answer is not proved")]
@@ -143,7 +146,11 @@
         at_faulty += 1;
         assert_eq!(reply.status, status, "{}", reply.text());
         if status == 200 {
-            assert!(reply.text().contains(&id), "not its own answer: {}", reply.text());
+            assert!(
+                reply.text().contains(&id),
+                "the answer belongs to another request: {}",
+                reply.text()
+            );
         }
     }
     assert!(at_faulty > 0, "no request reached the faulty server");
@@ -154,7 +161,11 @@
         let id = format!("safe-{number}");
         let reply = fleet.request(1, "GET", "/safe/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert!(reply.text().contains(&id), "not its own answer: {}", reply.text());
+        assert!(
+            reply.text().contains(&id),
+            "the answer belongs to another request: {}",
+            reply.text()
+        );
     }
 }
 
@@ -163,7 +174,7 @@
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     let mut stream = client::connect(fleet.daemons[0].callers);
-    let request_field = headers::exchange_fields().request.expect("a name");
+    let request_field = headers::exchange_fields().request.expect("a header field for request ids");
     let request = |number: usize| {
         let work_ms = if number == 0 { 200 } else { 1 };
         let last = if number == 9 { "Connection: close\r\n" } else { "" };
@@ -192,10 +203,10 @@
     short_document.routes[1].rule.timeout_ms = 300;
     fleet.write(&short_document);
     eventually("the document is in force", || fleet.daemons[0].revision() == 2);
-    let request = headers::exchange_fields().request.expect("a name");
-    let headers = [("Host", HOST), (request.as_str(), "slow"), ("x-work-ms", "60000")];
+    let request_field = headers::exchange_fields().request.expect("a header field for request ids");
+    let headers = [("Host", HOST), (request_field.as_str(), "slow"), ("x-work-ms", "60000")];
     let reply = client::call(fleet.daemons[0].callers, "POST", "/unsafe/x", &headers, "x");
-    // It may have run, so the status must not mean that it has not.
+    // The request may have run, so the status must not state that it has not.
     assert_eq!((reply.status, fleet.run_count("slow")), (504, 1), "{}", reply.text());
     eventually("the request is cancelled", || fleet.backends[0].runs()["cancelled"] == json!(1));
 }
@@ -212,19 +223,19 @@
     let platform = fleet.platform.address;
     let mut daemon = common::TestDaemon::start(platform, "host-a", "bkk-a", &flags);
     eventually("the document is in force", || daemon.is_ready());
-    let logged = |daemon: &common::TestDaemon, text: &str| {
+    let wait_logged = |daemon: &common::TestDaemon, text: &str| {
         let text = text.to_owned();
         eventually(&format!("the log contains {text}"), || daemon.log_text().contains(&text));
     };
     write_settings("own-service = second-app\nfloor = 7\n");
     daemon.signal("-HUP");
-    logged(&daemon, "\"message\":\"settings refused\"");
+    wait_logged(&daemon, "\"message\":\"settings refused\"");
     write_settings("own-service = second-app\nhost = another\n");
-    logged(&daemon, "\"cause\":\"file\"");
+    wait_logged(&daemon, "\"cause\":\"file\"");
     write_settings("own-service = third-app\nfailure-domain = elsewhere\n");
     daemon.signal("-HUP");
-    logged(&daemon, "\"cause\":\"signal\"");
-    logged(&daemon, "settings need a restart");
+    wait_logged(&daemon, "\"cause\":\"signal\"");
+    wait_logged(&daemon, "settings need a restart");
     assert!(daemon.is_running());
     assert!(daemon.is_ready());
     let _ = fs::remove_file(&path);
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Drain: no running request is interrupted, and what is draining receives no new requests.
+//! Drain of daemons and backend servers: no running request is interrupted, and a draining backend
+//! server receives no new requests.
 
 mod common;
 
@@ -84,8 +85,8 @@
     let mut keep_alive = client::connect(fleet.daemons[0].callers);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon is leaving", || !fleet.daemons[0].is_ready());
-    // Both this connection and a new one are served, as callers learn late that a daemon is
-    // leaving.
+    // The kept-alive connection and a new one are both served, as callers learn only after some
+    // time that a daemon is leaving.
     keep_alive.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
     let mut answer = String::new();
     keep_alive.read_to_string(&mut answer).expect("an answer, then the end of the connection");
@@ -107,7 +108,7 @@
     });
     eventually("the request runs", || fleet.run_count("cut") == 1);
     fleet.daemons[0].signal("-TERM");
-    eventually("the daemon leaves", || fleet.daemons[0].log_text().contains("\"leaving\""));
+    eventually("the daemon is leaving", || fleet.daemons[0].log_text().contains("\"leaving\""));
     assert!(fleet.daemons[0].is_running());
     fleet.daemons[0].signal("-INT");
     assert_eq!(fleet.daemons[0].wait_exit().code(), Some(3));
@@ -138,7 +139,7 @@
     });
     eventually("the request runs", || fleet.run_count("whole") == 1);
     request_stop(&fleet.daemons[0]);
-    eventually("the daemon leaves", || fleet.daemons[0].log_text().contains("\"leaving\""));
+    eventually("the daemon is leaving", || fleet.daemons[0].log_text().contains("\"leaving\""));
     fleet.daemons[0].signal("-TERM");
     assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
     assert_eq!(request.join().expect("join").status, 200);
@@ -164,11 +165,15 @@
     assert_eq!(fleet.daemons[0].wait_exit().code(), Some(3));
     let reply = request.join().expect("join").expect("an answer, not a closed connection");
     assert_eq!(reply.status, 504);
-    assert_eq!(reply.header("basaltarch-outcome").as_deref(), Some("unknown"), "it may have run");
+    assert_eq!(
+        reply.header("basaltarch-outcome").as_deref(),
+        Some("unknown"),
+        "the request may have run"
+    );
     assert_eq!(
         reply.reason().as_deref(),
         Some("daemon-stopped"),
-        "its own deadline has not passed"
+        "the deadline of the request has not passed"
     );
     let log = fleet.daemons[0].log_text();
     assert!(log.contains("\"request given up\""), "{log}");
@@ -216,7 +221,7 @@
     fleet.backends[1].set_faults(json!({"drain": true}));
     let received =
         |fleet: &TestFleet| fleet.backends[1].runs()["received"].as_u64().expect("count");
-    eventually("its drain notice is received", || {
+    eventually("a server answers with its drain notice", || {
         assert_eq!(fleet.request(1, "GET", "/puzzle", &[], "").status, 200);
         received(&fleet) > 0
     });
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -13,6 +13,7 @@
 use serde_json::json;
 use test_case::test_case;
 
+/// Starts a fleet with short time-outs of heads and bodies, and bodies of up to 2 GB.
 fn fleet_with_short_timeouts() -> TestFleet {
     let flags = vec![("head-ms", "400"), ("body-idle-ms", "400"), ("body-bytes", "2000000000")];
     TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() })
@@ -144,7 +145,8 @@
     assert!(seen.contains("basaltarch-deadline-ms"), "{seen}");
 }
 
-/// Time-out of a route in a test that transfers a GiB, which took over 5 s on a busy machine.
+/// Time-out of the route by which a test transfers 1 GiB. On a busy machine the transfer took over
+/// 5 s, the usual time-out.
 const LONG_TIMEOUT_MS: u64 = 600_000;
 
 /// Reads the resident memory of a process in KiB.
@@ -157,7 +159,8 @@
 #[test]
 fn verify_a_large_answer_to_a_slow_caller_does_not_grow_the_memory_of_daemons() {
     const LENGTH: usize = 1 << 30;
-    // The only server is beside the first daemon, so that the body passes over the link.
+    // The only server is beside the first daemon, so that the body passes over the link between the
+    // daemons.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, ..FleetPlan::default() });
     let before_kib: Vec<u64> =
         fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
@@ -170,15 +173,16 @@
     let mut growth_kib = 0;
     while received_bytes < LENGTH {
         let count = stream.read(&mut chunk).expect("read");
-        assert!(count > 0, "cut after {received_bytes}");
+        assert!(count > 0, "answer cut after {received_bytes} of {LENGTH} bytes");
         received_bytes += count;
         for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
             growth_kib =
                 growth_kib.max(resident_kib(daemon.process_id()).saturating_sub(*before_kib));
         }
     }
-    // A window in each direction and the link's queue: far below the GiB that was transferred.
-    assert!(growth_kib < 16 * 1024, "grew by {growth_kib} KiB");
+    // A daemon holds a window in each direction and the queue of the link: far below the 1 GiB that
+    // was transferred.
+    assert!(growth_kib < 16 * 1024, "a daemon grew by {growth_kib} KiB");
 }
 
 #[test]
@@ -186,7 +190,8 @@
     const LENGTH: usize = 1 << 30;
     let routes = json!({"sink": {"host": "solver.example", "path_prefix": "/sink",
         "service": "solver-app", "timeout_ms": LONG_TIMEOUT_MS}});
-    // The only server is beside the first daemon, so that the body passes over the link.
+    // The only server is beside the first daemon, so that the body passes over the link between the
+    // daemons.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, routes, ..FleetPlan::default() });
     let before_kib: Vec<u64> =
         fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
@@ -238,7 +243,7 @@
     let total = || fleet.backends.iter().map(|backend| backend.total_runs()).sum::<u64>();
     common::eventually("the request starts", || total() == 1);
     drop(stream);
-    common::eventually("the backend server sees the cancellation", || {
+    common::eventually("the backend server reports the cancellation", || {
         fleet.backends.iter().any(|backend| backend.runs()["cancelled"] == json!(1))
     });
 }
@@ -268,7 +273,8 @@
 #[test]
 fn verify_no_io_uring_is_created() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
-    let files = fs::read_dir(format!("/proc/{}/fd", fleet.daemons[0].process_id())).expect("files");
+    let files =
+        fs::read_dir(format!("/proc/{}/fd", fleet.daemons[0].process_id())).expect("descriptors");
     let targets: Vec<String> = files
         .map_while(Result::ok)
         .filter_map(|file| fs::read_link(file.path()).ok())
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -18,7 +18,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Starts a fleet whose daemons log at most this many requests a second completely.
+/// Starts a fleet whose daemons each log at most this many requests a second completely.
 fn fleet_logging(daemons: usize, requests: &str) -> RegisteredFleet {
     let mut fleet = RegisteredFleet::start(daemons);
     for index in 0..daemons {
@@ -38,8 +38,8 @@
     fleet.daemons.iter().map(TestDaemon::log_file).collect()
 }
 
-/// Waits until the conclusion from the logs about a request contains `end`, and returns its
-/// history.
+/// Waits until the conclusion from the logs about a request contains `end`, and returns the history
+/// of the request.
 fn wait_history(fleet: &RegisteredFleet, id: &str, end: &str) -> explain::RequestHistory {
     let paths = log_paths(fleet);
     let mut history = explain::RequestHistory::default();
@@ -104,7 +104,7 @@
         assert_eq!(fleet.send_heartbeat(index, true).status, 200);
     }
     // The ingress learns of the draining server of another host through the store.
-    eventually("the ingress knows that all leave", || {
+    eventually("the ingress knows that all servers are draining", || {
         (1..=fleet.backends.len())
             .all(|n| fleet.daemons[0].log_text().contains(&format!("i-{n} (draining)")))
     });
@@ -118,7 +118,7 @@
     let headers = [("Host", HOST), ("Request-Id", id)];
     let text = client::request_text("POST", "/unsafe/x", &headers, "x");
     let mut stream = client::connect(fleet.daemons[0].callers);
-    stream.write_all(text.as_bytes()).expect("sent");
+    stream.write_all(text.as_bytes()).expect("write");
     eventually("the request has started", || {
         let received =
             fleet.backends.iter().map(|backend| backend.runs()["received"].as_u64().unwrap_or(0));
@@ -178,13 +178,13 @@
         let fleet = fleet_logging(2, requests);
         inject(&fleet, &format!("lost-{requests}"));
         let paths = log_paths(&fleet);
-        let names = |tally: &LossTally| {
+        let single_causes = |tally: &LossTally| {
             let causes = tally.causes.iter().filter(|(_, tally)| tally.count == 1);
             causes.map(|(cause, _)| cause.to_string()).collect::<Vec<_>>()
         };
         eventually(&format!("{cause} is reported with {requests}"), || {
             let tally = losses::count(&paths).expect("logs");
-            names(&tally).iter().any(|name| name.starts_with(cause))
+            single_causes(&tally).iter().any(|name| name.starts_with(cause))
         });
         let tally = losses::count(&paths).expect("logs");
         let lost: u64 = tally.routes.values().flat_map(|route| route.lost.values()).sum();
@@ -329,7 +329,7 @@
     fleet.write(&document(2));
     fleet.wait_served(0, &[0]);
     let mut number = 0;
-    eventually("there are more lines than the pipe and the queue hold", || {
+    eventually("more lines are logged than the pipe and the queue hold", || {
         for _ in 0..100 {
             number += 1;
             let reply = fleet.request(0, "GET", "/safe/x", &format!("unread-{number}"));
@@ -342,7 +342,7 @@
     let begin = Instant::now();
     let mut line = String::new();
     while !line.contains("log lines dropped") {
-        assert!(begin.elapsed() < Duration::from_secs(40), "the log reports dropped lines");
+        assert!(begin.elapsed() < Duration::from_secs(40), "the log does not report dropped lines");
         line.clear();
         output.read_line(&mut line).expect("output");
     }
@@ -382,11 +382,12 @@
     assert_eq!(fleet.send_heartbeat(0, true).status, 200);
     let text = client::call(fleet.daemons[0].admin, "GET", "/metrics", &[], "").text();
     let metric_value = |name: &str, labels: &[&str]| {
-        let names = |line: &&str| {
+        let is_metric = |line: &&str| {
             line.starts_with(&format!("basaltarch_{name}"))
                 && labels.iter().all(|label| line.contains(label))
         };
-        let line = text.lines().find(names).unwrap_or_else(|| panic!("{name} {labels:?}: {text}"));
+        let line =
+            text.lines().find(is_metric).unwrap_or_else(|| panic!("{name} {labels:?}: {text}"));
         line.rsplit(' ').next().and_then(|number| number.parse::<f64>().ok()).expect("a number")
     };
     let ended_requests = |route: &str, outcome: &str| {
--- a/crates/daemon/tests/foreign.rs
+++ b/crates/daemon/tests/foreign.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Malformed rows and heartbeats of other writers: they add no upstream, and all other ones stay
-//! valid.
+//! Malformed rows and heartbeats of other writers add no upstream, and all other rows and
+//! heartbeats stay valid.
 
 mod common;
 
@@ -73,7 +73,7 @@
     let mut copy = record_of(&fleet, "host-b").expect("a record");
     copy["incarnation"] = json!(i64::MAX);
     fleet.platform.change_row("PUT", HOSTS_TABLE, "aa-copy", &copy.to_string());
-    eventually("it is ignored", || {
+    eventually("the copied record is ignored", || {
         fleet.daemons[0].log_text().contains("it is the record of host-b")
     });
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
@@ -85,9 +85,9 @@
 fn verify_a_host_whose_row_was_overwritten_stays_and_rewrites_its_row(method: &str, value: &str) {
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
-    eventually("the row is there", || record_of(&fleet, "host-b").is_some());
+    eventually("the row is in the store", || record_of(&fleet, "host-b").is_some());
     fleet.platform.change_row(method, HOSTS_TABLE, "host-b", value);
-    eventually("it is written again", || {
+    eventually("the row is written again", || {
         let record = record_of(&fleet, "host-b");
         record.is_some_and(|record| record["servers"][0]["name"] == "i-2")
     });
@@ -122,7 +122,7 @@
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
 }
 
-/// Generates server entries: a valid one with one field set to any value.
+/// Generates server entries that are valid except for one field, which has any value.
 fn any_server() -> impl Strategy<Value = Value> {
     let value = prop_oneof![
         Just(Value::Null),
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Load from several callers until dropped.
+/// Load from several callers until [`Load::end`].
 struct Load {
     stop: Arc<AtomicBool>,
     good: Arc<AtomicU64>,
@@ -51,6 +51,7 @@
         self.bad.load(Ordering::SeqCst)
     }
 
+    /// Stops the load and returns the numbers of good and bad replies.
     fn end(self) -> (u64, u64) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -60,7 +61,8 @@
     }
 }
 
-/// Starts nine servers of a service that prefers precision: missed ejections over false ones.
+/// Starts nine servers of a service that prefers precision: missed ejections rather than false
+/// ones.
 fn precision_fleet() -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons: 3,
@@ -81,7 +83,7 @@
             }
         }
     }
-    panic!("no daemon knows {upstream}");
+    panic!("no daemon reports the health of {upstream}");
 }
 
 fn is_ejected(fleet: &TestFleet, upstream: &str) -> bool {
@@ -117,9 +119,11 @@
     eventually("callers are still served", || load.good() > good_before + 300);
     assert_eq!(load.bad(), bad_before, "no caller sees a repeatable request fail");
     fleet.backends[4].set_faults(json!({}));
-    eventually("the server is back", || !is_ejected(&fleet, "server-5"));
+    eventually("the server is no longer ejected", || !is_ejected(&fleet, "server-5"));
     let before = fleet.backends[4].total_runs();
-    eventually("it receives requests again", || fleet.backends[4].total_runs() > before + 20);
+    eventually("the server receives requests again", || {
+        fleet.backends[4].total_runs() > before + 20
+    });
     load.end();
     fleet.check_invariants();
 }
@@ -136,7 +140,7 @@
     let load = Load::start(&fleet, 12, "/puzzle");
     eventually("the fleet is warmed up", || load.good() > 600);
     fleet.backends[4].set_faults(sick);
-    eventually("the sick server is ejected", || is_ejected(&fleet, "server-5"));
+    eventually("the faulty server is ejected", || is_ejected(&fleet, "server-5"));
     let before = fleet.backends[0].total_runs();
     eventually("the healthy server receives requests", || {
         fleet.backends[0].total_runs() > before + 100
@@ -165,7 +169,7 @@
         backend.set_faults(json!({"error_rate": 0.9}));
     }
     let ejected = || (1..=4).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
-    eventually("several servers are ejected, or none stands out", || {
+    eventually("several servers are ejected, or none is an outlier", || {
         ejected() >= 2 || load.good() > 6000
     });
     let sent_before = load.good() + load.bad();
@@ -235,7 +239,7 @@
     }
     let exempted = || fleet.daemons[0].metric("poison_spared");
     let send_request = || fleet.request(0, "GET", "/poison", &[], "");
-    eventually("it is known as a poison request", || {
+    eventually("the request is known as a poison request", || {
         let before = exempted();
         send_request();
         exempted() > before
@@ -246,5 +250,5 @@
     fleet.wait_revision(2);
     let before = exempted();
     send_request();
-    assert!(exempted() > before, "it is still known as a poison request");
+    assert!(exempted() > before, "the request is still known as a poison request");
 }
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -12,7 +12,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Two incarnations of the first backend server, as heartbeats name them.
+/// Names in heartbeats of two incarnations of the first backend server, before and after its
+/// restart.
 const OLD_INCARNATION: &str = "i-1#a";
 const NEW_INCARNATION: &str = "i-1#b";
 
@@ -41,7 +42,7 @@
         assert_eq!(self.fleet.call_daemon(0, call).status, 200);
     }
 
-    /// Restarts the server: the sequence numbers of its heartbeats begin again.
+    /// Restarts the server: the sequence numbers of its heartbeats begin at 1 again.
     fn restart(&self) {
         self.fleet.reset_sequence();
         self.send_heartbeat(NEW_INCARNATION, false);
@@ -83,7 +84,7 @@
     let registrations =
         || (restarts.registrations(OLD_INCARNATION), restarts.registrations(NEW_INCARNATION));
     // A separate thread writes the log, so its last lines may be delayed.
-    eventually("each incarnation was registered once", || registrations() == (1, 1));
+    eventually("each incarnation is registered once", || registrations() == (1, 1));
     restarts.fleet.wait_served(0, &[0]);
     restarts.fleet.wait_served(1, &[0]);
     assert_eq!(registrations(), (1, 1), "the late message registered nothing");
@@ -118,15 +119,15 @@
     let restarts = RestartFleet::start();
     let fleet = &restarts.fleet;
     fleet.backends[0].set_faults(json!({"stuck": true}));
-    eventually("its daemon doubts it", || {
+    eventually("the circuit breaker of the server is open, or it is ejected", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
         let text = fleet.daemons[0].log_text();
         text.contains("upstream doubted") || text.contains("upstream ejected")
     });
     fleet.backends[0].set_faults(json!({}));
     restarts.restart();
-    // Non-repeatable requests, which a doubted server receives only if no other is left, reach it
-    // at once.
+    // Non-repeatable requests reach the new incarnation at once. A server whose circuit breaker is
+    // open would receive them only if no other server is available.
     let reaches = |number: usize| {
         let id = format!("anew-{number}");
         let reply = fleet.request(0, "POST", "/unsafe/x", &id);
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Servers that accept requests and do not answer: repeatable requests are answered by another
-//! server in time, and non-repeatable ones soon go elsewhere.
+//! server in time, and non-repeatable requests are soon sent to other servers.
 
 mod common;
 
@@ -29,7 +29,7 @@
     let fleet = warmed_up_fleet();
     fleet.backends[0].set_faults(json!({"stuck": true}));
     for number in 0..30 {
-        // A server that hangs answers nothing before the route's time-out, which ends with 504.
+        // A request that only the hanging server receives ends with 504 at the route's time-out.
         let reply = fleet.request(number % 3, "GET", "/safe/x", &format!("late-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
@@ -39,7 +39,7 @@
 fn verify_non_repeatable_requests_avoid_a_hanging_server() {
     let fleet = warmed_up_fleet();
     fleet.backends[0].set_faults(json!({"stuck": true}));
-    eventually("its daemon doubts it", || {
+    eventually("the circuit breaker of the server is open, or it is ejected", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
         fleet.daemons[0].log_text().contains("upstream doubted")
             || fleet.daemons[0].log_text().contains("upstream ejected")
@@ -71,7 +71,7 @@
         let id = format!("slow-{number}");
         let reply = fleet.request(0, "GET", "/slow/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert_eq!(fleet.run_count(&id), 1, "it completed once");
+        assert_eq!(fleet.run_count(&id), 1, "the request ran once");
     }
 }
 
@@ -91,13 +91,19 @@
         assert_eq!(fleet.request(0, "POST", "/unsafe/x", &format!("known-{number}")).status, 200);
     }
     let server = &fleet.backends[0];
-    assert!(last_timeout_ms(server) > 2000, "the whole time-out of the route while slots are free");
+    assert!(
+        last_timeout_ms(server) > 2000,
+        "not the whole time-out of the route while slots are free"
+    );
     server.set_faults(json!({"stuck": true}));
-    // The hanging requests of the first round show that slow requests at this server get no late
-    // answer.
+    // The hanging requests of the first round show that a request at this server which exceeds its
+    // objective is not answered later either.
     fill_slots(&fleet, 0);
     let timeout_ms = fill_slots(&fleet, 1);
-    assert!(timeout_ms <= 800, "{timeout_ms} ms, though its objective is 800 ms");
+    assert!(
+        timeout_ms <= 800,
+        "a timeout of {timeout_ms} ms, although the objective of the route is 800 ms"
+    );
 }
 
 /// Sends requests for all four slots of the first server, one after the other, and waits until they
@@ -113,7 +119,7 @@
             let path = format!("/unsafe/{round}-{number}");
             let headers = [("Host", HOST)];
             scope.spawn(move || client::call(callers, "POST", &path, &headers, "x"));
-            eventually("the server runs it", || received() == before + number);
+            eventually("the server has received the request", || received() == before + number);
         }
         last_timeout_ms(server)
     })
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -18,10 +18,10 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Name of a second server beside the first daemon, which does not leave.
+/// Name of a second server beside the first daemon, which stays registered.
 const STAYS: &str = "i-stays";
 
-/// Two hosts; a second server beside the first daemon does not leave.
+/// Two hosts; beside the first daemon are a server that leaves and one that stays registered.
 struct LeavingFleet {
     fleet: RegisteredFleet,
     _stays: TestBackend,
@@ -38,8 +38,8 @@
         let heartbeat = fleet.heartbeat_from(stays.address, STAYS, SERVICE, false);
         assert_eq!(fleet.call_daemon(0, &heartbeat).status, 200);
         fleet.wait_served(1, &[0, 1]);
-        eventually("the row lists both", || stored_servers(&fleet) == ["i-1", STAYS]);
-        eventually("the other daemon knows of both", || {
+        eventually("the row lists both servers", || stored_servers(&fleet) == ["i-1", STAYS]);
+        eventually("the other daemon knows of both servers", || {
             fleet.daemons[1].log_text().contains("i-1, i-stays")
         });
         Self { fleet, _stays: stays }
@@ -78,7 +78,7 @@
     serde_json::from_slice(&rows::decode_value(row["value"].as_str()?).ok()?).ok()
 }
 
-/// Returns the names of the servers in that record that are not draining.
+/// Returns the names of the servers in the record of the first host that are not draining.
 fn stored_servers(fleet: &RegisteredFleet) -> Vec<String> {
     let record = stored_record(fleet).unwrap_or(Value::Null);
     let servers = record["servers"].as_array().cloned().unwrap_or_default();
@@ -101,13 +101,13 @@
 ) {
     let mut hosts = LeavingFleet::start(&[]);
     hosts.fleet.platform.set_faults(json!({"busy": true}));
-    assert_eq!(leave(&hosts.fleet).status, 200, "it is acknowledged");
+    assert_eq!(leave(&hosts.fleet).status, 200, "the call is acknowledged");
     hosts.close();
-    // Restores the store only after more refused calls than fit into a stop that does not wait for
-    // it.
+    // Restores the store only after more refused calls than there is time for in a stop that does
+    // not wait for the store.
     let daemon = &mut hosts.fleet.daemons[0];
     let before = store_failures(daemon);
-    eventually("the daemon retries, or ends", || {
+    eventually("the daemon retries its write, or ends", || {
         store_failures(daemon) >= before + 5 || !daemon.is_running()
     });
     hosts.fleet.platform.set_faults(json!({}));
@@ -125,7 +125,7 @@
     // One server after another drains, until the daemon no longer listens.
     let mut acknowledged = None;
     for number in 0.. {
-        let name = format!("i-word-{number}");
+        let name = format!("i-drains-{number}");
         let call = hosts.fleet.heartbeat(0, &name, SERVICE, true);
         let body = String::from_utf8_lossy(&call.body);
         match client::try_call(address, call.method.as_str(), &call.target, &[], &body) {
@@ -156,7 +156,7 @@
 fn verify_a_server_that_left_in_an_outage_receives_nothing_after_the_restart() {
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
     hosts.fleet.platform.set_faults(json!({"down": true}));
-    assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
+    assert_eq!(hosts.fleet.deregister(0).status, 200, "the call is acknowledged");
     hosts.close();
     assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
     // The store is still down: the restarted daemon learns the earlier state from the other daemon.
@@ -168,7 +168,7 @@
 fn verify_a_restarted_daemon_that_reads_an_old_row_learns_from_peers_which_server_left() {
     let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
     hosts.fleet.platform.set_faults(json!({"down": true}));
-    assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
+    assert_eq!(hosts.fleet.deregister(0).status, 200, "the call is acknowledged");
     hosts.close();
     assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
     hosts.fleet.platform.set_faults(json!({}));
@@ -184,5 +184,5 @@
         }
         fleet.backends[0].total_runs() == before
     });
-    eventually("the row no longer lists it", || stored_servers(fleet) == [STAYS]);
+    eventually("the row no longer lists the server that left", || stored_servers(fleet) == [STAYS]);
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Rate limits of the whole fleet: many ingresses, a lost owner, restarts, and refusals.
+//! Rate limits of the whole fleet: many ingresses, a killed owner of the limit, restarts, and
+//! refusals.
 
 mod common;
 
@@ -50,14 +51,14 @@
         good += u32::from(send_request(&fleet, number % 4).status == 200);
     }
     let allowed = 10.0 + 40.0 * start.elapsed().as_secs_f64();
-    assert!(f64::from(good) <= allowed * 1.1, "{good} of at most {allowed}");
+    assert!(f64::from(good) <= allowed * 1.1, "{good} requests served, at most {allowed} allowed");
     assert!(good > 0);
 }
 
 #[test]
 fn verify_the_rate_holds_after_the_owner_of_the_limit_is_killed() {
     let mut fleet = start_limited(3, 20.0, 10.0);
-    // Whichever daemon owns the limit: with two of three gone, the last one must still enforce it.
+    // Any daemon may own the limit: with two of three killed, the last one must still enforce it.
     fleet.daemons[1].kill();
     fleet.daemons[2].kill();
     eventually("the limit is still served", || send_request(&fleet, 0).status == 200);
@@ -67,7 +68,7 @@
         good += u32::from(send_request(&fleet, 0).status == 200);
     }
     let allowed = 10.0 + 20.0 * start.elapsed().as_secs_f64();
-    assert!(f64::from(good) <= allowed * 1.1, "{good} of at most {allowed}");
+    assert!(f64::from(good) <= allowed * 1.1, "{good} requests served, at most {allowed} allowed");
 }
 
 #[test_case(1 ; "once")]
@@ -82,14 +83,14 @@
     let mut good = count_served(&fleet);
     assert!(
         good as f64 >= burst / 2.0,
-        "a fleet that starts for the first time allows the burst: {good}"
+        "a fleet that starts for the first time served only {good} requests of its burst"
     );
     for _ in 0..kills {
         fleet.restart_all(&[]);
         good += count_served(&fleet);
     }
     let allowed = burst + rate * start.elapsed().as_secs_f64();
-    assert!(good as f64 <= allowed * 1.1, "{good} of at most {allowed}");
+    assert!(good as f64 <= allowed * 1.1, "{good} requests served, at most {allowed} allowed");
 }
 
 #[test]
@@ -99,5 +100,5 @@
     assert_eq!(send_request(&fleet, 0).status, 200);
     fleet.restart_all(&[]);
     let refused = (0..20).filter(|number| send_request(&fleet, number % 3).status == 429).count();
-    assert_eq!(refused, 0, "of 20 requests, a thousandth of a second's worth");
+    assert_eq!(refused, 0, "refusals of 20 requests, which the rate allows in 1 ms");
 }
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Non-repeatable requests are not sent over a path between two daemons that has fallen silent.
+//! Non-repeatable requests are not sent over a black-holed path between two daemons.
 //!
 //! Guards against a fault in which a request was sent to a host that never received it, so that its
 //! caller waited until the time-out while other servers were idle.
@@ -22,7 +22,7 @@
 /// each.
 fn start_fleet() -> (RegisteredFleet, Vec<Forwarder>) {
     let mut fleet = RegisteredFleet::start(0);
-    let mut peers = Vec::new();
+    let mut forwarders = Vec::new();
     for (index, host) in HOSTS.iter().enumerate() {
         let forwarder = Forwarder::start();
         let advertised = forwarder.address.to_string();
@@ -33,20 +33,20 @@
         let fields = headers::exchange_fields();
         fleet.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
         assert_eq!(fleet.send_heartbeat_as(index, &name, SERVICE, false).status, 200);
-        peers.push(forwarder);
+        forwarders.push(forwarder);
     }
-    (fleet, peers)
+    (fleet, forwarders)
 }
 
 #[test]
 fn verify_non_repeatable_requests_are_not_sent_over_a_black_holed_path() {
-    let (fleet, peers) = start_fleet();
+    let (fleet, forwarders) = start_fleet();
     fleet.wait_served(0, &[0, 1, 2]);
-    eventually("requests were served there", || {
+    eventually("the second backend server has run requests", || {
         fleet.request(0, "POST", "/unsafe/x", "before").status == 200
             && fleet.backends[1].total_runs() > 1
     });
-    peers[1].black_hole();
+    forwarders[1].black_hole();
     let black_holed_at = Instant::now();
     eventually("the load reports of the other hosts are no longer fresh", || {
         black_holed_at.elapsed() > FRESH_FOR
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! At-most-once requests: each fault that could run one twice.
+//! At-most-once requests run at most once under each fault that could make one run twice.
 
 mod common;
 
@@ -108,7 +108,7 @@
         assert_eq!(fleet.request(daemon, "POST", "/payouts", &[], "x").status, 200);
     }
     fleet.platform.set_faults(json!({}));
-    eventually("the same key runs once the store is back", || {
+    eventually("the request with the same key runs after the store is back", || {
         let reply = pay(&fleet, 1, "during", "x");
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.head);
         reply.status == 200
@@ -193,7 +193,7 @@
     let statuses: Vec<u16> = threads.into_iter().map(|t| t.join().expect("join")).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
     let transactions = fleet.platform.counters()["transactions"].as_u64().expect("count") - before;
-    assert!(transactions <= 32, "64 rows took {transactions} transactions");
+    assert!(transactions <= 32, "64 rows took {transactions} transactions, at most 32 allowed");
 }
 
 #[test]
--- a/crates/daemon/tests/organisations.rs
+++ b/crates/daemon/tests/organisations.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Organisations end to end: which callers are admitted, the organisation that the backend server
-//! receives, where a key may appear, and revoked keys.
+//! receives, keys that are exposed nowhere, and revoked keys.
 
 mod common;
 
@@ -108,7 +108,7 @@
         let field = format!("\"{}\": \"{name}\"", names::ORGANISATION);
         assert!(head.contains(&field), "{head}");
     }
-    // A claimed name is not forwarded on a route that requires no key either.
+    // A claimed organisation is not forwarded on a route that requires no key either.
     assert_eq!(
         send_request(&fleet, 0, "/safe/x", "open", &[(names::ORGANISATION, "shop")]).status,
         200
@@ -235,7 +235,9 @@
     let bytes = document::write_with(&keyed_document(9), Some(&[SHOP, desk_with_shop_key]));
     fleet.write_text(&String::from_utf8(bytes).expect("text"));
     let daemon = &fleet.daemons[0];
-    eventually("it was read", || daemon.log_text().contains("configuration unreadable"));
+    eventually("the bad document was read", || {
+        daemon.log_text().contains("configuration unreadable")
+    });
     assert_eq!(daemon.revision(), 2);
     let fields = headers::exchange_fields();
     let extra_headers = [(fields.api_key.as_str(), DESK_KEY)];
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -14,7 +14,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Two daemons; the only backend server is beside the second.
+/// Two daemons; the only backend server is beside the second, so that requests to the first pass
+/// over the link.
 struct TwoHops {
     fleet: TestFleet,
 }
@@ -225,7 +226,7 @@
     assert_eq!(first.join().expect("join").status, 200);
     let others = [second.join().expect("join"), third.join().expect("join")];
     let displaced = others.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
-    assert_eq!(displaced.count(), 1, "the last hint was displaced by the payout");
+    assert_eq!(displaced.count(), 1, "one of the queued hints was displaced by the payout");
 }
 
 #[test]
@@ -262,9 +263,11 @@
     });
     eventually("the service is known", || known_services() == 1.0);
     eventually("the request runs", || fleet.run_count("slow") == 1);
-    // A query for its health does not count as a request for the service.
+    // A query for the health of the service does not count as a request for it.
     fleet.daemons[0].get("/v1/health");
-    eventually("its state is dropped once no request is running", || known_services() == 0.0);
+    eventually("the state of the service is dropped once no request is running", || {
+        known_services() == 0.0
+    });
     assert_eq!(slow.join().expect("join").status, 200);
     for number in 0..5 {
         let id = format!("again-{number}");
@@ -304,10 +307,11 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!(reply.header("x-request-id"), Some(id));
     }
-    // The sixty requests end before its daemon has established that the server is sick (200 ms).
+    // The sixty requests end before the daemon of the server has established that it is unhealthy,
+    // which takes 200 ms.
     assert!(
         fleet.backends[0].total_runs() <= 14,
-        "a suspect server is avoided: {}",
+        "the broken server ran {} of 60 requests, at most 14 expected",
         fleet.backends[0].total_runs()
     );
     fleet.check_invariants();
@@ -325,8 +329,8 @@
         assert_eq!(reply.status, 504);
         let mut stream = client::connect(callers);
         let mut buffer = Vec::new();
-        for next in 0..5 {
-            let id = format!("next-{round}-{next}");
+        for index in 0..5 {
+            let id = format!("next-{round}-{index}");
             let headers =
                 [("Host", "solver.example"), ("x-work-ms", "40"), ("x-request-id", id.as_str())];
             let text = client::request_text("GET", "/plain", &headers, "");
@@ -373,8 +377,8 @@
         let reply = link.fleet.request(0, "GET", "/puzzle", &[], "");
         reply.status == 200 && reply.header("x-served-by").as_deref() == Some(wanted)
     };
-    // Sends so many requests at once that the local server is busy and the other one receives some
-    // too.
+    // Sends so many requests at once that the local server is busy and the remote server receives
+    // some too.
     let load = |rounds: usize| {
         let callers = link.fleet.daemons[0].callers;
         let threads: Vec<_> = (0..rounds * 8)
@@ -397,17 +401,17 @@
     eventually("both servers receive requests", || from_remote(&load(1)) > 0);
     link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
     link.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
-    eventually("the far server is no longer used", || {
+    eventually("the remote server is no longer used", || {
         let replies = load(1);
         from_remote(&replies) == 0 && {
             let health = link.fleet.daemons[0].get("/v1/health?service=solver-app");
             health["services"][0]["upstreams"][1]["state"] == "unreachable"
         }
     });
-    eventually("callers are served by the near server alone", || is_served_by("server-1"));
+    eventually("the local server serves callers", || is_served_by("server-1"));
     link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
     link.forwarder.cuts.backward.store(false, Ordering::SeqCst);
-    eventually("the far server receives requests again", || from_remote(&load(1)) > 0);
+    eventually("the remote server receives requests again", || from_remote(&load(1)) > 0);
     link.fleet.check_invariants();
 }
 
@@ -418,7 +422,7 @@
     let stranger = TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &key);
     let has_refused =
         |daemon: &TestDaemon| daemon.log_text().contains("does not hold the fleet key");
-    eventually("one side or the other refuses", || {
+    eventually("one of the two daemons refuses the other", || {
         has_refused(&fleet.daemons[0]) || has_refused(&stranger)
     });
     // Garbage sent to the peer address closes only that connection.
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -19,6 +19,7 @@
     forwarder: Forwarder,
 }
 
+/// Index of the daemon that is reached through the forwarder.
 const FORWARDED: usize = 3;
 
 impl HalfCut {
@@ -88,14 +89,16 @@
     }
     for daemon in 0..2 {
         let (all_served, last) = half.send_requests(daemon, 30);
-        assert!(all_served, "callers of ingress {daemon} are served by the others");
-        assert!(!last, "nothing is sent over the cut path");
+        assert!(all_served, "callers of ingress {daemon} are not served by the other servers");
+        assert!(!last, "ingress {daemon} still sends over the cut path");
     }
-    eventually("the other ingress still uses it", || half.send_requests(2, 20) == (true, true));
+    eventually("the ingress that is not cut off still uses the last server", || {
+        half.send_requests(2, 20) == (true, true)
+    });
     assert_eq!(half.state_seen_by(2), "in service");
     assert!(
         !half.fleet.daemons[FORWARDED].log_text().contains("upstream ejected"),
-        "it is healthy"
+        "its server is healthy"
     );
     half.forwarder.cuts.forward.store(false, Ordering::SeqCst);
     half.forwarder.cuts.backward.store(false, Ordering::SeqCst);
@@ -114,7 +117,7 @@
     eventually("the last server is used", || half.send_requests(0, 20).1);
     for round in 0..2 {
         last.signal("-STOP");
-        eventually("its path is no longer used", || {
+        eventually("the path to the host is no longer used", || {
             half.send_requests(0, 5);
             half.state_seen_by(0) == "unreachable"
         });
@@ -124,14 +127,14 @@
             "round {round}: the others serve its callers"
         );
         last.signal("-CONT");
-        eventually("it is used again", || half.send_requests(0, 20).1);
+        eventually("the server of the host is used again", || half.send_requests(0, 20).1);
     }
     assert!(!last.log_text().contains("upstream ejected"), "its server was healthy all the time");
     half.fleet.check_invariants();
 }
 
 /// Two regions of two daemons each. Every daemon is reached through its own forwarder, and the
-/// second region reaches the store through one too.
+/// second region reaches the store through another one.
 struct TwoRegions {
     fleet: TestFleet,
     forwarders: Vec<Forwarder>,
@@ -175,7 +178,8 @@
         Self { fleet, forwarders, store }
     }
 
-    /// Cuts the regions from each other, and the second from the store, in both directions.
+    /// Cuts the regions from each other, and the second region from the store, in both directions,
+    /// or joins them again.
     fn set_cut(&self, is_cut: bool) {
         for (index, link) in self.forwarders.iter().enumerate() {
             let others = REGIONS[1 - index / 2].map(str::to_owned).to_vec();
@@ -205,14 +209,16 @@
     for daemon in 0..4 {
         eventually("each region serves its own callers", || (0..10).all(|_| served(daemon)));
     }
-    // Changes are accepted in the region with the store; the other serves with its last
+    // Changes are accepted in the region with the store. The other region serves with its last
     // configuration.
     for number in 0..3 {
         let path = format!("/v1/organisations/cut-{number}");
         let reply = fleet.daemons[0].call("PUT", &path, &[("If-None-Match", "*")], "{}");
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    eventually("it is in force where the store is", || fleet.daemons[1].revision() == 4);
+    eventually("the changes are in force in the region with the store", || {
+        fleet.daemons[1].revision() == 4
+    });
     assert_eq!((fleet.daemons[2].revision(), fleet.daemons[3].revision()), (1, 1));
     // An at-most-once request needs the store: it runs in one region and is refused in the other.
     eventually("a request runs in this region", || regions.pay(0, "one-key").0 == 200);
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -16,14 +16,14 @@
 use common::{eventually, FleetPlan, TestFleet};
 use serde_json::{json, Value};
 
-/// Hosts of the usual fleet, with a backend server each.
+/// Number of hosts in most tests, with a backend server each.
 const HOSTS: usize = 3;
 /// Number of concurrent requests for each slot.
 const REQUESTS_PER_SLOT: usize = 4;
-/// Maximum number of requests with an unknown outcome after a host is killed: the one in the slot,
-/// and the one that was offered the slot in advance.
+/// Maximum number of requests with an unknown outcome after a host is killed: the request in the
+/// slot, and the request that was offered the slot in advance.
 const UNKNOWN_MAX: usize = 2;
-/// Number of requests that wait at the ingress before a fault is injected at a host.
+/// Minimum number of requests that wait at the ingress before a fault is injected at a host.
 const WAITING_MIN: f64 = 6.0;
 
 /// Starts hosts with a backend server of one slot each, with a service time of 300 ms.
@@ -49,7 +49,7 @@
     })
 }
 
-/// `RequestEnd` is the id of a request and its reply.
+/// The id of a request, and its reply.
 struct RequestEnd {
     id: String,
     reply: Reply,
@@ -135,7 +135,8 @@
 #[test]
 fn verify_no_slots_are_offered_for_servers_that_are_down() {
     let mut fleet = start(5, "places");
-    // The next request that runs at each of them crashes it, for longer than the others need.
+    // The next request that runs at each of these servers crashes it. It stays down for longer than
+    // the other servers need for all requests.
     let crash = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
     let ends = send_all(&mut fleet, |fleet| {
         fleet.backends[2..].iter().for_each(|backend| backend.set_faults(crash.clone()));
@@ -155,7 +156,8 @@
 #[test]
 fn verify_a_fast_failing_server_receives_no_more_requests_than_healthy_ones() {
     const SLOTS: u32 = 4;
-    // With a floor of 1.0 all slots are needed, so the server is doubted but stays in service.
+    // With a floor of 1.0 all slots are needed, so the circuit breaker of the server opens but
+    // the server stays in service.
     let service = json!({"floor": 1.0, "prefer": "detection"});
     let mut fleet = start_with(HOSTS, "places", SLOTS, service);
     let requests_per_server = REQUESTS_PER_SLOT * SLOTS as usize;
@@ -164,7 +166,10 @@
         fleet.backends[2].set_faults(failing);
     });
     let failed = failed_ends(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
-    assert!(failed <= requests_per_server, "{failed} requests failed at one server of three");
+    assert!(
+        failed <= requests_per_server,
+        "{failed} requests failed at one server of three, at most {requests_per_server} expected"
+    );
 }
 
 #[test]
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -12,8 +12,8 @@
 
 /// Number of daemons in the failure domain.
 const DAEMONS: usize = 8;
-/// Number of readers: daemons that read the store for the failure domain, the only ones that ask
-/// it.
+/// Number of readers, which are the daemons that read the store for the failure domain. No other
+/// daemon sends freshness checks to the store.
 const READERS: usize = 2;
 
 fn metric_value(fleet: &RegisteredFleet, daemon: usize, metric: &str) -> u64 {
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Configuration while the store, the rows of hosts or daemons fail: no change is lost or undone.
+//! Configuration while the store or daemons fail, or rows of hosts are wrong: no change is lost or
+//! undone.
 
 mod common;
 
@@ -51,7 +52,7 @@
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("no-configuration")));
     assert_eq!(reply.outcome().as_deref(), Some("not-run"));
     fleet.platform.set_faults(json!({}));
-    eventually("it is ready once the store is back", || fresh.is_ready());
+    eventually("the daemon is ready once the store is back", || fresh.is_ready());
     assert_eq!(fresh.revision(), 1);
 }
 
@@ -69,7 +70,9 @@
         let seeds = seeds.join(",");
         let flags = [("seeds", seeds.as_str())];
         let fresh = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
-        eventually("it is ready with the configuration of its peers", || fresh.is_ready());
+        eventually("the new daemon is ready with the configuration of its peers", || {
+            fresh.is_ready()
+        });
         fleet.daemons.insert(index, fresh);
     }
     for daemon in &fleet.daemons {
@@ -90,7 +93,7 @@
     drop(old);
     let flags = [("seeds", seeds.as_str())];
     let fresh = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
-    eventually("it is ready with the configuration of its peers", || fresh.is_ready());
+    eventually("the new daemon is ready with the configuration of its peers", || fresh.is_ready());
     assert_eq!(fresh.revision(), 2);
     let reply = client::call(fresh.callers, "GET", "/puzzle", &[("Host", "solver.example")], "");
     assert_eq!(reply.status, 200, "{}", reply.text());
@@ -102,7 +105,7 @@
     fleet.platform.set_faults(json!({"reads_from_past_ms": 1}));
     for number in 0..6 {
         let name = format!("org-{number}");
-        eventually("accepted", || {
+        eventually("the change is accepted", || {
             put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status == 200
         });
     }
@@ -117,8 +120,9 @@
         fleet.daemons[1].metric("old_revisions") > before
     });
     assert_eq!(lowest_revisions, [7, 7]);
-    // Changes are still accepted: the check on the head rejects those based on an old revision.
-    eventually("accepted in the end", || {
+    // Changes are still accepted: the check on the head of the configuration rejects a
+    // change that is based on an old revision.
+    eventually("the change is accepted, at the latest with current answers of the store", || {
         let reply = put_organisation(&fleet.daemons[0], "late", "t", ANY_REVISION);
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.text());
         fleet.platform.set_faults(json!({}));
@@ -134,7 +138,7 @@
     fleet.daemons[2].signal("-STOP");
     for number in 0..5 {
         let name = format!("org-{number}");
-        eventually("accepted", || {
+        eventually("the change is accepted", || {
             put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status == 200
         });
     }
@@ -154,7 +158,7 @@
     let flags = [("seeds", seeds.as_str())];
     let cut_off = TestDaemon::start(nowhere, "host-c", "bkk-c", &flags);
     fleet.daemons.push(cut_off);
-    eventually("it is ready", || fleet.daemons[2].is_ready());
+    eventually("the daemon that is cut off is ready", || fleet.daemons[2].is_ready());
     for number in 0..5 {
         let name = format!("org-{number}");
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
@@ -206,7 +210,7 @@
 #[test]
 fn verify_wrong_host_rows_neither_revive_nor_remove_a_member() {
     let mut fleet = fleet_of(3);
-    // The row of a killed daemon stays.
+    // The row of a killed daemon stays in the store.
     fleet.daemons[2].kill();
     eventually("the killed daemon is suspect although it has a row", || {
         let status = fleet.daemons[0].get("/v1/status");
@@ -229,7 +233,7 @@
 #[test]
 fn verify_a_row_of_an_earlier_incarnation_or_an_unreadable_row_changes_nothing() {
     let mut fleet = fleet_of(3);
-    // A running daemon would rewrite its row before the others read this one.
+    // The daemon is killed first: it would rewrite its row before the others read the changed one.
     fleet.daemons[2].kill();
     let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
     let old = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
@@ -237,7 +241,7 @@
     fleet.platform.change_row("PUT", hosts, "host-c", &old.to_string());
     fleet.platform.change_row("PUT", hosts, "host-y", "no record at all");
     let has_logged = |daemon: &TestDaemon, text: &str| daemon.log_text().contains(text);
-    eventually("both rows were seen", || {
+    eventually("both rows were read", || {
         has_logged(&fleet.daemons[0], "host row unreadable")
             && has_logged(&fleet.daemons[0], "earlier start passed over")
     });
@@ -265,13 +269,15 @@
     let daemon = TestDaemon::start(fleet.platform.address, "host-c", "bkk-c", &flags);
     fleet.daemons.push(daemon);
     // Peers learn of each other without the store.
-    eventually("the newcomer knows the others", || {
+    eventually("the new daemon and the others know each other", || {
         fleet.daemons[2].live_members() == 3 && fleet.daemons[0].live_members() == 3
     });
     fleet.platform.set_faults(json!({}));
     let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
     let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
     let read_rows = || client::call(fleet.platform.address, "GET", &path, &[], "").text();
-    eventually("its row is written after the outage", || read_rows().contains("host-c"));
+    eventually("the row of the new daemon is written after the outage", || {
+        read_rows().contains("host-c")
+    });
     fleet.wait_members();
 }
--- a/crates/daemon/tests/reference.rs
+++ b/crates/daemon/tests/reference.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! docs/REFERENCE.md can't go stale: it holds what the binary and the code say.
+//! docs/REFERENCE.md is up to date: it contains the help text of the binary and the metrics, header
+//! fields, reasons and resource fields of the code.
 
 use std::fs;
 use std::process::Command;
@@ -52,11 +53,14 @@
         fields::FORWARDED_HOST,
     ];
     for header in headers {
-        assert!(reference.contains(&format!("`{header}`")), "lacks {header}");
+        assert!(
+            reference.contains(&format!("`{header}`")),
+            "docs/REFERENCE.md lacks the header field {header}"
+        );
     }
     let reasons = NOT_RUN_REASONS.iter().map(|reason| reason.name());
     for name in reasons.chain(UNKNOWN_REASONS.iter().map(|reason| reason.name())) {
-        assert!(reference.contains(name), "lacks the reason {name}");
+        assert!(reference.contains(name), "docs/REFERENCE.md lacks the reason {name}");
     }
 }
 
@@ -98,5 +102,5 @@
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{errors}");
     assert!(errors.contains(expected_text), "{errors}");
-    assert!(!errors.contains("short\""), "a key never stands in an error: {errors}");
+    assert!(!errors.contains("short\""), "an error must not contain a key: {errors}");
 }
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -22,11 +22,12 @@
         eventually("the daemon is ready", || fleet.is_ready(daemon));
         fleet.wait_served(daemon, &[0, 1, 2]);
     }
-    let reply = fleet.request(0, "POST", "/unsafe/pay", "told");
+    let reply = fleet.request(0, "POST", "/unsafe/pay", "exchange");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    assert_eq!(reply.header(names::REQUEST).as_deref(), Some("told"));
-    assert_eq!(fleet.run_count("told"), 1);
-    let server = fleet.backends.iter().find(|backend| backend.run_count("told") == 1).expect("ran");
+    assert_eq!(reply.header(names::REQUEST).as_deref(), Some("exchange"));
+    assert_eq!(fleet.run_count("exchange"), 1);
+    let server =
+        fleet.backends.iter().find(|backend| backend.run_count("exchange") == 1).expect("ran");
     let head = server.runs()["last_head"].as_str().expect("head").to_owned();
     for (name, value) in
         [(names::EXPECTED_SERVER, &*server.name), (names::CALLER_SERVICE, "solver-app")]
@@ -52,9 +53,10 @@
             let address = fleet.daemons[number % 2].callers;
             thread::spawn(move || {
                 let id = format!("busy-{number}");
-                let request = headers::exchange_fields().request.expect("a name");
+                let request_field =
+                    headers::exchange_fields().request.expect("a header field for request ids");
                 let headers =
-                    [("Host", HOST), (request.as_str(), id.as_str()), ("x-work-ms", "200")];
+                    [("Host", HOST), (request_field.as_str(), id.as_str()), ("x-work-ms", "200")];
                 client::call(address, "POST", "/unsafe/x", &headers, "x").status
             })
         })
@@ -70,21 +72,22 @@
         let status = caller.join().expect("join");
         assert!(matches!(status, 200 | 503), "no request is interrupted: {status}");
     }
-    // The server may read requests after its drain notice that were sent before it, so the order is
-    // taken from the daemon's log.
+    // The server may read requests after it sent its drain notice although the daemon sent them
+    // earlier, so the order is taken from the daemon's log.
     let AttemptCounts { before, after } = count_attempts_around_drain(&fleet);
     assert_eq!(after, 0, "nothing was sent after the drain was acknowledged");
     let received = fleet.backends[0].runs()["received"].as_u64().expect("received");
     assert_eq!(received, before, "nothing else reached the server");
 }
 
-/// Attempts that the first daemon sent to its server before and after the server began to drain.
+/// Numbers of attempts that the first daemon sent to its server before and after the server began
+/// to drain.
 struct AttemptCounts {
     before: u64,
     after: u64,
 }
 
-/// Counts the attempts that the first daemon sent to its server before and after it began to drain.
+/// Counts these attempts in the log of the first daemon.
 fn count_attempts_around_drain(fleet: &RegisteredFleet) -> AttemptCounts {
     let (mut before, mut after, mut draining) = (0, 0, false);
     let text = fleet.daemons[0].log_text();
@@ -111,14 +114,14 @@
     assert_eq!(
         fleet.call_daemon(0, &late_heartbeat).status,
         200,
-        "it is acknowledged like any other"
+        "a late heartbeat is acknowledged like any other"
     );
     let count_lines = |event: &str| {
         let text = fleet.daemons[0].log_text();
         let of_crashed = |line: &&str| line.contains(event) && line.contains("i-crashed");
         text.lines().filter(of_crashed).count()
     };
-    eventually("it is ignored", || count_lines("late heartbeat passed over") == 1);
+    eventually("the late heartbeat is ignored", || count_lines("late heartbeat passed over") == 1);
     assert_eq!(count_lines("backend server registered"), 1, "its successor stays registered");
     assert_eq!(count_lines("backend server gone"), 1);
 }
@@ -150,7 +153,7 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!((fleet.run_count(&id), fleet.backends[1].run_count(&id)), (1, 0));
     }
-    // Its own heartbeat registers it again.
+    // The next heartbeat of the server that listens there registers it again.
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
 }
@@ -186,7 +189,9 @@
     fleet.backends[0].set_faults(json!({"health_status": 503}));
     fleet.daemons[0].kill();
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
-    eventually("its health was checked", || fleet.backends[0].runs()["probes"].as_u64() > Some(0));
+    eventually("the health of the server was checked", || {
+        fleet.backends[0].runs()["probes"].as_u64() > Some(0)
+    });
     let before = fleet.backends[0].total_runs();
     for number in 0..20 {
         fleet.request(0, "GET", "/safe/x", &format!("ill-{number}"));
@@ -288,7 +293,7 @@
     fleet.daemons[1].kill();
     let seeds = fleet.daemons[0].peers.to_string();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[("seeds", seeds.as_str())]);
-    // Its configuration and its server come from the peer.
+    // The daemon gets its configuration and the registration of its server from the peer.
     eventually("the daemon is ready without the store", || fleet.is_ready(1));
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     let reply = fleet.request(1, "GET", "/safe/x", "dark");
@@ -316,7 +321,7 @@
     fleet.wait_served(0, &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.set_faults(outage);
-    // It learns of a changed document and accepts a drain notice without the store.
+    // The host learns of a changed document and accepts a drain notice without the store.
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
@@ -361,16 +366,16 @@
     let closed = common::closed_address();
     let heartbeat = fleet.heartbeat_from(closed, "i-gone", SERVICE, false);
     assert_eq!(fleet.call_daemon(1, &heartbeat).status, 200);
-    eventually("the other daemon knows of it", || {
+    eventually("the other daemon knows of the server", || {
         fleet.daemons[0].log_text().contains("i-2, i-gone")
     });
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
-    eventually("the restarted daemon finds that it does not answer", || {
+    eventually("the restarted daemon finds that the server does not answer", || {
         fleet.daemons[1].log_text().contains("backend server silent")
     });
     fleet.wait_served(0, &[0, 1]);
-    eventually("the fleet knows that it is gone", || {
+    eventually("the other daemon no longer lists the server", || {
         let rows = fleet.daemons[0].get("/v1/backend-servers").to_string();
         rows.contains("i-2") && !rows.contains("i-gone")
     });
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -6,9 +6,9 @@
 //!
 //! Guards against a fault in which every daemon answered 404 for a route that was added after the
 //! restore, until the next change. The restored store assigns row numbers again that daemons have
-//! already read, also to the new document. A daemon that asks for changes since its number then
-//! gets none and concludes that it has the newest document. A daemon that asks before the store
-//! passes that number gets 410 and reads all rows again.
+//! already read, also to the new document. A daemon that asks for changes after the last
+//! number that it has read then gets none and concludes that it has the newest document. A daemon
+//! that asks before the store passes that number gets 410 and reads all rows again.
 
 mod common;
 
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Registers another server name at a daemon and waits until these daemons know of it.
+/// Registers a server under another name at a daemon and waits until these daemons know of it.
 fn register_and_wait(fleet: &RegisteredFleet, index: usize, name: &str, daemons_to_know: &[usize]) {
     assert_eq!(fleet.send_heartbeat_as(index, name, SERVICE, false).status, 200);
     for daemon in daemons_to_know {
@@ -60,9 +60,10 @@
     let fleet = RegisteredFleet::start_in_one_domain(6);
     let all = [0, 1, 2, 3, 4, 5];
     register_and_wait(&fleet, 0, "i-first", &all);
-    // Each change ends a long poll of the readers; the other daemons learn of it from them.
+    // Each change ends a long poll of the readers; the other daemons learn of the change from the
+    // readers.
     let rows_calls = |daemon: usize| fleet.daemons[daemon].metric("rows_calls") as u64;
-    eventually("at most two daemons read the rows for a while", || {
+    eventually("one or two daemons read the rows during four changes", || {
         let before: Vec<u64> = all.iter().map(|daemon| rows_calls(*daemon)).collect();
         for number in 0..4 {
             register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all);
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -17,7 +17,8 @@
 use common::{eventually, FleetPlan, TestFleet};
 use serde_json::{json, Value};
 
-/// Flags for a stop that closes after 4 s, gives up after 7.7 s and ends after 8 s.
+/// Flags for a stop that closes to new requests after 4 s, gives up pending requests after 7.7 s
+/// and ends after 8 s.
 fn flags() -> Vec<(&'static str, &'static str)> {
     vec![("drain-ms", "8000"), ("drain-min-ms", "500")]
 }
@@ -67,7 +68,7 @@
     let mut stream = client::connect(fleet.daemons[0].callers);
     let head = "POST /plain HTTP/1.1\r\nHost: solver.example\r\nx-request-id: slow\r\n";
     stream.write_all(format!("{head}Content-Length: 4\r\n\r\nab").as_bytes()).expect("write");
-    eventually("its head was read", || fleet.daemons[0].metric("in_flight") > 0.0);
+    eventually("the head of the request was read", || fleet.daemons[0].metric("in_flight") > 0.0);
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut stream, "POST").expect("a refusal");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("draining")));
@@ -123,10 +124,12 @@
     let callers = fleet.daemons[1].callers;
     let mut holding = client::connect(callers);
     stops::write(&mut holding, "holds", "6000").expect("write");
-    eventually("it runs", || fleet.run_count("holds") == 1);
+    eventually("the request runs", || fleet.run_count("holds") == 1);
     let mut long = client::connect(callers);
     stops::write(&mut long, "long", "200").expect("write");
-    eventually("the first is queued", || fleet.daemons[0].metric("queued") == 1.0);
+    eventually("the request with the long deadline is queued", || {
+        fleet.daemons[0].metric("queued") == 1.0
+    });
     let mut short = client::connect(callers);
     let headers = [
         ("Host", "solver.example"),
@@ -136,13 +139,13 @@
     ];
     let text = client::request_text("POST", "/plain", &headers, "x");
     short.write_all(text.as_bytes()).expect("write");
-    eventually("both are queued", || fleet.daemons[0].metric("queued") == 2.0);
+    eventually("both requests are queued", || fleet.daemons[0].metric("queued") == 2.0);
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut long, "POST").expect("a refusal");
     assert_eq!(
         (reply.status, fleet.run_count("long")),
         (503, 0),
-        "its deadline of 60 s is after the end of the stop"
+        "the deadline of the request, 60 s, is after the end of the stop"
     );
     for (id, mut stream) in [("holds", holding), ("short", short)] {
         let reply = client::read_reply(&mut stream, "POST");
@@ -172,7 +175,7 @@
     stream.write_all(text.as_bytes()).expect("write");
     let reply = client::read_reply(&mut stream, "GET").expect("an answer");
     assert_eq!(reply.status, 500, "{}", reply.text());
-    assert_eq!(fleet.run_count("again"), 2, "the retry had begun");
+    assert_eq!(fleet.run_count("again"), 2, "both the first attempt and the retry ran");
     fleet.daemons[0].wait_exit();
 }
 
@@ -180,13 +183,13 @@
 fn verify_reloaded_settings_do_not_change_a_running_stop() {
     let path = std::env::temp_dir().join(format!("basaltarch-stop-{}.conf", std::process::id()));
     fs::write(&path, "drain-min-ms = 500\n").expect("settings");
-    let text: &'static str = path.to_str().expect("path").to_owned().leak();
-    let flags = vec![("config", text)];
+    let config: &'static str = path.to_str().expect("path").to_owned().leak();
+    let flags = vec![("config", config)];
     let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
     let mut stream = client::connect(fleet.daemons[0].callers);
     stops::request_stop(&fleet.daemons[0]);
     stops::write(&mut stream, "whole", "3000").expect("write");
-    eventually("it runs", || fleet.run_count("whole") == 1);
+    eventually("the request runs", || fleet.run_count("whole") == 1);
     fs::write(&path, "drain-min-ms = 500\nkill-after-ms = 1200\n").expect("settings");
     fleet.daemons[0].signal("-HUP");
     stops::wait_event(&fleet.daemons[0], "settings in force");
@@ -197,7 +200,7 @@
 }
 
 #[test]
-fn verify_a_refusal_is_sent_although_the_store_is_silent() {
+fn verify_a_refusal_is_sent_although_the_store_does_not_answer() {
     let plan = FleetPlan {
         backends: 1,
         slots: 1,
@@ -208,13 +211,13 @@
     let fleet = TestFleet::start(&plan);
     let mut holding = client::connect(fleet.daemons[1].callers);
     stops::write(&mut holding, "holds", "18000").expect("write");
-    eventually("it runs", || fleet.run_count("holds") == 1);
+    eventually("the request runs", || fleet.run_count("holds") == 1);
     let mut waiting = client::connect(fleet.daemons[1].callers);
     let headers =
         [("Host", "solver.example"), ("Idempotency-Key", "once"), ("x-request-id", "once")];
     let text = client::request_text("POST", "/payouts", &headers, "x");
     waiting.write_all(text.as_bytes()).expect("write");
-    eventually("it is queued", || fleet.daemons[0].metric("queued") > 0.0);
+    eventually("the request is queued", || fleet.daemons[0].metric("queued") > 0.0);
     fleet.platform.set_faults(json!({"silent": true}));
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut waiting, "POST").expect("a refusal");
@@ -232,7 +235,7 @@
     let headers = [("Authorization", "Bearer operator-token")];
     let text = client::request_text("POST", "/v1/apply", &headers, &body);
     changing.write_all(text.as_bytes()).expect("write");
-    // Once a later call is answered, the daemon has read this one.
+    // Once a later call is answered, the daemon has read the change.
     fleet.daemons[0].get("/v1/status");
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut changing, "POST").expect("an answer");
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -49,7 +49,7 @@
     };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
-    // Four callers keep something in flight at every moment.
+    // Four callers keep requests in flight at every moment.
     let sending: Vec<_> =
         (0..4).map(|caller| thread::spawn(move || send_until_gone(callers, caller))).collect();
     eventually("requests are served", || {
@@ -68,7 +68,10 @@
         let reason = request.reply.as_ref().and_then(Reply::reason);
         reason.as_deref() == Some("draining")
     };
-    assert!(requests.iter().filter(refused).count() > 0, "callers sent until the end");
+    assert!(
+        requests.iter().filter(refused).count() > 0,
+        "no request arrived after the daemon stopped admitting requests"
+    );
 }
 
 #[test]
@@ -119,5 +122,8 @@
     for sending in sending {
         assert_eq!(sending.join().expect("join"), Some(200));
     }
-    assert!(fleet.backends[1].total_runs() > 0, "its backend server received requests");
+    assert!(
+        fleet.backends[1].total_runs() > 0,
+        "the backend server of the stopping daemon received no requests"
+    );
 }
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -21,6 +21,7 @@
 /// Length of a suspend that outlasts [`DEADLINE`].
 const SUSPEND: Duration = Duration::from_secs(1200);
 
+/// A host whose suspend can be simulated, with one backend server.
 struct SuspendableHost {
     _platform: TestPlatform,
     daemon: InlineDaemon,
@@ -66,7 +67,7 @@
 
     /// Waits until the server has received this many requests.
     fn wait_received(&self, wanted: u64) {
-        eventually("the server has the requests", || {
+        eventually("the server has received the requests", || {
             self.backend.runs()["received"].as_u64().is_some_and(|seen| seen >= wanted)
         });
     }
@@ -85,18 +86,22 @@
     let running = thread::spawn(move || send_request(callers, "0"));
     host.wait_received(1);
     let waiting = thread::spawn(move || send_request(callers, "0"));
-    eventually("the second waits for the slot", || host.health()["queued"] == json!(1));
+    eventually("the second request waits for the slot", || host.health()["queued"] == json!(1));
     host.daemon.suspend(SUSPEND);
     let running = running.join().expect("join");
     assert_eq!(
         running.outcome().as_deref(),
         Some("unknown"),
-        "it may have run: {}",
+        "the request may have run: {}",
         running.text()
     );
     assert_eq!(running.reason().as_deref(), Some("timed-out"));
     let waiting = waiting.join().expect("join");
-    assert_eq!(waiting.outcome().as_deref(), Some("not-run"), "it was never given the slot");
+    assert_eq!(
+        waiting.outcome().as_deref(),
+        Some("not-run"),
+        "the queued request never got the slot"
+    );
     assert_eq!(host.backend.runs()["received"], json!(1), "the queued request was never sent");
 }
 
@@ -111,7 +116,8 @@
     let running: Vec<_> =
         (0..4).map(|_| thread::spawn(move || send_request(callers, "500"))).collect();
     host.wait_received(received + 4);
-    // Far longer than their typical service time, but within their deadline.
+    // The suspend is far longer than the typical service time of the requests, but within their
+    // deadline.
     host.daemon.suspend(Duration::from_secs(30));
     for caller in running {
         assert_eq!(caller.join().expect("join").status, 200);
@@ -128,13 +134,13 @@
     host.backend.set_faults(json!({"crash_path": "/puzzle/7", "crash_after_ms": 5, "down_ms": 50}));
     let callers = host.daemon.callers;
     let refused = |reply: &Reply| reply.reason().as_deref() == Some("crashes-servers");
-    eventually("it is refused", || refused(&send_request(callers, "0")));
+    eventually("the request is refused", || refused(&send_request(callers, "0")));
     eventually("the fault of the server is removed", || {
         let path = "/__control/faults";
         client::try_call(host.backend.address, "PUT", path, &[], "{}").is_some()
     });
     assert!(refused(&send_request(callers, "0")), "no trial is due yet");
     host.daemon.suspend(TRIAL_EVERY);
-    eventually("a trial admits it again", || send_request(callers, "0").status == 200);
+    eventually("a trial admits the request again", || send_request(callers, "0").status == 200);
     assert_eq!(send_request(callers, "0").status, 200);
 }
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -11,7 +11,7 @@
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 
-/// `Watch` reads the JSON lines of a watch.
+/// Reads the JSON lines of a watch.
 struct Watch {
     lines: std::io::Lines<BufReader<std::net::TcpStream>>,
 }
@@ -25,6 +25,7 @@
         Self { lines: BufReader::new(stream).lines() }
     }
 
+    /// Returns the next line that holds changes or an error.
     fn next_change(&mut self) -> Value {
         loop {
             let line = self.lines.next().expect("a line").expect("a line");
@@ -79,11 +80,11 @@
         let name = format!("o-{number}");
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
-    // A new daemon starts from a snapshot and knows only the changes since.
+    // A new daemon starts from a snapshot and knows only the changes made after it.
     eventually("a snapshot is stored", || fleet.daemons[0].log_text().contains("snapshot kept"));
     let fresh = TestDaemon::start(fleet.platform.address, "host-n", "bkk-b", &[]);
     fleet.daemons.push(fresh);
-    eventually("it has all revisions", || {
+    eventually("the new daemon has all revisions", || {
         fleet.daemons[1].is_ready() && fleet.daemons[1].revision() == 304
     });
     let reply = fleet.daemons[1].call("GET", "/v1/watch?after=1", &[], "");
