--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -34,14 +34,14 @@
 /// A fleet whose daemons reach the store, and each other, through forwarders.
 struct ProxiedFleet {
     fleet: RegisteredFleet,
-    stores: Vec<Forwarder>,
-    peers: Vec<Forwarder>,
+    store_forwarders: Vec<Forwarder>,
+    peer_forwarders: Vec<Forwarder>,
 }
 
 impl ProxiedFleet {
     fn start(heartbeat_ms: &str) -> Self {
         let fleet = RegisteredFleet::start(0);
-        let mut proxied = Self { fleet, stores: Vec::new(), peers: Vec::new() };
+        let mut proxied = Self { fleet, store_forwarders: Vec::new(), peer_forwarders: Vec::new() };
         for host in HOSTS {
             proxied.add(host, heartbeat_ms);
         }
@@ -62,8 +62,8 @@
         let daemon = self.fleet.start_daemon_at(store.address, host, "bkk-a", &flags);
         peers.forward_to(daemon.peers);
         self.fleet.daemons.push(daemon);
-        self.stores.push(store);
-        self.peers.push(peers);
+        self.store_forwarders.push(store);
+        self.peer_forwarders.push(peers);
     }
 
     fn wait_revision(&self, revision: u64) {
@@ -97,7 +97,7 @@
     let proxied = ProxiedFleet::start("4000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.stores.iter().chain(&proxied.peers).for_each(Forwarder::black_hole);
+    proxied.store_forwarders.iter().chain(&proxied.peer_forwarders).for_each(Forwarder::black_hole);
     let black_holed_at = Instant::now();
     proxied.write(3);
     let acked_at = Instant::now();
@@ -127,9 +127,9 @@
     let proxied = ProxiedFleet::start("60000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.stores[CUT_OFF].cuts.forward.store(true, Ordering::SeqCst);
-    proxied.stores[CUT_OFF].cuts.backward.store(true, Ordering::SeqCst);
-    proxied.peers.iter().for_each(Forwarder::black_hole);
+    proxied.store_forwarders[CUT_OFF].cuts.forward.store(true, Ordering::SeqCst);
+    proxied.store_forwarders[CUT_OFF].cuts.backward.store(true, Ordering::SeqCst);
+    proxied.peer_forwarders.iter().for_each(Forwarder::black_hole);
     proxied.write(3);
     proxied.wait_revision(3);
     let log = proxied.fleet.daemons[CUT_OFF].log_text();
@@ -190,7 +190,7 @@
 fn verify_the_confirmation_of_a_peer_suffices() {
     let proxied = ProxiedFleet::start("4000");
     let cut_off = HOSTS.len() - 1;
-    let cuts = &proxied.stores[cut_off].cuts;
+    let cuts = &proxied.store_forwarders[cut_off].cuts;
     cuts.forward.store(true, Ordering::SeqCst);
     cuts.backward.store(true, Ordering::SeqCst);
     for _ in 0..3 {
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -115,7 +115,7 @@
 }
 
 /// Returns how many distinct requests a daemon refuses because they crash servers.
-fn refused(daemon: &TestDaemon) -> f64 {
+fn refused_count(daemon: &TestDaemon) -> f64 {
     daemon.metric("requests_refused")
 }
 
@@ -126,7 +126,7 @@
         reply.reason().as_deref() == Some("crashes-servers")
     });
     for daemon in &fleet.daemons {
-        eventually("every daemon refuses the request", || refused(daemon) == 1.0);
+        eventually("every daemon refuses the request", || refused_count(daemon) == 1.0);
     }
 }
 
@@ -209,7 +209,7 @@
     let platform = fleet.platform.address;
     let later_daemon = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
     eventually("the daemon that started later refuses the request", || {
-        later_daemon.is_ready() && refused(&later_daemon) == 1.0
+        later_daemon.is_ready() && refused_count(&later_daemon) == 1.0
     });
     fleet.daemons.push(later_daemon);
     let reply = fleet.request(3, "GET", BAD_PATH, &[], "");
@@ -229,7 +229,7 @@
         knows(&fleet.daemons[0])
     });
     assert_eq!(
-        refused(&fleet.daemons[0]),
+        refused_count(&fleet.daemons[0]),
         0.0,
         "the request is suspected but not refused, so no row holds it"
     );
@@ -254,7 +254,7 @@
         .map(|(host, domain)| TestDaemon::start(fleet.platform.address, host, domain, &[]))
         .collect();
     for daemon in &fleet.daemons {
-        eventually("every new daemon refuses the request", || refused(daemon) == 1.0);
+        eventually("every new daemon refuses the request", || refused_count(daemon) == 1.0);
     }
     fleet.wait_members();
     let reply = fleet.request(1, "GET", BAD_PATH, &[], "");
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -55,11 +55,11 @@
 fn verify_the_answer_of_a_slow_attempt_is_used() {
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
-    let mut wanted = document(2);
+    let mut new_document = document(2);
     let mut slow = route("r-slow", "/slow/", WorkMode::Repeatable);
     slow.rule.objective_ms = 100;
-    wanted.routes.push(slow);
-    fleet.write(&wanted);
+    new_document.routes.push(slow);
+    fleet.write(&new_document);
     eventually("the route is in force", || {
         fleet.request(0, "GET", "/slow/x", "in-force").status != 404
     });
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -99,34 +99,34 @@
 fn verify_a_server_that_left_while_its_daemon_stopped_receives_nothing_after_the_restart(
     leave: fn(&RegisteredFleet) -> Reply,
 ) {
-    let mut hosts = LeavingFleet::start(&[]);
-    hosts.fleet.platform.set_faults(json!({"busy": true}));
-    assert_eq!(leave(&hosts.fleet).status, 200, "the call is acknowledged");
-    hosts.close();
+    let mut leaving = LeavingFleet::start(&[]);
+    leaving.fleet.platform.set_faults(json!({"busy": true}));
+    assert_eq!(leave(&leaving.fleet).status, 200, "the call is acknowledged");
+    leaving.close();
     // Restores the store only after more refused calls than there is time for in a stop that does
     // not wait for the store.
-    let daemon = &mut hosts.fleet.daemons[0];
+    let daemon = &mut leaving.fleet.daemons[0];
     let before = store_failures(daemon);
     eventually("the daemon retries its write, or ends", || {
         store_failures(daemon) >= before + 5 || !daemon.is_running()
     });
-    hosts.fleet.platform.set_faults(json!({}));
-    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
-    hosts.check_left_server_unused(&[]);
+    leaving.fleet.platform.set_faults(json!({}));
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    leaving.check_left_server_unused(&[]);
 }
 
 #[test]
 fn verify_every_drain_that_a_stopping_daemon_acknowledged_is_stored() {
-    let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    let address = hosts.fleet.daemons[0].registration.expect("registration");
+    let mut leaving = LeavingFleet::start(&[("drain-ms", "3000")]);
+    let address = leaving.fleet.daemons[0].registration.expect("registration");
     // A short delay, so that a call can arrive while the previous one is being written.
-    hosts.fleet.platform.set_faults(json!({"delay_ms": 50}));
-    hosts.fleet.daemons[0].signal("-TERM");
+    leaving.fleet.platform.set_faults(json!({"delay_ms": 50}));
+    leaving.fleet.daemons[0].signal("-TERM");
     // One server after another drains, until the daemon no longer listens.
     let mut acknowledged = None;
     for number in 0.. {
         let name = format!("i-drains-{number}");
-        let call = hosts.fleet.heartbeat(0, &name, SERVICE, true);
+        let call = leaving.fleet.heartbeat(0, &name, SERVICE, true);
         let body = String::from_utf8_lossy(&call.body);
         match client::try_call(address, call.method.as_str(), &call.target, &[], &body) {
             Some(reply) if reply.status == 200 => acknowledged = Some(name),
@@ -134,8 +134,8 @@
             None => break,
         }
     }
-    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
-    let record = stored_record(&hosts.fleet).expect("a record");
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    let record = stored_record(&leaving.fleet).expect("a record");
     let last = json!(acknowledged.expect("drains were acknowledged"));
     let servers = record["servers"].as_array().expect("servers");
     assert!(servers.iter().any(|server| server["name"] == last), "{last} is not in {record}");
@@ -143,36 +143,36 @@
 
 #[test]
 fn verify_a_stop_without_pending_writes_does_not_wait_for_the_store() {
-    let mut hosts = LeavingFleet::start(&[]);
-    hosts.fleet.platform.set_faults(json!({"busy": true}));
-    hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
-    let text = hosts.fleet.daemons[0].log_text();
+    let mut leaving = LeavingFleet::start(&[]);
+    leaving.fleet.platform.set_faults(json!({"busy": true}));
+    leaving.close();
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    let text = leaving.fleet.daemons[0].log_text();
     let stopped = text.lines().find(|line| line.contains("\"stopped\"")).expect("a line");
     assert!(stopped.contains("\"idle\""), "{stopped}");
 }
 
 #[test]
 fn verify_a_server_that_left_in_an_outage_receives_nothing_after_the_restart() {
-    let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    hosts.fleet.platform.set_faults(json!({"down": true}));
-    assert_eq!(hosts.fleet.deregister(0).status, 200, "the call is acknowledged");
-    hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
+    let mut leaving = LeavingFleet::start(&[("drain-ms", "3000")]);
+    leaving.fleet.platform.set_faults(json!({"down": true}));
+    assert_eq!(leaving.fleet.deregister(0).status, 200, "the call is acknowledged");
+    leaving.close();
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
     // The store is still down: the restarted daemon learns the earlier state from the other daemon.
-    let seeds = hosts.fleet.daemons[1].peers.to_string();
-    hosts.check_left_server_unused(&[("seeds", seeds.as_str())]);
+    let seeds = leaving.fleet.daemons[1].peers.to_string();
+    leaving.check_left_server_unused(&[("seeds", seeds.as_str())]);
 }
 
 #[test]
 fn verify_a_restarted_daemon_that_reads_an_old_row_learns_from_peers_which_server_left() {
-    let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    hosts.fleet.platform.set_faults(json!({"down": true}));
-    assert_eq!(hosts.fleet.deregister(0).status, 200, "the call is acknowledged");
-    hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].wait_exit().code(), Some(0));
-    hosts.fleet.platform.set_faults(json!({}));
-    let fleet = &mut hosts.fleet;
+    let mut leaving = LeavingFleet::start(&[("drain-ms", "3000")]);
+    leaving.fleet.platform.set_faults(json!({"down": true}));
+    assert_eq!(leaving.fleet.deregister(0).status, 200, "the call is acknowledged");
+    leaving.close();
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    leaving.fleet.platform.set_faults(json!({}));
+    let fleet = &mut leaving.fleet;
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
     eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
     let mut round = 0;
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -289,11 +289,15 @@
     assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 502);
     hops.fleet.backends[0].set_faults(json!({"shed": true}));
     assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 503);
-    let seen = outcomes(0);
-    assert_eq!((&seen["requests"], &seen["complete"]), (&json!(5), &json!(3)), "{seen}");
-    assert_eq!(seen["unknown"], json!({"backend-broken": 1}));
-    let not_run = seen["not_run"].as_object().expect("reasons");
-    assert_eq!(not_run.values().filter_map(Value::as_u64).sum::<u64>(), 1, "{seen}");
+    let outcome_counts = outcomes(0);
+    assert_eq!(
+        (&outcome_counts["requests"], &outcome_counts["complete"]),
+        (&json!(5), &json!(3)),
+        "{outcome_counts}"
+    );
+    assert_eq!(outcome_counts["unknown"], json!({"backend-broken": 1}));
+    let not_run = outcome_counts["not_run"].as_object().expect("reasons");
+    assert_eq!(not_run.values().filter_map(Value::as_u64).sum::<u64>(), 1, "{outcome_counts}");
     assert_eq!(outcomes(1)["requests"], json!(0), "counted at the ingress only");
 }
 
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -57,13 +57,13 @@
     /// Sends requests through an ingress; returns whether all were answered, and whether the last
     /// server answered any.
     fn send_requests(&self, daemon: usize, count: usize) -> (bool, bool) {
-        let (mut all_served, mut last) = (true, false);
+        let (mut all_served, mut last_used) = (true, false);
         for _ in 0..count {
             let reply = self.fleet.request(daemon, "GET", "/puzzle", &[], "");
             all_served &= reply.status == 200;
-            last |= reply.header("x-served-by").as_deref() == Some("server-4");
+            last_used |= reply.header("x-served-by").as_deref() == Some("server-4");
         }
-        (all_served, last)
+        (all_served, last_used)
     }
 }
 
@@ -73,64 +73,64 @@
     forward: bool,
     backward: bool,
 ) {
-    let half = HalfCut::start();
+    let half_cut = HalfCut::start();
     for daemon in 0..FORWARDED {
-        eventually("the last server is used", || half.send_requests(daemon, 20).1);
+        eventually("the last server is used", || half_cut.send_requests(daemon, 20).1);
     }
-    *half.forwarder.cuts.only_hosts.lock().expect("lock") =
+    *half_cut.forwarder.cuts.only_hosts.lock().expect("lock") =
         vec!["host-a".to_owned(), "host-b".to_owned()];
-    half.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
-    half.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
+    half_cut.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
+    half_cut.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
     for daemon in 0..2 {
         eventually("an ingress that is cut off stops using the path", || {
-            half.send_requests(daemon, 5);
-            half.state_seen_by(daemon) == "unreachable"
+            half_cut.send_requests(daemon, 5);
+            half_cut.state_seen_by(daemon) == "unreachable"
         });
     }
     for daemon in 0..2 {
-        let (all_served, last) = half.send_requests(daemon, 30);
+        let (all_served, last_used) = half_cut.send_requests(daemon, 30);
         assert!(all_served, "callers of ingress {daemon} are not served by the other servers");
-        assert!(!last, "ingress {daemon} still sends over the cut path");
+        assert!(!last_used, "ingress {daemon} still sends over the cut path");
     }
     eventually("the ingress that is not cut off still uses the last server", || {
-        half.send_requests(2, 20) == (true, true)
+        half_cut.send_requests(2, 20) == (true, true)
     });
-    assert_eq!(half.state_seen_by(2), "in service");
+    assert_eq!(half_cut.state_seen_by(2), "in service");
     assert!(
-        !half.fleet.daemons[FORWARDED].log_text().contains("upstream ejected"),
+        !half_cut.fleet.daemons[FORWARDED].log_text().contains("upstream ejected"),
         "its server is healthy"
     );
-    half.forwarder.cuts.forward.store(false, Ordering::SeqCst);
-    half.forwarder.cuts.backward.store(false, Ordering::SeqCst);
-    half.forwarder.break_all();
+    half_cut.forwarder.cuts.forward.store(false, Ordering::SeqCst);
+    half_cut.forwarder.cuts.backward.store(false, Ordering::SeqCst);
+    half_cut.forwarder.break_all();
     for daemon in 0..2 {
-        eventually("the path is used again", || half.send_requests(daemon, 20).1);
+        eventually("the path is used again", || half_cut.send_requests(daemon, 20).1);
     }
-    half.fleet.check_invariants();
+    half_cut.fleet.check_invariants();
 }
 
 /// A paused host answers nothing, but its links stay open.
 #[test]
 fn verify_a_paused_host_is_avoided_and_used_again_after_it_resumes() {
-    let half = HalfCut::start();
-    let last = &half.fleet.daemons[FORWARDED];
-    eventually("the last server is used", || half.send_requests(0, 20).1);
+    let half_cut = HalfCut::start();
+    let paused = &half_cut.fleet.daemons[FORWARDED];
+    eventually("the last server is used", || half_cut.send_requests(0, 20).1);
     for round in 0..2 {
-        last.signal("-STOP");
+        paused.signal("-STOP");
         eventually("the path to the host is no longer used", || {
-            half.send_requests(0, 5);
-            half.state_seen_by(0) == "unreachable"
+            half_cut.send_requests(0, 5);
+            half_cut.state_seen_by(0) == "unreachable"
         });
         assert_eq!(
-            half.send_requests(0, 30),
+            half_cut.send_requests(0, 30),
             (true, false),
             "round {round}: the others serve its callers"
         );
-        last.signal("-CONT");
-        eventually("the server of the host is used again", || half.send_requests(0, 20).1);
+        paused.signal("-CONT");
+        eventually("the server of the host is used again", || half_cut.send_requests(0, 20).1);
     }
-    assert!(!last.log_text().contains("upstream ejected"), "its server was healthy all the time");
-    half.fleet.check_invariants();
+    assert!(!paused.log_text().contains("upstream ejected"), "its server was healthy all the time");
+    half_cut.fleet.check_invariants();
 }
 
 /// Two regions of two daemons each. Every daemon is reached through its own forwarder, and the
@@ -232,9 +232,9 @@
         eventually("the other region learns that it has run", || regions.pay(2, key).0 == 200);
         assert_eq!(fleet.run_count(key), 1, "{key}");
     }
-    let last = fleet.daemons[3].revision();
+    let last_revision = fleet.daemons[3].revision();
     assert!(
-        fleet.daemons.iter().all(|daemon| daemon.revision() == last),
+        fleet.daemons.iter().all(|daemon| daemon.revision() == last_revision),
         "no daemon went back to an older revision"
     );
     fleet.check_invariants();
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -202,9 +202,9 @@
         assert!(matches!(reply.status, 200 | 409 | 503 | 504), "{}", reply.text());
         reply.status == 200
     });
-    let last = fleet.daemons[1].revision();
-    fleet.wait_revision(last);
-    check_audit(&fleet, last);
+    let last_revision = fleet.daemons[1].revision();
+    fleet.wait_revision(last_revision);
+    check_audit(&fleet, last_revision);
 }
 
 #[test]
@@ -218,10 +218,10 @@
         members.iter().any(|m| m["host"] == "host-c" && m["state"] == "suspect")
     });
     // A live daemon writes its row again after it was deleted.
-    let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
-    fleet.platform.change_row("DELETE", hosts, "host-b", "");
+    let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
+    fleet.platform.change_row("DELETE", hosts_table, "host-b", "");
     let read_rows = || {
-        let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
+        let path = format!("{}?table={hosts_table}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
     eventually("the row is written again", || read_rows().contains("host-b"));
@@ -235,11 +235,11 @@
     let mut fleet = fleet_of(3);
     // The daemon is killed first: it would rewrite its row before the others read the changed one.
     fleet.daemons[2].kill();
-    let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
+    let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     let old = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
                      "admin_address": "127.0.0.1:1", "leaving": true});
-    fleet.platform.change_row("PUT", hosts, "host-c", &old.to_string());
-    fleet.platform.change_row("PUT", hosts, "host-y", "no record at all");
+    fleet.platform.change_row("PUT", hosts_table, "host-c", &old.to_string());
+    fleet.platform.change_row("PUT", hosts_table, "host-y", "no record at all");
     let has_logged = |daemon: &TestDaemon, text: &str| daemon.log_text().contains(text);
     eventually("both rows were read", || {
         has_logged(&fleet.daemons[0], "host row unreadable")
@@ -273,8 +273,8 @@
         fleet.daemons[2].live_members() == 3 && fleet.daemons[0].live_members() == 3
     });
     fleet.platform.set_faults(json!({}));
-    let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
-    let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
+    let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
+    let path = format!("{}?table={hosts_table}&part=", rows::READ_PATH);
     let read_rows = || client::call(fleet.platform.address, "GET", &path, &[], "").text();
     eventually("the row of the new daemon is written after the outage", || {
         read_rows().contains("host-c")
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -162,9 +162,9 @@
 fn verify_a_restarted_daemon_finds_the_server_beside_it_before_its_heartbeat() {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
+    let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     let rows = |fleet: &RegisteredFleet| {
-        let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
+        let path = format!("{}?table={hosts_table}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
     let is_server_listed = |fleet: &RegisteredFleet| {
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -58,18 +58,18 @@
 #[test]
 fn verify_few_daemons_of_a_failure_domain_read_the_store() {
     let fleet = RegisteredFleet::start_in_one_domain(6);
-    let all = [0, 1, 2, 3, 4, 5];
-    register_and_wait(&fleet, 0, "i-first", &all);
+    let all_daemons = [0, 1, 2, 3, 4, 5];
+    register_and_wait(&fleet, 0, "i-first", &all_daemons);
     // Each change ends a long poll of the readers; the other daemons learn of the change from the
     // readers.
     let rows_calls = |daemon: usize| fleet.daemons[daemon].metric("rows_calls") as u64;
     eventually("one or two daemons read the rows during four changes", || {
-        let before: Vec<u64> = all.iter().map(|daemon| rows_calls(*daemon)).collect();
+        let before: Vec<u64> = all_daemons.iter().map(|daemon| rows_calls(*daemon)).collect();
         for number in 0..4 {
-            register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all);
+            register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all_daemons);
         }
         let reader_count =
-            all.iter().filter(|daemon| rows_calls(**daemon) > before[**daemon]).count();
+            all_daemons.iter().filter(|daemon| rows_calls(**daemon) > before[**daemon]).count();
         (1..=2).contains(&reader_count)
     });
 }
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -133,13 +133,13 @@
     let host = SuspendableHost::start(4);
     host.backend.set_faults(json!({"crash_path": "/puzzle/7", "crash_after_ms": 5, "down_ms": 50}));
     let callers = host.daemon.callers;
-    let refused = |reply: &Reply| reply.reason().as_deref() == Some("crashes-servers");
-    eventually("the request is refused", || refused(&send_request(callers, "0")));
+    let is_refused = |reply: &Reply| reply.reason().as_deref() == Some("crashes-servers");
+    eventually("the request is refused", || is_refused(&send_request(callers, "0")));
     eventually("the fault of the server is removed", || {
         let path = "/__control/faults";
         client::try_call(host.backend.address, "PUT", path, &[], "{}").is_some()
     });
-    assert!(refused(&send_request(callers, "0")), "no trial is due yet");
+    assert!(is_refused(&send_request(callers, "0")), "no trial is due yet");
     host.daemon.suspend(TRIAL_EVERY);
     eventually("a trial admits the request again", || send_request(callers, "0").status == 200);
     assert_eq!(send_request(callers, "0").status, 200);
