--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -5,10 +5,10 @@
 //!
 //! Guards against a fault in which daemons answered 404 for a new route for 2.0 to 2.9 s after the
 //! store had acknowledged it (12 hosts, 26 answers in 40 s, heartbeats every 4 s). Their open
-//! connections had fallen silent without being closed or reset: the long poll at the store waited
-//! for up to 8.7 s and could be followed by another one on a dead pooled connection, and peers
-//! announced the document over silent links without a retry before the next heartbeat. With no
-//! connection silent, every host has a document in force within 0.35 s.
+//! connections were black-holed, without being closed or reset: the long poll at the store waited
+//! for up to 8.7 s and could be followed by another one on a black-holed pooled connection, and
+//! peers announced the document over black-holed links without a retry before the next heartbeat.
+//! Without black-holed connections, every host has a document in force within 0.35 s.
 
 mod common;
 
@@ -34,14 +34,14 @@
 /// A fleet whose daemons reach the store, and each other, through forwarders.
 struct ProxiedFleet {
     fleet: RegisteredFleet,
-    stores: Vec<Forwarder>,
-    peers: Vec<Forwarder>,
+    store_forwarders: Vec<Forwarder>,
+    peer_forwarders: Vec<Forwarder>,
 }
 
 impl ProxiedFleet {
     fn start(heartbeat_ms: &str) -> Self {
         let fleet = RegisteredFleet::start(0);
-        let mut proxied = Self { fleet, stores: Vec::new(), peers: Vec::new() };
+        let mut proxied = Self { fleet, store_forwarders: Vec::new(), peer_forwarders: Vec::new() };
         for host in HOSTS {
             proxied.add(host, heartbeat_ms);
         }
@@ -62,13 +62,15 @@
         let daemon = self.fleet.start_daemon_at(store.address, host, "bkk-a", &flags);
         peers.forward_to(daemon.peers);
         self.fleet.daemons.push(daemon);
-        self.stores.push(store);
-        self.peers.push(peers);
+        self.store_forwarders.push(store);
+        self.peer_forwarders.push(peers);
     }
 
     fn wait_revision(&self, revision: u64) {
         for daemon in &self.fleet.daemons {
-            eventually("the document is in force", || daemon.revision() >= revision);
+            eventually("the document is in force on every daemon", || {
+                daemon.revision() >= revision
+            });
         }
     }
 
@@ -80,74 +82,84 @@
         self.fleet.write(&wanted);
     }
 
-    /// Requests the route of a document from a daemon; no request is served, as there are no
-    /// servers.
-    fn status(&self, daemon: usize, version: u64) -> u16 {
+    /// Requests the route of a document version from a daemon and returns the status. The status is
+    /// never 200, as there are no servers.
+    fn request_status(&self, daemon: usize, version: u64) -> u16 {
         let path = format!("/added-{version}/x");
         self.fleet.request(daemon, "GET", &path, "asked").status
     }
 }
 
-/// All connections to the store and between the daemons fall silent just after a call to the store
-/// began.
+/// All connections to the store and between the daemons become black-holed just after a call to the
+/// store began.
 #[test]
 fn verify_a_daemon_that_may_be_behind_never_reports_a_missing_route() {
     let proxied = ProxiedFleet::start("4000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.stores.iter().chain(&proxied.peers).for_each(Forwarder::silence);
-    let silent_at = Instant::now();
+    proxied.store_forwarders.iter().chain(&proxied.peer_forwarders).for_each(Forwarder::black_hole);
+    let black_holed_at = Instant::now();
     proxied.write(3);
     let acked_at = Instant::now();
-    let bound = (silent_at + RECOVERY_GRACE).max(acked_at + IN_FORCE_MAX);
-    let mut late = Vec::new();
+    let deadline = (black_holed_at + RECOVERY_GRACE).max(acked_at + IN_FORCE_MAX);
+    let mut stale_answers = Vec::new();
     eventually("the document is in force everywhere", || {
         for (daemon, host) in HOSTS.iter().enumerate() {
             let sent_at = Instant::now();
-            if proxied.status(daemon, 3) == 404 && sent_at > bound {
-                late.push((host, sent_at - acked_at));
+            if proxied.request_status(daemon, 3) == 404 && sent_at > deadline {
+                stale_answers.push((host, sent_at - acked_at));
             }
         }
         thread::sleep(REQUEST_INTERVAL);
         proxied.fleet.daemons.iter().all(|daemon| daemon.revision() == 3)
     });
-    assert!(late.is_empty(), "answered 404 after the change: {late:?}");
+    assert!(
+        stale_answers.is_empty(),
+        "404 for the new route after its deadline: {stale_answers:?}"
+    );
 }
 
-/// One daemon can't reach the store, all links have fallen silent, and no heartbeat is due for a
+/// One daemon can't reach the store, all links are black-holed, and no heartbeat is due for a
 /// minute.
 #[test]
-fn verify_a_document_arrives_although_links_fell_silent() {
-    const LAST: usize = HOSTS.len() - 1;
+fn verify_a_document_arrives_although_links_are_black_holed() {
+    const CUT_OFF: usize = HOSTS.len() - 1;
     let proxied = ProxiedFleet::start("60000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.stores[LAST].cuts.forward.store(true, Ordering::SeqCst);
-    proxied.stores[LAST].cuts.back.store(true, Ordering::SeqCst);
-    proxied.peers.iter().for_each(Forwarder::silence);
+    proxied.store_forwarders[CUT_OFF].cuts.forward.store(true, Ordering::SeqCst);
+    proxied.store_forwarders[CUT_OFF].cuts.backward.store(true, Ordering::SeqCst);
+    proxied.peer_forwarders.iter().for_each(Forwarder::black_hole);
     proxied.write(3);
     proxied.wait_revision(3);
-    let log = proxied.fleet.daemons[LAST].log_text();
-    assert!(log.contains("store call given up"), "the silent call was not given up");
+    let log = proxied.fleet.daemons[CUT_OFF].log_text();
+    assert!(
+        log.contains("store call given up"),
+        "the black-holed call to the store was not given up"
+    );
 }
 
-/// However many requests callers send for unknown routes, they cost the store one freshness check a
-/// second.
+/// However many requests callers send for unknown routes, a daemon makes at most one freshness
+/// check at the store a second.
 #[test]
 fn verify_unknown_routes_cause_few_freshness_checks() {
     let proxied = ProxiedFleet::start("4000");
     let began = Instant::now();
-    let questions = || proxied.fleet.daemons[0].metric("configuration_questions");
+    let check_count = || proxied.fleet.daemons[0].metric("configuration_questions");
     let mut requests = 0;
     eventually("three freshness checks were made", || {
         for _ in 0..100 {
-            assert_eq!(proxied.status(0, 99), 404);
+            assert_eq!(proxied.request_status(0, 99), 404);
             requests += 1;
         }
-        questions() >= 3.0
+        check_count() >= 3.0
     });
-    let most = 1.0 + began.elapsed().as_secs_f64() / CERTAIN_FOR.as_secs_f64();
-    assert!(questions() <= most, "{} freshness checks, at most {most}", questions());
+    let most_checks = 1.0 + began.elapsed().as_secs_f64() / CERTAIN_FOR.as_secs_f64();
+    assert!(
+        check_count() <= most_checks,
+        "{} freshness checks, at most {most_checks}",
+        check_count()
+    );
     assert!(requests >= 300, "{requests} requests");
 }
 
@@ -158,45 +170,45 @@
     let proxied = ProxiedFleet::start("4000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.fleet.platform.faults(json!({"busy": true}));
-    // Until then a peer may hold a confirmation and send it late to a daemon that has stopped
-    // waiting.
+    proxied.fleet.platform.set_faults(json!({"busy": true}));
+    // Before all confirmations have expired, a peer may hold one and send it late, to a daemon that
+    // has stopped waiting for it.
     let busy_since = Instant::now();
     eventually("all confirmations have expired", || busy_since.elapsed() > CERTAIN_FOR);
-    assert_eq!(proxied.status(0, 99), 503);
+    assert_eq!(proxied.request_status(0, 99), 503);
     let reply = proxied.fleet.request(0, "GET", "/added-99/x", "asked");
     assert_eq!(reply.header("basaltarch-reason").as_deref(), Some("configuration-unsure"));
     assert!(reply.header("retry-after").is_some());
     let known = proxied.fleet.request(0, "GET", "/added-2/x", "asked");
     assert_eq!(known.header("basaltarch-reason").as_deref(), Some("no-upstream"));
-    proxied.fleet.platform.faults(json!({}));
-    eventually("there is a confirmation again", || proxied.status(0, 99) == 404);
+    proxied.fleet.platform.set_faults(json!({}));
+    eventually("a confirmation arrives again", || proxied.request_status(0, 99) == 404);
 }
 
 /// A daemon that can't reach the store uses the confirmation of peers that can.
 #[test]
 fn verify_the_confirmation_of_a_peer_suffices() {
     let proxied = ProxiedFleet::start("4000");
-    let last = HOSTS.len() - 1;
-    let cuts = &proxied.stores[last].cuts;
+    let cut_off = HOSTS.len() - 1;
+    let cuts = &proxied.store_forwarders[cut_off].cuts;
     cuts.forward.store(true, Ordering::SeqCst);
-    cuts.back.store(true, Ordering::SeqCst);
+    cuts.backward.store(true, Ordering::SeqCst);
     for _ in 0..3 {
-        // The others ask the store, and the last daemon asks them.
+        // The other daemons ask the store, and the daemon that is cut off asks them.
         eventually("a peer has a confirmation of the store and forwards it", || {
-            proxied.status(0, 99) == 404 && proxied.status(last, 99) == 404
+            proxied.request_status(0, 99) == 404 && proxied.request_status(cut_off, 99) == 404
         });
     }
 }
 
-/// While an unreadable document is later than the one in force, no daemon is certain of its
-/// configuration; the next readable document ends that.
+/// While the newest document is unreadable, no daemon is certain that its configuration is the
+/// newest, and each answers 503 in place of 404 until the next readable document.
 #[test]
-fn verify_an_unreadable_document_leaves_no_daemon_certain() {
+fn verify_after_an_unreadable_document_no_route_is_reported_missing() {
     let proxied = ProxiedFleet::start("4000");
-    assert_eq!(proxied.status(0, 99), 404);
+    assert_eq!(proxied.request_status(0, 99), 404);
     proxied.fleet.write_text(r#"{"version": "nine"}"#);
-    eventually("it was read", || proxied.status(0, 99) == 503);
+    eventually("the unreadable document was read", || proxied.request_status(0, 99) == 503);
     proxied.write(9);
-    eventually("the next is in force", || proxied.status(0, 99) == 404);
+    eventually("the next document is in force", || proxied.request_status(0, 99) == 404);
 }
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -18,12 +18,15 @@
 pub const TOKEN: &str = "operator-token";
 pub const KEY: &str = "a-fleet-key-for-tests";
 
-/// A daemon as a process; killed when dropped.
+/// A daemon that runs as a process and is killed when dropped.
 pub struct TestDaemon {
     pub host: String,
     pub domain: String,
+    /// Address for callers.
     pub callers: SocketAddr,
+    /// Address for links of other daemons.
     pub peers: SocketAddr,
+    /// Address of the admin API.
     pub admin: SocketAddr,
     /// Address for heartbeats of backend servers, if the daemon has one.
     pub registration: Option<SocketAddr>,
@@ -31,58 +34,67 @@
     pub ready: Option<SocketAddr>,
     child: Child,
     log: PathBuf,
-    /// Standard output, if it is a pipe, which the test reads or leaves unread.
+    /// Standard output if it is a pipe; the test reads it or leaves it unread.
     pub output: Option<BufReader<ChildStdout>>,
 }
 
 impl TestDaemon {
     /// Starts a daemon that logs into a file.
-    pub fn start(platform: SocketAddr, host: &str, domain: &str, extra: &[(&str, &str)]) -> Self {
+    pub fn start(
+        platform: SocketAddr,
+        host: &str,
+        domain: &str,
+        extra_flags: &[(&str, &str)],
+    ) -> Self {
         let log = logs::new_path(host);
         let file = File::create(&log).expect("log file");
-        let errors = file.try_clone().expect("log file");
-        let mut command = daemon_command(platform, host, domain, extra);
+        let stderr_file = file.try_clone().expect("log file");
+        let mut command = daemon_command(platform, host, domain, extra_flags);
         let child = command
             .stdout(Stdio::from(file))
-            .stderr(Stdio::from(errors))
+            .stderr(Stdio::from(stderr_file))
             .spawn()
             .expect("daemon starts");
         let line = logs::wait_line(&log, "listening");
-        Self::listening(child, log, &line, host, domain)
+        Self::from_start_line(child, log, &line, host, domain)
     }
 
-    /// Starts a daemon whose standard output is a pipe, read up to the line `listening`.
+    /// Starts a daemon whose standard output is a pipe, and reads it up to the line `listening`.
     pub fn start_piped(
         platform: SocketAddr,
         host: &str,
         domain: &str,
-        extra: &[(&str, &str)],
+        extra_flags: &[(&str, &str)],
     ) -> Self {
-        let mut command = daemon_command(platform, host, domain, extra);
+        let mut command = daemon_command(platform, host, domain, extra_flags);
         let mut child = command.stdout(Stdio::piped()).spawn().expect("daemon starts");
         let mut output = BufReader::new(child.stdout.take().expect("output"));
         let mut line = Value::Null;
         while line["message"] != "listening" {
             let mut text = String::new();
-            assert!(output.read_line(&mut text).expect("output") > 0, "the daemon ended");
+            assert!(
+                output.read_line(&mut text).expect("output") > 0,
+                "no line `listening` before the end"
+            );
             line = serde_json::from_str(&text).unwrap_or(Value::Null);
         }
-        let mut daemon = Self::listening(child, logs::new_path(host), &line, host, domain);
+        let mut daemon = Self::from_start_line(child, logs::new_path(host), &line, host, domain);
         daemon.output = Some(output);
         daemon
     }
 
-    fn listening(child: Child, log: PathBuf, line: &Value, host: &str, domain: &str) -> Self {
-        let address = |field: &str| line[field].as_str().expect(field).parse().expect(field);
-        let parse = |text: &str| text.parse().expect("address");
+    /// Reads the addresses of a daemon from its log line `listening`.
+    fn from_start_line(child: Child, log: PathBuf, line: &Value, host: &str, domain: &str) -> Self {
+        let address_in = |field: &str| line[field].as_str().expect(field).parse().expect(field);
+        let parse_address = |text: &str| text.parse().expect("address");
         Self {
             host: host.to_owned(),
             domain: domain.to_owned(),
-            callers: address("callers"),
-            peers: address("peers"),
-            admin: address("admin"),
-            registration: line["registration"].as_str().map(parse),
-            ready: line["ready"].as_str().map(parse),
+            callers: address_in("callers"),
+            peers: address_in("peers"),
+            admin: address_in("admin"),
+            registration: line["registration"].as_str().map(parse_address),
+            ready: line["ready"].as_str().map(parse_address),
             child,
             log,
             output: None,
@@ -94,10 +106,11 @@
         self.log.to_str().expect("path").to_owned()
     }
 
-    pub fn id(&self) -> u32 {
+    pub fn process_id(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends a signal, such as `-TERM`, to the process.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
@@ -108,27 +121,29 @@
         let _ = self.child.wait();
     }
 
-    /// Waits for the end of the process and returns its status.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits until the process ends and returns its exit status.
+    pub fn wait_exit(&mut self) -> ExitStatus {
         let mut status = None;
         eventually("the daemon ends", || {
             status = self.child.try_wait().expect("wait");
             status.is_some()
         });
-        status.expect("ended")
+        status.expect("exit status")
     }
 
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("wait").is_none()
     }
 
+    /// Calls the admin API with the token of an operator.
     pub fn call(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
         let bearer = format!("Bearer {TOKEN}");
-        let mut all = vec![("Authorization", bearer.as_str())];
-        all.extend_from_slice(headers);
-        client::call(self.admin, method, path, &all, body)
+        let mut all_headers = vec![("Authorization", bearer.as_str())];
+        all_headers.extend_from_slice(headers);
+        client::call(self.admin, method, path, &all_headers, body)
     }
 
+    /// Reads a resource of the admin API; fails unless the status is 200.
     pub fn get(&self, path: &str) -> Value {
         let reply = self.call("GET", path, &[], "");
         assert_eq!(reply.status, 200, "{path}: {}", reply.text());
@@ -143,7 +158,7 @@
         client::try_call(self.admin, "GET", "/readyz", &[], "").is_some_and(|r| r.status == 200)
     }
 
-    /// Returns the sum of a metric over its labels.
+    /// Returns the sum, over all labels, of the metrics whose names begin with `name`.
     pub fn metric(&self, name: &str) -> f64 {
         let reply = client::call(self.admin, "GET", "/metrics", &[], "");
         let prefix = format!("basaltarch_{name}");
@@ -159,6 +174,7 @@
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
+    /// Returns how many members of the fleet this daemon reports as live.
     pub fn live_members(&self) -> usize {
         let status = self.get("/v1/status");
         let members = status["members"].as_array().expect("members");
@@ -174,7 +190,7 @@
             let tail: Vec<&str> = text.lines().rev().take(60).collect();
             eprintln!("-- log of {}, last line first\n{}", self.host, tail.join("\n"));
         }
-        logs::keep_events(&self.log);
+        logs::save_event_names(&self.log);
         let _ = fs::remove_file(&self.log);
     }
 }
@@ -183,7 +199,7 @@
     platform: SocketAddr,
     host: &str,
     domain: &str,
-    extra: &[(&str, &str)],
+    extra_flags: &[(&str, &str)],
 ) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_basaltarchd"));
     command
@@ -194,7 +210,7 @@
         .env("BASALTARCH_DRAIN_MS", "20000")
         // Logs every request, so that a failed test can be traced.
         .env("BASALTARCH_LOG_REQUESTS", "1000000");
-    for (flag, value) in extra {
+    for (flag, value) in extra_flags {
         command.arg(format!("--{flag}")).arg(value);
     }
     command
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -23,7 +23,7 @@
     pub backends: Vec<TestBackend>,
 }
 
-/// `FleetPlan` holds the daemons, backend servers and configuration of a fleet.
+/// Numbers of daemons and backend servers of a fleet, and its configuration.
 pub struct FleetPlan {
     pub daemons: usize,
     pub backends: usize,
@@ -60,7 +60,8 @@
 }
 
 impl TestFleet {
-    /// Starts a fleet and waits until every daemon knows the others and is ready.
+    /// Starts a fleet, applies its configuration, and waits until every daemon is ready, knows the
+    /// others and has the configuration in force.
     pub fn start(plan: &FleetPlan) -> Self {
         let mut fleet = Self::start_unconfigured(plan);
         fleet.backends = (0..plan.backends)
@@ -92,13 +93,14 @@
     pub fn restart_all(&mut self, flags: &[(&str, &str)]) {
         self.daemons.iter_mut().for_each(TestDaemon::kill);
         for daemon in &mut self.daemons {
-            let started =
+            let restarted =
                 TestDaemon::start(self.platform.address, &daemon.host, &daemon.domain, flags);
-            *daemon = started;
+            *daemon = restarted;
         }
         self.wait_members();
     }
 
+    /// Waits until every daemon is ready and knows all others.
     pub fn wait_members(&self) {
         for daemon in &self.daemons {
             eventually("the daemons know each other", || {
@@ -113,6 +115,7 @@
         }
     }
 
+    /// Builds the configuration of a plan for the running daemons and backend servers.
     pub fn configuration(&self, plan: &FleetPlan) -> Value {
         let mut servers = BTreeMap::new();
         for (index, backend) in self.backends.iter().enumerate() {
@@ -155,14 +158,14 @@
         headers: &[(&str, &str)],
         body: &str,
     ) -> Reply {
-        let mut all = vec![("Host", "solver.example")];
-        all.extend_from_slice(headers);
-        client::call(self.daemons[daemon].callers, method, path, &all, body)
+        let mut all_headers = vec![("Host", "solver.example")];
+        all_headers.extend_from_slice(headers);
+        client::call(self.daemons[daemon].callers, method, path, &all_headers, body)
     }
 
-    /// Returns how often a request ran on any backend server.
-    pub fn ran(&self, id: &str) -> u64 {
-        self.backends.iter().map(|backend| backend.ran(id)).sum()
+    /// Returns how often a request ran on all backend servers together.
+    pub fn run_count(&self, id: &str) -> u64 {
+        self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
 
     /// Checks that no daemon has violated a floor or panicked.
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! A TCP forwarder between two processes. Each direction can be cut separately, and connections can
-//! be silenced permanently.
+//! be black-holed permanently.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,38 +13,40 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// `Cuts` are the faults that tests switch on and off.
+/// Faults of a forwarder, which tests switch on and off.
 #[derive(Default)]
 pub struct Cuts {
     /// Nothing is forwarded from the side that connected.
     pub forward: AtomicBool,
     /// Nothing is forwarded back to the side that connected.
-    pub back: AtomicBool,
+    pub backward: AtomicBool,
     /// New connections are closed at once.
     pub refuse: AtomicBool,
-    /// Connections up to this number are silent: what is sent is read and dropped, and they stay
-    /// open.
-    silent_to: AtomicU64,
-    /// Number of connections so far.
-    opened: AtomicU64,
-    /// Hosts whose links are cut; all when empty. A daemon names its host in its first frame.
-    pub only: Mutex<Vec<String>>,
+    /// Connections up to this number are black-holed: they stay open, and all bytes sent on them
+    /// are read and dropped.
+    black_holed_to: AtomicU64,
+    /// Number of connections opened so far.
+    opened_count: AtomicU64,
+    /// Hosts whose links are cut; if empty, all links are cut. A daemon names its host in its first
+    /// frame.
+    pub only_hosts: Mutex<Vec<String>>,
 }
 
 impl Cuts {
     fn applies_to(&self, first_frame: &[u8]) -> bool {
-        let only = self.only.lock().expect("lock");
-        let names = |host: &String| first_frame.windows(host.len()).any(|w| w == host.as_bytes());
-        only.is_empty() || only.iter().any(names)
+        let only_hosts = self.only_hosts.lock().expect("lock");
+        let is_named =
+            |host: &String| first_frame.windows(host.len()).any(|w| w == host.as_bytes());
+        only_hosts.is_empty() || only_hosts.iter().any(is_named)
     }
 }
 
-/// A forwarder; connections stay open while a direction is cut, as on a network.
+/// A forwarder. Connections stay open while a direction is cut, as on a network.
 pub struct Forwarder {
     pub address: SocketAddr,
     pub cuts: Arc<Cuts>,
     target: Arc<Mutex<Option<SocketAddr>>>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    open_streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Forwarder {
@@ -54,16 +56,16 @@
             address: listener.local_addr().expect("address"),
             cuts: Arc::default(),
             target: Arc::default(),
-            open: Arc::default(),
+            open_streams: Arc::default(),
         };
         let cuts = forwarder.cuts.clone();
         let target = forwarder.target.clone();
-        let open = forwarder.open.clone();
+        let open_streams = forwarder.open_streams.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let address = *target.lock().expect("lock");
                 if let (Some(address), false) = (address, cuts.refuse.load(Ordering::SeqCst)) {
-                    forward_connection(stream, address, &cuts, &open);
+                    forward_connection(stream, address, &cuts, &open_streams);
                 }
             }
         });
@@ -74,14 +76,16 @@
         *self.target.lock().expect("lock") = Some(target);
     }
 
-    /// Silences every open connection permanently; new connections work.
-    pub fn silence(&self) {
-        self.cuts.silent_to.store(self.cuts.opened.load(Ordering::SeqCst), Ordering::SeqCst);
+    /// Black-holes every open connection permanently; new connections work.
+    pub fn black_hole(&self) {
+        self.cuts
+            .black_holed_to
+            .store(self.cuts.opened_count.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
     /// Closes every connection.
     pub fn break_all(&self) {
-        for stream in self.open.lock().expect("lock").drain(..) {
+        for stream in self.open_streams.lock().expect("lock").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
@@ -91,46 +95,47 @@
     near: TcpStream,
     address: SocketAddr,
     cuts: &Arc<Cuts>,
-    open: &Arc<Mutex<Vec<TcpStream>>>,
+    open_streams: &Arc<Mutex<Vec<TcpStream>>>,
 ) {
     let far = match TcpStream::connect(address) {
         Ok(far) => far,
         Err(_) => return,
     };
-    let mut list = open.lock().expect("lock");
-    list.push(near.try_clone().expect("clone"));
-    list.push(far.try_clone().expect("clone"));
+    let mut streams = open_streams.lock().expect("lock");
+    streams.push(near.try_clone().expect("clone"));
+    streams.push(far.try_clone().expect("clone"));
     let (near_read, far_write) =
         (near.try_clone().expect("clone"), far.try_clone().expect("clone"));
-    let number = cuts.opened.fetch_add(1, Ordering::SeqCst) + 1;
-    let is_silent = |cuts: &Arc<Cuts>| {
+    let number = cuts.opened_count.fetch_add(1, Ordering::SeqCst) + 1;
+    let is_black_holed = |cuts: &Arc<Cuts>| {
         let cuts = cuts.clone();
-        move || number <= cuts.silent_to.load(Ordering::SeqCst)
+        move || number <= cuts.black_holed_to.load(Ordering::SeqCst)
     };
-    let (silent_forward, silent_back) = (is_silent(cuts), is_silent(cuts));
+    let (black_holed_forward, black_holed_backward) = (is_black_holed(cuts), is_black_holed(cuts));
     let first_frame = Arc::<OnceLock<Vec<u8>>>::default();
     let forward = (cuts.clone(), first_frame.clone());
-    let back = (cuts.clone(), first_frame.clone());
+    let backward = (cuts.clone(), first_frame.clone());
     thread::spawn(move || {
         let (cuts, first) = &forward;
-        pump(near_read, far_write, silent_forward, |chunk| {
+        pump(near_read, far_write, black_holed_forward, |chunk| {
             let first = first.get_or_init(|| chunk.to_vec());
             cuts.forward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
     thread::spawn(move || {
-        let (cuts, first) = &back;
-        pump(far, near, silent_back, |_| {
+        let (cuts, first) = &backward;
+        pump(far, near, black_holed_backward, |_| {
             let first = first.get().map_or(&[][..], Vec::as_slice);
-            cuts.back.load(Ordering::SeqCst) && cuts.applies_to(first)
+            cuts.backward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
 }
 
+/// Forwards bytes in one direction until the connection ends.
 fn pump(
     mut from: TcpStream,
     mut to: TcpStream,
-    is_silent: impl Fn() -> bool,
+    is_black_holed: impl Fn() -> bool,
     is_cut: impl Fn(&[u8]) -> bool,
 ) {
     let mut chunk = [0; 16384];
@@ -139,17 +144,17 @@
             Ok(count) if count > 0 => count,
             _ => break,
         };
-        while is_cut(&chunk[..count]) && !is_silent() {
+        while is_cut(&chunk[..count]) && !is_black_holed() {
             thread::sleep(POLL_INTERVAL);
         }
-        if is_silent() {
+        if is_black_holed() {
             continue;
         }
         if to.write_all(&chunk[..count]).is_err() {
             break;
         }
     }
-    if is_silent() {
+    if is_black_holed() {
         return;
     }
     let _ = to.shutdown(std::net::Shutdown::Both);
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -18,12 +18,12 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A daemon in a thread. A test can have only one, as metrics are global to the process.
+/// A daemon in a thread. A test process can have only one, as metrics are global to the process.
 pub struct InlineDaemon {
     pub host: String,
     pub callers: SocketAddr,
     pub admin: SocketAddr,
-    suspends: Sender<Duration>,
+    suspend_sender: Sender<Duration>,
 }
 
 impl InlineDaemon {
@@ -37,7 +37,7 @@
             ..RawOptions::default()
         };
         let options = DaemonOptions::try_new(raw).expect("settings");
-        let (suspends, suspend_requests) = mpsc::channel();
+        let (suspend_sender, suspend_requests) = mpsc::channel();
         let (sender, receiver) = mpsc::channel();
         thread::spawn(move || {
             let on_start = |state: &Rc<DaemonState>| {
@@ -48,12 +48,12 @@
             runtime::run(running).expect("runtime").expect("daemon");
         });
         let (callers, admin) = receiver.recv().expect("daemon starts");
-        Self { host: host.to_owned(), callers, admin, suspends }
+        Self { host: host.to_owned(), callers, admin, suspend_sender }
     }
 
-    /// Simulates a suspend of the host of this length, without waiting.
+    /// Simulates a suspend of the host of this length; returns at once.
     pub fn suspend(&self, length: Duration) {
-        self.suspends.send(length).expect("the daemon runs");
+        self.suspend_sender.send(length).expect("the daemon runs");
     }
 }
 
--- a/crates/daemon/tests/common/logs.rs
+++ b/crates/daemon/tests/common/logs.rs
@@ -20,25 +20,25 @@
     std::env::temp_dir().join(format!("basaltarch-{}-{number}-{host}.log", std::process::id()))
 }
 
-/// Waits for a line with this message.
+/// Waits for a line with this message and returns its fields.
 pub fn wait_line(log: &std::path::Path, message: &str) -> Value {
-    let mut found = Value::Null;
-    eventually("a line in the log", || {
+    let mut matching_line = Value::Null;
+    eventually("the expected line is in the log", || {
         let file = File::open(log).expect("log");
         for line in BufReader::new(file).lines().map_while(Result::ok) {
             let value: Value = serde_json::from_str(&line).unwrap_or(Value::Null);
             if value["message"] == message {
-                found = value;
+                matching_line = value;
                 return true;
             }
         }
         false
     });
-    found
+    matching_line
 }
 
 /// Saves the names of the events in a log, for scripts/check-events.
-pub fn keep_events(log: &std::path::Path) {
+pub fn save_event_names(log: &std::path::Path) {
     let text = fs::read_to_string(log).unwrap_or_default();
     let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
     let names: BTreeSet<String> =
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -18,10 +18,10 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Name of a second server beside the first daemon, which does not leave.
+/// Name of a second server beside the first daemon, which stays registered.
 const STAYS: &str = "i-stays";
 
-/// Two hosts; a second server beside the first daemon does not leave.
+/// Two hosts; beside the first daemon are a server that leaves and one that stays registered.
 struct LeavingFleet {
     fleet: RegisteredFleet,
     _stays: TestBackend,
@@ -38,8 +38,8 @@
         let heartbeat = fleet.heartbeat_from(stays.address, STAYS, SERVICE, false);
         assert_eq!(fleet.call_daemon(0, &heartbeat).status, 200);
         fleet.wait_served(1, &[0, 1]);
-        eventually("the row lists both", || stored_servers(&fleet) == ["i-1", STAYS]);
-        eventually("the other daemon knows of both", || {
+        eventually("the row lists both servers", || stored_servers(&fleet) == ["i-1", STAYS]);
+        eventually("the other daemon knows of both servers", || {
             fleet.daemons[1].log_text().contains("i-1, i-stays")
         });
         Self { fleet, _stays: stays }
@@ -56,11 +56,11 @@
         let fleet = &mut self.fleet;
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
         eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
-        let before = fleet.backends[0].total();
+        let before = fleet.backends[0].total_runs();
         for number in 0..60 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("left-{number}"));
         }
-        assert_eq!(fleet.backends[0].total(), before, "nothing reaches a server that left");
+        assert_eq!(fleet.backends[0].total_runs(), before, "nothing reaches a server that left");
         assert!(!is_recovered(fleet, "i-1"));
     }
 }
@@ -78,7 +78,7 @@
     serde_json::from_slice(&rows::decode_value(row["value"].as_str()?).ok()?).ok()
 }
 
-/// Returns the names of the servers in that record that are not draining.
+/// Returns the names of the servers in the record of the first host that are not draining.
 fn stored_servers(fleet: &RegisteredFleet) -> Vec<String> {
     let record = stored_record(fleet).unwrap_or(Value::Null);
     let servers = record["servers"].as_array().cloned().unwrap_or_default();
@@ -90,8 +90,8 @@
 fn store_failures(daemon: &TestDaemon) -> u64 {
     let reply = client::try_call(daemon.admin, "GET", "/metrics", &[], "");
     let text = reply.map(|reply| reply.text()).unwrap_or_default();
-    let of_store = text.lines().filter(|line| line.starts_with("basaltarch_store_failures"));
-    of_store.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum::<f64>() as u64
+    let store_lines = text.lines().filter(|line| line.starts_with("basaltarch_store_failures"));
+    store_lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum::<f64>() as u64
 }
 
 #[test_case(|fleet| fleet.deregister(0) ; "gone")]
@@ -99,34 +99,34 @@
 fn verify_a_server_that_left_while_its_daemon_stopped_receives_nothing_after_the_restart(
     leave: fn(&RegisteredFleet) -> Reply,
 ) {
-    let mut hosts = LeavingFleet::start(&[]);
-    hosts.fleet.platform.faults(json!({"busy": true}));
-    assert_eq!(leave(&hosts.fleet).status, 200, "it is acknowledged");
-    hosts.close();
-    // Restores the store only after more refused calls than fit into a stop that does not wait for
-    // it.
-    let daemon = &mut hosts.fleet.daemons[0];
+    let mut leaving = LeavingFleet::start(&[]);
+    leaving.fleet.platform.set_faults(json!({"busy": true}));
+    assert_eq!(leave(&leaving.fleet).status, 200, "the call is acknowledged");
+    leaving.close();
+    // Restores the store only after more refused calls than there is time for in a stop that does
+    // not wait for the store.
+    let daemon = &mut leaving.fleet.daemons[0];
     let before = store_failures(daemon);
-    eventually("the daemon retries, or ends", || {
+    eventually("the daemon retries its write, or ends", || {
         store_failures(daemon) >= before + 5 || !daemon.is_running()
     });
-    hosts.fleet.platform.faults(json!({}));
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    hosts.check_left_server_unused(&[]);
+    leaving.fleet.platform.set_faults(json!({}));
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    leaving.check_left_server_unused(&[]);
 }
 
 #[test]
 fn verify_every_drain_that_a_stopping_daemon_acknowledged_is_stored() {
-    let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    let address = hosts.fleet.daemons[0].registration.expect("registration");
+    let mut leaving = LeavingFleet::start(&[("drain-ms", "3000")]);
+    let address = leaving.fleet.daemons[0].registration.expect("registration");
     // A short delay, so that a call can arrive while the previous one is being written.
-    hosts.fleet.platform.faults(json!({"delay_ms": 50}));
-    hosts.fleet.daemons[0].signal("-TERM");
+    leaving.fleet.platform.set_faults(json!({"delay_ms": 50}));
+    leaving.fleet.daemons[0].signal("-TERM");
     // One server after another drains, until the daemon no longer listens.
     let mut acknowledged = None;
     for number in 0.. {
-        let name = format!("i-word-{number}");
-        let call = hosts.fleet.heartbeat(0, &name, SERVICE, true);
+        let name = format!("i-drains-{number}");
+        let call = leaving.fleet.heartbeat(0, &name, SERVICE, true);
         let body = String::from_utf8_lossy(&call.body);
         match client::try_call(address, call.method.as_str(), &call.target, &[], &body) {
             Some(reply) if reply.status == 200 => acknowledged = Some(name),
@@ -134,8 +134,8 @@
             None => break,
         }
     }
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    let record = stored_record(&hosts.fleet).expect("a record");
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    let record = stored_record(&leaving.fleet).expect("a record");
     let last = json!(acknowledged.expect("drains were acknowledged"));
     let servers = record["servers"].as_array().expect("servers");
     assert!(servers.iter().any(|server| server["name"] == last), "{last} is not in {record}");
@@ -143,46 +143,46 @@
 
 #[test]
 fn verify_a_stop_without_pending_writes_does_not_wait_for_the_store() {
-    let mut hosts = LeavingFleet::start(&[]);
-    hosts.fleet.platform.faults(json!({"busy": true}));
-    hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    let text = hosts.fleet.daemons[0].log_text();
+    let mut leaving = LeavingFleet::start(&[]);
+    leaving.fleet.platform.set_faults(json!({"busy": true}));
+    leaving.close();
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    let text = leaving.fleet.daemons[0].log_text();
     let stopped = text.lines().find(|line| line.contains("\"stopped\"")).expect("a line");
     assert!(stopped.contains("\"idle\""), "{stopped}");
 }
 
 #[test]
 fn verify_a_server_that_left_in_an_outage_receives_nothing_after_the_restart() {
-    let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    hosts.fleet.platform.faults(json!({"down": true}));
-    assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
-    hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
+    let mut leaving = LeavingFleet::start(&[("drain-ms", "3000")]);
+    leaving.fleet.platform.set_faults(json!({"down": true}));
+    assert_eq!(leaving.fleet.deregister(0).status, 200, "the call is acknowledged");
+    leaving.close();
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
     // The store is still down: the restarted daemon learns the earlier state from the other daemon.
-    let seeds = hosts.fleet.daemons[1].peers.to_string();
-    hosts.check_left_server_unused(&[("seeds", seeds.as_str())]);
+    let seeds = leaving.fleet.daemons[1].peers.to_string();
+    leaving.check_left_server_unused(&[("seeds", seeds.as_str())]);
 }
 
 #[test]
 fn verify_a_restarted_daemon_that_reads_an_old_row_learns_from_peers_which_server_left() {
-    let mut hosts = LeavingFleet::start(&[("drain-ms", "3000")]);
-    hosts.fleet.platform.faults(json!({"down": true}));
-    assert_eq!(hosts.fleet.deregister(0).status, 200, "it is acknowledged");
-    hosts.close();
-    assert_eq!(hosts.fleet.daemons[0].ended().code(), Some(0));
-    hosts.fleet.platform.faults(json!({}));
-    let fleet = &mut hosts.fleet;
+    let mut leaving = LeavingFleet::start(&[("drain-ms", "3000")]);
+    leaving.fleet.platform.set_faults(json!({"down": true}));
+    assert_eq!(leaving.fleet.deregister(0).status, 200, "the call is acknowledged");
+    leaving.close();
+    assert_eq!(leaving.fleet.daemons[0].wait_exit().code(), Some(0));
+    leaving.fleet.platform.set_faults(json!({}));
+    let fleet = &mut leaving.fleet;
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
     eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
     let mut round = 0;
     eventually("nothing reaches the server that left", || {
         round += 1;
-        let before = fleet.backends[0].total();
+        let before = fleet.backends[0].total_runs();
         for number in 0..60 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("old-row-{round}-{number}"));
         }
-        fleet.backends[0].total() == before
+        fleet.backends[0].total_runs() == before
     });
-    eventually("the row no longer lists it", || stored_servers(fleet) == [STAYS]);
+    eventually("the row no longer lists the server that left", || stored_servers(fleet) == [STAYS]);
 }
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Non-repeatable requests are not sent over a path between two daemons that has fallen silent.
+//! Non-repeatable requests are not sent over a black-holed path between two daemons.
 //!
 //! Guards against a fault in which a request was sent to a host that never received it, so that its
 //! caller waited until the time-out while other servers were idle.
@@ -20,9 +20,9 @@
 
 /// Starts a fleet whose daemons reach each other through forwarders, with a backend server beside
 /// each.
-fn start() -> (RegisteredFleet, Vec<Forwarder>) {
+fn start_fleet() -> (RegisteredFleet, Vec<Forwarder>) {
     let mut fleet = RegisteredFleet::start(0);
-    let mut peers = Vec::new();
+    let mut forwarders = Vec::new();
     for (index, host) in HOSTS.iter().enumerate() {
         let forwarder = Forwarder::start();
         let advertised = forwarder.address.to_string();
@@ -33,28 +33,28 @@
         let fields = headers::exchange_fields();
         fleet.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
         assert_eq!(fleet.send_heartbeat_as(index, &name, SERVICE, false).status, 200);
-        peers.push(forwarder);
+        forwarders.push(forwarder);
     }
-    (fleet, peers)
+    (fleet, forwarders)
 }
 
 #[test]
-fn verify_non_repeatable_requests_are_not_sent_over_a_silent_path() {
-    let (fleet, peers) = start();
+fn verify_non_repeatable_requests_are_not_sent_over_a_black_holed_path() {
+    let (fleet, forwarders) = start_fleet();
     fleet.wait_served(0, &[0, 1, 2]);
-    eventually("requests were served there", || {
+    eventually("the second backend server has run requests", || {
         fleet.request(0, "POST", "/unsafe/x", "before").status == 200
-            && fleet.backends[1].total() > 1
+            && fleet.backends[1].total_runs() > 1
     });
-    peers[1].silence();
-    let silent_at = Instant::now();
+    forwarders[1].black_hole();
+    let black_holed_at = Instant::now();
     eventually("the load reports of the other hosts are no longer fresh", || {
-        silent_at.elapsed() > FRESH_FOR
+        black_holed_at.elapsed() > FRESH_FOR
     });
     for number in 0..40 {
         let id = format!("after-{number}");
         let reply = fleet.request(0, "POST", "/unsafe/x", &id);
         assert_eq!(reply.status, 200, "request {number}: {}", reply.text());
-        assert_eq!(fleet.ran(&id), 1);
+        assert_eq!(fleet.run_count(&id), 1);
     }
 }
--- a/crates/daemon/tests/reference.rs
+++ b/crates/daemon/tests/reference.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! docs/REFERENCE.md can't go stale: it holds what the binary and the code say.
+//! docs/REFERENCE.md is up to date: it contains the help text of the binary and the metrics, header
+//! fields, reasons and resource fields of the code.
 
 use std::fs;
 use std::process::Command;
@@ -52,11 +53,14 @@
         fields::FORWARDED_HOST,
     ];
     for header in headers {
-        assert!(reference.contains(&format!("`{header}`")), "lacks {header}");
+        assert!(
+            reference.contains(&format!("`{header}`")),
+            "docs/REFERENCE.md lacks the header field {header}"
+        );
     }
     let reasons = NOT_RUN_REASONS.iter().map(|reason| reason.name());
     for name in reasons.chain(UNKNOWN_REASONS.iter().map(|reason| reason.name())) {
-        assert!(reference.contains(name), "lacks the reason {name}");
+        assert!(reference.contains(name), "docs/REFERENCE.md lacks the reason {name}");
     }
 }
 
@@ -69,9 +73,9 @@
 #[test_case(ResourceKind::Limit, json!({"scope": "route", "target": "r", "rate": 1, "burst": 1}) ; "limits")]
 fn verify_every_field_of_a_resource_stands_in_the_reference(
     kind: ResourceKind,
-    least: serde_json::Value,
+    minimal: serde_json::Value,
 ) {
-    let value = ResourceValue::try_new(kind, "name", &least).expect("valid").to_json();
+    let value = ResourceValue::try_new(kind, "name", &minimal).expect("valid").to_json();
     let reference = reference();
     let rows = reference.lines().filter(|line| line.starts_with(&format!("| `{}` |", kind.name())));
     let documented: Vec<&str> = rows.filter_map(|line| line.split('`').nth(3)).collect();
@@ -89,7 +93,7 @@
 #[test_case(&["--host", "h", "--failure-domain", "d", "--platform", "127.0.0.1:1", "--callers", "x"], "--callers" ; "bad listen address")]
 #[test_case(&["--host", "h", "--failure-domain", "d", "--platform", "127.0.0.1:1", "--fleet-key", "0123456789abcdef", "--admin-token", "t", "--head-bytes", "1"], "512 to 32768" ; "out of range")]
 #[test_case(&[], "BASALTARCH_HOST" ; "nothing given")]
-fn verify_a_wrong_setting_ends_with_status_2_and_its_name(arguments: &[&str], part: &str) {
+fn verify_a_wrong_setting_ends_with_status_2_and_its_name(arguments: &[&str], expected_text: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_basaltarchd"))
         .args(arguments)
         .env_clear()
@@ -97,6 +101,6 @@
         .expect("runs");
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2), "{errors}");
-    assert!(errors.contains(part), "{errors}");
-    assert!(!errors.contains("short\""), "a key never stands in an error: {errors}");
+    assert!(errors.contains(expected_text), "{errors}");
+    assert!(!errors.contains("short\""), "an error must not contain a key: {errors}");
 }
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -22,17 +22,18 @@
         eventually("the daemon is ready", || fleet.is_ready(daemon));
         fleet.wait_served(daemon, &[0, 1, 2]);
     }
-    let reply = fleet.request(0, "POST", "/unsafe/pay", "told");
+    let reply = fleet.request(0, "POST", "/unsafe/pay", "exchange");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    assert_eq!(reply.header(names::REQUEST).as_deref(), Some("told"));
-    assert_eq!(fleet.ran("told"), 1);
-    let server = fleet.backends.iter().find(|backend| backend.ran("told") == 1).expect("ran");
+    assert_eq!(reply.header(names::REQUEST).as_deref(), Some("exchange"));
+    assert_eq!(fleet.run_count("exchange"), 1);
+    let server =
+        fleet.backends.iter().find(|backend| backend.run_count("exchange") == 1).expect("ran");
     let head = server.runs()["last_head"].as_str().expect("head").to_owned();
     for (name, value) in
         [(names::EXPECTED_SERVER, &*server.name), (names::CALLER_SERVICE, "solver-app")]
     {
-        let part = format!("\"{name}\": \"{value}\"");
-        assert!(head.contains(&part), "{part} is not in {head}");
+        let header_text = format!("\"{name}\": \"{value}\"");
+        assert!(head.contains(&header_text), "{header_text} is not in {head}");
     }
     let remaining_ms = head
         .split(&*format!("\"{}\": \"", names::DEADLINE))
@@ -52,39 +53,41 @@
             let address = fleet.daemons[number % 2].callers;
             thread::spawn(move || {
                 let id = format!("busy-{number}");
-                let request = headers::exchange_fields().request.expect("a name");
+                let request_field =
+                    headers::exchange_fields().request.expect("a header field for request ids");
                 let headers =
-                    [("Host", HOST), (request.as_str(), id.as_str()), ("x-work-ms", "200")];
+                    [("Host", HOST), (request_field.as_str(), id.as_str()), ("x-work-ms", "200")];
                 client::call(address, "POST", "/unsafe/x", &headers, "x").status
             })
         })
         .collect();
-    eventually("the server receives requests", || fleet.backends[0].total() > 0);
+    eventually("the server receives requests", || fleet.backends[0].total_runs() > 0);
     assert_eq!(fleet.send_heartbeat(0, true).status, 200);
     for number in 0..30 {
         let reply = fleet.request(number % 2, "GET", "/safe/x", &format!("after-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert_eq!(fleet.backends[0].ran(&format!("after-{number}")), 0);
+        assert_eq!(fleet.backends[0].run_count(&format!("after-{number}")), 0);
     }
     for caller in callers {
         let status = caller.join().expect("join");
         assert!(matches!(status, 200 | 503), "no request is interrupted: {status}");
     }
-    // The server may read requests after its drain notice that were sent before it, so the order is
-    // taken from the daemon's log.
+    // The server may read requests after it sent its drain notice although the daemon sent them
+    // earlier, so the order is taken from the daemon's log.
     let AttemptCounts { before, after } = count_attempts_around_drain(&fleet);
     assert_eq!(after, 0, "nothing was sent after the drain was acknowledged");
     let received = fleet.backends[0].runs()["received"].as_u64().expect("received");
     assert_eq!(received, before, "nothing else reached the server");
 }
 
-/// Attempts that the first daemon sent to its server before and after the server began to drain.
+/// Numbers of attempts that the first daemon sent to its server before and after the server began
+/// to drain.
 struct AttemptCounts {
     before: u64,
     after: u64,
 }
 
-/// Counts the attempts that the first daemon sent to its server before and after it began to drain.
+/// Counts these attempts in the log of the first daemon.
 fn count_attempts_around_drain(fleet: &RegisteredFleet) -> AttemptCounts {
     let (mut before, mut after, mut draining) = (0, 0, false);
     let text = fleet.daemons[0].log_text();
@@ -107,31 +110,35 @@
     let fleet = RegisteredFleet::start(1);
     assert_eq!(fleet.send_heartbeat_as(0, "i-crashed", SERVICE, false).status, 200);
     assert_eq!(fleet.send_heartbeat_as(0, "i-successor", SERVICE, false).status, 200);
-    let late = fleet.heartbeat(0, "i-crashed", SERVICE, false);
-    assert_eq!(fleet.call_daemon(0, &late).status, 200, "it is acknowledged like any other");
-    let lines = |event: &str| {
+    let late_heartbeat = fleet.heartbeat(0, "i-crashed", SERVICE, false);
+    assert_eq!(
+        fleet.call_daemon(0, &late_heartbeat).status,
+        200,
+        "a late heartbeat is acknowledged like any other"
+    );
+    let count_lines = |event: &str| {
         let text = fleet.daemons[0].log_text();
         let of_crashed = |line: &&str| line.contains(event) && line.contains("i-crashed");
         text.lines().filter(of_crashed).count()
     };
-    eventually("it is ignored", || lines("late heartbeat passed over") == 1);
-    assert_eq!(lines("backend server registered"), 1, "its successor stays registered");
-    assert_eq!(lines("backend server gone"), 1);
+    eventually("the late heartbeat is ignored", || count_lines("late heartbeat passed over") == 1);
+    assert_eq!(count_lines("backend server registered"), 1, "its successor stays registered");
+    assert_eq!(count_lines("backend server gone"), 1);
 }
 
 #[test]
 fn verify_a_deregistered_server_receives_nothing_and_a_late_heartbeat_does_not_restore_it() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    let late = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
+    let late_heartbeat = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
     assert_eq!(fleet.deregister(1).status, 200);
-    assert_eq!(fleet.call_daemon(1, &late).status, 200);
-    let before = fleet.backends[1].total();
+    assert_eq!(fleet.call_daemon(1, &late_heartbeat).status, 200);
+    let before = fleet.backends[1].total_runs();
     for number in 0..30 {
         let reply = fleet.request(number % 2, "GET", "/safe/x", &format!("gone-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    assert_eq!(fleet.backends[1].total(), before);
+    assert_eq!(fleet.backends[1].total_runs(), before);
 }
 
 #[test]
@@ -144,9 +151,9 @@
         let id = format!("moved-{number}");
         let reply = fleet.request(number % 2, "POST", "/unsafe/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
-        assert_eq!((fleet.ran(&id), fleet.backends[1].ran(&id)), (1, 0));
+        assert_eq!((fleet.run_count(&id), fleet.backends[1].run_count(&id)), (1, 0));
     }
-    // Its own heartbeat registers it again.
+    // The next heartbeat of the server that listens there registers it again.
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
 }
@@ -155,12 +162,12 @@
 fn verify_a_restarted_daemon_finds_the_server_beside_it_before_its_heartbeat() {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    let hosts = basaltarch_daemon::roster::HOSTS_TABLE;
+    let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     let rows = |fleet: &RegisteredFleet| {
-        let path = format!("{}?table={hosts}&part=", rows::READ_PATH);
+        let path = format!("{}?table={hosts_table}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
-    let own = |fleet: &RegisteredFleet| {
+    let is_server_listed = |fleet: &RegisteredFleet| {
         let page: Value = serde_json::from_str(&rows(fleet)).expect("rows");
         let row = page["rows"].as_array().expect("rows").iter().find(|row| row["key"] == "host-b");
         let value = row.and_then(|row| row["value"].as_str()).map(rows::decode_value);
@@ -168,26 +175,28 @@
             .and_then(Result::ok)
             .is_some_and(|value| String::from_utf8_lossy(&value).contains("\"i-2\""))
     };
-    eventually("the row lists the server", || own(&fleet));
+    eventually("the row lists the server", || is_server_listed(&fleet));
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
-    let before = fleet.backends[1].total();
+    let before = fleet.backends[1].total_runs();
     let mut number = 0;
     eventually("the server receives requests again", || {
         number += 1;
         fleet.request(1, "GET", "/safe/x", &format!("again-{number}"));
-        fleet.backends[1].total() > before
+        fleet.backends[1].total_runs() > before
     });
     // A server that answers the health check as unhealthy is not recovered.
-    fleet.backends[0].faults(json!({"health_status": 503}));
+    fleet.backends[0].set_faults(json!({"health_status": 503}));
     fleet.daemons[0].kill();
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
-    eventually("its health was checked", || fleet.backends[0].runs()["probes"].as_u64() > Some(0));
-    let before = fleet.backends[0].total();
+    eventually("the health of the server was checked", || {
+        fleet.backends[0].runs()["probes"].as_u64() > Some(0)
+    });
+    let before = fleet.backends[0].total_runs();
     for number in 0..20 {
         fleet.request(0, "GET", "/safe/x", &format!("ill-{number}"));
     }
-    assert_eq!(fleet.backends[0].total(), before);
+    assert_eq!(fleet.backends[0].total_runs(), before);
 }
 
 #[test_case(|call| call.body.truncate(9), 400 ; "cut short")]
@@ -203,7 +212,7 @@
     let reply = fleet.call_daemon(0, &call);
     assert_eq!(reply.status, status, "{}", reply.text());
     let reply = fleet.request(0, "GET", "/safe/x", "still");
-    assert_eq!((reply.status, fleet.backends[0].ran("still")), (200, 1));
+    assert_eq!((reply.status, fleet.backends[0].run_count("still")), (200, 1));
 }
 
 #[test]
@@ -232,13 +241,13 @@
     fleet.daemons[2].kill();
     for round in 0..5 {
         for index in [0, 1] {
-            fleet.backends[index].faults(json!({"break_at": "after-run"}));
+            fleet.backends[index].set_faults(json!({"break_at": "after-run"}));
         }
         for number in 0..8 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("breaks-{round}-{number}"));
         }
         for index in [0, 1] {
-            fleet.backends[index].faults(json!({}));
+            fleet.backends[index].set_faults(json!({}));
         }
         let reply = fleet.request(0, "POST", "/unsafe/x", &format!("last-{round}"));
         assert_eq!(reply.status, 200, "{} {:?}", reply.text(), reply.reason());
@@ -254,7 +263,7 @@
     for daemon in &mut fleet.daemons {
         daemon.kill();
     }
-    fleet.platform.faults(outage);
+    fleet.platform.set_faults(outage);
     for (index, host) in ["host-a", "host-b"].iter().enumerate() {
         fleet.daemons[index] = fleet.start_daemon(host, ["bkk-a", "bkk-b"][index], &[]);
         assert_eq!(
@@ -268,8 +277,8 @@
         let reply = fleet.request(daemon, "POST", "/unsafe/x", "dark");
         assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("no-configuration")));
     }
-    assert_eq!(fleet.ran("dark"), 0);
-    fleet.platform.faults(json!({}));
+    assert_eq!(fleet.run_count("dark"), 0);
+    fleet.platform.set_faults(json!({}));
     for daemon in 0..2 {
         eventually("the daemon is ready", || fleet.is_ready(daemon));
         fleet.wait_served(daemon, &[0, 1]);
@@ -280,16 +289,16 @@
 fn verify_servers_that_register_in_an_outage_are_used_after_it() {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    fleet.platform.faults(json!({"silent": true}));
+    fleet.platform.set_faults(json!({"silent": true}));
     fleet.daemons[1].kill();
     let seeds = fleet.daemons[0].peers.to_string();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[("seeds", seeds.as_str())]);
-    // Its configuration and its server come from the peer.
+    // The daemon gets its configuration and the registration of its server from the peer.
     eventually("the daemon is ready without the store", || fleet.is_ready(1));
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     let reply = fleet.request(1, "GET", "/safe/x", "dark");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     fleet.wait_served(0, &[0, 1]);
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
@@ -311,8 +320,8 @@
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
-    fleet.platform.faults(outage);
-    // It learns of a changed document and accepts a drain notice without the store.
+    fleet.platform.set_faults(outage);
+    // The host learns of a changed document and accepts a drain notice without the store.
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
@@ -325,12 +334,12 @@
     let reply = fleet.request(1, "POST", "/unsafe/x", "turned-away");
     assert_eq!(reply.status, 200, "{} {:?}", reply.text(), reply.reason());
     assert_eq!(
-        fleet.backends[1].ran("turned-away"),
+        fleet.backends[1].run_count("turned-away"),
         0,
         "a draining server receives no new requests"
     );
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({}));
     fleet.wait_served(0, &[0, 1, 2]);
 }
 
@@ -338,10 +347,10 @@
 fn verify_changes_made_before_the_store_lost_its_history_are_read() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    fleet.platform.faults(json!({"silent": true}));
+    fleet.platform.set_faults(json!({"silent": true}));
     fleet.write(&document(4));
-    fleet.platform.faults(json!({"silent": true, "forget_history": true}));
-    fleet.platform.faults(json!({}));
+    fleet.platform.set_faults(json!({"silent": true, "forget_history": true}));
+    fleet.platform.set_faults(json!({}));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == 4);
         eventually("the table was read again", || daemon.log_text().contains("history forgotten"));
@@ -357,16 +366,16 @@
     let closed = common::closed_address();
     let heartbeat = fleet.heartbeat_from(closed, "i-gone", SERVICE, false);
     assert_eq!(fleet.call_daemon(1, &heartbeat).status, 200);
-    eventually("the other daemon knows of it", || {
+    eventually("the other daemon knows of the server", || {
         fleet.daemons[0].log_text().contains("i-2, i-gone")
     });
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
-    eventually("the restarted daemon finds that it does not answer", || {
+    eventually("the restarted daemon finds that the server does not answer", || {
         fleet.daemons[1].log_text().contains("backend server silent")
     });
     fleet.wait_served(0, &[0, 1]);
-    eventually("the fleet knows that it is gone", || {
+    eventually("the other daemon no longer lists the server", || {
         let rows = fleet.daemons[0].get("/v1/backend-servers").to_string();
         rows.contains("i-2") && !rows.contains("i-gone")
     });
