--- a/crates/decide/src/adaptive_timeout.rs
+++ b/crates/decide/src/adaptive_timeout.rs
@@ -5,11 +5,12 @@
 //!
 //! A request that hangs holds its slot until the timeout given to the server. The workload is a
 //! service that is full while some of its servers hang: there a quarter of the slots' time went to
-//! requests that hung (88 requests held what 2,500 calls would have needed). So a full server is
-//! given the time in which nearly all requests that don't hang end, instead of all the time that
-//! the caller would wait, and its own answer ends the request then. Requests are bounded like that
-//! only where slow ones were seen to hang rather than to be answered late; this helps where load
-//! balancing sends repeatable requests to the slots that become free.
+//! requests that hung (88 hung requests held slots for as long as 2,500 calls would have needed).
+//! So a full server is given only the time in which nearly all requests that don't hang end,
+//! instead of all the time that the caller would wait. After that time, the server itself ends the
+//! request with its answer. Requests are bounded like that only where slow ones were seen to hang
+//! rather than to be answered late; this helps where load balancing sends repeatable requests to
+//! the slots that become free.
 //!
 //! A server that begins to hang has all its slots taken before any of its requests is slow. So what
 //! other servers of the service saw counts as well, where it is reported, and requests are bounded
@@ -32,7 +33,8 @@
 /// Requests that must have hung before requests are bounded: fewer may be the tail of healthy ones.
 const HUNG_MIN: f64 = 2.0;
 /// Ratio of hung to late requests from which requests are bounded. Bounding requests that would be
-/// answered cost 0.015 of worth in the mean of 20 runs of fleets whose servers fail with errors.
+/// answered cost 0.015 of the worth of the answers in the mean of 20 runs of fleets whose servers
+/// fail with errors.
 const HUNG_TO_LATE_MIN: f64 = 4.0;
 
 /// Requests that must have hung at all servers of a service before requests are bounded also where
@@ -51,8 +53,8 @@
 impl SlowRequests {
     /// Returns the counts after they decayed for `age`.
     pub fn decayed(&self, age: Duration) -> Self {
-        let left = (-age.as_secs_f64() / EVIDENCE_LIFE.as_secs_f64()).exp();
-        Self { hung: self.hung * left, late: self.late * left }
+        let remaining_share = (-age.as_secs_f64() / EVIDENCE_LIFE.as_secs_f64()).exp();
+        Self { hung: self.hung * remaining_share, late: self.late * remaining_share }
     }
 
     /// Returns the sum of both counts.
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -18,7 +18,8 @@
 /// Load, as a share of the slots, from which upstreams in other failure domains are considered too.
 const LOCAL_LOAD_MAX: f64 = 0.95;
 /// Load, as a share of the slots, up to which a request queues at an upstream that is not a suspect
-/// rather than go to a doubted one, where it may hang: two service rounds are queued there.
+/// rather than go to one whose circuit breaker is open, where it may hang. At this load two service
+/// rounds are queued.
 const WAIT_LOAD_MAX: f64 = 3.0;
 /// Share of an upstream's queue from which it counts as full for repeatable requests: the last
 /// entries are taken by others before a request that is sent now arrives.
@@ -28,8 +29,8 @@
 const REMOTE_WEIGHT: f64 = 1.1;
 /// Load that is assumed of an upstream without a recent report, as a share of its slots.
 const ASSUMED_LOAD: f64 = 0.3;
-/// Lower bound of the ratio of an upstream's service time to its siblings': errors are quicker than
-/// real answers and must not attract traffic.
+/// Lower bound of the ratio of an upstream's service time to its siblings': errors are sent sooner
+/// than real answers and must not attract traffic.
 const TIME_RATIO_MIN: f64 = 0.8;
 /// Upper bound of that ratio, so that a slow but healthy upstream still gets its share.
 const TIME_RATIO_MAX: f64 = 5.0;
@@ -38,15 +39,16 @@
 /// Factor on the cost of a suspect: it must be this many times less loaded than another to be
 /// chosen before it, so it gets only what the others have no room for.
 const SUSPECT_FACTOR: f64 = 10.0;
-/// Age up to which a report that an upstream is doubted is acted on.
+/// Age up to which a report of an open circuit breaker is acted on.
 const OPEN_BREAKER_REPORT_LIFE: Duration = Duration::from_secs(5);
 /// Age up to which a report or a late attempt makes an upstream a suspect; after that it is tried
 /// again.
 const SUSPECT_LIFE: Duration = Duration::from_millis(1500);
-/// Age from which a report's sickness says nothing about a change that all upstreams share.
+/// Age from which the anomaly score in a report says nothing about a change that all upstreams
+/// share.
 const SCORE_LIFE: Duration = Duration::from_secs(30);
-/// Age up to which a report of ejection holds: an ejected upstream that has sent none since is
-/// tried again after it.
+/// Age up to which a report of ejection holds: an ejected upstream that has sent no other report by
+/// then is tried again.
 const EJECTION_REPORT_LIFE: Duration = Duration::from_secs(90);
 
 /// One choice in this many may go to an upstream without a recent report, so that the ingress can
@@ -67,7 +69,8 @@
     pub is_local: bool,
     /// Whether its daemon can be reached.
     pub reachable: bool,
-    /// Whether the link to its daemon is up again after a cut, but no probe was answered since.
+    /// Whether the link to its daemon is up again after a cut, but no probe has been answered
+    /// since.
     pub proving: bool,
     /// Whether it is draining, whoever reported it.
     pub draining: bool,
@@ -79,7 +82,7 @@
     pub health: Option<HealthReport>,
     /// When that report arrived.
     pub reported_at: Duration,
-    /// When an attempt there last outlasted its hedging delay.
+    /// When the hedging delay of an attempt there last ran out without an answer.
     pub hedge_due_at: Option<Duration>,
 }
 
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Returns the sickness of an upstream that recently reported its ejection, 0 for others.
+    /// Returns the anomaly score of an upstream that recently reported its ejection, 0 for others.
     fn ejected_score(&self, now: Duration) -> f64 {
         let fresh = now.saturating_sub(self.reported_at) < EJECTION_REPORT_LIFE;
         let ejected = self.health.filter(|health| fresh && health.ejected);
@@ -156,24 +159,25 @@
         busy * time * distance / self.ramp(now, health)
     }
 
-    /// Says whether the upstream is a suspect: a recent report puts its sickness at the threshold
-    /// without an ejection, as an upstream must stand out for a while before it is ejected, or the
-    /// upstream is doubted, or an attempt there was late and no report has arrived since.
+    /// Says whether the upstream is a suspect. This has one of three reasons: a recent report puts
+    /// its anomaly score at the threshold without an ejection, as an upstream must stand out for a
+    /// while before it is ejected; its circuit breaker is open; or an attempt there outlasted its
+    /// hedging delay and no report has arrived since.
     ///
     /// Avoiding a suspect spares callers, and the retry budget, its failures until its daemon has
     /// decided. It takes no capacity out of service.
     fn is_suspect(&self, terms: &ChoiceTerms) -> bool {
         let ChoiceTerms { now, suspect_threshold: threshold, repeatable } = *terms;
-        let silent = self
+        let is_unresponsive = self
             .hedge_due_at
             .is_some_and(|at| at >= self.reported_at && now.saturating_sub(at) < SUSPECT_LIFE);
-        let fresh = now.saturating_sub(self.reported_at) < SUSPECT_LIFE;
-        let sick = |health: HealthReport| {
-            // Once a trial is due, a repeatable request tests whether a doubted upstream works.
-            let due = repeatable && now >= self.reported_at + health.trial_in;
-            health.sickness >= threshold || health.doubtful && !due
+        let is_recent = now.saturating_sub(self.reported_at) < SUSPECT_LIFE;
+        let looks_unhealthy = |health: HealthReport| {
+            // Once a trial is due, a repeatable request tests whether the upstream works again.
+            let is_trial_due = repeatable && now >= self.reported_at + health.trial_in;
+            health.sickness >= threshold || health.doubtful && !is_trial_due
         };
-        silent || fresh && self.health.is_some_and(sick)
+        is_unresponsive || is_recent && self.health.is_some_and(looks_unhealthy)
     }
 
     fn ramp(&self, now: Duration, health: &HealthReport) -> f64 {
@@ -186,18 +190,18 @@
 /// `ChoiceRequest` holds what the choice of an upstream needs to know about a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ChoiceRequest<'a> {
-    /// Upstreams that must not be chosen: the request was already there, or their daemons declined
-    /// it as they are doubted.
+    /// Upstreams that must not be chosen: the request was already sent there, or their daemons
+    /// declined it because their circuit breakers are open.
     pub excluded: &'a [usize],
     /// Upstreams that just declined the request as full: chosen only to queue there.
     pub full: &'a [usize],
-    /// Whether the request is repeatable, so that it may be the trial of an ejected or doubted
-    /// upstream.
+    /// Whether the request is repeatable, so that it may be the trial of an upstream that is
+    /// ejected or whose circuit breaker is open.
     pub repeatable: bool,
     /// Whether the request is sent as not refusable.
     pub must_take: bool,
-    /// Whether the upstream can't decline the request any more: one that just declined as full, and
-    /// is not doubted, is better than one of which nothing is known.
+    /// Whether the chosen upstream will not be able to decline the request. Then an upstream that
+    /// just declined it as full, and is no suspect, is better than one of which nothing is known.
     pub is_last: bool,
     /// Service rounds for which the request waits in its own failure domain rather than send its
     /// bytes to another one.
@@ -226,7 +230,8 @@
 /// `ChoiceGround` is the criterion by which an upstream was eligible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceGround {
-    /// It is ejected or doubted, and a repeatable request tests whether it works again.
+    /// It is ejected or its circuit breaker is open, and a repeatable request tests whether it
+    /// works again.
     Trial,
     /// Too few upstreams have reported recently for a comparison, and this one has not.
     Explore,
@@ -353,7 +358,8 @@
         self.upstreams.get(index).is_some_and(|view| view.is_local)
     }
 
-    /// Says whether an upstream last reported that it is ejected or doubted.
+    /// Says whether an upstream last reported that it is ejected or that its circuit breaker is
+    /// open.
     pub fn is_ejected_or_breaker_open(&self, index: usize) -> bool {
         let health = self.upstreams.get(index).and_then(|view| view.health);
         health.is_some_and(|health| health.ejected || health.doubtful)
@@ -380,8 +386,8 @@
             Some(view) => view,
             None => return,
         };
-        let before = view.health.is_some_and(|health| health.ejected);
-        self.stale |= before || health.ejected;
+        let was_ejected = view.health.is_some_and(|health| health.ejected);
+        self.stale |= was_ejected || health.ejected;
         view.load = load;
         view.health = Some(health);
         view.reported_at = now;
@@ -411,7 +417,7 @@
         }
     }
 
-    /// Records that an attempt at an upstream is late.
+    /// Records that an attempt at an upstream outlasted its hedging delay.
     pub fn note_late(&mut self, index: usize, now: Duration) {
         if let Some(view) = self.upstreams.get_mut(index) {
             view.hedge_due_at = Some(now);
@@ -425,13 +431,13 @@
         }
     }
 
-    /// Returns the median sickness of the upstreams with a recent report.
+    /// Returns the median anomaly score of the upstreams with a recent report.
     pub fn median_score(&self, now: Duration) -> f64 {
-        self.median_in(now, &mut Vec::new())
+        self.median_score_in(now, &mut Vec::new())
     }
 
-    /// Computes the median sickness with `values` as the buffer.
-    fn median_in(&self, now: Duration, values: &mut Vec<f64>) -> f64 {
+    /// Computes the median anomaly score with `values` as the buffer.
+    fn median_score_in(&self, now: Duration, values: &mut Vec<f64>) -> f64 {
         values.clear();
         let recent = |view: &&LoadView| now.saturating_sub(view.reported_at) < SCORE_LIFE;
         let reported = self.upstreams.iter().filter(recent);
@@ -524,13 +530,13 @@
 
     /// Chooses the best upstream by the first of these criteria that any upstream meets:
     ///
-    /// - it just declined as full but is not a suspect, where it can't decline any more;
+    /// - it just declined the request as full, can't decline it again, and is not a suspect;
     /// - it is in the failure domain of the ingress, not a suspect and not loaded;
     /// - it is in that domain and not a suspect, and the request queues for no more rounds than its
     ///   bytes are worth;
     /// - it is not a suspect and has a free slot;
-    /// - it is not a suspect, and the request queues there, as behind others at a healthy upstream
-    ///   it is served sooner than at one that hangs;
+    /// - it is not a suspect, and the request queues there: it is served sooner behind others at a
+    ///   healthy upstream than at one that hangs;
     /// - it is a suspect with idle slots, for a repeatable request that would be refused elsewhere;
     /// - it is in service at all;
     /// - its link is up again after a cut.
@@ -606,10 +612,10 @@
     }
 
     /// Says whether a request would find room in an upstream's queue. A refused request is lost for
-    /// certain, so a repeatable one goes to a suspect with idle slots, which serves a part of what
-    /// it gets, before it is sent where there is no room. On days of a full service whose servers
-    /// hang one after another, with attempts bounded by the adaptive timeout, this gains 0.024 of
-    /// worth in the mean of ten runs.
+    /// certain, so a repeatable one goes to a suspect with idle slots, which serves a part of its
+    /// requests, rather than to an upstream without room. On days of a full service whose servers
+    /// hang one after another, with attempts bounded by the adaptive timeout, this raises the worth
+    /// of the answers to their callers by 0.024 in the mean of ten runs.
     fn has_queue_room(&self, view: &LoadView, now: Duration) -> bool {
         let queue_rounds = f64::from(self.queue) / f64::from(view.slots.max(1));
         view.load_share(now) < 1.0 + QUEUE_SHARE_MAX * queue_rounds
@@ -620,7 +626,8 @@
         view.reachable && !view.draining && !self.plan.avoided[index]
     }
 
-    /// Draws, in a fraction of the choices, an upstream whose last report is old.
+    /// Draws, in a fraction of the choices, an upstream whose last report is old, so that its
+    /// answer brings a new one.
     fn explore(&mut self, terms: &ChoiceTerms, rng: &mut impl Rng) -> Option<usize> {
         let now = terms.now;
         self.choices = self.choices.wrapping_add(1);
@@ -634,17 +641,17 @@
         let drawn = (0..DRAWN_UPSTREAMS).map(|_| rng.random_range(0..self.upstreams.len()));
         let oldest = drawn.min_by_key(|index| self.upstreams[*index].reported_at)?;
         let view = &self.upstreams[oldest];
-        // An upstream that leaves requests unanswered is not silent for want of requests, so it is
-        // not worth exploring.
+        // The report of an upstream with an unanswered request is not old for want of requests, so
+        // the upstream is not worth exploring.
         let is_old = view.own_in_flight == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
         let ramps = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
         let fits = self.in_service(oldest) && !ramps && !view.is_suspect(terms);
         (is_old && fits).then_some(oldest)
     }
 
-    /// Finds a doubted upstream in the failure domain of the ingress whose trial is due: a healthy
-    /// one must not wait long for a request that happens to test it, or too few upstreams of a
-    /// service would get requests.
+    /// Finds an upstream in the failure domain of the ingress whose circuit breaker is open and
+    /// whose trial is due. One that works again must not wait long for a request that happens to
+    /// test it, or too few upstreams of a service would get requests.
     fn due_breaker_trial(&self, now: Duration) -> Option<usize> {
         self.oldest_report(|index, view| {
             let age = now.saturating_sub(view.reported_at);
@@ -666,22 +673,23 @@
         })
     }
 
-    /// Finds the eligible upstream whose last report is the oldest: an inconclusive trial leaves an
-    /// upstream due, and must not keep the others from their trials.
+    /// Finds the eligible upstream whose last report is the oldest: after an inconclusive trial the
+    /// next one is due at once, and must not keep other upstreams from their trials.
     fn oldest_report(&self, fits: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
         let views = self.upstreams.iter().enumerate();
         let due = views.filter(|(index, view)| fits(*index, view));
         due.min_by_key(|(_, view)| view.reported_at).map(|(index, _)| index)
     }
 
-    /// Returns the sickness from which an upstream stands out; its daemon uses the same bound.
+    /// Returns the anomaly score from which an upstream stands out; its daemon uses the same bound.
     fn suspect_threshold(&mut self, now: Duration) -> f64 {
-        let sick = |view: &LoadView| view.health.is_some_and(|health| health.sickness >= 1.0);
-        if !self.upstreams.iter().any(sick) {
+        let is_anomalous =
+            |view: &LoadView| view.health.is_some_and(|health| health.sickness >= 1.0);
+        if !self.upstreams.iter().any(is_anomalous) {
             return f64::INFINITY;
         }
         let mut values = std::mem::take(&mut self.values);
-        let median = self.median_in(now, &mut values);
+        let median = self.median_score_in(now, &mut values);
         self.values = values;
         health::score_bound(median)
     }
--- a/crates/decide/src/balance/reservations.rs
+++ b/crates/decide/src/balance/reservations.rs
@@ -35,9 +35,10 @@
     /// ingresses differ, so that waiting requests spread over the service however old the reports
     /// are.
     ///
-    /// Suspects are drawn only when no other upstream is eligible: one that fails requests at once
-    /// has a free slot again at once, and would offer more slots than the healthy ones. Their hosts
-    /// are the first to doubt most of them, and refuse the reservations.
+    /// Suspects are drawn only when no other upstream is eligible: a suspect that fails requests at
+    /// once has a free slot again at once, and would offer more slots than the healthy upstreams.
+    /// For most suspects, the circuit breaker at their own host opens first, and that host refuses
+    /// the reservations.
     pub fn draw_reservations(
         &mut self,
         now: Duration,
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -18,7 +18,7 @@
 const ASSUMED_FAILURE_RATE: f64 = 0.01;
 /// Lowest share of overdue requests that is assumed of a healthy upstream.
 const ASSUMED_OVERDUE_RATE: f64 = 0.02;
-/// Highest baseline rate that still leaves room to tell an upstream from its siblings.
+/// Highest baseline rate at which an upstream can still be distinguished from its siblings.
 const RATE_MAX: f64 = 0.6;
 /// Failure rate of an upstream that mostly fails.
 const STRONG_RATE: f64 = 0.5;
@@ -30,9 +30,9 @@
 const SHIFT_CLIP: f64 = 2.5;
 /// Shift, in deviations, that the mix of requests alone may cause; only what exceeds it counts.
 const SHIFT_SLACK: f64 = 0.25;
-/// Weight of a request that was given up before it was overdue: service times have heavier tails
-/// than the evidence assumes, and with the full weight a healthy upstream was ejected 0.12 times an
-/// hour, by the decision bench, instead of 0.04.
+/// Weight of the evidence of a request that was given up before it was overdue: service times have
+/// heavier tails than the evidence assumes, and with the full weight a healthy upstream was ejected
+/// 0.12 times an hour instead of 0.04 in simulations.
 const GIVEN_UP_WEIGHT: f64 = 0.5;
 /// Sums are capped at this many thresholds, so that the recovery of an upstream soon shows.
 const CAP_THRESHOLDS: f64 = 4.0;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Records that a request which was given up before it was overdue left this much evidence of a
+    /// Records that a request was given up before it was overdue, with this much evidence of a
     /// hang.
     pub fn note_given_up(&mut self, evidence: f64) {
         self.add(EvidenceKind::Overdue, evidence * GIVEN_UP_WEIGHT);
@@ -171,13 +171,13 @@
         *sum = (*sum + step).clamp(0.0, cap);
     }
 
-    /// Returns the largest sum in multiples of the threshold: from 1 on, the upstream is sick,
-    /// whatever the state of its siblings.
-    pub fn sickness(&self) -> f64 {
+    /// Returns the anomaly score: the largest sum in multiples of the threshold. From 1 on, the
+    /// requests alone show an anomaly, whatever the state of the siblings.
+    pub fn score(&self) -> f64 {
         self.largest().1 / self.threshold
     }
 
-    /// Returns the kind of evidence behind the sickness.
+    /// Returns the kind of evidence behind the anomaly score.
     pub fn reason(&self) -> EvidenceKind {
         EVIDENCE_KINDS[self.largest().0]
     }
@@ -198,11 +198,11 @@
     }
 }
 
-fn usual_rate(rate: f64, least: f64, baseline: &ServiceBaseline) -> f64 {
+fn usual_rate(rate: f64, lower_bound: f64, baseline: &ServiceBaseline) -> f64 {
     if baseline.is_usable() {
-        rate.clamp(least, RATE_MAX)
+        rate.clamp(lower_bound, RATE_MAX)
     } else {
-        least
+        lower_bound
     }
 }
 
@@ -216,7 +216,8 @@
     WEAK_RATE.max((usual * 3.0).min((1.0 + usual) / 2.0))
 }
 
-/// Returns the log-likelihood ratio of "sick" against "usual" for one request.
+/// Returns the log-likelihood ratio of the anomalous rate against the usual one for one request;
+/// `is_true` says whether the request failed or was overdue.
 fn log_ratio(is_true: bool, usual: f64, anomalous: f64) -> f64 {
     if is_true {
         (anomalous / usual).ln()
--- a/crates/decide/src/distance.rs
+++ b/crates/decide/src/distance.rs
@@ -5,10 +5,10 @@
 //!
 //! The workload is requests of very different size for the same servers: downloads of many
 //! kilobytes beside lookups of some hundred bytes, with a demand that moves between failure
-//! domains. The round trip is negligible compared with the service time; the bytes that cross are
-//! not, where the operator says so. So heavy requests wait in their own failure domain for as long
-//! as their bytes are worth, and light ones, which lose nothing by it, make room by going to
-//! another.
+//! domains. The round trip is negligible compared with the service time; the cost of the bytes that
+//! cross is not, where the operator puts a price on them. So heavy requests wait in their own
+//! failure domain for as long as their bytes are worth, and light ones, which lose nothing by it,
+//! make room by going to another.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 const LAST_WEIGHT: f64 = 0.1;
 /// Bytes of a megabyte, as the operator counts them.
 const MEGABYTE: f64 = 1e6;
-/// Most service rounds that the bytes of a request are worth: beyond it, callers would wait locally
-/// for what they could have at once.
+/// Most service rounds that the bytes of a request are worth: beyond it, callers would wait for a
+/// local server although another could serve them at once.
 const ROUNDS_MAX: f64 = 3.0;
 
 /// `ByteMean` is the moving average of the size of a route's requests, with their answers.
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -69,7 +69,8 @@
     }
 }
 
-/// Weight of a new sample in the slow estimate of a rate: rare events need a long memory.
+/// Weight of a new sample in the slow estimate of a rate: rare events need to be remembered for
+/// many requests.
 const RARE_WEIGHT: f64 = 0.005;
 
 /// `RateEstimate` estimates the share of requests for which a condition holds.
@@ -116,8 +117,8 @@
     /// Records a value and returns the peak.
     pub fn note(&mut self, value: f64, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        let left = self.height * (-age / PEAK_LIFE.as_secs_f64()).exp();
-        self.height = left.max(value);
+        let decayed = self.height * (-age / PEAK_LIFE.as_secs_f64()).exp();
+        self.height = decayed.max(value);
         self.at = now;
         self.height
     }
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -8,14 +8,14 @@
 use crate::estimates::SPREAD_MIN;
 use crate::hang::UsualTime;
 
-/// `RequestEvidence` is what one request tells about the upstream that served it.
+/// `RequestEvidence` is the evidence that one request gives about the upstream that served it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEvidence {
     /// A complete answer that is no server error came this long after the request was offered.
     Answered(Duration),
     /// A server error, a broken connection or an answer cut short.
     Failed,
-    /// No evidence: the caller was at fault or went away early.
+    /// No evidence: the caller was at fault or disconnected early.
     Neutral,
 }
 
@@ -31,7 +31,7 @@
     pub failure_rate: f64,
     /// Median over the upstreams of the share of overdue requests.
     pub overdue_rate: f64,
-    /// Median over the upstreams of the sickness.
+    /// Median over the upstreams of the anomaly score.
     pub sickness: f64,
     /// Number of upstreams behind the medians.
     pub upstreams: u32,
@@ -39,8 +39,8 @@
 
 /// Fewest upstreams whose median is a meaningful baseline.
 pub const BASELINE_UPSTREAMS_MIN: u32 = 3;
-/// Standard deviations above the median from which a request is overdue. A log-normal time is so
-/// late once in 740 requests; heavier tails raise the baseline's overdue rate instead.
+/// Standard deviations above the median from which a request is overdue. A log-normal service time
+/// exceeds it once in 740 requests; heavier tails raise the baseline's overdue rate instead.
 pub const OVERDUE_DEVIATIONS: f64 = 3.0;
 /// Shortest time after which a request may be overdue: below it, timers and the system's scheduler
 /// are what is measured.
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -4,9 +4,10 @@
 //! Keeps ejection from taking a service's capacity below its floor.
 //!
 //! Each ingress decides from its own view. Servers that are down, unreachable or draining already
-//! use up a part of the capacity that the floor allows to be missing; the sickest of the others are
-//! avoided only while the capacity in service stays at or above the floor. So ejection takes no
-//! view below the floor, and the ingresses need no agreement.
+//! use up a part of the capacity that the floor allows to be missing; those with the highest
+//! anomaly scores among the others are avoided only while the capacity in service stays at or above
+//! the floor. So ejection takes the capacity in no ingress's view below the floor, and the
+//! ingresses need no agreement.
 
 /// `CapacityEntry` is what the floor needs to know about one upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -15,7 +16,7 @@
     pub slots: u32,
     /// Whether it is reachable and not draining.
     pub available: bool,
-    /// Sickness in multiples of the ejection threshold.
+    /// Anomaly score in multiples of the ejection threshold.
     pub sickness: f64,
 }
 
@@ -36,7 +37,8 @@
     (floor * f64::from(configured) - 1e-9).ceil().max(0.0) as u32
 }
 
-/// Plans which upstreams to avoid: the sickest first, ties by position, while the floor holds.
+/// Plans which upstreams to avoid: the highest anomaly scores first, ties by position, while the
+/// floor holds.
 ///
 /// Entries are sorted by the names of the upstreams, so that ingresses with the same reports avoid
 /// the same upstreams.
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -13,7 +13,7 @@
 
 /// Age of the last confirmation up to which a daemon is certain. A configuration must be in force
 /// within two seconds of its acceptance; half of that leaves as much for the request itself, and
-/// bounds the cost of unknown routes to one question a second.
+/// bounds the cost of unknown routes to one query a second.
 pub const CERTAIN_FOR: Duration = Duration::from_secs(1);
 
 /// `ConfirmationSource` is who confirmed that nothing later was accepted.
@@ -21,7 +21,7 @@
 pub enum ConfirmationSource {
     /// The platform's store.
     Store,
-    /// Another daemon, by what it knew.
+    /// Another daemon, from the confirmation that it had.
     Peer,
 }
 
@@ -38,7 +38,7 @@
 /// `FreshConfirmation` confirms that nothing later than the configuration in force was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshConfirmation {
-    /// Time for which it holds.
+    /// Moment at which nothing later had been accepted.
     pub valid_at: Duration,
     /// Who confirmed it.
     pub source: ConfirmationSource,
@@ -53,8 +53,8 @@
 }
 
 impl ConfigFreshness {
-    /// Records a confirmation. It also holds for any later configuration that comes into force; one
-    /// that is older than the known confirmation changes nothing.
+    /// Records a confirmation. It also holds for any later configuration that comes into force. A
+    /// confirmation that is older than the known one changes nothing.
     pub fn note_confirmation(&mut self, confirmation: FreshConfirmation) {
         if !self.outdated
             && self.confirmation.is_none_or(|known| confirmation.valid_at > known.valid_at)
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -3,15 +3,15 @@
 
 //! Token grants of a rate limit: what its owner grants to the ingresses that ask.
 //!
-//! An ingress that asks before it admits a request makes each request wait for the answer. So while
-//! a limit is far from used up, the owner lets each ingress run ahead: a request may be admitted
-//! before it is paid for. The excess that this can admit is the number of requests ahead, however
-//! fast a caller begins to send; it stays within what the operator tolerates.
+//! An ingress that asks the owner before it admits a request makes each request wait for the
+//! answer. So while a limit is far from used up, the owner lets each ingress admit some requests
+//! ahead, before they are paid for. The excess that this can admit is the number of requests ahead,
+//! however fast a caller begins to send; it stays within what the operator tolerates.
 //!
 //! Ingresses that can't reach the owner ask its backup. Each claims the part of the limit that the
-//! owner gave it, and the backup counts all claims as one limit, so that callers that come in
+//! owner last gave it, and the backup counts all claims as one limit, so that callers that come in
 //! bursts share one burst allowance. Once the limit is nearly used up, the owner reserves the parts
-//! of the ingresses that it doesn't hear from, so that the sum stays within the limit. The workload
+//! of the ingresses that have stopped asking, so that the sum stays within the limit. The workload
 //! is many organisations that each ask at many ingresses rarely, and one that suddenly sends many
 //! times its usual rate.
 
@@ -21,25 +21,26 @@
 
 use crate::limits::{RateMeter, TokenBucket};
 
-/// Time since its last token request for which an ingress counts as one that may run ahead. What it
-/// was allowed ahead expires before.
+/// Time since its last token request for which an ingress counts as one that may admit requests
+/// ahead. Its allowance to do so, [`crate::limits::AHEAD_LIFE`], has expired by then.
 const REQUESTER_LIFE: Duration = Duration::from_secs(12);
-/// Share of the burst that must be left for an ingress to run ahead: below it, a caller that begins
-/// to send many times its usual rate is limited exactly.
+/// Share of the burst that must be available for an ingress to admit requests ahead: below it, a
+/// caller that begins to send many times its usual rate is limited exactly.
 const AHEAD_BURST_MIN: f64 = 0.5;
-/// Share of the tolerated excess that all ingresses together may run ahead by.
+/// Share of the tolerated excess that all ingresses together may admit ahead.
 const AHEAD_SHARE: f64 = 0.4;
 /// Share of the tolerated excess that an owner may grant at once after all daemons were killed:
 /// what was granted before is not known, and two such kills within one window must not exceed the
 /// limit.
 const RESTART_SHARE: f64 = 0.35;
-/// Share of the burst below which the owner reserves the parts of the silent ingresses.
+/// Share of the burst below which the owner reserves the parts of the ingresses that have stopped
+/// asking.
 const RESERVE_BELOW: f64 = 0.25;
-/// Typical intervals between two token requests after which an ingress counts as silent: it may be
-/// cut off, and goes on admitting its part.
-const SILENT_FOR: f64 = 1.25;
-/// Part of a limit that counts as demand at the least when parts are computed: where there is
-/// little demand, the first ingress to ask must not be given the whole limit as its part.
+/// Typical intervals between the token requests of an ingress after which it counts as silent: its
+/// link to the owner may be cut, while it goes on admitting its part.
+const SILENT_INTERVALS: f64 = 1.25;
+/// Lower bound, as a share of the limit, of the demand by which the parts are computed: where there
+/// is little demand, the first ingress to ask must not be given the whole limit as its part.
 const DEMAND_SHARE_MIN: f64 = 0.5;
 /// Time between two counts of the ingresses that ask.
 const COUNT_EVERY: Duration = Duration::from_millis(100);
@@ -74,7 +75,7 @@
     pub requester: &'a str,
     /// Requests that it would admit.
     pub wanted: f64,
-    /// Requests that it admitted ahead and pays for now.
+    /// Requests that it admitted ahead and pays for with this request.
     pub spent: f64,
 }
 
@@ -83,7 +84,8 @@
 pub struct TokenGrant {
     /// Requests that the ingress may admit.
     pub granted: f64,
-    /// Its part of the limit, in requests a second, for as long as it can't reach the owner.
+    /// Its part of the limit, in requests a second, which it enforces while it can't reach the
+    /// owner.
     pub share: f64,
     /// Requests that it may admit ahead of its next token request.
     pub ahead: u32,
@@ -95,12 +97,12 @@
     bucket: TokenBucket,
     burst: f64,
     requesters: FnvHashMap<Box<str>, LimitRequester>,
-    /// Rate of the requests that all of them admitted.
+    /// Rate of the requests that all ingresses admitted.
     admitted: RateMeter,
     counted_at: Option<Duration>,
-    /// Requests that all of them together may run ahead by.
+    /// Requests that all ingresses together may admit ahead.
     ahead_total: u32,
-    /// Requests a second that silent ones may admit by themselves.
+    /// Requests a second that silent ingresses may admit by themselves.
     silent_share: f64,
 }
 
@@ -110,7 +112,7 @@
     asked_at: Duration,
     /// Rate of the requests that it admitted.
     admitted: RateMeter,
-    /// Requests that it may run ahead by.
+    /// Requests that it may admit ahead.
     ahead: u32,
     /// Its part of the limit, in requests a second: as given by the owner, or as claimed from the
     /// backup.
@@ -118,10 +120,10 @@
 }
 
 impl LimitRequester {
-    /// Says whether the ingress is silent although it usually asks.
+    /// Says whether the ingress has sent no token request for longer than it usually does.
     fn is_silent(&self, now: Duration) -> bool {
         let silent = now.saturating_sub(self.asked_at).as_secs_f64();
-        silent * self.admitted.per_second(self.asked_at) > SILENT_FOR
+        silent * self.admitted.per_second(self.asked_at) > SILENT_INTERVALS
     }
 }
 
@@ -131,15 +133,15 @@
         Self::with_bucket(TokenBucket::new(rate, burst, now), burst)
     }
 
-    /// Builds the owner of a limit that may have had another owner until `since`, which granted the
-    /// whole burst: the bucket fills from then on.
+    /// Builds the owner of a limit that may have had another owner until `since`. That owner may
+    /// have granted the whole burst, so the bucket fills only from then on.
     pub fn with_predecessor(rate: f64, burst: f64, since: Duration) -> Self {
         Self::with_bucket(TokenBucket::empty(rate, burst, since), burst)
     }
 
-    /// Builds the owner of a limit after all daemons restarted at `since`, when it is not known
-    /// what was granted before: callers come back all at once then, and the tolerated excess spares
-    /// those within their usual rate a refusal.
+    /// Builds the owner of a limit after all daemons restarted at `since`. What was granted before
+    /// is not known, and all callers return at once then: the tolerated excess keeps those within
+    /// their usual rate from being refused.
     pub fn after_restart(
         rate: f64,
         burst: f64,
@@ -191,13 +193,13 @@
         requester.share = rate * requester.admitted.per_second(now)
             / self.admitted.per_second(now).max(rate * DEMAND_SHARE_MIN);
         let share = requester.share;
-        let ahead = if has_headroom { self.ahead(ahead_most) } else { 0 };
+        let ahead = if has_headroom { self.ahead_allowance(ahead_most) } else { 0 };
         self.note_ahead(request.requester, ahead);
         TokenGrant { granted, share, ahead }
     }
 
-    /// Recounts the ingresses that ask, and drops those that have not asked for long. Not at each
-    /// token request: a limit of a large fleet has thousands of such ingresses.
+    /// Recounts the ingresses that ask, and drops those that have not asked for long. It does not
+    /// do so at each token request: a limit of a large fleet has thousands of such ingresses.
     fn recount_requesters(&mut self, now: Duration) {
         if self.counted_at.is_some_and(|at| now.saturating_sub(at) < COUNT_EVERY) {
             return;
@@ -210,8 +212,8 @@
         self.silent_share = silent.map(|requester| requester.share).sum();
     }
 
-    /// Returns how many requests one more ingress may run ahead by, of `most` over the fleet.
-    fn ahead(&self, most: f64) -> u32 {
+    /// Returns how many requests one more ingress may admit ahead, of `most` over the fleet.
+    fn ahead_allowance(&self, most: f64) -> u32 {
         let fair = (most / self.requesters.len() as f64).ceil();
         (most - f64::from(self.ahead_total)).min(fair).max(0.0) as u32
     }
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -3,12 +3,13 @@
 
 //! Detection of an upstream that accepts requests and does not answer.
 //!
-//! A request that hangs ends in no event; the only evidence is that it still runs, and it grows
-//! with the age of the request. Each running request adds the log-likelihood ratio of "half of the
-//! requests hang" against "all requests end in their typical service time" at its age, and each
-//! answer adds the ratio of an answer, which is negative. Several requests that are each only a
-//! little late add up, so that a hang of an upstream with a few requests a second is detected
-//! within a typical service time or two, before any one request is late enough by itself.
+//! A request that hangs ends in no event; the only evidence is that it still runs, and this
+//! evidence grows with the age of the request. Each running request adds the log-likelihood ratio
+//! of "half of the requests hang" against "all requests end in their typical service time" at its
+//! age, and each answer adds the ratio of an answer, which is negative. The evidence of several
+//! requests that are each only a little late adds up, so that a hang of an upstream with a few
+//! requests a second is detected within a typical service time or two, before any one request is
+//! late enough by itself.
 
 use std::time::Duration;
 
@@ -22,14 +23,14 @@
 /// have heavier tails than the log-normal: limits the evidence of one request to ln(0.5 / 0.01) =
 /// 3.9.
 const TAIL_SHARE: f64 = 0.01;
-/// Evidence from which an upstream is doubted.
+/// Evidence from which an upstream counts as hanging, which opens its circuit breaker.
 const HANG_THRESHOLD: f64 = 2.0;
 /// Average evidence of a healthy running request and a little more, which is subtracted: without
-/// it, a healthy upstream with four requests at a time was doubted for a quarter of the time
-/// (`decide/tests/hang.rs`).
+/// this, a healthy upstream with four requests at a time counted as hanging for a quarter of the
+/// time.
 const RUNNING_EVIDENCE_MEAN: f64 = 0.6;
 /// Lower bound of the evidence of ended requests: servers begin to hang within seconds, so a long
-/// history of answers must not delay the doubt.
+/// history of answers must not delay the detection.
 const EVIDENCE_MIN: f64 = -1.0;
 /// Upper bound of the evidence of ended requests.
 const EVIDENCE_MAX: f64 = 4.0;
@@ -117,14 +118,14 @@
     running: Vec<RunningRequest>,
     ended_evidence: f64,
     ended_at: Duration,
-    next: u64,
+    last_number: u64,
 }
 
 impl HangDetector {
     /// Records that a request started; returns its number.
     pub fn start(&mut self, usual: UsualTime, now: Duration) -> u64 {
-        self.next += 1;
-        let number = self.next;
+        self.last_number += 1;
+        let number = self.last_number;
         self.running.push(RunningRequest { number, usual, started: now });
         number
     }
@@ -145,7 +146,7 @@
         change
     }
 
-    /// Returns what is left of the evidence of ended requests.
+    /// Returns the evidence of ended requests, decayed until `now`.
     fn decayed_evidence(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.ended_at).as_secs_f64();
         self.ended_evidence * (-age / EVIDENCE_LIFE.as_secs_f64()).exp()
@@ -158,8 +159,8 @@
         self.decayed_evidence(now) + running
     }
 
-    /// Says whether the upstream should be doubted.
-    pub fn is_doubtful(&self, now: Duration) -> bool {
+    /// Says whether the upstream counts as hanging.
+    pub fn is_hanging(&self, now: Duration) -> bool {
         self.evidence(now) >= HANG_THRESHOLD
     }
 
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -17,7 +17,7 @@
 use crate::recovery::{RecoveryPlan, TrialVerdict, RAMP};
 
 /// Threshold for `detection`: a healthy upstream is ejected at most once in e^9 (8,000) requests of
-/// the worst case that the bound covers; measured rates are far lower (docs/MEASUREMENTS.md).
+/// the worst case that the bound covers; measured rates are far lower.
 pub const THRESHOLD_DETECTION: f64 = 9.0;
 /// Threshold for `precision`: at most once in e^14 (1.2 million) requests.
 pub const THRESHOLD_PRECISION: f64 = 14.0;
@@ -27,19 +27,19 @@
 const CONFIRM_PRECISION: Duration = Duration::from_millis(800);
 /// Factor on the overdue time of a request at a cold upstream: 2.5 overdue times are 11 times the
 /// typical service time at the decision bench's spread, whose slowest cold start is 6 times as
-/// slow; an ingress gives up an attempt after 3.
+/// slow; an ingress gives up an attempt after 3 overdue times.
 const COLD_OVERDUE_FACTOR: f64 = 2.5;
 /// Routes of one upstream whose service times are estimated separately; later ones share one
 /// estimate.
 const ROUTES_MAX: usize = 64;
 /// Key of the estimate that the routes beyond [`ROUTES_MAX`] share.
 const OTHER_ROUTES: &str = "";
-/// Answers of a route from which its typical service time is known without siblings.
+/// Answers of a route from which its typical service time counts as known without siblings.
 const USUAL_SAMPLES_MIN: u32 = 8;
 /// Answers that the report of one sibling counts as, at the least.
 const SIBLING_ANSWERS: u32 = 4;
-/// Multiple of its siblings' median sickness that is added to the bound of an upstream's sickness:
-/// what all have in common is not the fault of one server.
+/// Multiple of the siblings' median anomaly score that is added to the bound of an upstream's own
+/// score: what all have in common is not the fault of one server.
 const SIBLING_WEIGHT: f64 = 3.0;
 
 /// Returns the ejection threshold of a preference.
@@ -50,16 +50,17 @@
     }
 }
 
-/// Returns the sickness from which an upstream stands out from siblings with this median sickness.
+/// Returns the anomaly score from which an upstream stands out from siblings with this median
+/// score.
 pub fn score_bound(siblings: f64) -> f64 {
     1.0 + SIBLING_WEIGHT * siblings
 }
 
 /// Returns the time for which an upstream must stand out before it is ejected.
 ///
-/// Within it, the answers of the siblings arrive that tell a shared change from the fault of one
-/// server: it covers the typical service time, and the trip to the ingress and back with the next
-/// dispatch.
+/// Within it, the answers of the siblings arrive that distinguish a shared change from the fault of
+/// one server: it covers the typical service time, and the trip to the ingress and back with the
+/// next dispatch.
 fn confirm_time(prefer: EjectionPreference) -> Duration {
     match prefer {
         EjectionPreference::Detection => CONFIRM_DETECTION,
@@ -82,7 +83,7 @@
     Admit,
     /// The dispatch is accepted as a trial of an ejected upstream.
     Trial,
-    /// The upstream is ejected or doubted, and another can serve the request.
+    /// The upstream is ejected or its circuit breaker is open, and another can serve the request.
     Refuse,
 }
 
@@ -95,8 +96,8 @@
     pub refusable: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the ingress can try another upstream if this one is doubted. This takes no capacity
-    /// out of service: the last upstream that is tried accepts the request.
+    /// Whether the ingress can try another upstream if the circuit breaker of this one is open.
+    /// This takes no capacity out of service: the last upstream that is tried accepts the request.
     pub passable: bool,
     /// What the ingress knows of the siblings.
     pub baseline: ServiceBaseline,
@@ -105,7 +106,7 @@
 /// `HealthReport` is what an upstream's daemon reports about its health.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthReport {
-    /// Sickness: the anomaly score in multiples of the ejection threshold.
+    /// Anomaly score in multiples of the ejection threshold.
     pub sickness: f64,
     /// Whether the upstream is ejected: it gets no requests unless the floor needs it.
     pub ejected: bool,
@@ -121,9 +122,11 @@
     pub samples: u32,
     /// Share of its full load that the upstream should get.
     pub ramp: f64,
-    /// Time until a trial may start; zero when the upstream serves.
+    /// Time until a trial may start; zero when the upstream is in service and its circuit breaker
+    /// is closed.
     pub trial_in: Duration,
-    /// Whether non-repeatable requests should go elsewhere until repeatable ones succeed.
+    /// Whether the circuit breaker is open: non-repeatable requests should go elsewhere until
+    /// repeatable ones succeed.
     pub doubtful: bool,
 }
 
@@ -134,9 +137,9 @@
     Ejected {
         /// Evidence that led to the ejection.
         reason: EvidenceKind,
-        /// Sickness at that moment.
+        /// Anomaly score at that moment.
         sickness: f64,
-        /// Time since the first evidence of this sickness.
+        /// Time since the first evidence of this anomaly.
         after: Duration,
     },
     /// The upstream is in service again.
@@ -144,11 +147,11 @@
         /// How long it was ejected.
         out: Duration,
     },
-    /// The upstream is doubted after a failure or a hang.
+    /// The circuit breaker opened after a failure or a hang.
     BreakerOpened,
-    /// The upstream is no longer doubted.
+    /// The circuit breaker closed.
     BreakerClosed {
-        /// How long it was doubted.
+        /// How long it was open.
         after: Duration,
     },
 }
@@ -207,8 +210,8 @@
         self.detector.set_threshold(threshold);
     }
 
-    /// Records that the backend server restarted: its load rises slowly, and slow answers meanwhile
-    /// are not evidence against it.
+    /// Records that the backend server restarted: its load rises slowly, and until it has risen,
+    /// slow answers are not evidence against the server.
     pub fn note_restart(&mut self, now: Duration) {
         self.recovery.ramp_from(now);
         self.cold_until = now + RAMP;
@@ -220,14 +223,14 @@
         self.confirm = confirm_time(prefer);
     }
 
-    /// Says whether the upstream is doubted.
-    pub fn is_doubtful(&self) -> bool {
-        self.breaker.is_doubtful()
+    /// Says whether the circuit breaker is open.
+    pub fn is_breaker_open(&self) -> bool {
+        self.breaker.is_open()
     }
 
-    /// Says whether the upstream is ejected or doubted.
+    /// Says whether the upstream is ejected or its circuit breaker is open.
     pub fn is_ejected_or_breaker_open(&self) -> bool {
-        self.is_doubtful() || self.recovery.is_ejected()
+        self.is_breaker_open() || self.recovery.is_ejected()
     }
 
     /// Says whether the upstream accepts a dispatch.
@@ -289,7 +292,7 @@
     }
 
     /// Returns the time after which a request of a route is overdue, if there is a usable baseline.
-    /// A cold upstream is given longer.
+    /// A cold upstream is given a longer time.
     pub fn overdue_after(&self, route: &str, now: Duration) -> Option<Duration> {
         let baseline = self.baseline(route);
         let factor = if now < self.cold_until { COLD_OVERDUE_FACTOR } else { 1.0 };
@@ -396,8 +399,8 @@
         }
     }
 
-    /// Returns the typical service time of a route: that of the siblings, else the one observed
-    /// here, else one assumed from the objective.
+    /// Returns the typical service time of a route: that of the siblings, if it is known, else the
+    /// one observed here, else one assumed from the objective.
     pub fn usual_time(&self, route: &str, objective: Option<Duration>) -> Option<UsualTime> {
         let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
         let stats = stats.copied().unwrap_or_default();
@@ -442,11 +445,11 @@
         if let Some(change) = self.judge(now) {
             return Some(change);
         }
-        if !self.breaker.is_doubtful() {
+        if !self.breaker.is_open() {
             return self.check_running(now);
         }
         if end == WatchEnd::Progressed {
-            // The slow requests that caused the doubt were answered.
+            // The slow requests that opened the breaker were answered.
             let after = self.hang.is_over(now).then(|| self.breaker.retract(now)).flatten()?;
             return Some(HealthChange::BreakerClosed { after });
         }
@@ -463,9 +466,9 @@
         self.hang.forget();
     }
 
-    /// Checks the running requests: an upstream whose requests run too long is doubted.
+    /// Checks the running requests: if they take too long, the circuit breaker opens.
     pub fn check_running(&mut self, now: Duration) -> Option<HealthChange> {
-        if self.breaker.is_doubtful() || now < self.cold_until || !self.hang.is_doubtful(now) {
+        if self.breaker.is_open() || now < self.cold_until || !self.hang.is_hanging(now) {
             return None;
         }
         let opened = self.breaker.note_hang(now);
@@ -479,7 +482,7 @@
     }
 
     fn judge(&mut self, now: Duration) -> Option<HealthChange> {
-        let sickness = self.detector.sickness();
+        let sickness = self.detector.score();
         if sickness <= 0.0 {
             self.rising_since = None;
         } else if self.rising_since.is_none() {
@@ -521,7 +524,7 @@
     /// Returns the evidence that led to the ejection, or the strongest evidence against the
     /// upstream so far.
     pub fn reason(&self) -> Option<EvidenceKind> {
-        let rising = self.detector.sickness() > 0.0;
+        let rising = self.detector.score() > 0.0;
         self.reason.or_else(|| rising.then(|| self.detector.reason()))
     }
 
@@ -529,7 +532,7 @@
     pub fn report(&self, route: &str, now: Duration) -> HealthReport {
         let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
         let stats = stats.copied().unwrap_or_default();
-        let sickness = self.detector.sickness();
+        let sickness = self.detector.score();
         HealthReport {
             sickness,
             ejected: self.is_ejected(),
@@ -540,7 +543,7 @@
             samples: stats.latency.samples(),
             ramp: self.recovery.ramp(now),
             trial_in: self.recovery.trial_in(now).unwrap_or(self.breaker.trial_in(now)),
-            doubtful: self.breaker.is_doubtful(),
+            doubtful: self.breaker.is_open(),
         }
     }
 }
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -16,11 +16,11 @@
 /// Time for which borrowed tokens are valid; what is not used by then expires, so that it can't be
 /// hoarded.
 pub const GRANT_LIFE: Duration = Duration::from_millis(1000);
-/// Time for which an ingress may use what it was allowed ahead: callers that ask every few seconds
-/// don't wait.
+/// Time for which an ingress may use its allowance to admit requests ahead of payment: callers that
+/// ask every few seconds don't wait.
 pub const AHEAD_LIFE: Duration = Duration::from_secs(10);
-/// Time constant over which the rate of requests is measured: callers that ask every few seconds
-/// have one.
+/// Time constant over which the rate of requests is measured: long enough for callers that ask
+/// every few seconds to have a rate.
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(8);
 /// Burst at an ingress that reaches neither the owner nor its backup.
 const STANDALONE_BURST: f64 = 2.0;
@@ -35,7 +35,8 @@
     hosts.max_by_key(|host| (weight(limit, host), *host))
 }
 
-/// Finds the backup of a limit's owner, which counts for ingresses that can't reach the owner.
+/// Finds the backup of a limit's owner, which counts the requests of ingresses that can't reach the
+/// owner.
 pub fn backup_of<'a>(
     limit: &str,
     owner: &str,
@@ -119,7 +120,7 @@
         self.tokens = (self.tokens + tokens).min(self.burst);
     }
 
-    /// Returns the tokens that are left.
+    /// Returns the tokens that can be taken; negative while tokens are owed.
     pub fn available(&mut self, now: Duration) -> f64 {
         self.fill(now);
         self.tokens
@@ -162,11 +163,11 @@
 pub enum LimitVerdict {
     /// It is within the limit.
     Pass,
-    /// It is admitted ahead; the owner is paid in the meantime.
+    /// It is admitted ahead of payment; the owner is paid in the meantime.
     PassAhead,
     /// It is beyond the limit; the caller may retry after this time.
     Refuse(Duration),
-    /// No borrowed tokens are left; the owner must be asked for this many first.
+    /// No borrowed token is available; the owner must be asked for this many first.
     Ask(f64),
 }
 
@@ -179,7 +180,7 @@
     pub burst: f64,
     /// Daemons among which the limit is shared.
     pub daemons: usize,
-    /// When the ingress's part of the burst was used up; `None` if all of it was left.
+    /// When the ingress's part of the burst was used up; `None` if none of it was used.
     pub since: Option<Duration>,
 }
 
@@ -197,7 +198,7 @@
     ahead: u32,
     ahead_until: Duration,
     spent: f64,
-    /// Requests a second that this ingress keeps to since the owner can't be reached.
+    /// Requests a second that this ingress admits at the most while the owner can't be reached.
     claim: Option<f64>,
     standalone: Option<TokenBucket>,
 }
@@ -266,8 +267,8 @@
             self.refused_until = now + wait;
             return;
         }
-        let kept = if now <= self.valid_until { self.borrowed } else { 0.0 };
-        self.borrowed = kept + granted;
+        let still_valid = if now <= self.valid_until { self.borrowed } else { 0.0 };
+        self.borrowed = still_valid + granted;
         self.valid_until = now + GRANT_LIFE;
     }
 
@@ -276,7 +277,7 @@
         std::mem::take(&mut self.spent)
     }
 
-    /// Records that the owner may not have been paid.
+    /// Records that the payment may not have reached the owner: the next token request includes it.
     pub fn note_unpaid(&mut self, spent: f64) {
         self.spent += spent;
     }
@@ -295,16 +296,16 @@
     /// counts towards no limit.
     pub fn give_back(&mut self, now: Duration) {
         if self.standalone.is_none() {
-            let kept = if now <= self.valid_until { self.borrowed } else { 0.0 };
-            self.borrowed = kept + 1.0;
+            let still_valid = if now <= self.valid_until { self.borrowed } else { 0.0 };
+            self.borrowed = still_valid + 1.0;
             self.valid_until = now + GRANT_LIFE;
         }
     }
 
     /// Records that the owner can't be reached, and returns the requests a second that are admitted
     /// here until it can: the part that the owner gave, or an equal one if it gave none. The parts
-    /// follow the demand of the callers, so that these are still served, and their sum is the
-    /// limit.
+    /// follow the demand of the callers, so that the callers are still served, and the sum of the
+    /// parts is the limit.
     pub fn note_owner_lost(&mut self, rate: f64, daemons: usize) -> f64 {
         let equal = rate / daemons.max(1) as f64;
         let given = if self.share > 0.0 { self.share } else { equal };
--- a/crates/decide/src/neighbours.rs
+++ b/crates/decide/src/neighbours.rs
@@ -4,10 +4,10 @@
 //! Chooses the neighbours of a daemon in the gossip overlay: those that it sends updates to first.
 //!
 //! The workload is a change that must reach every daemon within a second while some links are
-//! silent. A random graph alone leaves one daemon in fifty that no other has chosen. So half of the
-//! neighbours are the next ones on a ring, which gives every daemon two that send to it, and half
-//! are drawn at random, which keeps the paths across the fleet short and lets no partition of the
-//! graph last.
+//! black-holed. A random graph alone leaves one daemon in fifty that no other has chosen. So half
+//! of the neighbours are the next ones on a ring, which gives every daemon two that send to it, and
+//! half are drawn at random, which keeps the paths across the fleet short and lets no partition of
+//! the graph last.
 
 use crate::limits;
 
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -41,7 +41,7 @@
 pub struct QueuedRequest {
     /// Class of the request.
     pub class: WorkClass,
-    /// Whether it is a nested call of a running request, which fails with it.
+    /// Whether it is a nested call of a running request, which fails if the call fails.
     pub is_call: bool,
     /// Time by which the request must be answered.
     pub deadline: Duration,
@@ -49,8 +49,8 @@
     pub objective: Option<Duration>,
     /// Typical service time of such a request, if known.
     pub usual: Option<Duration>,
-    /// Time in which most such requests end, if known: a request that starts with less time than
-    /// this left until its objective misses it as often as not.
+    /// Time in which most such requests complete, if known: a request that starts with less time
+    /// than this until its objective misses the objective as often as it meets it.
     pub needed_time: Option<Duration>,
 }
 
@@ -75,16 +75,17 @@
 }
 
 /// Returns the position of the request that gets a slot now, among requests in the order of their
-/// arrival. `grant_count` counts the slots that were given to requests that had waited.
+/// arrival. `grant_count` is the number of slots that were given so far to requests that had
+/// waited.
 pub fn first(
     waiting: impl Iterator<Item = QueuedRequest>,
     grant_count: u32,
     now: Duration,
 ) -> Option<usize> {
-    let goes_by_age = grant_count % LONGEST_EVERY == LONGEST_EVERY - 1;
+    let is_oldest_first = grant_count % LONGEST_EVERY == LONGEST_EVERY - 1;
     let ranks = waiting.enumerate().map(|(index, request)| {
         let in_time = request.meets_objective(now);
-        let urgency = if goes_by_age { None } else { Some(request.urgency()) };
+        let urgency = if is_oldest_first { None } else { Some(request.urgency()) };
         // A nested call that misses its objective blocks its parent's slot no less than one that
         // meets it.
         let is_first = urgency.is_some_and(|(is_call, _)| is_call);
@@ -93,14 +94,15 @@
     ranks.max().map(|(_, index)| index)
 }
 
-/// Says whether a request that will miss its objective may wait for one of `slots` slots: not
-/// behind a whole round of requests that meet theirs, since more arrive before it is served. It is
-/// refused while its caller still has time to try elsewhere.
+/// Says whether a request that will miss its objective may wait for one of `slots` slots; `in_time`
+/// is the number of waiting requests that meet theirs. Behind a whole round of those it may not
+/// wait, since more arrive before it is served. It is refused while its caller still has time to
+/// try elsewhere.
 pub fn accepts_late(in_time: f64, slots: u32) -> bool {
     in_time < f64::from(slots)
 }
 
-/// Estimates when a request would start that is next after `before` others at `slots` slots.
+/// Estimates when a request would start that waits behind `before` others for `slots` slots.
 pub fn start_after(before: f64, slots: u32, usual: Duration, now: Duration) -> Duration {
     now + usual.mul_f64((before + 1.0) / f64::from(slots.max(1)))
 }
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -44,7 +44,7 @@
     answers_needed: u32,
     up_since: Duration,
     was_cut: bool,
-    /// Whether an attempt over the path was late and no frame arrived since.
+    /// Whether an attempt over the path outlasted its hedging delay and no frame arrived since.
     was_late: bool,
     /// Longest of the recent round trips, if one was measured.
     round_trip: Option<Duration>,
@@ -77,8 +77,8 @@
         wanted && self.is_cut(now)
     }
 
-    /// Records that an attempt over the path was late. Such an attempt may be over long before a
-    /// probe would be sent, as its hedge was answered.
+    /// Records that an attempt over the path outlasted its hedging delay. The attempt may be over
+    /// long before a probe would be sent, as its hedge was answered.
     pub fn note_late(&mut self) {
         self.was_late = true;
     }
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -6,7 +6,8 @@
 //! A failure that follows a request from one upstream to another is evidence against the request.
 //! The ingress that saw it marks later dispatches of the same request, so that their failures are
 //! not evidence against upstreams, also where no retry can show it: the budget is used up or the
-//! request is not repeatable. Failures that counted before it knew are withdrawn.
+//! request is not repeatable. Failures that counted before the request was known to be poison are
+//! withdrawn.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -20,7 +21,7 @@
 /// second one is also what withdraws the first failure of a retried request.
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
 /// Distinct upstreams at which a request must have failed before a retry only wastes the retry
-/// budget: two that are sick at once are seen in practice, a third makes the request the likelier
+/// budget: two that fail at once are seen in practice, a third makes the request the likelier
 /// cause.
 const NO_RETRY_UPSTREAMS: usize = 3;
 /// Time after its last failure for which a request is remembered; a caller that repeats a poison
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -7,8 +7,8 @@
 //! What an ingress knows of an upstream is as old as its last answer from there. The workload is
 //! requests of tenths of a second at many upstreams of few slots, each of which an ingress uses
 //! less than once a second: there most of what is known is out of date, and requests that are sent
-//! on its basis are declined, or go over a path that has fallen silent. A probe costs a round trip
-//! and two small frames for each upstream.
+//! on its basis are declined, or go over a path that has become black-holed. A probe costs a round
+//! trip and two small frames for each upstream.
 
 use std::time::Duration;
 
@@ -39,20 +39,20 @@
 /// request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProbeYield {
-    found: f64,
+    found_share: f64,
     skipped: u32,
 }
 
 impl Default for ProbeYield {
     fn default() -> Self {
-        Self { found: 1.0, skipped: 0 }
+        Self { found_share: 1.0, skipped: 0 }
     }
 }
 
 impl ProbeYield {
     /// Says whether the next request probes.
     pub fn should_probe(&mut self) -> bool {
-        if self.found >= FOUND_SHARE_MIN {
+        if self.found_share >= FOUND_SHARE_MIN {
             return true;
         }
         self.skipped = (self.skipped + 1) % PROBE_EVERY;
@@ -62,7 +62,7 @@
     /// Records whether a probe found an upstream that would accept the request.
     pub fn note(&mut self, found: bool) {
         let last = if found { 1.0 } else { 0.0 };
-        self.found += (last - self.found) * FOUND_WEIGHT;
+        self.found_share += (last - self.found_share) * FOUND_WEIGHT;
     }
 }
 
@@ -75,7 +75,7 @@
     pub queued: u32,
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether its daemon doubts it.
+    /// Whether its circuit breaker is open.
     pub doubtful: bool,
     /// Whether it is draining.
     pub draining: bool,
--- a/crates/decide/src/progress.rs
+++ b/crates/decide/src/progress.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 /// Typical intervals between the ends of two requests after which a server with running requests
-/// counts as unproven: of healthy servers, one in seven is as quiet.
-const QUIET_INTERVALS: f64 = 2.0;
+/// counts as unproven: one healthy server in seven goes for as long without ending a request.
+const UNPROVEN_INTERVALS: f64 = 2.0;
 
 /// `ProgressTerms` is what is known about the progress of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,6 +33,6 @@
         let (Some(usual), true) = (self.usual, self.running > 0) else { return false };
         let interval = usual.as_secs_f64() / f64::from(self.running);
         self.since_success
-            .is_none_or(|since_success| since_success.as_secs_f64() > QUIET_INTERVALS * interval)
+            .is_none_or(|since_success| since_success.as_secs_f64() > UNPROVEN_INTERVALS * interval)
     }
 }
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -18,7 +18,8 @@
 pub const RAMP_START: f64 = 0.1;
 /// Hold-offs without a repeatable request after which any request may be a trial.
 const ANY_REQUEST_HOLD_OFFS: u32 = 4;
-/// Time in service, in hold-offs, after which a previous ejection no longer lengthens the next.
+/// Time in service, as a multiple of the hold-off, after which a previous ejection no longer
+/// lengthens the next.
 const FORGET_HOLD_OFFS: u32 = 10;
 
 /// `RecoveryState` says whether an upstream is in service or ejected.
@@ -42,8 +43,8 @@
     },
 }
 
-/// `RecoveryPlan` schedules the return of an upstream to service, later each time it is ejected
-/// again.
+/// `RecoveryPlan` schedules the return of an upstream to service. Each time the upstream is ejected
+/// again, it returns later.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecoveryPlan {
     state: RecoveryState,
@@ -89,8 +90,8 @@
     /// Ejects the upstream.
     pub fn eject(&mut self, now: Duration) {
         if let RecoveryState::Serving { since } = self.state {
-            let healthy = now.saturating_sub(since);
-            let forgotten = healthy > self.hold_off * FORGET_HOLD_OFFS;
+            let in_service_for = now.saturating_sub(since);
+            let forgotten = in_service_for > self.hold_off * FORGET_HOLD_OFFS;
             if self.ejections > 0 && !forgotten {
                 self.hold_off = (self.hold_off * 2).min(HOLD_OFF_MAX);
             } else {
@@ -176,8 +177,8 @@
 pub enum TrialVerdict {
     /// The upstream answered within its typical service time.
     Passed,
-    /// It failed or was much too slow.
+    /// The upstream failed the request or was much too slow.
     Failed,
-    /// The trial was inconclusive.
+    /// The end of the request says nothing about the upstream.
     Inconclusive,
 }
--- a/crates/decide/src/server_incarnation.rs
+++ b/crates/decide/src/server_incarnation.rs
@@ -19,7 +19,7 @@
 /// seconds only.
 const TAKEOVER_TIME: Duration = Duration::from_secs(2);
 
-/// `IncarnationClaim` is what a heartbeat tells about the incarnation that sent it.
+/// `IncarnationClaim` is what a heartbeat says about the incarnation that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IncarnationClaim {
     /// Unix time of the start in milliseconds, if it is reported.
--- a/crates/decide/src/stop.rs
+++ b/crates/decide/src/stop.rs
@@ -4,11 +4,11 @@
 //! The phases of a graceful shutdown: what is still accepted, and when the process may end.
 //!
 //! The workload is callers who go on sending for as long as the daemon runs. They learn late that
-//! it leaves, and where most of a failure domain stops at once, they are directed nowhere else: one
-//! in 15 of the requests that stopping daemons accepted came later than half of the drain time (66
-//! of 959, logs of 62 stops in series). So a stop first closes, after which nothing more is
-//! accepted, and ends only then: what was accepted has ended by that time, and nothing can come in
-//! between.
+//! it is stopping, and where most of a failure domain stops at once, they are not directed
+//! elsewhere: one in 15 of the requests that stopping daemons accepted came later than half of the
+//! drain time (66 of 959, logs of 62 stops in series). So a stop first closes, after which nothing
+//! more is accepted, and ends only then: what was accepted has ended by that time, and nothing can
+//! come in between.
 //!
 //! Until the callers have learnt of the stop, the backend servers on the daemon's host go on
 //! serving: they are not leaving. Where a third of a fleet stops at once, as much of its capacity
@@ -25,9 +25,9 @@
 /// is longer than 0.3 s (between far regions), so that no request of theirs is on its way when the
 /// daemon ends.
 const HANDOVER_TIME: Duration = Duration::from_millis(400);
-/// Time before the end of the longest drain at which requests that still wait are answered as of
-/// unknown outcome: an answer takes a few milliseconds to its caller, and a connection that just
-/// ends tells it less.
+/// Time before the end of the longest drain at which requests that still wait are answered with an
+/// unknown outcome: the answer reaches its caller within a few milliseconds, and says more than a
+/// connection that just ends.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(300);
 
 /// `StopPhase` is the phase of a stop.
@@ -41,7 +41,7 @@
     HandingOver,
     /// Only nested calls of requests that run here are accepted; all else is refused as not run.
     Closed,
-    /// Callers that still wait are told that the outcome is unknown.
+    /// Requests that still wait are answered with an unknown outcome.
     GivingUp {
         /// When this phase began.
         since: Duration,
@@ -55,7 +55,7 @@
 pub enum StopCause {
     /// Everything that was accepted has ended.
     Idle,
-    /// The longest drain was over before that.
+    /// The longest drain was over before everything had ended.
     Time,
     /// The daemon was asked to end at once.
     Signal,
@@ -75,7 +75,7 @@
 /// `StopTerms` are the time limits of a stop, counted from the request to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopTerms {
-    /// Shortest drain: within it callers learn that the daemon leaves.
+    /// Shortest drain: within it callers learn that the daemon is stopping.
     pub shortest: Duration,
     /// Longest drain: the process ends after it, whatever is in flight.
     pub longest: Duration,
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -7,9 +7,9 @@
 //! that crashes each server within milliseconds, while good requests run beside it and fail in the
 //! crash, popular ones at every server at once.
 //!
-//! A crashing server does not tell which request caused it, so every request that ran there is
-//! suspected. What tells them apart is what follows. A crash counts one more than what was known
-//! when its run began, so that only a chain of crashes leads to refusal, each in a run that was
+//! A crashing server does not show which request caused the crash, so every request that ran there
+//! is suspected. What follows distinguishes them. A crash raises the count that was known when the
+//! run began by one, so that only a chain of crashes leads to refusal, each in a run that was
 //! started in spite of the one before: a rack that loses power under a popular request is one
 //! crash. And one successful run, anywhere, begins a new round, in which nothing is known against
 //! the request.
@@ -41,8 +41,8 @@
 /// once fit, in about 100 KB.
 pub const SUSPECTS_MAX: usize = 512;
 
-/// Daemons that the first to see an event notifies, where not all must learn of it at once, and to
-/// which others forward that a request is refused.
+/// Daemons that are notified by a daemon that saw an event itself, unless all must learn of it at
+/// once. Also the daemons to which the others forward that a request is refused.
 const NOTIFIED_DAEMONS: usize = 8;
 /// Daemons to which others forward less urgent notices: the first notified all daemons that it is
 /// linked to, so that few are left. With 350 daemons and 2 in 100 notices lost, all knew of a
@@ -84,7 +84,7 @@
     },
 }
 
-/// `SuspectNotice` is what one daemon tells another about a suspect request.
+/// `SuspectNotice` is the notice of one daemon to another about a suspect request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectNotice {
     /// The request.
@@ -107,9 +107,10 @@
 }
 
 impl SuspectNotice {
-    /// Returns how many daemons are notified by one that saw the event itself, when `before` was
-    /// known. A successful run of a popular request is seen by many daemons at the same moment;
-    /// where the next crash would have the request refused, all must learn of it.
+    /// Returns how many daemons are notified by one that saw the event itself; `before` is what was
+    /// known against the request. A successful run of a popular request is seen by many daemons at
+    /// the same moment, so few are notified of it. Where the next crash would have the request
+    /// refused, all must learn of it.
     pub fn notify_count(&self, before: CrashTally) -> usize {
         match self.tally.crashes > 0 || !before.allows_retry() {
             true => usize::MAX,
@@ -236,7 +237,7 @@
             .then(|| record.notice(notice.fingerprint, now))
     }
 
-    /// Says what is done with a copy that arrived; `makes_trials` tells whether this daemon is the
+    /// Says what is done with a copy that arrived; `makes_trials` says whether this daemon is the
     /// one of the fleet that makes the trials of the request.
     pub fn judge(
         &mut self,
--- a/crates/decide/tests/breaker.rs
+++ b/crates/decide/tests/breaker.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The circuit breaker of an upstream, and the choice when some upstreams are doubted.
+//! The circuit breaker of an upstream, and the choice of an upstream when some circuit breakers are
+//! open.
 
 use std::time::Duration;
 
@@ -27,9 +28,9 @@
 ) -> (Duration, u32) {
     let mut failed = 0;
     let mut now = from;
-    while breaker.is_doubtful() {
+    while breaker.is_open() {
         now += millis(50);
-        assert!(now < from + Duration::from_secs(30), "never trusted again");
+        assert!(now < from + Duration::from_secs(30), "the breaker never closed");
         if !breaker.admit(true, now) {
             continue;
         }
@@ -49,7 +50,7 @@
 #[test_case(20_000, 22_000, 15 ; "failing for long")]
 fn verify_the_breaker_closes_soon_after_the_fault_and_few_trials_fail(
     fault_ms: u64,
-    trusted_ms: u64,
+    closed_within_ms: u64,
     failed_most: u32,
 ) {
     let mut breaker = FailureBreaker::default();
@@ -60,7 +61,7 @@
     );
     assert!(!breaker.admit(false, millis(10)), "non-repeatable requests are refused");
     let (took, failed) = run_trials(&mut breaker, millis(0), millis(fault_ms));
-    assert!(took <= millis(trusted_ms), "{took:?}");
+    assert!(took <= millis(closed_within_ms), "{took:?}");
     assert!(failed <= failed_most, "{failed}");
     assert!(breaker.admit(false, took));
 }
@@ -74,7 +75,7 @@
     }
     breaker.note_failure(FailureKind::Answered, millis(20));
     assert!(breaker.note_failure(FailureKind::Answered, millis(21)));
-    assert!(breaker.is_doubtful());
+    assert!(breaker.is_open());
 }
 
 #[test]
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn verify_a_doubted_upstream_declines_requests_but_the_last_one_tried_admits_them() {
+fn verify_an_open_breaker_declines_requests_but_the_last_upstream_tried_admits_them() {
     let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.note_end(Some(FailureKind::Broken), millis(0), millis(0));
     let mut verdict =
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn verify_requests_go_to_a_doubted_upstream_only_if_the_others_are_far_more_loaded() {
+fn verify_requests_go_to_an_open_breaker_only_if_the_other_upstreams_are_far_more_loaded() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut view = view();
     view.note_report(1, 0, report(false), millis(0));
@@ -156,7 +157,7 @@
         assert_ne!(choice.index, 1);
     }
     for index in [0, 2, 3, 4, 5] {
-        // A doubted upstream must be ten times less loaded to be worth its risk.
+        // An upstream with an open breaker must be ten times less loaded to be worth its risk.
         (0..30).for_each(|_| view.note_sent(index));
     }
     let chosen =
--- a/crates/decide/tests/hang.rs
+++ b/crates/decide/tests/hang.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The hang detector: an upstream whose requests hang is doubted within one or two typical service
-//! times, and a healthy one seldom is.
+//! The hang detector: an upstream whose requests hang is detected within one or two typical service
+//! times, and a healthy one seldom counts as hanging.
 
 use std::time::Duration;
 
@@ -28,40 +28,40 @@
     UsualTime { median_ln: (MEDIAN_MS * 1000.0).ln(), spread: SPREAD }
 }
 
-/// Starts a request at each of `starts`, in ms, and returns when the upstream is first doubted if
-/// none of them completes.
-fn doubted_after(starts: &[u64]) -> u64 {
+/// Starts a request at each of `starts`, in ms, and returns when the upstream first counts as
+/// hanging if none of them completes.
+fn detected_after(starts: &[u64]) -> u64 {
     let mut watch = HangDetector::default();
     let mut starts = starts.iter().peekable();
     for now in 0..20_000 {
         while starts.next_if(|start| **start <= now).is_some() {
             watch.start(usual(), millis(now));
         }
-        if watch.is_doubtful(millis(now)) {
+        if watch.is_hanging(millis(now)) {
             return now;
         }
     }
-    panic!("never doubted");
+    panic!("the hang was never detected");
 }
 
 // 99 in 100 requests usually take at most 1212 ms.
 #[test_case(&[0], 1000 ; "a single request")]
 #[test_case(&[0, 250, 500], 900 ; "four a second")]
 #[test_case(&[0, 100, 200, 300, 400], 680 ; "ten a second")]
-fn verify_more_hanging_requests_raise_doubt_sooner(starts: &[u64], most: u64) {
-    let at = doubted_after(starts);
+fn verify_more_hanging_requests_are_detected_sooner(starts: &[u64], most: u64) {
+    let at = detected_after(starts);
     assert!(at <= most, "{at}");
 }
 
 /// Simulates healthy requests at this rate for an hour of simulated time; returns the share of the
-/// time in which the upstream is doubted.
-fn doubted_share(rate: f64) -> f64 {
+/// time in which the upstream counts as hanging.
+fn hanging_share(rate: f64) -> f64 {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let times = LogNormal::new((MEDIAN_MS / 1000.0).ln(), SPREAD).expect("a distribution");
     let gaps = Exp::new(rate).expect("a distribution");
     let mut watch = HangDetector::default();
     let (mut next, mut running) = (0.0, Vec::<(f64, u64)>::new());
-    let (mut doubted, mut checks) = (0_u32, 0_u32);
+    let (mut hanging, mut checks) = (0_u32, 0_u32);
     for step in 0..360_000_u32 {
         let at = f64::from(step) / 100.0;
         let now = Duration::from_secs_f64(at);
@@ -78,17 +78,17 @@
             !over
         });
         checks += 1;
-        doubted += u32::from(watch.is_doubtful(now));
+        hanging += u32::from(watch.is_hanging(now));
     }
-    f64::from(doubted) / f64::from(checks)
+    f64::from(hanging) / f64::from(checks)
 }
 
 #[test_case(1.0 ; "one a second")]
 #[test_case(4.0 ; "four a second")]
 #[test_case(12.0 ; "twelve a second")]
 #[test_case(40.0 ; "forty a second")]
-fn verify_a_healthy_upstream_is_seldom_doubted(rate: f64) {
-    let share = doubted_share(rate);
+fn verify_a_healthy_upstream_seldom_counts_as_hanging(rate: f64) {
+    let share = hanging_share(rate);
     assert!(share < 0.06, "{share}");
 }
 
@@ -102,9 +102,9 @@
     DispatchTerms { route, refusable: true, repeatable, passable: true, baseline }
 }
 
-/// Returns an upstream whose only request hangs, at the time when it becomes doubted, and that
-/// time.
-fn doubted_health() -> (UpstreamHealth, Duration) {
+/// Returns an upstream whose only request hangs, at the time when its circuit breaker opens, and
+/// that time.
+fn health_with_open_breaker() -> (UpstreamHealth, Duration) {
     let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let usual = health.usual_time("r", None).expect("the baseline of the siblings");
@@ -114,12 +114,12 @@
             return (health, millis(now));
         }
     }
-    panic!("never doubted");
+    panic!("the breaker never opened");
 }
 
 #[test]
-fn verify_a_doubted_upstream_declines_non_repeatable_requests_until_it_answers() {
-    let (mut health, at) = doubted_health();
+fn verify_a_hanging_upstream_declines_non_repeatable_requests_until_it_answers() {
+    let (mut health, at) = health_with_open_breaker();
     let mut verdict = |repeatable, at| health.admit(&terms("r", repeatable), at).0;
     assert_eq!(verdict(false, at + millis(1)), AdmitVerdict::Refuse);
     assert_eq!(verdict(true, at + millis(1000)), AdmitVerdict::Admit, "the trial is admitted");
@@ -134,8 +134,8 @@
 }
 
 #[test]
-fn verify_answers_to_requests_sent_before_the_doubt_prove_nothing() {
-    let (mut health, at) = doubted_health();
+fn verify_answers_to_requests_sent_before_the_breaker_opened_do_not_close_it() {
+    let (mut health, at) = health_with_open_breaker();
     for number in 0..4 {
         let change = health.note_end(None, at - millis(50), at + millis(number));
         assert_eq!(change, None);
@@ -143,18 +143,19 @@
 }
 
 #[test]
-fn verify_the_doubt_ends_when_the_late_request_makes_progress() {
+fn verify_the_breaker_closes_when_the_hanging_request_makes_progress() {
     let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let request = health.start_request(usual(), millis(0));
-    let doubted =
-        (0..5000).find(|now| health.check_running(millis(*now)).is_some()).expect("doubted");
-    let change = health.end_request(request, WatchEnd::Progressed, millis(doubted + 5));
+    let opened_ms = (0..5000)
+        .find(|now| health.check_running(millis(*now)).is_some())
+        .expect("the breaker opens");
+    let change = health.end_request(request, WatchEnd::Progressed, millis(opened_ms + 5));
     assert_eq!(change, Some(HealthChange::BreakerClosed { after: millis(5) }));
 }
 
 #[test]
-fn verify_a_request_that_made_a_nested_call_raises_no_doubt() {
+fn verify_a_request_that_made_a_nested_call_does_not_open_the_breaker() {
     let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     health.admit(&terms("r", false), millis(0));
     let request = health.start_request(usual(), millis(0));
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn verify_a_route_that_was_never_answered_raises_no_doubt() {
+fn verify_a_route_that_was_never_answered_has_no_usual_time() {
     let health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
     assert_eq!(
         health.usual_time("r", Some(millis(900))),
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn verify_no_request_explores_a_silent_or_draining_upstream() {
+fn verify_no_request_explores_an_unresponsive_or_draining_upstream() {
     let views = (0..8).map(|index| LoadView::new(4, index < 2)).collect();
     let mut view = ServiceView::new(0.2, views);
     view.note_draining(3, true);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn verify_the_next_repeatable_request_is_the_trial_when_a_doubted_upstream_is_due() {
+fn verify_the_next_repeatable_request_is_the_trial_when_one_is_due_at_an_open_breaker() {
     let mut rng = ChaCha8Rng::seed_from_u64(6);
     let mut view = ServiceView::new(0.7, vec![LoadView::new(4, true); 30]);
     for index in 0..30 {
@@ -440,8 +440,8 @@
     }
 }
 
-/// Six upstreams of four slots in one failure domain, the first two doubted, the others with load
-/// `load`.
+/// Six upstreams of four slots in one failure domain: the circuit breakers of the first two are
+/// open, and the others have load `load`.
 fn busy_view(load: u32) -> ServiceView {
     let views = (0..6).map(|_| LoadView::new(4, true)).collect();
     let mut view = ServiceView::new(0.5, views);
@@ -456,7 +456,7 @@
 #[test_case(5, true ; "slightly more than the slots")]
 #[test_case(9, true ; "one round waits")]
 #[test_case(40, false ; "overloaded")]
-fn verify_requests_wait_at_a_trusted_upstream_unless_it_is_overloaded(load: u32, waits: bool) {
+fn verify_requests_wait_at_a_healthy_upstream_unless_it_is_overloaded(load: u32, waits: bool) {
     let mut view = busy_view(load);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for _ in 0..100 {
@@ -501,7 +501,8 @@
 }
 
 /// A full service: its healthy upstreams have `load` requests each for ten slots and a queue of 16,
-/// and one upstream hangs and has idle slots. Returns how often of 200 times that one is chosen.
+/// and one upstream hangs and has idle slots. Returns how often the hanging upstream is chosen, of
+/// 200 times.
 fn to_idle_suspect(load: u32, repeatable: bool) -> usize {
     let mut view = ServiceView::new(0.5, vec![LoadView::new(10, true); 6]).with_queue(16);
     for index in 0..5 {
@@ -516,8 +517,8 @@
     (0..200).map(choose).filter(|index| *index == 5).count()
 }
 
-// A hanging server still completes some requests; those that would otherwise be refused may use
-// that.
+// A hanging server still completes some requests, so a request that would otherwise be refused is
+// sent there.
 #[test_case(26, true, 200 ; "repeatable request that the healthy ones would refuse")]
 #[test_case(20, true, 0 ; "repeatable request that can wait at a healthy one")]
 #[test_case(26, false, 0 ; "non-repeatable request")]
--- a/crates/decide/tests/look.rs
+++ b/crates/decide/tests/look.rs
@@ -53,18 +53,18 @@
 
 #[test]
 fn verify_probes_stop_where_all_are_full_and_resume_with_free_slots() {
-    let mut gain = ProbeYield::default();
+    let mut probe_yield = ProbeYield::default();
     let mut probed = 0;
     for _ in 0..1000 {
-        if gain.should_probe() {
+        if probe_yield.should_probe() {
             probed += 1;
-            gain.note(false);
+            probe_yield.note(false);
         }
     }
     assert!(probed <= 1000 / PROBE_EVERY + 16, "{probed} probes for 1000 requests at full servers");
     let mut successes = 0;
-    while !(gain.should_probe() && gain.should_probe()) {
-        gain.note(true);
+    while !(probe_yield.should_probe() && probe_yield.should_probe()) {
+        probe_yield.note(true);
         successes += 1;
         assert!(successes <= 64, "probes don't resume");
     }
--- a/crates/decide/tests/neighbours.rs
+++ b/crates/decide/tests/neighbours.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Gossip: every daemon is notified by others, and news reaches the whole fleet.
+//! Gossip: every daemon is notified by others, and an update reaches the whole fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,11 +37,14 @@
     }
 }
 
-/// Half of the hosts have the news at first and forward it to the others.
+/// Half of the hosts have the update at first and forward it to the others.
 #[test_case(12, 3)]
 #[test_case(33, 4)]
 #[test_case(350, 5)]
-fn verify_news_that_half_of_the_hosts_have_reaches_all_in_few_steps(count: usize, steps: usize) {
+fn verify_an_update_that_half_of_the_hosts_have_reaches_all_in_few_steps(
+    count: usize,
+    steps: usize,
+) {
     let targets = notified_by_host(count, 0);
     let mut informed: BTreeSet<&String> = targets.keys().step_by(2).collect();
     for _ in 0..steps {
--- a/crates/decide/tests/order.rs
+++ b/crates/decide/tests/order.rs
@@ -72,9 +72,9 @@
 
 /// Simulates for a minute a service whose requests each make a nested call to the same service and
 /// keep their slot meanwhile. Returns the number of requests that completed; none completes any
-/// more once all slots are held by requests that wait for their nested calls. Slots are kept for
-/// calls if `kept`.
-fn completed_with_calls(kept: bool) -> usize {
+/// more once all slots are held by requests that wait for their nested calls. Slots are reserved
+/// for nested calls if `reserves_slots`.
+fn completed_with_calls(reserves_slots: bool) -> usize {
     const SLOTS: usize = 8;
     const STEP: Duration = Duration::from_millis(50);
     let mut slots: [Option<(SimulatedRequest, u32)>; SLOTS] = [None; SLOTS];
@@ -108,7 +108,7 @@
         for slot in 0..SLOTS {
             let used = slots.iter().flatten().count() as u32;
             let may = |request: &&SimulatedRequest| {
-                used < order::open_slots(8, request.entry.is_call, kept)
+                used < order::open_slots(8, request.entry.is_call, reserves_slots)
             };
             let candidates = waiting.iter().filter(may).map(|request| request.entry);
             let first = order::first(candidates, step, now);
@@ -126,13 +126,13 @@
 
 #[test]
 fn verify_a_service_that_calls_itself_does_not_deadlock() {
-    // A request and its nested call take 0.3 s each: 8 slots, 60 s, half of the time for nested
-    // calls.
-    let needed_time = 8.0 * 60.0 / 0.6;
-    let kept = completed_with_calls(true) as f64;
-    assert!(kept > needed_time / 3.0, "{kept} of {needed_time}");
+    // A request and its nested call take 0.3 s each. There are 8 slots for 60 s, and half of their
+    // time goes to nested calls.
+    let max_completed = 8.0 * 60.0 / 0.6;
+    let completed = completed_with_calls(true) as f64;
+    assert!(completed > max_completed / 3.0, "{completed} of {max_completed}");
     assert!(
-        (completed_with_calls(false) as f64) < 0.1 * needed_time,
-        "without kept slots the simulation deadlocks"
+        (completed_with_calls(false) as f64) < 0.1 * max_completed,
+        "without reserved slots the simulation deadlocks"
     );
 }
--- a/crates/decide/tests/progress.rs
+++ b/crates/decide/tests/progress.rs
@@ -17,10 +17,10 @@
 
 const USUAL: Duration = Duration::from_millis(500);
 
-fn terms(running: u32, quiet_ms: Option<u64>) -> ProgressTerms {
+fn terms(running: u32, since_success_ms: Option<u64>) -> ProgressTerms {
     ProgressTerms {
         running,
-        since_success: quiet_ms.map(Duration::from_millis),
+        since_success: since_success_ms.map(Duration::from_millis),
         usual: Some(USUAL),
     }
 }
--- a/crates/decide/tests/reservations.rs
+++ b/crates/decide/tests/reservations.rs
@@ -118,7 +118,7 @@
 #[test_case(8, true ; "repeatable request")]
 #[test_case(40, false ; "non-repeatable request that waits for many rounds")]
 #[test_case(40, true ; "repeatable request that waits for many rounds")]
-fn verify_no_reservation_goes_to_a_doubted_server_while_a_trusted_one_fits(
+fn verify_no_reservation_goes_to_an_open_breaker_while_a_healthy_server_fits(
     load: u32,
     repeatable: bool,
 ) {
--- a/crates/decide/tests/server_incarnation.rs
+++ b/crates/decide/tests/server_incarnation.rs
@@ -32,7 +32,8 @@
               (3500, Some(5), 3, Replaces), (4000, Some(6), 91, Outdated)]
             ; "a clock that was set back")]
 #[test_case(&[(0, Some(6), 1, Replaces), (500, Some(5), 1, Outdated), (2000, Some(6), 2, Current),
-              (3500, Some(5), 2, Outdated)] ; "an older incarnation while the newer sends heartbeats")]
+              (3500, Some(5), 2, Outdated)]
+            ; "an older incarnation while the newer sends heartbeats")]
 #[test_case(&[(0, Some(6), 1, Replaces), (500, Some(5), 9, Outdated), (3500, Some(5), 9, Outdated)]
             ; "the same heartbeat twice")]
 fn verify_the_running_incarnation_is_the_current_one(heartbeats: &[HeartbeatCase]) {
--- a/crates/waiting/src/reservations.rs
+++ b/crates/waiting/src/reservations.rs
@@ -14,8 +14,8 @@
 /// `ReservationPlan` sets how many reservations a request holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ReservationPlan {
-    /// Reservations held from the start. With two, the better host is chosen only when a slot is
-    /// free.
+    /// Reservations held from the start. With two, the better host is chosen only once one of them
+    /// has a free slot.
     pub initial: usize,
     /// Reservations held at the most.
     pub max_held: usize,
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -89,7 +89,7 @@
 /// `SlotRequest` asks for a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotRequest {
-    /// Properties that decide the order of waiting requests.
+    /// Properties of the request that decide the order in which waiting requests are served.
     pub scheduling: QueuedRequest,
     /// Whether the ingress can send the request elsewhere without taking the service below its
     /// capacity floor.
@@ -230,7 +230,7 @@
         count.set(count.get() + 1);
     }
 
-    /// Waits until the request is granted what its kind waits for.
+    /// Waits until the request is granted a slot or, for a reservation, an offer.
     async fn wait(
         self: &Rc<Self>,
         kind: WaitKind,
@@ -256,7 +256,7 @@
             Err(_) => Err(NotRunReason::DeadlinePassed),
         };
         result?;
-        // From here on the caller's own guard releases what was granted.
+        // From here on a guard of the caller releases what was granted.
         std::mem::forget(guard);
         Ok(())
     }
@@ -294,8 +294,8 @@
         if start > queued.deadline {
             return Err(NotRunReason::DeadlinePassed);
         }
-        // Elsewhere it may meet its objective; if it misses it anyway, it must not make others miss
-        // theirs.
+        // Another server may still let the request meet its objective. If it misses its objective
+        // anyway, it must not make others miss theirs.
         let late = !queued.meets_objective(start);
         let declines = request.passable && kind == WaitKind::Queued;
         if late && (declines || !order::accepts_late(ahead, self.slots.get())) {
@@ -351,8 +351,8 @@
         self.refuse_where(NotRunReason::Unhealthy, |waiter| waiter.request.refusable);
     }
 
-    /// Refuses all waiting requests that can try another upstream, when the backend server is
-    /// doubted.
+    /// Refuses all waiting requests that can try another upstream, when the circuit breaker of the
+    /// backend server opens.
     pub fn refuse_passable(&self) {
         let is_refused = |waiter: &QueueWaiter| match waiter.kind {
             WaitKind::Queued | WaitKind::Reservation => waiter.request.passable,
@@ -361,8 +361,8 @@
         self.refuse_where(NotRunReason::Unhealthy, is_refused);
     }
 
-    /// Refuses all reservations, and all requests that came for an offer and have no slot yet: they
-    /// lose nothing by it.
+    /// Refuses all reservations, and all requests that arrived after an offer and have no slot yet:
+    /// none of them has run, so that they lose nothing by going elsewhere.
     pub fn refuse_reservations(&self, reason: NotRunReason) {
         self.refuse_where(reason, |waiter| waiter.kind != WaitKind::Queued);
     }
@@ -410,7 +410,7 @@
         self.grant_free_slots();
     }
 
-    /// Gives free slots, and offers of the slots next to become free, to waiting requests in the
+    /// Gives free slots, and offers of the slots that become free next, to waiting requests in the
     /// order of [`order::first`].
     fn grant_free_slots(&self) {
         let now = self.clock.now();
@@ -426,7 +426,7 @@
             return None;
         }
         refuse_unservable(&mut waiting, self.slots.get(), now);
-        // A request that came for an offer has already waited for its turn.
+        // A request that arrived after an offer has already waited, as a reservation.
         let is_offered = |waiter: &&Rc<QueueWaiter>| waiter.kind == WaitKind::Offered;
         if let Some(position) = waiting.iter().position(|waiter| is_offered(&waiter)) {
             if !self.is_full() {
@@ -450,10 +450,10 @@
     }
 }
 
-/// Refuses requests that can no longer complete by their deadline; queued requests that miss their
-/// objective while others wait that can meet theirs, as they would make these miss it too; and
-/// reservations of requests that miss their objective and would wait too long behind those that
-/// meet it.
+/// Refuses three kinds of requests: those that can no longer complete by their deadline; queued
+/// requests that miss their objective while others wait that can still meet theirs, as serving the
+/// former would make the latter miss it too; and reservations of requests that miss their objective
+/// and would wait too long behind those that meet it.
 fn refuse_unservable(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
     let meets_objective =
         |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.meets_objective(now);
--- a/crates/waiting/tests/slots.rs
+++ b/crates/waiting/tests/slots.rs
@@ -23,7 +23,7 @@
     end: Result<(), NotRunReason>,
 }
 
-/// `TestQueue` is a queue of 16 for two slots, with the outcomes of the requests.
+/// `TestQueue` is a queue of at most 16 requests for two slots, with the outcomes of the requests.
 struct TestQueue {
     clock: DaemonClock,
     queue: Rc<SlotQueue>,
@@ -38,7 +38,7 @@
         Self { clock, queue, outcomes: Rc::default(), held: Rc::default() }
     }
 
-    /// Requests a slot in a task of its own and runs that until it waits.
+    /// Requests a slot in a task of its own and lets the task run until it waits.
     async fn acquire_as(&self, name: &'static str, request: SlotRequest) {
         let queue = self.queue.clone();
         let outcomes = self.outcomes.clone();
@@ -113,7 +113,8 @@
         let late = queue.request(WorkClass::Normal, 150);
         queue.acquire_as("declined", SlotRequest { passable: true, ..late }).await;
         assert_eq!(queue.outcome_of("declined"), Some(Err(NotRunReason::QueueFull)));
-        // The last upstream tried queues it, as that makes no other request miss its objective.
+        // The last upstream that is tried queues the request, as that makes no other request miss
+        // its objective.
         queue.acquire_as("queued", late).await;
         assert_eq!(queue.outcome_of("queued"), None);
         queue.release_slot().await;
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn verify_a_request_that_misses_its_objective_gives_way_to_those_that_meet_it() {
+fn verify_a_request_that_misses_its_objective_is_refused_while_another_can_meet_its_own() {
     run(async {
         let queue = TestQueue::new();
         for name in ["slot-1", "slot-2"] {
@@ -130,7 +131,7 @@
         }
         queue.acquire_as("late", queue.request(WorkClass::Normal, 320)).await;
         queue.acquire_as("in time", queue.request(WorkClass::Normal, 60_000)).await;
-        // Waits until the first of them can no longer meet its objective.
+        // Waits until the request named "late" can no longer meet its objective.
         while queue.clock.now() < Duration::from_millis(400) {
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -230,14 +231,14 @@
 }
 
 #[test]
-fn verify_one_reservation_is_offered_a_slot_ahead_and_gets_the_next() {
+fn verify_one_reservation_is_offered_the_next_slot_before_that_becomes_free() {
     run(async {
         let queue = TestQueue::new();
         for name in ["slot-1", "slot-2"] {
             queue.acquire_as(name, queue.request(WorkClass::Normal, 60_000)).await;
         }
         let request = queue.request(WorkClass::Normal, 60_000);
-        let offer = queue.queue.await_offer(request).await.expect("an offer ahead");
+        let offer = queue.queue.await_offer(request).await.expect("an offer of the next slot");
         queue.acquire_as("waits", request).await;
         let outcomes = queue.outcomes.clone();
         let held = queue.held.clone();
