--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -465,7 +465,7 @@
             .map(|view| CapacityEntry {
                 slots: view.slots,
                 available: view.reachable && !view.draining,
-                sickness: view.ejected_score(now),
+                score: view.ejected_score(now),
             })
             .collect();
         self.plan = floor::plan(self.floor, &entries);
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -17,7 +17,7 @@
     /// Whether it is reachable and not draining.
     pub available: bool,
     /// Anomaly score in multiples of the ejection threshold.
-    pub sickness: f64,
+    pub score: f64,
 }
 
 /// `FloorPlan` is which upstreams an ingress avoids, and the capacity that remains.
@@ -51,9 +51,9 @@
         floor: floor_slots(floor, configured),
     };
     let mut anomalous: Vec<usize> = (0..entries.len())
-        .filter(|index| entries[*index].available && entries[*index].sickness >= 1.0)
+        .filter(|index| entries[*index].available && entries[*index].score >= 1.0)
         .collect();
-    anomalous.sort_by(|left, right| entries[*right].sickness.total_cmp(&entries[*left].sickness));
+    anomalous.sort_by(|left, right| entries[*right].score.total_cmp(&entries[*left].score));
     for index in anomalous {
         if plan.can_spare(entries[index].slots) {
             plan.avoided[index] = true;
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -176,11 +176,11 @@
     routes: FnvHashMap<Rc<str>, RouteStats>,
     sibling_score: f64,
     peak_failure_rate: DecayingPeak,
-    rising_since: Option<Duration>,
+    anomalous_since: Option<Duration>,
     reason: Option<EvidenceKind>,
     cold_until: Duration,
     stands_out_since: Option<Duration>,
-    confirm: Duration,
+    confirm_for: Duration,
     breaker: FailureBreaker,
     hang: HangDetector,
 }
@@ -195,11 +195,11 @@
             routes: FnvHashMap::default(),
             sibling_score: 0.0,
             peak_failure_rate: DecayingPeak::default(),
-            rising_since: None,
+            anomalous_since: None,
             reason: None,
             cold_until: if cold { now + RAMP } else { Duration::ZERO },
             stands_out_since: None,
-            confirm: confirm_time(prefer),
+            confirm_for: confirm_time(prefer),
             breaker: FailureBreaker::default(),
             hang: HangDetector::default(),
         }
@@ -220,7 +220,7 @@
     /// Changes whether the service prefers detection or precision.
     pub fn set_prefer(&mut self, prefer: EjectionPreference) {
         self.detector.set_threshold(threshold_of(prefer));
-        self.confirm = confirm_time(prefer);
+        self.confirm_for = confirm_time(prefer);
     }
 
     /// Says whether the circuit breaker is open.
@@ -353,7 +353,7 @@
             return None;
         }
         self.detector.reset();
-        self.rising_since = None;
+        self.anomalous_since = None;
         self.reason = None;
         let out = now.saturating_sub(since);
         Some(HealthChange::Returned { out })
@@ -484,9 +484,9 @@
     fn judge(&mut self, now: Duration) -> Option<HealthChange> {
         let sickness = self.detector.score();
         if sickness <= 0.0 {
-            self.rising_since = None;
-        } else if self.rising_since.is_none() {
-            self.rising_since = Some(now);
+            self.anomalous_since = None;
+        } else if self.anomalous_since.is_none() {
+            self.anomalous_since = Some(now);
         }
         if self.recovery.is_ejected() {
             return None;
@@ -496,14 +496,14 @@
             return None;
         }
         let stands_out_since = *self.stands_out_since.get_or_insert(now);
-        if now.saturating_sub(stands_out_since) < self.confirm {
+        if now.saturating_sub(stands_out_since) < self.confirm_for {
             return None;
         }
         self.stands_out_since = None;
         let reason = self.detector.reason();
         self.reason = Some(reason);
         self.recovery.eject(now);
-        let after = now.saturating_sub(self.rising_since.unwrap_or(now));
+        let after = now.saturating_sub(self.anomalous_since.unwrap_or(now));
         Some(HealthChange::Ejected { reason, sickness, after })
     }
 
@@ -524,8 +524,8 @@
     /// Returns the evidence that led to the ejection, or the strongest evidence against the
     /// upstream so far.
     pub fn reason(&self) -> Option<EvidenceKind> {
-        let rising = self.detector.score() > 0.0;
-        self.reason.or_else(|| rising.then(|| self.detector.reason()))
+        let has_evidence = self.detector.score() > 0.0;
+        self.reason.or_else(|| has_evidence.then(|| self.detector.reason()))
     }
 
     /// Returns the report for a dispatch of `route`.
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -190,13 +190,16 @@
     borrowed: f64,
     valid_until: Duration,
     refused_until: Duration,
+    /// Requests since `used_since`.
     used: f64,
     used_since: Duration,
     per_second: f64,
     /// Part of the limit, in requests a second, that the owner last gave this ingress.
     share: f64,
+    /// Requests that may still be admitted ahead, until `ahead_until`.
     ahead: u32,
     ahead_until: Duration,
+    /// Requests that were admitted ahead and are not paid for yet.
     spent: f64,
     /// Requests a second that this ingress admits at the most while the owner can't be reached.
     claim: Option<f64>,
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -100,15 +100,15 @@
     }
 }
 
-/// Says whether to probe before a request is sent over a path, with `left` as the request's
-/// remaining time.
+/// Says whether to probe before a request is sent over a path; `time_left` is the remaining time of
+/// the request.
 pub fn is_worthwhile(
     report_age: Option<Duration>,
     round_trip: Option<Duration>,
-    left: Duration,
+    time_left: Duration,
 ) -> bool {
     let is_fresh = report_age.is_some_and(|age| age < FRESH_FOR);
-    let is_quick = round_trip.is_none_or(|took| took * ROUND_TRIP_SHARE <= left);
+    let is_quick = round_trip.is_none_or(|took| took * ROUND_TRIP_SHARE <= time_left);
     !is_fresh && is_quick
 }
 
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -253,12 +253,12 @@
         if !record.tally.is_refused() {
             return CopyVerdict::Serve;
         }
-        let left = (record.risen_at + TRIAL_EVERY).saturating_sub(now);
-        if left.is_zero() && makes_trials() {
+        let until_trial = (record.risen_at + TRIAL_EVERY).saturating_sub(now);
+        if until_trial.is_zero() && makes_trials() {
             record.risen_at = now;
             return CopyVerdict::Trial;
         }
-        CopyVerdict::Refuse { retry_after: left }
+        CopyVerdict::Refuse { retry_after: until_trial }
     }
 
     /// Drops the requests of which no copy came within [`SUSPECT_LIFE`].
--- a/crates/decide/tests/floor.rs
+++ b/crates/decide/tests/floor.rs
@@ -41,7 +41,7 @@
 
 #[test]
 fn verify_the_highest_scores_are_avoided_first_and_ties_go_by_position() {
-    let entry = |sickness| CapacityEntry { slots: 4, available: true, sickness };
+    let entry = |score| CapacityEntry { slots: 4, available: true, score };
     let entries = [entry(1.5), entry(3.0), entry(1.5), entry(0.0), entry(0.2)];
     let plan = floor::plan(0.6, &entries);
     assert_eq!(plan.avoided, [true, true, false, false, false]);
@@ -50,18 +50,18 @@
 
 #[test]
 fn verify_upstreams_that_are_down_count_against_the_floor() {
-    let anomalous = CapacityEntry { slots: 4, available: true, sickness: 2.0 };
+    let anomalous = CapacityEntry { slots: 4, available: true, score: 2.0 };
     let down = CapacityEntry { available: false, ..anomalous };
-    let healthy = CapacityEntry { sickness: 0.0, ..anomalous };
+    let healthy = CapacityEntry { score: 0.0, ..anomalous };
     let plan = floor::plan(0.5, &[anomalous, down, down, healthy]);
-    assert_eq!(plan.avoided, [false; 4], "half is left, and half is the floor");
+    assert_eq!(plan.avoided, [false; 4], "half is in service, which is the floor");
     let plan = floor::plan(0.5, &[anomalous, down, healthy, healthy]);
     assert_eq!(plan.avoided, [true, false, false, false]);
 }
 
 fn any_entry() -> impl Strategy<Value = CapacityEntry> {
     (1..8_u32, any::<bool>(), prop_oneof![Just(0.0), 0.0..5.0_f64])
-        .prop_map(|(slots, available, sickness)| CapacityEntry { slots, available, sickness })
+        .prop_map(|(slots, available, score)| CapacityEntry { slots, available, score })
 }
 
 #[derive(Debug, Clone)]
@@ -114,15 +114,15 @@
     ) {
         let plan = floor::plan(share, &entries);
         prop_assert!(plan.holds());
-        let left: u32 = entries
+        let in_service: u32 = entries
             .iter()
             .zip(&plan.avoided)
             .filter(|(entry, avoided)| entry.available && !**avoided)
             .map(|(entry, _)| entry.slots)
             .sum();
-        prop_assert_eq!(left, plan.in_service);
+        prop_assert_eq!(in_service, plan.in_service);
         for (entry, avoided) in entries.iter().zip(&plan.avoided) {
-            prop_assert!(!avoided || (entry.available && entry.sickness >= 1.0));
+            prop_assert!(!avoided || (entry.available && entry.score >= 1.0));
         }
     }
 
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -264,10 +264,10 @@
     /// Returns how long a request may wait. The holder of a reservation releases it by itself when
     /// it goes elsewhere.
     fn longest_wait(&self, kind: WaitKind, request: &SlotRequest) -> Duration {
-        let left = request.scheduling.deadline.saturating_sub(self.clock.now());
+        let time_left = request.scheduling.deadline.saturating_sub(self.clock.now());
         match kind {
-            WaitKind::Queued => left.mul_f64(WAIT_SHARE_MAX),
-            _ => left.saturating_sub(request.scheduling.usual.unwrap_or_default()),
+            WaitKind::Queued => time_left.mul_f64(WAIT_SHARE_MAX),
+            _ => time_left.saturating_sub(request.scheduling.usual.unwrap_or_default()),
         }
     }
 
@@ -296,9 +296,9 @@
         }
         // Another server may still let the request meet its objective. If it misses its objective
         // anyway, it must not make others miss theirs.
-        let late = !queued.meets_objective(start);
+        let misses_objective = !queued.meets_objective(start);
         let declines = request.passable && kind == WaitKind::Queued;
-        if late && (declines || !order::accepts_late(ahead, self.slots.get())) {
+        if misses_objective && (declines || !order::accepts_late(ahead, self.slots.get())) {
             return Err(NotRunReason::QueueFull);
         }
         Ok(())
@@ -467,13 +467,13 @@
             WaitKind::Reservation => accepts_late || queued.is_call,
             WaitKind::Offered => true,
         };
-        let late = !is_kept && !queued.meets_objective(now);
+        let is_late = !is_kept && !queued.meets_objective(now);
         if expired {
             waiter.resolve(WaitState::Refused(NotRunReason::DeadlinePassed));
-        } else if late {
+        } else if is_late {
             waiter.resolve(WaitState::Refused(NotRunReason::QueueFull));
         }
-        !expired && !late
+        !expired && !is_late
     });
 }
 
