--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -164,8 +164,8 @@
     /// while before it is ejected; its circuit breaker is open; or an attempt there outlasted its
     /// hedging delay and no report has arrived since.
     ///
-    /// Avoiding a suspect spares callers, and the retry budget, its failures until its daemon has
-    /// decided. It takes no capacity out of service.
+    /// While a suspect is avoided, its failures cost neither callers nor the retry budget anything
+    /// until its daemon has decided whether to eject it. It takes no capacity out of service.
     fn is_suspect(&self, terms: &ChoiceTerms) -> bool {
         let ChoiceTerms { now, suspect_threshold: threshold, repeatable } = *terms;
         let is_unresponsive = self
@@ -239,7 +239,8 @@
     Near,
     /// It is not a suspect and has a free slot.
     Sound,
-    /// It is not a suspect, and as all such upstreams are full, the request queues there.
+    /// It is not a suspect, and the request queues there, as all upstreams that are no suspects are
+    /// full.
     Waiting,
     /// It is a suspect, but has idle slots, and the others would refuse the request.
     Idle,
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -11,7 +11,7 @@
 /// `RequestEvidence` is the evidence that one request gives about the upstream that served it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEvidence {
-    /// A complete answer that is no server error came this long after the request was offered.
+    /// A complete answer that is no server error arrived this long after the request was offered.
     Answered(Duration),
     /// A server error, a broken connection or an answer cut short.
     Failed,
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -70,8 +70,8 @@
         self.confirmation = None;
     }
 
-    /// Records that the latest configuration can be put in force after all, or that another came
-    /// after it.
+    /// Records that the latest configuration can be put in force after all, or that another was
+    /// accepted after it.
     pub fn note_readable(&mut self) {
         self.outdated = false;
     }
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Silence on a link with open exchanges after which the peer is probed: the typical service time
-/// is as long, so that an answer often comes first.
+/// is as long, so that an answer often arrives first.
 pub const PROBE_AFTER: Duration = Duration::from_millis(150);
 /// Time without any frame after a probe from which a path counts as cut while its round trip is not
 /// known: four times the round trip between far regions (0.3 s). A cut of either direction looks
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -261,12 +261,12 @@
         CopyVerdict::Refuse { retry_after: until_trial }
     }
 
-    /// Drops the requests of which no copy came within [`SUSPECT_LIFE`].
+    /// Drops the requests of which no copy arrived within [`SUSPECT_LIFE`].
     pub fn forget_old(&mut self, now: Duration) {
         self.records.retain(|_, record| !record.is_old(now));
     }
 
-    /// Evicts records while there are too many: first those of which no copy comes any more, then
+    /// Evicts records while there are too many: first those of which no copy arrives any more, then
     /// those with the fewest crashes, the oldest of them. A caller who crashes servers with many
     /// different requests makes the fleet forget suspects, never refused requests.
     fn evict(&mut self, now: Duration) {
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -235,7 +235,7 @@
     assert!(shares(&mut view, 300)[0] < 40, "no report arrives");
     assert!(view.plan().avoided.iter().all(|avoided| !avoided), "it stays in service");
     view.note_report(0, 1, healthy(20.0), millis(9));
-    assert!(shares(&mut view, 300)[0] > 40, "it answered another request meanwhile");
+    assert!(shares(&mut view, 300)[0] > 40, "it has answered another request since");
 }
 
 #[test]
--- a/crates/decide/tests/server_incarnation.rs
+++ b/crates/decide/tests/server_incarnation.rs
@@ -52,6 +52,6 @@
     track.note_ended(6);
     assert_eq!(track.current(), None);
     assert_eq!(track.judge(claim(6), Duration::ZERO), Outdated);
-    // The clock was set back meanwhile; no running incarnation contradicts the older stamp.
+    // The clock was set back since; no running incarnation contradicts the older start time.
     assert_eq!(track.judge(claim(5), Duration::ZERO), Replaces);
 }
