--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Silence on a link with open exchanges after which the peer is probed: the typical service time
-/// is as long, so that an answer often comes first.
+/// is as long, so that an answer often arrives first.
 pub const PROBE_AFTER: Duration = Duration::from_millis(150);
 /// Time without any frame after a probe from which a path counts as cut while its round trip is not
 /// known: four times the round trip between far regions (0.3 s). A cut of either direction looks
@@ -44,7 +44,7 @@
     answers_needed: u32,
     up_since: Duration,
     was_cut: bool,
-    /// Whether an attempt over the path was late and no frame arrived since.
+    /// Whether an attempt over the path outlasted its hedging delay and no frame arrived since.
     was_late: bool,
     /// Longest of the recent round trips, if one was measured.
     round_trip: Option<Duration>,
@@ -77,8 +77,8 @@
         wanted && self.is_cut(now)
     }
 
-    /// Records that an attempt over the path was late. Such an attempt may be over long before a
-    /// probe would be sent, as its hedge was answered.
+    /// Records that an attempt over the path outlasted its hedging delay. The attempt may be over
+    /// long before a probe would be sent, as its hedge was answered.
     pub fn note_late(&mut self) {
         self.was_late = true;
     }
