--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -75,7 +75,7 @@
         }
         let verdict = trackers.entry(server.clone()).or_default().judge(claim, now);
         if verdict == IncarnationVerdict::Current && !self.is_newer(heartbeat) {
-            return IncarnationVerdict::Outdated;
+            return IncarnationVerdict::Late;
         }
         verdict
     }
@@ -147,7 +147,7 @@
                 servers::ServerCallRefused { error: problem, from }.log();
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
             }
-            if note_heartbeat(state, &heartbeat) == IncarnationVerdict::NoStartTime {
+            if note_heartbeat(state, &heartbeat) == IncarnationVerdict::Unnamed {
                 return admin::problem(
                     StatusCode::BAD_REQUEST,
                     "the heartbeat lacks the start time of the server",
@@ -194,7 +194,7 @@
     match verdict {
         IncarnationVerdict::Current => {}
         IncarnationVerdict::Replaces => drop(state.registrations.is_newer(heartbeat)),
-        IncarnationVerdict::Outdated | IncarnationVerdict::NoStartTime => {
+        IncarnationVerdict::Late | IncarnationVerdict::Unnamed => {
             let (upstream, sequence) = (&heartbeat.incarnation.upstream(), heartbeat.sequence);
             servers::HeartbeatLate { upstream, sequence }.log();
             return verdict;
--- a/crates/decide/src/progress.rs
+++ b/crates/decide/src/progress.rs
@@ -20,7 +20,7 @@
     /// Requests that run there.
     pub running: u32,
     /// Time since a request last succeeded there, if any did.
-    pub since_success: Option<Duration>,
+    pub quiet: Option<Duration>,
     /// Typical service time of the requests that run there, if known.
     pub usual: Option<Duration>,
 }
@@ -32,7 +32,6 @@
     pub fn is_unproven(&self) -> bool {
         let (Some(usual), true) = (self.usual, self.running > 0) else { return false };
         let interval = usual.as_secs_f64() / f64::from(self.running);
-        self.since_success
-            .is_none_or(|since_success| since_success.as_secs_f64() > UNPROVEN_INTERVALS * interval)
+        self.quiet.is_none_or(|quiet| quiet.as_secs_f64() > UNPROVEN_INTERVALS * interval)
     }
 }
--- a/crates/decide/src/server_incarnation.rs
+++ b/crates/decide/src/server_incarnation.rs
@@ -36,9 +36,9 @@
     /// It is from an incarnation that replaces the current one.
     Replaces,
     /// It is from an earlier incarnation, or may be.
-    Outdated,
+    Late,
     /// It reports no start time, although others of the server did.
-    NoStartTime,
+    Unnamed,
 }
 
 /// `OlderIncarnation` is an incarnation that claims to be older than the current one, and of which
@@ -68,7 +68,7 @@
     pub fn judge(&mut self, claim: IncarnationClaim, now: Duration) -> IncarnationVerdict {
         let (current, born) = match (self.current, claim.born) {
             (None, None) => return IncarnationVerdict::Current,
-            (Some(_), None) => return IncarnationVerdict::NoStartTime,
+            (Some(_), None) => return IncarnationVerdict::Unnamed,
             (None, Some(born)) => return self.replace(born),
             (Some(current), Some(born)) => (current, born),
         };
@@ -77,12 +77,12 @@
             return IncarnationVerdict::Current;
         }
         if self.earlier.contains(&born) {
-            return IncarnationVerdict::Outdated;
+            return IncarnationVerdict::Late;
         }
         if born > current || self.has_taken_over(born, claim.sequence, now) {
             return self.replace(born);
         }
-        IncarnationVerdict::Outdated
+        IncarnationVerdict::Late
     }
 
     /// Records that an incarnation has ended. The next heartbeat is of another one, whatever its
@@ -96,7 +96,7 @@
 
     fn replace(&mut self, born: u64) -> IncarnationVerdict {
         if self.earlier.contains(&born) {
-            return IncarnationVerdict::Outdated;
+            return IncarnationVerdict::Late;
         }
         if let Some(before) = self.current.replace(born) {
             self.note_earlier(before);
--- a/crates/decide/tests/progress.rs
+++ b/crates/decide/tests/progress.rs
@@ -20,7 +20,7 @@
 fn terms(running: u32, since_success_ms: Option<u64>) -> ProgressTerms {
     ProgressTerms {
         running,
-        since_success: since_success_ms.map(Duration::from_millis),
+        quiet: since_success_ms.map(Duration::from_millis),
         usual: Some(USUAL),
     }
 }
@@ -65,9 +65,8 @@
         if !rng.random_bool(8.0 * STEP.as_secs_f64()) {
             continue;
         }
-        let since_success = last_completion.map(|at| now.saturating_sub(at));
-        let terms =
-            ProgressTerms { running: running.len() as u32, since_success, usual: Some(USUAL) };
+        let quiet = last_completion.map(|at| now.saturating_sub(at));
+        let terms = ProgressTerms { running: running.len() as u32, quiet, usual: Some(USUAL) };
         if running.len() == 8 || checks_progress && terms.is_unproven() {
             simulation.declined += 1;
             continue;
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -135,7 +135,7 @@
     fn lacks_recent_progress(&self, request: &SlotRequest, now: Duration) -> bool {
         let terms = ProgressTerms {
             running: self.used.get() + self.offered.get(),
-            since_success: self.completed_at.get().map(|at| now.saturating_sub(at)),
+            quiet: self.completed_at.get().map(|at| now.saturating_sub(at)),
             usual: request.scheduling.usual,
         };
         request.needs_recent_progress && terms.is_unproven()
--- a/crates/waiting/tests/reservations.rs
+++ b/crates/waiting/tests/reservations.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Model check of the reservations of one request, with the reservation set that the ingress uses.
+//! Model check of the reservations of one request, over the set that the ingress uses.
 //!
-//! There are two hosts with one slot each. Offers, the request, cancellations and refusals may be
-//! delayed in any order, a host may withdraw an offer, stop or be cut off, and the ingress may give
-//! up. The request starts at most once, and no slot stays taken by an offer.
+//! Two hosts with one slot each. Offers, the request, cancellations and refusals may be delayed in
+//! any order, a host may withdraw an offer, stop or be cut off, and the ingress may give up. The
+//! request starts at most once, and no slot stays taken by an offer.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -63,15 +63,15 @@
         }
     }
 
-    /// Cancels all reservations of a set.
+    /// Cancels all reservations that are left in a set.
     fn cancel_all(&mut self, set: &ReservationSet<()>) {
         for index in set.indexes() {
             self.to_host[index].push_back(HostMessage::Cancel);
         }
     }
 
-    /// Lists every state that may follow this one.
-    fn successors(&self, drops_expired: bool) -> Vec<ModelState> {
+    /// Lists every state that may follow.
+    fn successors(&self, drops_late: bool) -> Vec<ModelState> {
         let mut states = Vec::new();
         let mut add = |change: &dyn Fn(&mut ModelState)| {
             let mut state = self.clone();
@@ -94,7 +94,7 @@
         }
         for host in 0..HOSTS {
             if !self.to_host[host].is_empty() {
-                add(&|state| state.deliver_to_host(host, drops_expired));
+                add(&|state| state.deliver_to_host(host, drops_late));
             }
             if !self.to_ingress[host].is_empty() {
                 add(&|state| state.deliver_to_ingress(host));
@@ -104,7 +104,7 @@
                     state.hosts[host] = HostReservation::Offered;
                     state.to_ingress[host].push_back(IngressMessage::Offer);
                 }),
-                // The request didn't arrive before the offer expired.
+                // The request didn't arrive in time.
                 HostReservation::Offered => add(&|state| {
                     state.hosts[host] = HostReservation::None;
                     state.to_ingress[host].push_back(IngressMessage::Refusal);
@@ -124,7 +124,7 @@
         states
     }
 
-    fn deliver_to_host(&mut self, host: usize, drops_expired: bool) {
+    fn deliver_to_host(&mut self, host: usize, drops_late: bool) {
         let message = self.to_host[host].pop_front().expect("a message");
         match (message, self.hosts[host]) {
             _ if !self.is_up[host] => {}
@@ -133,9 +133,9 @@
                 self.hosts[host] = HostReservation::Started;
                 self.started += 1;
             }
-            // A host drops a request whose reservation is over; without that check, the host would
-            // start the request.
-            (HostMessage::Request, _) if !drops_expired => self.started += 1,
+            // A host drops a request whose reservation is over; without that check it would start
+            // it.
+            (HostMessage::Request, _) if !drops_late => self.started += 1,
             (HostMessage::Cancel, HostReservation::Waiting | HostReservation::Offered) => {
                 self.hosts[host] = HostReservation::None;
             }
@@ -159,13 +159,13 @@
 
 /// Explores all reachable states; returns how often the request started at the most, and the number
 /// of states.
-fn explore(drops_expired: bool) -> (usize, usize) {
+fn explore(drops_late: bool) -> (usize, usize) {
     let mut seen = HashSet::from([ModelState::new()]);
     let mut pending = vec![ModelState::new()];
     let mut started_max = 0;
     while let Some(state) = pending.pop() {
         started_max = started_max.max(state.started);
-        let successors = state.successors(drops_expired);
+        let successors = state.successors(drops_late);
         if successors.is_empty() {
             assert!(
                 !state.hosts.contains(&HostReservation::Offered),
@@ -190,8 +190,8 @@
 
 #[test]
 fn verify_the_model_detects_a_request_that_starts_after_its_reservation_ended() {
-    // The ingress has received the refusal and may try another host. Without the check, the delayed
-    // request starts as well.
+    // The ingress has received the refusal and may try elsewhere, and the delayed request starts as
+    // well.
     let started_after_refusal = {
         let mut state = ModelState::new();
         state.hosts[0] = HostReservation::None;
