--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -28,8 +28,8 @@
         /// Maximum length allowed.
         allowed: usize,
     },
-    /// A frame could not be decoded.
-    #[snafu(display("peer frame could not be decoded: {message}"))]
+    /// A frame could not be encoded or decoded.
+    #[snafu(display("peer frame could not be encoded or decoded: {message}"))]
     Malformed {
         /// Error that the codec reported.
         message: String,
@@ -40,10 +40,10 @@
         /// Name of the frame.
         frame: &'static str,
     },
-    /// Another host than the expected one answered at the address.
-    #[snafu(display("another host answered at this address: {host}"))]
+    /// The daemon that answered at the address runs on another host than expected.
+    #[snafu(display("an unexpected host answered at this address: {host}"))]
     OtherHost {
-        /// Host that answered.
+        /// Host of the daemon that answered.
         host: String,
     },
     /// The other side does not hold the fleet key.
@@ -63,8 +63,8 @@
     /// The other side did not answer within the timeout.
     #[snafu(display("peer did not answer within the timeout"))]
     TimedOut,
-    /// The send queue holds more bytes than allowed.
-    #[snafu(display("peer does not read its frames; {bytes} bytes are queued"))]
+    /// The other side no longer reads: the send queue holds more bytes than allowed.
+    #[snafu(display("peer no longer reads frames; {bytes} bytes wait in the send queue"))]
     Stalled {
         /// Bytes in the queue.
         bytes: usize,
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -23,18 +23,20 @@
 
 /// Bytes of the length prefix of each frame.
 const LENGTH_BYTES: usize = 4;
-/// Maximum frame length: one body chunk ([`CHUNK_BYTES_MAX`]) and the longest head that an ingress
-/// accepts (32 KiB), and the same amount again for what the daemons add.
+/// Maximum frame length. A frame has room for one body chunk ([`CHUNK_BYTES_MAX`]) and the longest
+/// head that an ingress accepts (32 KiB), and for at least as many bytes that the daemons add.
 pub const FRAME_BYTES_MAX: usize = 256 * units::KIB;
-/// Maximum body bytes in one frame: half a window, so that a window holds two chunks.
+/// Maximum body bytes in one frame: half of the flow-control window of an exchange, so that two
+/// chunks can be in flight.
 pub const CHUNK_BYTES_MAX: usize = 32 * units::KIB;
-/// Maximum bytes in the send queue of one link. Flow-control windows bound what exchanges queue, so
-/// that more means that the other side no longer reads.
+/// Maximum bytes in the send queue of one link. Flow-control windows bound the bytes that exchanges
+/// queue. A longer queue means that the other side no longer reads.
 pub const QUEUE_BYTES_MAX: usize = 32 * 1024 * units::KIB;
-/// Buffer size requested for one read.
+/// Capacity by which the buffer grows before a read of uncompressed frames.
 const READ_BYTES: usize = 64 * units::KIB;
 
-/// Free capacity below which the buffer grows before a read.
+/// Free capacity below which the buffer grows before a read of uncompressed frames. It is also the
+/// buffer size of a read of compressed frames.
 const READ_BYTES_MIN: usize = 8 * units::KIB;
 
 /// Appends a frame with its length prefix to `buffer`.
@@ -109,7 +111,8 @@
 }
 
 impl<R: AsyncReadRent> FrameReader<R> {
-    /// Builds a reader over one half of a connection; `on_read` gets the byte count of each read.
+    /// Builds a reader over the read half of a connection; `on_read` gets the byte count of each
+    /// read.
     pub fn new(io: R, on_read: fn(usize)) -> Self {
         Self { io, buffer: BytesMut::new(), decoder: None, on_read }
     }
@@ -177,13 +180,13 @@
 #[derive(Debug, Default)]
 struct SendQueue {
     buffer: BytesMut,
-    queued_total: u64,
-    submitted_total: u64,
+    queued_bytes_total: u64,
+    submitted_bytes_total: u64,
     closed: bool,
-    writer: Option<Waker>,
+    writer_waker: Option<Waker>,
 }
 
-/// `FrameSender` is the send queue of a link; a single task writes it to the connection.
+/// `FrameSender` is the send queue of a link. A single task writes its frames to the connection.
 #[derive(Debug, Clone, Default)]
 pub struct FrameSender {
     queue: Rc<RefCell<SendQueue>>,
@@ -196,22 +199,22 @@
         if queue.closed {
             return Err(LinkError::Closed);
         }
-        let before = queue.buffer.len();
-        if before > QUEUE_BYTES_MAX {
-            return Err(LinkError::Stalled { bytes: before });
+        let length_before = queue.buffer.len();
+        if length_before > QUEUE_BYTES_MAX {
+            return Err(LinkError::Stalled { bytes: length_before });
         }
-        let position = queue.queued_total;
+        let position = queue.queued_bytes_total;
         encode(&PeerFrame { exchange, body }, &mut queue.buffer)?;
-        queue.queued_total += (queue.buffer.len() - before) as u64;
-        if let Some(writer) = queue.writer.take() {
-            writer.wake();
+        queue.queued_bytes_total += (queue.buffer.len() - length_before) as u64;
+        if let Some(writer_waker) = queue.writer_waker.take() {
+            writer_waker.wake();
         }
         Ok(position)
     }
 
     /// Says whether any byte at or after `position` was handed to the operating system.
     pub fn was_submitted(&self, position: u64) -> bool {
-        self.queue.borrow().submitted_total > position
+        self.queue.borrow().submitted_bytes_total > position
     }
 
     /// Returns the number of queued bytes not yet handed to the operating system.
@@ -223,8 +226,8 @@
     pub fn close(&self) {
         let mut queue = self.queue.borrow_mut();
         queue.closed = true;
-        if let Some(writer) = queue.writer.take() {
-            writer.wake();
+        if let Some(writer_waker) = queue.writer_waker.take() {
+            writer_waker.wake();
         }
     }
 
@@ -265,14 +268,14 @@
         poll_fn(|context| {
             let mut queue = self.queue.borrow_mut();
             if !queue.buffer.is_empty() {
-                queue.submitted_total = queue.queued_total;
+                queue.submitted_bytes_total = queue.queued_bytes_total;
                 let next = spare.take().unwrap_or_default();
                 return Poll::Ready(Some(std::mem::replace(&mut queue.buffer, next)));
             }
             if queue.closed {
                 return Poll::Ready(None);
             }
-            queue.writer = Some(context.waker().clone());
+            queue.writer_waker = Some(context.waker().clone());
             Poll::Pending
         })
         .await
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -45,9 +45,9 @@
 /// `LinkSide` is the role of a daemon on a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkSide {
-    /// The daemon that connected.
+    /// The daemon that opened the connection.
     Dialler,
-    /// The daemon that accepted.
+    /// The daemon that accepted the connection.
     Acceptor,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    fn other(self) -> Self {
+    fn opposite(self) -> Self {
         match self {
             Self::Dialler => Self::Acceptor,
             Self::Acceptor => Self::Dialler,
@@ -115,7 +115,7 @@
         FrameBody::Proof(proof) => proof,
         other => return Err(unexpected(&other)),
     };
-    proof_mac(key, side.other(), &theirs, &ours)
+    proof_mac(key, side.opposite(), &theirs, &ours)
         .verify_slice(&proof.mac)
         .map_err(|_| LinkError::WrongKey { host: theirs.host.clone() })?;
     Ok(PeerIdentity {
@@ -138,8 +138,8 @@
 }
 
 fn proof_mac(key: &[u8], side: LinkSide, prover: &HelloNote, verifier: &HelloNote) -> Hmac<Sha256> {
-    let mut mac =
-        Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| unreachable!("any key length fits"));
+    let mut mac = Hmac::<Sha256>::new_from_slice(key)
+        .unwrap_or_else(|_| unreachable!("HMAC accepts keys of any length"));
     mac.update(side.label());
     for part in [&prover.nonce, &verifier.nonce] {
         mac.update(&(part.len() as u64).to_be_bytes());
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A link after its handshake: routes frames to their exchanges.
+//! A link after its handshake. Routes the frames that it receives to their exchanges.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,7 +17,9 @@
 use crate::protocol::{
     BodyChunk, CancelNotice, DispatchHead, ExchangeFailure, FrameBody, PeerFrame,
 };
-use crate::stream::{self, EventPipe, EventSink, RemoteSink, SendCredit, StreamEvent, StreamGone};
+use crate::stream::{
+    self, EventPipe, EventSink, RemoteSink, SendCredit, StreamClosed, StreamEvent,
+};
 
 /// Exchange number of frames that belong to no exchange.
 pub const NO_EXCHANGE: i64 = 0;
@@ -25,7 +27,7 @@
 struct DialledExchange {
     answer: Rc<EventPipe>,
     credit: Rc<SendCredit>,
-    position: u64,
+    dispatch_position: u64,
 }
 
 /// `DialledLink` is the dialling side of a link.
@@ -34,10 +36,11 @@
     pub peer: PeerIdentity,
     sender: FrameSender,
     exchanges: RefCell<FnvHashMap<i64, DialledExchange>>,
-    next: Cell<i64>,
+    next_exchange: Cell<i64>,
 }
 
-/// `OutboundExchange` is the ingress side of an exchange; dropping it cancels it if unfinished.
+/// `OutboundExchange` is the ingress side of an exchange. Dropping it cancels an unfinished
+/// exchange.
 pub struct OutboundExchange {
     /// Sink for the rest of the request body.
     pub body: EventSink,
@@ -47,13 +50,13 @@
 }
 
 impl OutboundExchange {
-    /// Builds an exchange; `cancel` runs when it is dropped before [`Self::finish`].
+    /// Builds an exchange; `cancel` runs if it is dropped before [`Self::finish`] is called.
     pub fn new(body: EventSink, answer: Rc<EventPipe>, cancel: Box<dyn FnOnce()>) -> Self {
         Self { body, answer, cancel: Some(cancel) }
     }
 
     /// Sends the request to the host that offered its reservation a slot.
-    pub fn begin(&self, head: DispatchHead) -> Result<(), StreamGone> {
+    pub fn begin(&self, head: DispatchHead) -> Result<(), StreamClosed> {
         self.body.begin(head)
     }
 
@@ -75,7 +78,7 @@
 impl DialledLink {
     /// Builds the dialling side of a link to `peer`.
     pub fn new(peer: PeerIdentity, sender: FrameSender) -> Rc<Self> {
-        Rc::new(Self { peer, sender, exchanges: RefCell::default(), next: Cell::new(1) })
+        Rc::new(Self { peer, sender, exchanges: RefCell::default(), next_exchange: Cell::new(1) })
     }
 
     /// Returns the send queue of the link.
@@ -90,12 +93,13 @@
 
     /// Starts an exchange by sending the head of its request.
     pub fn dispatch(self: &Rc<Self>, head: DispatchHead) -> Result<OutboundExchange, LinkError> {
-        let exchange = self.next.get();
-        self.next.set(exchange + 1);
-        let position = self.sender.send(exchange, FrameBody::Dispatch(head))?;
+        let exchange = self.next_exchange.get();
+        self.next_exchange.set(exchange + 1);
+        let dispatch_position = self.sender.send(exchange, FrameBody::Dispatch(head))?;
         let answer = Rc::new(stream::remote_pipe(exchange, &self.sender));
         let credit = Rc::new(SendCredit::of_request());
-        let entry = DialledExchange { answer: answer.clone(), credit: credit.clone(), position };
+        let entry =
+            DialledExchange { answer: answer.clone(), credit: credit.clone(), dispatch_position };
         self.exchanges.borrow_mut().insert(exchange, entry);
         let body = EventSink::Remote(RemoteSink { exchange, sender: self.sender.clone(), credit });
         let link = self.clone();
@@ -104,16 +108,16 @@
     }
 
     fn cancel(&self, exchange: i64) {
-        let known = self.exchanges.borrow_mut().remove(&exchange);
-        if let Some(entry) = known {
+        let removed = self.exchanges.borrow_mut().remove(&exchange);
+        if let Some(entry) = removed {
             entry.credit.close();
             let notice = CancelNotice { caller_gone: true };
             let _ = self.sender.send(exchange, FrameBody::Cancel(notice));
         }
     }
 
-    /// Reads frames until the link ends; `on_frame` is called for each, and `on_control` gets those
-    /// that belong to no exchange.
+    /// Reads frames until the link ends; `on_frame` is called for each frame, and `on_control` gets
+    /// the frames that belong to no exchange.
     pub async fn run<R: AsyncReadRent>(
         &self,
         reader: &mut FrameReader<R>,
@@ -148,7 +152,7 @@
             }
             other => return Err(LinkError::Unexpected { frame: frames::frame_name(&other) }),
         };
-        // A cancelled exchange is no longer in the table; an answer that arrives late is dropped.
+        // A cancelled exchange is no longer in the table: an answer to it is dropped.
         let mut exchanges = self.exchanges.borrow_mut();
         if let Some(entry) = exchanges.get(&exchange) {
             let _ = entry.answer.push(event);
@@ -160,12 +164,12 @@
         Ok(())
     }
 
-    /// Ends the link and fails every open exchange: as not run if none of its bytes were handed to
-    /// the operating system, otherwise with an unknown outcome.
+    /// Ends the link and fails every open exchange. An exchange fails as not run if none of its
+    /// bytes were handed to the operating system, otherwise with an unknown outcome.
     pub fn end(&self) {
         self.sender.close();
         for (_, entry) in self.exchanges.borrow_mut().drain() {
-            let outcome = if self.sender.was_submitted(entry.position) {
+            let outcome = if self.sender.was_submitted(entry.dispatch_position) {
                 FailureOutcome::Unknown(UnknownReason::PeerLost)
             } else {
                 FailureOutcome::NotRun(NotRunReason::PeerUnreachable)
@@ -256,7 +260,7 @@
         InboundExchange { exchange, head, body, answer }
     }
 
-    /// Removes an exchange whose answer is complete.
+    /// Removes an exchange whose answer is complete and closes its streams.
     pub fn forget(&self, exchange: i64) {
         if let Some(entry) = self.exchanges.borrow_mut().remove(&exchange) {
             entry.body.close();
--- a/crates/peer/src/stream.rs
+++ b/crates/peer/src/stream.rs
@@ -3,8 +3,8 @@
 
 //! The two directions of an exchange, within a process and over a link.
 //!
-//! Each direction has a flow-control window: a sender waits once that many body bytes are in
-//! flight, until the receiver has consumed some of them.
+//! Each direction has a flow-control window: once a whole window of body bytes is in flight, the
+//! sender waits until the receiver has consumed some of them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,10 +23,11 @@
 /// Body bytes that may be in flight in one direction of one exchange: 64 KiB sustains 20 MB/s over
 /// the 3 ms round trip between failure domains.
 pub const WINDOW_BYTES: usize = 64 * units::KIB;
-/// Credit by which a host offers a slot to a reservation.
-const OFFER_CREDIT: usize = 1;
-/// Consumed bytes after which credit is returned; half a window keeps the sender busy.
-const CREDIT_STEP: usize = WINDOW_BYTES / 2;
+/// Credit by which a host offers a slot to a reservation. One byte is enough to make the sender
+/// ready, which then sends the request.
+const OFFER_CREDIT_BYTES: usize = 1;
+/// Number of consumed bytes after which credit is returned; half a window keeps the sender busy.
+const CREDIT_STEP_BYTES: usize = WINDOW_BYTES / 2;
 
 /// `StreamEvent` is one event in one direction of an exchange.
 #[derive(Debug, Clone, PartialEq)]
@@ -35,7 +36,7 @@
     Head(AnswerHead),
     /// The request of a reservation that was offered a slot.
     Begin(Box<DispatchHead>),
-    /// Body bytes and whether they are the last, which may be empty.
+    /// A piece of the body, and whether it is the last. The last piece may be empty.
     Data(Bytes, bool),
     /// The exchange ended without a complete answer.
     Failed(ExchangeFailure),
@@ -43,22 +44,22 @@
     Cancelled,
 }
 
-/// `StreamGone` says that the other end of a stream has closed it.
+/// `StreamClosed` is the error of sending on a stream whose receiving end or link is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StreamGone;
+pub struct StreamClosed;
 
 type ConsumedHook = Box<dyn Fn(usize)>;
 
 struct PipeState {
     events: VecDeque<StreamEvent>,
     queued_bytes: usize,
-    consumed: usize,
-    reader_gone: bool,
+    uncredited_bytes: usize,
+    reader_closed: bool,
     cancelled: bool,
-    shut: bool,
-    reader: Option<Waker>,
-    cancel_watcher: Option<Waker>,
-    writer: Option<Waker>,
+    window_shut: bool,
+    reader_waker: Option<Waker>,
+    cancel_waker: Option<Waker>,
+    sender_waker: Option<Waker>,
     on_consumed: Option<ConsumedHook>,
 }
 
@@ -74,88 +75,89 @@
 }
 
 impl EventPipe {
-    /// Builds a pipe; `on_consumed` gets counts of consumed bytes, to return credit over a link.
+    /// Builds a pipe; `on_consumed` gets the number of bytes to return as credit over a link.
     pub fn new(on_consumed: Option<ConsumedHook>) -> Self {
         let state = PipeState {
             events: VecDeque::new(),
             queued_bytes: 0,
-            consumed: 0,
-            reader_gone: false,
+            uncredited_bytes: 0,
+            reader_closed: false,
             cancelled: false,
-            shut: false,
-            reader: None,
-            cancel_watcher: None,
-            writer: None,
+            window_shut: false,
+            reader_waker: None,
+            cancel_waker: None,
+            sender_waker: None,
             on_consumed,
         };
         Self { state: RefCell::new(state) }
     }
 
-    /// Blocks senders of body bytes until [`Self::open_window`].
+    /// Blocks senders of body bytes until [`Self::open_window`] or [`Self::offer_slot`] is called.
     pub fn shut_window(&self) {
-        self.state.borrow_mut().shut = true;
+        self.state.borrow_mut().window_shut = true;
     }
 
     /// Grants senders the first window of body bytes.
     pub fn open_window(&self) {
         let mut state = self.state.borrow_mut();
-        state.shut = false;
-        wake(&mut state.writer);
+        state.window_shut = false;
+        wake(&mut state.sender_waker);
         if let Some(hook) = &state.on_consumed {
             hook(WINDOW_BYTES);
         }
     }
 
-    /// Offers a slot to a reservation: its sender becomes ready and sends [`StreamEvent::Begin`].
+    /// Offers a slot to a reservation: the sink of the ingress becomes ready, and the ingress sends
+    /// [`StreamEvent::Begin`].
     pub fn offer_slot(&self) {
         let mut state = self.state.borrow_mut();
-        state.shut = false;
-        wake(&mut state.writer);
+        state.window_shut = false;
+        wake(&mut state.sender_waker);
         if let Some(hook) = &state.on_consumed {
-            hook(OFFER_CREDIT);
+            hook(OFFER_CREDIT_BYTES);
         }
     }
 
     /// Waits until body bytes may be sent.
-    pub async fn ready(&self) -> Result<(), StreamGone> {
+    pub async fn ready(&self) -> Result<(), StreamClosed> {
         poll_fn(|context| self.poll_room(context)).await
     }
 
     /// Adds an event without waiting for the window.
-    pub fn push(&self, event: StreamEvent) -> Result<(), StreamGone> {
+    pub fn push(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         let mut state = self.state.borrow_mut();
-        if state.reader_gone {
-            return Err(StreamGone);
+        if state.reader_closed {
+            return Err(StreamClosed);
         }
         if let StreamEvent::Data(data, _) = &event {
             state.queued_bytes += data.len();
         }
         if matches!(event, StreamEvent::Cancelled | StreamEvent::Failed(_)) {
             state.cancelled = true;
-            wake(&mut state.cancel_watcher);
+            wake(&mut state.cancel_waker);
         }
         state.events.push_back(event);
-        wake(&mut state.reader);
+        wake(&mut state.reader_waker);
         Ok(())
     }
 
-    /// Adds an event once the window has room for it.
-    pub async fn send(&self, event: StreamEvent) -> Result<(), StreamGone> {
+    /// Adds an event. A piece of the body waits until the window has room for it.
+    pub async fn send(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         if matches!(event, StreamEvent::Data(..)) {
             poll_fn(|context| self.poll_room(context)).await?;
         }
         self.push(event)
     }
 
-    fn poll_room(&self, context: &mut Context<'_>) -> Poll<Result<(), StreamGone>> {
+    fn poll_room(&self, context: &mut Context<'_>) -> Poll<Result<(), StreamClosed>> {
         let mut state = self.state.borrow_mut();
-        if state.reader_gone {
-            return Poll::Ready(Err(StreamGone));
+        if state.reader_closed {
+            return Poll::Ready(Err(StreamClosed));
         }
-        if state.queued_bytes < WINDOW_BYTES && !state.shut {
+        if state.queued_bytes < WINDOW_BYTES && !state.window_shut {
             return Poll::Ready(Ok(()));
         }
-        state.writer = Some(context.waker().clone());
+        state.sender_waker = Some(context.waker().clone());
         Poll::Pending
     }
 
@@ -170,12 +172,12 @@
         let event = match state.events.pop_front() {
             Some(event) => event,
             None => {
-                state.reader = Some(context.waker().clone());
+                state.reader_waker = Some(context.waker().clone());
                 return Poll::Pending;
             }
         };
         if let StreamEvent::Data(data, last) = &event {
-            state.note_consumed(data.len(), *last);
+            state.record_consumed(data.len(), *last);
         }
         Poll::Ready(event)
     }
@@ -187,34 +189,34 @@
             if state.cancelled {
                 return Poll::Ready(());
             }
-            state.cancel_watcher = Some(context.waker().clone());
+            state.cancel_waker = Some(context.waker().clone());
             Poll::Pending
         })
         .await
     }
 
-    /// Closes the receiving end: senders fail with [`StreamGone`] and queued events are dropped.
+    /// Closes the receiving end: senders fail with [`StreamClosed`] and queued events are dropped.
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
-        state.reader_gone = true;
+        state.reader_closed = true;
         state.events.clear();
         state.queued_bytes = 0;
-        wake(&mut state.writer);
+        wake(&mut state.sender_waker);
     }
 }
 
 impl PipeState {
-    fn note_consumed(&mut self, bytes: usize, last: bool) {
+    fn record_consumed(&mut self, bytes: usize, last: bool) {
         self.queued_bytes -= bytes;
-        wake(&mut self.writer);
-        self.consumed += bytes;
-        if last || self.consumed < CREDIT_STEP {
+        wake(&mut self.sender_waker);
+        self.uncredited_bytes += bytes;
+        if last || self.uncredited_bytes < CREDIT_STEP_BYTES {
             return;
         }
         if let Some(hook) = &self.on_consumed {
-            hook(self.consumed);
+            hook(self.uncredited_bytes);
         }
-        self.consumed = 0;
+        self.uncredited_bytes = 0;
     }
 }
 
@@ -226,9 +228,9 @@
 
 #[derive(Debug)]
 struct CreditState {
-    left: i64,
+    available_bytes: i64,
     closed: bool,
-    waiter: Option<Waker>,
+    sender_waker: Option<Waker>,
 }
 
 /// `SendCredit` counts the body bytes that may still be sent in one direction of one exchange.
@@ -249,31 +251,31 @@
         Self::new(0)
     }
 
-    fn new(left: i64) -> Self {
-        let state = CreditState { left, closed: false, waiter: None };
+    fn new(available_bytes: i64) -> Self {
+        let state = CreditState { available_bytes, closed: false, sender_waker: None };
         Self { state: RefCell::new(state) }
     }
 
     /// Adds credit granted by the receiver.
     pub fn add(&self, bytes: i32) {
         let mut state = self.state.borrow_mut();
-        state.left += i64::from(bytes.max(0));
-        wake(&mut state.waiter);
+        state.available_bytes += i64::from(bytes.max(0));
+        wake(&mut state.sender_waker);
     }
 
-    /// Closes the stream; a sender that waits for credit fails with [`StreamGone`].
+    /// Closes the stream; a sender that waits for credit fails with [`StreamClosed`].
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
         state.closed = true;
-        wake(&mut state.waiter);
+        wake(&mut state.sender_waker);
     }
 
     /// Waits until body bytes may be sent.
-    pub async fn ready(&self) -> Result<(), StreamGone> {
+    pub async fn ready(&self) -> Result<(), StreamClosed> {
         self.take(0, false).await
     }
 
-    async fn take(&self, bytes: usize, last: bool) -> Result<(), StreamGone> {
+    async fn take(&self, bytes: usize, last: bool) -> Result<(), StreamClosed> {
         poll_fn(|context| self.poll_take(bytes, last, context)).await
     }
 
@@ -282,17 +284,17 @@
         bytes: usize,
         last: bool,
         context: &mut Context<'_>,
-    ) -> Poll<Result<(), StreamGone>> {
+    ) -> Poll<Result<(), StreamClosed>> {
         let mut state = self.state.borrow_mut();
         if state.closed {
-            return Poll::Ready(Err(StreamGone));
+            return Poll::Ready(Err(StreamClosed));
         }
         // An empty last chunk needs no credit.
-        if state.left > 0 || (bytes == 0 && last) {
-            state.left -= bytes as i64;
+        if state.available_bytes > 0 || (bytes == 0 && last) {
+            state.available_bytes -= bytes as i64;
             return Poll::Ready(Ok(()));
         }
-        state.waiter = Some(context.waker().clone());
+        state.sender_waker = Some(context.waker().clone());
         Poll::Pending
     }
 }
@@ -304,37 +306,37 @@
     pub exchange: i64,
     /// Send queue of the link.
     pub sender: FrameSender,
-    /// Credit left for body bytes.
+    /// Credit for body bytes of this direction.
     pub credit: Rc<SendCredit>,
 }
 
 impl RemoteSink {
-    async fn send(&self, event: StreamEvent) -> Result<(), StreamGone> {
+    async fn send(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         match event {
-            StreamEvent::Head(head) => self.post(FrameBody::Answer(head)),
-            StreamEvent::Begin(head) => self.post(FrameBody::CalledIn(*head)),
-            StreamEvent::Failed(failure) => self.post(FrameBody::Failure(failure)),
+            StreamEvent::Head(head) => self.send_frame(FrameBody::Answer(head)),
+            StreamEvent::Begin(head) => self.send_frame(FrameBody::CalledIn(*head)),
+            StreamEvent::Failed(failure) => self.send_frame(FrameBody::Failure(failure)),
             StreamEvent::Cancelled => {
-                self.post(FrameBody::Cancel(CancelNotice { caller_gone: true }))
+                self.send_frame(FrameBody::Cancel(CancelNotice { caller_gone: true }))
             }
             StreamEvent::Data(data, last) => self.send_data(data, last).await,
         }
     }
 
-    async fn send_data(&self, mut data: Bytes, last: bool) -> Result<(), StreamGone> {
+    async fn send_data(&self, mut data: Bytes, last: bool) -> Result<(), StreamClosed> {
         loop {
             let part = data.split_to(data.len().min(CHUNK_BYTES_MAX));
             self.credit.take(part.len(), last).await?;
             let chunk = BodyChunk { data: part.to_vec(), last: last && data.is_empty() };
-            self.post(FrameBody::Chunk(chunk))?;
+            self.send_frame(FrameBody::Chunk(chunk))?;
             if data.is_empty() {
                 return Ok(());
             }
         }
     }
 
-    fn post(&self, body: FrameBody) -> Result<(), StreamGone> {
-        self.sender.send(self.exchange, body).map(drop).map_err(|_| StreamGone)
+    fn send_frame(&self, body: FrameBody) -> Result<(), StreamClosed> {
+        self.sender.send(self.exchange, body).map(drop).map_err(|_| StreamClosed)
     }
 }
 
@@ -349,7 +351,7 @@
 
 impl EventSink {
     /// Waits until body bytes may be sent.
-    pub async fn ready(&self) -> Result<(), StreamGone> {
+    pub async fn ready(&self) -> Result<(), StreamClosed> {
         match self {
             Self::Local(pipe) => pipe.ready().await,
             Self::Remote(sink) => sink.credit.ready().await,
@@ -358,15 +360,15 @@
 
     /// Sends the request of a reservation that was offered a slot; unlike body bytes, it does not
     /// wait for the window.
-    pub fn begin(&self, head: DispatchHead) -> Result<(), StreamGone> {
+    pub fn begin(&self, head: DispatchHead) -> Result<(), StreamClosed> {
         match self {
             Self::Local(pipe) => pipe.push(StreamEvent::Begin(Box::new(head))),
-            Self::Remote(sink) => sink.post(FrameBody::CalledIn(head)),
+            Self::Remote(sink) => sink.send_frame(FrameBody::CalledIn(head)),
         }
     }
 
     /// Polls whether body bytes may be sent.
-    pub fn poll_ready(&self, context: &mut Context<'_>) -> Poll<Result<(), StreamGone>> {
+    pub fn poll_ready(&self, context: &mut Context<'_>) -> Poll<Result<(), StreamClosed>> {
         match self {
             Self::Local(pipe) => pipe.poll_room(context),
             Self::Remote(sink) => sink.credit.poll_take(0, false, context),
@@ -374,7 +376,7 @@
     }
 
     /// Sends an event; body bytes wait for the window.
-    pub async fn send(&self, event: StreamEvent) -> Result<(), StreamGone> {
+    pub async fn send(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         match self {
             Self::Local(pipe) => pipe.send(event).await,
             Self::Remote(sink) => sink.send(event).await,
@@ -382,7 +384,8 @@
     }
 }
 
-/// Builds the pipe of a direction received over a link, which returns credit as it is read.
+/// Builds the pipe for a direction that is received over a link. The pipe returns credit to the
+/// sender as its body bytes are read.
 pub fn remote_pipe(exchange: i64, sender: &FrameSender) -> EventPipe {
     let sender = sender.clone();
     EventPipe::new(Some(Box::new(move |bytes| {
--- a/crates/peer/tests/compression.rs
+++ b/crates/peer/tests/compression.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Compression of a link: data is restored however the stream is split, and repeated heads compress
-//! well.
+//! Compression of a link. Guards against frames that are garbled, or delayed until the next batch,
+//! when a read ends within a compressed block, and against repeated heads that hardly shrink.
 
 use basaltarch_peer::compression::{LinkDecoder, LinkEncoder};
 use bytes::BytesMut;
@@ -51,8 +51,12 @@
     };
     let mut encoder = LinkEncoder::default();
     let first = encode(&mut encoder, head(1).as_bytes()).len();
-    let later: usize = (2..12).map(|n| encode(&mut encoder, head(n).as_bytes()).len()).sum();
-    assert!(later / 10 * 3 < first, "{first} bytes at first, {} later", later / 10);
+    let later_bytes: usize = (2..12).map(|n| encode(&mut encoder, head(n).as_bytes()).len()).sum();
+    assert!(
+        later_bytes / 10 * 3 < first,
+        "{first} bytes for the first head, {} for each later one",
+        later_bytes / 10
+    );
 }
 
 #[test]
--- a/crates/peer/tests/frames.rs
+++ b/crates/peer/tests/frames.rs
@@ -1,7 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Frames and streams between daemons.
+//! Frames, exchanges and flow control between daemons. Guards against frames that are lost when a
+//! read ends within them, panics on malformed frames, exchanges reported as not run although their
+//! bytes were sent, and senders that exceed the flow-control window.
 
 use std::rc::Rc;
 
@@ -199,14 +201,14 @@
     });
 }
 
-/// Returns a configuration for `cases` cases from a fixed seed.
-fn fixed(cases: u32) -> ProptestConfig {
+/// Returns a configuration of `cases` cases from a fixed seed, so that each run has the same cases.
+fn fixed_config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(500))]
+    #![proptest_config(fixed_config(500))]
 
     /// Decoding of arbitrary bytes from a peer must not panic.
     #[test]
