--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -12,9 +12,9 @@
 use crate::framing::BodyFraming;
 use crate::reader::{ByteReader, BODY_READ_BYTES};
 
-/// Longest chunk header line, with its extensions, and longest trailer line.
-const CHUNK_LINE_MAX: usize = 1024;
-/// Maximum number of digits of a chunk size that fit a `u64` without overflow.
+/// Maximum length in bytes of a chunk header line with its extensions, and of a trailer line.
+const CHUNK_LINE_BYTES_MAX: usize = 1024;
+/// Maximum number of hexadecimal digits of a chunk size, so that it fits a `u64`.
 const CHUNK_DIGITS_MAX: usize = 15;
 /// Maximum number of trailer lines that are discarded.
 const TRAILERS_MAX: usize = 64;
@@ -54,7 +54,7 @@
 pub struct BodyReader {
     state: BodyState,
     limits: BodyLimits,
-    total: u64,
+    total_bytes: u64,
 }
 
 impl BodyReader {
@@ -66,10 +66,10 @@
             BodyFraming::Chunked => BodyState::ChunkSize,
             BodyFraming::UntilClose => BodyState::UntilClose,
         };
-        Self { state, limits, total: 0 }
+        Self { state, limits, total_bytes: 0 }
     }
 
-    /// Returns whether the whole body was returned.
+    /// Returns whether the body has been read to its end.
     pub fn is_done(&self) -> bool {
         self.state == BodyState::Done
     }
@@ -104,12 +104,14 @@
         loop {
             match self.state {
                 BodyState::Done => return Ok(None),
-                BodyState::Length(left) => return self.take_length(buffer, left),
+                BodyState::Length(remaining_bytes) => {
+                    return self.take_length(buffer, remaining_bytes)
+                }
                 BodyState::UntilClose => return self.take_data(buffer, u64::MAX),
-                BodyState::ChunkData(left) => {
-                    let piece = self.take_data(buffer, left)?;
-                    let taken = piece.as_ref().map_or(0, Bytes::len) as u64;
-                    self.state = match left - taken {
+                BodyState::ChunkData(remaining_bytes) => {
+                    let piece = self.take_data(buffer, remaining_bytes)?;
+                    let taken_bytes = piece.as_ref().map_or(0, Bytes::len) as u64;
+                    self.state = match remaining_bytes - taken_bytes {
                         0 => BodyState::ChunkEnd,
                         rest => BodyState::ChunkData(rest),
                     };
@@ -117,7 +119,7 @@
                 }
                 BodyState::ChunkSize | BodyState::ChunkEnd | BodyState::Trailers(_) => {
                     match take_line(buffer)? {
-                        Some(line) => self.state = after_line(self.state, &line)?,
+                        Some(line) => self.state = state_after_line(self.state, &line)?,
                         None => return Ok(None),
                     }
                 }
@@ -128,11 +130,11 @@
     fn take_length(
         &mut self,
         buffer: &mut BytesMut,
-        left: u64,
+        remaining_bytes: u64,
     ) -> Result<Option<Bytes>, HttpError> {
-        let piece = self.take_data(buffer, left)?;
-        let taken = piece.as_ref().map_or(0, Bytes::len) as u64;
-        self.state = match left - taken {
+        let piece = self.take_data(buffer, remaining_bytes)?;
+        let taken_bytes = piece.as_ref().map_or(0, Bytes::len) as u64;
+        self.state = match remaining_bytes - taken_bytes {
             0 => BodyState::Done,
             rest => BodyState::Length(rest),
         };
@@ -148,15 +150,15 @@
             return Ok(None);
         }
         let count = max_bytes.min(buffer.len() as u64).min(BODY_READ_BYTES as u64);
-        self.total += count;
-        if self.total > self.limits.bytes {
+        self.total_bytes += count;
+        if self.total_bytes > self.limits.bytes {
             return Err(HttpError::BodyTooLarge { allowed: self.limits.bytes });
         }
         Ok(Some(buffer.split_to(count as usize).freeze()))
     }
 }
 
-fn after_line(state: BodyState, line: &[u8]) -> Result<BodyState, HttpError> {
+fn state_after_line(state: BodyState, line: &[u8]) -> Result<BodyState, HttpError> {
     match state {
         BodyState::ChunkEnd if line.is_empty() => Ok(BodyState::ChunkSize),
         BodyState::ChunkEnd => Err(HttpError::BadChunk),
@@ -185,14 +187,14 @@
 /// return is an error.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, HttpError> {
     match buffer.iter().position(|byte| *byte == b'\n') {
-        Some(end) if end > CHUNK_LINE_MAX => Err(HttpError::BadChunk),
+        Some(end) if end > CHUNK_LINE_BYTES_MAX => Err(HttpError::BadChunk),
         Some(end) if end > 0 && buffer[end - 1] == b'\r' => {
             let line = buffer.split_to(end - 1);
             buffer.advance(2);
             Ok(Some(line))
         }
         Some(_) => Err(HttpError::BadChunk),
-        None if buffer.len() > CHUNK_LINE_MAX => Err(HttpError::BadChunk),
+        None if buffer.len() > CHUNK_LINE_BYTES_MAX => Err(HttpError::BadChunk),
         None => Ok(None),
     }
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -56,9 +56,9 @@
     }
 
     /// Enables TCP keep-alive, by which the system detects a dead peer after about three times
-    /// `silence`.
-    pub fn tcp_keepalive(mut self, silence: Duration) -> Self {
-        self.tcp_keepalive = Some(silence);
+    /// `probe_interval`.
+    pub fn tcp_keepalive(mut self, probe_interval: Duration) -> Self {
+        self.tcp_keepalive = Some(probe_interval);
         self
     }
 
@@ -94,7 +94,7 @@
         mut headers: HeaderMap,
         body: Bytes,
     ) -> Result<ClientReply, HttpError> {
-        let mut stream = self.open().await?;
+        let mut stream = self.take_or_connect().await?;
         if !headers.contains_key(header::HOST) {
             if let Ok(value) = HeaderValue::from_str(&self.address.to_string()) {
                 headers.insert(header::HOST, value);
@@ -111,14 +111,14 @@
 
     async fn connect(&self) -> Result<HttpStream, HttpError> {
         match self.tcp_keepalive {
-            Some(silence) => {
-                HttpStream::connect_with_keepalive(self.address, self.timeout, silence).await
+            Some(probe_interval) => {
+                HttpStream::connect_with_keepalive(self.address, self.timeout, probe_interval).await
             }
             None => HttpStream::connect(self.address, self.timeout).await,
         }
     }
 
-    async fn open(&self) -> Result<HttpStream, HttpError> {
+    async fn take_or_connect(&self) -> Result<HttpStream, HttpError> {
         loop {
             let pooled = self.idle.borrow_mut().pop();
             let mut stream = match pooled {
@@ -155,7 +155,7 @@
     writer::send_piece(&mut stream.writer, &mut buffer, framing, body, true).await
 }
 
-/// Reads a reply with its complete body, and returns whether the connection ends with it.
+/// Reads a reply with its complete body. Also returns whether the connection ends after it.
 pub async fn receive(
     stream: &mut HttpStream,
     method: &Method,
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -58,18 +58,18 @@
 const KEEPALIVE_PROBES: u32 = 2;
 
 impl HttpStream {
-    /// Shuts down the write half and discards what the peer still sends: closing with unread bytes
-    /// resets the connection, and the peer might lose the response (RFC 9112 section 9.6).
+    /// Shuts down the write half and discards what the peer still sends. Closing a connection with
+    /// unread bytes resets it, and the peer might lose the response (RFC 9112 section 9.6).
     pub async fn linger(&mut self) {
-        // On a connection that is already broken, nobody is left to read the response.
+        // If the shutdown fails, the connection is already broken and the response can't be read.
         let _ = self.writer.shutdown().await;
         let reader = &mut self.reader;
         let reading = async {
-            let mut read = reader.buffer.len();
-            while read < LINGER_BYTES_MAX {
+            let mut discarded_bytes = reader.buffer.len();
+            while discarded_bytes < LINGER_BYTES_MAX {
                 reader.buffer.clear();
                 match reader.fill(HEAD_READ_BYTES).await {
-                    Ok(count) if count > 0 => read += count,
+                    Ok(count) if count > 0 => discarded_bytes += count,
                     _ => return,
                 }
             }
@@ -77,19 +77,23 @@
         let _ = monoio::time::timeout(LINGER_TIME_MAX, reading).await;
     }
 
-    /// Connects as [`Self::connect`] does, with TCP keep-alive: the system sends the first probe
-    /// after `silence`, and drops the connection after [`KEEPALIVE_PROBES`] unanswered probes.
+    /// Connects as [`Self::connect`] does, with TCP keep-alive: the system sends a probe after each
+    /// `probe_interval` without data from the peer, and drops the connection after
+    /// [`KEEPALIVE_PROBES`] unanswered probes.
     pub async fn connect_with_keepalive(
         address: SocketAddr,
         limit: Duration,
-        silence: Duration,
+        probe_interval: Duration,
     ) -> Result<Self, HttpError> {
         let stream = match monoio::time::timeout(limit, TcpStream::connect_addr(address)).await {
             Ok(result) => result.map_err(errors::broken)?,
             Err(_) => return Err(HttpError::TimedOut { what: "a connection" }),
         };
-        let enabled =
-            stream.set_tcp_keepalive(Some(silence), Some(silence), Some(KEEPALIVE_PROBES));
+        let enabled = stream.set_tcp_keepalive(
+            Some(probe_interval),
+            Some(probe_interval),
+            Some(KEEPALIVE_PROBES),
+        );
         enabled.map_err(errors::broken)?;
         Ok(Self::new(stream))
     }
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -19,9 +19,9 @@
     #[snafu(display("the message was cut short"))]
     Truncated,
     /// The connection failed.
-    #[snafu(display("connection: {source}"))]
+    #[snafu(display("the connection failed: {source}"))]
     Broken {
-        /// What the system reported.
+        /// Error that the operating system reported.
         source: io::Error,
     },
     /// The peer was too slow.
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -17,7 +17,7 @@
 pub const REASON: HeaderName = HeaderName::from_static("basaltarch-reason");
 /// How a proxy handled the request (RFC 9209).
 pub const PROXY_STATUS: HeaderName = HeaderName::from_static("proxy-status");
-/// Id by which the logs name a request, where the deployment has no field of its own.
+/// Id of a request in the logs, unless the deployment uses a field of another name.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// Milliseconds until the caller's deadline; forwarded to backend servers.
 pub const DEADLINE: HeaderName = HeaderName::from_static("basaltarch-deadline-ms");
@@ -43,13 +43,13 @@
 /// in an exchange. A deployment whose servers use other names supplies its own.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExchangeFields {
-    /// Id of one attempt of a caller, which the response repeats; if there is none, it is not
-    /// compared.
+    /// Id of one attempt of a caller, which the response repeats. If no field is named, the ids of
+    /// request and response are not compared.
     pub request: Option<HeaderName>,
     /// Milliseconds until the caller's deadline.
     pub deadline: HeaderName,
-    /// Proof that a backend server made the response, on each of its responses; if there is none,
-    /// no proof is required.
+    /// Proof that a backend server made the response, on each of its responses. If no field is
+    /// named, no proof is required.
     pub stamp: Option<HeaderName>,
     /// The only incarnation of a backend server that may run the request.
     pub expected_server: Option<HeaderName>,
@@ -123,7 +123,7 @@
 
 /// Returns whether the connection ends after this message.
 pub fn wants_close(version: Version, headers: &HeaderMap) -> bool {
-    let has = |token: &str| {
+    let has_token = |token: &str| {
         headers
             .get_all(CONNECTION)
             .iter()
@@ -132,8 +132,8 @@
             .any(|each| each.trim().eq_ignore_ascii_case(token))
     };
     match version {
-        Version::HTTP_11 => has("close"),
-        _ => !has("keep-alive"),
+        Version::HTTP_11 => has_token("close"),
+        _ => !has_token("keep-alive"),
     }
 }
 
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -76,8 +76,8 @@
     }
     let mut values = headers.get_all(TRANSFER_ENCODING).iter();
     let value = values.next().map(|value| value.as_bytes());
-    let chunked = value.is_some_and(|value| value.eq_ignore_ascii_case(b"chunked"));
-    if chunked && values.next().is_none() {
+    let is_chunked = value.is_some_and(|value| value.eq_ignore_ascii_case(b"chunked"));
+    if is_chunked && values.next().is_none() {
         return Ok(());
     }
     Err(HttpError::UnknownCoding)
@@ -93,10 +93,10 @@
     if values.next().is_some() {
         return Err(HttpError::BadLength { message: "more than one Content-Length" });
     }
-    let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+    let is_all_digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     let parsed = std::str::from_utf8(value).ok().and_then(|text| text.parse::<u64>().ok());
     match parsed {
-        Some(bytes) if digits && bytes <= i64::MAX as u64 => Ok(Some(bytes)),
+        Some(bytes) if is_all_digits && bytes <= i64::MAX as u64 => Ok(Some(bytes)),
         _ => Err(HttpError::BadLength { message: "Content-Length is not a number" }),
     }
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -85,8 +85,8 @@
         if let Some(end) = find_end(&reader.buffer, limits)? {
             return Ok(reader.buffer.split_to(end));
         }
-        let left = limits.time.saturating_sub(start.elapsed());
-        let count = reader.fill_within(HEAD_READ_BYTES, left, "the head").await?;
+        let remaining_time = limits.time.saturating_sub(start.elapsed());
+        let count = reader.fill_within(HEAD_READ_BYTES, remaining_time, "the head").await?;
         if count == 0 {
             return Err(HttpError::Truncated);
         }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -225,7 +225,9 @@
                     writer::send_piece(&mut stream.writer, &mut buffer, framing, piece, false);
                 match monoio::time::timeout(STREAM_WRITE_TIMEOUT, send).await {
                     Ok(result) => result?,
-                    Err(_) => return Err(HttpError::TimedOut { what: "a slow reader" }),
+                    Err(_) => {
+                        return Err(HttpError::TimedOut { what: "the client to read the reply" })
+                    }
                 }
             }
             writer::send_piece(&mut stream.writer, &mut buffer, framing, Bytes::new(), true).await
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -41,12 +41,16 @@
         let client = HttpClient::new(address, Duration::from_secs(20));
         let call =
             |path: &'static str| client.call(Method::GET, path, HeaderMap::new(), Bytes::new());
-        assert!(call("/panic").await.is_err(), "that connection ends");
+        assert!(call("/panic").await.is_err(), "the panic ends its connection");
         for _ in 0..3 {
             assert_eq!(call("/").await.expect("a reply").status, StatusCode::OK);
         }
         assert!(call("/panic").await.is_err());
         assert_eq!(call("/").await.expect("a reply").status, StatusCode::OK);
-        assert_eq!((served.get(), open.get()), (4, 1), "the ended ones are no longer counted");
+        assert_eq!(
+            (served.get(), open.get()),
+            (4, 1),
+            "4 requests served; only the pooled connection is still counted"
+        );
     });
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -88,7 +88,7 @@
 fn verify_a_closed_connection_and_a_truncated_head_give_different_errors(text: &str, part: &str) {
     let error = request(text, 3).expect_err("no head");
     assert!(error.to_string().contains(part), "{error}");
-    assert!(error.status().is_none(), "nobody is left to answer");
+    assert!(error.status().is_none(), "no response can be sent");
 }
 
 #[test]
@@ -119,14 +119,14 @@
 #[test_case("\r\nhello\r\n", Err("chunk") ; "no size")]
 #[test_case("5\r\nhelloX\n0\r\n\r\n", Err("chunk") ; "no end")]
 #[test_case("fffffffffffffffff\r\n", Err("chunk") ; "size of no number")]
-fn verify_chunked_bodies(text: &str, wanted: Result<&str, &str>) {
+fn verify_chunked_bodies(text: &str, expected: Result<&str, &str>) {
     for piece in [1, 2, 3, 7, 1000] {
         let result = run(async {
             let mut reader = PieceReader::new(text.as_bytes(), piece);
             read_all(&mut reader, BodyFraming::Chunked, BodyLimits::default()).await
         });
-        match (&result, wanted) {
-            (Ok(body), Ok(wanted)) => assert_eq!(body, wanted.as_bytes()),
+        match (&result, expected) {
+            (Ok(body), Ok(expected)) => assert_eq!(body, expected.as_bytes()),
             (Err(error), Err(part)) => assert!(error.to_string().contains(part), "{error}"),
             other => panic!("{other:?}"),
         }
@@ -161,12 +161,12 @@
     }
     assert!(fields::wants_close(Version::HTTP_11, &headers));
     fields::remove_hop_fields(&mut headers);
-    let left: Vec<&str> = headers.keys().map(HeaderName::as_str).collect();
-    assert_eq!(left, ["x-three"]);
+    let remaining: Vec<&str> = headers.keys().map(HeaderName::as_str).collect();
+    assert_eq!(remaining, ["x-three"]);
     assert!(fields::wants_close(Version::HTTP_10, &headers));
 }
 
-/// Runs `cases` cases with a fixed_config seed, so that each run has the same ones.
+/// Returns a configuration of `cases` cases from a fixed seed, so that each run has the same cases.
 fn fixed_config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(20_261_202);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -230,13 +230,13 @@
         }
         writer::put_piece(&mut buffer, BodyFraming::Chunked, &Bytes::new(), true);
         buffer.extend_from_slice(b"next");
-        let (body, left) = run(async {
+        let (body, unread) = run(async {
             let mut reader = PieceReader::new(&buffer, split);
             let body = read_all(&mut reader, BodyFraming::Chunked, BodyLimits::default()).await;
             while reader.fill(100).await.expect("read") > 0 {}
             (body.expect("body"), reader.buffer.clone())
         });
         prop_assert_eq!(body, pieces.concat());
-        prop_assert_eq!(&left[..], b"next", "the next message is untouched");
+        prop_assert_eq!(&unread[..], b"next", "the next message is untouched");
     }
 }
