--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -25,24 +25,25 @@
 const DEADLINE: Duration = Duration::from_secs(2);
 /// Shortest and longest pause between two requests of a caller, in milliseconds.
 const PAUSE_MS: std::ops::RangeInclusive<u64> = 40..=120;
-/// Interval at which a caller checks for its daemon while that is down.
+/// Interval at which a caller checks whether its daemon is up again.
 const DOWN_PAUSE: Duration = Duration::from_millis(50);
 
 /// `AnswerViolation` is a guarantee of one exchange that was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerViolation {
-    /// A successful response that is not the complete response to the request that was sent.
+    /// The body of a successful response is truncated or belongs to another request.
     NotItsOwn,
-    /// A refusal which says that the request was not run, of a request that ran.
+    /// The response reported that the request was not run, but a backend server ran it.
     RanAfterAll,
-    /// A non-repeatable request ran more than once: this number of times.
+    /// A non-repeatable request ran this number of times, more than once.
     RanTwice(u64),
 }
 
-/// `PlainRequests` records the non-repeatable requests, to compare them with what ran.
+/// `PlainRequests` records the outcomes of non-repeatable requests, to compare them with the run
+/// counters of the backend servers.
 #[derive(Default)]
 pub struct PlainRequests {
-    /// Whether the response of each said that it was not run, by request id.
+    /// Maps the id of each request to whether its response reported that it was not run.
     refused: RefCell<FnvHashMap<String, bool>>,
 }
 
@@ -50,7 +51,7 @@
     /// Returns the violations, given how often the backend servers ran each request.
     pub fn violations(&self, runs: &FnvHashMap<String, u64>) -> Vec<(String, AnswerViolation)> {
         let refused = self.refused.borrow();
-        let found = refused.iter().filter_map(|(id, refused)| {
+        let violations = refused.iter().filter_map(|(id, refused)| {
             let count = runs.get(id).copied().unwrap_or(0);
             match (*refused, count) {
                 (true, 1..) => Some((id.clone(), AnswerViolation::RanAfterAll)),
@@ -58,14 +59,14 @@
                 _ => None,
             }
         });
-        found.collect()
+        violations.collect()
     }
 }
 
 /// `CallerPlan` holds the settings and the state of a caller.
 pub struct CallerPlan {
-    /// Index of its host.
-    pub number: usize,
+    /// Index of the host.
+    pub host_index: usize,
     /// The host.
     pub host: Rc<SoakHost>,
     /// Index of the caller among those of its host.
@@ -95,7 +96,7 @@
             continue;
         };
         // A client and its connections are kept until the daemon is restarted.
-        if client.as_ref().is_none_or(|(of, _)| *of != incarnation) {
+        if client.as_ref().is_none_or(|(connected, _)| *connected != incarnation) {
             client = Some((incarnation, HttpClient::new(address, DEADLINE * 2)));
         }
         count += 1;
@@ -106,7 +107,7 @@
             let reply = send_request(client, route, &id).await;
             let (answer, violation) = classify(&plan, route, &id, reply.as_ref());
             let answered_at = plan.began.elapsed();
-            let host = plan.number;
+            let host = plan.host_index;
             on_sample(
                 CallerSample { host, incarnation, id, sent_at, answered_at, route, answer },
                 violation,
@@ -119,12 +120,12 @@
 
 fn choose_route(plan: &mut CallerPlan) -> RequestedRoute {
     let newest = plan.operator.newest();
-    let older = newest.saturating_sub(plan.rng.random_range(1..=6));
+    let older_step = newest.saturating_sub(plan.rng.random_range(1..=6));
     let routes = [
         RequestedRoute::Added(newest),
         RequestedRoute::Added(newest),
         RequestedRoute::Moved,
-        RequestedRoute::Added(older),
+        RequestedRoute::Added(older_step),
         RequestedRoute::Steady,
         RequestedRoute::Plain,
     ];
@@ -175,7 +176,7 @@
 fn service_in(reply: &ClientReply, route: RequestedRoute, id: &str) -> Option<usize> {
     let text = std::str::from_utf8(&reply.body).ok()?;
     let (server, rest) = text.split_once(' ')?;
-    let own = rest == format!("200 {} {id}\n", route.path());
-    let number = server.strip_prefix("i-")?.parse::<usize>().ok()?;
-    own.then(|| fleet::service_of(number))
+    let is_complete = rest == format!("200 {} {id}\n", route.path());
+    let host_index = server.strip_prefix("i-")?.parse::<usize>().ok()?;
+    is_complete.then(|| fleet::service_of(host_index))
 }
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -17,11 +17,11 @@
 pub const UNDISTURBED_MIN: Duration = Duration::from_secs(3);
 /// Time from the acknowledgement of a document until it must be in force at every undisturbed host.
 pub const IN_FORCE_MAX: Duration = Duration::from_secs(2);
-/// Time for which a response may still follow an older document after a daemon has shown a newer
-/// one.
+/// Time for which a daemon's responses may still follow an older document after one of them has
+/// shown that a newer document is in force.
 pub const ROLLBACK_SLACK: Duration = Duration::from_millis(250);
 
-/// `SeenAnswer` is what a response shows of the configuration.
+/// `SeenAnswer` is what a response shows about the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SeenAnswer {
     /// The configuration has no such route.
@@ -65,11 +65,12 @@
 pub enum GuaranteeViolation {
     /// An undisturbed host answered as only an outdated document allows.
     Late {
-        /// Time from the acknowledgement of the first document that forbids the response to the
-        /// request.
+        /// Time from the acknowledgement of the first document that forbids the response until the
+        /// request was sent.
         after: Duration,
     },
-    /// A daemon answered as only a document allows that is older than one it has shown before.
+    /// A response is consistent only with documents that are older than one which the same daemon
+    /// has already shown to be in force.
     RolledBack,
 }
 
@@ -114,8 +115,8 @@
     /// Records that a fault has ended.
     pub fn end(&mut self, handle: &FaultHandle, now: Duration) {
         let close = |spans: &mut Vec<FaultSpan>| {
-            let open = |span: &&mut FaultSpan| span.until.is_none() && span.from == handle.from;
-            if let Some(span) = spans.iter_mut().find(open) {
+            let is_open = |span: &&mut FaultSpan| span.until.is_none() && span.from == handle.from;
+            if let Some(span) = spans.iter_mut().find(is_open) {
                 span.until = Some(now);
             }
         };
@@ -142,8 +143,9 @@
     step: usize,
     /// Time of the run at which it was shown.
     at: Duration,
-    /// Step shown before it, which responses may follow for [`ROLLBACK_SLACK`] longer.
-    before: usize,
+    /// Step that was shown before this one. Responses may still follow it until [`ROLLBACK_SLACK`]
+    /// after `at`.
+    previous_step: usize,
 }
 
 /// `ConfigChecker` checks samples in the order of their responses.
@@ -182,13 +184,14 @@
         if shown.incarnation != sample.incarnation {
             *shown = ShownStep { incarnation: sample.incarnation, ..ShownStep::default() };
         }
-        let settled = sample.sent_at > shown.at + ROLLBACK_SLACK;
-        let oldest = if settled { shown.step } else { shown.before };
-        let Some(step) = (oldest..=newest).find(is_consistent) else {
+        let is_past_slack = sample.sent_at > shown.at + ROLLBACK_SLACK;
+        let oldest_allowed = if is_past_slack { shown.step } else { shown.previous_step };
+        let Some(step) = (oldest_allowed..=newest).find(is_consistent) else {
             return Some(GuaranteeViolation::RolledBack);
         };
         if step > shown.step {
-            *shown = ShownStep { step, at: sample.answered_at, before: shown.step, ..*shown };
+            *shown =
+                ShownStep { step, at: sample.answered_at, previous_step: shown.step, ..*shown };
         }
         None
     }
@@ -202,7 +205,8 @@
     steps.iter().rposition(is_required).unwrap_or(0)
 }
 
-/// Returns the violation of a late sample, with the time since its response was forbidden.
+/// Returns the violation of a sample whose response follows an outdated document, with the time from
+/// the acknowledgement of the document that forbade the response until the request was sent.
 fn late_violation(sample: &CallerSample, steps: &[StepTimes]) -> GuaranteeViolation {
     let required = required_step(sample, steps);
     let allowed = |step: &usize| operator::allows(*step, sample.route, sample.answer);
--- a/crates/soak/src/errors.rs
+++ b/crates/soak/src/errors.rs
@@ -41,7 +41,7 @@
         /// What the system reported.
         source: io::Error,
     },
-    /// A process did not log that it is ready, or not as expected.
+    /// A process did not log that it listens, or logged it without an expected address.
     #[snafu(display("{name} is not ready: {what} missing from its log"))]
     NotReady {
         /// Name of the process, or the line of its log that lacks an address.
@@ -52,7 +52,7 @@
     /// A call to a process failed.
     #[snafu(display("{what}: {source}"))]
     Call {
-        /// What was called.
+        /// Purpose of the call.
         what: &'static str,
         /// Error of the exchange.
         source: HttpError,
@@ -60,7 +60,7 @@
     /// A process refused a call.
     #[snafu(display("{what}: refused with status {status}"))]
     Refused {
-        /// What was called.
+        /// Purpose of the call.
         what: &'static str,
         /// Status of the response.
         status: u16,
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -130,13 +130,13 @@
 
 async fn apply(state: &Rc<SoakState>, plan: &FaultPlan) {
     state.print_event(&format!(
-        "trouble {:?} hosts {:?} for {:?}",
+        "fault {:?} of hosts {:?} for {:?}",
         plan.kind, plan.hosts, plan.length
     ));
     match plan.kind {
-        FaultKind::SilentStore => silence(state, plan, 1.0, false),
-        FaultKind::SilentHalf => silence(state, plan, 0.5, true),
-        FaultKind::SilentAll => silence(state, plan, 1.0, true),
+        FaultKind::SilentStore => black_hole(state, plan, 1.0, false),
+        FaultKind::SilentHalf => black_hole(state, plan, 0.5, true),
+        FaultKind::SilentAll => black_hole(state, plan, 1.0, true),
         FaultKind::HeldStore | FaultKind::HeldPeers => hold(state, plan).await,
         FaultKind::Paused => pause(state, plan).await,
         FaultKind::Killed | FaultKind::Stopped => restart(state, plan).await,
@@ -148,14 +148,14 @@
 
 /// Black-holes open connections. This counts as a fault of every host, as each may be the other end
 /// of such a connection.
-fn silence(state: &SoakState, plan: &FaultPlan, share: f64, peers: bool) {
+fn black_hole(state: &SoakState, plan: &FaultPlan, share: f64, peers: bool) {
     let handle = state.begin(&state.all_hosts(), false);
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     for number in &plan.hosts {
         let host = &state.fleet.hosts[*number];
-        host.store.silence(|| rng.random_bool(share));
+        host.store.black_hole(|| rng.random_bool(share));
         if peers {
-            host.peers.silence(|| rng.random_bool(share));
+            host.peers.black_hole(|| rng.random_bool(share));
         }
     }
     state.end(&handle);
@@ -166,16 +166,16 @@
     // Holding the links of a host affects every peer at their other ends.
     let affected = if is_store { plan.hosts.clone() } else { state.all_hosts() };
     let handle = state.begin(&affected, false);
-    let set = |hold| {
+    let set_hold = |hold| {
         for number in &plan.hosts {
             let host = &state.fleet.hosts[*number];
             let proxy = if is_store { &host.store } else { &host.peers };
             proxy.hold(hold);
         }
     };
-    set(plan.hold);
+    set_hold(plan.hold);
     monoio::time::sleep(plan.length).await;
-    set(ProxyHold::default());
+    set_hold(ProxyHold::default());
     state.end(&handle);
 }
 
@@ -201,12 +201,12 @@
         }
         if plan.kind == FaultKind::Stopped {
             host.with_daemon(|daemon| daemon.signal(Signal::SIGTERM));
-            let left = async || {
+            let wait_for_exit = async || {
                 while host.with_daemon(|daemon| daemon.is_running()) {
                     monoio::time::sleep(Duration::from_millis(20)).await;
                 }
             };
-            let _ = monoio::time::timeout(Duration::from_secs(10), left()).await;
+            let _ = monoio::time::timeout(Duration::from_secs(10), wait_for_exit()).await;
         }
         state.fleet.kill(host);
         monoio::time::sleep(plan.length.min(Duration::from_secs(2))).await;
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -52,7 +52,7 @@
 /// `FleetOptions` are the settings of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// Number of hosts, each with two processes.
+    /// Number of hosts, each with a daemon and a backend server.
     pub hosts: usize,
     /// Folder with the programs.
     pub programs: PathBuf,
@@ -71,7 +71,7 @@
     pub service: usize,
     /// Proxy between its daemon and the store.
     pub store: FaultProxy,
-    /// Proxy in front of its daemon's port for peers.
+    /// Proxy through which peers connect to its daemon.
     pub peers: FaultProxy,
     domain: &'static str,
     upstream: String,
@@ -271,7 +271,8 @@
     }
 }
 
-/// Sends heartbeats on behalf of a host's backend server for ever, while its process runs.
+/// Sends heartbeats on behalf of a host's backend server for ever, except while the server's process
+/// is down.
 async fn send_heartbeats(host: Rc<SoakHost>) {
     let mut sequence = 0;
     loop {
--- a/crates/soak/src/logs.rs
+++ b/crates/soak/src/logs.rs
@@ -21,7 +21,8 @@
     pub revision: u64,
 }
 
-/// Reads these lines of a log; `began` is the time of day at which the run began.
+/// Reads the lines of a log which say that a document came in force; `began` is the time of day at
+/// which the run began.
 pub fn in_force_lines(log: &Path, began: Duration) -> Vec<InForceLine> {
     let text = fs::read_to_string(log).unwrap_or_default();
     let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -64,21 +64,21 @@
             process::exit(EXIT_BAD_SETTINGS);
         }
     };
-    let mut found = 0;
+    let mut finding_count = 0;
     for seed in options.seeds.clone() {
         match run_seed(&options, seed) {
             Ok(report) => {
                 print!("{report}");
-                found += report.found;
+                finding_count += report.finding_count;
             }
             Err(error) => {
                 eprintln!("basaltarch-soak: seed {seed}: {error}");
-                found += 1;
+                finding_count += 1;
             }
         }
     }
-    if found > 0 {
-        println!("{found} findings; logs below {}", options.base.folder.display());
+    if finding_count > 0 {
+        println!("{finding_count} findings; logs below {}", options.base.folder.display());
         process::exit(EXIT_FINDINGS);
     }
     println!("no promise broken");
@@ -88,12 +88,12 @@
 fn run_seed(options: &SoakOptions, seed: u64) -> Result<RunReport, SoakError> {
     let SoakOptions { base, keep, .. } = options;
     let folder = base.folder.join(format!("seed-{seed}"));
-    let write = |source| SoakError::Program { path: folder.clone(), source };
-    fs::create_dir_all(&folder).map_err(write)?;
+    let folder_error = |source| SoakError::Program { path: folder.clone(), source };
+    fs::create_dir_all(&folder).map_err(folder_error)?;
     let plan = RunOptions { seed, folder: folder.clone(), ..base.clone() };
-    let ran = runtime::run(async move { run::run(&plan).await });
-    let report = ran.map_err(|source| SoakError::Start { source })??;
-    if report.found == 0 && !keep {
+    let result = runtime::run(async move { run::run(&plan).await });
+    let report = result.map_err(|source| SoakError::Start { source })??;
+    if report.finding_count == 0 && !keep {
         let _ = fs::remove_dir_all(&folder);
     }
     Ok(report)
@@ -111,8 +111,8 @@
         settings::checked("processes", flags.processes, 24_usize, "4 to 400", |count| {
             (4..=400).contains(count)
         })?;
-    let own_folder = || std::env::current_exe().ok()?.parent().map(PathBuf::from);
-    let programs = flags.programs.map(PathBuf::from).or_else(own_folder).unwrap_or_default();
+    let program_folder = || std::env::current_exe().ok()?.parent().map(PathBuf::from);
+    let programs = flags.programs.map(PathBuf::from).or_else(program_folder).unwrap_or_default();
     let logs = flags
         .logs
         .map(PathBuf::from)
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -26,7 +26,7 @@
 pub const HOST: &str = "meters.example";
 /// The services; a host's backend server belongs to one of them.
 pub const SERVICES: [&str; 2] = ["reader-app", "billing-app"];
-/// Number of steps for which an added route stays.
+/// Number of steps for which an added route remains in the documents.
 const ADDED_ROUTE_STEPS: usize = 4;
 /// Time-out of a write to the store.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -69,12 +69,12 @@
     };
     match answer {
         SeenAnswer::Missing => service.is_none(),
-        SeenAnswer::ServedBy(other) => service == Some(other),
+        SeenAnswer::ServedBy(answering) => service == Some(answering),
         SeenAnswer::Inconclusive => true,
     }
 }
 
-/// `SoakOperator` writes documents and records when.
+/// `SoakOperator` writes documents and records when each was sent and acknowledged.
 pub struct SoakOperator {
     client: HttpClient,
     steps: RefCell<Vec<StepTimes>>,
@@ -86,7 +86,7 @@
         Self { client: HttpClient::new(platform, WRITE_TIMEOUT), steps: RefCell::default() }
     }
 
-    /// Calls `read` with the steps so far.
+    /// Calls `read` with the times of all steps so far.
     pub fn with_steps<T>(&self, read: impl FnOnce(&[StepTimes]) -> T) -> T {
         read(&self.steps.borrow())
     }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns whether the process has not ended.
+    /// Returns whether the process is still running.
     pub fn is_running(&self) -> bool {
         matches!(self.child.borrow_mut().try_wait(), Ok(None))
     }
@@ -97,7 +97,7 @@
         let _ = child.wait();
     }
 
-    /// Waits until the process has ended by itself; kills it if it does not in time.
+    /// Waits until the process ends by itself; kills it after the time-out.
     pub async fn wait_ended(&self) {
         let begun = Instant::now();
         while self.is_running() && begun.elapsed() < PROCESS_TIMEOUT {
@@ -118,7 +118,7 @@
     folder.join(format!("{name}.log"))
 }
 
-/// Reads an address from the line of the log that holds the addresses of a process.
+/// Reads one of the addresses on which a process listens from the line of the log that holds them.
 pub fn address_in(line: &Value, field: &'static str) -> Result<SocketAddr, SoakError> {
     let address = line[field].as_str().and_then(|text| text.parse().ok());
     address.ok_or(SoakError::NotReady { name: line.to_string(), what: field })
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -16,11 +16,12 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRentExt, Splitable};
 use monoio::net::TcpStream;
 
-/// Bytes read at once.
+/// Largest number of bytes that are read from a connection at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
 /// Interval at which a held direction is checked for its release.
 const HELD_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Connections at once: each of a few hundred daemons may link to the same one.
+/// Maximum number of concurrent connections of a proxy: each of a few hundred daemons may link to
+/// the same daemon.
 const CONNECTIONS_MAX: usize = 1024;
 
 /// `ProxyHold` is the set of directions in which a proxy holds back data.
@@ -36,13 +37,14 @@
 struct ProxyState {
     target: Cell<Option<SocketAddr>>,
     hold: Cell<ProxyHold>,
+    /// For each open connection, whether it is black-holed.
     open: RefCell<Vec<Weak<Cell<bool>>>>,
 }
 
 /// `FaultProxy` relays connections to a target and injects faults into them.
 #[derive(Clone)]
 pub struct FaultProxy {
-    /// Address that it listens on.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     state: Rc<ProxyState>,
 }
@@ -73,15 +75,15 @@
         self.state.hold.set(hold);
     }
 
-    /// Black-holes each open connection for which `chooses` returns true, for good and in both
-    /// directions: no data is relayed, no end is closed, and the operating system still
+    /// Black-holes each open connection for which `chooses` returns true, permanently and in both
+    /// directions: no data is relayed, neither end is closed, and the operating system still
     /// acknowledges what is sent. New connections work.
-    pub fn silence(&self, mut chooses: impl FnMut() -> bool) {
+    pub fn black_hole(&self, mut chooses: impl FnMut() -> bool) {
         let mut open = self.state.open.borrow_mut();
-        open.retain(|silent| silent.strong_count() > 0);
-        for silent in open.iter().filter_map(Weak::upgrade) {
+        open.retain(|black_holed| black_holed.strong_count() > 0);
+        for black_holed in open.iter().filter_map(Weak::upgrade) {
             if chooses() {
-                silent.set(true);
+                black_holed.set(true);
             }
         }
     }
@@ -93,28 +95,28 @@
     // Without TCP_NODELAY the proxy would gather small writes and add a delay of its own.
     let _ = near.set_nodelay(true);
     let _ = far.set_nodelay(true);
-    let silent = Rc::new(Cell::new(false));
-    state.open.borrow_mut().push(Rc::downgrade(&silent));
+    let black_holed = Rc::new(Cell::new(false));
+    state.open.borrow_mut().push(Rc::downgrade(&black_holed));
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    let forward = pump(near_read, far_write, &silent, || state.hold.get().forward);
-    let back = pump(far_read, near_write, &silent, || state.hold.get().back);
+    let forward = pump(near_read, far_write, &black_holed, || state.hold.get().forward);
+    let back = pump(far_read, near_write, &black_holed, || state.hold.get().back);
     let forward = std::pin::pin!(forward);
     let back = std::pin::pin!(back);
-    let other: Pin<&mut dyn Future<Output = ()>> = match future::select(forward, back).await {
+    let remaining: Pin<&mut dyn Future<Output = ()>> = match future::select(forward, back).await {
         Either::Left(((), back)) => back,
         Either::Right(((), forward)) => forward,
     };
     // On a black-holed connection the close of one side isn't relayed to the other either.
-    if silent.get() {
-        other.await;
+    if black_holed.get() {
+        remaining.await;
     }
 }
 
 async fn pump(
     mut from: impl AsyncReadRent,
     mut to: impl AsyncWriteRentExt,
-    silent: &Cell<bool>,
+    black_holed: &Cell<bool>,
     is_held: impl Fn() -> bool,
 ) {
     let mut buffer = vec![0; CHUNK_BYTES];
@@ -124,11 +126,11 @@
             Ok(count) if count > 0 => count,
             _ => return,
         };
-        while is_held() && !silent.get() {
+        while is_held() && !black_holed.get() {
             monoio::time::sleep(HELD_POLL_INTERVAL).await;
         }
         buffer = chunk;
-        if silent.get() {
+        if black_holed.get() {
             continue;
         }
         let (written, _) = to.write_all(buffer[..count].to_vec()).await;
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -15,7 +15,7 @@
     pub seed: u64,
     /// Number of requests that callers sent.
     pub requests: u64,
-    /// Number of requests whose response shows something of the configuration.
+    /// Number of requests whose response shows something about the configuration.
     pub conclusive: u64,
     /// Number of documents that the operator wrote.
     pub steps: usize,
@@ -23,7 +23,7 @@
     /// host, sorted.
     pub in_force: Vec<Duration>,
     /// Number of findings.
-    pub found: u64,
+    pub finding_count: u64,
     /// Texts of the first findings.
     pub findings: Vec<String>,
 }
@@ -38,26 +38,26 @@
 
 impl Display for RunReport {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
-        let Self { seed, requests, conclusive, steps, in_force, found, .. } = self;
-        let at = |share: f64| {
+        let Self { seed, requests, conclusive, steps, in_force, finding_count, .. } = self;
+        let quantile = |share: f64| {
             let index =
                 ((in_force.len() as f64 * share) as usize).min(in_force.len().saturating_sub(1));
             in_force.get(index).map_or(0.0, Duration::as_secs_f64)
         };
-        let late = self.late_count();
+        let late_count = self.late_count();
         writeln!(
             out,
-            "seed {seed}: {requests} requests, {conclusive} with a word, {steps} documents"
+            "seed {seed}: {requests} requests, {conclusive} conclusive, {steps} documents"
         )?;
-        let (half, most, last) = (at(0.5), at(0.99), at(1.0));
+        let (median, p99, longest) = (quantile(0.5), quantile(0.99), quantile(1.0));
         let count = in_force.len();
         writeln!(
             out,
-            "  in force at hosts in touch: {count} times, median {half:.2} s, 99 in 100 within \
-             {most:.2} s, longest {last:.2} s, {late} later than {} s",
+            "  in force at undisturbed hosts: {count} times, median {median:.2} s, 99 in 100 \
+             within {p99:.2} s, longest {longest:.2} s, {late_count} later than {} s",
             IN_FORCE_MAX.as_secs()
         )?;
-        writeln!(out, "  findings: {found}")?;
+        writeln!(out, "  findings: {finding_count}")?;
         self.findings.iter().try_for_each(|finding| writeln!(out, "    {finding}"))
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -127,7 +127,7 @@
     pub fn add_finding(&self, finding: String) {
         self.print_event(&finding);
         let mut report = self.report.borrow_mut();
-        report.found += 1;
+        report.finding_count += 1;
         if report.findings.len() < FINDINGS_MAX {
             report.findings.push(format!("{:.3} s: {finding}", self.now().as_secs_f64()));
         }
@@ -155,30 +155,31 @@
             Some(GuaranteeViolation::Late { after }) => {
                 let after = after.as_secs_f64();
                 self.add_finding(format!(
-                    "{host} {id} sent {sent:.3}: {route:?} {answer:?}, {after:.3} s after it changed"
+                    "{host} {id} sent {sent:.3}: {route:?} {answer:?}, {after:.3} s after it was forbidden"
                 ));
             }
             Some(GuaranteeViolation::RolledBack) => {
                 self.add_finding(format!(
-                    "{host} {id} sent {sent:.3}: {route:?} {answer:?} went back"
+                    "{host} {id} sent {sent:.3}: {route:?} {answer:?}, a rollback"
                 ));
             }
             None => {}
         }
     }
 
-    /// Returns how long each document took to come in force at each undisturbed host, sorted.
+    /// Returns the times from the acknowledgement of each document until it was in force at each
+    /// undisturbed host, sorted.
     fn in_force_times(&self) -> Vec<Duration> {
         let history = self.history.borrow();
         let mut times = Vec::new();
-        for (number, host) in self.fleet.hosts.iter().enumerate() {
+        for (host_index, host) in self.fleet.hosts.iter().enumerate() {
             let lines =
                 logs::in_force_lines(&self.fleet.log_of(&host.name), self.began_time_of_day);
             self.operator.with_steps(|steps| {
                 for (step, StepTimes { acked_at, .. }) in steps.iter().enumerate() {
                     let Some(acked_at) = *acked_at else { continue };
                     let until = in_force_at(&lines, step, acked_at).unwrap_or(self.now());
-                    if history.is_undisturbed(number, acked_at, until) {
+                    if history.is_undisturbed(host_index, acked_at, until) {
                         let took = until.saturating_sub(acked_at);
                         self.print_late(&host.name, step, took);
                         times.push(took);
@@ -197,12 +198,12 @@
     }
 }
 
-/// Returns when a step's document, or a later one, came in force at the daemon of a log. This is no
-/// earlier than the acknowledgement, as a daemon may read the document before the operator gets the
-/// response.
+/// Returns when a step's document, or a later one, came in force at the daemon that logged `lines`.
+/// The result is no earlier than the acknowledgement, as a daemon may read the document before the
+/// operator gets the response.
 fn in_force_at(lines: &[InForceLine], step: usize, acked_at: Duration) -> Option<Duration> {
-    let has_it = |line: &&InForceLine| line.revision >= operator::version_of(step);
-    let first = lines.iter().find(has_it)?;
+    let is_same_or_later = |line: &&InForceLine| line.revision >= operator::version_of(step);
+    let first = lines.iter().find(is_same_or_later)?;
     Some(first.at.max(acked_at))
 }
 
@@ -230,14 +231,18 @@
         finished: Cell::new(false),
     });
     monoio::time::sleep(SETTLE).await;
-    // Tasks that never end hold the state, so that the fleet is not ended by a drop.
-    let result = exercise(&state, options).await;
+    // Tasks that never end keep references to the state, so dropping `state` does not end the
+    // fleet.
+    let result = run_load_and_faults(&state, options).await;
     state.fleet.end();
     result
 }
 
 /// Runs callers, operator and faults on a fleet, and returns the report.
-async fn exercise(state: &Rc<SoakState>, options: &RunOptions) -> Result<RunReport, SoakError> {
+async fn run_load_and_faults(
+    state: &Rc<SoakState>,
+    options: &RunOptions,
+) -> Result<RunReport, SoakError> {
     let seed = options.seed;
     let plain = Rc::<PlainRequests>::default();
     start_callers(state, &plain, seed);
@@ -253,22 +258,22 @@
     let mut report = state.report.borrow().clone();
     report.steps = state.operator.with_steps(<[_]>::len);
     report.in_force = state.in_force_times();
-    let late = report.late_count();
-    if late > 0 {
-        report.found += late as u64;
-        report
-            .findings
-            .push(format!("{late} times a document was in force too late at a host in touch"));
+    let late_count = report.late_count();
+    if late_count > 0 {
+        report.finding_count += late_count as u64;
+        report.findings.push(format!(
+            "{late_count} times a document was in force too late at an undisturbed host"
+        ));
     }
     Ok(report)
 }
 
 fn start_callers(state: &Rc<SoakState>, plain: &Rc<PlainRequests>, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 3);
-    for (number, host) in state.fleet.hosts.iter().enumerate() {
+    for (host_index, host) in state.fleet.hosts.iter().enumerate() {
         for caller in 0..CALLERS {
             let plan = CallerPlan {
-                number,
+                host_index,
                 host: host.clone(),
                 caller,
                 operator: state.operator.clone(),
@@ -297,7 +302,7 @@
 
 /// Returns how often each request ran on any backend server.
 async fn fetch_runs(state: &SoakState) -> Result<FnvHashMap<String, u64>, SoakError> {
-    let mut all = FnvHashMap::default();
+    let mut counts = FnvHashMap::default();
     for host in &state.fleet.hosts {
         let client = HttpClient::new(host.backend_address(), RUNS_TIMEOUT);
         let call = client.call(Method::GET, RUNS_PATH, HeaderMap::new(), Bytes::new());
@@ -306,8 +311,8 @@
             .context(CallSnafu { what: "reading the run counters of a backend server" })?;
         let runs: BackendRuns = serde_json::from_slice(&reply.body).unwrap_or_default();
         for (id, count) in runs.by_id {
-            *all.entry(id).or_default() += count;
+            *counts.entry(id).or_default() += count;
         }
     }
-    Ok(all)
+    Ok(counts)
 }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,7 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The checker of the soak finds violated guarantees, and nothing else.
+//! Feeds hand-written samples to the checker of the soak. Guards against a checker that overlooks
+//! an outdated or rolled-back configuration, or that reports one where the allowed delay, a fault
+//! or a restart explains the response.
 
 use std::time::Duration;
 
@@ -15,7 +17,8 @@
     Duration::from_millis(millis)
 }
 
-/// Documents that were acknowledged every two seconds from the start.
+/// Returns the times of eight steps: one step every two seconds from the start of the run, each
+/// acknowledged when it was sent.
 fn steps() -> Vec<StepTimes> {
     let step =
         |number: u64| StepTimes { sent_at: at(number * 2000), acked_at: Some(at(number * 2000)) };
@@ -53,9 +56,9 @@
     answer: SeenAnswer,
     late_ms: Option<u64>,
 ) {
-    let found = check_all(&[sample(sent_ms, route, answer)], &FaultHistory::new(1));
+    let violations = check_all(&[sample(sent_ms, route, answer)], &FaultHistory::new(1));
     let late = late_ms.map(|millis| GuaranteeViolation::Late { after: at(millis) });
-    assert_eq!(found, [late]);
+    assert_eq!(violations, [late]);
 }
 
 #[test]
@@ -64,28 +67,40 @@
     let mut history = FaultHistory::new(1);
     let handle = history.begin(&[0], false, at(7000));
     history.end(&handle, at(7600));
-    assert_eq!(check_all(std::slice::from_ref(&late), &history), [None], "2.9 s ago");
+    assert_eq!(
+        check_all(std::slice::from_ref(&late), &history),
+        [None],
+        "the fault ended 2.9 s before the request"
+    );
     let mut history = FaultHistory::new(1);
     let handle = history.begin(&[], true, at(7000));
     assert_eq!(
         check_all(std::slice::from_ref(&late), &history),
         [None],
-        "the fault of the store lasts"
+        "the fault of the store still lasts"
     );
     history.end(&handle, at(7400));
-    assert_ne!(check_all(std::slice::from_ref(&late), &history), [None], "3.1 s ago");
+    assert_ne!(
+        check_all(std::slice::from_ref(&late), &history),
+        [None],
+        "the fault ended 3.1 s before the request"
+    );
 }
 
 #[test]
 fn verify_a_rollback_is_found_on_undisturbed_and_disturbed_hosts() {
-    let shows = sample(8100, RequestedRoute::Added(4), SeenAnswer::ServedBy(0));
-    let back = sample(8600, RequestedRoute::Added(4), SeenAnswer::Missing);
+    let newer = sample(8100, RequestedRoute::Added(4), SeenAnswer::ServedBy(0));
+    let older = sample(8600, RequestedRoute::Added(4), SeenAnswer::Missing);
     let mut history = FaultHistory::new(1);
     history.begin(&[0], true, at(0));
-    let found = check_all(&[shows.clone(), back.clone()], &history);
-    assert_eq!(found, [None, Some(GuaranteeViolation::RolledBack)]);
-    let soon = CallerSample { sent_at: at(8200), answered_at: at(8700), ..back.clone() };
-    assert_eq!(check_all(&[shows.clone(), soon], &history), [None, None], "it was on its way");
-    let restarted = CallerSample { incarnation: 2, ..back };
-    assert_eq!(check_all(&[shows, restarted], &history), [None, None], "another incarnation");
+    let violations = check_all(&[newer.clone(), older.clone()], &history);
+    assert_eq!(violations, [None, Some(GuaranteeViolation::RolledBack)]);
+    let in_flight = CallerSample { sent_at: at(8200), answered_at: at(8700), ..older.clone() };
+    assert_eq!(
+        check_all(&[newer.clone(), in_flight], &history),
+        [None, None],
+        "sent within the slack after the newer document"
+    );
+    let restarted = CallerSample { incarnation: 2, ..older };
+    assert_eq!(check_all(&[newer, restarted], &history), [None, None], "the daemon was restarted");
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -22,7 +22,7 @@
     let soak = Path::new(env!("CARGO_BIN_EXE_basaltarch-soak"));
     // The programs of other packages are built with the workspace.
     let daemon = soak.with_file_name("basaltarchd");
-    assert!(daemon.exists(), "build the workspace first: {} is not there", daemon.display());
+    assert!(daemon.exists(), "build the workspace first: {} does not exist", daemon.display());
     let output = Command::new(soak)
         .args(["--seed", seed, "--kinds", kinds, "--seconds", seconds, "--processes", processes])
         .output()
