--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -265,12 +265,12 @@
     let mut large = small;
     grow(&mut large);
     let count = |size: FleetSize| size.services + size.upstreams + size.routes + size.organisations;
-    let grown = (count(large) - count(small)) as f64;
+    let added_count = (count(large) - count(small)) as f64;
     let bytes = |size| {
         let cost = measure_config(size)?;
         Some((cost.fleet_bytes + cost.active_bytes) as f64)
     };
-    Some((bytes(large)? - bytes(small)?) / grown)
+    Some((bytes(large)? - bytes(small)?) / added_count)
 }
 
 fn measure_lookups(active: &ActiveConfig, size: FleetSize) -> f64 {
--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -5,10 +5,10 @@
 //!
 //! It simulates a fleet in virtual time, with one daemon beside each server, the decision code of
 //! the daemon (`basaltarch-decide`), and notices between daemons that are delayed and may be lost.
-//! Bad requests, which crash their server, come among popular requests, of which there are many
-//! copies, and lone requests, which come once; servers also crash for other reasons. It measures
-//! innocent requests that are refused, servers that one bad request crashes, and the time until the
-//! fleet knows of it.
+//! Bad requests crash the server that runs them. They arrive among popular requests, each with many
+//! copies, and lone requests, each of which arrives once; servers also crash for other reasons. The
+//! bench measures how many innocent requests are refused, how many servers one bad request crashes,
+//! and the time until all daemons refuse the bad request.
 
 pub mod world;
 
@@ -20,8 +20,8 @@
 /// Maximum number of servers that one bad request may crash, in the mean of the runs: three until
 /// it is refused, and one for each copy that still runs when the third crash is announced.
 const CRASHED_MAX: f64 = 6.0;
-/// Longest time from the crash that causes a bad request to be refused until all daemons know:
-/// callers retry in a second or two, and each daemon that doesn't know by then loses a server.
+/// Longest time from the crash that causes a bad request to be refused until all daemons refuse it:
+/// callers retry in a second or two, and each daemon that doesn't refuse by then loses a server.
 const KNOWN_AFTER_MAX: Duration = Duration::from_secs(3);
 /// Largest share of lone requests that may be refused, because their attempts ran on servers that
 /// crashed for another reason.
@@ -30,15 +30,15 @@
 const DAEMONS: [usize; 3] = [30, 100, 350];
 /// Numbers of distinct bad requests that are sent concurrently.
 const BAD: [usize; 2] = [1, 10];
-/// Seeds of each run.
+/// Number of seeds of each run.
 const SEEDS: u64 = 3;
 
 /// `CrashPlan` holds the parameters of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct CrashPlan {
-    /// Daemons, with one server each.
+    /// Number of daemons, with one server each.
     pub daemons: usize,
-    /// Different bad requests.
+    /// Number of distinct bad requests.
     pub bad: usize,
     /// Whether daemons send each other notices; otherwise each knows only the crashes of its own
     /// server.
@@ -60,15 +60,15 @@
     pub lone_refused: u64,
     /// Lone requests.
     pub lone: u64,
-    /// Longest time from the crash that caused a bad request to be refused until every daemon that
-    /// can be reached knew.
+    /// Longest time from the crash that caused a bad request to be refused until every daemon knew
+    /// that the request is refused.
     pub known_after: Duration,
     /// Notices between daemons for each crash.
     pub notices_each: f64,
 }
 
-/// Runs a plan with each seed and aggregates the results: counts are summed, ratios averaged, and
-/// the time is the longest.
+/// Runs a plan with each seed and aggregates the results: the sums of the counts, the means of the
+/// ratios, and the longest time.
 pub fn run(plan: CrashPlan) -> CrashResult {
     let mut sum = CrashResult::default();
     for seed in 1..=SEEDS {
--- a/crates/bench/src/crashes/world.rs
+++ b/crates/bench/src/crashes/world.rs
@@ -27,7 +27,8 @@
 const LONE_PER_SECOND: f64 = 4.0;
 /// Crashes per second in the whole fleet that no request causes.
 const OTHER_PER_SECOND: f64 = 0.5;
-/// When a rack loses power, which crashes a tenth of the servers at the same time.
+/// Time of the run at which a rack loses power, which crashes a tenth of the servers at the same
+/// time.
 const RACK_AT: Duration = Duration::from_secs(20);
 /// Time that a good request runs.
 const GOOD_SERVICE_TIME: Duration = Duration::from_millis(200);
@@ -38,7 +39,7 @@
 /// Shortest and longest delay of a notice between two busy daemons that have a tenth of a core
 /// each, in milliseconds.
 const NOTICE_DELAY_MS: [f64; 2] = [2.0, 40.0];
-/// Share of notices that are lost, as links break.
+/// Share of notices that are lost because links break.
 const LOSS_SHARE: f64 = 0.02;
 /// Time between heartbeats of a daemon, and the number of daemons that each heartbeat goes to.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(4);
@@ -46,12 +47,12 @@
 /// Maximum number of dispatches of one request.
 const DISPATCHES_MAX: u32 = 3;
 
-/// `RequestKind` is how often a request comes and whether it crashes the server that runs it.
+/// `RequestKind` is how often a request arrives and whether it crashes the server that runs it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RequestKind {
     Bad(usize),
     Popular,
-    /// Comes once, with a number of its own.
+    /// Arrives once; the number distinguishes it from other lone requests.
     Lone(u64),
 }
 
@@ -119,7 +120,8 @@
     };
     let mut bytes = [0; FINGERPRINT_BYTES];
     bytes[..8].copy_from_slice(&number.to_be_bytes());
-    RequestFingerprint::from_bytes(&bytes).unwrap_or_else(|| unreachable!("of the right length"))
+    RequestFingerprint::from_bytes(&bytes)
+        .unwrap_or_else(|| unreachable!("the bytes have the length of a fingerprint"))
 }
 
 impl CrashWorld {
@@ -311,8 +313,9 @@
 
     fn note_crash(&mut self, server: usize, run: &ServerRun) {
         let fingerprint = fingerprint(run.request.kind);
-        let risen = self.daemons[server].note_crash(fingerprint, run.tally, "server", self.now);
-        let tally = match risen {
+        let raised_tally =
+            self.daemons[server].note_crash(fingerprint, run.tally, "server", self.now);
+        let tally = match raised_tally {
             Some(tally) => tally,
             None => return,
         };
@@ -381,10 +384,10 @@
         for _ in 0..NEIGHBOURS {
             let to = self.rng.random_range(0..self.plan.daemons);
             if self.daemons[to].digest(self.now) != self.daemons[daemon].digest(self.now) {
-                let (one, other) =
+                let (daemon_notices, peer_notices) =
                     (self.daemons[daemon].notices(self.now), self.daemons[to].notices(self.now));
-                one.iter().for_each(|notice| self.send(daemon, to, notice));
-                other.iter().for_each(|notice| self.send(to, daemon, notice));
+                daemon_notices.iter().for_each(|notice| self.send(daemon, to, notice));
+                peer_notices.iter().for_each(|notice| self.send(to, daemon, notice));
             }
         }
         self.push(HEARTBEAT_INTERVAL, WorldEvent::Heartbeat(daemon));
--- a/crates/bench/src/decisions/actors.rs
+++ b/crates/bench/src/decisions/actors.rs
@@ -65,7 +65,8 @@
     pub sent_at: Duration,
     pub dispatches: usize,
     pub excluded: Vec<usize>,
-    /// Attempt whose response is waited for, beside those in `slow_attempts`.
+    /// Latest attempt, for whose response the ingress waits; earlier attempts that still run are in
+    /// `slow_attempts`.
     pub current: Option<Dispatch>,
     /// Attempts that outlasted their hedging delay and still run.
     pub slow_attempts: Vec<Dispatch>,
@@ -91,7 +92,7 @@
     pub finished: bool,
 }
 
-/// `Upstream` is a scripted upstream, with the health that its daemon keeps of it.
+/// `Upstream` is a scripted upstream, with the health that its daemon tracks.
 pub struct Upstream {
     pub health: UpstreamHealth,
     pub queue: VecDeque<(Dispatch, bool)>,
--- a/crates/bench/src/decisions/bounds.rs
+++ b/crates/bench/src/decisions/bounds.rs
@@ -17,8 +17,8 @@
 /// Factor by which `precision` must have fewer false ejections than the best plain rule.
 const FEWER_FACTOR: f64 = 10.0;
 /// Maximum median detection time of `detection` over the suite of the gate. docs/MEASUREMENTS.md
-/// has the figures behind the bounds; the margin of a seventh is for floating-point results that
-/// differ between processors.
+/// has the figures behind this bound and those below, which have a margin of a seventh, as
+/// floating-point results differ between processors.
 pub const DETECTION_MEDIAN_MAX: Duration = Duration::from_millis(680);
 /// Maximum median detection time of `precision`.
 pub const PRECISION_MEDIAN_MAX: Duration = Duration::from_millis(1370);
@@ -27,8 +27,8 @@
 /// Maximum number of false ejections per upstream-hour of `precision`.
 pub const PRECISION_FALSE_MAX: f64 = 0.005;
 
-/// Seeds of the gate: with two, the medians of variants of equal quality scatter by chance between
-/// 443 and 584 ms.
+/// Number of seeds of the gate. With two seeds, the median detection times of equally good variants
+/// of the rule scatter by chance between 443 and 584 ms.
 const GATE_SEEDS: u64 = 4;
 
 /// Returns the whole suite: every case, severity, load and deployment.
@@ -49,7 +49,8 @@
     SuitePlan { severities: vec![2], loads: vec![LOADS[1]], ..whole_suite(GATE_SEEDS) }
 }
 
-/// Returns the plain rule with the shortest median detection time over all cases.
+/// Returns the plain rule with the shortest median detection time over all cases, that time, and
+/// its false ejections per upstream-hour.
 pub fn best_plain(results: &[(RunKey, RunResult)]) -> Option<(RuleKind, Duration, f64)> {
     let faulty = |key: &RunKey| CASES[key.case].one_is_faulty;
     let timed = PLAIN_RULES.iter().filter_map(|rule| {
@@ -62,8 +63,8 @@
 
 /// Checks the factors over the best plain rule and the regression bounds.
 pub fn check(plan: &SuitePlan, results: &[(RunKey, RunResult)]) -> Result<(), BenchError> {
-    let broken = results.iter().filter(|(_, result)| result.floor_broken).count();
-    require(broken == 0, format!("ejections broke the floor in {broken} runs"))?;
+    let broken_runs = results.iter().filter(|(_, result)| result.floor_broken).count();
+    require(broken_runs == 0, format!("ejections broke the floor in {broken_runs} runs"))?;
     let (plain, plain_median, plain_false) = best_plain(results)
         .ok_or(BenchError::Bound { message: "no plain rule detected a fault".to_owned() })?;
     let faulty = |key: &RunKey| CASES[key.case].one_is_faulty;
@@ -99,23 +100,23 @@
 }
 
 /// Cases in which `detection` may be slower than the best plain rule, with the reason of each:
-/// `mixed routes, slow`: by chance the outlier rule has ejected the upstream before it becomes
-/// sick; `stuck`: under a plain rule stuck requests hold the slots until they time out, so that the
-/// upstream takes no more requests whatever the rule decides. The daemon cancels slow attempts,
-/// which frees the slots, so the upstream receives requests until it is ejected, but callers wait
+/// `mixed routes, slow`: by chance the outlier rule has ejected the upstream before its fault
+/// begins; `stuck`: under a plain rule stuck requests hold the slots until they time out, so that
+/// the upstream takes no more requests whatever the rule decides. The daemon cancels slow attempts,
+/// which frees the slots: the upstream receives requests until it is ejected, but callers wait
 /// less; `quick errors`: under a plain rule the upstream attracts traffic by failing quickly and
-/// reaches five failures sooner, at the cost of callers; `stuck from its start`: as `stuck`, and
-/// the detector allows a cold upstream more time.
+/// reaches five failures sooner, at the cost of callers; `stuck from its start`: the same reason as
+/// for `stuck`, and the hang detector allows a cold upstream more time.
 const KNOWN_SLOWER_CASES: [&str; 4] =
     ["mixed routes, slow", "stuck", "stuck from its start", "quick errors"];
 
 fn check_slower_cases(rows: &[CaseRow]) -> Result<(), BenchError> {
-    for (case, _, best, own) in report::slower_cases(rows, RuleKind::Detection) {
+    for (case, _, best, median) in report::slower_cases(rows, RuleKind::Detection) {
         let name = CASES[case].name;
         require(
             KNOWN_SLOWER_CASES.contains(&name),
             format!(
-                "detection is slower than the best plain rule in {name}: {own:?} against {best:?}"
+                "detection is slower than the best plain rule in {name}: {median:?} against {best:?}"
             ),
         )?;
     }
--- a/crates/bench/src/decisions/chart.rs
+++ b/crates/bench/src/decisions/chart.rs
@@ -67,22 +67,22 @@
 
 /// Draws curves into an SVG file.
 pub fn draw(path: &str, curves: &[RuleCurve]) -> Result<(), BenchError> {
-    let failed = |message: String| BenchError::File { path: path.to_owned(), message };
+    let file_error = |message: String| BenchError::File { path: path.to_owned(), message };
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
-    root.fill(&WHITE).map_err(|error| failed(error.to_string()))?;
+    root.fill(&WHITE).map_err(|error| file_error(error.to_string()))?;
     let mut chart = ChartBuilder::on(&root)
         .caption("Detection time against false ejections", ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(48)
         .y_label_area_size(64)
         .build_cartesian_2d((NONE_AT..60.0).log_scale(), (0.05..NEVER_AT * 1.2).log_scale())
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| file_error(error.to_string()))?;
     chart
         .configure_mesh()
         .x_desc("false ejections an upstream-hour (0.002 stands for none)")
         .y_desc("median detection time in s (60 stands for never)")
         .draw()
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| file_error(error.to_string()))?;
     let colours = [&BLUE, &GREEN, &MAGENTA, &RED];
     for (curve, colour) in curves.iter().zip(colours) {
         let points: Vec<(f64, f64)> =
@@ -93,17 +93,17 @@
         };
         chart
             .draw_series(LineSeries::new(points.clone(), colour))
-            .map_err(|error| failed(error.to_string()))?
+            .map_err(|error| file_error(error.to_string()))?
             .label(name)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
         let dots = points.iter().map(|point| Circle::new(*point, 4, colour.filled()));
-        chart.draw_series(dots).map_err(|error| failed(error.to_string()))?;
+        chart.draw_series(dots).map_err(|error| file_error(error.to_string()))?;
     }
     chart
         .configure_series_labels()
         .background_style(WHITE.mix(0.8))
         .border_style(BLACK)
         .draw()
-        .map_err(|error| failed(error.to_string()))?;
-    root.present().map_err(|error| failed(error.to_string()))
+        .map_err(|error| file_error(error.to_string()))?;
+    root.present().map_err(|error| file_error(error.to_string()))
 }
--- a/crates/bench/src/decisions/faults.rs
+++ b/crates/bench/src/decisions/faults.rs
@@ -42,8 +42,8 @@
 /// Share of requests that fail at the upstream whose health or load endpoint reports wrongly.
 const MISREPORTED_FAILURES: f64 = 0.5;
 
-/// Returns whether the health endpoint of an upstream reports it as healthy; gray failures do not
-/// show there.
+/// Returns whether the health endpoint of an upstream reports the upstream as healthy; it does not
+/// show gray failures.
 pub fn endpoint_is_good(
     plan: &ScenarioPlan,
     now: Duration,
@@ -137,12 +137,12 @@
                 effect.never_answers = rng.random_bool(share);
             }
             FaultScript::Flapping(period) => {
-                let faulty = (since.as_millis() as u64 / period).is_multiple_of(2);
-                effect.fails = faulty && rng.random_bool(0.5);
+                let in_failing_period = (since.as_millis() as u64 / period).is_multiple_of(2);
+                effect.fails = in_failing_period && rng.random_bool(0.5);
             }
             FaultScript::ColdStart(factor) => {
-                let left = (1.0 - since.as_secs_f64() / 10.0).max(0.0);
-                effect.factor = 1.0 + (factor - 1.0) * left;
+                let remaining = (1.0 - since.as_secs_f64() / 10.0).max(0.0);
+                effect.factor = 1.0 + (factor - 1.0) * remaining;
             }
             FaultScript::Healthy
             | FaultScript::Poison(_)
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The simulated hosts: slots, queues, jobs, and the evidence that jobs give on their upstream.
+//! The simulated hosts: slots, queues, jobs, and the evidence that jobs give about their upstream.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
 use crate::decisions::world::{World, FAULTY, SLOW_ROUTE};
 
 impl World {
-    /// Returns the baseline of sibling upstreams that an ingress sends along with a request.
+    /// Returns the baseline of sibling upstreams, their typical latencies and scores, which an
+    /// ingress sends along with a request.
     pub(super) fn baseline_for(&self, sent: Dispatch) -> ServiceBaseline {
         let request = &self.requests[sent.request];
         let ingress = &self.ingresses[request.ingress];
@@ -209,8 +210,8 @@
         }
     }
 
-    /// Cancels an attempt that its ingress no longer waits for: it is no evidence, except that it
-    /// may have been overdue.
+    /// Cancels an attempt that its ingress no longer waits for. The cancelled attempt is no
+    /// evidence about the upstream, except if it was already recorded as overdue.
     pub(super) fn cancel(&mut self, sent: Dispatch) {
         let upstream = &mut self.upstreams[sent.upstream];
         let waiting = upstream.queue.iter().position(|(queued, _)| *queued == sent);
@@ -250,7 +251,7 @@
             JobEnd::Error | JobEnd::Timeout => Some(FailureKind::Answered),
         };
         if failure.is_some() || evidence != RequestEvidence::Neutral {
-            // Whether the upstream becomes doubted or trusted shows only in the reports.
+            // Whether this opens or closes the circuit breaker shows only in the reports.
             health.note_end(failure, job.started, self.now);
         }
         self.note_change(job.sent.upstream, change);
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -12,7 +12,7 @@
 use crate::decisions::scenario;
 use crate::decisions::world::{World, FAULTY};
 
-/// Multiple of the median service time above which a response is slow to its caller.
+/// Multiple of the median service time above which a response counts as slow for its caller.
 const SLOW_ANSWER: u32 = 8;
 /// Maximum number of dispatches of one request, as in the daemon.
 const DISPATCHES_MAX: usize = 3;
@@ -72,8 +72,8 @@
 
     /// Schedules a hedge for a repeatable request after its hedging delay, as the daemon does.
     fn schedule_hedge(&mut self, sent: Dispatch) {
-        let may_follow = self.requests[sent.request].repeatable && sent.number < DISPATCHES_MAX;
-        if self.rule.prefer().is_none() || !may_follow {
+        let may_hedge = self.requests[sent.request].repeatable && sent.number < DISPATCHES_MAX;
+        if self.rule.prefer().is_none() || !may_hedge {
             return;
         }
         let baseline = self.baseline_for(sent);
@@ -87,7 +87,7 @@
         !request.finished && request.dispatches == sent.number
     }
 
-    /// Sends a hedge beside a slow attempt, if the retry budget allows it.
+    /// Sends a hedge while a slow attempt still runs, if the retry budget allows the hedge.
     pub(super) fn send_hedge(&mut self, sent: Dispatch) {
         if !self.is_waiting_for(sent) {
             return;
--- a/crates/bench/src/decisions/measure.rs
+++ b/crates/bench/src/decisions/measure.rs
@@ -7,21 +7,22 @@
 
 use crate::decisions::world::{World, FAULTY};
 
-/// Time without requests after which an upstream counts as cut off, as a multiple of the mean time
-/// between its requests.
-const QUIET_GAPS: u32 = 25;
-/// Minimum time without requests after which an upstream counts as cut off.
-const QUIET_MIN: Duration = Duration::from_millis(1000);
+/// Time without requests after which an upstream counts as taken out of service, as a multiple of
+/// the mean time between its requests.
+const IDLE_GAPS: u32 = 25;
+/// Minimum time without requests after which an upstream counts as taken out of service.
+const IDLE_MIN: Duration = Duration::from_millis(1000);
 
 /// `RunResult` holds the measurements of one run.
 #[derive(Debug, Clone, Default)]
 pub struct RunResult {
-    /// Time for which the sick upstream received requests, if it stopped receiving them.
+    /// Time from the fault until the last request that the faulty upstream received, if it stopped
+    /// receiving requests.
     pub detection: Option<Duration>,
-    /// Requests that the sick upstream received in that time.
+    /// Requests that the faulty upstream received in that time.
     pub received: u64,
-    /// Ejections of upstreams that were not sick; an ejection by one of several ingresses counts as
-    /// a fraction.
+    /// Ejections of upstreams that were not faulty; an ejection by one of several ingresses counts
+    /// as a fraction.
     pub false_ejections: f64,
     /// Upstream-hours of the run, by which the false ejections are divided.
     pub upstream_hours: f64,
@@ -32,17 +33,18 @@
     /// Successful responses that were slow for the caller while the fault lasted.
     pub slow: u64,
     /// Fewest slots in service in the view of any ingress while it avoided an upstream, as a ratio
-    /// to the slots of the floor.
+    /// to the slots that the floor requires.
     pub lowest_over_floor: f64,
     /// Whether ejections brought the service below its floor.
     pub floor_broken: bool,
-    /// Time from the end of the fault until the upstream returned, if it was ejected then.
+    /// Time from the end of the fault until the faulty upstream returned, if it was ejected when
+    /// the fault ended.
     pub returned: Option<Duration>,
 }
 
 impl World {
-    /// Records when, after the fault, the sick upstream is no longer ejected at any ingress under a
-    /// plain rule.
+    /// Records when, after the fault, the faulty upstream is no longer ejected at any ingress under
+    /// a plain rule.
     pub(super) fn note_plain_return(&mut self) {
         if !self.plan.one_is_faulty || self.now < self.plan.fault_end() {
             return;
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Records the slots in service against the floor, after each decision.
+    /// Records the ratio of the slots in service to the floor, after each decision.
     pub(super) fn note_capacity(&mut self, number: usize) {
         let view = &self.ingresses[self.requests[number].ingress].view;
         let plan = view.plan();
@@ -93,22 +95,22 @@
         self.result
     }
 
-    /// Finds the last request to the sick upstream before the first quiet time: the detection time
-    /// ends there.
+    /// Finds the last request to the faulty upstream before its first idle time; the detection time
+    /// ends with that request.
     pub(super) fn measure_detection(&mut self) {
         let begin = self.plan.fault_begin();
         let end = self.plan.fault_end();
         let gap = self.plan.gap() * self.upstreams.len() as u32;
-        let quiet = (gap * QUIET_GAPS).max(QUIET_MIN);
+        let idle_time = (gap * IDLE_GAPS).max(IDLE_MIN);
         let mut last = begin;
         for at in self.upstreams[FAULTY].accepted.iter().filter(|at| (begin..end).contains(*at)) {
-            if *at - last > quiet {
+            if *at - last > idle_time {
                 break;
             }
             last = *at;
             self.result.received += 1;
         }
-        let stopped = end.saturating_sub(last) > quiet;
+        let stopped = end.saturating_sub(last) > idle_time;
         self.result.detection = stopped.then(|| last - begin);
     }
 }
--- a/crates/bench/src/decisions/mod.rs
+++ b/crates/bench/src/decisions/mod.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The decision bench: how soon each ejection rule stops sending requests to a sick upstream, and
-//! how often it ejects a healthy one.
+//! The decision bench: how soon each ejection rule stops sending requests to a faulty upstream,
+//! and how often it ejects a healthy one.
 //!
 //! It simulates the upstreams of one service in virtual time with seeded random numbers, and runs
 //! the decision code of the daemon (`basaltarch-decide`) and plain rules in common use over them.
--- a/crates/bench/src/decisions/report.rs
+++ b/crates/bench/src/decisions/report.rs
@@ -63,7 +63,7 @@
     rows
 }
 
-/// Aggregates the results of a rule whose keys `wanted` accepts.
+/// Aggregates those results of a rule whose keys `wanted` accepts.
 pub fn select(
     results: &[(RunKey, RunResult)],
     rule: RuleKind,
@@ -174,7 +174,7 @@
 }
 
 /// Returns the rows in which a rule of the daemon is slower than the best plain rule by over a
-/// tenth: case, load, the time of the plain rule and that of the daemon.
+/// tenth: case, load, median detection time of the plain rule, and that of the daemon's rule.
 pub fn slower_cases(
     rows: &[CaseRow],
     rule: RuleKind,
@@ -183,10 +183,10 @@
         .filter(|row| CASES[row.case].one_is_faulty)
         .filter_map(|row| {
             let best = row.best_plain()?;
-            let own = row.summary_of(rule)?.detection_median;
-            let slower =
-                own.is_none_or(|own| own.as_secs_f64() > best.as_secs_f64() * SLOWER_FACTOR);
-            slower.then_some((row.case, row.load, best, own))
+            let median = row.summary_of(rule)?.detection_median;
+            let slower = median
+                .is_none_or(|median| median.as_secs_f64() > best.as_secs_f64() * SLOWER_FACTOR);
+            slower.then_some((row.case, row.load, best, median))
         })
         .collect()
 }
@@ -194,14 +194,14 @@
 fn write_slower_cases(text: &mut String, plan: &SuitePlan, rows: &[CaseRow]) {
     text.push_str("\nCases in which a rule of the daemon's is slower than the best plain rule by more than a tenth\n\n");
     for rule in [RuleKind::Detection, RuleKind::Precision] {
-        for (case, load, best, own) in slower_cases(rows, rule) {
+        for (case, load, best, median) in slower_cases(rows, rule) {
             let _ = writeln!(
                 text,
                 "- {}: {}, {}: {} against {}",
                 rule.name(),
                 CASES[case].name,
                 plan.loads[load].name,
-                millis(own),
+                millis(median),
                 millis(Some(best))
             );
         }
--- a/crates/bench/src/decisions/rules.rs
+++ b/crates/bench/src/decisions/rules.rs
@@ -9,24 +9,25 @@
 use basaltarch_core::resources::EjectionPreference;
 use basaltarch_decide::health::{THRESHOLD_DETECTION, THRESHOLD_PRECISION};
 
-/// Failures in a row after which the first plain rule ejects.
-const CONSECUTIVE: f64 = 5.0;
-/// Window of the second plain rule.
+/// Failures in a row after which [`RuleKind::Consecutive`] ejects.
+const CONSECUTIVE_FAILURES: f64 = 5.0;
+/// Window over which [`RuleKind::Rate`] counts requests.
 const RATE_WINDOW: Duration = Duration::from_secs(10);
-/// Fewest requests in the window for the second plain rule to eject.
-const RATE_VOLUME: usize = 20;
-/// Share of failures in the window from which the second plain rule ejects.
+/// Minimum number of requests in the window for [`RuleKind::Rate`] to eject.
+const RATE_REQUESTS_MIN: usize = 20;
+/// Share of failures in the window from which [`RuleKind::Rate`] ejects.
 const RATE_SHARE: f64 = 0.5;
-/// Time between evaluations of the third plain rule.
+/// Time between evaluations of [`RuleKind::Outlier`].
 const OUTLIER_INTERVAL: Duration = Duration::from_secs(10);
-/// Standard deviations above the mean beyond which the third plain rule ejects.
+/// Standard deviations above the mean beyond which [`RuleKind::Outlier`] ejects.
 const OUTLIER_DEVIATIONS: f64 = 1.9;
-/// Fewest requests of an upstream between two evaluations for it to be compared.
-const OUTLIER_VOLUME: u32 = 10;
-/// Fewest upstreams with that many requests for an evaluation.
-const OUTLIER_UPSTREAMS: usize = 3;
-/// Failed probes of the health endpoint in a row after which the fourth plain rule ejects.
-const PROBES_BAD: f64 = 3.0;
+/// Minimum number of requests of an upstream between two evaluations for [`RuleKind::Outlier`] to
+/// compare that upstream.
+const OUTLIER_REQUESTS_MIN: u32 = 10;
+/// Minimum number of upstreams that [`RuleKind::Outlier`] compares; with fewer it ejects none.
+const OUTLIER_UPSTREAMS_MIN: usize = 3;
+/// Failed probes of the health endpoint in a row after which [`RuleKind::Probes`] ejects.
+const FAILED_PROBES: f64 = 3.0;
 /// Time between two probes of an upstream by one ingress.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(5);
 /// Length of the first ejection by a plain rule; the n-th lasts n times as long.
@@ -88,10 +89,10 @@
     pub fn default_threshold(self) -> f64 {
         match self {
             Self::Nothing => 0.0,
-            Self::Consecutive => CONSECUTIVE,
+            Self::Consecutive => CONSECUTIVE_FAILURES,
             Self::Rate => RATE_SHARE,
             Self::Outlier => OUTLIER_DEVIATIONS,
-            Self::Probes => PROBES_BAD,
+            Self::Probes => FAILED_PROBES,
             Self::Detection => THRESHOLD_DETECTION,
             Self::Precision => THRESHOLD_PRECISION,
         }
@@ -148,7 +149,7 @@
         self.upstreams[index].ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Records the result of a request; returns the upstreams that are ejected by it.
+    /// Records the result of a request; returns the upstreams that the rule ejects now.
     pub fn note(
         &mut self,
         index: usize,
@@ -199,23 +200,24 @@
         true
     }
 
-    /// Returns the upstreams that lie too far above the mean, every ten seconds.
+    /// Returns the upstreams whose failure rate or mean latency is too far above the mean over the
+    /// upstreams. Evaluates every ten seconds, and returns nothing in between.
     fn outliers(&mut self, now: Duration) -> Vec<usize> {
         if now.saturating_sub(self.evaluated_at) < OUTLIER_INTERVAL {
             return Vec::new();
         }
         self.evaluated_at = now;
-        let counted: Vec<usize> = (0..self.upstreams.len())
-            .filter(|index| self.upstreams[*index].answered >= OUTLIER_VOLUME)
+        let compared: Vec<usize> = (0..self.upstreams.len())
+            .filter(|index| self.upstreams[*index].answered >= OUTLIER_REQUESTS_MIN)
             .collect();
         let mut chosen = Vec::new();
-        if counted.len() >= OUTLIER_UPSTREAMS {
+        if compared.len() >= OUTLIER_UPSTREAMS_MIN {
             let failures = |upstream: &PlainUpstream| {
                 f64::from(upstream.failed) / f64::from(upstream.answered)
             };
             let times = |upstream: &PlainUpstream| upstream.time_sum / f64::from(upstream.answered);
-            chosen = self.outliers_by(&counted, failures);
-            chosen.extend(self.outliers_by(&counted, times));
+            chosen = self.outliers_by(&compared, failures);
+            chosen.extend(self.outliers_by(&compared, times));
         }
         for upstream in &mut self.upstreams {
             upstream.answered = 0;
@@ -225,12 +227,13 @@
         chosen
     }
 
-    fn outliers_by(&self, counted: &[usize], value: impl Fn(&PlainUpstream) -> f64) -> Vec<usize> {
-        let values: Vec<f64> = counted.iter().map(|index| value(&self.upstreams[*index])).collect();
+    fn outliers_by(&self, compared: &[usize], value: impl Fn(&PlainUpstream) -> f64) -> Vec<usize> {
+        let values: Vec<f64> =
+            compared.iter().map(|index| value(&self.upstreams[*index])).collect();
         let mean = values.iter().sum::<f64>() / values.len() as f64;
-        let square = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
-        let bound = mean + self.threshold * (square / values.len() as f64).sqrt();
-        let outlying = counted.iter().zip(&values).filter(|(_, value)| **value > bound);
+        let squares = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>();
+        let bound = mean + self.threshold * (squares / values.len() as f64).sqrt();
+        let outlying = compared.iter().zip(&values).filter(|(_, value)| **value > bound);
         outlying.map(|(index, _)| *index).collect()
     }
 }
@@ -242,6 +245,7 @@
             self.window.pop_front();
         }
         let failures = self.window.iter().filter(|(_, failed)| *failed).count();
-        self.window.len() >= RATE_VOLUME && failures as f64 >= share * self.window.len() as f64
+        self.window.len() >= RATE_REQUESTS_MIN
+            && failures as f64 >= share * self.window.len() as f64
     }
 }
--- a/crates/bench/src/decisions/scenario.rs
+++ b/crates/bench/src/decisions/scenario.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-/// `Deployment` is a service of the size that the requirements state.
+/// `Deployment` is a simulated service, of a size that the requirements state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Deployment {
     /// Name of the service.
@@ -20,7 +20,7 @@
     pub floor: f64,
 }
 
-/// The services of the requirements.
+/// The services whose sizes the requirements state.
 pub const DEPLOYMENTS: [Deployment; 4] = [
     Deployment { name: "solver-app", upstreams: 15, slots: 4, domains: 3, floor: 0.7 },
     Deployment { name: "contest-desk", upstreams: 6, slots: 4, domains: 3, floor: 0.6 },
@@ -65,9 +65,9 @@
     Stuck(f64),
     /// Half of the requests fail in every other period of this many milliseconds.
     Flapping(u64),
-    /// Only one upstream starts cold: slower by this factor at first, and at full speed after 10 s.
+    /// One upstream starts cold: slower by this factor at first, and at full speed after 10 s.
     ColdStart(f64),
-    /// Only one upstream starts cold, and never responds to this share of requests.
+    /// One upstream starts cold, and never responds to this share of requests.
     ColdStuck(f64),
     /// All upstreams take this many times as long.
     AllSlow(f64),
@@ -85,9 +85,9 @@
     /// All requests take this many times as long, where a fifth of the requests are of a route
     /// that takes twenty times as long as the others.
     MixedSlow(f64),
-    /// The routes of [`Self::MixedSlow`], but no upstream is sick.
+    /// The routes of [`Self::MixedSlow`], but no upstream is faulty; the value is not used.
     MixedHealthy(f64),
-    /// No upstream is sick; this share of service times is in the heavy tail, and load comes in
+    /// No upstream is faulty; this share of service times is in the heavy tail, and load comes in
     /// bursts.
     Bursts(f64),
 }
@@ -99,11 +99,13 @@
     pub name: &'static str,
     /// Returns the script of a severity from 0 to 4.
     pub script: fn(usize) -> FaultScript,
-    /// Whether exactly one upstream is sick, rather than none or all.
+    /// Whether exactly one upstream is faulty, rather than none or all.
     pub one_is_faulty: bool,
 }
 
+/// Shares of affected requests, by severity.
 const SHARES: [f64; 5] = [0.15, 0.3, 0.5, 0.75, 1.0];
+/// Factors on the service time, by severity.
 const FACTORS: [f64; 5] = [2.0, 3.0, 4.0, 6.0, 10.0];
 
 /// Every case of the bench.
@@ -221,15 +223,15 @@
 pub const MIXED_SHARE: f64 = 0.2;
 /// Share of requests that are safe to retry.
 pub const REPEATABLE_SHARE: f64 = 0.7;
-/// Longest time for a request.
+/// Time-out of a request.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// One-way network delay between failure domains, as the requirements state it.
 pub const REMOTE_DELAY: Duration = Duration::from_micros(1500);
 /// One-way network delay within a failure domain, as the requirements state it.
 pub const LOCAL_DELAY: Duration = Duration::from_micros(200);
-/// Ingresses that requests come through.
+/// Number of ingresses, through which requests arrive.
 pub const INGRESSES: usize = 4;
-/// Requests that may queue at each upstream.
+/// Maximum number of requests in the queue of each upstream.
 pub const QUEUE: usize = 16;
 
 /// `ScenarioPlan` is the deployment, load and fault of one run.
@@ -241,7 +243,7 @@
     pub load: LoadLevel,
     /// The fault.
     pub script: FaultScript,
-    /// Whether exactly one upstream is sick.
+    /// Whether exactly one upstream is faulty.
     pub one_is_faulty: bool,
     /// Seed of the random numbers.
     pub seed: u64,
--- a/crates/bench/src/decisions/suite.rs
+++ b/crates/bench/src/decisions/suite.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// Runs a suite; the results are sorted by key, whatever the number of threads.
+/// Runs a suite. The results are sorted by key and don't depend on the number of threads.
 pub fn run(plan: &SuitePlan) -> Vec<(RunKey, RunResult)> {
     let keys = plan.keys();
     let next = AtomicUsize::new(0);
@@ -116,13 +116,13 @@
 pub struct RuleSummary {
     /// Number of runs.
     pub runs: usize,
-    /// Runs in which the sick upstream stopped receiving requests.
+    /// Runs in which the faulty upstream stopped receiving requests.
     pub stopped: usize,
     /// Median of the detection times; a run without detection counts as longer than all others.
     pub detection_median: Option<Duration>,
     /// 99th percentile of the detection times: 99 in 100 runs stay below.
     pub detection_p99: Option<Duration>,
-    /// Median of the requests that the sick upstream received.
+    /// Median of the requests that the faulty upstream received.
     pub received_median: u64,
     /// False ejections per upstream-hour.
     pub false_ejections_hour: f64,
@@ -131,15 +131,15 @@
     /// Requests that were slow for callers during the fault, as a share of all requests of the
     /// runs.
     pub slow_share: f64,
-    /// Fewest slots in service, as a ratio to the slots of the floor.
+    /// Fewest slots in service, as a ratio to the slots that the floor requires.
     pub lowest_over_floor: f64,
     /// Runs in which the floor was broken.
     pub floor_broken: usize,
-    /// Median time from the end of the fault to the return of the sick upstream.
+    /// Median time from the end of the fault to the return of the faulty upstream.
     pub returned_median: Option<Duration>,
 }
 
-/// Aggregates results.
+/// Aggregates the results of one rule.
 pub fn summarize<'a>(
     results: impl Iterator<Item = &'a RunResult>,
     one_is_faulty: bool,
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -45,7 +45,7 @@
     pub(super) ejected_after_fault: bool,
 }
 
-/// Index of the sick upstream, in cases that have one.
+/// Index of the faulty upstream, in cases that have one.
 pub(super) const FAULTY: usize = 1;
 
 impl World {
@@ -64,8 +64,8 @@
         let ingresses = (0..scenario::INGRESSES)
             .map(|number| actors::new_ingress(&plan, rule, threshold, number % deployment.domains))
             .collect();
-        let median = scenario::SERVICE_MEDIAN.as_secs_f64().ln();
-        let service_times = LogNormal::new(median, scenario::SERVICE_SPREAD);
+        let median_ln = scenario::SERVICE_MEDIAN.as_secs_f64().ln();
+        let service_times = LogNormal::new(median_ln, scenario::SERVICE_SPREAD);
         let mut world = Self {
             plan,
             rule,
@@ -163,15 +163,15 @@
         self.requests.push(request);
         self.result.requests += 1;
         self.dispatch(number);
-        let wait: f64 = Exp1.sample(&mut self.rng);
-        let gap = self.plan.gap().mul_f64(wait / self.burst_factor());
+        let relative_gap: f64 = Exp1.sample(&mut self.rng);
+        let gap = self.plan.gap().mul_f64(relative_gap / self.burst_factor());
         self.schedule(gap, Event::Arrival);
     }
 
     pub(super) fn sample_route(&mut self) -> usize {
         if self.plan.is_mixed() {
-            let slow = self.rng.random_bool(scenario::MIXED_SHARE);
-            return if slow { SLOW_ROUTE } else { self.rng.random_range(0..SLOW_ROUTE) };
+            let is_slow = self.rng.random_bool(scenario::MIXED_SHARE);
+            return if is_slow { SLOW_ROUTE } else { self.rng.random_range(0..SLOW_ROUTE) };
         }
         self.rng.random_range(0..ROUTES.len())
     }
--- a/crates/bench/src/detection.rs
+++ b/crates/bench/src/detection.rs
@@ -9,14 +9,15 @@
 
 use crate::errors::{self, BenchError};
 
-/// Time that a response may take after its request was received, in milliseconds. Callers that see
-/// errors of an ejected server for longer than that show a fault.
+/// Time that a response may take after its request was received, in milliseconds. If callers see
+/// errors of an ejected server for longer than it received requests plus this time, the daemon has
+/// a fault.
 const RESPONSE_SLACK_MS: u64 = 250;
 
 fn read(path: &str) -> Result<Value, BenchError> {
-    let bad = |message: String| errors::BenchError::File { path: path.to_owned(), message };
-    let text = fs::read_to_string(path).map_err(|error| bad(error.to_string()))?;
-    serde_json::from_str(&text).map_err(|error| bad(error.to_string()))
+    let file_error = |message: String| errors::BenchError::File { path: path.to_owned(), message };
+    let text = fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+    serde_json::from_str(&text).map_err(|error| file_error(error.to_string()))
 }
 
 /// Prints the comparison, and checks that callers saw errors no longer than the server received
--- a/crates/bench/src/experiment/day_runs.rs
+++ b/crates/bench/src/experiment/day_runs.rs
@@ -71,11 +71,11 @@
         build_checkout(options, build)?;
     }
     let folder = std::env::temp_dir().join(format!("basaltarch-experiment-{}", std::process::id()));
-    let failed = |error: std::io::Error| BenchError::File {
+    let folder_error = |error: std::io::Error| BenchError::File {
         path: folder.display().to_string(),
         message: error.to_string(),
     };
-    fs::create_dir_all(&folder).map_err(failed)?;
+    fs::create_dir_all(&folder).map_err(folder_error)?;
     let plan = plan(options);
     let next = AtomicUsize::new(0);
     let runs = Mutex::new(Vec::new());
@@ -94,11 +94,11 @@
             });
         }
     });
-    fs::remove_dir_all(&folder).map_err(failed)?;
+    fs::remove_dir_all(&folder).map_err(folder_error)?;
     Ok(runs.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner()))
 }
 
-/// Lists the runs so that those of both builds follow each other for each day.
+/// Lists the runs. For each day, the runs of the builds directly follow each other.
 fn plan(options: &ExperimentOptions) -> Vec<PlannedDay> {
     let mut plan = Vec::new();
     for site in &options.sites {
--- a/crates/bench/src/experiment/verdict.rs
+++ b/crates/bench/src/experiment/verdict.rs
@@ -155,5 +155,5 @@
 }
 
 fn write_line(text: &mut String, line: std::fmt::Arguments<'_>) {
-    writeln!(text, "{line}").unwrap_or_else(|_| unreachable!("a text takes everything"));
+    writeln!(text, "{line}").unwrap_or_else(|_| unreachable!("writing to a string doesn't fail"));
 }
--- a/crates/bench/src/fault.rs
+++ b/crates/bench/src/fault.rs
@@ -27,7 +27,7 @@
 /// `FaultReport` is how long a failing server kept receiving requests.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct FaultReport {
-    /// Time from the fault to the last request before the quiet time, in milliseconds.
+    /// Time from the fault until the last request that the server received, in milliseconds.
     pub received_for_ms: u64,
     /// Requests received in that time.
     pub received: u64,
@@ -35,33 +35,33 @@
     pub stopped: bool,
 }
 
-/// Injects a fault into a server and waits until the server has received nothing for `quiet`, or
-/// until `most` has passed.
+/// Injects a fault into a server and waits until the server has received nothing for `idle_time`,
+/// or until `time_max` has passed.
 pub async fn run(
     address: SocketAddr,
     fault: &str,
-    quiet: Duration,
-    most: Duration,
+    idle_time: Duration,
+    time_max: Duration,
 ) -> Result<FaultReport, BenchError> {
     let client = HttpClient::new(address, CALL_TIMEOUT);
-    let before = total(&client).await?;
+    let total_before = total(&client).await?;
     call(&client, Method::PUT, FAULTS_PATH, fault).await?;
     let start = Instant::now();
-    let mut last = before;
+    let mut last_total = total_before;
     let mut last_at = Duration::ZERO;
     loop {
         monoio::time::sleep(POLL_INTERVAL).await;
-        let now = total(&client).await?;
+        let current_total = total(&client).await?;
         let elapsed = start.elapsed();
-        if now > last {
-            last = now;
+        if current_total > last_total {
+            last_total = current_total;
             last_at = elapsed;
         }
-        let stopped = elapsed.saturating_sub(last_at) >= quiet;
-        if stopped || elapsed >= most {
+        let stopped = elapsed.saturating_sub(last_at) >= idle_time;
+        if stopped || elapsed >= time_max {
             return Ok(FaultReport {
                 received_for_ms: last_at.as_millis() as u64,
-                received: last - before,
+                received: last_total - total_before,
                 stopped,
             });
         }
@@ -72,8 +72,8 @@
     let text = call(client, Method::GET, RUNS_PATH, "").await?;
     let value: Value = serde_json::from_slice(&text).unwrap_or(Value::Null);
     // A stuck server completes no runs, but its count of received requests includes those it holds.
-    let held = value["received"].as_u64();
-    Ok(held.or(value["total"].as_u64()).unwrap_or(0))
+    let received = value["received"].as_u64();
+    Ok(received.or(value["total"].as_u64()).unwrap_or(0))
 }
 
 async fn call(
--- a/crates/bench/src/hold.rs
+++ b/crates/bench/src/hold.rs
@@ -25,9 +25,9 @@
     pub address: SocketAddr,
     /// Number of connections.
     pub count: usize,
-    /// How long they are held.
+    /// Time for which the connections are held.
     pub time: Duration,
-    /// Host and path of a request that runs on each connection; idle connections without.
+    /// Host and path of a request that runs on each connection; `None` for idle connections.
     pub request: Option<(String, String)>,
 }
 
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -44,8 +44,8 @@
 /// `LoadOptions` holds the targets, request and rate of a load.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
-    /// Targets, used round-robin by request, so that all are measured under the same conditions of
-    /// the machine.
+    /// Targets, used round-robin by request, so that all are measured while the machine is in the
+    /// same state.
     pub targets: Vec<LoadTarget>,
     /// Value of `Host`.
     pub host: String,
@@ -145,8 +145,8 @@
             number += 1;
         }
     }
-    let settled = Instant::now() + SETTLE_TIMEOUT;
-    while states.iter().any(|state| state.borrow().in_flight > 0) && Instant::now() < settled {
+    let settle_until = Instant::now() + SETTLE_TIMEOUT;
+    while states.iter().any(|state| state.borrow().in_flight > 0) && Instant::now() < settle_until {
         monoio::time::sleep(Duration::from_millis(5)).await;
     }
     states.iter().map(|state| finish(&state.borrow())).collect()
@@ -197,11 +197,11 @@
     state.borrow_mut().report.started += 1;
     let id = format!("load-{number}");
     let result = exchange(options, state, &id).await;
-    let took = due.elapsed().as_micros() as u64;
-    let since = start.elapsed().as_millis() as u64;
+    let took_us = due.elapsed().as_micros() as u64;
+    let since_ms = start.elapsed().as_millis() as u64;
     let mut state = state.borrow_mut();
     match result {
-        Ok(reply) => record_reply(&mut state, &reply, &id, took, since),
+        Ok(reply) => record_reply(&mut state, &reply, &id, took_us, since_ms),
         Err(_) => state.report.broken += 1,
     }
 }
@@ -224,8 +224,8 @@
 }
 
 async fn open(state: &Rc<RefCell<TargetState>>) -> Result<(SocketAddr, HttpStream), HttpError> {
-    let kept = state.borrow_mut().idle.pop();
-    if let Some((address, mut stream)) = kept {
+    let idle = state.borrow_mut().idle.pop();
+    if let Some((address, mut stream)) = idle {
         if client::is_reusable(&mut stream) {
             return Ok((address, stream));
         }
@@ -258,8 +258,8 @@
     state: &mut TargetState,
     reply: &client::ClientReply,
     id: &str,
-    took: u64,
-    since: u64,
+    took_us: u64,
+    since_ms: u64,
 ) {
     let report = &mut state.report;
     *report.statuses.entry(reply.status.as_u16()).or_default() += 1;
@@ -278,14 +278,14 @@
     report.good += u64::from(reply.status < StatusCode::BAD_REQUEST);
     let answered_id = fields::single(&reply.headers, &HeaderName::from_static("x-request-id"));
     report.crossed += u64::from(answered_id.is_some_and(|answered| answered != id));
-    let _ = state.times.record(took.clamp(1, MICROS_MAX));
+    let _ = state.times.record(took_us.clamp(1, MICROS_MAX));
     let server = fields::single(&reply.headers, &HeaderName::from_static("x-served-by"));
     let tally = report.servers.entry(server.unwrap_or("-").to_owned()).or_default();
     tally.answers += 1;
     if reply.status.is_server_error() {
         tally.errors += 1;
-        tally.first_error_ms.get_or_insert(since);
-        tally.last_error_ms = Some(since);
+        tally.first_error_ms.get_or_insert(since_ms);
+        tally.last_error_ms = Some(since_ms);
     }
 }
 
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -150,7 +150,7 @@
 
 const ADDRESS_ALLOWED: &str = "an IP address with port, such as 127.0.0.1:8080";
 
-/// Days of a site file that have trouble.
+/// Default value of `--days`: the trouble and scale days of a site file.
 const DAYS_WITH_TROUBLE: &str = "trouble-1,trouble-2,trouble-3,scale-1,scale-2";
 /// Value of `--seeds` that stands for the default seed of a day.
 const OWN_SEED: &str = "own";
@@ -356,8 +356,8 @@
     let admins: Result<Vec<SocketAddr>, BenchError> =
         flags.admins.split(',').map(|each| address("admins", each)).collect();
     let changes = number("changes", flags.changes.clone(), 10.0, 1.0, 1000.0)? as usize;
-    let usual = spread::CHANGE_PAUSE.as_millis() as f64;
-    let pause = number("pause-ms", flags.pause_ms.clone(), usual, 1.0, 60_000.0)?;
+    let default_pause_ms = spread::CHANGE_PAUSE.as_millis() as f64;
+    let pause = number("pause-ms", flags.pause_ms.clone(), default_pause_ms, 1.0, 60_000.0)?;
     let pause = Duration::from_secs_f64(pause / 1000.0);
     let running = spread::run(admins?, flags.token.clone(), changes, pause);
     let report = runtime::run(running).map_err(|source| BenchError::Start { source })??;
@@ -365,7 +365,8 @@
     Ok(())
 }
 
-/// Prints a configuration as `basaltctl apply` reads it.
+/// Prints a generated configuration in the format that `basaltctl apply` reads, or writes the
+/// configuration as a snapshot into a file.
 fn run_generate(flags: &flags::Generate) -> Result<(), BenchError> {
     let share = number("share", Some(flags.share.clone()), 1.0, 1e-6, 1.0)?;
     let size = capacity::TWO_YEARS.scaled(share);
@@ -424,11 +425,11 @@
 
 fn run_fault(flags: flags::Fault) -> Result<(), BenchError> {
     let address = address("address", &flags.address)?;
-    let quiet = number("quiet-ms", flags.quiet_ms, 1000.0, 10.0, 60_000.0)?;
-    let most = number("most-ms", flags.most_ms, 20_000.0, 10.0, 600_000.0)?;
-    let quiet = Duration::from_secs_f64(quiet / 1000.0);
-    let most = Duration::from_secs_f64(most / 1000.0);
-    let running = fault::run(address, &flags.fault, quiet, most);
+    let idle_ms = number("quiet-ms", flags.quiet_ms, 1000.0, 10.0, 60_000.0)?;
+    let most_ms = number("most-ms", flags.most_ms, 20_000.0, 10.0, 600_000.0)?;
+    let idle_time = Duration::from_secs_f64(idle_ms / 1000.0);
+    let time_max = Duration::from_secs_f64(most_ms / 1000.0);
+    let running = fault::run(address, &flags.fault, idle_time, time_max);
     let report = runtime::run(running).map_err(|source| BenchError::Start { source })??;
     println!("{}", serde_json::json!(report));
     Ok(())
--- a/crates/bench/src/spread.rs
+++ b/crates/bench/src/spread.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Measures how long an accepted configuration change takes to be in force on all daemons, by a
-//! watch on each.
+//! Measures how long an accepted configuration change takes to be in force on all daemons, with a
+//! watch on the revision of each daemon.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     pub all_max_ms: f64,
     /// Median over the changes of the time until half of the daemons had the change.
     pub half_median_ms: f64,
-    /// Median of the time until the change was accepted.
+    /// Median over the changes of the time until the change was accepted.
     pub accepted_median_ms: f64,
 }
 
--- a/crates/bench/tests/crashes.rs
+++ b/crates/bench/tests/crashes.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The crash bench gates CI; it is deterministic.
+//! Runs the crash bench, which is deterministic, in CI. Guards against changes of the decision code
+//! by which a bad request crashes more servers, or more innocent requests are refused.
 
 use basaltarch_bench::crashes;
 
--- a/crates/bench/tests/decisions.rs
+++ b/crates/bench/tests/decisions.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The decision bench gates CI: its figures are deterministic.
+//! Runs the decision bench, whose figures are deterministic, in CI. Guards against changes of the
+//! decision code by which faulty upstreams are ejected later, or more healthy ones are ejected.
 
 use basaltarch_bench::decisions::rules::RuleKind;
 use basaltarch_bench::decisions::scenario::{CASES, DEPLOYMENTS, LOADS};
@@ -40,12 +41,12 @@
         plan.rules = rules;
         suite::run(&plan)
     };
-    let own = vec![RuleKind::Detection, RuleKind::Precision];
+    let daemon_rules = vec![RuleKind::Detection, RuleKind::Precision];
     // At the middle severity of `errors` half of the requests fail, as at an upstream whose
     // endpoint reports wrongly.
-    let honest = runs("errors", vec![2], own.clone());
+    let honest = runs("errors", vec![2], daemon_rules.clone());
     for severity in 0..suite::SEVERITIES {
-        let lying = runs(case, vec![severity], own.clone());
+        let lying = runs(case, vec![severity], daemon_rules.clone());
         for ((_, lying), (_, honest)) in lying.iter().zip(&honest) {
             assert_eq!(format!("{lying:?}"), format!("{honest:?}"));
         }
@@ -62,7 +63,7 @@
     plan.loads = LOADS.to_vec();
     plan.rules = vec![RuleKind::Precision, RuleKind::Detection];
     let results = suite::run(&plan);
-    let of = |rule| report::select(&results, rule, |_| true).false_ejections_hour;
-    assert_eq!(of(RuleKind::Precision), 0.0);
-    assert!(of(RuleKind::Detection) < 0.1, "{}", of(RuleKind::Detection));
+    let false_ejections = |rule| report::select(&results, rule, |_| true).false_ejections_hour;
+    assert_eq!(false_ejections(RuleKind::Precision), 0.0);
+    assert!(false_ejections(RuleKind::Detection) < 0.1, "{}", false_ejections(RuleKind::Detection));
 }
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Two builds are compared over the days that both have completed; failed runs are reported.
+//! Guards against an experiment that calls a chance difference between two builds significant,
+//! compares days that only one build completed, or hides runs that failed.
 
 use basaltarch_bench::experiment::day_runs::{DayKey, DayRun};
 use basaltarch_bench::experiment::verdict::{self, PairedFigure};
--- a/crates/bench/tests/reference.rs
+++ b/crates/bench/tests/reference.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The help text stands in docs/REFERENCE.md, word for word.
+//! docs/REFERENCE.md quotes the help text word for word. Guards against a change of the help text
+//! that leaves the document as it was.
 
 use std::fs;
 use std::process::Command;
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -205,8 +205,8 @@
     steps.iter().rposition(is_required).unwrap_or(0)
 }
 
-/// Returns the violation of a sample whose response follows an outdated document, with the time from
-/// the acknowledgement of the document that forbade the response until the request was sent.
+/// Returns the violation of a sample whose response follows an outdated document, with the time
+/// from the acknowledgement of the document that forbade the response until the request was sent.
 fn late_violation(sample: &CallerSample, steps: &[StepTimes]) -> GuaranteeViolation {
     let required = required_step(sample, steps);
     let allowed = |step: &usize| operator::allows(*step, sample.route, sample.answer);
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -271,8 +271,8 @@
     }
 }
 
-/// Sends heartbeats on behalf of a host's backend server for ever, except while the server's process
-/// is down.
+/// Sends heartbeats on behalf of a host's backend server for ever, except while the server's
+/// process is down.
 async fn send_heartbeats(host: Rc<SoakHost>) {
     let mut sequence = 0;
     loop {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -72,6 +72,7 @@
     history: RefCell<FaultHistory>,
     checker: RefCell<ConfigChecker>,
     report: RefCell<RunReport>,
+    /// Whether a fault is restarting the daemon, for each host.
     restarting: RefCell<Vec<bool>>,
     verbose: bool,
     /// Set when the run is over: later samples are not checked.
@@ -155,7 +156,8 @@
             Some(GuaranteeViolation::Late { after }) => {
                 let after = after.as_secs_f64();
                 self.add_finding(format!(
-                    "{host} {id} sent {sent:.3}: {route:?} {answer:?}, {after:.3} s after it was forbidden"
+                    "{host} {id} sent {sent:.3}: {route:?} {answer:?}, \
+                     {after:.3} s after it was forbidden"
                 ));
             }
             Some(GuaranteeViolation::RolledBack) => {
