--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -20,11 +20,11 @@
 /// `FaultKind` is a kind of injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Connections of some hosts to the store are black-holed for good.
+    /// Connections of some hosts to the store are black-holed permanently.
     SilentStore,
-    /// Half of all connections, to the store and between daemons, are black-holed for good.
+    /// Half of all connections, to the store and between daemons, are black-holed permanently.
     SilentHalf,
-    /// All connections, to the store and between daemons, are black-holed for good.
+    /// All connections, to the store and between daemons, are black-holed permanently.
     SilentAll,
     /// Data between a host and the store is held back, in one direction or both.
     HeldStore,
