--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -33,13 +33,13 @@
     /// Service that the request goes to: a request that crashes the servers of one service may be
     /// harmless to another.
     pub service: &'a str,
-    /// Its method.
+    /// Method of the request.
     pub method: &'a str,
-    /// Its target in origin form.
+    /// Target of the request in origin form.
     pub target: &'a str,
-    /// Its header fields as lines with lower-case names.
+    /// Header fields of the request as lines with lower-case names.
     pub field_lines: &'a [u8],
-    /// The part of its body that was read before the request was forwarded.
+    /// The part of the request's body that was read before the request was forwarded.
     pub body: &'a [u8],
     /// Whether `body` is the complete body.
     pub is_whole: bool,
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -48,7 +48,8 @@
     CrashesServers,
     /// The route requires an API key, and the caller sent none or an unknown one.
     KeyUnknown,
-    /// The backend server has completed no request recently, and this request is non-repeatable.
+    /// The backend server has completed no request recently, so that it may hang, and this request
+    /// is non-repeatable.
     Unproven,
 }
 
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -187,7 +187,7 @@
     pub state: ServerState,
 }
 
-/// `WorkMode` defines how often a request of a route may run.
+/// `WorkMode` defines whether a request of a route may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkMode {
@@ -229,7 +229,7 @@
     /// Timeout of a request, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u64,
-    /// How often a request may run.
+    /// Whether a request may run more than once, which decides when it is retried.
     #[serde(default)]
     pub mode: WorkMode,
     /// Priority of its requests when load is shed.
--- a/crates/core/src/services.rs
+++ b/crates/core/src/services.rs
@@ -13,7 +13,7 @@
 pub struct UpstreamEntry {
     /// Name of the backend server.
     pub name: Rc<str>,
-    /// Its resource.
+    /// Resource of the upstream.
     pub server: Rc<BackendServer>,
 }
 
@@ -22,9 +22,9 @@
 pub struct ServiceEntry {
     /// Name of the service.
     pub name: Rc<str>,
-    /// Its resource.
+    /// Resource of the service.
     pub spec: ServiceSpec,
-    /// Its upstreams.
+    /// Upstreams of the service.
     pub upstreams: Vec<UpstreamEntry>,
 }
 
@@ -50,7 +50,7 @@
         Self { spec: spec.clone(), upstreams: packing::compress(upstreams) }
     }
 
-    /// Unpacks the service of this name.
+    /// Unpacks the service into an entry with this name: the packed form does not contain the name.
     pub fn unpack(&self, name: &Rc<str>) -> ServiceEntry {
         let bytes = packing::decompress(&self.upstreams);
         let packed: Vec<(&str, BackendServer)> = packing::unpack_all(&bytes);
--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// Builds the view of a service whose upstreams have all reported, the first with this sickness.
+/// Builds the view of a service whose upstreams have all reported, the first with this anomaly
+/// score.
 fn view(upstreams: usize, sickness: f64) -> ServiceView {
     let views = (0..upstreams).map(|index| LoadView::new(4, index % 3 == 0)).collect();
     let mut view = ServiceView::new(0.7, views);
--- a/crates/decide/src/adaptive_timeout.rs
+++ b/crates/decide/src/adaptive_timeout.rs
@@ -71,15 +71,17 @@
 /// `TimeoutTerms` is what is known about a request that is about to start.
 #[derive(Debug, Clone, Copy)]
 pub struct TimeoutTerms {
-    /// Time that is left until its deadline.
+    /// Time from now to the deadline of the request.
     pub left: Duration,
-    /// Time that is left until its objective; zero if that has passed or none was declared.
+    /// Time from now to the objective of the request; zero if the objective has passed or none was
+    /// declared.
     pub objective_left: Duration,
-    /// Distribution of the service times of such requests, if enough of them were seen.
+    /// Distribution of the service times of requests of the same route, if enough of them were
+    /// seen.
     pub usual: Option<UsualTime>,
     /// Whether the server has no free slot besides that of this request.
     pub full: bool,
-    /// Slow requests at the other servers of the service, as far as reported.
+    /// Slow requests that were reported by the other servers of the service.
     pub siblings: SlowRequests,
 }
 
@@ -88,8 +90,8 @@
 pub struct AttemptTimeout {
     /// Timeout that the server is given.
     pub time: Duration,
-    /// Time after which an answer counts as late: it shows that healthy requests run longer than is
-    /// allowed here.
+    /// Time after which an answer counts as late: a late answer shows that healthy requests run
+    /// longer than this timeout allows.
     pub late_after: Duration,
 }
 
@@ -120,7 +122,7 @@
         AttemptTimeout { time: late_after, late_after }
     }
 
-    /// Records that a request still runs after its `late_after` and makes no progress.
+    /// Records that a request has been running for its `late_after` and makes no progress.
     pub fn note_overrun(&mut self, now: Duration) {
         self.decay(now);
         self.slow.hung += 1.0;
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -22,7 +22,7 @@
 /// rounds are queued.
 const WAIT_LOAD_MAX: f64 = 3.0;
 /// Share of an upstream's queue from which it counts as full for repeatable requests: the last
-/// entries are taken by others before a request that is sent now arrives.
+/// entries are taken by requests of other ingresses before a request that is sent now arrives.
 const QUEUE_SHARE_MAX: f64 = 0.9;
 /// Cost factor of an upstream in another failure domain, as a share of a service time; the round
 /// trip takes 3 ms.
@@ -41,8 +41,8 @@
 const SUSPECT_FACTOR: f64 = 10.0;
 /// Age up to which a report of an open circuit breaker is acted on.
 const OPEN_BREAKER_REPORT_LIFE: Duration = Duration::from_secs(5);
-/// Age up to which a report or a late attempt makes an upstream a suspect; after that it is tried
-/// again.
+/// Age up to which a report, or an attempt that outlasted its hedging delay, makes an upstream a
+/// suspect. After that the upstream is tried again.
 const SUSPECT_LIFE: Duration = Duration::from_millis(1500);
 /// Age from which the anomaly score in a report says nothing about a change that all upstreams
 /// share.
@@ -65,14 +65,14 @@
 pub struct LoadView {
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether it is in the failure domain of the ingress.
+    /// Whether the upstream is in the failure domain of the ingress.
     pub is_local: bool,
     /// Whether its daemon can be reached.
     pub reachable: bool,
     /// Whether the link to its daemon is up again after a cut, but no probe has been answered
     /// since.
     pub proving: bool,
-    /// Whether it is draining, whoever reported it.
+    /// Whether the upstream is draining, whoever reported it.
     pub draining: bool,
     /// Requests of this ingress that are in flight there.
     pub own_in_flight: u32,
@@ -230,21 +230,21 @@
 /// `ChoiceGround` is the criterion by which an upstream was eligible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceGround {
-    /// It is ejected or its circuit breaker is open, and a repeatable request tests whether it
-    /// works again.
+    /// The upstream is ejected or its circuit breaker is open, and a repeatable request tests
+    /// whether it works again.
     Trial,
     /// Too few upstreams have reported recently for a comparison, and this one has not.
     Explore,
-    /// It is in the failure domain of the ingress, not a suspect and not loaded.
+    /// The upstream is in the failure domain of the ingress, not a suspect and not loaded.
     Near,
-    /// It is not a suspect and has a free slot.
+    /// The upstream is not a suspect and has a free slot.
     Sound,
-    /// It is not a suspect, and the request queues there, as all upstreams that are no suspects are
-    /// full.
+    /// The upstream is not a suspect, and the request queues there, as all upstreams that are no
+    /// suspects are full.
     Waiting,
-    /// It is a suspect, but has idle slots, and the others would refuse the request.
+    /// The upstream is a suspect, but has idle slots, and the others would refuse the request.
     Idle,
-    /// It is in service, and none is better.
+    /// The upstream is in service, and none is better.
     Any,
     /// None is in service, and the link to this one is up again after a cut.
     Proving,
@@ -271,7 +271,7 @@
 pub struct RivalUpstream {
     /// Position of the upstream.
     pub index: usize,
-    /// Its cost, which is not lower than that of the chosen one.
+    /// Cost of the upstream, which is not lower than that of the chosen one.
     pub cost: f64,
 }
 
@@ -282,9 +282,9 @@
     pub index: usize,
     /// Whether the upstream may refuse, since others can serve the request within the floor.
     pub refusable: bool,
-    /// Why it was eligible.
+    /// Why the upstream was eligible.
     pub ground: ChoiceGround,
-    /// Its cost by load, service time, distance and suspicion.
+    /// Cost of the upstream by load, service time, distance and whether it is a suspect.
     pub cost: f64,
     /// The upstream that it was compared with, if another was drawn.
     pub rival: Option<RivalUpstream>,
@@ -318,7 +318,7 @@
     choices: u32,
     /// Buffer for the positions of eligible upstreams, reused so that a choice allocates nothing.
     candidates: Vec<usize>,
-    /// Buffer for the values of a median, reused for the same reason.
+    /// Buffer for the values of a median, reused so that computing the median allocates nothing.
     values: Vec<f64>,
 }
 
--- a/crates/decide/src/balance/reservations.rs
+++ b/crates/decide/src/balance/reservations.rs
@@ -13,8 +13,9 @@
 
 use crate::balance::{ChoiceGround, ChoiceTerms, ServiceView, UpstreamChoice, DRAWN_UPSTREAMS};
 
-/// Cost of a reservation in another failure domain, in service rounds: the request and its answer
-/// cross over once the slot is offered, and a request that waits there is not served any sooner.
+/// Cost of a reservation in another failure domain, in service rounds. Once the slot is offered,
+/// the request and its answer are sent over the network between the failure domains, and a request
+/// that waits there is not served any sooner.
 const REMOTE_WEIGHT_ROUNDS: f64 = 0.5;
 
 /// `ReservationRequest` asks for the upstreams at which a request may make reservations.
@@ -30,10 +31,10 @@
 }
 
 impl ServiceView {
-    /// Draws the upstreams at which a request may make reservations: the cheapest of a sample,
-    /// twice as large as needed, of those that are in service and eligible. The samples of two
-    /// ingresses differ, so that waiting requests spread over the service however old the reports
-    /// are.
+    /// Draws the upstreams at which a request may make reservations. Takes a sample, twice as large
+    /// as needed, of the upstreams that are in service and eligible, and returns the cheapest of
+    /// it. The samples of two ingresses differ, so that waiting requests spread over the service
+    /// however old the reports are.
     ///
     /// Suspects are drawn only when no other upstream is eligible: a suspect that fails requests at
     /// once has a free slot again at once, and would offer more slots than the healthy upstreams.
--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Returns the smallest deviation of the most recent answers of others: all of them are late by
-    /// at least that.
+    /// Returns the smallest deviation of the most recent answers of other upstreams: each of these
+    /// answers is late by at least this deviation.
     fn latest_shift(&self, upstream: u32, now: Duration) -> f64 {
         let (older, newer) = self.answers.split_at(self.oldest);
         let newest_first = older.iter().rev().chain(newer.iter().rev());
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -82,7 +82,7 @@
         room
     }
 
-    /// Returns the slot of `now`, and drops those that have left the window.
+    /// Returns the slot of `now`, and removes the slots that are older than the window.
     fn slot_mut(&mut self, now: Duration) -> &mut BudgetSlot {
         let length = (self.terms.window / SLOTS).max(Duration::from_millis(1));
         let number = (now.as_nanos() / length.as_nanos()) as u64;
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -42,8 +42,8 @@
 /// Standard deviations above the median from which a request is overdue. A log-normal service time
 /// exceeds it once in 740 requests; heavier tails raise the baseline's overdue rate instead.
 pub const OVERDUE_DEVIATIONS: f64 = 3.0;
-/// Shortest time after which a request may be overdue: below it, timers and the system's scheduler
-/// are what is measured.
+/// Shortest time after which a request may be overdue: a shorter time would measure the delays of
+/// timers and of the system's scheduler.
 pub const OVERDUE_MIN: Duration = Duration::from_millis(20);
 
 impl Default for ServiceBaseline {
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -14,7 +14,7 @@
 pub struct CapacityEntry {
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether it is reachable and not draining.
+    /// Whether the upstream is reachable and not draining.
     pub available: bool,
     /// Anomaly score in multiples of the ejection threshold.
     pub score: f64,
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -21,7 +21,7 @@
 pub enum ConfirmationSource {
     /// The platform's store.
     Store,
-    /// Another daemon, from the confirmation that it had.
+    /// Another daemon, which passed on its own last confirmation.
     Peer,
 }
 
@@ -38,9 +38,9 @@
 /// `FreshConfirmation` confirms that nothing later than the configuration in force was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshConfirmation {
-    /// Moment at which nothing later had been accepted.
+    /// Moment up to which no configuration later than the one in force had been accepted.
     pub valid_at: Duration,
-    /// Who confirmed it.
+    /// Who sent the confirmation.
     pub source: ConfirmationSource,
 }
 
@@ -53,8 +53,8 @@
 }
 
 impl ConfigFreshness {
-    /// Records a confirmation. It also holds for any later configuration that comes into force. A
-    /// confirmation that is older than the known one changes nothing.
+    /// Records a confirmation. The confirmation stays valid when a later configuration comes into
+    /// force. A confirmation that is older than the recorded one changes nothing.
     pub fn note_confirmation(&mut self, confirmation: FreshConfirmation) {
         if !self.outdated
             && self.confirmation.is_none_or(|known| confirmation.valid_at > known.valid_at)
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -5,8 +5,10 @@
 //!
 //! An ingress that asks the owner before it admits a request makes each request wait for the
 //! answer. So while a limit is far from used up, the owner lets each ingress admit some requests
-//! ahead, before they are paid for. The excess that this can admit is the number of requests ahead,
-//! however fast a caller begins to send; it stays within what the operator tolerates.
+//! ahead: before the owner has granted tokens for them. The ingress reports these requests with its
+//! next token request, and the owner then takes their tokens from its bucket. However fast a caller
+//! begins to send, the limit is exceeded at most by the number of requests admitted ahead, and this
+//! number stays within the excess that the operator tolerates.
 //!
 //! Ingresses that can't reach the owner ask its backup. Each claims the part of the limit that the
 //! owner last gave it, and the backup counts all claims as one limit, so that callers that come in
@@ -29,9 +31,9 @@
 const AHEAD_BURST_MIN: f64 = 0.5;
 /// Share of the tolerated excess that all ingresses together may admit ahead.
 const AHEAD_SHARE: f64 = 0.4;
-/// Share of the tolerated excess that an owner may grant at once after all daemons were killed:
-/// what was granted before is not known, and two such kills within one window must not exceed the
-/// limit.
+/// Share of the tolerated excess that an owner may grant at once after all daemons were killed: the
+/// tokens granted before are not known, and the grants after two such kills within one window must
+/// not exceed the limit.
 const RESTART_SHARE: f64 = 0.35;
 /// Share of the burst below which the owner reserves the parts of the ingresses that have stopped
 /// asking.
@@ -73,9 +75,10 @@
 pub struct TokenRequest<'a> {
     /// Host of the ingress.
     pub requester: &'a str,
-    /// Requests that it would admit.
+    /// Tokens that the ingress requests, one for each request that it would admit.
     pub wanted: f64,
-    /// Requests that it admitted ahead and pays for with this request.
+    /// Requests that the ingress admitted ahead since its last token request; their tokens are
+    /// taken from the owner's bucket.
     pub spent: f64,
 }
 
@@ -84,10 +87,10 @@
 pub struct TokenGrant {
     /// Requests that the ingress may admit.
     pub granted: f64,
-    /// Its part of the limit, in requests a second, which it enforces while it can't reach the
-    /// owner.
+    /// Part of the limit that the ingress enforces while it can't reach the owner, in requests a
+    /// second.
     pub share: f64,
-    /// Requests that it may admit ahead of its next token request.
+    /// Requests that the ingress may admit before its next token request, without tokens.
     pub ahead: u32,
 }
 
@@ -102,7 +105,8 @@
     counted_at: Option<Duration>,
     /// Requests that all ingresses together may admit ahead.
     ahead_total: u32,
-    /// Requests a second that silent ingresses may admit by themselves.
+    /// Requests a second that ingresses may admit by themselves which have sent no token request
+    /// for longer than they usually do.
     silent_share: f64,
 }
 
@@ -110,12 +114,12 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct LimitRequester {
     asked_at: Duration,
-    /// Rate of the requests that it admitted.
+    /// Rate of the requests that the ingress admitted.
     admitted: RateMeter,
-    /// Requests that it may admit ahead.
+    /// Requests that the ingress may admit ahead.
     ahead: u32,
-    /// Its part of the limit, in requests a second: as given by the owner, or as claimed from the
-    /// backup.
+    /// Part of the limit that the owner gave the ingress, or that the ingress claimed from the
+    /// backup, in requests a second.
     share: f64,
 }
 
@@ -139,9 +143,9 @@
         Self::with_bucket(TokenBucket::empty(rate, burst, since), burst)
     }
 
-    /// Builds the owner of a limit after all daemons restarted at `since`. What was granted before
-    /// is not known, and all callers return at once then: the tolerated excess keeps those within
-    /// their usual rate from being refused.
+    /// Builds the owner of a limit after all daemons restarted at `since`. The tokens granted
+    /// before are not known, and after the restart all callers return at once. The tolerated excess
+    /// keeps callers within their usual rate from being refused.
     pub fn after_restart(
         rate: f64,
         burst: f64,
@@ -198,8 +202,9 @@
         TokenGrant { granted, share, ahead }
     }
 
-    /// Recounts the ingresses that ask, and drops those that have not asked for long. It does not
-    /// do so at each token request: a limit of a large fleet has thousands of such ingresses.
+    /// Recounts the ingresses that request tokens, and removes those that have requested none for
+    /// [`REQUESTER_LIFE`]. Recounts once every [`COUNT_EVERY`] rather than at each token request,
+    /// as a limit of a large fleet has thousands of such ingresses.
     fn recount_requesters(&mut self, now: Duration) {
         if self.counted_at.is_some_and(|at| now.saturating_sub(at) < COUNT_EVERY) {
             return;
@@ -212,7 +217,8 @@
         self.silent_share = silent.map(|requester| requester.share).sum();
     }
 
-    /// Returns how many requests one more ingress may admit ahead, of `most` over the fleet.
+    /// Returns how many requests one ingress may admit ahead, if all ingresses of the fleet
+    /// together may admit `most`.
     fn ahead_allowance(&self, most: f64) -> u32 {
         let fair = (most / self.requesters.len() as f64).ceil();
         (most - f64::from(self.ahead_total)).min(fair).max(0.0) as u32
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -39,7 +39,7 @@
 /// Answers that the report of one sibling counts as, at the least.
 const SIBLING_ANSWERS: u32 = 4;
 /// Multiple of the siblings' median anomaly score that is added to the bound of an upstream's own
-/// score: what all have in common is not the fault of one server.
+/// score: an anomaly that all upstreams share is not the fault of one server.
 const SIBLING_WEIGHT: f64 = 3.0;
 
 /// Returns the ejection threshold of a preference.
@@ -58,9 +58,9 @@
 
 /// Returns the time for which an upstream must stand out before it is ejected.
 ///
-/// Within it, the answers of the siblings arrive that distinguish a shared change from the fault of
-/// one server: it covers the typical service time, and the trip to the ingress and back with the
-/// next dispatch.
+/// The answers of the siblings, which distinguish a change that all servers share from the fault of
+/// one server, must arrive within this time. The time therefore covers the typical service time,
+/// the trip of the answers to the ingress, and the trip back with the next dispatch.
 fn confirm_time(prefer: EjectionPreference) -> Duration {
     match prefer {
         EjectionPreference::Detection => CONFIRM_DETECTION,
@@ -161,9 +161,9 @@
 pub enum WatchEnd {
     /// The request was answered, or made a nested call.
     Progressed,
-    /// It was given up before it was overdue.
+    /// The request was given up before it was overdue.
     GivenUp,
-    /// It ended without an answer, or was given up after it was recorded as overdue.
+    /// The request ended without an answer, or was given up after it was recorded as overdue.
     Recorded,
 }
 
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -13,21 +13,21 @@
 
 use fnv::FnvHasher;
 
-/// Time for which borrowed tokens are valid; what is not used by then expires, so that it can't be
-/// hoarded.
+/// Time for which borrowed tokens are valid. Tokens that are not used by then expire, so that an
+/// ingress can't hoard them.
 pub const GRANT_LIFE: Duration = Duration::from_millis(1000);
-/// Time for which an ingress may use its allowance to admit requests ahead of payment: callers that
-/// ask every few seconds don't wait.
+/// Time for which an ingress may use its allowance to admit requests before the owner grants tokens
+/// for them. It is long enough that callers which send a request every few seconds don't wait.
 pub const AHEAD_LIFE: Duration = Duration::from_secs(10);
-/// Time constant over which the rate of requests is measured: long enough for callers that ask
-/// every few seconds to have a rate.
+/// Time constant over which the rate of requests is measured: long enough for callers that send a
+/// request every few seconds to have a rate.
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(8);
 /// Burst at an ingress that reaches neither the owner nor its backup.
 const STANDALONE_BURST: f64 = 2.0;
-/// Fewest tokens asked for at once, so that an ingress with few requests asks at most once for
-/// each.
+/// Fewest tokens requested from the owner at once, so that an ingress with few requests sends at
+/// most one token request for each of them.
 const ASK_MIN: f64 = 1.0;
-/// Part of a grant's lifetime whose demand is asked for in advance.
+/// Part of a grant's lifetime for which tokens are requested in advance.
 const ASK_LIFE_SHARE: f64 = 0.25;
 
 /// Finds the owner of a limit among `hosts`; all daemons with the same hosts find the same.
@@ -107,14 +107,14 @@
         taken
     }
 
-    /// Takes tokens that were used before they were granted; the debt is at most what the bucket
-    /// holds.
+    /// Takes tokens that were used before they were granted. This may make the bucket negative, by
+    /// at most its capacity (the burst).
     pub fn pay(&mut self, spent: f64, now: Duration) {
         self.fill(now);
         self.tokens = (self.tokens - spent.max(0.0)).max(-self.burst);
     }
 
-    /// Adds tokens, up to what the bucket holds.
+    /// Adds tokens, up to the capacity of the bucket.
     pub fn put(&mut self, tokens: f64, now: Duration) {
         self.fill(now);
         self.tokens = (self.tokens + tokens).min(self.burst);
@@ -161,11 +161,12 @@
 /// `LimitVerdict` says whether a request is within a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitVerdict {
-    /// It is within the limit.
+    /// The request is within the limit.
     Pass,
-    /// It is admitted ahead of payment; the owner is paid in the meantime.
+    /// The request is admitted before the owner has granted a token for it; the token is requested
+    /// from the owner in the meantime.
     PassAhead,
-    /// It is beyond the limit; the caller may retry after this time.
+    /// The request is beyond the limit; the caller may retry after this time.
     Refuse(Duration),
     /// No borrowed token is available; the owner must be asked for this many first.
     Ask(f64),
@@ -196,10 +197,11 @@
     per_second: f64,
     /// Part of the limit, in requests a second, that the owner last gave this ingress.
     share: f64,
-    /// Requests that may still be admitted ahead, until `ahead_until`.
+    /// Requests that may still be admitted before a token is granted for them, until `ahead_until`.
     ahead: u32,
     ahead_until: Duration,
-    /// Requests that were admitted ahead and are not paid for yet.
+    /// Requests that were admitted before a token was granted for them and are not yet reported to
+    /// the owner, which takes their tokens from its bucket.
     spent: f64,
     /// Requests a second that this ingress admits at the most while the owner can't be reached.
     claim: Option<f64>,
@@ -275,18 +277,20 @@
         self.valid_until = now + GRANT_LIFE;
     }
 
-    /// Takes the count of requests admitted ahead, to be paid with the next token request.
+    /// Takes the count of requests that were admitted before a token was granted for them, to be
+    /// reported with the next token request.
     pub fn take_spent(&mut self) -> f64 {
         std::mem::take(&mut self.spent)
     }
 
-    /// Records that the payment may not have reached the owner: the next token request includes it.
+    /// Records that the count from [`Self::take_spent`] may not have reached the owner: the next
+    /// token request includes it again.
     pub fn note_unpaid(&mut self, spent: f64) {
         self.spent += spent;
     }
 
-    /// Records the answer of the owner: how many requests may be admitted ahead of the next token
-    /// request, and this ingress's part of the limit, in requests a second.
+    /// Records the answer of the owner. `ahead` is how many requests may be admitted before the
+    /// next token request, and `share` is this ingress's part of the limit, in requests a second.
     pub fn note_owner(&mut self, ahead: u32, share: f64, now: Duration) {
         self.standalone = None;
         self.claim = None;
@@ -295,8 +299,8 @@
         self.ahead_until = now + AHEAD_LIFE;
     }
 
-    /// Returns the token of a request that was admitted and then refused for another reason: it
-    /// counts towards no limit.
+    /// Puts back the token of a request that was admitted and then refused for another reason: such
+    /// a request counts towards no limit.
     pub fn give_back(&mut self, now: Duration) {
         if self.standalone.is_none() {
             let still_valid = if now <= self.valid_until { self.borrowed } else { 0.0 };
@@ -305,10 +309,11 @@
         }
     }
 
-    /// Records that the owner can't be reached, and returns the requests a second that are admitted
-    /// here until it can: the part that the owner gave, or an equal one if it gave none. The parts
-    /// follow the demand of the callers, so that the callers are still served, and the sum of the
-    /// parts is the limit.
+    /// Records that the owner can't be reached, and returns the rate, in requests a second, at
+    /// which this ingress admits requests until the owner can be reached again. The rate is the
+    /// part that the owner last gave, or an equal part if the owner gave none. The parts follow the
+    /// demand of the callers, so that the callers are still served, and the sum of the parts is the
+    /// limit.
     pub fn note_owner_lost(&mut self, rate: f64, daemons: usize) -> f64 {
         let equal = rate / daemons.max(1) as f64;
         let given = if self.share > 0.0 { self.share } else { equal };
@@ -316,7 +321,8 @@
         *self.claim.get_or_insert(given.min(rate))
     }
 
-    /// Records that the backup of the owner answered: it counts the claims.
+    /// Records that the backup of the owner answered. The backup counts the claims of all
+    /// ingresses.
     pub fn note_backup(&mut self) {
         self.standalone = None;
     }
--- a/crates/decide/src/neighbours.rs
+++ b/crates/decide/src/neighbours.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Chooses the neighbours of a daemon in the gossip overlay: those that it sends updates to first.
+//! Chooses the neighbours of a daemon in the gossip overlay: the daemons that it sends updates to
+//! first.
 //!
 //! The workload is a change that must reach every daemon within a second while some links are
 //! black-holed. A random graph alone leaves one daemon in fifty that no other has chosen. So half
@@ -14,7 +15,7 @@
 /// Neighbours that a daemon sends updates to. A random graph with four edges a node is connected
 /// for thousands of nodes, and updates cross it in about six hops.
 pub const NEIGHBOURS: usize = 4;
-/// Neighbours that are the next ones on the ring: one may be down.
+/// Number of neighbours that are the next ones on the ring: two, as one may be down.
 pub const RING_NEIGHBOURS: usize = 2;
 /// Rounds of heartbeats after which the rotating neighbour is replaced.
 const ROTATION_ROUNDS: u64 = 30;
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -21,8 +21,8 @@
 pub const LONGEST_EVERY: u32 = 5;
 
 /// Slots of a backend server that are reserved for nested calls of running requests, once such
-/// calls had to wait for one. If new requests took them all, they would hold them until the nested
-/// calls that they make had slots themselves: a deadlock until the timeouts.
+/// calls had to wait for one. If new requests took all slots, they would hold the slots until the
+/// nested calls that they make had slots themselves: a deadlock until the timeouts.
 const RESERVED_FOR_CALLS: u32 = 1;
 /// Time for which slots stay reserved after a nested call had to wait.
 pub const CALL_RESERVE_TIME: Duration = Duration::from_secs(5);
@@ -41,16 +41,16 @@
 pub struct QueuedRequest {
     /// Class of the request.
     pub class: WorkClass,
-    /// Whether it is a nested call of a running request, which fails if the call fails.
+    /// Whether the request is a nested call of a running request, which fails if the call fails.
     pub is_call: bool,
     /// Time by which the request must be answered.
     pub deadline: Duration,
     /// Time up to which an answer has its full value, if one was declared.
     pub objective: Option<Duration>,
-    /// Typical service time of such a request, if known.
+    /// Typical service time of requests of the same route, if known.
     pub usual: Option<Duration>,
-    /// Time in which most such requests complete, if known: a request that starts with less time
-    /// than this until its objective misses the objective as often as it meets it.
+    /// Time in which most requests of the same route complete, if known: a request that starts with
+    /// less time than this until its objective misses the objective as often as it meets it.
     pub needed_time: Option<Duration>,
 }
 
@@ -95,9 +95,9 @@
 }
 
 /// Says whether a request that will miss its objective may wait for one of `slots` slots; `in_time`
-/// is the number of waiting requests that meet theirs. Behind a whole round of those it may not
-/// wait, since more arrive before it is served. It is refused while its caller still has time to
-/// try elsewhere.
+/// is the number of waiting requests that meet theirs. If those fill all slots for a whole round,
+/// the request may not wait, since more of them arrive before it is served. It is refused while its
+/// caller still has time to try elsewhere.
 pub fn accepts_late(in_time: f64, slots: u32) -> bool {
     in_time < f64::from(slots)
 }
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -12,7 +12,8 @@
 
 use std::time::Duration;
 
-/// Age up to which a report counts as fresh: a slot is taken or released a few times in it.
+/// Age up to which a report counts as fresh: within this time a slot is taken or released only a
+/// few times.
 pub const FRESH_FOR: Duration = Duration::from_millis(20);
 /// Fraction (one in this many) of the remaining time that a round trip may take for a probe to be
 /// worth it.
@@ -69,22 +70,22 @@
 /// `ProbedLoad` is the current state of an upstream, as answered to a probe.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProbedLoad {
-    /// Requests in its slots.
+    /// Requests in the slots of the upstream.
     pub in_flight: u32,
     /// Requests that wait for a slot.
     pub queued: u32,
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether its circuit breaker is open.
+    /// Whether the upstream's circuit breaker is open.
     pub doubtful: bool,
-    /// Whether it is draining.
+    /// Whether the upstream is draining.
     pub draining: bool,
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub ejected: bool,
 }
 
 impl ProbedLoad {
-    /// Says whether its daemon would decline a request that can go elsewhere.
+    /// Says whether the upstream's daemon would decline a request that can go elsewhere.
     pub fn declines(&self) -> bool {
         self.doubtful || self.draining || self.ejected || self.is_full()
     }
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -16,7 +16,8 @@
 pub const RAMP: Duration = Duration::from_secs(10);
 /// Share of its full load that an upstream gets at the beginning of the slow start.
 pub const RAMP_START: f64 = 0.1;
-/// Hold-offs without a repeatable request after which any request may be a trial.
+/// Number of hold-offs after which any request may be a trial, if no repeatable request arrived
+/// until then.
 const ANY_REQUEST_HOLD_OFFS: u32 = 4;
 /// Time in service, as a multiple of the hold-off, after which a previous ejection no longer
 /// lengthens the next.
@@ -25,12 +26,12 @@
 /// `RecoveryState` says whether an upstream is in service or ejected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RecoveryState {
-    /// It is in service.
+    /// The upstream is in service.
     Serving {
         /// Start of the state.
         since: Duration,
     },
-    /// It is ejected and gets only trials.
+    /// The upstream is ejected and gets only trials.
     Ejected {
         /// Start of the state.
         since: Duration,
--- a/crates/decide/src/stop.rs
+++ b/crates/decide/src/stop.rs
@@ -4,26 +4,27 @@
 //! The phases of a graceful shutdown: what is still accepted, and when the process may end.
 //!
 //! The workload is callers who go on sending for as long as the daemon runs. They learn late that
-//! it is stopping, and where most of a failure domain stops at once, they are not directed
+//! the daemon is stopping, and where most of a failure domain stops at once, they are not directed
 //! elsewhere: one in 15 of the requests that stopping daemons accepted came later than half of the
-//! drain time (66 of 959, logs of 62 stops in series). So a stop first closes, after which nothing
-//! more is accepted, and ends only then: what was accepted has ended by that time, and nothing can
-//! come in between.
+//! drain time (66 of 959, logs of 62 stops in series). So a stop has two steps. The daemon first
+//! closes, and accepts no more requests from then on. It ends later, when all accepted requests
+//! have ended, so that no request can arrive between the end of the last one and that of the
+//! daemon.
 //!
 //! Until the callers have learnt of the stop, the backend servers on the daemon's host go on
-//! serving: they are not leaving. Where a third of a fleet stops at once, as much of its capacity
-//! would be idle for that time: a server got no requests for 3.4 s in the median, and gets none for
-//! 1.5 s (logs of 372 stops each).
+//! serving: they are not leaving. If they were idle for that time, then where a third of a fleet
+//! stops at once, a third of its capacity would be idle. In the median, a server got no requests
+//! for 3.4 s without this rule, and gets none for 1.5 s with it (logs of 372 stops each).
 
 use std::time::Duration;
 
 /// Share of the longest drain for which requests are accepted, however long callers take to learn
-/// of the stop: the last request has as long to end as the daemon accepted requests. What is
-/// refused after that ran nowhere.
+/// of the stop: the last request has as long to end as the daemon accepted requests. Requests that
+/// are refused after that ran nowhere.
 const OPEN_SHARE: f64 = 0.5;
 /// Time before the end of the shortest drain at which the other daemons are notified: no round trip
-/// is longer than 0.3 s (between far regions), so that no request of theirs is on its way when the
-/// daemon ends.
+/// is longer than 0.3 s (between far regions), so that no request from another daemon is on its way
+/// when this daemon ends.
 const HANDOVER_TIME: Duration = Duration::from_millis(400);
 /// Time before the end of the longest drain at which requests that still wait are answered with an
 /// unknown outcome: the answer reaches its caller within a few milliseconds, and says more than a
@@ -39,7 +40,8 @@
     /// The other daemons are notified; their requests are refused, those of callers are still
     /// accepted.
     HandingOver,
-    /// Only nested calls of requests that run here are accepted; all else is refused as not run.
+    /// Only nested calls of requests that run on this host are accepted; all other requests are
+    /// refused as not run.
     Closed,
     /// Requests that still wait are answered with an unknown outcome.
     GivingUp {
@@ -92,14 +94,14 @@
                 StopPhase::Closed
             }
             StopPhase::HandingOver if elapsed >= self.closes_after() => StopPhase::Closed,
-            // Idle while closed: nothing was accepted since. Closing and ending on the same check
-            // would cut off requests that arrive with it.
+            // The daemon is idle and closed, so nothing was accepted since it closed. Closing and
+            // ending on the same check would cut off requests that arrive at that moment.
             StopPhase::Closed if is_idle => StopPhase::Over(StopCause::Idle),
             StopPhase::Closed if elapsed >= self.gives_up_after() => {
                 StopPhase::GivingUp { since: elapsed }
             }
-            // A daemon whose host was suspended gives up late; its last answers take as long as
-            // ever.
+            // A daemon whose host was suspended gives up requests later than planned, and its last
+            // answers take as long as without a suspension.
             StopPhase::GivingUp { since } if is_idle || elapsed >= since + LAST_ANSWERS_TIME => {
                 StopPhase::Over(StopCause::Time)
             }
@@ -111,9 +113,9 @@
     /// a request that runs here is accepted for longer: the stop waits for that request, which
     /// fails without it.
     ///
-    /// The phase is that of the last check. A daemon whose host was suspended since then goes by
-    /// the clock; otherwise it would accept requests on resuming, run them, and give them up 40 ms
-    /// later (tests with a stopped process).
+    /// The stored phase is that of the last check. If the host was suspended since then, the phase
+    /// is outdated, so the clock decides as well. Otherwise the daemon would accept requests on
+    /// resuming, run them, and give them up 40 ms later (tests with a stopped process).
     pub fn admits_request(&self, phase: StopPhase, elapsed: Duration, is_call: bool) -> bool {
         match phase {
             StopPhase::Open | StopPhase::HandingOver if elapsed < self.closes_after() => true,
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -8,14 +8,14 @@
 //! crash, popular ones at every server at once.
 //!
 //! A crashing server does not show which request caused the crash, so every request that ran there
-//! is suspected. What follows distinguishes them. A crash raises the count that was known when the
-//! run began by one, so that only a chain of crashes leads to refusal, each in a run that was
-//! started in spite of the one before: a rack that loses power under a popular request is one
-//! crash. And one successful run, anywhere, begins a new round, in which nothing is known against
-//! the request.
+//! is suspected. Two rules distinguish the request that caused it. A crash raises by one the crash
+//! count that was known when the run began. So only a chain of crashes leads to refusal, in which
+//! each run was started although the crash before it was known: a rack that loses power under a
+//! popular request counts as one crash. And one successful run at any server begins a new round, in
+//! which the crash count starts from 0.
 //!
-//! Rounds and crashes only rise, compared in this order, so that daemons that exchange notices
-//! converge.
+//! A tally is compared by its round first and its crashes second, and only rises, so that daemons
+//! that exchange notices converge.
 
 use std::collections::hash_map::Entry;
 use std::hash::{Hash, Hasher};
@@ -28,14 +28,15 @@
 /// Crashes in a chain from which a request is refused everywhere: two servers that crash one after
 /// the other for unrelated reasons are seen in practice, a third makes the request the cause.
 pub const REFUSED_CRASHES: u32 = 3;
-/// Crashes in a chain from which a daemon does not retry a request by itself: the next copy is left
-/// to its caller, and by then the notice of a successful run elsewhere may have arrived.
+/// Crashes in a chain from which a daemon does not retry a request by itself. Then only the caller
+/// can send the next copy, and by the time that copy arrives, the notice of a successful run
+/// elsewhere may have arrived too.
 const NO_RETRY_CRASHES: u32 = 2;
 /// Time for which a request is remembered after its last copy: callers that send it again by a
-/// schedule do so within minutes, and a forgotten one costs three servers again.
+/// schedule do so within minutes, and a forgotten request crashes three servers again.
 pub const SUSPECT_LIFE: Duration = Duration::from_secs(600);
 /// Time between two trials of a refused request in the whole fleet: a service that was fixed serves
-/// it again within this time, and one that wasn't loses one server to it.
+/// the request again within this time, and a service that wasn't loses one server to each trial.
 pub const TRIAL_EVERY: Duration = Duration::from_secs(120);
 /// Requests remembered: a crash adds one for each slot of a server. A hundred servers that crash at
 /// once fit, in about 100 KB.
@@ -44,17 +45,19 @@
 /// Daemons that are notified by a daemon that saw an event itself, unless all must learn of it at
 /// once. Also the daemons to which the others forward that a request is refused.
 const NOTIFIED_DAEMONS: usize = 8;
-/// Daemons to which others forward less urgent notices: the first notified all daemons that it is
-/// linked to, so that few are left. With 350 daemons and 2 in 100 notices lost, all knew of a
-/// refused request within 40 ms, and once after 1.4 s by a heartbeat (crash bench, 18 runs).
+/// Daemons to which others forward less urgent notices: the first daemon notified all daemons that
+/// it is linked to, so that few have not received the notice. In 18 runs with 350 daemons and 2 in
+/// 100 notices lost, all daemons knew of a refused request within 40 ms, and once after 1.4 s by a
+/// heartbeat.
 const FORWARDED_DAEMONS: usize = 3;
 
-/// `CrashTally` is what is known against a request; of two, the later one is greater.
+/// `CrashTally` counts the crashes of servers that ran a request; of two tallies of the same
+/// request, the later one is greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CrashTally {
-    /// Number of the round: how often a successful run cleared what was known before.
+    /// Number of the round: how often a successful run reset the crash count.
     pub round: u32,
-    /// Crashes in a chain in this round.
+    /// Crash count: the crashes in a chain in this round.
     pub crashes: u32,
 }
 
@@ -73,11 +76,11 @@
 /// `CopyVerdict` says what is done with a copy of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CopyVerdict {
-    /// It is served.
+    /// The copy is served.
     Serve,
-    /// It is served to test whether the request still crashes servers.
+    /// The copy is served to test whether the request still crashes servers.
     Trial,
-    /// It is refused.
+    /// The copy is refused.
     Refuse {
         /// Time until the next trial may be made.
         retry_after: Duration,
@@ -89,11 +92,11 @@
 pub struct SuspectNotice {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// What is known against it.
+    /// Tally of the request.
     pub tally: CrashTally,
-    /// Time since a copy of it was last seen.
+    /// Time since a copy of the request was last seen.
     pub seen_ago: Duration,
-    /// Server that last crashed while running it.
+    /// Server that last crashed while running the request.
     pub upstream: Rc<str>,
 }
 
@@ -107,10 +110,10 @@
 }
 
 impl SuspectNotice {
-    /// Returns how many daemons are notified by one that saw the event itself; `before` is what was
-    /// known against the request. A successful run of a popular request is seen by many daemons at
-    /// the same moment, so few are notified of it. Where the next crash would have the request
-    /// refused, all must learn of it.
+    /// Returns how many daemons are notified by one that saw the event itself; `before` is the
+    /// tally before the event. A successful run of a popular request is seen by many daemons at the
+    /// same moment, so each notifies few. If the request crashed a server, or the next crash would
+    /// have had it refused, all daemons are notified.
     pub fn notify_count(&self, before: CrashTally) -> usize {
         match self.tally.crashes > 0 || !before.allows_retry() {
             true => usize::MAX,
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Returns how many daemons this is forwarded to by one that was notified of it.
+    /// Returns how many daemons a notified daemon forwards this notice to.
     pub fn forward_count(&self) -> usize {
         match self.tally.is_refused() {
             true => NOTIFIED_DAEMONS,
@@ -164,14 +167,14 @@
         self.records.values().filter(|record| record.tally.is_refused()).count()
     }
 
-    /// Returns what is known against a request.
+    /// Returns the tally of a request.
     pub fn tally(&self, fingerprint: &RequestFingerprint) -> CrashTally {
         self.records.get(fingerprint).map(|record| record.tally).unwrap_or_default()
     }
 
-    /// Records that a server crashed during a run of a request, against which `before` was known
-    /// when the run began. Returns the tally if it rose; a run of an earlier round is no evidence
-    /// any more.
+    /// Records that a server crashed during a run of a request; `before` is the tally of the
+    /// request when the run began. Returns the tally if it rose. A run that began in an earlier
+    /// round is no evidence any more.
     pub fn note_crash(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -185,8 +188,8 @@
         self.apply_notice(&notice, now).then_some(tally)
     }
 
-    /// Records that a request ran successfully. Returns the tally of the new round, if anything was
-    /// known against it.
+    /// Records that a request ran successfully. Returns the tally of the new round, if any crash
+    /// was counted in the round before.
     pub fn note_success(
         &mut self,
         fingerprint: &RequestFingerprint,
@@ -228,8 +231,9 @@
         true
     }
 
-    /// Returns the answer to a daemon whose notice counts crashes from before a successful run that
-    /// it has not learnt of, if they would soon have the request refused.
+    /// Returns the answer to a daemon that has not been notified of a successful run, so that its
+    /// notice still counts the crashes before that run. Returns `None` if the crashes in the notice
+    /// still allow a retry: the request is then not about to be refused.
     pub fn answer(&self, notice: &SuspectNotice, now: Duration) -> Option<SuspectNotice> {
         let record = self.records.get(&notice.fingerprint)?;
         let is_outdated = record.tally.round > notice.tally.round;
--- a/crates/decide/tests/breaker.rs
+++ b/crates/decide/tests/breaker.rs
@@ -89,7 +89,7 @@
 
 fn terms(repeatable: bool, passable: bool) -> DispatchTerms<'static> {
     let baseline = ServiceBaseline::default();
-    // No upstream can be spared, as when the capacity floor is reached.
+    // No upstream can be taken out of service, as when the capacity floor is reached.
     DispatchTerms { route: "r", refusable: false, repeatable, passable, baseline }
 }
 
--- a/crates/decide/tests/floor.rs
+++ b/crates/decide/tests/floor.rs
@@ -184,7 +184,7 @@
     ServiceView::new(floor, views.collect())
 }
 
-/// A dispatch may be refusable only if the service can spare the upstream: otherwise a refusal
+/// A dispatch may be refusable only if the floor holds without the upstream: otherwise a refusal
 /// would take the capacity below the floor.
 fn check_choice(
     view: &ServiceView,
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -13,8 +13,8 @@
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
 
-/// Delay after which the owner of the limit learns of requests admitted ahead: longer than a frame
-/// takes.
+/// Delay after which the owner of the limit learns of requests that were admitted before it granted
+/// tokens for them: longer than a frame takes.
 const PAYMENT_DELAY: Duration = Duration::from_millis(50);
 const WINDOW: Duration = Duration::from_secs(5);
 const TOLERANCE: LimitTolerance = LimitTolerance { window: WINDOW, over: 0.1, extra: 20.0 };
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -25,11 +25,11 @@
 /// `ClientReply` is a reply with its complete body.
 #[derive(Debug)]
 pub struct ClientReply {
-    /// Its status.
+    /// Status of the reply.
     pub status: StatusCode,
-    /// Its header fields.
+    /// Header fields of the reply.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the reply.
     pub body: Bytes,
 }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -31,9 +31,9 @@
 /// `ServerRequest` is a request with its complete body.
 #[derive(Debug)]
 pub struct ServerRequest {
-    /// Its head.
+    /// Head of the request.
     pub head: request::Parts,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
     /// Address of the client.
     pub from: SocketAddr,
@@ -66,11 +66,11 @@
 
 /// `ServerReply` is the reply to a request.
 pub struct ServerReply {
-    /// Its status.
+    /// Status of the reply.
     pub status: StatusCode,
-    /// Its header fields.
+    /// Header fields of the reply.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body of the reply.
     pub body: ReplyBody,
     /// Whether the connection is closed without a reply, which only simulated servers do.
     pub hang_up: bool,
--- a/crates/waiting/src/reservations.rs
+++ b/crates/waiting/src/reservations.rs
@@ -17,12 +17,12 @@
     /// Reservations held from the start. With two, the better host is chosen only once one of them
     /// has a free slot.
     pub initial: usize,
-    /// Reservations held at the most.
+    /// Maximum number of reservations held at once.
     pub max_held: usize,
-    /// Hosts that are asked for a reservation at the most.
+    /// Maximum number of hosts that are asked for a reservation.
     pub tries: usize,
     /// Time after which a request without an offer adds one reservation, as the hosts that hold its
-    /// others may hang.
+    /// other reservations may hang.
     pub widen_every: Duration,
 }
 
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -4,9 +4,9 @@
 //! The slots of one backend server and the queue of requests that wait for them.
 //!
 //! Slots are counted exactly. A request that can't be served in time is refused at once rather than
-//! near its deadline. A request waits in one of two ways: it was sent here and is queued, so that
-//! it is lost with this daemon; or it stays at its ingress and holds a reservation here and at
-//! other hosts, so that the loss of one costs it nothing.
+//! near its deadline. A request waits in one of two ways. Either it was sent here and is queued, so
+//! that it is lost if this daemon fails. Or it stays at its ingress and holds reservations here and
+//! at other hosts, so that the failure of one of these hosts costs it nothing.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -20,9 +20,9 @@
 use basaltarch_decide::order::{self, QueuedRequest};
 use basaltarch_decide::progress::ProgressTerms;
 
-/// Share of the time left until its deadline that a queued request may wait for a slot. One that
-/// has waited for longer seldom completes in time, and a caller that is refused by then can still
-/// try elsewhere.
+/// Share of the time until its deadline for which a queued request may wait for a slot. A request
+/// that has waited for longer seldom completes in time, and a caller that is refused by then can
+/// still try elsewhere.
 const WAIT_SHARE_MAX: f64 = 0.45;
 /// Reservations that can be held at once for each slot. A request holds several and uses one, so
 /// that the limit corresponds to the time that callers usually wait. Each reservation costs the
