--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -314,12 +314,12 @@
         let path = resource_path(kind, name);
         check_name(&path, name)?;
         let parsed = match kind {
-            ResourceKind::FailureDomain => Self::FailureDomain(read(&path, value)?),
-            ResourceKind::Service => Self::Service(read(&path, value)?),
-            ResourceKind::BackendServer => Self::BackendServer(Rc::new(read(&path, value)?)),
-            ResourceKind::Route => Self::Route(Rc::new(read(&path, value)?)),
-            ResourceKind::Limit => Self::Limit(read(&path, value)?),
-            ResourceKind::Organisation => Self::Organisation(read(&path, value)?),
+            ResourceKind::FailureDomain => Self::FailureDomain(parse_spec(&path, value)?),
+            ResourceKind::Service => Self::Service(parse_spec(&path, value)?),
+            ResourceKind::BackendServer => Self::BackendServer(Rc::new(parse_spec(&path, value)?)),
+            ResourceKind::Route => Self::Route(Rc::new(parse_spec(&path, value)?)),
+            ResourceKind::Limit => Self::Limit(parse_spec(&path, value)?),
+            ResourceKind::Organisation => Self::Organisation(parse_spec(&path, value)?),
         };
         parsed.check(&path)?;
         Ok(parsed)
@@ -390,7 +390,7 @@
     format!("{}/{name}", kind.name())
 }
 
-fn read<T: DeserializeOwned>(path: &str, value: &Value) -> Result<T, ResourceError> {
+fn parse_spec<T: DeserializeOwned>(path: &str, value: &Value) -> Result<T, ResourceError> {
     T::deserialize(value).map_err(|error| ResourceError::Malformed {
         path: path.to_owned(),
         message: error.to_string(),
--- a/crates/decide/src/adaptive_timeout.rs
+++ b/crates/decide/src/adaptive_timeout.rs
@@ -109,15 +109,15 @@
     pub fn timeout_for(&mut self, terms: &TimeoutTerms, now: Duration) -> AttemptTimeout {
         let usual = terms.usual.map(|usual| usual.at(ALLOWED_DEVIATIONS).max(terms.objective_left));
         let late_after = usual.unwrap_or(terms.left);
-        let all = AttemptTimeout { time: terms.left, late_after };
+        let unbounded = AttemptTimeout { time: terms.left, late_after };
         let slow = self.slow_requests(now).with(&terms.siblings);
         let is_bounded = terms.full || slow.hung >= SERVICE_HUNG_MIN;
         if !is_bounded || late_after >= terms.left || !slow.is_hanging() {
-            return all;
+            return unbounded;
         }
         self.bounded += 1;
         if self.bounded.is_multiple_of(UNBOUNDED_EVERY) {
-            return all;
+            return unbounded;
         }
         AttemptTimeout { time: late_after, late_after }
     }
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -676,10 +676,10 @@
 
     /// Finds the eligible upstream whose last report is the oldest: after an inconclusive trial the
     /// next one is due at once, and must not keep other upstreams from their trials.
-    fn oldest_report(&self, fits: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
+    fn oldest_report(&self, is_eligible: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
         let views = self.upstreams.iter().enumerate();
-        let due = views.filter(|(index, view)| fits(*index, view));
-        due.min_by_key(|(_, view)| view.reported_at).map(|(index, _)| index)
+        let eligible = views.filter(|(index, view)| is_eligible(*index, view));
+        eligible.min_by_key(|(_, view)| view.reported_at).map(|(index, _)| index)
     }
 
     /// Returns the anomaly score from which an upstream stands out; its daemon uses the same bound.
--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -37,13 +37,13 @@
         if report.samples < SAMPLES_MIN {
             return;
         }
-        let kept = KeptReport { upstream, report: *report };
-        let known = self.reports.iter().position(|each| each.upstream == upstream);
-        match known {
-            Some(index) => self.reports[index] = kept,
-            None if self.reports.len() < REPORTS_MAX => self.reports.push(kept),
+        let kept_report = KeptReport { upstream, report: *report };
+        let position = self.reports.iter().position(|each| each.upstream == upstream);
+        match position {
+            Some(index) => self.reports[index] = kept_report,
+            None if self.reports.len() < REPORTS_MAX => self.reports.push(kept_report),
             None => {
-                self.reports[self.oldest] = kept;
+                self.reports[self.oldest] = kept_report;
                 self.oldest = (self.oldest + 1) % REPORTS_MAX;
             }
         }
@@ -128,12 +128,12 @@
             let distance = evidence::log_micros(took) - baseline.median_ln;
             distance / baseline.spread.max(crate::estimates::SPREAD_MIN)
         });
-        let kept = KeptAnswer { upstream, at: now, failed, deviations };
+        let kept_answer = KeptAnswer { upstream, at: now, failed, deviations };
         if self.answers.len() < ANSWERS_MAX {
-            self.answers.push(kept);
+            self.answers.push(kept_answer);
             return;
         }
-        self.answers[self.oldest] = kept;
+        self.answers[self.oldest] = kept_answer;
         self.oldest = (self.oldest + 1) % ANSWERS_MAX;
     }
 
@@ -142,41 +142,41 @@
         let recent = |answer: &&KeptAnswer| {
             answer.upstream != upstream && now.saturating_sub(answer.at) < ANSWER_LIFE
         };
-        let others = self.answers.iter().filter(recent);
+        let other_answers = self.answers.iter().filter(recent);
         let (mut count, mut failures) = (0, 0);
         let mut deviations = [0.0; ANSWERS_MAX];
-        let mut timed = 0;
-        let mut seen = [0; ANSWERS_MAX];
-        let mut failed = [0; ANSWERS_MAX];
-        let (mut seen_len, mut failed_len) = (0, 0);
-        for answer in others {
+        let mut timed_count = 0;
+        let mut upstreams = [0; ANSWERS_MAX];
+        let mut failed_upstreams = [0; ANSWERS_MAX];
+        let (mut upstream_count, mut failed_count) = (0, 0);
+        for answer in other_answers {
             count += 1;
-            add_once(&mut seen, &mut seen_len, answer.upstream);
+            add_once(&mut upstreams, &mut upstream_count, answer.upstream);
             if answer.failed {
                 failures += 1;
-                add_once(&mut failed, &mut failed_len, answer.upstream);
+                add_once(&mut failed_upstreams, &mut failed_count, answer.upstream);
             }
             if let Some(value) = answer.deviations {
-                deviations[timed] = value;
-                timed += 1;
+                deviations[timed_count] = value;
+                timed_count += 1;
             }
         }
         if count < OTHERS_MIN {
             return;
         }
-        let share = failed_len as f64 / seen_len as f64;
+        let share = failed_count as f64 / upstream_count as f64;
         // Of five others two must have failed, of seven or more three.
-        let needed = seen_len.div_ceil(3).clamp(2, FAILED_UPSTREAMS_MIN);
-        if failed_len >= needed && share >= FAILED_UPSTREAMS_SHARE {
+        let needed = upstream_count.div_ceil(3).clamp(2, FAILED_UPSTREAMS_MIN);
+        if failed_count >= needed && share >= FAILED_UPSTREAMS_SHARE {
             let rate = f64::from(failures) / count as f64;
             baseline.failure_rate = baseline.failure_rate.max(rate);
         }
-        if timed < OTHERS_MIN {
+        if timed_count < OTHERS_MIN {
             return;
         }
         let latest = self.latest_shift(upstream, now);
-        let deviations = &mut deviations[..timed];
-        let (_, median, _) = deviations.select_nth_unstable_by(timed / 2, f64::total_cmp);
+        let deviations = &mut deviations[..timed_count];
+        let (_, median, _) = deviations.select_nth_unstable_by(timed_count / 2, f64::total_cmp);
         let shift = median.max(latest);
         if shift > SHARED_SHIFT_MIN {
             baseline.median_ln += shift * baseline.spread;
@@ -188,10 +188,10 @@
     fn latest_shift(&self, upstream: u32, now: Duration) -> f64 {
         let (older, newer) = self.answers.split_at(self.oldest);
         let newest_first = older.iter().rev().chain(newer.iter().rev());
-        let others = newest_first.filter(|answer| {
+        let other_answers = newest_first.filter(|answer| {
             answer.upstream != upstream && now.saturating_sub(answer.at) < ANSWER_LIFE
         });
-        others
+        other_answers
             .filter_map(|answer| answer.deviations)
             .take(LATEST_ANSWERS)
             .fold(f64::INFINITY, f64::min)
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -75,11 +75,11 @@
 
     /// Takes one retry from the budget, if it allows one.
     pub fn take(&mut self, now: Duration) -> bool {
-        let room = self.has_room(now);
-        if room {
+        let is_allowed = self.has_room(now);
+        if is_allowed {
             self.slot_mut(now).retries += 1;
         }
-        room
+        is_allowed
     }
 
     /// Returns the slot of `now`, and removes the slots that are older than the window.
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -126,8 +126,8 @@
 impl LimitRequester {
     /// Says whether the ingress has sent no token request for longer than it usually does.
     fn is_silent(&self, now: Duration) -> bool {
-        let silent = now.saturating_sub(self.asked_at).as_secs_f64();
-        silent * self.admitted.per_second(self.asked_at) > SILENT_INTERVALS
+        let silent_seconds = now.saturating_sub(self.asked_at).as_secs_f64();
+        silent_seconds * self.admitted.per_second(self.asked_at) > SILENT_INTERVALS
     }
 }
 
@@ -213,20 +213,21 @@
         self.requesters
             .retain(|_, requester| now.saturating_sub(requester.asked_at) < REQUESTER_LIFE);
         self.ahead_total = self.requesters.values().map(|requester| requester.ahead).sum();
-        let silent = self.requesters.values().filter(|requester| requester.is_silent(now));
-        self.silent_share = silent.map(|requester| requester.share).sum();
+        let silent_requesters =
+            self.requesters.values().filter(|requester| requester.is_silent(now));
+        self.silent_share = silent_requesters.map(|requester| requester.share).sum();
     }
 
     /// Returns how many requests one ingress may admit ahead, if all ingresses of the fleet
     /// together may admit `most`.
     fn ahead_allowance(&self, most: f64) -> u32 {
-        let fair = (most / self.requesters.len() as f64).ceil();
-        (most - f64::from(self.ahead_total)).min(fair).max(0.0) as u32
+        let equal_part = (most / self.requesters.len() as f64).ceil();
+        (most - f64::from(self.ahead_total)).min(equal_part).max(0.0) as u32
     }
 
     fn note_ahead(&mut self, requester: &str, ahead: u32) {
-        if let Some(known) = self.requesters.get_mut(requester) {
-            known.ahead = ahead;
+        if let Some(known_requester) = self.requesters.get_mut(requester) {
+            known_requester.ahead = ahead;
             self.ahead_total += ahead;
         }
     }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -332,8 +332,9 @@
         if let RequestEvidence::Answered(latency) = evidence {
             let stats = self.route_mut(route);
             if !was_overdue {
-                let late = stats.baseline.is_usable() && latency > stats.baseline.overdue_after();
-                stats.overdue.note(late);
+                let is_overdue =
+                    stats.baseline.is_usable() && latency > stats.baseline.overdue_after();
+                stats.overdue.note(is_overdue);
             }
             stats.latency.note(latency);
         }
@@ -408,21 +409,22 @@
             return Some(usual);
         }
         let latency = &stats.latency;
-        let own = UsualTime { median_ln: latency.centre(), spread: latency.spread() };
+        let observed = UsualTime { median_ln: latency.centre(), spread: latency.spread() };
         let samples = latency.samples();
         let objective = match objective {
             Some(objective) => objective,
-            None => return (samples >= USUAL_SAMPLES_MIN).then_some(own),
+            None => return (samples >= USUAL_SAMPLES_MIN).then_some(observed),
         };
         let siblings = stats.baseline.upstreams;
         if samples == 0 && siblings == 0 {
             // A route that no server has answered yet may be one that none can serve.
             return None;
         }
-        let seen = UsualTime { median_ln: stats.baseline.median_ln, spread: stats.baseline.spread };
-        let assumed =
-            UsualTime::of_objective(objective).corrected(&seen, siblings * SIBLING_ANSWERS);
-        Some(assumed.corrected(&own, samples))
+        let sibling_usual =
+            UsualTime { median_ln: stats.baseline.median_ln, spread: stats.baseline.spread };
+        let assumed = UsualTime::of_objective(objective)
+            .corrected(&sibling_usual, siblings * SIBLING_ANSWERS);
+        Some(assumed.corrected(&observed, samples))
     }
 
     /// Records that a request with this typical service time was sent to the upstream; returns its
@@ -507,8 +509,8 @@
         Some(HealthChange::Ejected { reason, sickness, after })
     }
 
-    fn stands_out(&self, sickness: f64) -> bool {
-        sickness >= score_bound(self.sibling_score)
+    fn stands_out(&self, score: f64) -> bool {
+        score >= score_bound(self.sibling_score)
     }
 
     /// Says whether the upstream is ejected.
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -128,8 +128,8 @@
 
     /// Returns the time until the next token.
     pub fn next_in(&self) -> Duration {
-        let missing = (1.0 - self.tokens).max(0.0);
-        Duration::from_secs_f64((missing / self.rate).min(3600.0))
+        let missing_tokens = (1.0 - self.tokens).max(0.0);
+        Duration::from_secs_f64((missing_tokens / self.rate).min(3600.0))
     }
 }
 
@@ -315,10 +315,10 @@
     /// demand of the callers, so that the callers are still served, and the sum of the parts is the
     /// limit.
     pub fn note_owner_lost(&mut self, rate: f64, daemons: usize) -> f64 {
-        let equal = rate / daemons.max(1) as f64;
-        let given = if self.share > 0.0 { self.share } else { equal };
+        let equal_share = rate / daemons.max(1) as f64;
+        let claimed_rate = if self.share > 0.0 { self.share } else { equal_share };
         self.ahead = 0;
-        *self.claim.get_or_insert(given.min(rate))
+        *self.claim.get_or_insert(claimed_rate.min(rate))
     }
 
     /// Records that the backup of the owner answered. The backup counts the claims of all
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -67,14 +67,14 @@
 
     /// Says whether the peer should be probed, and records the probe if so.
     pub fn probe(&mut self, now: Duration, in_use: bool) -> bool {
-        let silent = now.saturating_sub(self.received_at) >= PROBE_AFTER;
-        let wanted = self.was_cut || ((in_use || self.was_late) && silent);
-        if wanted && self.probed_at.is_none() {
+        let has_no_recent_frame = now.saturating_sub(self.received_at) >= PROBE_AFTER;
+        let should_probe = self.was_cut || ((in_use || self.was_late) && has_no_recent_frame);
+        if should_probe && self.probed_at.is_none() {
             self.probed_at = Some(now);
             return true;
         }
         // A path that is cut is probed again, since the first probe may be lost.
-        wanted && self.is_cut(now)
+        should_probe && self.is_cut(now)
     }
 
     /// Records that an attempt over the path outlasted its hedging delay. The attempt may be over
@@ -94,8 +94,8 @@
     /// Records a round trip to the peer.
     pub fn note_round_trip(&mut self, took: Duration) {
         // A longer round trip counts at once, shorter ones gradually.
-        let known = self.round_trip.unwrap_or(took);
-        self.round_trip = Some(took.max(known - known / 8));
+        let recent_longest = self.round_trip.unwrap_or(took);
+        self.round_trip = Some(took.max(recent_longest - recent_longest / 8));
     }
 
     /// Returns the longest of the recent round trips, if one was measured.
@@ -151,8 +151,8 @@
 
     fn note_cut(&mut self, now: Duration) {
         if !self.was_cut {
-            let forgotten = now.saturating_sub(self.up_since) > FORGET_AFTER;
-            self.answers_needed = if forgotten || self.answers_needed == 0 {
+            let is_forgotten = now.saturating_sub(self.up_since) > FORGET_AFTER;
+            self.answers_needed = if is_forgotten || self.answers_needed == 0 {
                 1
             } else {
                 (self.answers_needed * 2).min(ANSWERS_NEEDED_MAX)
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -62,8 +62,8 @@
     fn add(&mut self, upstream: U, counted: bool, now: Duration) {
         self.at = now;
         let count = u32::from(counted);
-        let known = self.failures.iter().position(|each| each.upstream == upstream);
-        if let Some(index) = known {
+        let position = self.failures.iter().position(|each| each.upstream == upstream);
+        if let Some(index) = position {
             self.failures[index].count += count;
         } else if counted || self.failures.len() < NO_RETRY_UPSTREAMS {
             self.failures.push(CountedFailures { upstream, count });
@@ -137,8 +137,8 @@
 
     /// Records that one failure at an upstream was already withdrawn.
     pub fn note_withdrawn(&mut self, request: RequestHash, upstream: &U) {
-        let known = self.requests.iter_mut().filter(|each| each.request == request);
-        let failures = known.flat_map(|each| each.failures.iter_mut());
+        let same_request = self.requests.iter_mut().filter(|each| each.request == request);
+        let failures = same_request.flat_map(|each| each.failures.iter_mut());
         for failure in failures.filter(|failure| failure.upstream == *upstream) {
             failure.count = failure.count.saturating_sub(1);
         }
@@ -170,8 +170,8 @@
 
     /// Returns the number of upstreams at which the request recently failed.
     pub fn failed_at(&self, request: RequestHash, now: Duration) -> usize {
-        let known = self.requests.iter().find(|each| each.request == request);
-        known
+        let record = self.requests.iter().find(|each| each.request == request);
+        record
             .filter(|each| now.saturating_sub(each.at) < POISON_LIFE)
             .map_or(0, |each| each.failures.len())
     }
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -18,7 +18,7 @@
 pub const RAMP_START: f64 = 0.1;
 /// Number of hold-offs after which any request may be a trial, if no repeatable request arrived
 /// until then.
-const ANY_REQUEST_HOLD_OFFS: u32 = 4;
+const HOLD_OFFS_BEFORE_ANY_TRIAL: u32 = 4;
 /// Time in service, as a multiple of the hold-off, after which a previous ejection no longer
 /// lengthens the next.
 const FORGET_HOLD_OFFS: u32 = 10;
@@ -92,8 +92,8 @@
     pub fn eject(&mut self, now: Duration) {
         if let RecoveryState::Serving { since } = self.state {
             let in_service_for = now.saturating_sub(since);
-            let forgotten = in_service_for > self.hold_off * FORGET_HOLD_OFFS;
-            if self.ejections > 0 && !forgotten {
+            let is_forgotten = in_service_for > self.hold_off * FORGET_HOLD_OFFS;
+            if self.ejections > 0 && !is_forgotten {
                 self.hold_off = (self.hold_off * 2).min(HOLD_OFF_MAX);
             } else {
                 self.hold_off = HOLD_OFF_MIN;
@@ -119,7 +119,7 @@
 
     /// Starts a trial if one is due and says whether it did.
     pub fn start_trial(&mut self, now: Duration, repeatable: bool) -> bool {
-        let extra_wait = self.hold_off * (ANY_REQUEST_HOLD_OFFS - 1);
+        let extra_wait = self.hold_off * (HOLD_OFFS_BEFORE_ANY_TRIAL - 1);
         match &mut self.state {
             RecoveryState::Ejected { trial_at, running, .. } if !*running => {
                 let due = if repeatable { *trial_at } else { *trial_at + extra_wait };
@@ -168,8 +168,8 @@
             Some(start) => start,
             None => return 1.0,
         };
-        let done = now.saturating_sub(start).as_secs_f64() / RAMP.as_secs_f64();
-        (RAMP_START + (1.0 - RAMP_START) * done).clamp(RAMP_START, 1.0)
+        let elapsed_share = now.saturating_sub(start).as_secs_f64() / RAMP.as_secs_f64();
+        (RAMP_START + (1.0 - RAMP_START) * elapsed_share).clamp(RAMP_START, 1.0)
     }
 }
 
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -289,15 +289,15 @@
 
     /// Returns all records as notices to another daemon.
     pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
-        let known = self.records.iter().filter(|(_, record)| !record.is_old(now));
-        known.map(|(fingerprint, record)| record.notice(*fingerprint, now)).collect()
+        let recent_records = self.records.iter().filter(|(_, record)| !record.is_old(now));
+        recent_records.map(|(fingerprint, record)| record.notice(*fingerprint, now)).collect()
     }
 
     /// Returns a digest by which two daemons see whether their tables are the same; 0 for an empty
     /// one.
     pub fn digest(&self, now: Duration) -> u64 {
-        let known = self.records.iter().filter(|(_, record)| !record.is_old(now));
-        known.fold(0, |sum: u64, (fingerprint, record)| {
+        let recent_records = self.records.iter().filter(|(_, record)| !record.is_old(now));
+        recent_records.fold(0, |sum: u64, (fingerprint, record)| {
             let mut hasher = FnvHasher::default();
             (fingerprint, record.tally).hash(&mut hasher);
             sum.wrapping_add(hasher.finish())
--- a/crates/decide/tests/adaptive_timeout.rs
+++ b/crates/decide/tests/adaptive_timeout.rs
@@ -63,15 +63,15 @@
         }
         let timeout =
             adaptive_timeout.timeout_for(&TimeoutTerms { full: is_adaptive, ..terms() }, now);
-        let needs = Duration::from_secs_f64(slowdown * usual.sample(&mut rng));
-        let answered = !rng.random_bool(hangs) && needs <= timeout.time;
-        let took = if answered { needs } else { timeout.time };
-        let passed = took > timeout.late_after;
-        if passed {
+        let needed_time = Duration::from_secs_f64(slowdown * usual.sample(&mut rng));
+        let answered = !rng.random_bool(hangs) && needed_time <= timeout.time;
+        let took = if answered { needed_time } else { timeout.time };
+        let is_overrun = took > timeout.late_after;
+        if is_overrun {
             adaptive_timeout.note_overrun(now + timeout.late_after);
         }
         if answered {
-            adaptive_timeout.note_answered(&timeout, took, passed, now + took);
+            adaptive_timeout.note_answered(&timeout, took, is_overrun, now + took);
             completed += 1;
         }
         free_at[slot] = now + took;
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -142,10 +142,10 @@
         simulation.send(rate / 1.6, active_ingresses, 3.0, 8.0, &mut rng);
         simulation.send(rate / 1.6 * 10.0, active_ingresses, 8.0, 16.0, &mut rng);
         simulation.send(rate / 1.6, active_ingresses, 16.0, 24.0, &mut rng);
-        let tolerated = (rate * 5.0 + rate) * 1.1 + 20.0;
+        let max_admitted_requests = (rate * 5.0 + rate) * 1.1 + 20.0;
         assert!(
-            simulation.busiest_window() as f64 <= tolerated,
-            "{} of at most {tolerated}",
+            simulation.busiest_window() as f64 <= max_admitted_requests,
+            "{} of at most {max_admitted_requests}",
             simulation.busiest_window()
         );
         let fair = rate * 8.0;
@@ -272,10 +272,10 @@
         }
         simulation.admitted.extend(&part.admitted);
         simulation.admitted.sort();
-        let tolerated = (rate * 5.0 + rate) * 1.1 + 20.0;
+        let max_admitted_requests = (rate * 5.0 + rate) * 1.1 + 20.0;
         assert!(
-            simulation.busiest_window() as f64 <= tolerated,
-            "{} of at most {tolerated}",
+            simulation.busiest_window() as f64 <= max_admitted_requests,
+            "{} of at most {max_admitted_requests}",
             simulation.busiest_window()
         );
     }
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -397,10 +397,12 @@
     let mut counts = vec![0; hosts.len()];
     for limit in 0..2000 {
         let name = format!("limit-{limit}");
-        let forward = limits::owner_of(&name, hosts.iter().map(String::as_str));
-        let back = limits::owner_of(&name, hosts.iter().rev().map(String::as_str));
-        assert_eq!(forward, back);
-        let owner = hosts.iter().position(|host| Some(host.as_str()) == forward).expect("an owner");
+        let owner_in_order = limits::owner_of(&name, hosts.iter().map(String::as_str));
+        let owner_in_reverse_order =
+            limits::owner_of(&name, hosts.iter().rev().map(String::as_str));
+        assert_eq!(owner_in_order, owner_in_reverse_order);
+        let owner =
+            hosts.iter().position(|host| Some(host.as_str()) == owner_in_order).expect("an owner");
         counts[owner] += 1;
     }
     assert!(counts.iter().all(|count| (50..=160).contains(count)), "{counts:?}");
--- a/crates/decide/tests/look.rs
+++ b/crates/decide/tests/look.rs
@@ -40,15 +40,19 @@
 
 #[test]
 fn verify_a_probe_is_worth_a_round_trip_that_is_short_for_the_time_left() {
-    let left = Duration::from_millis(150);
-    let old = Some(Duration::from_secs(1));
-    assert!(probing::is_worthwhile(old, Some(Duration::from_millis(1)), left));
-    assert!(probing::is_worthwhile(None, None, left), "nothing is known");
+    let time_left = Duration::from_millis(150);
+    let report_age = Some(Duration::from_secs(1));
+    assert!(probing::is_worthwhile(report_age, Some(Duration::from_millis(1)), time_left));
+    assert!(probing::is_worthwhile(None, None, time_left), "nothing is known");
     assert!(
-        !probing::is_worthwhile(old, Some(Duration::from_millis(40)), left),
+        !probing::is_worthwhile(report_age, Some(Duration::from_millis(40)), time_left),
         "a long round trip"
     );
-    assert!(!probing::is_worthwhile(Some(FRESH_FOR / 2), Some(Duration::from_millis(1)), left));
+    assert!(!probing::is_worthwhile(
+        Some(FRESH_FOR / 2),
+        Some(Duration::from_millis(1)),
+        time_left
+    ));
 }
 
 #[test]
--- a/crates/decide/tests/poison.rs
+++ b/crates/decide/tests/poison.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn verify_marks_expire_and_are_bounded() {
+fn verify_poison_records_expire_and_are_bounded() {
     let mut table = PoisonTable::default();
     table.note_failure(hash_of(0), 1, true, NOW);
     table.note_failure(hash_of(0), 2, true, NOW);
@@ -101,7 +101,7 @@
 
     /// The failures of a single failing upstream always count, whatever requests succeed elsewhere.
     #[test]
-    fn verify_a_single_failing_upstream_is_never_spared(
+    fn verify_failures_of_a_single_failing_upstream_always_count(
         outcomes in prop::collection::vec((0usize..40, 0u32..9), 1..300),
     ) {
         let mut table = PoisonTable::default();
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -103,8 +103,10 @@
 fn find_end(buffer: &[u8], limits: &HeadLimits) -> Result<Option<usize>, HttpError> {
     let mut fields = 0;
     let mut line_start = 0;
-    let searched = buffer.len().min(limits.bytes);
-    for (index, _) in buffer[..searched].iter().enumerate().filter(|(_, byte)| **byte == b'\n') {
+    let searched_bytes = buffer.len().min(limits.bytes);
+    for (index, _) in
+        buffer[..searched_bytes].iter().enumerate().filter(|(_, byte)| **byte == b'\n')
+    {
         if index == 0 || buffer[index - 1] != b'\r' {
             return Err(errors::bad_head("a line ends without a carriage return"));
         }
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -42,7 +42,7 @@
 const CONTENDED_BACKOFF_MAX: Duration = Duration::from_millis(200);
 /// Maximum number of attempts to find out whether a change took effect after the store's answer
 /// was lost.
-const SETTLE_TRIES_MAX: u32 = 8;
+const OUTCOME_TRIES_MAX: u32 = 8;
 /// Maximum size of one object in bytes (4 MiB); the platform accepts 8 MiB.
 const OBJECT_BYTES_MAX: usize = 4 << 20;
 /// Maximum number of resources in one change; at 200 bytes each they fit into one object.
@@ -244,7 +244,7 @@
                 }
                 Err(StoreError::Conflict { .. }) => monoio::time::sleep(backoff.next_delay()).await,
                 Err(error) if error.may_have_happened() => {
-                    return self.settle(config, record, version).await
+                    return self.resolve_outcome(config, record, version).await
                 }
                 Err(source) => return Err(ChangeError::Store { source }),
             }
@@ -290,14 +290,14 @@
     ///
     /// The same write is retried; its check ensures that it takes effect at most once. If the check
     /// fails, the token in the row of that revision shows which writer committed the revision.
-    async fn settle(
+    async fn resolve_outcome(
         &self,
         config: &mut FleetConfig,
         record: ChangeRecord,
         version: u64,
     ) -> Result<ChangeRecord, ChangeError> {
         let mut backoff = RetryBackoff::default();
-        for _ in 0..SETTLE_TRIES_MAX {
+        for _ in 0..OUTCOME_TRIES_MAX {
             monoio::time::sleep(backoff.next_delay()).await;
             match self.write(&record, version).await {
                 Ok(()) => {
@@ -316,7 +316,7 @@
                 None => Ok(None),
             };
             match written {
-                Ok(written) => return settle_by_row(config, record, written),
+                Ok(written) => return outcome_by_row(config, record, written),
                 Err(_) => continue,
             }
         }
@@ -324,7 +324,7 @@
     }
 }
 
-fn settle_by_row(
+fn outcome_by_row(
     config: &mut FleetConfig,
     record: ChangeRecord,
     written: Option<ChangeRecord>,
