--- a/crates/core/src/organisations.rs
+++ b/crates/core/src/organisations.rs
@@ -43,7 +43,8 @@
         Self(bytes)
     }
 
-    /// Returns the prefix that operators see, to tell keys apart.
+    /// Returns the prefix of the digest that is shown to operators, so that they can distinguish
+    /// keys.
     pub fn public_part(&self) -> String {
         hex(&self.0[..PUBLIC_BYTES])
     }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -30,7 +30,7 @@
     ConnectFailed,
     /// The backend server itself refused the request.
     Shed,
-    /// The daemon that was asked does not serve this upstream.
+    /// The daemon that received the dispatch does not serve this upstream.
     UnknownUpstream,
     /// The daemon on the upstream's host could not be reached.
     PeerUnreachable,
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -182,7 +182,7 @@
     pub connections: u32,
     /// Failure domain of its host.
     pub failure_domain: String,
-    /// Whether it accepts requests.
+    /// Whether the backend server accepts requests.
     #[serde(default)]
     pub state: ServerState,
 }
@@ -221,7 +221,7 @@
     pub host: String,
     /// Prefix of the path, matched on whole segments.
     pub path_prefix: String,
-    /// Methods that it accepts; all when empty.
+    /// Methods that the route accepts; all when empty.
     #[serde(default)]
     pub methods: Vec<String>,
     /// Service that serves its requests.
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -18,7 +18,7 @@
 pub struct RouteEntry {
     /// Name of the route.
     pub name: Rc<str>,
-    /// Its resource.
+    /// Resource of the route.
     pub rule: Rc<RouteRule>,
 }
 
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -73,7 +73,7 @@
         builder.push(&read_value(&mut reader, &mut line)?)?;
         slices.step().await;
     }
-    // Reading up to the end also verifies the checksum.
+    // The decoder verifies the checksum when the input is read to its end.
     match reader.fill_buf() {
         Ok([]) => builder.finish_in_slices(head.revision, pause).await,
         Ok(_) => Err(errors::malformed(
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -336,7 +336,7 @@
     }
 }
 
-/// A change of one of a few resources, so that several changes affect the same resource.
+/// Generates a change of one of a few resources, so that several changes affect the same resource.
 fn any_change() -> impl Strategy<Value = (String, String, Option<Value>)> {
     let kinds = ["services", "backend-servers", "routes", "limits", "organisations"];
     (0..kinds.len(), 0..4_u32, 0..3_u32, any::<bool>()).prop_map(move |(kind, name, pick, keep)| {
--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -3,7 +3,7 @@
 
 //! Cost of decisions, by the number of upstreams of a service and of services at one ingress.
 //!
-//! `cargo bench -p basaltarch-decide`. The figures feed docs/CAPACITY.md.
+//! Run with `cargo bench -p basaltarch-decide`. The figures are reported in docs/CAPACITY.md.
 
 #![allow(missing_docs, reason = "the bench macros make items without doc comments")]
 
@@ -143,7 +143,7 @@
 /// Sizes of bodies: none, a small one, and the largest that is read before a request is sent on.
 const BODIES: [usize; 3] = [0, 1024, 64 * 1024];
 
-/// The fingerprint of a request, which is computed while any request is suspected.
+/// Measures the fingerprint of a request, which is computed while any request is suspected.
 #[divan::bench(args = BODIES)]
 fn fingerprint(bencher: Bencher<'_, '_>, body: usize) {
     let body = vec![7; body];
@@ -162,7 +162,7 @@
     bencher.bench(|| RequestFingerprint::of(b"a secret of the fleet", &parts));
 }
 
-/// The verdict on a request while the table of suspects is full.
+/// Measures the verdict on a request while the table of suspects is full.
 #[divan::bench]
 fn judge_beside_suspects(bencher: Bencher<'_, '_>) {
     let mut table = SuspectTable::default();
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -13,13 +13,13 @@
 pub mod reservations;
 
 /// Time constant with which a load report decays towards the assumed load, and the age up to which
-/// it counts as fresh: many requests start and end at an upstream within it.
+/// the report counts as fresh: within this time, many requests start and end at an upstream.
 const LOAD_REPORT_LIFE: Duration = Duration::from_secs(1);
 /// Load, as a share of the slots, from which upstreams in other failure domains are considered too.
 const LOCAL_LOAD_MAX: f64 = 0.95;
-/// Load, as a share of the slots, up to which a request queues at an upstream that is not a suspect
-/// rather than go to one whose circuit breaker is open, where it may hang. At this load two service
-/// rounds are queued.
+/// Load, as a share of the slots, up to which a request queues at an upstream that is not a
+/// suspect. Above this load, the request may go to an upstream whose circuit breaker is open, where
+/// it may hang. At this load two service rounds are queued.
 const WAIT_LOAD_MAX: f64 = 3.0;
 /// Share of an upstream's queue from which it counts as full for repeatable requests: the last
 /// entries are taken by requests of other ingresses before a request that is sent now arrives.
@@ -36,8 +36,8 @@
 const TIME_RATIO_MAX: f64 = 5.0;
 /// Upstreams drawn and compared for one choice (M. Mitzenmacher, "The power of two choices", 2001).
 const DRAWN_UPSTREAMS: usize = 2;
-/// Factor on the cost of a suspect: it must be this many times less loaded than another to be
-/// chosen before it, so it gets only what the others have no room for.
+/// Factor on the cost of a suspect: a suspect must be this many times less loaded than another
+/// upstream to be chosen before it, so that it gets only requests that the others have no room for.
 const SUSPECT_FACTOR: f64 = 10.0;
 /// Age up to which a report of an open circuit breaker is acted on.
 const OPEN_BREAKER_REPORT_LIFE: Duration = Duration::from_secs(5);
@@ -551,7 +551,8 @@
         let load = |view: &LoadView| view.load_share(terms.now);
         let has_room = |view: &LoadView| !terms.repeatable || self.has_queue_room(view, terms.now);
         let may_send = |index: usize| self.in_service(index) && request.may_choose(index);
-        let sound = |index: usize, view: &LoadView| may_send(index) && !view.is_suspect(terms);
+        let is_eligible =
+            |index: usize, view: &LoadView| may_send(index) && !view.is_suspect(terms);
         let known_full = |index: usize, view: &LoadView| {
             let is_known = request.is_last && request.full.contains(&index);
             is_known && self.in_service(index) && !view.is_suspect(terms) && has_room(view)
@@ -560,7 +561,7 @@
             return Some((ChoiceGround::Waiting, drawn));
         }
         let local = |index: usize, view: &LoadView| {
-            view.is_local && sound(index, view) && load(view) < LOCAL_LOAD_MAX
+            view.is_local && is_eligible(index, view) && load(view) < LOCAL_LOAD_MAX
         };
         if let Some(drawn) = self.draw(terms, rng, candidates, local) {
             return Some((ChoiceGround::Near, drawn));
@@ -576,7 +577,7 @@
         {
             return Some((ChoiceGround::Waiting, drawn));
         }
-        let free = |index: usize, view: &LoadView| sound(index, view) && load(view) < 1.0;
+        let free = |index: usize, view: &LoadView| is_eligible(index, view) && load(view) < 1.0;
         if let Some(drawn) = self.draw(terms, rng, candidates, free) {
             return Some((ChoiceGround::Sound, drawn));
         }
@@ -642,17 +643,17 @@
         let drawn = (0..DRAWN_UPSTREAMS).map(|_| rng.random_range(0..self.upstreams.len()));
         let oldest = drawn.min_by_key(|index| self.upstreams[*index].reported_at)?;
         let view = &self.upstreams[oldest];
-        // The report of an upstream with an unanswered request is not old for want of requests, so
-        // the upstream is not worth exploring.
+        // An upstream with an unanswered request has received requests. Its report is old because
+        // the answer is missing, so another request would bring no report either.
         let is_old = view.own_in_flight == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
-        let ramps = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
-        let fits = self.in_service(oldest) && !ramps && !view.is_suspect(terms);
-        (is_old && fits).then_some(oldest)
+        let is_ramping = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
+        let is_candidate = self.in_service(oldest) && !is_ramping && !view.is_suspect(terms);
+        (is_old && is_candidate).then_some(oldest)
     }
 
     /// Finds an upstream in the failure domain of the ingress whose circuit breaker is open and
-    /// whose trial is due. One that works again must not wait long for a request that happens to
-    /// test it, or too few upstreams of a service would get requests.
+    /// whose trial is due. An upstream that works again must not wait long for a request that
+    /// happens to test it, or too few upstreams of a service would get requests.
     fn due_breaker_trial(&self, now: Duration) -> Option<usize> {
         self.oldest_report(|index, view| {
             let age = now.saturating_sub(view.reported_at);
--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -81,13 +81,13 @@
 
 /// Answers kept of a service: about two per upstream at the sizes of the requirements.
 const ANSWERS_MAX: usize = 32;
-/// Age from which an answer is no evidence of the current state.
+/// Age from which an answer is no evidence of the current state of its upstream.
 const ANSWER_LIFE: Duration = Duration::from_secs(5);
 /// Fewest answers of other upstreams from which a shared change is detected.
 const OTHERS_MIN: usize = 6;
 /// Other upstreams that must have failed before failures count as shared, in a large service.
 const FAILED_UPSTREAMS_MIN: usize = 3;
-/// Share of the other upstreams that must have failed.
+/// Share of the other upstreams that must have failed before failures count as shared.
 const FAILED_UPSTREAMS_SHARE: f64 = 0.25;
 /// Deviations by which the median answer of the others must be late before the shift counts as
 /// shared; the noise of a median of a few answers stays below it.
@@ -165,7 +165,7 @@
             return;
         }
         let share = failed_count as f64 / upstream_count as f64;
-        // Of five others two must have failed, of seven or more three.
+        // Two of five other upstreams must have failed, and three of seven or more.
         let needed = upstream_count.div_ceil(3).clamp(2, FAILED_UPSTREAMS_MIN);
         if failed_count >= needed && share >= FAILED_UPSTREAMS_SHARE {
             let rate = f64::from(failures) / count as f64;
--- a/crates/decide/src/distance.rs
+++ b/crates/decide/src/distance.rs
@@ -5,10 +5,10 @@
 //!
 //! The workload is requests of very different size for the same servers: downloads of many
 //! kilobytes beside lookups of some hundred bytes, with a demand that moves between failure
-//! domains. The round trip is negligible compared with the service time; the cost of the bytes that
-//! cross is not, where the operator puts a price on them. So heavy requests wait in their own
-//! failure domain for as long as their bytes are worth, and light ones, which lose nothing by it,
-//! make room by going to another.
+//! domains. The round trip is negligible compared with the service time. The cost of the bytes sent
+//! to another failure domain is not, where the operator puts a price on them. So large requests
+//! wait in their own failure domain for as long as their bytes are worth. Small requests go to
+//! another failure domain, which costs them nothing and frees slots for the large ones.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 const LAST_WEIGHT: f64 = 0.1;
 /// Bytes of a megabyte, as the operator counts them.
 const MEGABYTE: f64 = 1e6;
-/// Most service rounds that the bytes of a request are worth: beyond it, callers would wait for a
-/// local server although another could serve them at once.
+/// Maximum number of service rounds that the bytes of a request are worth: with more, callers would
+/// wait for a local server although another could serve them at once.
 const ROUNDS_MAX: f64 = 3.0;
 
 /// `ByteMean` is the moving average of the size of a route's requests, with their answers.
@@ -37,7 +37,7 @@
     }
 
     /// Returns the service rounds for which a request waits rather than send its bytes to another
-    /// failure domain, where a megabyte is worth waiting for `worth` and a round takes `usual`.
+    /// failure domain. A megabyte is worth waiting for `worth`, and a service round takes `usual`.
     pub fn rounds(&self, worth: Duration, usual: Option<Duration>) -> f64 {
         let (Some(mean), Some(usual)) = (self.mean, usual.filter(|usual| !usual.is_zero())) else {
             return 0.0;
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -75,7 +75,7 @@
 
 /// `RateEstimate` estimates the share of requests for which a condition holds.
 ///
-/// It keeps a fast and a slow estimate and returns the higher one: a rate that has recently risen
+/// Keeps a fast and a slow estimate and returns the higher one: a rate that has recently risen
 /// at all upstreams counts at once, and a rare but regular event is not forgotten between two
 /// occurrences.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -97,7 +97,8 @@
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Whether the ingress can try another upstream if the circuit breaker of this one is open.
-    /// This takes no capacity out of service: the last upstream that is tried accepts the request.
+    /// Declining the request takes no capacity out of service, as the last upstream that is tried
+    /// accepts the request.
     pub passable: bool,
     /// What the ingress knows of the siblings.
     pub baseline: ServiceBaseline,
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -9,16 +9,16 @@
 /// is as long, so that an answer often arrives first.
 pub const PROBE_AFTER: Duration = Duration::from_millis(150);
 /// Time without any frame after a probe from which a path counts as cut while its round trip is not
-/// known: four times the round trip between far regions (0.3 s). A cut of either direction looks
-/// the same from here, and makes the path useless.
+/// known: four times the round trip between far regions (0.3 s). A cut of either direction has the
+/// same effect at this end, and makes the path useless.
 pub const SILENCE_MAX: Duration = Duration::from_millis(1200);
-/// Lower bound of that time for a path whose round trip is known: a host that gets its share of a
-/// processor in slices of tenths of a second is silent for as long, and a lost packet is
+/// Lower bound of that time if the path's round trip is known: a host that gets its share of a
+/// processor in slices of tenths of a second sends nothing for as long, and a lost packet is
 /// retransmitted after 200 ms.
 pub const SILENCE_MIN: Duration = Duration::from_millis(350);
-/// Round trips of silence from which a path counts as cut.
+/// Round trips without any frame from which a path counts as cut.
 const SILENCE_ROUNDS: u32 = 4;
-/// Most answers in a row that are required of a flapping path before it is used again.
+/// Maximum number of consecutive answers that are required before a flapping path is used again.
 const ANSWERS_NEEDED_MAX: u32 = 32;
 /// Time without a cut after which the previous cuts of a path are forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
@@ -135,7 +135,7 @@
         self.probed_at.is_some_and(|probed_at| now.saturating_sub(probed_at) > self.silence_max())
     }
 
-    /// Returns the silence after a probe from which the path counts as cut.
+    /// Returns the time without any frame after a probe from which the path counts as cut.
     fn silence_max(&self) -> Duration {
         match self.round_trip {
             Some(round_trip) => (round_trip * SILENCE_ROUNDS).clamp(SILENCE_MIN, SILENCE_MAX),
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -17,8 +17,8 @@
 /// Requests remembered for one service: poison requests are rare, and one that is evicted is
 /// detected again from two failures.
 pub const POISON_MAX: usize = 32;
-/// Distinct upstreams at which a request must have failed before its failures are no evidence; a
-/// second one is also what withdraws the first failure of a retried request.
+/// Distinct upstreams at which a request must have failed before its failures are no evidence.
+/// The failure of a retry at a second upstream therefore also withdraws the first failure.
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
 /// Distinct upstreams at which a request must have failed before a retry only wastes the retry
 /// budget: two that fail at once are seen in practice, a third makes the request the likelier
@@ -83,9 +83,9 @@
     }
 }
 
-/// `PoisonTable` remembers the requests to one service that recently failed, until one succeeds.
-/// It identifies upstreams in a way that stays valid when others come and go, as they do while
-/// servers fail.
+/// `PoisonTable` remembers the requests to one service that recently failed; a request is forgotten
+/// once a copy of it succeeds. `U` identifies an upstream and must stay valid when other upstreams
+/// are added or removed, as happens while servers fail.
 #[derive(Debug, Clone)]
 pub struct PoisonTable<U> {
     requests: Vec<FailedRequest<U>>,
@@ -128,7 +128,7 @@
             return known.take_counted();
         }
         if self.requests.len() >= POISON_MAX {
-            self.evict_weakest();
+            self.evict_least_failed();
         }
         let failures = vec![CountedFailures { upstream, count: u32::from(counted) }];
         self.requests.push(FailedRequest { request, failures, at: now });
@@ -144,11 +144,11 @@
         }
     }
 
-    /// Evicts the request that failed at the fewest upstreams, the oldest of those.
-    fn evict_weakest(&mut self) {
+    /// Evicts the request that failed at the fewest upstreams; of several, the oldest.
+    fn evict_least_failed(&mut self) {
         let requests = self.requests.iter().enumerate();
-        let weakest = requests.min_by_key(|(_, each)| (each.failures.len(), each.at));
-        if let Some((index, _)) = weakest {
+        let least_failed = requests.min_by_key(|(_, each)| (each.failures.len(), each.at));
+        if let Some((index, _)) = least_failed {
             self.requests.swap_remove(index);
         }
     }
--- a/crates/decide/src/server_incarnation.rs
+++ b/crates/decide/src/server_incarnation.rs
@@ -3,10 +3,10 @@
 
 //! Incarnations of a backend server: which start of the process is the current one.
 //!
-//! A backend server may restart under the same name, and heartbeats of the previous incarnation may
-//! still arrive then. Incarnations are told apart by their start time, and the clock may be set
-//! back between two of them. The workload is servers that crash and restart while their heartbeats
-//! are delayed on the way.
+//! A backend server may restart under the same name, and heartbeats of its previous incarnation may
+//! arrive after the restart. Incarnations are distinguished by their start times, although the
+//! clock may be set back between two of them. The rules are designed for servers that crash and
+//! restart while their heartbeats are delayed in the network.
 
 use std::time::Duration;
 
@@ -14,30 +14,30 @@
 /// restarts more often than this while heartbeats are delayed is of no use to callers.
 const EARLIER_INCARNATIONS_MAX: usize = 8;
 /// Time over which an incarnation that claims to be older must send heartbeats, while the newer one
-/// is silent, to count as the current one: longer than delayed heartbeats take to arrive one after
-/// the other, and short enough that a clock that was set back costs callers one server for a few
-/// seconds only.
+/// sends none, to count as the current one. It is longer than delayed heartbeats take to arrive one
+/// after the other, and short enough that a clock that was set back costs callers one server for a
+/// few seconds only.
 const TAKEOVER_TIME: Duration = Duration::from_secs(2);
 
 /// `IncarnationClaim` is what a heartbeat says about the incarnation that sent it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IncarnationClaim {
-    /// Unix time of the start in milliseconds, if it is reported.
+    /// Unix time of the start in milliseconds, if the server reports it.
     pub born: Option<u64>,
     /// Sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
 }
 
-/// `IncarnationVerdict` says how a heartbeat counts.
+/// `IncarnationVerdict` says which incarnation a heartbeat is from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationVerdict {
-    /// It is from the current incarnation.
+    /// The heartbeat is from the current incarnation.
     Current,
-    /// It is from an incarnation that replaces the current one.
+    /// The heartbeat is from an incarnation that replaces the current one.
     Replaces,
-    /// It is from an earlier incarnation, or may be.
+    /// The heartbeat is from an earlier incarnation, or may be.
     Late,
-    /// It reports no start time, although others of the server did.
+    /// The heartbeat reports no start time, although earlier ones of the server did.
     Unnamed,
 }
 
@@ -64,7 +64,7 @@
         self.current
     }
 
-    /// Records a heartbeat and says how it counts.
+    /// Records a heartbeat and says which incarnation it is from.
     pub fn judge(&mut self, claim: IncarnationClaim, now: Duration) -> IncarnationVerdict {
         let (current, born) = match (self.current, claim.born) {
             (None, None) => return IncarnationVerdict::Current,
@@ -85,8 +85,8 @@
         IncarnationVerdict::Late
     }
 
-    /// Records that an incarnation has ended. The next heartbeat is of another one, whatever its
-    /// start time.
+    /// Records that an incarnation has ended. The next heartbeat is from another incarnation,
+    /// whatever its start time.
     pub fn note_end(&mut self, born: u64) {
         if self.current == Some(born) {
             self.current = None;
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Says whether an incarnation that claims to be older is the current one: it goes on sending
-    /// heartbeats, and the newer one doesn't.
+    /// Says whether an incarnation that claims to be older is the current one, because it goes on
+    /// sending heartbeats and the newer one doesn't.
     fn has_taken_over(&mut self, born: u64, sequence: u64, now: Duration) -> bool {
         match self.older {
             Some(older) if older.born == born => {
--- a/crates/decide/tests/floor.rs
+++ b/crates/decide/tests/floor.rs
@@ -75,7 +75,7 @@
         must_take: bool,
     },
     Wait(u64),
-    /// A configuration that changes the floor, the slots, and how many upstreams there are.
+    /// A change of the configuration: of the floor, of the slots, and of the number of upstreams.
     Configure(f64, Vec<u32>),
 }
 
@@ -175,7 +175,8 @@
     }
 }
 
-/// Builds the view under a changed configuration; upstreams that stay keep their state.
+/// Builds the view under a changed configuration; upstreams that stay in the configuration keep
+/// their state.
 fn configured(old: &ServiceView, floor: f64, slots: &[u32]) -> ServiceView {
     let views = slots.iter().enumerate().map(|(index, slots)| match old.upstreams().get(index) {
         Some(known) => LoadView { slots: *slots, own_in_flight: 0, ..*known },
--- a/crates/decide/tests/freshness.rs
+++ b/crates/decide/tests/freshness.rs
@@ -41,8 +41,8 @@
 }
 
 proptest! {
-    /// Confirmations arrive late and out of order; the latest moment that any of them confirms
-    /// counts.
+    /// Confirmations arrive late and out of order; the age is counted from the latest moment that
+    /// any of them confirms.
     #[test]
     fn verify_the_age_is_that_of_the_latest_confirmation(
         moments in proptest::collection::vec(0_u64..100_000, 1..40),
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Rate limits over many ingresses: how often callers within a limit wait, and how many requests
-//! are admitted of one that sends many times its usual rate.
+//! are admitted from a caller that sends many times its usual rate. Guards against callers that are
+//! refused within their limit, or admitted far beyond it, as the ingresses count separately.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -102,8 +103,10 @@
 
     /// Returns the highest number of requests that were admitted in one window.
     fn busiest_window(&self) -> usize {
-        let first = |end: &Duration| self.admitted.partition_point(|at| *at + WINDOW <= *end);
-        let counts = self.admitted.iter().enumerate().map(|(index, end)| index + 1 - first(end));
+        let window_start =
+            |end: &Duration| self.admitted.partition_point(|at| *at + WINDOW <= *end);
+        let counts =
+            self.admitted.iter().enumerate().map(|(index, end)| index + 1 - window_start(end));
         counts.max().unwrap_or(0)
     }
 }
@@ -120,8 +123,11 @@
         let mut simulation = LimitSimulation::new(rate, rate, active_ingresses, tolerance);
         let mut rng = ChaCha8Rng::seed_from_u64(7);
         simulation.send(rate / 1.6, active_ingresses, 3.0, 63.0, &mut rng);
-        let all = (simulation.admitted.len() + simulation.refused) as f64;
-        shares.push((simulation.waited as f64 / all, simulation.refused as f64 / all));
+        let request_count = (simulation.admitted.len() + simulation.refused) as f64;
+        shares.push((
+            simulation.waited as f64 / request_count,
+            simulation.refused as f64 / request_count,
+        ));
     }
     let [(exact_waited, _), (waited, refused)] = shares[..] else { panic!("{shares:?}") };
     assert!(waited < exact_waited / 2.0, "{waited} and {exact_waited} waited");
@@ -184,7 +190,7 @@
 }
 
 /// `OwnerlessPart` is a partition: ingresses that can't reach the owner, and the backup owner that
-/// counts for them.
+/// grants tokens to them.
 struct OwnerlessPart {
     backup: LimitOwner,
     limiters: Vec<LocalLimiter>,
@@ -196,7 +202,7 @@
 }
 
 impl OwnerlessPart {
-    /// Takes over ingresses of a simulation that can't reach the owner from now on.
+    /// Moves ingresses out of a simulation, as they can't reach the owner from now on.
     fn new(
         simulation: &LimitSimulation,
         limiters: Vec<LocalLimiter>,
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -120,8 +120,8 @@
         let change = upstream.health.note_overdue(ROUTE, upstream.now);
         upstream.note_change(change);
     }
-    // It was an outlier for long enough that reports of its siblings have arrived, and they are
-    // healthy.
+    // The upstream was an outlier for long enough that reports of its siblings have arrived, and
+    // the siblings are healthy.
     upstream.now += Duration::from_millis(250);
     let (verdict, change) = upstream.health.admit(&terms(true, true), upstream.now);
     upstream.note_change(change);
@@ -152,11 +152,12 @@
 #[test]
 fn verify_a_baseline_that_one_of_several_ingresses_reports_counts_for_all() {
     let mut upstream = Upstream::new(EjectionPreference::Detection);
-    let mut seen = terms(true, true);
-    seen.baseline.failure_rate = 0.3;
+    let mut failing_siblings = terms(true, true);
+    failing_siblings.baseline.failure_rate = 0.3;
     for number in 0..2000 {
-        // One ingress in four sees the siblings fail as often, the others send to too few of them.
-        let terms = if number % 4 == 0 { &seen } else { &terms(true, true) };
+        // One ingress in four sees the siblings fail as often as this upstream. The others send
+        // requests to too few siblings for a baseline.
+        let terms = if number % 4 == 0 { &failing_siblings } else { &terms(true, true) };
         let evidence = if number % 10 < 3 { RequestEvidence::Failed } else { good() };
         assert!(upstream.request(terms, evidence), "request {number}");
     }
@@ -256,8 +257,8 @@
     }
 }
 
-/// The false positive rate that the thresholds are set for: a healthy upstream has the failures and
-/// latencies of its siblings.
+/// Tests the false positive rate that the thresholds are set for, on a healthy upstream, which has
+/// the failures and latencies of its siblings.
 #[test_case(EjectionPreference::Detection, 3 ; "detection")]
 #[test_case(EjectionPreference::Precision, 0 ; "precision")]
 fn verify_healthy_upstreams_are_hardly_ever_ejected(prefer: EjectionPreference, most: usize) {
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -314,7 +314,7 @@
         let allowed = requests.min(1000) / 10 + 3;
         assert!(in_window <= allowed, "{in_window} of {allowed} at {now:?}");
     }
-    // Most of the budget can be used.
+    // Most of the retries that the budget allows can be made.
     assert!(repeats.len() > 850, "{}", repeats.len());
     let mut none = RetryBudget::new(BudgetTerms { share: 0.0, extra: 0.0, window: WINDOW });
     none.note_request(Duration::ZERO);
@@ -549,8 +549,8 @@
         let index = view.choose(millis(at), &request, &mut rng).expect("an upstream").index;
         if index < 6 {
             tried[index] += 1;
-            // The server refuses the trial, which is no evidence of its health: the next is due at
-            // once.
+            // The server refuses the trial, which is no evidence of its health, so the next trial
+            // is due at once.
             view.note_report(index, 0, health, millis(at));
         }
     }
--- a/crates/decide/tests/order.rs
+++ b/crates/decide/tests/order.rs
@@ -72,8 +72,8 @@
 
 /// Simulates for a minute a service whose requests each make a nested call to the same service and
 /// keep their own slot until it ends. Returns the number of requests that completed; none completes
-/// any more once all slots are held by requests that wait for their nested calls. Slots are
-/// reserved for nested calls if `reserves_slots`.
+/// any more once all slots are held by requests that wait for their nested calls. If
+/// `reserves_slots` is true, slots are reserved for nested calls.
 fn completed_with_calls(reserves_slots: bool) -> usize {
     const SLOTS: usize = 8;
     const STEP: Duration = Duration::from_millis(50);
--- a/crates/decide/tests/reservations.rs
+++ b/crates/decide/tests/reservations.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Two local servers with load `local` and four remote ones with load `remote`.
+/// Builds the view of two local servers with load `local` and four remote ones with load `remote`.
 fn service(local: u32, remote: u32) -> ServiceView {
     let views = (0..6).map(|index| LoadView::new(SLOTS, index < 2)).collect();
     let mut view = ServiceView::new(0.5, views);
--- a/crates/decide/tests/suspects.rs
+++ b/crates/decide/tests/suspects.rs
@@ -105,8 +105,8 @@
     let notices = table.notices(NOW + SUSPECT_LIFE);
     table.forget_old(later + SUSPECT_LIFE);
     assert!(table.is_empty());
-    // For another daemon the entry ages from when the copy was seen, not from when the notice
-    // arrived.
+    // At another daemon, the age of the record is counted from the time when the copy was seen, not
+    // from the time when the notice arrived.
     let mut other = SuspectTable::default();
     assert!(other.apply_notice(&notices[0], NOW + SUSPECT_LIFE));
     other.forget_old(later + SUSPECT_LIFE);
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -92,7 +92,8 @@
         /// What failed.
         source: StoreError,
     },
-    /// It could not be determined whether the change took effect.
+    /// The store's answer was lost, and reading the store did not show whether the change took
+    /// effect.
     #[snafu(display(
         "unknown whether the change was accepted; look for writer {writer} in the audit trail"
     ))]
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -76,7 +76,7 @@
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Media type.
+    /// Media type of the body.
     pub media_type: String,
     /// Body as text.
     pub body: String,
@@ -113,7 +113,7 @@
     /// The ledger can't be written. The request did not run, and no row remains that would keep a
     /// later attempt from running it.
     Unavailable,
-    /// It could not be determined whether the row was written.
+    /// The store's answer was lost, and it remained unknown whether the row was written.
     Unsettled,
 }
 
@@ -158,7 +158,7 @@
         })
     }
 
-    /// Returns the number of transactions so far.
+    /// Returns the number of transactions that the ledger has made.
     pub fn transactions(&self) -> u64 {
         self.transactions.get()
     }
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -86,7 +86,7 @@
 /// again.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TablePosition {
-    /// Number of restores of the store from an older copy, if it reported one.
+    /// Number of restores of the store from an older copy, if the store reported it.
     pub era: Option<u64>,
     /// Version up to which the table was read.
     pub version: u64,
@@ -99,7 +99,7 @@
         matches!((self.era, era), (Some(known), Some(reported)) if known != reported)
     }
 
-    /// Returns the position after an answer that continues from this position to `version`.
+    /// Returns this position, advanced to `version` and `era` of an answer that was read from here.
     fn advanced(self, version: u64, era: Option<u64>) -> Self {
         Self { era: era.or(self.era), version: self.version.max(version) }
     }
@@ -119,9 +119,9 @@
 #[derive(Debug)]
 pub struct PlatformClient {
     client: HttpClient,
-    /// For long polls, which have a longer timeout.
+    /// Client for long polls, which have a longer timeout.
     feeds: HttpClient,
-    /// For calls that must not wait on a dead connection: each call opens a new connection.
+    /// Client for calls that must not wait on a dead connection: each call opens a new connection.
     unpooled: HttpClient,
     reads: RefCell<CallBudget>,
     writes: RefCell<CallBudget>,
@@ -298,7 +298,7 @@
         self.count(call(&self.client, request).await)
     }
 
-    /// Returns the counts of calls so far.
+    /// Returns the number of calls by result, since the client was built.
     pub fn counts(&self) -> CallCounts {
         self.counts.get()
     }
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Changes the number of slots and the limit of the queue; slots in use stay so until they are
-    /// released.
+    /// Changes the number of slots and the limit of the queue; slots in use stay in use until they
+    /// are released.
     pub fn configure(&self, slots: u32, limit: u32) {
         self.slots.set(slots);
         self.limit.set(limit);
@@ -261,8 +261,8 @@
         Ok(())
     }
 
-    /// Returns how long a request may wait. The holder of a reservation releases it by itself when
-    /// it goes elsewhere.
+    /// Returns how long a request may wait. The holder of a reservation releases the reservation by
+    /// itself when the request is sent to another host.
     fn longest_wait(&self, kind: WaitKind, request: &SlotRequest) -> Duration {
         let time_left = request.scheduling.deadline.saturating_sub(self.clock.now());
         match kind {
