--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -1,10 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The baseline of a service: what its upstreams have in common, collected at an ingress.
+//! The baseline of a service: the latencies and failure rates that its upstreams have in common,
+//! collected at an ingress.
 //!
-//! Reports give what is typical for a route; they follow a change within a dozen requests at each
-//! upstream. The most recent answers of all upstreams together show a shared change sooner.
+//! The upstreams' reports give the typical values of a route; they follow a change within a dozen
+//! requests at each upstream. The most recent answers of all upstreams together show a shared
+//! change sooner.
 
 use std::time::Duration;
 
--- a/crates/decide/src/breaker.rs
+++ b/crates/decide/src/breaker.rs
@@ -24,7 +24,8 @@
 /// Failed answers in a row that count as much as one broken connection: an error may also be caused
 /// by the request itself.
 const ANSWERED_FAILURES: u32 = 2;
-/// Time after the breaker closed from which its previous pause no longer lengthens the next one.
+/// Time after which the breaker, once closed, forgets its previous pause: until then, the previous
+/// pause lengthens the next one.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 /// Time after a trial is due from which a non-repeatable request is admitted as well: a service
 /// without repeatable requests must recover too.
@@ -134,7 +135,7 @@
         self.failures = 0;
         let since = self.opened_at.filter(|since| started >= *since)?;
         self.successes += 1;
-        // The next trial may follow at once.
+        // The next trial may start at once.
         self.trial_at = now;
         if self.successes < SUCCESSES_NEEDED {
             return None;
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -26,15 +26,18 @@
 const WEAK_RATE: f64 = 0.12;
 /// Shift of the mean, in deviations, that the sum of service times is designed to detect.
 const SHIFT_DEVIATIONS: f64 = 1.0;
-/// Deviations at which a service time is clipped, so that one straggler proves nothing.
+/// Deviations at which a service time is clipped, so that a single very slow answer is not enough
+/// evidence for an ejection.
 const SHIFT_CLIP: f64 = 2.5;
-/// Shift, in deviations, that the mix of requests alone may cause; only what exceeds it counts.
+/// Shift, in deviations, that the mix of requests alone may cause; only the shift beyond it counts
+/// as evidence.
 const SHIFT_SLACK: f64 = 0.25;
 /// Weight of the evidence of a request that was given up before it was overdue: service times have
 /// heavier tails than the evidence assumes, and with the full weight a healthy upstream was ejected
 /// 0.12 times an hour instead of 0.04 in simulations.
 const GIVEN_UP_WEIGHT: f64 = 0.5;
-/// Sums are capped at this many thresholds, so that the recovery of an upstream soon shows.
+/// Upper bound of a sum, in multiples of the threshold, so that the sum falls below the threshold
+/// soon after an upstream has recovered.
 const CAP_THRESHOLDS: f64 = 4.0;
 
 /// `EvidenceKind` is the kind of anomaly that a sum detects.
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -36,8 +36,8 @@
 const EVIDENCE_MAX: f64 = 4.0;
 /// Time constant with which the evidence of ended requests decays.
 const EVIDENCE_LIFE: Duration = Duration::from_secs(3);
-/// Deviations above the typical service time from which a running request is checked: below, its
-/// age is no evidence.
+/// Deviations above the typical service time from which a running request is checked: the age of a
+/// younger request is no evidence.
 const FIRST_CHECK_DEVIATIONS: f64 = 0.5;
 /// Time between two checks of a request, as a share of its typical service time.
 const CHECK_SHARE: f64 = 0.25;
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -3,11 +3,11 @@
 
 //! Poison requests: those that fail at whichever upstream runs them.
 //!
-//! A failure that follows a request from one upstream to another is evidence against the request.
-//! The ingress that saw it marks later dispatches of the same request, so that their failures are
-//! not evidence against upstreams, also where no retry can show it: the budget is used up or the
-//! request is not repeatable. Failures that counted before the request was known to be poison are
-//! withdrawn.
+//! If a request fails at one upstream after another, this is evidence against the request. The
+//! ingress that saw the failures marks later dispatches of the same request, so that their failures
+//! are not evidence against upstreams. This also holds where no retry can show that the request is
+//! the cause, as the retry budget is used up or the request is not repeatable. Failures that
+//! counted before the request was known to be poison are withdrawn.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -4,11 +4,11 @@
 //! Load probes: decides whether to probe the load of upstreams before a request is sent, and which
 //! of them then gets it.
 //!
-//! What an ingress knows of an upstream is as old as its last answer from there. The workload is
+//! An ingress knows the load of an upstream only from the upstream's last answer. The workload is
 //! requests of tenths of a second at many upstreams of few slots, each of which an ingress uses
-//! less than once a second: there most of what is known is out of date, and requests that are sent
-//! on its basis are declined, or go over a path that has become black-holed. A probe costs a round
-//! trip and two small frames for each upstream.
+//! less than once a second. Most of the known loads are then out of date, so that requests are
+//! declined by upstreams that seemed to have room, or go over a path that has become black-holed. A
+//! probe costs a round trip and two small frames for each upstream.
 
 use std::time::Duration;
 
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -244,13 +244,13 @@
         mut encoder: Option<LinkEncoder>,
         on_write: fn(usize),
     ) -> Result<(), LinkError> {
-        let mut spare = BytesMut::new();
+        let mut spare_buffer = BytesMut::new();
         loop {
-            let batch = match self.next_batch(spare).await {
+            let batch = match self.next_batch(spare_buffer).await {
                 Some(batch) => batch,
                 None => return Ok(()),
             };
-            spare = match &mut encoder {
+            spare_buffer = match &mut encoder {
                 Some(encoder) => {
                     let mut compressed = Vec::new();
                     encoder.encode(&batch, &mut compressed);
@@ -259,18 +259,18 @@
                 }
                 None => write(&mut io, batch, on_write).await?,
             };
-            spare.clear();
+            spare_buffer.clear();
         }
     }
 
-    async fn next_batch(&self, spare: BytesMut) -> Option<BytesMut> {
-        let mut spare = Some(spare);
+    async fn next_batch(&self, spare_buffer: BytesMut) -> Option<BytesMut> {
+        let mut spare_buffer = Some(spare_buffer);
         poll_fn(|context| {
             let mut queue = self.queue.borrow_mut();
             if !queue.buffer.is_empty() {
                 queue.submitted_bytes_total = queue.queued_bytes_total;
-                let next = spare.take().unwrap_or_default();
-                return Poll::Ready(Some(std::mem::replace(&mut queue.buffer, next)));
+                let empty_buffer = spare_buffer.take().unwrap_or_default();
+                return Poll::Ready(Some(std::mem::replace(&mut queue.buffer, empty_buffer)));
             }
             if queue.closed {
                 return Poll::Ready(None);
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -376,9 +376,9 @@
         writer: writer.to_owned(),
         changes,
     };
-    let mut next = config.clone();
-    next.apply(&record).map_err(invalid)?;
-    next.check_change(&record).map_err(invalid)?;
+    let mut changed_config = config.clone();
+    changed_config.apply(&record).map_err(invalid)?;
+    changed_config.check_change(&record).map_err(invalid)?;
     Ok(record)
 }
 
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -313,10 +313,10 @@
     fn resolve_same_row(&self, row_key: &str, version: u64, entry: &LedgerEntry) {
         let row = TableRow { key: row_key.to_owned(), version, value: json!(entry) };
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        let (same, others): (VecDeque<_>, VecDeque<_>) =
+        let (same_row_claims, other_claims): (VecDeque<_>, VecDeque<_>) =
             waiting.into_iter().partition(|claim| claim.row_key == row_key && !claim.maybe_written);
-        *self.waiting.borrow_mut() = others;
-        for claim in same {
+        *self.waiting.borrow_mut() = other_claims;
+        for claim in same_row_claims {
             let outcome = resolve_claim(&claim, &row);
             // A caller that has disconnected needs no reply.
             let _ = claim.reply.send(outcome);
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -256,7 +256,7 @@
             Err(_) => Err(NotRunReason::DeadlinePassed),
         };
         result?;
-        // From here on a guard of the caller releases what was granted.
+        // From here on, a guard that the caller builds releases the granted slot or offer.
         std::mem::forget(guard);
         Ok(())
     }
@@ -450,10 +450,10 @@
     }
 }
 
-/// Refuses three kinds of requests: those that can no longer complete by their deadline; queued
-/// requests that miss their objective while others wait that can still meet theirs, as serving the
-/// former would make the latter miss it too; and reservations of requests that miss their objective
-/// and would wait too long behind those that meet it.
+/// Refuses three kinds of requests. The first can no longer complete by their deadline. The second
+/// are queued and miss their objective while other requests wait that can still meet theirs:
+/// serving the late requests would make the others late too. The third hold reservations, miss
+/// their objective, and would wait too long behind requests that meet theirs.
 fn refuse_unservable(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
     let meets_objective =
         |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.meets_objective(now);
@@ -497,7 +497,8 @@
         let mut waiting = self.queue.waiting.borrow_mut();
         waiting.retain(|waiter| !Rc::ptr_eq(waiter, self.waiter));
         drop(waiting);
-        // A slot or offer that was granted but not yet received would be lost.
+        // A slot or offer that was granted but not yet received has no guard of its own, so it
+        // would never be released.
         if self.waiter.state.get() == WaitState::Granted {
             match self.waiter.kind {
                 WaitKind::Reservation => self.queue.end_offer(),
@@ -507,14 +508,15 @@
     }
 }
 
-/// `OfferGuard` is the offer of a slot to a reservation: its request may be sent now.
+/// `OfferGuard` is the offer of a slot to a reservation. The request that holds the reservation may
+/// be sent now.
 pub struct OfferGuard {
     queue: Rc<SlotQueue>,
 }
 
 impl OfferGuard {
-    /// Acquires the slot for the request once it has arrived; it gets the next free slot before all
-    /// others.
+    /// Acquires the slot for the request once it has arrived. The request gets the next free slot
+    /// before all other requests.
     pub async fn start(self, request: SlotRequest) -> Result<SlotGuard, NotRunReason> {
         if self.queue.is_full() {
             self.queue.wait(WaitKind::Offered, request).await?;
