--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -30,7 +30,7 @@
     ConnectFailed,
     /// The backend server itself refused the request.
     Shed,
-    /// The daemon that was asked does not serve this upstream.
+    /// The daemon that received the dispatch does not serve this upstream.
     UnknownUpstream,
     /// The daemon on the upstream's host could not be reached.
     PeerUnreachable,
@@ -48,7 +48,8 @@
     CrashesServers,
     /// The route requires an API key, and the caller sent none or an unknown one.
     KeyUnknown,
-    /// The backend server has completed no request recently, and this request is non-repeatable.
+    /// The backend server has completed no request recently, so that it may hang, and this request
+    /// is non-repeatable.
     Unproven,
 }
 
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -182,12 +182,12 @@
     pub connections: u32,
     /// Failure domain of its host.
     pub failure_domain: String,
-    /// Whether it accepts requests.
+    /// Whether the backend server accepts requests.
     #[serde(default)]
     pub state: ServerState,
 }
 
-/// `WorkMode` defines how often a request of a route may run.
+/// `WorkMode` defines whether a request of a route may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkMode {
@@ -221,7 +221,7 @@
     pub host: String,
     /// Prefix of the path, matched on whole segments.
     pub path_prefix: String,
-    /// Methods that it accepts; all when empty.
+    /// Methods that the route accepts; all when empty.
     #[serde(default)]
     pub methods: Vec<String>,
     /// Service that serves its requests.
@@ -229,7 +229,7 @@
     /// Timeout of a request, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u64,
-    /// How often a request may run.
+    /// Whether a request may run more than once, which decides when it is retried.
     #[serde(default)]
     pub mode: WorkMode,
     /// Priority of its requests when load is shed.
@@ -314,12 +314,12 @@
         let path = resource_path(kind, name);
         check_name(&path, name)?;
         let parsed = match kind {
-            ResourceKind::FailureDomain => Self::FailureDomain(read(&path, value)?),
-            ResourceKind::Service => Self::Service(read(&path, value)?),
-            ResourceKind::BackendServer => Self::BackendServer(Rc::new(read(&path, value)?)),
-            ResourceKind::Route => Self::Route(Rc::new(read(&path, value)?)),
-            ResourceKind::Limit => Self::Limit(read(&path, value)?),
-            ResourceKind::Organisation => Self::Organisation(read(&path, value)?),
+            ResourceKind::FailureDomain => Self::FailureDomain(parse_spec(&path, value)?),
+            ResourceKind::Service => Self::Service(parse_spec(&path, value)?),
+            ResourceKind::BackendServer => Self::BackendServer(Rc::new(parse_spec(&path, value)?)),
+            ResourceKind::Route => Self::Route(Rc::new(parse_spec(&path, value)?)),
+            ResourceKind::Limit => Self::Limit(parse_spec(&path, value)?),
+            ResourceKind::Organisation => Self::Organisation(parse_spec(&path, value)?),
         };
         parsed.check(&path)?;
         Ok(parsed)
@@ -390,7 +390,7 @@
     format!("{}/{name}", kind.name())
 }
 
-fn read<T: DeserializeOwned>(path: &str, value: &Value) -> Result<T, ResourceError> {
+fn parse_spec<T: DeserializeOwned>(path: &str, value: &Value) -> Result<T, ResourceError> {
     T::deserialize(value).map_err(|error| ResourceError::Malformed {
         path: path.to_owned(),
         message: error.to_string(),
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -13,16 +13,16 @@
 pub mod reservations;
 
 /// Time constant with which a load report decays towards the assumed load, and the age up to which
-/// it counts as fresh: many requests start and end at an upstream within it.
+/// the report counts as fresh: within this time, many requests start and end at an upstream.
 const LOAD_REPORT_LIFE: Duration = Duration::from_secs(1);
 /// Load, as a share of the slots, from which upstreams in other failure domains are considered too.
 const LOCAL_LOAD_MAX: f64 = 0.95;
-/// Load, as a share of the slots, up to which a request queues at an upstream that is not a suspect
-/// rather than go to one whose circuit breaker is open, where it may hang. At this load two service
-/// rounds are queued.
+/// Load, as a share of the slots, up to which a request queues at an upstream that is not a
+/// suspect. Above this load, the request may go to an upstream whose circuit breaker is open, where
+/// it may hang. At this load two service rounds are queued.
 const WAIT_LOAD_MAX: f64 = 3.0;
 /// Share of an upstream's queue from which it counts as full for repeatable requests: the last
-/// entries are taken by others before a request that is sent now arrives.
+/// entries are taken by requests of other ingresses before a request that is sent now arrives.
 const QUEUE_SHARE_MAX: f64 = 0.9;
 /// Cost factor of an upstream in another failure domain, as a share of a service time; the round
 /// trip takes 3 ms.
@@ -36,13 +36,13 @@
 const TIME_RATIO_MAX: f64 = 5.0;
 /// Upstreams drawn and compared for one choice (M. Mitzenmacher, "The power of two choices", 2001).
 const DRAWN_UPSTREAMS: usize = 2;
-/// Factor on the cost of a suspect: it must be this many times less loaded than another to be
-/// chosen before it, so it gets only what the others have no room for.
+/// Factor on the cost of a suspect: a suspect must be this many times less loaded than another
+/// upstream to be chosen before it, so that it gets only requests that the others have no room for.
 const SUSPECT_FACTOR: f64 = 10.0;
 /// Age up to which a report of an open circuit breaker is acted on.
 const OPEN_BREAKER_REPORT_LIFE: Duration = Duration::from_secs(5);
-/// Age up to which a report or a late attempt makes an upstream a suspect; after that it is tried
-/// again.
+/// Age up to which a report, or an attempt that outlasted its hedging delay, makes an upstream a
+/// suspect. After that the upstream is tried again.
 const SUSPECT_LIFE: Duration = Duration::from_millis(1500);
 /// Age from which the anomaly score in a report says nothing about a change that all upstreams
 /// share.
@@ -65,14 +65,14 @@
 pub struct LoadView {
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether it is in the failure domain of the ingress.
+    /// Whether the upstream is in the failure domain of the ingress.
     pub is_local: bool,
     /// Whether its daemon can be reached.
     pub reachable: bool,
     /// Whether the link to its daemon is up again after a cut, but no probe has been answered
     /// since.
     pub proving: bool,
-    /// Whether it is draining, whoever reported it.
+    /// Whether the upstream is draining, whoever reported it.
     pub draining: bool,
     /// Requests of this ingress that are in flight there.
     pub own_in_flight: u32,
@@ -230,21 +230,21 @@
 /// `ChoiceGround` is the criterion by which an upstream was eligible.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceGround {
-    /// It is ejected or its circuit breaker is open, and a repeatable request tests whether it
-    /// works again.
+    /// The upstream is ejected or its circuit breaker is open, and a repeatable request tests
+    /// whether it works again.
     Trial,
     /// Too few upstreams have reported recently for a comparison, and this one has not.
     Explore,
-    /// It is in the failure domain of the ingress, not a suspect and not loaded.
+    /// The upstream is in the failure domain of the ingress, not a suspect and not loaded.
     Near,
-    /// It is not a suspect and has a free slot.
+    /// The upstream is not a suspect and has a free slot.
     Sound,
-    /// It is not a suspect, and the request queues there, as all upstreams that are no suspects are
-    /// full.
+    /// The upstream is not a suspect, and the request queues there, as all upstreams that are no
+    /// suspects are full.
     Waiting,
-    /// It is a suspect, but has idle slots, and the others would refuse the request.
+    /// The upstream is a suspect, but has idle slots, and the others would refuse the request.
     Idle,
-    /// It is in service, and none is better.
+    /// The upstream is in service, and none is better.
     Any,
     /// None is in service, and the link to this one is up again after a cut.
     Proving,
@@ -271,7 +271,7 @@
 pub struct RivalUpstream {
     /// Position of the upstream.
     pub index: usize,
-    /// Its cost, which is not lower than that of the chosen one.
+    /// Cost of the upstream, which is not lower than that of the chosen one.
     pub cost: f64,
 }
 
@@ -282,9 +282,9 @@
     pub index: usize,
     /// Whether the upstream may refuse, since others can serve the request within the floor.
     pub refusable: bool,
-    /// Why it was eligible.
+    /// Why the upstream was eligible.
     pub ground: ChoiceGround,
-    /// Its cost by load, service time, distance and suspicion.
+    /// Cost of the upstream by load, service time, distance and whether it is a suspect.
     pub cost: f64,
     /// The upstream that it was compared with, if another was drawn.
     pub rival: Option<RivalUpstream>,
@@ -318,7 +318,7 @@
     choices: u32,
     /// Buffer for the positions of eligible upstreams, reused so that a choice allocates nothing.
     candidates: Vec<usize>,
-    /// Buffer for the values of a median, reused for the same reason.
+    /// Buffer for the values of a median, reused so that computing the median allocates nothing.
     values: Vec<f64>,
 }
 
@@ -551,7 +551,8 @@
         let load = |view: &LoadView| view.load_share(terms.now);
         let has_room = |view: &LoadView| !terms.repeatable || self.has_queue_room(view, terms.now);
         let may_send = |index: usize| self.in_service(index) && request.may_choose(index);
-        let sound = |index: usize, view: &LoadView| may_send(index) && !view.is_suspect(terms);
+        let is_eligible =
+            |index: usize, view: &LoadView| may_send(index) && !view.is_suspect(terms);
         let known_full = |index: usize, view: &LoadView| {
             let is_known = request.is_last && request.full.contains(&index);
             is_known && self.in_service(index) && !view.is_suspect(terms) && has_room(view)
@@ -560,7 +561,7 @@
             return Some((ChoiceGround::Waiting, drawn));
         }
         let local = |index: usize, view: &LoadView| {
-            view.is_local && sound(index, view) && load(view) < LOCAL_LOAD_MAX
+            view.is_local && is_eligible(index, view) && load(view) < LOCAL_LOAD_MAX
         };
         if let Some(drawn) = self.draw(terms, rng, candidates, local) {
             return Some((ChoiceGround::Near, drawn));
@@ -576,7 +577,7 @@
         {
             return Some((ChoiceGround::Waiting, drawn));
         }
-        let free = |index: usize, view: &LoadView| sound(index, view) && load(view) < 1.0;
+        let free = |index: usize, view: &LoadView| is_eligible(index, view) && load(view) < 1.0;
         if let Some(drawn) = self.draw(terms, rng, candidates, free) {
             return Some((ChoiceGround::Sound, drawn));
         }
@@ -642,17 +643,17 @@
         let drawn = (0..DRAWN_UPSTREAMS).map(|_| rng.random_range(0..self.upstreams.len()));
         let oldest = drawn.min_by_key(|index| self.upstreams[*index].reported_at)?;
         let view = &self.upstreams[oldest];
-        // The report of an upstream with an unanswered request is not old for want of requests, so
-        // the upstream is not worth exploring.
+        // An upstream with an unanswered request has received requests. Its report is old because
+        // the answer is missing, so another request would bring no report either.
         let is_old = view.own_in_flight == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
-        let ramps = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
-        let fits = self.in_service(oldest) && !ramps && !view.is_suspect(terms);
-        (is_old && fits).then_some(oldest)
+        let is_ramping = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
+        let is_candidate = self.in_service(oldest) && !is_ramping && !view.is_suspect(terms);
+        (is_old && is_candidate).then_some(oldest)
     }
 
     /// Finds an upstream in the failure domain of the ingress whose circuit breaker is open and
-    /// whose trial is due. One that works again must not wait long for a request that happens to
-    /// test it, or too few upstreams of a service would get requests.
+    /// whose trial is due. An upstream that works again must not wait long for a request that
+    /// happens to test it, or too few upstreams of a service would get requests.
     fn due_breaker_trial(&self, now: Duration) -> Option<usize> {
         self.oldest_report(|index, view| {
             let age = now.saturating_sub(view.reported_at);
@@ -676,10 +677,10 @@
 
     /// Finds the eligible upstream whose last report is the oldest: after an inconclusive trial the
     /// next one is due at once, and must not keep other upstreams from their trials.
-    fn oldest_report(&self, fits: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
+    fn oldest_report(&self, is_eligible: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
         let views = self.upstreams.iter().enumerate();
-        let due = views.filter(|(index, view)| fits(*index, view));
-        due.min_by_key(|(_, view)| view.reported_at).map(|(index, _)| index)
+        let eligible = views.filter(|(index, view)| is_eligible(*index, view));
+        eligible.min_by_key(|(_, view)| view.reported_at).map(|(index, _)| index)
     }
 
     /// Returns the anomaly score from which an upstream stands out; its daemon uses the same bound.
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -39,7 +39,7 @@
 /// Answers that the report of one sibling counts as, at the least.
 const SIBLING_ANSWERS: u32 = 4;
 /// Multiple of the siblings' median anomaly score that is added to the bound of an upstream's own
-/// score: what all have in common is not the fault of one server.
+/// score: an anomaly that all upstreams share is not the fault of one server.
 const SIBLING_WEIGHT: f64 = 3.0;
 
 /// Returns the ejection threshold of a preference.
@@ -58,9 +58,9 @@
 
 /// Returns the time for which an upstream must stand out before it is ejected.
 ///
-/// Within it, the answers of the siblings arrive that distinguish a shared change from the fault of
-/// one server: it covers the typical service time, and the trip to the ingress and back with the
-/// next dispatch.
+/// The answers of the siblings, which distinguish a change that all servers share from the fault of
+/// one server, must arrive within this time. The time therefore covers the typical service time,
+/// the trip of the answers to the ingress, and the trip back with the next dispatch.
 fn confirm_time(prefer: EjectionPreference) -> Duration {
     match prefer {
         EjectionPreference::Detection => CONFIRM_DETECTION,
@@ -97,7 +97,8 @@
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// Whether the ingress can try another upstream if the circuit breaker of this one is open.
-    /// This takes no capacity out of service: the last upstream that is tried accepts the request.
+    /// Declining the request takes no capacity out of service, as the last upstream that is tried
+    /// accepts the request.
     pub passable: bool,
     /// What the ingress knows of the siblings.
     pub baseline: ServiceBaseline,
@@ -161,9 +162,9 @@
 pub enum WatchEnd {
     /// The request was answered, or made a nested call.
     Progressed,
-    /// It was given up before it was overdue.
+    /// The request was given up before it was overdue.
     GivenUp,
-    /// It ended without an answer, or was given up after it was recorded as overdue.
+    /// The request ended without an answer, or was given up after it was recorded as overdue.
     Recorded,
 }
 
@@ -332,8 +333,9 @@
         if let RequestEvidence::Answered(latency) = evidence {
             let stats = self.route_mut(route);
             if !was_overdue {
-                let late = stats.baseline.is_usable() && latency > stats.baseline.overdue_after();
-                stats.overdue.note(late);
+                let is_overdue =
+                    stats.baseline.is_usable() && latency > stats.baseline.overdue_after();
+                stats.overdue.note(is_overdue);
             }
             stats.latency.note(latency);
         }
@@ -408,21 +410,22 @@
             return Some(usual);
         }
         let latency = &stats.latency;
-        let own = UsualTime { median_ln: latency.centre(), spread: latency.spread() };
+        let observed = UsualTime { median_ln: latency.centre(), spread: latency.spread() };
         let samples = latency.samples();
         let objective = match objective {
             Some(objective) => objective,
-            None => return (samples >= USUAL_SAMPLES_MIN).then_some(own),
+            None => return (samples >= USUAL_SAMPLES_MIN).then_some(observed),
         };
         let siblings = stats.baseline.upstreams;
         if samples == 0 && siblings == 0 {
             // A route that no server has answered yet may be one that none can serve.
             return None;
         }
-        let seen = UsualTime { median_ln: stats.baseline.median_ln, spread: stats.baseline.spread };
-        let assumed =
-            UsualTime::of_objective(objective).corrected(&seen, siblings * SIBLING_ANSWERS);
-        Some(assumed.corrected(&own, samples))
+        let sibling_usual =
+            UsualTime { median_ln: stats.baseline.median_ln, spread: stats.baseline.spread };
+        let assumed = UsualTime::of_objective(objective)
+            .corrected(&sibling_usual, siblings * SIBLING_ANSWERS);
+        Some(assumed.corrected(&observed, samples))
     }
 
     /// Records that a request with this typical service time was sent to the upstream; returns its
@@ -507,8 +510,8 @@
         Some(HealthChange::Ejected { reason, sickness, after })
     }
 
-    fn stands_out(&self, sickness: f64) -> bool {
-        sickness >= score_bound(self.sibling_score)
+    fn stands_out(&self, score: f64) -> bool {
+        score >= score_bound(self.sibling_score)
     }
 
     /// Says whether the upstream is ejected.
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -9,16 +9,16 @@
 /// is as long, so that an answer often arrives first.
 pub const PROBE_AFTER: Duration = Duration::from_millis(150);
 /// Time without any frame after a probe from which a path counts as cut while its round trip is not
-/// known: four times the round trip between far regions (0.3 s). A cut of either direction looks
-/// the same from here, and makes the path useless.
+/// known: four times the round trip between far regions (0.3 s). A cut of either direction has the
+/// same effect at this end, and makes the path useless.
 pub const SILENCE_MAX: Duration = Duration::from_millis(1200);
-/// Lower bound of that time for a path whose round trip is known: a host that gets its share of a
-/// processor in slices of tenths of a second is silent for as long, and a lost packet is
+/// Lower bound of that time if the path's round trip is known: a host that gets its share of a
+/// processor in slices of tenths of a second sends nothing for as long, and a lost packet is
 /// retransmitted after 200 ms.
 pub const SILENCE_MIN: Duration = Duration::from_millis(350);
-/// Round trips of silence from which a path counts as cut.
+/// Round trips without any frame from which a path counts as cut.
 const SILENCE_ROUNDS: u32 = 4;
-/// Most answers in a row that are required of a flapping path before it is used again.
+/// Maximum number of consecutive answers that are required before a flapping path is used again.
 const ANSWERS_NEEDED_MAX: u32 = 32;
 /// Time without a cut after which the previous cuts of a path are forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
@@ -67,14 +67,14 @@
 
     /// Says whether the peer should be probed, and records the probe if so.
     pub fn probe(&mut self, now: Duration, in_use: bool) -> bool {
-        let silent = now.saturating_sub(self.received_at) >= PROBE_AFTER;
-        let wanted = self.was_cut || ((in_use || self.was_late) && silent);
-        if wanted && self.probed_at.is_none() {
+        let has_no_recent_frame = now.saturating_sub(self.received_at) >= PROBE_AFTER;
+        let should_probe = self.was_cut || ((in_use || self.was_late) && has_no_recent_frame);
+        if should_probe && self.probed_at.is_none() {
             self.probed_at = Some(now);
             return true;
         }
         // A path that is cut is probed again, since the first probe may be lost.
-        wanted && self.is_cut(now)
+        should_probe && self.is_cut(now)
     }
 
     /// Records that an attempt over the path outlasted its hedging delay. The attempt may be over
@@ -94,8 +94,8 @@
     /// Records a round trip to the peer.
     pub fn note_round_trip(&mut self, took: Duration) {
         // A longer round trip counts at once, shorter ones gradually.
-        let known = self.round_trip.unwrap_or(took);
-        self.round_trip = Some(took.max(known - known / 8));
+        let recent_longest = self.round_trip.unwrap_or(took);
+        self.round_trip = Some(took.max(recent_longest - recent_longest / 8));
     }
 
     /// Returns the longest of the recent round trips, if one was measured.
@@ -135,7 +135,7 @@
         self.probed_at.is_some_and(|probed_at| now.saturating_sub(probed_at) > self.silence_max())
     }
 
-    /// Returns the silence after a probe from which the path counts as cut.
+    /// Returns the time without any frame after a probe from which the path counts as cut.
     fn silence_max(&self) -> Duration {
         match self.round_trip {
             Some(round_trip) => (round_trip * SILENCE_ROUNDS).clamp(SILENCE_MIN, SILENCE_MAX),
@@ -151,8 +151,8 @@
 
     fn note_cut(&mut self, now: Duration) {
         if !self.was_cut {
-            let forgotten = now.saturating_sub(self.up_since) > FORGET_AFTER;
-            self.answers_needed = if forgotten || self.answers_needed == 0 {
+            let is_forgotten = now.saturating_sub(self.up_since) > FORGET_AFTER;
+            self.answers_needed = if is_forgotten || self.answers_needed == 0 {
                 1
             } else {
                 (self.answers_needed * 2).min(ANSWERS_NEEDED_MAX)
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -3,11 +3,11 @@
 
 //! Poison requests: those that fail at whichever upstream runs them.
 //!
-//! A failure that follows a request from one upstream to another is evidence against the request.
-//! The ingress that saw it marks later dispatches of the same request, so that their failures are
-//! not evidence against upstreams, also where no retry can show it: the budget is used up or the
-//! request is not repeatable. Failures that counted before the request was known to be poison are
-//! withdrawn.
+//! If a request fails at one upstream after another, this is evidence against the request. The
+//! ingress that saw the failures marks later dispatches of the same request, so that their failures
+//! are not evidence against upstreams. This also holds where no retry can show that the request is
+//! the cause, as the retry budget is used up or the request is not repeatable. Failures that
+//! counted before the request was known to be poison are withdrawn.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -17,8 +17,8 @@
 /// Requests remembered for one service: poison requests are rare, and one that is evicted is
 /// detected again from two failures.
 pub const POISON_MAX: usize = 32;
-/// Distinct upstreams at which a request must have failed before its failures are no evidence; a
-/// second one is also what withdraws the first failure of a retried request.
+/// Distinct upstreams at which a request must have failed before its failures are no evidence.
+/// The failure of a retry at a second upstream therefore also withdraws the first failure.
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
 /// Distinct upstreams at which a request must have failed before a retry only wastes the retry
 /// budget: two that fail at once are seen in practice, a third makes the request the likelier
@@ -62,8 +62,8 @@
     fn add(&mut self, upstream: U, counted: bool, now: Duration) {
         self.at = now;
         let count = u32::from(counted);
-        let known = self.failures.iter().position(|each| each.upstream == upstream);
-        if let Some(index) = known {
+        let position = self.failures.iter().position(|each| each.upstream == upstream);
+        if let Some(index) = position {
             self.failures[index].count += count;
         } else if counted || self.failures.len() < NO_RETRY_UPSTREAMS {
             self.failures.push(CountedFailures { upstream, count });
@@ -83,9 +83,9 @@
     }
 }
 
-/// `PoisonTable` remembers the requests to one service that recently failed, until one succeeds.
-/// It identifies upstreams in a way that stays valid when others come and go, as they do while
-/// servers fail.
+/// `PoisonTable` remembers the requests to one service that recently failed; a request is forgotten
+/// once a copy of it succeeds. `U` identifies an upstream and must stay valid when other upstreams
+/// are added or removed, as happens while servers fail.
 #[derive(Debug, Clone)]
 pub struct PoisonTable<U> {
     requests: Vec<FailedRequest<U>>,
@@ -128,7 +128,7 @@
             return known.take_counted();
         }
         if self.requests.len() >= POISON_MAX {
-            self.evict_weakest();
+            self.evict_least_failed();
         }
         let failures = vec![CountedFailures { upstream, count: u32::from(counted) }];
         self.requests.push(FailedRequest { request, failures, at: now });
@@ -137,18 +137,18 @@
 
     /// Records that one failure at an upstream was already withdrawn.
     pub fn note_withdrawn(&mut self, request: RequestHash, upstream: &U) {
-        let known = self.requests.iter_mut().filter(|each| each.request == request);
-        let failures = known.flat_map(|each| each.failures.iter_mut());
+        let same_request = self.requests.iter_mut().filter(|each| each.request == request);
+        let failures = same_request.flat_map(|each| each.failures.iter_mut());
         for failure in failures.filter(|failure| failure.upstream == *upstream) {
             failure.count = failure.count.saturating_sub(1);
         }
     }
 
-    /// Evicts the request that failed at the fewest upstreams, the oldest of those.
-    fn evict_weakest(&mut self) {
+    /// Evicts the request that failed at the fewest upstreams; of several, the oldest.
+    fn evict_least_failed(&mut self) {
         let requests = self.requests.iter().enumerate();
-        let weakest = requests.min_by_key(|(_, each)| (each.failures.len(), each.at));
-        if let Some((index, _)) = weakest {
+        let least_failed = requests.min_by_key(|(_, each)| (each.failures.len(), each.at));
+        if let Some((index, _)) = least_failed {
             self.requests.swap_remove(index);
         }
     }
@@ -170,8 +170,8 @@
 
     /// Returns the number of upstreams at which the request recently failed.
     pub fn failed_at(&self, request: RequestHash, now: Duration) -> usize {
-        let known = self.requests.iter().find(|each| each.request == request);
-        known
+        let record = self.requests.iter().find(|each| each.request == request);
+        record
             .filter(|each| now.saturating_sub(each.at) < POISON_LIFE)
             .map_or(0, |each| each.failures.len())
     }
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -4,15 +4,16 @@
 //! Load probes: decides whether to probe the load of upstreams before a request is sent, and which
 //! of them then gets it.
 //!
-//! What an ingress knows of an upstream is as old as its last answer from there. The workload is
+//! An ingress knows the load of an upstream only from the upstream's last answer. The workload is
 //! requests of tenths of a second at many upstreams of few slots, each of which an ingress uses
-//! less than once a second: there most of what is known is out of date, and requests that are sent
-//! on its basis are declined, or go over a path that has become black-holed. A probe costs a round
-//! trip and two small frames for each upstream.
+//! less than once a second. Most of the known loads are then out of date, so that requests are
+//! declined by upstreams that seemed to have room, or go over a path that has become black-holed. A
+//! probe costs a round trip and two small frames for each upstream.
 
 use std::time::Duration;
 
-/// Age up to which a report counts as fresh: a slot is taken or released a few times in it.
+/// Age up to which a report counts as fresh: within this time a slot is taken or released only a
+/// few times.
 pub const FRESH_FOR: Duration = Duration::from_millis(20);
 /// Fraction (one in this many) of the remaining time that a round trip may take for a probe to be
 /// worth it.
@@ -69,22 +70,22 @@
 /// `ProbedLoad` is the current state of an upstream, as answered to a probe.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProbedLoad {
-    /// Requests in its slots.
+    /// Requests in the slots of the upstream.
     pub in_flight: u32,
     /// Requests that wait for a slot.
     pub queued: u32,
     /// Slots of the upstream.
     pub slots: u32,
-    /// Whether its circuit breaker is open.
+    /// Whether the upstream's circuit breaker is open.
     pub doubtful: bool,
-    /// Whether it is draining.
+    /// Whether the upstream is draining.
     pub draining: bool,
-    /// Whether it is ejected.
+    /// Whether the upstream is ejected.
     pub ejected: bool,
 }
 
 impl ProbedLoad {
-    /// Says whether its daemon would decline a request that can go elsewhere.
+    /// Says whether the upstream's daemon would decline a request that can go elsewhere.
     pub fn declines(&self) -> bool {
         self.doubtful || self.draining || self.ejected || self.is_full()
     }
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -16,8 +16,9 @@
 pub const RAMP: Duration = Duration::from_secs(10);
 /// Share of its full load that an upstream gets at the beginning of the slow start.
 pub const RAMP_START: f64 = 0.1;
-/// Hold-offs without a repeatable request after which any request may be a trial.
-const ANY_REQUEST_HOLD_OFFS: u32 = 4;
+/// Number of hold-offs after which any request may be a trial, if no repeatable request arrived
+/// until then.
+const HOLD_OFFS_BEFORE_ANY_TRIAL: u32 = 4;
 /// Time in service, as a multiple of the hold-off, after which a previous ejection no longer
 /// lengthens the next.
 const FORGET_HOLD_OFFS: u32 = 10;
@@ -25,12 +26,12 @@
 /// `RecoveryState` says whether an upstream is in service or ejected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RecoveryState {
-    /// It is in service.
+    /// The upstream is in service.
     Serving {
         /// Start of the state.
         since: Duration,
     },
-    /// It is ejected and gets only trials.
+    /// The upstream is ejected and gets only trials.
     Ejected {
         /// Start of the state.
         since: Duration,
@@ -91,8 +92,8 @@
     pub fn eject(&mut self, now: Duration) {
         if let RecoveryState::Serving { since } = self.state {
             let in_service_for = now.saturating_sub(since);
-            let forgotten = in_service_for > self.hold_off * FORGET_HOLD_OFFS;
-            if self.ejections > 0 && !forgotten {
+            let is_forgotten = in_service_for > self.hold_off * FORGET_HOLD_OFFS;
+            if self.ejections > 0 && !is_forgotten {
                 self.hold_off = (self.hold_off * 2).min(HOLD_OFF_MAX);
             } else {
                 self.hold_off = HOLD_OFF_MIN;
@@ -118,7 +119,7 @@
 
     /// Starts a trial if one is due and says whether it did.
     pub fn start_trial(&mut self, now: Duration, repeatable: bool) -> bool {
-        let extra_wait = self.hold_off * (ANY_REQUEST_HOLD_OFFS - 1);
+        let extra_wait = self.hold_off * (HOLD_OFFS_BEFORE_ANY_TRIAL - 1);
         match &mut self.state {
             RecoveryState::Ejected { trial_at, running, .. } if !*running => {
                 let due = if repeatable { *trial_at } else { *trial_at + extra_wait };
@@ -167,8 +168,8 @@
             Some(start) => start,
             None => return 1.0,
         };
-        let done = now.saturating_sub(start).as_secs_f64() / RAMP.as_secs_f64();
-        (RAMP_START + (1.0 - RAMP_START) * done).clamp(RAMP_START, 1.0)
+        let elapsed_share = now.saturating_sub(start).as_secs_f64() / RAMP.as_secs_f64();
+        (RAMP_START + (1.0 - RAMP_START) * elapsed_share).clamp(RAMP_START, 1.0)
     }
 }
 
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -314,7 +314,7 @@
         let allowed = requests.min(1000) / 10 + 3;
         assert!(in_window <= allowed, "{in_window} of {allowed} at {now:?}");
     }
-    // Most of the budget can be used.
+    // Most of the retries that the budget allows can be made.
     assert!(repeats.len() > 850, "{}", repeats.len());
     let mut none = RetryBudget::new(BudgetTerms { share: 0.0, extra: 0.0, window: WINDOW });
     none.note_request(Duration::ZERO);
@@ -397,10 +397,12 @@
     let mut counts = vec![0; hosts.len()];
     for limit in 0..2000 {
         let name = format!("limit-{limit}");
-        let forward = limits::owner_of(&name, hosts.iter().map(String::as_str));
-        let back = limits::owner_of(&name, hosts.iter().rev().map(String::as_str));
-        assert_eq!(forward, back);
-        let owner = hosts.iter().position(|host| Some(host.as_str()) == forward).expect("an owner");
+        let owner_in_order = limits::owner_of(&name, hosts.iter().map(String::as_str));
+        let owner_in_reverse_order =
+            limits::owner_of(&name, hosts.iter().rev().map(String::as_str));
+        assert_eq!(owner_in_order, owner_in_reverse_order);
+        let owner =
+            hosts.iter().position(|host| Some(host.as_str()) == owner_in_order).expect("an owner");
         counts[owner] += 1;
     }
     assert!(counts.iter().all(|count| (50..=160).contains(count)), "{counts:?}");
@@ -547,8 +549,8 @@
         let index = view.choose(millis(at), &request, &mut rng).expect("an upstream").index;
         if index < 6 {
             tried[index] += 1;
-            // The server refuses the trial, which is no evidence of its health: the next is due at
-            // once.
+            // The server refuses the trial, which is no evidence of its health, so the next trial
+            // is due at once.
             view.note_report(index, 0, health, millis(at));
         }
     }
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -76,7 +76,7 @@
 pub struct KeptAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Media type.
+    /// Media type of the body.
     pub media_type: String,
     /// Body as text.
     pub body: String,
@@ -113,7 +113,7 @@
     /// The ledger can't be written. The request did not run, and no row remains that would keep a
     /// later attempt from running it.
     Unavailable,
-    /// It could not be determined whether the row was written.
+    /// The store's answer was lost, and it remained unknown whether the row was written.
     Unsettled,
 }
 
@@ -158,7 +158,7 @@
         })
     }
 
-    /// Returns the number of transactions so far.
+    /// Returns the number of transactions that the ledger has made.
     pub fn transactions(&self) -> u64 {
         self.transactions.get()
     }
@@ -313,10 +313,10 @@
     fn resolve_same_row(&self, row_key: &str, version: u64, entry: &LedgerEntry) {
         let row = TableRow { key: row_key.to_owned(), version, value: json!(entry) };
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        let (same, others): (VecDeque<_>, VecDeque<_>) =
+        let (same_row_claims, other_claims): (VecDeque<_>, VecDeque<_>) =
             waiting.into_iter().partition(|claim| claim.row_key == row_key && !claim.maybe_written);
-        *self.waiting.borrow_mut() = others;
-        for claim in same {
+        *self.waiting.borrow_mut() = other_claims;
+        for claim in same_row_claims {
             let outcome = resolve_claim(&claim, &row);
             // A caller that has disconnected needs no reply.
             let _ = claim.reply.send(outcome);
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -4,9 +4,9 @@
 //! The slots of one backend server and the queue of requests that wait for them.
 //!
 //! Slots are counted exactly. A request that can't be served in time is refused at once rather than
-//! near its deadline. A request waits in one of two ways: it was sent here and is queued, so that
-//! it is lost with this daemon; or it stays at its ingress and holds a reservation here and at
-//! other hosts, so that the loss of one costs it nothing.
+//! near its deadline. A request waits in one of two ways. Either it was sent here and is queued, so
+//! that it is lost if this daemon fails. Or it stays at its ingress and holds reservations here and
+//! at other hosts, so that the failure of one of these hosts costs it nothing.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -20,9 +20,9 @@
 use basaltarch_decide::order::{self, QueuedRequest};
 use basaltarch_decide::progress::ProgressTerms;
 
-/// Share of the time left until its deadline that a queued request may wait for a slot. One that
-/// has waited for longer seldom completes in time, and a caller that is refused by then can still
-/// try elsewhere.
+/// Share of the time until its deadline for which a queued request may wait for a slot. A request
+/// that has waited for longer seldom completes in time, and a caller that is refused by then can
+/// still try elsewhere.
 const WAIT_SHARE_MAX: f64 = 0.45;
 /// Reservations that can be held at once for each slot. A request holds several and uses one, so
 /// that the limit corresponds to the time that callers usually wait. Each reservation costs the
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Changes the number of slots and the limit of the queue; slots in use stay so until they are
-    /// released.
+    /// Changes the number of slots and the limit of the queue; slots in use stay in use until they
+    /// are released.
     pub fn configure(&self, slots: u32, limit: u32) {
         self.slots.set(slots);
         self.limit.set(limit);
@@ -256,13 +256,13 @@
             Err(_) => Err(NotRunReason::DeadlinePassed),
         };
         result?;
-        // From here on a guard of the caller releases what was granted.
+        // From here on, a guard that the caller builds releases the granted slot or offer.
         std::mem::forget(guard);
         Ok(())
     }
 
-    /// Returns how long a request may wait. The holder of a reservation releases it by itself when
-    /// it goes elsewhere.
+    /// Returns how long a request may wait. The holder of a reservation releases the reservation by
+    /// itself when the request is sent to another host.
     fn longest_wait(&self, kind: WaitKind, request: &SlotRequest) -> Duration {
         let time_left = request.scheduling.deadline.saturating_sub(self.clock.now());
         match kind {
@@ -450,10 +450,10 @@
     }
 }
 
-/// Refuses three kinds of requests: those that can no longer complete by their deadline; queued
-/// requests that miss their objective while others wait that can still meet theirs, as serving the
-/// former would make the latter miss it too; and reservations of requests that miss their objective
-/// and would wait too long behind those that meet it.
+/// Refuses three kinds of requests. The first can no longer complete by their deadline. The second
+/// are queued and miss their objective while other requests wait that can still meet theirs:
+/// serving the late requests would make the others late too. The third hold reservations, miss
+/// their objective, and would wait too long behind requests that meet theirs.
 fn refuse_unservable(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
     let meets_objective =
         |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.meets_objective(now);
@@ -497,7 +497,8 @@
         let mut waiting = self.queue.waiting.borrow_mut();
         waiting.retain(|waiter| !Rc::ptr_eq(waiter, self.waiter));
         drop(waiting);
-        // A slot or offer that was granted but not yet received would be lost.
+        // A slot or offer that was granted but not yet received has no guard of its own, so it
+        // would never be released.
         if self.waiter.state.get() == WaitState::Granted {
             match self.waiter.kind {
                 WaitKind::Reservation => self.queue.end_offer(),
@@ -507,14 +508,15 @@
     }
 }
 
-/// `OfferGuard` is the offer of a slot to a reservation: its request may be sent now.
+/// `OfferGuard` is the offer of a slot to a reservation. The request that holds the reservation may
+/// be sent now.
 pub struct OfferGuard {
     queue: Rc<SlotQueue>,
 }
 
 impl OfferGuard {
-    /// Acquires the slot for the request once it has arrived; it gets the next free slot before all
-    /// others.
+    /// Acquires the slot for the request once it has arrived. The request gets the next free slot
+    /// before all other requests.
     pub async fn start(self, request: SlotRequest) -> Result<SlotGuard, NotRunReason> {
         if self.queue.is_full() {
             self.queue.wait(WaitKind::Offered, request).await?;
