--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -22,8 +22,8 @@
 use crate::signal::RisingSignal;
 
 /// Shortest difference between the boot-time clock and the steady clock that counts as a suspend:
-/// they are read one after the other, and the daemon may be delayed in between. A shorter suspend
-/// is treated like any other delay.
+/// the two clocks are read in succession, and the daemon may be delayed in between. A shorter
+/// suspend is treated like any other delay.
 const SUSPEND_MIN: Duration = Duration::from_millis(50);
 
 /// `ClockError` is the reason why the clock could not be started.
--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -24,7 +24,7 @@
 pub enum TouchedServices {
     /// Every service may have changed.
     All,
-    /// These services and their upstreams.
+    /// Only these services or their upstreams may have changed.
     Some(Vec<Rc<str>>),
 }
 
@@ -159,7 +159,7 @@
             self.log_older(config.revision());
             return false;
         }
-        // The changes between the two revisions are not known here, so watches must restart.
+        // The changes between the old and the new revision are not known, so watches must restart.
         self.records.borrow_mut().clear();
         keep_unchanged(&self.active.borrow(), &mut next);
         *self.active.borrow_mut() = Rc::new(next);
--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -92,18 +92,18 @@
         self.changed.raise();
     }
 
-    /// Records whether the daemon is leaving.
+    /// Records whether the daemon of this path is leaving.
     pub fn note_leaving(&self, leaving: bool) {
         self.leaving.set(leaving);
     }
 
-    /// Returns whether the daemon is leaving.
+    /// Returns whether the daemon of this path is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// Records whether the link is silent: nothing arrives over it although it should. Returns the
-    /// previous value.
+    /// Records whether the link is black-holed: no frame arrives over it although the peer should
+    /// send some. Returns the previous value.
     pub fn note_silence(&self, is_silent: bool) -> bool {
         self.silent.replace(is_silent)
     }
--- a/crates/ctl/src/losses/record.rs
+++ b/crates/ctl/src/losses/record.rs
@@ -8,7 +8,7 @@
 /// `RequestEnd` is how a request ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// With the response of a backend server.
+    /// The caller got the response of a backend server.
     Answered {
         /// Status of the response.
         status: u64,
@@ -22,7 +22,7 @@
         /// Reason that was reported to the caller.
         reason: String,
     },
-    /// Without a response of a backend server.
+    /// The request failed without a response of a backend server.
     Failed {
         /// Whether the request certainly did not run at a backend server.
         not_run: bool,
--- a/crates/ctl/src/losses/server_health.rs
+++ b/crates/ctl/src/losses/server_health.rs
@@ -17,11 +17,12 @@
 /// `ServerHealth` is the state of a backend server in the view of its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ServerHealth {
-    /// It is in service.
+    /// The server is in service.
     Healthy,
-    /// Its circuit breaker is open: it declines requests while others can take them.
+    /// The server's circuit breaker is open: it declines requests that another server of the
+    /// service can take.
     BreakerOpen,
-    /// It is ejected: it is out of service.
+    /// The server is ejected, that is, out of service.
     Ejected,
 }
 
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -68,19 +68,19 @@
     Duration::from_secs_f64(period_s).max(POLL_MIN)
 }
 
-/// Reads the newest revision from the store, and the changes that are missing here.
+/// Reads the newest revision from the store, and the changes that this daemon lacks.
 pub async fn poll_once(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
     let (revision, _) = state.changes.head().await?;
     if revision > state.config.revision() {
         catch_up(state, revision).await?;
     } else if revision < state.config.revision() {
-        // The answer was stale. The later configuration here was accepted by the store, and stays
-        // in force.
+        // The answer was stale. The store had accepted the later configuration that is in force at
+        // this daemon, so it stays in force.
         metrics::OLD_REVISIONS.add_one();
     }
     state.config.mark_loaded();
-    // A stale answer does not confirm that the configuration here is the newest.
+    // A stale answer does not confirm that this daemon's configuration is the newest.
     if state.config.revision() == revision {
         state.freshness.note_store(asked_at);
     }
@@ -189,8 +189,8 @@
     }
 }
 
-/// Compares the revision of a peer with the own one: sends the peer the changes that it lacks, or
-/// asks it for those that are missing here.
+/// Compares the revision of a peer with that of this daemon: sends the peer the changes that it
+/// lacks, or asks it for the changes that this daemon lacks.
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let ours = state.config.revision();
     if state.options.source == ConfigSource::Document {
@@ -301,13 +301,13 @@
     if state.options.source == ConfigSource::Document {
         return document::adopt_snapshot(state, &peer.host, &bytes);
     }
-    let reading = match SnapshotReadGuard::take(state) {
+    let read_guard = match SnapshotReadGuard::take(state) {
         Some(guard) => guard,
         None => return,
     };
     let host = peer.host.clone();
     monoio::spawn(async move {
-        let state = &reading.state;
+        let state = &read_guard.state;
         match snapshot::read(&bytes, &async || yield_to_requests(state).await).await {
             Ok(config) => adopt(state, config).await,
             Err(error) => {
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -39,12 +39,13 @@
 use crate::roster::{self, RelayedRecord};
 use crate::state::DaemonState;
 
-/// Longest wait of a call: every daemon makes such calls, and the store charges for each, whether
-/// or not anything changed. The store waits no longer than 30 s.
+/// Longest wait of a long poll of the operator's table. It is long because every daemon makes such
+/// calls and the store charges for each, whether or not anything changed. The store waits no longer
+/// than 30 s.
 const WAIT_MAX: Duration = Duration::from_secs(28);
-/// How the operator's table is followed. Failed calls cost as much as others, and after an outage,
-/// the first daemon that reads a change announces it to the others, so that retries every 1.5 s are
-/// enough.
+/// How the operator's table is followed. A failed call costs as much as a successful one. After an
+/// outage, the first daemon that reads a change announces it to the other daemons, so that retries
+/// every 1.5 s are enough.
 const FEED: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
@@ -148,11 +149,11 @@
 /// `DocumentOutcome` is what became of a received document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DocumentOutcome {
-    /// It is in force, or was already.
+    /// The document is in force, or was already.
     InForce,
-    /// It is older than the one in force and was ignored.
+    /// The document is older than the one in force and was ignored.
     Outdated,
-    /// It can't be read.
+    /// The document can't be read.
     Unreadable,
 }
 
@@ -357,8 +358,8 @@
             state.document.stale_call.raise();
             let seen = state.config.changed().get();
             let pull = ChangePull { after: state.config.revision().0 as i64 };
-            // The peer announces its revision again until this daemon has it, so that a lost answer
-            // is asked for again.
+            // If the answer is lost, the document is pulled again: the peer announces its revision
+            // until this daemon has it.
             let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
             let _ = monoio::time::timeout(PULL_TIMEOUT, state.config.changed().above(seen)).await;
         }
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -65,13 +65,13 @@
         self.note(FreshConfirmation { valid_at, source: ConfirmationSource::Store });
     }
 
-    /// Records that the store has a later configuration that can't be put in force here.
+    /// Records that the store has a later configuration that this daemon can't put in force.
     pub fn note_outdated(&self) {
         self.known.borrow_mut().note_outdated();
     }
 
-    /// Records that the latest configuration can be put in force after all, or that a later one has
-    /// replaced it.
+    /// Records that the configuration which [`Self::note_outdated`] reported can be put in force
+    /// now, or that a later configuration has replaced it.
     pub fn note_readable(&self) {
         self.known.borrow_mut().note_readable();
     }
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -38,8 +38,8 @@
 /// body that was ready together with its head arrives within a few milliseconds; a body that is
 /// still being produced must not be held back.
 const BUFFER_TIME: Duration = Duration::from_millis(150);
-/// Largest number of responses that are read to find the one to the request: a surplus response to
-/// an earlier request, the expected response, and one more as a margin.
+/// Largest number of responses that are read to find the response to the request: a surplus
+/// response to an earlier request, the expected response, and one more as a margin.
 const RESPONSES_MAX: usize = 3;
 
 /// `AttemptFault` says how an attempt failed after the request was sent.
@@ -128,7 +128,7 @@
     pub has_succeeded: Cell<bool>,
     /// Whether the request was recorded as overdue.
     pub was_overdue: Cell<bool>,
-    /// Whether its end was recorded.
+    /// Whether the end of the attempt was recorded.
     pub is_recorded: Cell<bool>,
     /// Whether the connection can be reused after a refusal.
     pub reusable: Cell<bool>,
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -274,7 +274,7 @@
         trace::note(self.state, self.request, step);
     }
 
-    /// Ends with the successful answer of a slow attempt.
+    /// Ends the request with the successful answer of a slow attempt.
     fn end_slow(&self, attempt: SlowAttempt, head: AnswerHead) -> AttemptEnd {
         let SlowAttempt { start, live } = attempt;
         self.note_report(start.index, &head.report, Some(false));
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -157,11 +157,11 @@
                     let index = reservation.index;
                     let reason = self.note_refused(reservation, &failure);
                     match reason {
-                        // These hosts are not excluded: if another host offers a slot and the
-                        // request fails there, they may have room by then.
+                        // A host with such a refusal is not excluded: if another host offers a
+                        // slot and the request fails there, the refusing host may have room.
                         NotRunReason::QueueFull | NotRunReason::Unproven => full.push(index),
-                        // These hosts are not excluded either: the request itself is still sent
-                        // there when no other upstream remains.
+                        // An unhealthy host is not excluded either: the request itself is still
+                        // sent to it when no other upstream remains.
                         NotRunReason::Unhealthy => unhealthy.push(index),
                         _ => self.excluded.push(index),
                     }
@@ -315,7 +315,7 @@
         }
         let reason = match FailureOutcome::from_wire(failure.outcome) {
             FailureOutcome::NotRun(reason) => reason,
-            // Only a reservation was held there, so the request has not run even if the host
+            // The host held only a reservation, so the request has not run even if the host
             // failed.
             FailureOutcome::Unknown(_) => NotRunReason::PeerUnreachable,
         };
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -181,11 +181,11 @@
 /// `StepEnd` is how an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepEnd {
-    /// With the head of an answer of this status.
+    /// The attempt ended with the head of an answer of this status.
     Answered(u16),
     /// The attempt is slow; it continues, and a hedge is sent beside it.
     Hedged,
-    /// Without an answer.
+    /// The attempt ended without an answer.
     Failed(FailureOutcome),
     /// The caller disconnected.
     CallerGone,
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -161,12 +161,14 @@
 /// `FleetStart` says whether this daemon may have started together with all other daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetStart {
-    /// It started a moment ago and for the first time, so that no tokens were granted before.
+    /// The daemon started a moment ago and for the first time, so that no tokens were granted
+    /// before.
     First,
-    /// It started a moment ago, and not for the first time. If all daemons were killed at once,
-    /// their earlier grants are no longer known, and a whole burst would be a second one.
+    /// The daemon started a moment ago, and not for the first time. If all daemons were killed at
+    /// once, their earlier grants are no longer known, and granting a whole burst could grant it a
+    /// second time.
     Restart,
-    /// It started longer ago.
+    /// The daemon started longer ago.
     Settled,
 }
 
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -227,8 +227,8 @@
     let state = state.clone();
     let entry = entry.clone();
     let done = signal.clone();
-    // Runs in a task of its own, so that a caller that disconnects does not leave the other
-    // requests waiting.
+    // The token request runs in a task of its own: if it belonged to the request of a caller that
+    // disconnects, the other requests would wait in vain.
     monoio::spawn(async move {
         request_from_any(&state, &entry, wanted).await;
         set_pending_request(&state, &entry, None);
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -47,11 +47,11 @@
 /// `MemberState` is the assumed state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// Its latest known heartbeat is recent.
+    /// The member's latest known heartbeat is recent.
     Live,
-    /// Its latest known heartbeat is older than the suspect time.
+    /// The member's latest known heartbeat is older than the suspect time.
     Suspect,
-    /// It announced that it is leaving.
+    /// The member announced that it is leaving.
     Leaving,
 }
 
@@ -235,8 +235,8 @@
             failure_domain: String::new(),
             peer_address: address.to_string(),
             admin_address: String::new(),
-            // One less than the actual incarnation, so that the daemon's own entry, which follows
-            // in a heartbeat, takes precedence and fills in the other fields.
+            // The stored incarnation is one less than the actual one, so that the daemon's own
+            // entry, which follows in a heartbeat, replaces this view and fills in its fields.
             incarnation: peer.incarnation.saturating_sub(1),
             last_heartbeat_at: state.now(),
             leaving: false,
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -93,8 +93,8 @@
         is_later
     }
 
-    /// Returns the incarnation that a deregistration is about: the one it names, or else the known
-    /// one.
+    /// Returns the incarnation that a deregistration is about: the incarnation that it names, or
+    /// else the current incarnation of the server.
     fn departing_incarnation(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
         let trackers = self.trackers.borrow();
         let known = trackers.get(&incarnation.server).and_then(IncarnationTracker::current);
@@ -341,7 +341,8 @@
 /// has left, or the latest recovered record does not list it as in use.
 fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
-    // A heartbeat that the server has sent in the meantime takes precedence.
+    // If a heartbeat of the server or of its replacement has arrived since recovery started, that
+    // registration is kept instead of the recovered record.
     let own_name = incarnation::server_of(&server.name);
     let is_known = servers.iter().any(|known| {
         incarnation::server_of(&known.name) == own_name || known.address == server.address
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -332,7 +332,7 @@
 }
 
 /// Sends a daemon the record of its previous incarnation, if no record of its current incarnation
-/// is known here.
+/// is known to this daemon.
 pub fn send_previous_record(state: &DaemonState, sender: &FrameSender, peer: &PeerIdentity) {
     let records = state.roster.records.borrow();
     let known = records.get(&peer.host);
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -39,8 +39,8 @@
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
     failure_pause_max: FAILURE_PAUSE_MAX,
-    // Two daemons of a failure domain read for all others, so a call of theirs on a black-holed
-    // connection must end soon.
+    // Two daemons of a failure domain read the store for all its daemons, so their calls must end
+    // soon on a black-holed connection.
     wait_max: FEED_WAIT,
 };
 /// Daemons of a failure domain that follow the feed: one may be unreachable before this is
@@ -68,7 +68,7 @@
 /// `RowsRelay` is this daemon's part in reading the rows and relaying them.
 #[derive(Default)]
 pub struct RowsRelay {
-    /// Version of the table that is known here.
+    /// Version of the table of hosts up to which this daemon has applied the changes.
     version: Cell<u64>,
     /// Whether the store answered this daemon's last call for the rows.
     is_reading: Cell<bool>,
@@ -203,7 +203,8 @@
         subscribers.retain(|subscriber| {
             let try_send =
                 || subscriber.sender.send(NO_EXCHANGE, FrameBody::RowsNews(news.clone()));
-            // A subscriber that is gone or has a new link asks again.
+            // A subscriber that can't be sent to is dropped: a daemon that still runs subscribes
+            // again over its new link.
             subscriber.expires_at > now && try_send().is_ok()
         });
     }
@@ -285,14 +286,14 @@
         return;
     }
     metrics::ROWS_CALLS.add_one();
-    // If the store does not answer, the next message of a reader raises the same signal.
+    // If the store does not answer, the next message of a reader raises `gap` again.
     if let Ok(FeedUpdate::Whole(page)) = reader.read_whole(state).await {
         adopt_table(state, &page);
     }
 }
 
 /// Asks the readers of the own failure domain for changes, for ever. A reader that gets no answer
-/// from the store asks the other one.
+/// from the store asks the other reader.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(RENEW_INTERVAL).await;
@@ -343,12 +344,11 @@
     subscribers.retain(|known| known.host != peer.host);
     subscribers.push(subscriber);
     let news = state.rows.changes_after(request.version);
-    // A peer that is gone needs no answer.
+    // A send error is ignored: a peer whose link has ended needs no answer.
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
-/// Applies changes that a peer sent, unless they are already known or earlier changes are missing
-/// here.
+/// Applies changes that a peer sent, unless this daemon has them already or lacks earlier changes.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: RowsNews) {
     if news.version == RELAYED_VERSION && !news.rows.is_empty() {
         let relayed = news.rows.iter().filter_map(|note| relayed_record(peer, note));
@@ -386,7 +386,8 @@
         rows: vec![row],
         forgotten: false,
     };
-    // A peer that is gone reads the store later, or gets the record from others.
+    // A send error is ignored: a peer whose link has ended reads the store later, or gets the
+    // record from other daemons.
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -42,7 +42,7 @@
     /// Signals of the system: SIGTERM drains, however often it comes. SIGINT does too, but ends the
     /// daemon at once if it is stopping already.
     Signals,
-    /// Only the admin API and [`stop::StopState::asked`].
+    /// Only the admin API and [`stop::StopState::asked`]; signals of the system are not handled.
     Api,
 }
 
@@ -129,7 +129,7 @@
     .log();
 }
 
-/// Raises a signal of the state at each signal of the system, for ever.
+/// Raises the signal that `choose` returns for each signal of the system, for ever.
 async fn raise_on(
     mut signals: SignalStream,
     state: Rc<DaemonState>,
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -485,8 +485,8 @@
     }
 }
 
-/// Returns the view of an upstream in a rebuilt service: the known view with the new slots and
-/// locality, or `fresh` if the upstream is new.
+/// Returns the view of an upstream in a rebuilt service: the view in `known`, the previous state of
+/// the service, with the new slots and locality, or `fresh` if the upstream is new.
 fn carried_over_view(known: Option<&ServiceState>, name: &str, fresh: LoadView) -> LoadView {
     let known = match known {
         Some(known) => known,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -162,7 +162,8 @@
 }
 
 /// Returns the deadline of a request that is admitted now. After the stop has closed, only nested
-/// calls of requests that run here are admitted, and those requests are given up at that time.
+/// calls of requests that run at this daemon are admitted, and those requests are given up at the
+/// returned time.
 pub fn bounded_deadline(state: &DaemonState, deadline: Duration) -> Duration {
     match state.stop.begun.get() {
         Some(begin) if state.stop.is_closed() => {
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -222,8 +222,8 @@
     let _ = sender.send(NO_EXCHANGE, FrameBody::SuspectNews(SuspectNews { suspects }));
 }
 
-/// Records the notices of another daemon, and forwards those that are new here. A sender that has
-/// not learnt of a successful run of a request gets the newer notice in return.
+/// Records the notices of another daemon, and forwards those that are new to this daemon. A sender
+/// that has not learnt of a successful run of a request gets the newer notice in return.
 pub fn handle_news(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
@@ -262,7 +262,7 @@
     }
 }
 
-/// Records notices and returns those that are new here.
+/// Records notices and returns those that are new to this daemon.
 fn record_notices(
     state: &Rc<DaemonState>,
     notices: &[SuspectNotice],
@@ -286,8 +286,8 @@
     added
 }
 
-/// Compares the digest of a peer with the own one, and sends the peer all that is known here if
-/// they differ.
+/// Compares the digest of a peer with that of this daemon, and sends the peer all notices if the
+/// digests differ.
 pub fn handle_digest(state: &DaemonState, sender: &FrameSender, digest: Option<i64>) {
     if state.suspects.digest() != digest && !state.suspects.is_empty() {
         send(sender, &state.suspects.notices(state.now()));
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -163,8 +163,8 @@
     assert!(requests >= 300, "{requests} requests");
 }
 
-/// Without a confirmation from store or peers, known routes are served and unknown ones refused as
-/// not run.
+/// Without a confirmation from the store or a peer, requests for known routes are served and
+/// requests for unknown routes are refused as not run.
 #[test]
 fn verify_an_unknown_route_is_not_reported_missing_without_confirmation() {
     let proxied = ProxiedFleet::start("4000");
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -152,7 +152,7 @@
     end: &str,
     expected_events: &[&str],
 ) {
-    // Once with every request logged from its start, and once with only failures logged.
+    // The limit `1000000` logs every request from its start, and `0` logs only failures.
     for requests in ["1000000", "0"] {
         let fleet = fleet_logging(2, requests);
         let id = format!("harmed-{requests}");
@@ -173,7 +173,7 @@
 #[test_case(all_leave, "refused (no-upstream)" ; "all servers leave")]
 #[test_case(caller_leaves, "caller gone" ; "the caller leaves")]
 fn verify_losses_name_the_cause_of_each_failure(inject: FaultInjector, cause: &str) {
-    // Once with every request logged from its start, and once with only failures logged.
+    // The limit `1000000` logs every request from its start, and `0` logs only failures.
     for requests in ["1000000", "0"] {
         let fleet = fleet_logging(2, requests);
         inject(&fleet, &format!("lost-{requests}"));
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -185,8 +185,8 @@
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
     fleet.wait_revision(5);
-    // A second fault at the same time: an answer to a write of the store is lost, and the daemon
-    // that accepted the change is killed.
+    // A second fault during the cut: the store's answer to a write is lost, and the daemon that
+    // accepted the change is killed.
     fleet.platform.set_faults(json!({"lose_write_answers": 1}));
     let reply = put_organisation(&fleet.daemons[1], "second", "t", ("If-None-Match", "*"));
     assert_eq!(reply.status, 200, "{}", reply.text());
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -90,8 +90,8 @@
     settings::checked(flag, given, default, &allowed, |value| (min..=max).contains(value))
 }
 
-/// Reads an amount from `min` to `max` that the platform may scale, so that it can have a fraction.
-/// It is rounded down, so that no granted amount is exceeded.
+/// Reads an amount from `min` to `max`. The platform may scale the amount, so it can have a
+/// fraction. It is rounded down, so that no granted amount is exceeded.
 pub fn amount(
     flag: &str,
     given: Option<String>,
