--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -231,12 +231,12 @@
     for record in reply["records"].as_array().into_iter().flatten() {
         for change in record["changes"].as_array().into_iter().flatten() {
             let mut row = tables::cells(record, &["revision", "at", "actor", "from"]);
-            let what = match (change["before"].is_null(), change["after"].is_null()) {
+            let action = match (change["before"].is_null(), change["after"].is_null()) {
                 (true, _) => "made",
                 (_, true) => "deleted",
                 _ => "changed",
             };
-            row.push(what.to_owned());
+            row.push(action.to_owned());
             let (kind, name) = (tables::cell(&change["kind"]), tables::cell(&change["name"]));
             row.push(format!("{kind}/{name}"));
             rows.push(row);
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -47,9 +47,9 @@
     }
     let upstreams: BTreeSet<String> =
         history.lines.iter().map(|line| line.text("upstream").to_owned()).collect();
-    let times: Vec<f64> = history.lines.iter().filter_map(LogLine::seconds).collect();
-    let first = times.iter().copied().fold(f64::INFINITY, f64::min);
-    let last = times.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let times_s: Vec<f64> = history.lines.iter().filter_map(LogLine::seconds).collect();
+    let first = times_s.iter().copied().fold(f64::INFINITY, f64::min);
+    let last = times_s.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     history.lines.extend(upstream_lines.into_iter().filter(|line| {
         let is_near = |at: f64| at >= first - LEAD_TIME_S && at <= last;
         upstreams.contains(line.text("upstream")) && line.seconds().is_some_and(is_near)
--- a/crates/ctl/src/losses/record.rs
+++ b/crates/ctl/src/losses/record.rs
@@ -111,8 +111,8 @@
     }
 
     fn attempt_mut(&mut self, upstream: &str) -> &mut AttemptRecord {
-        let known = self.dispatched.iter().position(|attempt| attempt.upstream == upstream);
-        let index = known.unwrap_or_else(|| {
+        let known_index = self.dispatched.iter().position(|attempt| attempt.upstream == upstream);
+        let index = known_index.unwrap_or_else(|| {
             self.dispatched
                 .push(AttemptRecord { upstream: upstream.to_owned(), ..AttemptRecord::default() });
             self.dispatched.len() - 1
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -158,14 +158,14 @@
     /// as a trial, and the copy is not refused.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
         let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
-        let known = match self.state.suspects.is_empty() {
+        let known_tally = match self.state.suspects.is_empty() {
             true => CrashTally::default(),
             false => self.state.suspects.tally(&self.fingerprint()),
         };
-        if known.is_refused() && known > reported {
+        if known_tally.is_refused() && known_tally > reported {
             return Err(NotRunReason::CrashesServers);
         }
-        self.tally.set(known.max(reported));
+        self.tally.set(known_tally.max(reported));
         Ok(())
     }
 
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -157,7 +157,7 @@
                 attempts.log_end(&start, StepEnd::CallerGone, None, NextStep::End);
                 return AttemptEnd::CallerGone;
             }
-            FirstEvent::SlowAnswer(attempt, head) => return attempts.end_slow(attempt, head),
+            FirstEvent::SlowAnswer(attempt, head) => return attempts.end_with_slow(attempt, head),
             FirstEvent::Stopping => {
                 let outcome = FailureOutcome::Unknown(UnknownReason::DaemonStopped);
                 attempts.log_end(&start, StepEnd::Failed(outcome), None, NextStep::End);
@@ -275,7 +275,7 @@
     }
 
     /// Ends the request with the successful answer of a slow attempt.
-    fn end_slow(&self, attempt: SlowAttempt, head: AnswerHead) -> AttemptEnd {
+    fn end_with_slow(&self, attempt: SlowAttempt, head: AnswerHead) -> AttemptEnd {
         let SlowAttempt { start, live } = attempt;
         self.note_report(start.index, &head.report, Some(false));
         self.note_end(start.index, &live, false);
@@ -297,7 +297,7 @@
         if !slow.is_empty() {
             let (time_left, outcome) = (self.time_left(), failure.outcome);
             match waiting::last_event(self.state, time_left, stream, slow, outcome).await {
-                FirstEvent::SlowAnswer(attempt, head) => return self.end_slow(attempt, head),
+                FirstEvent::SlowAnswer(attempt, head) => return self.end_with_slow(attempt, head),
                 FirstEvent::CallerGone => return AttemptEnd::CallerGone,
                 _ => {}
             }
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -192,10 +192,10 @@
 fn eligible_hosts(state: &DaemonState) -> Vec<String> {
     let started_by = units::wall_millis() as i64 - OWNER_AGE_MIN.as_millis() as i64;
     let now = state.now();
-    let own = &state.options.host;
+    let own_host = &state.options.host;
     let mut hosts = state.members.live_hosts(state);
-    hosts.retain(|host| host == own || !state.peers.path(host).is_lost(now));
-    let is_old_enough = |host: &String| match host == own {
+    hosts.retain(|host| host == own_host || !state.peers.path(host).is_lost(now));
+    let is_old_enough = |host: &String| match host == own_host {
         true => state.identity.incarnation <= started_by,
         false => state.members.incarnation(host) <= started_by,
     };
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -102,8 +102,9 @@
     /// Lists the limits that a request counts towards.
     fn limits(self, active: &'a ActiveConfig) -> impl Iterator<Item = &'a Rc<LimitEntry>> {
         let organisation = self.organisation.map(|name| (LimitScope::Organisation, name));
-        let keys = [(LimitScope::Service, self.service), (LimitScope::Route, self.route)];
-        keys.into_iter()
+        let scoped_targets = [(LimitScope::Service, self.service), (LimitScope::Route, self.route)];
+        scoped_targets
+            .into_iter()
             .chain(organisation)
             .flat_map(|(scope, target)| active.limits_of(scope, target))
     }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -137,11 +137,11 @@
 
     /// Returns the live hosts of the own failure domain, including this one unless it is leaving.
     pub fn live_in_domain(&self, state: &DaemonState) -> Vec<String> {
-        let own = &state.options.failure_domain;
+        let own_domain = &state.options.failure_domain;
         let mut local = self.live_hosts(state);
         let members = self.members.borrow();
         let is_local =
-            |host: &String| members.get(host).is_none_or(|view| view.failure_domain == *own);
+            |host: &String| members.get(host).is_none_or(|view| view.failure_domain == *own_domain);
         local.retain(is_local);
         local
     }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -41,7 +41,7 @@
 pub const HOSTS_TABLE: &str = "hosts";
 /// Longest pause after consecutive failed calls to the store: what changed during an outage of the
 /// store must be known within about two seconds of its end.
-pub const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(2000);
+pub const FAILED_CALL_PAUSE_MAX: Duration = Duration::from_millis(2000);
 /// Time for which a starting daemon waits for the backend server on its host before it writes its
 /// row without one: a little longer than the usual time between two heartbeats.
 const FIRST_SERVER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -538,7 +538,7 @@
 
 /// Writes this daemon's row whenever its record has changed, for ever.
 pub async fn publish(state: Rc<DaemonState>) {
-    let mut backoff = RetryBackoff::with_max_delay(FAILURE_PAUSE_MAX);
+    let mut backoff = RetryBackoff::with_max_delay(FAILED_CALL_PAUSE_MAX);
     await_first_server(&state).await;
     loop {
         let seen = state.roster.changed.get();
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -29,7 +29,7 @@
 
 use crate::feed::{FeedPlan, FeedReader, FeedUpdate};
 use crate::links;
-use crate::roster::{self, RelayedRecord, FAILURE_PAUSE_MAX, HOSTS_TABLE};
+use crate::roster::{self, RelayedRecord, FAILED_CALL_PAUSE_MAX, HOSTS_TABLE};
 use crate::state::DaemonState;
 
 /// How the feed is followed. Changes in quick succession, as when a fleet starts, are read in one
@@ -38,7 +38,7 @@
 const FEED: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
-    failure_pause_max: FAILURE_PAUSE_MAX,
+    failure_pause_max: FAILED_CALL_PAUSE_MAX,
     // Two daemons of a failure domain read the store for all its daemons, so their calls must end
     // soon on a black-holed connection.
     wait_max: FEED_WAIT,
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -98,11 +98,11 @@
     let state = DaemonState::try_new(options).map_err(|source| DaemonError::Clock { source })?;
     if let StopRequests::Signals = stops {
         let signals = SignalStream::stops().map_err(start)?;
-        monoio::spawn(raise_on(signals, state.clone(), |state| &state.stop.asked));
+        monoio::spawn(relay_signals(signals, state.clone(), |state| &state.stop.asked));
         let signals = SignalStream::interrupts().map_err(start)?;
-        monoio::spawn(raise_on(signals, state.clone(), |state| state.stop.interrupt_signal()));
+        monoio::spawn(relay_signals(signals, state.clone(), |state| state.stop.interrupt_signal()));
         let signals = SignalStream::reloads().map_err(start)?;
-        monoio::spawn(raise_on(signals, state.clone(), |state| &state.reloading));
+        monoio::spawn(relay_signals(signals, state.clone(), |state| &state.reloading));
     }
     log_listening(&state);
     start_tasks(&state, listeners);
@@ -130,7 +130,7 @@
 }
 
 /// Raises the signal that `choose` returns for each signal of the system, for ever.
-async fn raise_on(
+async fn relay_signals(
     mut signals: SignalStream,
     state: Rc<DaemonState>,
     choose: fn(&DaemonState) -> &RisingSignal,
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -90,18 +90,19 @@
     pub fn own_records(&self, now: Duration) -> Vec<RefusedRecord> {
         let crashed_here = self.crashed_here.borrow();
         let notices = self.notices(now).into_iter();
-        let own = notices
+        let own_notices = notices
             .filter(|notice| {
                 notice.tally.is_refused() && crashed_here.contains(&notice.fingerprint)
             })
             .take(ROW_RECORDS_MAX);
-        own.map(|notice| RefusedRecord {
-            fingerprint: notice.fingerprint.to_string(),
-            round: notice.tally.round,
-            crashes: notice.tally.crashes,
-            upstream: notice.upstream.to_string(),
-        })
-        .collect()
+        own_notices
+            .map(|notice| RefusedRecord {
+                fingerprint: notice.fingerprint.to_string(),
+                round: notice.tally.round,
+                crashes: notice.tally.crashes,
+                upstream: notice.upstream.to_string(),
+            })
+            .collect()
     }
 }
 
--- a/crates/daemon/tests/common/stops.rs
+++ b/crates/daemon/tests/common/stops.rs
@@ -19,7 +19,7 @@
     /// Checks that the request ran exactly once if it was served, and never if it was refused or
     /// got no reply.
     pub fn check(&self, fleet: &TestFleet) {
-        let ran = fleet.run_count(&self.id);
+        let runs = fleet.run_count(&self.id);
         let expected = match &self.reply {
             Some(reply) if reply.status == 200 && reply.complete => 1,
             Some(reply) => {
@@ -29,7 +29,7 @@
             None => 0,
         };
         assert_eq!(
-            ran, expected,
+            runs, expected,
             "wrong number of runs of {}, whose reply is {:?}",
             self.id, self.reply
         );
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -139,10 +139,11 @@
     let reply = fleet.request(0, "GET", "/", &headers, "");
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("connection").as_deref(), Some("close"));
-    let seen = fleet.backends.iter().map(|b| b.runs()["last_head"].to_string()).collect::<String>();
-    assert!(seen.contains("198.51.100.7, 127.0.0.1"), "{seen}");
-    assert!(!seen.contains("x-private"), "{seen}");
-    assert!(seen.contains("basaltarch-deadline-ms"), "{seen}");
+    let last_heads =
+        fleet.backends.iter().map(|b| b.runs()["last_head"].to_string()).collect::<String>();
+    assert!(last_heads.contains("198.51.100.7, 127.0.0.1"), "{last_heads}");
+    assert!(!last_heads.contains("x-private"), "{last_heads}");
+    assert!(last_heads.contains("basaltarch-deadline-ms"), "{last_heads}");
 }
 
 /// Time-out of the route by which a test transfers 1 GiB. On a busy machine the transfer took over
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -272,7 +272,7 @@
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &extra_flags);
     assert_eq!(fleet.send_heartbeat(0, false).status, 200);
     fleet.wait_served(0, &[0]);
-    let begin = Instant::now();
+    let started_at = Instant::now();
     for number in 0..300 {
         send_request(&fleet, "GET", "/safe/x", &format!("good-{number}"));
         send_request(&fleet, "GET", "/nowhere/x", &format!("bad-{number}"));
@@ -280,7 +280,7 @@
     eventually("the log reports the requests that it left out", || {
         fleet.daemons[0].log_text().contains("requests not logged")
     });
-    let logged_seconds = begin.elapsed().as_secs() + 2;
+    let logged_seconds = started_at.elapsed().as_secs() + 2;
     let text = fleet.daemons[0].log_text();
     let mut lines: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     for line in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
@@ -339,10 +339,13 @@
     });
     // Once the pipe is read, the log continues and reports the lines that were dropped.
     let mut output = fleet.daemons[0].output.take().expect("pipe");
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let mut line = String::new();
     while !line.contains("log lines dropped") {
-        assert!(begin.elapsed() < Duration::from_secs(40), "the log does not report dropped lines");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(40),
+            "the log does not report dropped lines"
+        );
         line.clear();
         output.read_line(&mut line).expect("output");
     }
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn pay(fleet: &TestFleet, daemon: usize, key: &str, body: &str) -> client::Reply {
+fn send_payout(fleet: &TestFleet, daemon: usize, key: &str, body: &str) -> client::Reply {
     let headers = [("Idempotency-Key", key), ("x-request-id", key)];
     fleet.request(daemon, "POST", "/payouts", &headers, body)
 }
@@ -19,10 +19,10 @@
 #[test]
 fn verify_a_duplicate_request_gets_the_recorded_answer() {
     let fleet = TestFleet::start(&FleetPlan { backends: 4, ..FleetPlan::default() });
-    let first = pay(&fleet, 0, "key-1", "amount=5");
+    let first = send_payout(&fleet, 0, "key-1", "amount=5");
     assert_eq!(first.status, 200);
     eventually("the answer is recorded", || {
-        let reply = pay(&fleet, 1, "key-1", "amount=5");
+        let reply = send_payout(&fleet, 1, "key-1", "amount=5");
         match reply.status {
             200 => {
                 assert_eq!(reply.text(), first.text());
@@ -42,8 +42,8 @@
 #[test]
 fn verify_another_body_under_the_key_is_refused() {
     let fleet = TestFleet::start(&FleetPlan::default());
-    assert_eq!(pay(&fleet, 0, "key-2", "amount=5").status, 200);
-    let reply = pay(&fleet, 1, "key-2", "amount=6");
+    assert_eq!(send_payout(&fleet, 0, "key-2", "amount=5").status, 200);
+    let reply = send_payout(&fleet, 1, "key-2", "amount=6");
     assert_eq!((reply.status, reply.reason().as_deref()), (422, Some("key-reused")));
     assert_eq!(fleet.run_count("key-2"), 1);
 }
@@ -83,10 +83,10 @@
 fn verify_a_lost_write_is_settled_and_the_request_runs_once(faults: serde_json::Value) {
     let fleet = TestFleet::start(&FleetPlan::default());
     fleet.platform.set_faults(faults);
-    let reply = pay(&fleet, 0, "key-3", "amount=5");
+    let reply = send_payout(&fleet, 0, "key-3", "amount=5");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(fleet.run_count("key-3"), 1);
-    let again = pay(&fleet, 1, "key-3", "amount=5");
+    let again = send_payout(&fleet, 1, "key-3", "amount=5");
     assert!(matches!(again.status, 200 | 409), "{}", again.head);
     assert_eq!(fleet.run_count("key-3"), 1);
 }
@@ -94,9 +94,9 @@
 #[test]
 fn verify_without_the_store_only_at_most_once_requests_are_refused() {
     let fleet = TestFleet::start(&FleetPlan::default());
-    assert_eq!(pay(&fleet, 0, "before", "x").status, 200);
+    assert_eq!(send_payout(&fleet, 0, "before", "x").status, 200);
     fleet.platform.set_faults(json!({"down": true}));
-    let reply = pay(&fleet, 0, "during", "x");
+    let reply = send_payout(&fleet, 0, "during", "x");
     assert_eq!((reply.status, reply.outcome().as_deref()), (503, Some("not-run")));
     assert_eq!(reply.reason().as_deref(), Some("ledger-unavailable"));
     assert_eq!(fleet.run_count("during"), 0);
@@ -109,7 +109,7 @@
     }
     fleet.platform.set_faults(json!({}));
     eventually("the request with the same key runs after the store is back", || {
-        let reply = pay(&fleet, 1, "during", "x");
+        let reply = send_payout(&fleet, 1, "during", "x");
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.head);
         reply.status == 200
     });
@@ -122,12 +122,12 @@
     for backend in &fleet.backends {
         backend.set_faults(json!({"shed": true}));
     }
-    let reply = pay(&fleet, 0, "shed", "x");
+    let reply = send_payout(&fleet, 0, "shed", "x");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("shed")));
     for backend in &fleet.backends {
         backend.set_faults(json!({}));
     }
-    assert_eq!(pay(&fleet, 1, "shed", "x").status, 200);
+    assert_eq!(send_payout(&fleet, 1, "shed", "x").status, 200);
     assert_eq!(fleet.run_count("shed"), 1);
 }
 
@@ -137,13 +137,13 @@
     for backend in &fleet.backends {
         backend.set_faults(json!({"break_at": "after-run"}));
     }
-    let reply = pay(&fleet, 0, "broke", "x");
+    let reply = send_payout(&fleet, 0, "broke", "x");
     assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     for backend in &fleet.backends {
         backend.set_faults(json!({}));
     }
     for daemon in [0, 1] {
-        let reply = pay(&fleet, daemon, "broke", "x");
+        let reply = send_payout(&fleet, daemon, "broke", "x");
         assert_eq!((reply.status, reply.reason().as_deref()), (409, Some("already-started")));
     }
     assert_eq!(fleet.run_count("broke"), 1);
@@ -165,7 +165,7 @@
     eventually("the request runs", || fleet.run_count("killed") == 1);
     fleet.daemons[0].kill();
     assert!(request.join().expect("join").is_none_or(|reply| reply.status != 200));
-    let reply = pay(&fleet, 1, "killed", "x");
+    let reply = send_payout(&fleet, 1, "killed", "x");
     assert_eq!((reply.status, reply.reason().as_deref()), (409, Some("already-started")));
     assert_eq!(fleet.run_count("killed"), 1);
 }
@@ -199,7 +199,7 @@
 #[test]
 fn verify_keys_of_different_organisations_are_independent() {
     let fleet = TestFleet::start(&FleetPlan::default());
-    assert_eq!(pay(&fleet, 0, "shared", "x").status, 200);
+    assert_eq!(send_payout(&fleet, 0, "shared", "x").status, 200);
     let headers = [
         ("Idempotency-Key", "shared"),
         ("Basaltarch-Key", "khlung-key"),
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -90,13 +90,13 @@
 /// outcome is `not-run`.
 fn failed_ends(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
     for end in &ends {
-        let ran = fleet.run_count(&end.id);
-        assert!(ran <= 1, "{} ran {ran} times", end.id);
+        let runs = fleet.run_count(&end.id);
+        assert!(runs <= 1, "{} ran {runs} times", end.id);
         if end.reply.status == 200 {
-            assert_eq!(ran, 1, "{} was answered", end.id);
+            assert_eq!(runs, 1, "{} was answered", end.id);
         }
         if end.reply.outcome().as_deref() == Some("not-run") {
-            assert_eq!(ran, 0, "{} was reported as not run", end.id);
+            assert_eq!(runs, 0, "{} was reported as not run", end.id);
         }
     }
     ends.into_iter().filter(|end| end.reply.status != 200).collect()
--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -85,8 +85,8 @@
         let factor = LogNormal::new(0.0, self.options.spread)
             .map_or(1.0, |distribution| distribution.sample(&mut *rng));
         let is_slow = rng.random_bool(faults.slow_rate.clamp(0.0, 1.0));
-        let slowness = if is_slow { faults.slow_factor } else { 1.0 };
-        Duration::from_secs_f64(median * factor * slowness)
+        let slowdown = if is_slow { faults.slow_factor } else { 1.0 };
+        Duration::from_secs_f64(median * factor * slowdown)
     }
 
     fn fails(&self, faults: &BackendFaults, path: &str) -> bool {
