--- a/crates/base/src/metrics.rs
+++ b/crates/base/src/metrics.rs
@@ -166,7 +166,7 @@
     }
 
     /// Returns whether a route has a label of its own: the first [`ROUTES_LABELLED_MAX`] routes get
-    /// one.
+    /// a label.
     fn has_label(&self, route: &Rc<str>) -> bool {
         let mut routes = self.routes.borrow_mut();
         if routes.contains(route) {
--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -183,7 +183,7 @@
     state.config.with_fleet(|fleet| changes::plan_change(fleet, edits, &author, ""))
 }
 
-/// Commits a change to the store and applies it here at once.
+/// Commits a change to the store and puts it in force at this daemon at once.
 async fn commit(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
@@ -198,8 +198,8 @@
     let record = result?;
     let has_gap = record.revision > state.config.revision().next();
     if has_gap {
-        // Other daemons committed changes since the revision in force here; these are read and
-        // applied first.
+        // Other daemons committed changes after the revision in force at this daemon. Those changes
+        // are read and applied first.
         if let Ok(missing) = state.changes.changes_after(state.config.revision()).await {
             state.config.apply(&missing, state.now());
         }
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -80,7 +80,7 @@
     })
 }
 
-/// Reports the health of the upstreams of a service, or of all services known here.
+/// Reports the health of the upstreams of a service, or of all services known to this daemon.
 pub fn health(state: &Rc<DaemonState>, service: Option<&str>) -> ServerReply {
     let active = state.config.active();
     let mut names: Vec<String> = match service {
--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -16,7 +16,7 @@
 use crate::state::DaemonState;
 use crate::suspects;
 
-/// Lists all suspect requests known here, those with the most crashes first.
+/// Lists all suspect requests known to this daemon, those with the most crashes first.
 pub fn list(state: &DaemonState) -> ServerReply {
     let notices = state.suspects.notices(state.now());
     let suspects: Vec<Value> = notices
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -150,8 +150,8 @@
     state.config.adopt(config, layout, state.now());
 }
 
-/// Forwards changes that are new here to the neighbours and to some of the daemons that dialled
-/// this one.
+/// Forwards changes that are new to this daemon to its neighbours and to some of the daemons that
+/// dialled it.
 pub fn forward_changes(state: &Rc<DaemonState>, records: &[ChangeRecord]) {
     let mut senders: Vec<FrameSender> = Vec::new();
     for host in state.members.neighbours(state) {
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -342,8 +342,9 @@
     })
 }
 
-/// Pulls the document of a peer that has a later revision in force: at once if no document is in
-/// force here, or else if the store has not delivered it within [`STORE_TIMEOUT`].
+/// Pulls the document of a peer that has a later revision in force. It is pulled at once if this
+/// daemon has no document in force, or else if the store has not delivered the document within
+/// [`STORE_TIMEOUT`].
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let is_behind = move |state: &DaemonState| theirs > state.config.revision();
     if !is_behind(state) || state.document.pulling.replace(true) {
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -13,10 +13,10 @@
 
 use crate::state::DaemonState;
 
-/// Longest wait of a call, per daemon of the fleet. A black-holed connection holds its call until
-/// the wait is over, and the first daemon whose call ends informs the others. The calls of a small
-/// fleet are therefore bounded so that, together, they end as often as those of twelve daemons, one
-/// every half second.
+/// Longest wait of a call, per daemon of the fleet. A call on a black-holed connection hangs until
+/// its wait is over, and the first daemon whose call ends informs the other daemons. The wait in a
+/// small fleet is therefore bounded so that, over all its daemons, calls end as often as in a fleet
+/// of twelve daemons, that is, one every half second.
 const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
 /// Returns the longest wait of a call in a fleet of `members` daemons, but no more than `most`.
@@ -52,14 +52,14 @@
 /// `FeedReader` follows one table.
 pub struct FeedReader {
     plan: FeedPlan,
-    /// Position up to which the table was read, `None` before all of it was.
+    /// Position up to which the table was read, `None` before the whole table was read.
     position: Option<TablePosition>,
     /// Time up to which the last answer of the store includes all changes.
     as_of: Duration,
     backoff: RetryBackoff,
     /// When the first of the latest consecutive failed calls ended, `None` after an answer.
     lost_at: Option<Duration>,
-    /// Number of these failed calls.
+    /// Number of the latest consecutive failed calls.
     failures: u64,
 }
 
@@ -71,7 +71,7 @@
         Self { plan, position: None, as_of, backoff, lost_at: None, failures: 0 }
     }
 
-    /// Continues from another version: a peer relayed the changes up to there.
+    /// Continues from a later version, after a peer relayed the changes up to that version.
     pub fn skip_to(&mut self, version: u64) {
         self.position = Some(TablePosition { version, ..self.position.unwrap_or_default() });
     }
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -2,12 +2,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Tracks by whom and when the configuration in force was last confirmed as the newest. Before a
-//! request is refused because of the configuration, this is queried if it is uncertain.
+//! request is refused because of the configuration, a confirmation is queried unless the last
+//! confirmation is recent.
 //!
 //! One query at a time serves all waiting requests, so that callers who ask for unknown routes cost
 //! one query a second, however many they are. The query goes to the two daemons of the failure
-//! domain that read the store for the others, and to the store itself only if neither confirms. For
-//! a while after a query without a confirmation, requests are refused at once as not run.
+//! domain that read the store for its other daemons, and to the store itself only if neither
+//! confirms. For a while after a query without a confirmation, requests are refused at once as not
+//! run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -36,8 +38,8 @@
 /// Longest wait for the daemons that read the store for the failure domain. The store answers them
 /// within a few milliseconds, and a request for an unknown route waits for them up to this time.
 const READER_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after a query without a confirmation within which no other is made. Requests that need one
-/// are refused at once.
+/// Time after a query without a confirmation within which no other query is made. Requests that
+/// need a confirmation are refused at once.
 const QUERY_PAUSE: Duration = Duration::from_millis(500);
 /// Number of peers that are queried along with the store: one may be unresponsive, and another may
 /// not have the newest configuration.
@@ -55,7 +57,7 @@
 }
 
 impl FreshnessTracker {
-    /// Returns what is known.
+    /// Returns how recently the configuration was confirmed.
     pub fn known(&self) -> ConfigFreshness {
         *self.known.borrow()
     }
@@ -132,7 +134,7 @@
     let mut request = membership::heartbeat_request(state, Vec::new());
     request.wants_word = Some(true);
     for host in &readers {
-        // A reader without a link is not waited for; the other may have one.
+        // A reader without a link is not waited for; the other reader may have a link.
         if let Some(link) = state.peers.path(host).link() {
             let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(request.clone()));
         }
@@ -163,7 +165,7 @@
 fn query_peers(state: &DaemonState) {
     for sender in membership::sample_senders(state, QUERIED_PEERS) {
         let request = membership::heartbeat_request(state, Vec::new());
-        // A link that ended brings no reply.
+        // A send error is ignored: a link that ended brings no reply.
         let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(request));
     }
 }
@@ -177,8 +179,8 @@
 
 /// Records what a peer's reply to a heartbeat of this daemon confirms. The reply was sent after the
 /// request, so that the peer's last confirmation is no older than the time of the request less the
-/// age that the peer reports. The time in a request of an earlier incarnation of this daemon is of
-/// another clock, but the reply to such a request is lost with its link.
+/// age that the peer reports. The time in a request of an earlier incarnation of this daemon was
+/// read from another clock, but the reply to such a request is lost with its link.
 pub fn note_answer(state: &DaemonState, answer: &HeartbeatNote) {
     let (Some(asked_at), Some(age)) = (millis(answer.asked_ms), millis(answer.fresh_ms)) else {
         return;
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -118,8 +118,8 @@
         if self.open.get() >= self.limit.get() {
             return Err(HttpError::TimedOut { what: "a free connection" });
         }
-        // The connection is counted before it is opened, so that the limit holds while several are
-        // being opened.
+        // The connection is counted before it is opened, so that the limit holds while several
+        // connections are being opened.
         self.open.set(self.open.get() + 1);
         let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
         pooled.stream = Some(HttpStream::connect(pooled.address, CONNECT_TIMEOUT).await?);
@@ -169,8 +169,8 @@
 
 impl Drop for PooledStream<'_> {
     fn drop(&mut self) {
-        // `give_back` counts a connection that it returns to the pool a second time, so that one
-        // count remains after this.
+        // `give_back` counts a connection that it returns to the pool a second time, so that such a
+        // connection is still counted once after this decrement.
         self.pool.open.set(self.pool.open.get() - 1);
     }
 }
--- a/crates/daemon/src/host/calls.rs
+++ b/crates/daemon/src/host/calls.rs
@@ -69,8 +69,8 @@
         self.running.borrow_mut().remove(request);
     }
 
-    /// Returns the parent request of the nested call with this id, if it runs here, and records the
-    /// call.
+    /// Returns the parent request of the nested call with this id, if the parent runs on this host,
+    /// and records the call.
     pub fn parent_of(&self, call: &str) -> Option<Rc<NestedCalls>> {
         let (request, _) = call.rsplit_once(CALL_SEPARATOR)?;
         let calls = self.running.borrow().get(request).cloned()?;
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -116,16 +116,16 @@
     deadline: Duration,
     objective: Option<Duration>,
     arrived_at: Duration,
-    /// Whether it is the trial of a server that is out of service.
+    /// Whether the attempt is the trial of a server that is out of service.
     pub is_trial: bool,
-    /// Crash tally of the request at the last check before it was sent.
+    /// Crash tally of the request at the last check before the request was sent.
     tally: Cell<CrashTally>,
 }
 
 impl HostAttempt<'_> {
     /// Builds the attempt for a request that was dispatched after a slot offer, from its dispatch
-    /// head. Its evidence about the server counts from now on, as the host only held a reservation
-    /// before.
+    /// head. The attempt gives evidence about the server from now on; before, the host only held a
+    /// reservation.
     pub fn with_dispatch_head<'b>(&'b self, head: &'b DispatchHead) -> HostAttempt<'b> {
         HostAttempt { head, tally: self.tally.clone(), arrived_at: self.state.now(), ..*self }
     }
@@ -230,8 +230,8 @@
     }
 
     /// Releases the claim of a request that did not run. The refusal of the request is sent after
-    /// this. Once a shutdown gives up pending requests, the release is no longer awaited, since the
-    /// refusal would then never be sent.
+    /// the release. Once a shutdown gives up pending requests, the release is no longer awaited,
+    /// since the refusal would then never be sent.
     async fn release(&self, token: ClaimToken) {
         let mut releasing = std::pin::pin!(self.state.ledger.release(token).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
@@ -507,7 +507,8 @@
                 result = answering => return result.map(|clean| clean && sent.get()),
                 () = watching => {}
                 result = sending => match result {
-                    // A server may respond before it has read the whole request; its response
+                    // A server may respond before it has read the whole request, so a connection
+                    // that breaks while the request is sent does not end the exchange: the response
                     // decides.
                     Ok(()) | Err(AttemptFault::Broken) => {}
                     Err(fault) => return Err(fault),
@@ -532,7 +533,7 @@
 
 /// Waits for `needed`, which a request needs before it can be sent to its backend server, unless
 /// the ingress cancels the request because its caller disconnected. The cancel is polled first, so
-/// that one that arrived together with the request takes effect before the request starts.
+/// that a cancel that arrived together with the request takes effect before the request starts.
 pub async fn unless_cancelled<T>(
     body: &EventPipe,
     needed: impl Future<Output = Result<T, NotRunReason>>,
@@ -547,7 +548,7 @@
 
 /// `ClaimStep` is what follows the claim of a request's ledger row.
 enum ClaimStep {
-    /// The request is run; if it has a ledger row, its claim is held.
+    /// The request is run; if it has a ledger row, the token is the claim of that row.
     Run(Option<ClaimToken>),
     /// An earlier attempt was answered, and its stored response is sent.
     Answered(KeptAnswer),
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -4,8 +4,8 @@
 //! The host role: the daemon is the only process that sends requests to the backend servers of its
 //! host.
 //!
-//! Slots are counted here and nowhere else. A refusal made here proves that the request did not
-//! run, since this is the only place where it could have started.
+//! Slots are counted by this role and nowhere else. A refusal by this role proves that the request
+//! did not run, since no other part of the daemon could have started it.
 
 pub mod backend;
 pub mod calls;
@@ -40,7 +40,7 @@
 pub struct HostRole {
     upstreams: RefCell<FnvHashMap<Rc<str>, Rc<HostUpstream>>>,
     was_configured: Cell<bool>,
-    /// Requests that run here, to which nested calls are attributed.
+    /// Requests that run on this host, to which nested calls are attributed.
     pub calls: CallTable,
 }
 
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -45,7 +45,7 @@
 /// `AttemptFault` says how an attempt failed after the request was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFault {
-    /// The ingress cancelled it.
+    /// The ingress cancelled the attempt.
     Cancelled,
     /// The deadline passed before the response head arrived.
     TimedOut,
@@ -87,12 +87,13 @@
         }
     }
 
-    /// Says whether the connection to the server broke, or the response on it.
+    /// Says whether the connection to the server broke, or the response on it was malformed or
+    /// truncated.
     pub fn is_connection_failure(self) -> bool {
         matches!(self, Self::Broken | Self::BadAnswer)
     }
 
-    /// Returns how the server failed, if it did.
+    /// Returns how the server failed, or `None` if the fault is not the server's.
     pub fn failure(self) -> Option<FailureKind> {
         match self {
             Self::Broken | Self::BadAnswer => Some(FailureKind::Broken),
@@ -130,7 +131,7 @@
     pub was_overdue: Cell<bool>,
     /// Whether the end of the attempt was recorded.
     pub is_recorded: Cell<bool>,
-    /// Whether the connection can be reused after a refusal.
+    /// Whether the connection can be reused although the server refused the request.
     pub reusable: Cell<bool>,
     /// Keep-alive timeout that the server announced.
     pub keep_alive: Cell<Option<Duration>>,
@@ -178,7 +179,7 @@
     head: response::Parts,
     framing: BodyFraming,
     verdict: AnswerVerdict,
-    /// Whether no surplus response preceded this one on the connection.
+    /// Whether no surplus response preceded this response on the connection.
     is_first_response: bool,
 }
 
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -45,7 +45,8 @@
         let offer = offer.map_err(FailureOutcome::NotRun)?;
         body.offer_slot();
         let head = self.await_dispatch(body).await.map_err(FailureOutcome::NotRun)?;
-        // The window opens again once the backend server reads the body.
+        // The ingress may send no body until the backend server reads it, which opens the window
+        // again.
         body.shut_window();
         let attempt = self.with_dispatch_head(&head);
         let starting = exchange::unless_cancelled(body, offer.start(attempt.slot_request()));
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -33,17 +33,17 @@
 pub struct HostUpstream {
     /// Name of the backend server.
     pub name: Rc<str>,
-    /// Service that it is an upstream of.
+    /// Service of which the backend server is an upstream.
     pub service: Rc<str>,
-    /// Its resource.
+    /// Resource of the backend server.
     pub server: RefCell<Rc<BackendServer>>,
-    /// Its slots.
+    /// Slots of the backend server.
     pub slots: Rc<SlotQueue>,
-    /// Its health.
+    /// Health of the backend server.
     pub health: RefCell<UpstreamHealth>,
-    /// Connections to it.
+    /// Connections to the backend server.
     pub pool: BackendPool,
-    /// Adaptive timeout of its requests.
+    /// Adaptive timeout of the backend server's requests.
     pub adaptive_timeout: RefCell<AdaptiveTimeout>,
     draining_until: Cell<Duration>,
     unreachable: Cell<bool>,
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Stops serving the backend server: requests that wait for a slot of it are refused, so that
-    /// they can be sent to other upstreams.
+    /// Stops serving the backend server. Requests that wait for a slot of this server are refused,
+    /// so that they can be sent to other upstreams.
     pub fn release(&self) {
         self.slots.refuse_all(NotRunReason::Draining);
     }
@@ -169,9 +169,9 @@
         self.log_change(change);
     }
 
-    /// Handles the resume of the host from a suspend: the age of running requests is no evidence of
-    /// a hang, idle connections may have been closed by the server meanwhile, and waiting requests
-    /// that can no longer meet their deadline are refused now.
+    /// Handles the resume of the host from a suspend. The age of running requests is no evidence of
+    /// a hang. The server may have closed idle connections during the suspend. Waiting requests
+    /// that can no longer meet their deadline are refused.
     pub fn note_resumed(&self) {
         self.health.borrow_mut().forget_running();
         self.pool.clear();
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -42,8 +42,8 @@
         &self.calls
     }
 
-    /// Checks the request periodically until it makes a nested call, which shows progress; never
-    /// returns.
+    /// Checks the request periodically until it makes a nested call, which shows progress. Never
+    /// returns, even after the last check.
     pub async fn check_until_settled(&self) {
         let usual = match &self.usual {
             Some(usual) => usual,
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -4,10 +4,10 @@
 //! The attempts at one request: choosing an upstream, dispatching, and deciding what may be tried
 //! again.
 //!
-//! A request that certainly did not run can be sent to another upstream without harm, which happens
-//! at most twice; the last of these dispatches is marked as not refusable. A request that may have
-//! run is retried only if its route allows it, and the retry is charged to the retry budget of its
-//! service. Nothing is retried once the head of an answer was sent to the caller.
+//! A request that certainly did not run can be sent to another upstream without harm. This happens
+//! at most twice, and the last dispatch is marked as not refusable. A request that may have run is
+//! retried only if its route allows it, and the retry is charged to the retry budget of its
+//! service. No request is retried once the head of an answer was sent to the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -60,9 +60,9 @@
     pub excluded: Vec<usize>,
     /// Upstreams that declined the request because they were full.
     pub full: Vec<usize>,
-    /// Dispatches so far.
+    /// Number of dispatches that were made.
     pub dispatches: usize,
-    /// Attempts that reached a backend server, or may have.
+    /// Number of attempts that reached or may have reached a backend server.
     pub server_attempts: usize,
     decline_count: usize,
     /// Whether copies of the request are refused fleet-wide for crashing servers, and this copy is
@@ -74,7 +74,7 @@
     pub wait_until: Option<Duration>,
     /// How the last attempt ended.
     pub last_outcome: FailureOutcome,
-    /// Why an earlier attempt may have run; `None` if none can have run.
+    /// Why an earlier attempt may have run; `None` if no earlier attempt can have run.
     may_have_run: Option<UnknownReason>,
     /// Upstream at which an earlier attempt failed.
     pub failed_at: Option<usize>,
@@ -377,8 +377,8 @@
     }
 
     /// Probes the load of the chosen upstream and of the other candidate of the choice, and returns
-    /// the choice of the better one. Returns `None` if each of them would decline the request or
-    /// doesn't answer, and other upstreams can be tried.
+    /// a choice of the better upstream. Returns `None` if each of the two would decline the request
+    /// or doesn't answer, and other upstreams can be tried.
     async fn probe(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
         if !self.is_probe_useful(&choice) {
             return Some(choice);
@@ -489,7 +489,7 @@
         is_allowed && (is_uncharged || self.has_server_attempts_left() && self.take_retry())
     }
 
-    /// Says whether another upstream can be tried if this one declines the request.
+    /// Says whether another upstream can be tried if the next upstream declines the request.
     pub fn is_passable(&self) -> bool {
         let tried = [&self.excluded[..], &self.full].concat();
         let others = self.request.service.with_view(|view| view.count_others(&tried));
@@ -508,7 +508,7 @@
         ];
         let connect_failed = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
         // A host offers a slot before it knows whether its backend server accepts a connection. If
-        // the server refuses it, the offer was void and counts as a decline.
+        // the server refuses the connection, the offer was void and counts as a decline.
         let offer_was_void =
             connect_failed && self.state.live().waiting == WaitingMode::Reservations;
         let declined =
@@ -558,7 +558,8 @@
         self.request.service.take_retry(self.state)
     }
 
-    /// Says whether a request that may have run may be sent again; if so, charges the retry budget.
+    /// Says whether a request that may have run may be sent again. If it may, charges the retry
+    /// budget.
     fn may_retry(&self, body: &BodyReader) -> bool {
         self.is_repeatable()
             && body.is_done()
@@ -576,7 +577,7 @@
     matches!(outcome, FailureOutcome::Unknown(_) | FailureOutcome::NotRun(NotRunReason::Shed))
 }
 
-/// Says whether the failure is the backend server's, rather than that of the path to it.
+/// Says whether the backend server failed, rather than the path to it.
 fn failed_at_server(outcome: FailureOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -30,7 +30,7 @@
 /// Largest number of dispatches of one request: the first and two more.
 pub const DISPATCHES_MAX: usize = 3;
 /// Size in bytes above which a body may be withheld until the host has started the request. For a
-/// shorter body, that is not worth the extra round trip.
+/// shorter body, withholding is not worth the extra round trip.
 const WITHHELD_BYTES_MIN: usize = 256;
 
 /// `LiveExchange` is the exchange of an attempt that was dispatched.
@@ -51,11 +51,11 @@
 
 /// `DispatchEnd` is the result of a dispatch.
 pub enum DispatchEnd {
-    /// It was sent.
+    /// The dispatch was sent.
     Sent(LiveExchange),
     /// The upstream's daemon can't be reached; nothing was sent.
     Unreachable,
-    /// The caller disconnected before it was sent.
+    /// The caller disconnected before the dispatch was sent.
     CallerGone,
 }
 
@@ -80,10 +80,10 @@
         let service = &self.request.service;
         let path = service.path(choice.index).clone();
         let sent = service.count_sent(choice.index);
-        // Establishing a link uses up part of the deadline, so the head is built after it.
+        // Establishing a link takes time, so the head with the remaining time is built afterwards.
         let link = match waiting::unless_caller_gone(stream, self.link(&path)).await {
-            // While the link was established, this daemon may have begun to give up requests on
-            // shutdown; it then starts none.
+            // While the link was established, this daemon may have begun to give up requests
+            // because it is shutting down. It then starts no request.
             Some(Ok(Some(_))) if self.state.stop.giving_up.is_raised() => {
                 return DispatchEnd::Unreachable;
             }
@@ -190,8 +190,8 @@
     }
 
     /// Says whether the request is a nested call made by a request that runs on this host. Hosts
-    /// give such calls priority if requests wait for slots with reservations; otherwise the field
-    /// is not sent.
+    /// give such calls priority if requests wait for slots with reservations. In the other waiting
+    /// mode, the result is `None` and the field is not sent.
     fn is_call(&self) -> Option<bool> {
         let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
         uses_reservations.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
@@ -211,7 +211,7 @@
 
     /// Says whether the attempt that was just dispatched may be followed by a hedge.
     pub fn may_hedge(&self) -> bool {
-        // The attempt that was just dispatched may reach a server too.
+        // The attempt that was just dispatched may also count as a server attempt.
         let attempts_max = self.request.route.rule.attempts as usize;
         let has_attempts_left = attempts_max == 0 || self.server_attempts + 1 < attempts_max;
         let is_allowed =
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -10,7 +10,7 @@
 use crate::ingress::dispatch::LiveExchange;
 
 impl RequestAttempts<'_> {
-    /// Says whether the request recently failed at every upstream it was sent to.
+    /// Says whether the request recently failed at every upstream to which it was sent.
     pub fn fails_everywhere(&self) -> bool {
         let request = self.request;
         request.service.forbids_retry(request.method.as_str(), &request.target, self.state.now())
@@ -58,7 +58,7 @@
         let counted = request.service.note_failure(method, target, index, live.is_evidence, now);
         let upstreams = &request.service.entry.upstreams;
         for failures in counted {
-            // An upstream that was removed meanwhile has no failure to withdraw.
+            // An upstream that was removed since its failure has no failure to withdraw.
             let index = upstreams.iter().position(|each| each.name == failures.upstream);
             for index in index.into_iter().cycle().take(failures.count as usize) {
                 self.withdraw_at(index);
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -35,10 +35,10 @@
 use crate::links;
 
 /// Share of the time until the deadline that a request may wait for a slot. A caller that is
-/// refused at the end of the wait still has time to retry, here or at another ingress.
+/// refused at the end of the wait still has time to retry, at this ingress or at another.
 const WAIT_SHARE_MAX: f64 = 0.6;
 /// Number of links that a request without any reservation tries to establish, one after the other,
-/// before it is dispatched without one.
+/// before the request is dispatched without a reservation.
 const LINKS_MAX: usize = 2;
 /// Number of refusals, by hosts that can't run the request within its deadline, after which no
 /// further host is asked for a reservation.
@@ -72,8 +72,8 @@
     /// Says whether the request waits for a slot with reservations rather than being dispatched at
     /// once: all healthy upstreams are full, or one has just reported that it is full. Once no host
     /// accepts a reservation, the request is dispatched to one of the remaining upstreams. A
-    /// request that has a row in the ledger is dispatched at once, as its row is written before it
-    /// takes a slot.
+    /// request that needs a row in the ledger is dispatched at once, because that row is written
+    /// before the request takes a slot.
     pub fn needs_reservation(&self, choice: &UpstreamChoice) -> bool {
         let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
         let has_no_free_slot = matches!(choice.ground, ChoiceGround::Waiting | ChoiceGround::Any);
@@ -177,7 +177,7 @@
     }
 
     /// Establishes the link to the daemon of an upstream. Returns `false` if the caller
-    /// disconnected meanwhile.
+    /// disconnected before the link was established.
     async fn establish_link(&mut self, stream: &mut HttpStream, index: usize) -> bool {
         let path = self.request.service.path(index).clone();
         let linked = waiting::unless_caller_gone(stream, self.link(&path)).await;
@@ -245,8 +245,8 @@
             None => {
                 let state = self.state.clone();
                 monoio::spawn(async move {
-                    // An error is not handled here: the next choice of an upstream takes into
-                    // account that its link can't be established.
+                    // An error is ignored: the next choice of an upstream takes into account that
+                    // the link can't be established.
                     let _ = links::link_to(&state, &path).await;
                 });
                 ReservationLink::Missing
@@ -323,9 +323,9 @@
         reason
     }
 
-    /// Sends the request to the host that offered it a slot, if it may still be sent: the daemon
-    /// may be shutting down, the caller's key may have been revoked, or copies of the request may
-    /// have crashed servers meanwhile.
+    /// Sends the request to the host that offered it a slot, if it may still be sent. While the
+    /// request waited, the daemon may have begun to shut down, the caller's key may have been
+    /// revoked, or copies of the request may have crashed servers.
     fn send_offered(
         &mut self,
         reservation: HeldReservation<OutboundExchange>,
@@ -367,7 +367,7 @@
     Local,
     Linked(Rc<DialledLink>),
     Missing,
-    /// The daemon there runs a version without reservations.
+    /// The upstream's daemon runs a version without reservations.
     Unsupported,
 }
 
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -88,7 +88,8 @@
         takes
     }
 
-    /// Returns the requests, and the failures among them, that were not logged since the last call.
+    /// Returns how many requests, and how many failures among them, were not logged since the last
+    /// call of this function.
     pub fn take_skipped(&self) -> SkippedRequests {
         SkippedRequests { all: self.skipped.take(), failed: self.skipped_failures.take() }
     }
@@ -125,7 +126,7 @@
     pub id: String,
     /// Whether its lines are written as they happen.
     pub is_logged: bool,
-    /// Attempts that were made so far, including those that were declined.
+    /// Number of attempts that were made, including those that were declined.
     pub attempts: Cell<u64>,
     began: Duration,
     steps: RefCell<Vec<TimedStep>>,
@@ -167,7 +168,7 @@
         attempt: usize,
         /// Position of the upstream.
         index: usize,
-        /// How it ended.
+        /// How the attempt ended.
         end: StepEnd,
         /// Start of the attempt, as time since the daemon's start.
         began: Duration,
@@ -200,7 +201,7 @@
 }
 
 impl StepLoad {
-    /// Extracts this part of a load report.
+    /// Extracts the logged part of a load report.
     pub fn of(report: &LoadReport) -> Self {
         Self {
             in_flight: report.in_flight.max(0) as u64,
@@ -215,11 +216,11 @@
 pub enum NextStep {
     /// The answer goes to the caller.
     Answer,
-    /// Another attempt, charged to the retry budget.
+    /// Another attempt is made and charged to the retry budget.
     Retry,
-    /// Another upstream, not charged to the retry budget.
+    /// Another upstream is tried without a charge to the retry budget.
     Elsewhere,
-    /// No further attempt.
+    /// No further attempt is made.
     End,
 }
 
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -34,13 +34,13 @@
 pub enum FirstEvent {
     /// The head of an answer.
     Head(AnswerHead),
-    /// The end of the exchange without an answer, and the report that the host's daemon sent with
-    /// it.
+    /// The exchange ended without an answer. The report is the one that the host's daemon sent at
+    /// the end of the exchange, if any.
     Failed(FailureOutcome, Option<LoadReport>),
     /// The attempt outlasted its hedging delay or its path was cut, and the retry budget allows a
     /// hedge.
     HedgeDue,
-    /// A slow attempt made earlier answered successfully.
+    /// An earlier, slow attempt was answered successfully.
     SlowAnswer(SlowAttempt, AnswerHead),
     /// The caller disconnected.
     CallerGone,
@@ -48,7 +48,7 @@
     Stopping,
 }
 
-/// Waits for the head of the answer or the end of the exchange, sending the body meanwhile.
+/// Waits for the head of the answer or the end of the exchange, and sends the body while waiting.
 pub async fn first_event(
     state: &DaemonState,
     request: &CallerRequest,
@@ -142,9 +142,8 @@
     }
 }
 
-/// Waits until the machine has resumed from a suspend in which the deadline passed, and then for
-/// [`DEADLINE_GRACE`], as after any deadline: the host's daemon may still report whether the
-/// request ran.
+/// Waits until this host has resumed from a suspend in which the deadline passed, and then for
+/// [`DEADLINE_GRACE`], because the host's daemon may still report whether the request ran.
 async fn passed_while_suspended(state: &DaemonState, deadline: Duration) {
     state.clock.passed_after_resume(deadline).await;
     monoio::time::sleep(DEADLINE_GRACE).await;
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -29,8 +29,8 @@
 /// has been unresponsive for seconds.
 const ELIGIBLE_TTL: Duration = Duration::from_millis(200);
 
-/// Minimum age of an owner, if any daemon is that old. A new daemon is known to some daemons sooner
-/// than to others, and two owners at once would grant a limit twice.
+/// Minimum age of an owner, if any daemon is that old. Some daemons know a new daemon sooner than
+/// others do, and two owners at once would grant a limit twice.
 const OWNER_AGE_MIN: Duration = Duration::from_secs(15);
 
 /// `OwnerAssignment` is the owner of a limit and its backup.
@@ -183,12 +183,12 @@
     }
 }
 
-/// Returns the hosts whose daemons may own limits: live ones that can be reached, and of these, if
-/// there are any, those that started long enough ago.
+/// Returns the hosts whose daemons may own limits: the live and reachable daemons, and if any of
+/// them started at least [`OWNER_AGE_MIN`] ago, only those.
 ///
-/// A daemon that itself restarted a moment ago knows the start times of the others only from their
-/// rows. If all daemons were killed at once, those rows describe earlier incarnations. A daemon
-/// that restarted a moment ago therefore ignores start times.
+/// A daemon that itself restarted a moment ago knows the start times of other daemons only from
+/// their rows. If all daemons were killed at once, those rows describe earlier incarnations. A
+/// daemon that restarted a moment ago therefore ignores start times.
 fn eligible_hosts(state: &DaemonState) -> Vec<String> {
     let started_by = units::wall_millis() as i64 - OWNER_AGE_MIN.as_millis() as i64;
     let now = state.now();
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -304,7 +304,7 @@
     };
     let now = state.now();
     state.limits.with_limit(entry, |known| match &answer {
-        // The owner may have become reachable again in the meantime.
+        // The owner has become reachable again since the backup was asked.
         _ if known.owner_lost_until.is_none() => {}
         Some(answer) => {
             known.limiter.note_backup();
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -156,7 +156,7 @@
     let key = &state.options.fleet_key;
     let side = LinkSide::Dialler;
     let peer = handshake::run(&mut reader, &mut writer, side, &state.identity, key).await?;
-    // Another host may have taken over the address in the meantime.
+    // Another host may have taken over the address since the path learnt it.
     if *peer.host != *path.host {
         return Err(LinkError::OtherHost { host: peer.host });
     }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns the hosts whose daemons are live, including this one unless it is leaving.
+    /// Returns the hosts whose daemons are live, including this daemon's unless it is leaving.
     pub fn live_hosts(&self, state: &DaemonState) -> Vec<String> {
         let members = self.members.borrow();
         let live =
@@ -135,7 +135,8 @@
         hosts
     }
 
-    /// Returns the live hosts of the own failure domain, including this one unless it is leaving.
+    /// Returns the live hosts of this daemon's failure domain, including its own unless it is
+    /// leaving.
     pub fn live_in_domain(&self, state: &DaemonState) -> Vec<String> {
         let own_domain = &state.options.failure_domain;
         let mut local = self.live_hosts(state);
@@ -332,7 +333,7 @@
     }
 }
 
-/// Merges a reported view into the known one. A later incarnation replaces the known view. Within
+/// Merges a reported view into the known view. A later incarnation replaces the known view. Within
 /// one incarnation, the later heartbeat and revision are kept, and a daemon that is leaving stays
 /// so.
 fn merge(view: &mut MemberView, reported: MemberView) {
@@ -438,9 +439,9 @@
 /// `HeartbeatContent` is what a heartbeat reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatContent {
-    /// This daemon's own entry alone, such as when its revision or state changed.
+    /// Only this daemon's entry, for instance after its revision or state changed.
     Own,
-    /// The own entry and some other members.
+    /// The entries of this daemon and of some other members.
     Members,
 }
 
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -51,8 +51,9 @@
         number
     }
 
-    /// Adds a part, and returns the whole snapshot with the last one. A part that does not follow
-    /// the last received one is dropped: its transfer broke off or was replaced by a later one.
+    /// Adds a part, and returns the whole snapshot if it was the last part. A part that does not
+    /// follow the last received part is dropped: its transfer broke off or was replaced by a later
+    /// transfer.
     pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
         if part.index == 0 {
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -3,8 +3,8 @@
 
 //! Registers the backend servers on this host, and answers whether the daemon is ready.
 //!
-//! An acknowledgement means that what the server reported is in force here. As only this daemon
-//! sends requests to the backend servers of its host, no other daemon has to be asked.
+//! An acknowledgement means that what the server reported is in force at this daemon. As only this
+//! daemon sends requests to the backend servers of its host, no other daemon has to be asked.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -45,8 +45,8 @@
 
 /// Returns the version of the settings file, if there is one.
 fn file_version(state: &DaemonState) -> Option<FileVersion> {
-    // A wrong path was refused at the start; that the file is missing now is reported when it is
-    // read.
+    // A wrong path was refused at the start. If the file is missing now, the error is reported when
+    // the file is read.
     let path = state.options.given.file().ok().flatten()?;
     let data = fs::metadata(path).ok()?;
     let changed_at = data.modified().ok()?;
--- a/crates/daemon/src/resume.rs
+++ b/crates/daemon/src/resume.rs
@@ -4,8 +4,8 @@
 //! Handles the resume of a suspended host.
 //!
 //! Time limits are measured by a clock that also runs during a suspend, so deadlines, grants,
-//! budgets and the reports of other daemons have expired without further action. The rest is done
-//! here: a path is not considered usable before a frame is received on it, a response time that
+//! budgets and the reports of other daemons have expired without further action. This module does
+//! the rest: a path is not considered usable before a frame is received on it, a response time that
 //! spans the suspend is not counted against a server, and the peers are informed.
 
 use std::rc::Rc;
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -45,9 +45,9 @@
 /// Time for which a starting daemon waits for the backend server on its host before it writes its
 /// row without one: a little longer than the usual time between two heartbeats.
 const FIRST_SERVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which the own record is sent to the peers if the store has not accepted it. A write
-/// takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends 300 ms
-/// later.
+/// Time after which this daemon's record is sent to the peers if the store has not accepted it. A
+/// write takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends
+/// 300 ms later.
 const NOTIFY_AFTER: Duration = Duration::from_millis(200);
 /// Shortest time between checks for rows of hosts that are gone.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
@@ -143,7 +143,7 @@
     }
 }
 
-/// `HostRoster` holds the rows of all hosts, this one included.
+/// `HostRoster` holds the rows of all hosts, including the host of this daemon.
 #[derive(Debug, Default)]
 pub struct HostRoster {
     records: RefCell<BTreeMap<String, HostRecord>>,
@@ -152,7 +152,7 @@
     own_version: Cell<u64>,
     /// This daemon's own row as the store holds it, `None` if that is not known.
     written: RefCell<Option<HostRecord>>,
-    /// Whether a backend server left and the own row in the store may still list it.
+    /// Whether a backend server left while this daemon's row in the store may still list it.
     has_unwritten: Cell<bool>,
     changed: RisingSignal,
     /// Whether the store or a peer reported an earlier incarnation of this host's daemon.
@@ -174,7 +174,7 @@
         self.records.borrow().values().filter(|record| !record.leaving).count().max(1)
     }
 
-    /// Returns the backend servers that registered here.
+    /// Returns the backend servers that registered with this daemon.
     pub fn own_servers(&self) -> Vec<ServerRecord> {
         self.own_servers.borrow().clone()
     }
@@ -232,13 +232,14 @@
         self.has_unwritten.get()
     }
 
-    /// Says whether the own row in the store is known to list the backend servers as they are.
+    /// Says whether this daemon's row in the store is known to list the backend servers that are
+    /// registered now.
     fn is_row_current(&self) -> bool {
         let written = self.written.borrow();
         written.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
     }
 
-    /// Records what the store holds as the own row, `None` if that is not known.
+    /// Records which row of this daemon the store holds, `None` if that is not known.
     fn note_written(&self, record: Option<HostRecord>) {
         *self.written.borrow_mut() = record;
         if self.is_row_current() {
@@ -277,7 +278,7 @@
     }
 }
 
-/// Schedules a write of the own row if the refused requests for it have changed.
+/// Schedules a write of this daemon's row if its list of refused requests has changed.
 pub fn refresh_refused(state: &Rc<DaemonState>) {
     let refused = state.suspects.own_records(state.now());
     let known = state.roster.record(&state.options.host);
@@ -286,8 +287,8 @@
     }
 }
 
-/// Sets the backend servers that are registered here. They are in force in this daemon on return;
-/// the other daemons learn of them through the store.
+/// Sets the backend servers that are registered with this daemon. They are in force at this daemon
+/// on return; the other daemons read them from the store.
 pub fn set_own_servers(state: &Rc<DaemonState>, servers: Vec<ServerRecord>) {
     if *state.roster.own_servers.borrow() == servers {
         return;
@@ -320,7 +321,7 @@
     });
 }
 
-/// Sends the own record, which the store has not accepted, to the linked daemons.
+/// Sends this daemon's record, which the store has not accepted, to the linked daemons.
 fn notify_peers(state: &DaemonState) {
     let relayed = RelayedRecord { host: state.options.host.clone(), record: own_record(state) };
     for link in state.members.sample_accepted(usize::MAX) {
@@ -342,7 +343,8 @@
     }
 }
 
-/// Updates a host's record, or removes it. An earlier record than the known one is ignored.
+/// Updates a host's record, or removes it. A record that is earlier than the latest known record of
+/// the host is ignored.
 fn update_record(state: &Rc<DaemonState>, host: &str, record: Option<HostRecord>) {
     let known = state.roster.record(host);
     if known == record {
@@ -412,7 +414,7 @@
     .log();
 }
 
-/// Applies records that a peer relayed, where they are later than the known ones.
+/// Applies each record that a peer relayed, if it is later than the known record of its host.
 pub fn apply_relayed(state: &Rc<DaemonState>, relayed: Vec<RelayedRecord>) {
     for RelayedRecord { host, record } in relayed {
         suspects::apply_records(state, &host, &record.refused);
@@ -472,8 +474,9 @@
     state.roster.touch();
 }
 
-/// Handles a row that can't be read, as some other writer wrote it. The known record of its host
-/// stays, as the daemon there will write the row again; for the own row, that write is scheduled.
+/// Handles a row that can't be read because some other writer wrote it. The known record of its
+/// host stays, since the daemon of that host will write the row again. If it is this daemon's row,
+/// that write is scheduled.
 fn note_unreadable(state: &DaemonState, row: &StoredRow) {
     if row.key == state.options.host {
         state.roster.own_version.set(row.version);
@@ -530,7 +533,8 @@
     if host != state.options.host {
         return update_record(state, host, None);
     }
-    // Other daemons considered this one gone and removed its row, which is written again.
+    // Other daemons considered this daemon's host gone and removed its row, so the row is written
+    // again.
     state.roster.own_version.set(0);
     state.roster.note_written(None);
     state.roster.touch();
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -158,7 +158,8 @@
         false
     }
 
-    /// Stores the current state of a row. A removed row is remembered as such for a while.
+    /// Stores the current state of a row. The note that a row was removed is kept until there are
+    /// more than [`REMOVED_MAX`] of them.
     fn store_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
@@ -210,7 +211,7 @@
     }
 }
 
-/// Returns the daemons of the own failure domain that should read the rows from the store.
+/// Returns the daemons of this daemon's failure domain that should read the rows from the store.
 pub fn readers(state: &DaemonState) -> Vec<String> {
     let now = state.now();
     let mut local = state.members.live_in_domain(state);
@@ -292,8 +293,8 @@
     }
 }
 
-/// Asks the readers of the own failure domain for changes, for ever. A reader that gets no answer
-/// from the store asks the other reader.
+/// Asks the readers of this daemon's failure domain for changes, for ever. A reader that gets no
+/// answer from the store asks the other reader.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(RENEW_INTERVAL).await;
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -39,8 +39,8 @@
 /// daemon charges it to the budget. With 0.85, a service received 217 retries in a window that
 /// allowed 198.
 const BUDGET_FRACTION: f64 = 0.7;
-/// Maximum number of split routes whose state is kept. Beyond it the states of all are dropped, so
-/// that those of removed routes do not accumulate.
+/// Maximum number of routes with a weighted split whose state is kept. Beyond this number the
+/// states of all routes are dropped, so that the states of removed routes do not accumulate.
 const SPLITS_MAX: usize = 4096;
 
 /// `ServiceState` is what the ingress knows of one service.
@@ -51,7 +51,7 @@
     paths: Vec<Rc<PeerPath>>,
     draining_until: Vec<Cell<Duration>>,
     view: RefCell<ServiceView>,
-    /// What each upstream last reported of slow requests, and when.
+    /// Slow requests that each upstream last reported, and the time of that report.
     slow_requests: RefCell<Vec<(SlowRequests, Duration)>>,
     baselines: RefCell<FnvHashMap<Rc<str>, RouteBaseline>>,
     /// Mean size of a request and its response, by route.
@@ -129,7 +129,7 @@
         let weights: Vec<u32> = split.iter().map(|share| share.weight).collect();
         let mut splits = self.splits.borrow_mut();
         if splits.len() >= SPLITS_MAX {
-            // Starting over shifts the share of a service by less than one request.
+            // Dropping the state of a split shifts the share of a service by less than one request.
             splits.clear();
         }
         let state = splits.entry(route.name.clone()).or_default();
@@ -203,8 +203,8 @@
     }
 
     /// Updates the view of the upstream on this host while it is ejected or its circuit breaker is
-    /// open. The daemon of that host knows without a response when the next trial is due. Other
-    /// daemons learn this from reports, which are rare for such an upstream.
+    /// open. This daemon knows without a response when the next trial is due. Other daemons learn
+    /// this from reports, which are rare for such an upstream.
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
@@ -329,9 +329,9 @@
         self.bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
     }
 
-    /// Returns the longest wait of a request for an upstream in its own failure domain, in service
-    /// rounds. To avoid sending one megabyte to another failure domain, a request may wait for
-    /// `worth`.
+    /// Returns the longest time, in service rounds, that a request waits for an upstream in the
+    /// ingress's failure domain. `worth` is the wait that is acceptable to avoid sending one
+    /// megabyte to another failure domain.
     pub fn local_wait_rounds(&self, route: &str, worth: Duration) -> f64 {
         if worth.is_zero() {
             return 0.0;
@@ -343,7 +343,7 @@
         bytes.get(route).map_or(0.0, |mean| mean.rounds(worth, usual))
     }
 
-    /// Returns what the other upstreams reported of slow requests, decayed to `now`.
+    /// Returns the slow requests that the service's other upstreams reported, decayed to `now`.
     pub fn siblings_slow_requests(&self, index: usize, now: Duration) -> SlowRequests {
         let reports = self.slow_requests.borrow();
         let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
@@ -403,9 +403,9 @@
         }
     }
 
-    /// Records that a request failed at an upstream, and whether that `counted` as evidence against
-    /// the upstream. Returns the failures to withdraw if the request turns out to fail at every
-    /// upstream.
+    /// Records that a request failed at an upstream, and whether that failure `counted` as evidence
+    /// against the upstream. Returns the failures to withdraw if the request turns out to fail at
+    /// every upstream.
     pub fn note_failure(
         &self,
         method: &str,
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -56,7 +56,8 @@
     pub freshness: FreshnessTracker,
     /// The rows of all hosts.
     pub roster: HostRoster,
-    /// Which daemons of the own failure domain read these rows from the store, and what they relay.
+    /// Which daemons of this daemon's failure domain read the rows of hosts from the store, and
+    /// what they relay.
     pub rows: RowsRelay,
     /// The registrations of backend servers on this host.
     pub registrations: RegistrationTable,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -63,8 +63,8 @@
         self.asked.is_raised()
     }
 
-    /// Returns the signal to raise when a person at a terminal interrupts the daemon: that of a
-    /// stop, or that of an immediate end if it is stopping already.
+    /// Returns the signal to raise when a person at a terminal interrupts the daemon: the signal of
+    /// a stop, or the signal of an immediate end if the daemon is stopping already.
     ///
     /// No other request ends the daemon at once. Requests to stop come twice when planned
     /// maintenance overlaps, or when an operator drains a daemon that the platform then stops;
@@ -87,9 +87,9 @@
         !matches!(self.phase.get(), StopPhase::Open | StopPhase::HandingOver)
     }
 
-    /// Says whether the daemon no longer waits for anything new: it gives up the requests that it
-    /// waits for, or ends. For a daemon that was suspended past its longest drain, the clock
-    /// decides.
+    /// Says whether the drain is over, so that the daemon gives up the requests in flight or ends.
+    /// A daemon that was suspended past its longest drain may not have entered that phase yet, so
+    /// the clock is checked as well.
     pub fn is_over(&self, now: Duration) -> bool {
         let is_past_longest =
             |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
@@ -119,7 +119,7 @@
     }
 }
 
-/// `CountGuard` counts one of something for as long as it lives.
+/// `CountGuard` adds one to a count, such as that of requests in flight, for as long as it lives.
 pub struct CountGuard<'a> {
     count: &'a Cell<usize>,
 }
@@ -139,8 +139,8 @@
 
 /// Says whether a caller's request with this id is admitted.
 ///
-/// Nothing may be awaited between this and the moment at which the request is counted as in flight:
-/// the daemon ends as soon as it is closed and nothing is in flight.
+/// Nothing may be awaited between this check and the moment at which the request is counted as in
+/// flight: the daemon ends as soon as it is closed and nothing is in flight.
 pub fn admits_request(state: &DaemonState, request: &str) -> bool {
     let begin = match state.stop.begun.get() {
         Some(begin) => begin,
@@ -212,7 +212,7 @@
     state.stop.in_flight() + usize::from(state.roster.has_unwritten_servers())
 }
 
-/// Accepts no more requests of other daemons from here on, and notifies them. Queued requests that
+/// Stops accepting requests of other daemons, and notifies these daemons. Queued requests that
 /// might not end in time are refused at once, so that they are sent to another host.
 fn hand_over(state: &Rc<DaemonState>, elapsed: Duration) {
     let in_flight = state.stop.in_flight() as u64;
@@ -225,8 +225,7 @@
     }
 }
 
-/// Accepts no more callers' requests from here on, not even those whose body is still being
-/// received.
+/// Stops accepting callers' requests, including those whose body is still being received.
 fn close(state: &DaemonState, elapsed: Duration) {
     let in_flight = state.stop.in_flight() as u64;
     process::DaemonClosed { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
@@ -248,18 +247,19 @@
             break;
         }
     }
-    // Counted again, as the process ends now, whatever an earlier check found.
+    // The requests in flight are counted again, since the process ends now regardless of what an
+    // earlier check found.
     let cut = state.stop.in_flight().max(given_up);
     let elapsed_ms = elapsed.as_millis() as u64;
     process::DaemonStopped { cause: cause.name(), cut: cut as u64, elapsed_ms }.log();
     StopReport { cut }
 }
 
-/// Notifies the daemons that dialled this one, which send requests here, that it is leaving.
+/// Notifies the daemons that dialled this daemon, and so send it requests, that it is leaving.
 fn notify_accepted(state: &Rc<DaemonState>) {
     for link in state.members.sample_accepted(usize::MAX) {
         let members = state.members.sample_entries(state, &[]);
-        // Marked as a reply, so that it asks for none.
+        // The heartbeat is marked as a reply, so that the peer sends no reply to it.
         let note = HeartbeatNote { reply: true, ..membership::heartbeat_request(state, members) };
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -6,9 +6,10 @@
 //! The daemon on a server's host observes the crash and notifies all daemons that it has a link to,
 //! among them the ingress of the request, before that ingress learns that its attempt failed. A
 //! daemon that receives a new notice forwards it to a few others. Heartbeats carry a digest, so
-//! that a daemon that was unreachable, suspended or not running receives what it missed from the
-//! first daemon with which it exchanges heartbeats. Refused requests are also recorded in the row
-//! of the host that saw the crash, so that they are known even after every daemon ended at once.
+//! that a daemon that was unreachable, suspended or not running receives the notices that it missed
+//! from the first daemon with which it exchanges heartbeats. Refused requests are also recorded in
+//! the row of the host on which the server crashed, so that they are known even after every daemon
+//! ended at once.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -68,14 +69,14 @@
         self.table.borrow().tally(fingerprint)
     }
 
-    /// Returns what is known of each suspected request, those with the most crashes first.
+    /// Returns a notice for each suspected request, those with the most crashes first.
     pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
         let mut notices = self.table.borrow().notices(now);
         notices.sort_by_key(|notice| (u32::MAX - notice.tally.crashes, notice.seen_ago));
         notices
     }
 
-    /// Returns the digest of what is known, for heartbeats, or `None` if nothing is known.
+    /// Returns the digest of the suspected requests, for heartbeats, or `None` if there are none.
     pub fn digest(&self) -> Option<i64> {
         Some(self.digest.get() as i64).filter(|digest| *digest != 0)
     }
@@ -86,7 +87,8 @@
         metrics::REQUESTS_REFUSED.set(table.refused() as i64);
     }
 
-    /// Returns the records for the own row: refused requests whose last crash was on this host.
+    /// Returns the records for this daemon's row: refused requests whose last crash was on this
+    /// host.
     pub fn own_records(&self, now: Duration) -> Vec<RefusedRecord> {
         let crashed_here = self.crashed_here.borrow();
         let notices = self.notices(now).into_iter();
@@ -150,8 +152,8 @@
     clear(state, fingerprint, "succeeded at a backend server of this host");
 }
 
-/// Admits a request again because an operator lifted its refusal. Says whether anything counted
-/// against it.
+/// Admits a request again because an operator lifted its refusal. Says whether any crashes counted
+/// against the request.
 pub fn lift(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) -> bool {
     clear(state, fingerprint, "lifted by an operator")
 }
@@ -176,7 +178,7 @@
     true
 }
 
-/// Adds a refused request to the own row.
+/// Adds a refused request to this daemon's row.
 fn add_to_own_row(state: &Rc<DaemonState>, fingerprint: RequestFingerprint) {
     let mut crashed_here = state.suspects.crashed_here.borrow_mut();
     if !crashed_here.contains(&fingerprint) {
@@ -186,9 +188,9 @@
     roster::refresh_refused(state);
 }
 
-/// Logs what another daemon reported of a request; `before` is its crash tally until then. It is
-/// logged only if copies are now refused, or admitted again: the daemon that saw a crash logs all
-/// suspects of that crash.
+/// Logs another daemon's notice of a request; `before` is the request's crash tally before the
+/// notice. A notice is logged only if copies of the request are now refused, or admitted again,
+/// because the daemon on whose host a server crashed logs all suspects of that crash.
 fn log_received(notice: &SuspectNotice, before: CrashTally, from: &str) {
     if notice.tally.is_refused() {
         log_suspected(notice, from);
@@ -209,7 +211,7 @@
     .log();
 }
 
-/// Notifies up to `most` of the linked daemons.
+/// Sends a notice to up to `most` of the linked daemons.
 fn notify_some(state: &DaemonState, notice: &SuspectNotice, most: usize) {
     for sender in membership::sample_senders(state, most) {
         send(&sender, std::slice::from_ref(notice));
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// Converts the baseline of a route, with what the other upstreams reported of slow requests.
+/// Converts the baseline of a route, with the slow requests that the other upstreams reported.
 pub fn baseline_with(baseline: &ServiceBaseline, slow_requests: &SlowRequests) -> BaselineNote {
     BaselineNote {
         hung_milli: Some(milli(slow_requests.hung)),
@@ -129,7 +129,7 @@
     }
 }
 
-/// Reads what the other upstreams reported of slow requests; none if the note lacks it.
+/// Reads the slow requests that the other upstreams reported; none if the note lacks them.
 pub fn siblings_slow_requests(note: Option<&BaselineNote>) -> SlowRequests {
     let counts = note.and_then(|note| Some((note.hung_milli?, note.late_milli?)));
     counts.map_or_else(SlowRequests::default, |(hung, late)| slow_requests(hung, late))
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -233,7 +233,8 @@
 #[test]
 fn verify_a_row_of_an_earlier_incarnation_or_an_unreadable_row_changes_nothing() {
     let mut fleet = fleet_of(3);
-    // The daemon is killed first: it would rewrite its row before the others read the changed one.
+    // The daemon is killed first: otherwise it would rewrite its row before the other daemons read
+    // the changed row.
     fleet.daemons[2].kill();
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     let old = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
--- a/crates/standin/src/backend/execution.rs
+++ b/crates/standin/src/backend/execution.rs
@@ -26,8 +26,8 @@
         monoio::time::sleep(Duration::from_millis(faults.crash_after_ms)).await;
         standin.runs.borrow_mut().crashes += 1;
         standin.crash.raise();
-        // Never completes: the crash closes all connections, this one included, and drops this
-        // future.
+        // This future never completes: the crash closes all connections, including that of this
+        // request, and drops the future.
         return future::pending().await;
     }
     let mut work_time = standin.service_time(faults);
