--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -9,7 +9,7 @@
 //! suspend and fire late: code that waits for a point in time awaits
 //! [`DaemonClock::passed_after_resume`] beside the timer. Durations, such as the response time of a
 //! server, are measured with [`std::time::Instant`], which doesn't advance during a suspend, and
-//! are discarded if the host was suspended meanwhile ([`DaemonClock::suspended_since`]).
+//! are discarded if the host was suspended while they ran ([`DaemonClock::suspended_since`]).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -87,7 +87,7 @@
         Ok(Self { state: Rc::new(state) })
     }
 
-    /// Returns the time since the start. The first call after a suspend detects it.
+    /// Returns the time since the start. The first call after a suspend detects the suspend.
     pub fn now(&self) -> Duration {
         let state = &self.state;
         // The boot-time clock is read first: a delay between the two reads can only hide a suspend.
@@ -115,14 +115,15 @@
         self.state.last_suspend.get()
     }
 
-    /// Returns whether the host was suspended since `moment`, which invalidates durations measured
-    /// from it.
+    /// Returns whether the host was suspended since `moment`. Durations measured from `moment` are
+    /// then invalid.
     pub fn suspended_since(&self, moment: Duration) -> bool {
         self.state.resumed_at.get().is_some_and(|resumed_at| resumed_at >= moment)
     }
 
     /// Waits until the host has resumed from a suspend and `moment` has passed. Code that waits for
-    /// `moment` with a timer awaits this beside it; without a suspend it never completes.
+    /// `moment` with a timer awaits this function as well as the timer. Without a suspend, the
+    /// function never completes.
     pub async fn passed_after_resume(&self, moment: Duration) {
         let mut seen = self.state.resumed.get();
         loop {
--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns the services touched since the last call.
+    /// Returns the services that changes affected since the last call of this function.
     pub fn take_touched(&self) -> TouchedServices {
         self.touched.replace(TouchedServices::Some(Vec::new()))
     }
@@ -212,8 +212,8 @@
     }
 }
 
-/// Reuses the entries of services that did not change, so that state learnt about these services
-/// survives.
+/// Reuses the entries of services that did not change, so that the ingress keeps the state that it
+/// learnt about these services.
 fn keep_unchanged(old: &ActiveConfig, next: &mut ActiveConfig) {
     for (name, known) in &old.services {
         if next.services.get(name).is_some_and(|entry| entry == known) {
--- a/crates/base/src/metrics.rs
+++ b/crates/base/src/metrics.rs
@@ -144,7 +144,7 @@
 pub const UPSTREAM_STATES: [&str; 4] = ["in-service", "doubted", "ejected", "draining"];
 /// Names of the results of calls to the platform.
 pub const STORE_RESULTS: [&str; 3] = ["answered", "refused", "no-answer"];
-/// Maximum number of routes with labels of their own; requests of all others are counted as
+/// Maximum number of routes with labels of their own; requests of all other routes are counted as
 /// `other`.
 const ROUTES_LABELLED_MAX: usize = 64;
 /// Label of the routes beyond [`ROUTES_LABELLED_MAX`] and of their services.
--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -33,7 +33,7 @@
 pub struct PeerPath {
     /// Host of the daemon.
     pub host: Rc<str>,
-    /// Whether the host is this daemon's own.
+    /// Whether the path leads to this daemon itself.
     pub is_self: bool,
     address: Cell<Option<SocketAddr>>,
     link: RefCell<Option<Rc<DialledLink>>>,
@@ -78,7 +78,8 @@
         self.address.get()
     }
 
-    /// Records the address of the daemon; a new address closes the link to the old one.
+    /// Records the address of the daemon. If the address is new, closes the link to the old
+    /// address.
     pub fn note_address(&self, address: SocketAddr) {
         if self.address.get() == Some(address) {
             return;
@@ -125,8 +126,8 @@
             return self.state(now) == PathState::Up;
         }
         if self.dialling.get() {
-            // A daemon that does not answer the dial in this time may have stopped; a distant one
-            // becomes usable once its link is established.
+            // A daemon that does not answer the dial within this time may have stopped; the path to
+            // a distant daemon becomes usable once its link is established.
             return now.saturating_sub(self.dialled_at.get()) < DIAL_WAIT_MAX;
         }
         now >= self.retry_at.get()
--- a/crates/ctl/src/api.rs
+++ b/crates/ctl/src/api.rs
@@ -18,8 +18,8 @@
 
 use crate::errors::CommandError;
 
-/// Timeout of one call. Within it, the daemon reports the outcome of a change, or that the outcome
-/// is unknown.
+/// Timeout of one call. A daemon needs less time to report the outcome of a change, or that the
+/// outcome is unknown.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest time without data on a watch: three times the interval at which a daemon sends
 /// bookmarks, the lines that keep an idle watch alive.
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -162,7 +162,7 @@
     Ok(())
 }
 
-/// Deletes a resource; with `at`, only if that is its revision.
+/// Deletes a resource; with `at`, only if the resource has that revision.
 pub async fn delete(
     api: &AdminApi,
     kind: &str,
@@ -390,8 +390,8 @@
     Ok(())
 }
 
-/// Replaces the `here` entry of each upstream of the reply by that of a daemon's view, if the view
-/// has one for this upstream.
+/// Replaces the `here` entry of each upstream in the reply by the `here` entry in a daemon's view,
+/// if the view has one for this upstream.
 fn merge_host_view(reply: &mut Value, view: &Value) {
     let services = reply["services"].as_array_mut().into_iter().flatten();
     for (service, service_view) in services.zip(view["services"].as_array().into_iter().flatten()) {
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -24,7 +24,8 @@
 /// `RequestHistory` is what the logs contain about one request.
 #[derive(Debug, Default)]
 pub struct RequestHistory {
-    /// Its lines, and those about changes in the health of its upstreams, in order of time.
+    /// Lines of the request, and lines about changes in the health of its upstreams, in order of
+    /// time.
     pub lines: Vec<LogLine>,
     /// Lines that contain no complete JSON object.
     pub unreadable: usize,
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -4,7 +4,8 @@
 //! Reads lines from the logs of many hosts.
 //!
 //! A line is used if it contains a JSON object; the text before the object, such as the prefix that
-//! a log collector adds, is kept as the source. Other lines are skipped, and counted by the caller.
+//! a log collector adds, is kept as the source. Lines without an object are skipped, and the caller
+//! counts them.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -28,8 +28,8 @@
         /// Whether the backend server had sent a nested call for the request.
         made_call: bool,
     },
-    /// A nested call, which a backend server sent while it served the request, was lost for this
-    /// reason.
+    /// A nested call, which a backend server sent while it served the request, was lost for the
+    /// inner cause.
     NestedCallLost(Box<LossCause>),
     /// The backend server answered with an error of its own.
     ServerError,
@@ -102,9 +102,10 @@
     lost_nested_call(logs, calls).unwrap_or(LossCause::Hung { made_call: !calls.is_empty() })
 }
 
-/// Returns the cause of a nested call that was lost, the least in the order of [`LossCause`] if
-/// several were. A nested call whose caller disconnected counts as hung: its caller is the backend
-/// server that serves the request, which stopped waiting for the call at its own deadline.
+/// Returns the cause of a nested call that was lost; if several were lost, the least cause in the
+/// order of [`LossCause`]. A nested call whose caller disconnected counts as hung: its caller is
+/// the backend server that serves the request, which stopped waiting for the call at its own
+/// deadline.
 fn lost_nested_call(logs: &ParsedLogs, calls: &[&RequestRecord]) -> Option<LossCause> {
     let causes = calls.iter().filter_map(|call| of(logs, call, &[]));
     let cause = causes.min()?;
--- a/crates/ctl/src/losses/mod.rs
+++ b/crates/ctl/src/losses/mod.rs
@@ -27,7 +27,7 @@
 /// `ParsedLogs` is what the logs contain about all requests.
 #[derive(Debug, Default)]
 pub struct ParsedLogs {
-    /// What is known about each request, by its id.
+    /// Record of each request that the logs name, by its id.
     pub requests: BTreeMap<String, RequestRecord>,
     /// Health and load of the backend servers over time.
     pub histories: ServerHistories,
@@ -76,7 +76,7 @@
 }
 
 /// Returns the id of the request during which a backend server sent the nested call with this id.
-/// Backend servers that forward an id append a dot and a part of their own to it.
+/// A backend server that forwards the id of a request appends a dot and a suffix to it.
 pub fn parent_of(id: &str) -> Option<&str> {
     id.rsplit_once('.').map(|(parent, _)| parent)
 }
--- a/crates/ctl/src/losses/record.rs
+++ b/crates/ctl/src/losses/record.rs
@@ -15,7 +15,7 @@
         /// Whether the response missed the route's latency objective.
         late: bool,
     },
-    /// Refused before an upstream was chosen.
+    /// The request was refused before an upstream was chosen.
     Rejected {
         /// Status that the caller received.
         status: u64,
@@ -51,21 +51,21 @@
 /// `RequestRecord` is what is known about one request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RequestRecord {
-    /// Route that it matched; empty if that is not known.
+    /// Route that the request matched; empty if that is not known.
     pub route: String,
-    /// Service that it went to.
+    /// Service to which the request was sent.
     pub service: String,
-    /// When its first line was logged, as [`LogLine::seconds`].
+    /// When the request's first line was logged, as [`LogLine::seconds`].
     pub first: Option<f64>,
-    /// Whether an ingress received it.
+    /// Whether an ingress received the request.
     pub received: bool,
     /// How the request ended, if the logs show that.
     pub end: Option<RequestEnd>,
     /// Time from the receipt of the request to its end, in milliseconds.
     pub held_ms: Option<u64>,
-    /// Attempts that were made, including those that a daemon declined.
+    /// Number of attempts that were made, including those that a daemon declined.
     pub attempts: u64,
-    /// Slow attempts: they went on while the ingress made another one.
+    /// Number of slow attempts, which continued while the ingress made another attempt.
     pub slow_attempts: u64,
     /// Upstream that was chosen last.
     pub last_chosen: String,
@@ -155,8 +155,8 @@
         self.is_served() && matches!(self.end, Some(RequestEnd::Answered { late: true, .. }))
     }
 
-    /// Returns the backend server that determined how the request ended: the last one that it was
-    /// sent to, or else the last one that was chosen; empty if none was.
+    /// Returns the backend server that determined how the request ended: the last server to which
+    /// the request was sent, or else the last server that was chosen. Empty if none was chosen.
     pub fn last_server(&self) -> &str {
         self.dispatched.last().map_or(&self.last_chosen, |attempt| &attempt.upstream)
     }
--- a/crates/ctl/src/losses/tally.rs
+++ b/crates/ctl/src/losses/tally.rs
@@ -14,7 +14,7 @@
 use crate::losses::{self, ParsedLogs};
 use crate::tables;
 
-/// Number of servers that are listed at most: those with the most losses.
+/// Maximum number of servers that are listed. The servers with the most losses are listed.
 const SERVERS_SHOWN: usize = 20;
 
 /// `RouteTally` counts the requests of one route.
@@ -24,7 +24,7 @@
     pub asked: u64,
     /// Number of the requests that got a successful response.
     pub served: u64,
-    /// Number of the served ones whose response missed the route's latency objective.
+    /// Number of the served requests whose response missed the route's latency objective.
     pub late: u64,
     /// Number of the requests that were lost, by cause.
     pub lost: BTreeMap<LossCause, u64>,
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -255,7 +255,7 @@
         flags::BasaltctlCmd::Health(flags) => {
             commands::health(&api, flags.service.as_deref(), form).await
         }
-        // These need no daemon and were handled above.
+        // These commands need no daemon and were handled above.
         flags::BasaltctlCmd::Explain(_)
         | flags::BasaltctlCmd::Losses(_)
         | flags::BasaltctlCmd::Key(_) => Ok(()),
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -171,7 +171,7 @@
     proxied.write(2);
     proxied.wait_revision(2);
     proxied.fleet.platform.set_faults(json!({"busy": true}));
-    // Before all confirmations have expired, a peer may hold one and send it late, to a daemon that
+    // Before all confirmations have expired, a peer may still send a confirmation after a daemon
     // has stopped waiting for it.
     let busy_since = Instant::now();
     eventually("all confirmations have expired", || busy_since.elapsed() > CERTAIN_FOR);
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -60,8 +60,8 @@
 }
 
 impl TestFleet {
-    /// Starts a fleet, applies its configuration, and waits until every daemon is ready, knows the
-    /// others and has the configuration in force.
+    /// Starts a fleet, applies its configuration, and waits until every daemon is ready, knows all
+    /// other daemons and has the configuration in force.
     pub fn start(plan: &FleetPlan) -> Self {
         let mut fleet = Self::start_unconfigured(plan);
         fleet.backends = (0..plan.backends)
@@ -100,7 +100,7 @@
         self.wait_members();
     }
 
-    /// Waits until every daemon is ready and knows all others.
+    /// Waits until every daemon is ready and knows all other daemons.
     pub fn wait_members(&self) {
         for daemon in &self.daemons {
             eventually("the daemons know each other", || {
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -25,7 +25,7 @@
     /// Connections up to this number are black-holed: they stay open, and all bytes sent on them
     /// are read and dropped.
     black_holed_to: AtomicU64,
-    /// Number of connections opened so far.
+    /// Number of connections that were opened.
     opened_count: AtomicU64,
     /// Hosts whose links are cut; if empty, all links are cut. A daemon names its host in its first
     /// frame.
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -7,8 +7,8 @@
 //! service of 15 within half a minute, while over a tenth of all requests failed. Each daemon
 //! retried a copy at up to three servers, and each crash took down the other requests that ran
 //! there. A daemon's record of the request was not shared with other daemons, applied only to
-//! retries and was dropped whenever the servers of the service changed, as each crash makes them
-//! do. 40 copies sent to six daemons crashed 37 servers.
+//! retries and was dropped whenever the servers of the service changed, which each crash causes. 40
+//! copies sent to six daemons crashed 37 servers.
 
 mod common;
 
@@ -72,7 +72,7 @@
         let id = format!("copy-{number}");
         let reply = fleet.request(number % 6, "GET", BAD_PATH, &[("x-request-id", &id)], "");
         assert_ne!(reply.status, 200, "no server can answer the bad request");
-        // Waits for a running server: while all are down, further copies could crash none.
+        // A copy is sent only while a server is up: while all servers are down, copies crash none.
         eventually("a server is up", || {
             fleet.request(number % 6, "GET", "/puzzle/good", &[], "").status == 200
         });
--- a/crates/daemon/tests/deployed.rs
+++ b/crates/daemon/tests/deployed.rs
@@ -46,7 +46,7 @@
 }
 
 /// Reads the deployed settings, with organisations, with this value for one placeholder and typical
-/// values for the others.
+/// values for the other placeholders.
 fn read_options(placeholder: &str, value: &str) -> Result<DaemonOptions, SettingError> {
     read_options_with(placeholder, value, true)
 }
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -35,7 +35,8 @@
     let texts = [r#"{"version": 9}"#, "text", r#"{"version": "nine"}"#];
     for (bad_index, text) in texts.into_iter().enumerate() {
         fleet.write_text(text);
-        // Waits for the log line, as a document that is replaced before it is read is not logged.
+        // The log line is awaited, since a document that is replaced before it is read is not
+        // logged.
         for daemon in &fleet.daemons {
             let logged = || daemon.log_text().matches("configuration unreadable").count();
             eventually("the bad document was read", || logged() > bad_index);
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -61,8 +61,8 @@
     }
 }
 
-/// Starts nine servers of a service that prefers precision: missed ejections rather than false
-/// ones.
+/// Starts nine servers of a service that prefers precision, that is, missed ejections rather than
+/// false ejections.
 fn precision_fleet() -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons: 3,
@@ -133,7 +133,7 @@
     let fleet = precision_fleet();
     // One server fails requests but answers health checks with 200 and reports no load.
     let faulty = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
-    // Another serves requests but answers health checks with 503 and reports full load.
+    // Another server serves requests but answers health checks with 503 and reports full load.
     fleet.backends[0].set_faults(json!({"health_status": 503, "claimed_load": 1000}));
     let probe = client::call(fleet.backends[0].address, "GET", "/health", &[], "");
     assert_eq!(probe.status, 503);
@@ -227,8 +227,8 @@
 }
 
 /// Guards against a fault in which the record of poison requests was dropped whenever the servers
-/// of their service changed, as they do when servers crash and restart: the next attempt then
-/// counted against its server.
+/// of their service changed, which they do when servers crash and restart. The next failure of a
+/// poison request then counted against its server.
 #[test]
 fn verify_poison_requests_are_remembered_when_the_service_changes() {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 0.5});
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -12,8 +12,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Names in heartbeats of two incarnations of the first backend server, before and after its
-/// restart.
+/// Names that the first backend server sends in its heartbeats: the old incarnation before its
+/// restart, and the new incarnation after it.
 const OLD_INCARNATION: &str = "i-1#a";
 const NEW_INCARNATION: &str = "i-1#b";
 
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -63,8 +63,8 @@
     eventually("the route is in force", || {
         fleet.request(0, "GET", "/slow/x", "in-force").status != 404
     });
-    // One server takes far longer than the objective, the other never answers: whichever was tried
-    // first, only an attempt that runs on after its hedging delay gets an answer.
+    // One server takes far longer than the objective, and the other never answers. Whichever server
+    // is tried first, only an attempt that continues after its hedging delay gets an answer.
     fleet.backends[0].set_faults(json!({"slow_rate": 1.0, "slow_factor": 60.0}));
     fleet.backends[1].set_faults(json!({"stuck": true}));
     for number in 0..5 {
@@ -96,8 +96,8 @@
         "not the whole time-out of the route while slots are free"
     );
     server.set_faults(json!({"stuck": true}));
-    // The hanging requests of the first round show that a request at this server which exceeds its
-    // objective is not answered later either.
+    // The hanging requests of the first round show that this server does not answer a request later
+    // either, once the request has exceeded its objective.
     fill_slots(&fleet, 0);
     let timeout_ms = fill_slots(&fleet, 1);
     assert!(
@@ -107,7 +107,7 @@
 }
 
 /// Sends requests for all four slots of the first server, one after the other, and waits until they
-/// end. Returns the timeout in ms that the server received with the last one, which filled its
+/// end. Returns the timeout in ms that the server received with the last request, which filled the
 /// slots.
 fn fill_slots(fleet: &RegisteredFleet, round: usize) -> u64 {
     let server = &fleet.backends[0];
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -103,8 +103,8 @@
     leaving.fleet.platform.set_faults(json!({"busy": true}));
     assert_eq!(leave(&leaving.fleet).status, 200, "the call is acknowledged");
     leaving.close();
-    // Restores the store only after more refused calls than there is time for in a stop that does
-    // not wait for the store.
+    // The store is restored only after more failed calls than a stop that does not wait for the
+    // store has time for.
     let daemon = &mut leaving.fleet.daemons[0];
     let before = store_failures(daemon);
     eventually("the daemon retries its write, or ends", || {
@@ -119,7 +119,8 @@
 fn verify_every_drain_that_a_stopping_daemon_acknowledged_is_stored() {
     let mut leaving = LeavingFleet::start(&[("drain-ms", "3000")]);
     let address = leaving.fleet.daemons[0].registration.expect("registration");
-    // A short delay, so that a call can arrive while the previous one is being written.
+    // Writes are delayed a little, so that a call can arrive while the change of the previous call
+    // is being written.
     leaving.fleet.platform.set_faults(json!({"delay_ms": 50}));
     leaving.fleet.daemons[0].signal("-TERM");
     // One server after another drains, until the daemon no longer listens.
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -46,7 +46,8 @@
     let fleet = start_limited(4, 40.0, 10.0);
     let start = Instant::now();
     let mut good = 0;
-    // The number of requests is fixed: on a slow machine more time passes, and more is allowed.
+    // The number of requests is fixed. On a slow machine they take more time, in which the limit
+    // allows more of them.
     for number in 0..2000 {
         good += u32::from(send_request(&fleet, number % 4).status == 200);
     }
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -14,8 +14,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Two daemons; the only backend server is beside the second, so that requests to the first pass
-/// over the link.
+/// Two daemons with one backend server, which is beside the second daemon, so that requests to the
+/// first daemon pass over the link.
 struct TwoHops {
     fleet: TestFleet,
 }
@@ -88,7 +88,7 @@
         "service": "solver-app", "host": "host-b", "slots": 4, "connections": 300,
         "failure_domain": "bkk-b",
     }}});
-    // A port that was just released: nothing listens there.
+    // Nothing listens at a port that was just released.
     let closed_address =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     configuration["backend-servers"]["server-1"]["address"] = json!(closed_address.to_string());
@@ -381,8 +381,8 @@
         let reply = link.fleet.request(0, "GET", "/puzzle", &[], "");
         reply.status == 200 && reply.header("x-served-by").as_deref() == Some(wanted)
     };
-    // Sends so many requests at once that the local server is busy and the remote server receives
-    // some too.
+    // So many requests are sent at once that the local server is busy and the remote server
+    // receives some of them.
     let load = |rounds: usize| {
         let callers = link.fleet.daemons[0].callers;
         let threads: Vec<_> = (0..rounds * 8)
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -54,8 +54,8 @@
         health["services"][0]["upstreams"][FORWARDED]["state"].as_str().expect("state").to_owned()
     }
 
-    /// Sends requests through an ingress; returns whether all were answered, and whether the last
-    /// server answered any.
+    /// Sends requests through an ingress. Returns whether all requests were answered, and whether
+    /// the last server answered any of them.
     fn send_requests(&self, daemon: usize, count: usize) -> (bool, bool) {
         let (mut all_served, mut last_used) = (true, false);
         for _ in 0..count {
@@ -134,7 +134,7 @@
 }
 
 /// Two regions of two daemons each. Every daemon is reached through its own forwarder, and the
-/// second region reaches the store through another one.
+/// second region reaches the store through another forwarder.
 struct TwoRegions {
     fleet: TestFleet,
     forwarders: Vec<Forwarder>,
@@ -220,7 +220,8 @@
         fleet.daemons[1].revision() == 4
     });
     assert_eq!((fleet.daemons[2].revision(), fleet.daemons[3].revision()), (1, 1));
-    // An at-most-once request needs the store: it runs in one region and is refused in the other.
+    // An at-most-once request needs the store, so it runs in the region with the store and is
+    // refused in the other region.
     eventually("a request runs in this region", || regions.pay(0, "one-key").0 == 200);
     let (status, outcome) = regions.pay(2, "one-key");
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -56,14 +56,14 @@
 }
 
 /// Sends [`REQUESTS_PER_SLOT`] requests for each server to the first daemon at once; `inject` runs
-/// once [`WAITING_MIN`] of them wait there.
+/// once [`WAITING_MIN`] of the requests wait at that daemon.
 fn send_all(fleet: &mut TestFleet, inject: impl FnOnce(&mut TestFleet)) -> Vec<RequestEnd> {
     let requests = REQUESTS_PER_SLOT * fleet.backends.len();
     send(fleet, requests, WAITING_MIN, inject)
 }
 
-/// Sends this many requests to the first daemon at once; `inject` runs once `waiting` of them
-/// wait there.
+/// Sends this many requests to the first daemon at once; `inject` runs once `waiting` of the
+/// requests wait at that daemon.
 fn send(
     fleet: &mut TestFleet,
     requests: usize,
@@ -86,8 +86,8 @@
     sending.into_iter().map(|thread| thread.join().expect("a caller")).collect()
 }
 
-/// Returns the requests without a 200; checks that each ran at most once, and not at all if its
-/// outcome is `not-run`.
+/// Returns the requests whose reply is not 200. Checks that each request ran at most once, and did
+/// not run if its outcome is `not-run`.
 fn failed_ends(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
     for end in &ends {
         let runs = fleet.run_count(&end.id);
@@ -135,8 +135,8 @@
 #[test]
 fn verify_no_slots_are_offered_for_servers_that_are_down() {
     let mut fleet = start(5, "places");
-    // The next request that runs at each of these servers crashes it. It stays down for longer than
-    // the other servers need for all requests.
+    // The next request that runs at each of these servers crashes that server, which then stays
+    // down for longer than the other servers need for all requests.
     let crash = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
     let ends = send_all(&mut fleet, |fleet| {
         fleet.backends[2..].iter().for_each(|backend| backend.set_faults(crash.clone()));
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -269,7 +269,7 @@
     let flags = [("seeds", seeds.as_str())];
     let daemon = TestDaemon::start(fleet.platform.address, "host-c", "bkk-c", &flags);
     fleet.daemons.push(daemon);
-    // Peers learn of each other without the store.
+    // Daemons discover each other through peers, without the store.
     eventually("the new daemon and the others know each other", || {
         fleet.daemons[2].live_members() == 3 && fleet.daemons[0].live_members() == 3
     });
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -87,7 +87,7 @@
     after: u64,
 }
 
-/// Counts these attempts in the log of the first daemon.
+/// Counts the attempts before and after the drain in the log of the first daemon.
 fn count_attempts_around_drain(fleet: &RegisteredFleet) -> AttemptCounts {
     let (mut before, mut after, mut draining) = (0, 0, false);
     let text = fleet.daemons[0].log_text();
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -32,7 +32,7 @@
     register_and_wait(&fleet, 0, "i-before", &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.set_faults(outage);
-    // Two changes in a row, so that the second one builds on the first.
+    // Two servers are registered in succession, so that the second change builds on the first.
     register_and_wait(&fleet, 0, "i-during", &[0, 1, 2]);
     register_and_wait(&fleet, 1, "i-later", &[0, 1, 2]);
     fleet.platform.set_faults(json!({}));
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The phases of a graceful shutdown: which requests a daemon admits, refuses and waits for in
-//! each.
+//! The phases of a graceful shutdown: which requests a daemon admits, refuses and waits for in each
+//! phase.
 
 mod common;
 
@@ -169,7 +169,8 @@
     }
     let mut stream = client::connect(fleet.daemons[0].callers);
     stops::request_stop(&fleet.daemons[0]);
-    // A server error after 5 s, and a retry that runs until the daemon gives up.
+    // The first attempt gets a server error after 5 s, and its retry runs until the daemon gives
+    // up.
     let headers = [("Host", "solver.example"), ("x-work-ms", "5000"), ("x-request-id", "again")];
     let text = client::request_text("GET", "/puzzle", &headers, "");
     stream.write_all(text.as_bytes()).expect("write");
@@ -235,7 +236,7 @@
     let headers = [("Authorization", "Bearer operator-token")];
     let text = client::request_text("POST", "/v1/apply", &headers, &body);
     changing.write_all(text.as_bytes()).expect("write");
-    // Once a later call is answered, the daemon has read the change.
+    // The daemon has read the change as soon as it answers a later call.
     fleet.daemons[0].get("/v1/status");
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut changing, "POST").expect("an answer");
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Hosts that are suspended: times that passed during the suspend have expired on resume, and
-//! durations measured across it do not count.
+//! Hosts that are suspended: time limits that passed during the suspend have expired on resume, and
+//! durations measured across the suspend do not count.
 
 mod common;
 
--- a/crates/standin/src/backend/crash.rs
+++ b/crates/standin/src/backend/crash.rs
@@ -21,7 +21,7 @@
         self.crashes.get()
     }
 
-    /// Counts a crash and wakes all tasks that wait for one.
+    /// Counts a crash and wakes all tasks that wait for a crash.
     pub fn raise(&self) {
         self.crashes.set(self.crashes.get() + 1);
         self.waiting.borrow_mut().drain(..).for_each(Waker::wake);
--- a/crates/standin/src/backend/faults.rs
+++ b/crates/standin/src/backend/faults.rs
@@ -28,7 +28,7 @@
 pub struct BackendFaults {
     /// Share of requests answered with status 500, 0 to 1.
     pub error_rate: f64,
-    /// Only paths with this prefix fail; empty for all.
+    /// Prefix of the paths to which `error_rate` applies; empty for all paths.
     pub error_prefix: String,
     /// Share of requests whose service time is multiplied by `slow_factor`, 0 to 1.
     pub slow_rate: f64,
--- a/crates/standin/src/backend/serving.rs
+++ b/crates/standin/src/backend/serving.rs
@@ -127,8 +127,8 @@
     Ok(body.freeze())
 }
 
-/// Returns whether the request is addressed to this incarnation of the server, or to none in
-/// particular.
+/// Returns whether the request is addressed to this incarnation of the server, or names no
+/// incarnation.
 fn is_expected(standin: &BackendStandin, head: &request::Parts) -> bool {
     let name = match &standin.options.fields.expected_server {
         Some(name) => name,
