--- a/crates/ctl/tests/keys.rs
+++ b/crates/ctl/tests/keys.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Generated keys must be random, and each must be shown with its own digest: the operator declares
-//! the digest, and with a wrong one the daemon would not recognise the caller's key.
+//! the digest, and with a wrong digest the daemon would not recognise the caller's key.
 
 use std::process::Command;
 
--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -42,7 +42,7 @@
     kind: String,
     name: String,
     value: Option<Value>,
-    /// Revision that the resource must be at; 0 if it must not exist; absent if any state will do.
+    /// Revision that the resource must have; 0 if it must not exist; absent if neither is required.
     at: Option<u64>,
 }
 
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -6,7 +6,7 @@
 //!
 //! Revisions only increase. A daemon that learns of changes forwards them to its neighbours.
 //! Heartbeats carry revisions, so that a daemon that missed a change pulls it. Polling covers the
-//! case that both fail.
+//! case that both forwarding and heartbeats fail.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,7 +43,8 @@
 /// half of the thread's time; timers have no finer resolution.
 const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
-/// Polls the store for ever, no more often than this daemon's share of the fleet's reads allows.
+/// Polls the store for ever, no more often than this daemon's share of the store reads that the
+/// whole fleet may make.
 pub async fn poll(state: Rc<DaemonState>) {
     let mut backoff = RetryBackoff::default();
     loop {
@@ -87,7 +88,7 @@
     Ok(())
 }
 
-/// Reads the missing changes from the store, a snapshot first if there are many.
+/// Reads the missing changes from the store. If many are missing, a snapshot is read first.
 async fn catch_up(state: &Rc<DaemonState>, revision: FleetRevision) -> Result<(), StoreError> {
     let missing = revision.0 - state.config.revision().0;
     if missing > changes::SNAPSHOT_EVERY {
@@ -103,8 +104,8 @@
     }
 }
 
-/// Lets requests be served between two slices of a long task, once there is a configuration to
-/// serve them with.
+/// Lets requests be served between two slices of a long task. Before a configuration is loaded, no
+/// requests can be served, so there is no pause.
 pub async fn yield_to_requests(state: &DaemonState) {
     if state.config.is_loaded() {
         monoio::time::sleep(YIELD_PAUSE).await;
@@ -142,8 +143,8 @@
     }
 }
 
-/// Builds the layout of a whole configuration in slices, and adopts it if it is later than the one
-/// in force by then.
+/// Builds the layout of a whole configuration in slices, and adopts it if it is later than the
+/// configuration that is in force when the layout is complete.
 async fn adopt(state: &Rc<DaemonState>, config: FleetConfig) {
     let layout =
         ActiveConfig::build_in_slices(&config, &async || yield_to_requests(state).await).await;
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -83,7 +83,7 @@
     }
     let (state, sender) = (state.clone(), sender.clone());
     monoio::spawn(async move {
-        // The reply reports the last confirmation known by then, even if none is recent.
+        // The reply reports the last known confirmation, even if none is recent after the check.
         freshness::is_certain(&state).await;
         answer_heartbeat(&state, &sender, &note);
     });
@@ -91,6 +91,6 @@
 
 fn answer_heartbeat(state: &DaemonState, sender: &FrameSender, note: &HeartbeatNote) {
     let reply = membership::heartbeat_reply(state, note);
-    // A link that ended needs no reply.
+    // A send error is ignored: a link that ended needs no reply.
     let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(reply));
 }
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -56,8 +56,8 @@
 /// feed takes milliseconds, and a whole document is large.
 const STORE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for which a daemon waits for a document that it pulls from a peer before it may ask
-/// another: a document of some hundred kilobytes takes a few tens of milliseconds within a region.
+/// Time for which a daemon waits for a document that it pulls from a peer before it may ask another
+/// peer: a document of some hundred kilobytes takes a few tens of milliseconds within a region.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Name of the store in logs, as the source of a document; a document from a peer is logged with
 /// the name of the peer's host.
@@ -103,7 +103,7 @@
 
 /// Waits for the next changes from the store. Abandons the call if a peer turns out to have a later
 /// document, which the call has not returned: the connection of the call may be black-holed, and
-/// would hold the call for up to 8.7 s.
+/// the call would then hang for up to 8.7 s.
 async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedUpdate> {
     let began = state.now();
     let became_stale = state.document.stale_call.above(state.document.stale_call.get());
@@ -130,8 +130,8 @@
 /// Queries the store for a later document, and adopts it.
 pub async fn query_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
-    // A document that could not be read may be readable now. The feed does not report its change
-    // again, so the whole table is read.
+    // A document that could not be read may be readable now. The feed reports each change only
+    // once, so the whole table is read.
     let is_outdated = state.freshness.known().is_outdated();
     let position = state.document.position.get().filter(|_| !is_outdated);
     let changes = match position {
@@ -295,8 +295,8 @@
     }
 }
 
-/// Applies the configuration to the host role at once, without waiting for the task that does so:
-/// an acknowledgement to a backend server must be true when it is sent.
+/// Applies the configuration to the host role at once, without waiting for the task that applies
+/// changes: an acknowledgement to a backend server must be true when it is sent.
 pub fn put_host_in_force(state: &Rc<DaemonState>) {
     let active = state.config.active();
     state.host.configure(state, &active, &TouchedServices::All);
@@ -309,7 +309,7 @@
     let mut builder = ConfigBuilder::default();
     let mut push = |kind: ResourceKind, name: &str, value: Value| {
         let resource = SnapshotResource(kind.name().to_owned(), name.to_owned(), revision, value);
-        // Names that are invalid in the resource API can't be shown by it.
+        // The resource API can't show resources whose names are invalid in it.
         if let Err(error) = builder.push(&resource) {
             fleet::ResourceNotShown { error: &error.to_string() }.log();
         }
@@ -368,7 +368,7 @@
     });
 }
 
-/// Returns the snapshot for a peer that is behind, if there is a document.
+/// Returns the snapshot for a peer with an earlier revision, if a document is in force.
 pub fn snapshot(state: &DaemonState) -> Option<Vec<u8>> {
     let document = state.document.get()?;
     let mut hosts = Vec::new();
--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -28,7 +28,7 @@
 /// caller, which could not distinguish a truncated answer from a complete one.
 const BUFFERED_BYTES_MAX: usize = 1024 * units::KIB;
 
-/// Relays an answer, and meanwhile sends the rest of the request's body.
+/// Relays an answer while sending the rest of the request's body.
 pub async fn relay(
     state: &DaemonState,
     stream: &mut HttpStream,
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -36,11 +36,11 @@
 /// `AfterRequest` says what happens to the connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterRequest {
-    /// It stays open for the next request.
+    /// The connection stays open for the next request.
     Keep,
-    /// It is closed once the caller has read the answer.
+    /// The connection is closed once the caller has read the answer.
     Close,
-    /// It is closed at once, so that the caller sees that the answer was cut short.
+    /// The connection is closed at once, so that the caller sees that the answer was cut short.
     Abort,
 }
 
@@ -127,7 +127,8 @@
         let counted = stop::admits_request(state, &id).then(|| state.stop.count_in_flight());
         metrics::REQUESTS.add_one();
         metrics::IN_FLIGHT.add(1);
-        // Boxed, so that an idle connection does not hold memory for a request's whole state.
+        // The future is boxed, so that an idle connection does not hold memory for a request's
+        // whole state.
         let after = Box::pin(request::serve(state, &mut stream, head, &id, from)).await;
         metrics::IN_FLIGHT.add(-1);
         match after {
@@ -148,8 +149,9 @@
 }
 
 /// Reads the head of the next request. Returns `None` if the connection has ended, or if it is idle
-/// when the daemon is about to exit. Until then a daemon that shuts down keeps reading: callers
-/// learn of the shutdown late, and a refusal shows them that the request did not run.
+/// when the daemon is about to exit. A daemon that shuts down keeps reading until it is about to
+/// exit, because callers discover the shutdown only after some time, and a refusal shows them that
+/// the request did not run.
 async fn next_head(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
--- a/crates/daemon/src/ingress/caller_key.rs
+++ b/crates/daemon/src/ingress/caller_key.rs
@@ -21,9 +21,10 @@
 pub struct CallerIdentity {
     /// Name of the organisation, if it is known.
     pub organisation: Option<Rc<str>>,
-    /// Class of its requests, if it overrides that of the route.
+    /// Class of the organisation's requests, if it overrides the class of the route.
     pub class: Option<WorkClass>,
-    /// The key that identified it; none for nested calls made by requests that run on this host.
+    /// The key that identified the organisation; `None` for nested calls made by requests that run
+    /// on this host.
     key: Option<KeyDigest>,
 }
 
@@ -59,8 +60,8 @@
     }
 }
 
-/// Finds the organisation that owns the given key. A route that needs no key is served with any
-/// key, known or not, and without one.
+/// Finds the organisation that owns the given key. A route that needs no key is served without a
+/// key and with any key, known or not.
 pub fn identify(
     active: &ActiveConfig,
     given: &GivenKey,
@@ -88,7 +89,7 @@
     }
 
     /// Returns the organisation against whose limit the request counts. Nested calls count against
-    /// none: the request that makes them was counted.
+    /// no limit, because the request that makes them was counted.
     pub fn limited_organisation(&self) -> Option<&str> {
         self.organisation.as_deref().filter(|_| self.key.is_some())
     }
--- a/crates/daemon/src/ingress/failure.rs
+++ b/crates/daemon/src/ingress/failure.rs
@@ -29,7 +29,7 @@
     pub retry_after: Option<Duration>,
     /// Human-readable message.
     pub message: String,
-    /// Methods that are accepted, if the request's is not one of them.
+    /// Methods that are accepted, if the request's method is not one of them.
     pub allow: Option<String>,
 }
 
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -63,13 +63,13 @@
     pub field_lines: Vec<u8>,
     /// Its caller.
     pub caller: CallerIdentity,
-    /// Revision of the configuration that admitted it.
+    /// Revision of the configuration under which the request was admitted.
     pub revision: FleetRevision,
     /// Idempotency key of an at-most-once request.
     pub once_key: Option<String>,
     /// Time by which it must be answered.
     pub deadline: Duration,
-    /// Time after which an answer is worth less, if the route declares an objective.
+    /// Time after which an answer misses the route's latency objective, if the route declares one.
     pub objective: Option<Duration>,
     /// How its body is framed.
     pub framing: BodyFraming,
@@ -115,8 +115,8 @@
         tally.filter(|tally| *tally != CrashTally::default())
     }
 
-    /// Returns its fingerprint, which identical requests share and no other has. The prefix of its
-    /// body must have been read.
+    /// Returns its fingerprint, which identical requests share and no other request has. The prefix
+    /// of its body must have been read.
     pub fn fingerprint(&self, state: &DaemonState) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let parts = RequestParts {
@@ -279,9 +279,10 @@
 
 /// `PrefixFault` is why the start of a body was not read.
 enum PrefixFault {
-    /// It can't be read.
+    /// The body can't be read.
     Unreadable(HttpError),
-    /// It did not arrive before the daemon, which is shutting down, stopped admitting requests.
+    /// The body did not arrive before the daemon, which is shutting down, stopped admitting
+    /// requests.
     Refused,
 }
 
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -25,18 +25,19 @@
 
 /// `TargetQuery` is what the route and the caller of a request are resolved from.
 pub struct TargetQuery<'a> {
-    /// Its head.
+    /// Head of the request.
     pub head: &'a request::Parts,
-    /// The host name that it is addressed to.
+    /// Host name that the request is addressed to.
     pub host: &'a str,
-    /// Its id: a nested call made by a request that runs on this host needs no key.
+    /// Id of the request, which shows a nested call made by a request that runs on this host. Such
+    /// a call needs no key.
     pub id: &'a str,
 }
 
 /// Resolves the route and the caller of a request. A refusal says that something is not configured,
 /// and callers treat that as permanent. A request is therefore refused only if the configuration is
 /// confirmed to be the newest. Without this rule, a daemon that had received no changes for 5.6 s
-/// refused requests for a route that had been added meanwhile.
+/// refused requests for a route that had been added in that time.
 pub async fn resolve(
     state: &Rc<DaemonState>,
     query: &TargetQuery<'_>,
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -21,9 +21,9 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Time after a daemon's start for which the whole fleet may have started together. If the fleet
-/// started for the first time, the owner then grants the whole burst, as a fleet that starts must
-/// not refuse requests.
+/// Time after a daemon's start during which it assumes that the whole fleet may have started
+/// together. If the fleet started for the first time, the owner grants the whole burst, as a fleet
+/// that starts must not refuse requests.
 const FIRST_START_WINDOW: Duration = Duration::from_secs(3);
 /// Time for which the list of eligible hosts is kept. Owners change only when a daemon leaves or
 /// has been unresponsive for seconds.
@@ -96,8 +96,8 @@
         eligible.refreshed_at = now;
         let hosts = eligible_hosts(state);
         if eligible.generation == 0 || hosts != eligible.hosts {
-            // Which hosts were eligible before the first list was built is not known, so that this
-            // list counts as unchanged since this daemon's start.
+            // It is not known which hosts were eligible before the first list was built, so the
+            // first list counts as unchanged since this daemon's start.
             eligible.changed_at = if eligible.generation == 0 { Duration::ZERO } else { now };
             eligible.generation += 1;
             eligible.hosts = hosts;
@@ -121,8 +121,8 @@
     }
 
     /// Answers as the owner of a limit, or as its backup if the request carries a claim. Returns
-    /// `None` where another daemon is the owner: two owners would together grant twice the limit,
-    /// and the requester asks the backup instead.
+    /// `None` if another daemon is the owner, because two owners would together grant twice the
+    /// limit. The requester then asks the backup.
     pub fn answer(
         &self,
         state: &DaemonState,
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -30,8 +30,8 @@
 /// domains take 6 ms; an owner that takes longer than this timeout is treated as unreachable. The
 /// time to establish the link is not included, as it is longer right after a start.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which an ingress that can't reach the owner of a limit does without it, before it asks
-/// the owner again.
+/// Time for which an ingress that can't reach the owner of a limit sends it no requests for tokens,
+/// before it tries the owner again.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// `LimitState` is what this ingress knows of one limit.
@@ -39,7 +39,8 @@
     limiter: LocalLimiter,
     /// Raised when the token request in progress has ended, `None` if there is none.
     pending_request: Option<Rc<RisingSignal>>,
-    /// Time from which the owner is asked again, while neither it nor its backup can be reached.
+    /// Time from which the owner is asked again, while neither the owner nor its backup can be
+    /// reached.
     retry_owner_at: Duration,
     /// Time until which the owner is not asked again, because it could not be reached.
     owner_lost_until: Option<Duration>,
@@ -115,7 +116,7 @@
 pub struct LimitRefusal {
     /// Time after which the caller may retry.
     pub wait: Duration,
-    /// Which limit it was, and which daemon counts it.
+    /// Message that names the limit and the daemon that counts it.
     pub message: String,
 }
 
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -40,8 +40,8 @@
 /// Time for which a path may be cut before its link is closed and established again.
 const CUT_MAX: Duration = Duration::from_secs(10);
 /// Time without a received frame after which a second link is dialled along a cut path, beside the
-/// first: a connection may be black-holed for good while new ones work. Requests in flight on the
-/// first link are not lost by that.
+/// first link: a connection may be black-holed for good while new connections work. Requests in
+/// flight on the first link continue.
 const RENEW_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of accepted links: every other daemon at the fleet size expected in two years,
 /// and room for restarts.
@@ -96,9 +96,9 @@
     true
 }
 
-/// Dials a second link beside one that may be black-holed, and waits for it no longer than a
-/// request would. Requests in flight stay on the old link, as it may recover; new ones use the new
-/// link.
+/// Dials a second link beside a link that may be black-holed, and waits for the new link no longer
+/// than a request would. Requests in flight stay on the old link, as it may recover; new requests
+/// use the new link.
 pub async fn renew(state: &Rc<DaemonState>, path: &Rc<PeerPath>) {
     let seen = path.change_count();
     if start_dial(state, path) || path.is_dialling() {
@@ -263,7 +263,7 @@
     fleet::AcceptedEnded { host: &link.peer.host, error: &error.to_string() }.log();
 }
 
-/// Monitors the dialled links for ever: probes unresponsive ones and closes idle ones.
+/// Monitors the dialled links for ever: probes unresponsive links and closes idle links.
 pub async fn watch(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(WATCH_INTERVAL).await;
@@ -274,8 +274,8 @@
     }
 }
 
-/// Logs when a path is cut, as nothing has been received along it for a while, and when frames
-/// arrive again.
+/// Logs when a path counts as cut, because no frame has arrived along it for a while, and when
+/// frames arrive again.
 fn log_silence(path: &PeerPath, in_flight: usize, now: Duration) {
     let is_unresponsive = path.state(now) == PathState::Cut;
     if path.note_silence(is_unresponsive) == is_unresponsive {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -5,7 +5,7 @@
 //!
 //! The view is seeded by the rows of the hosts and kept up to date by gossip, in heartbeats between
 //! a few peers. The views of two daemons may always differ, so no guarantee of the fleet depends on
-//! them. Information about a later incarnation of a daemon takes precedence.
+//! these views. Information about a later incarnation of a daemon takes precedence.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -35,8 +35,8 @@
 const ENTRIES_MAX: usize = 8;
 /// Heartbeat intervals after which a member without a known heartbeat is suspect, in a small fleet.
 const SUSPECT_HEARTBEATS: u32 = 12;
-/// Number of members whose entries one round of heartbeats renews. The suspect time grows by one
-/// heartbeat interval for every so many members of the fleet.
+/// Number of members whose entries one round of heartbeats renews. For each such number of members
+/// in the fleet, the suspect time grows by one heartbeat interval.
 const RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
@@ -73,9 +73,9 @@
     pub failure_domain: String,
     /// Address at which it accepts links.
     pub peer_address: String,
-    /// Address of its administration.
+    /// Address of its admin API.
     pub admin_address: String,
-    /// Number of its incarnation; that of a later start is higher.
+    /// Number of its incarnation; a later start has a higher number.
     pub incarnation: i64,
     /// Time of its latest known heartbeat, received directly or reported by another member.
     pub last_heartbeat_at: Duration,
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Records what a peer reports of other members.
+    /// Records the entries of other members that a peer reports.
     pub fn note_entries(&self, state: &DaemonState, entries: &[MemberEntry]) {
         let now = state.now();
         let mut members = self.members.borrow_mut();
@@ -335,7 +335,7 @@
 
 /// Merges a reported view into the known view. A later incarnation replaces the known view. Within
 /// one incarnation, the later heartbeat and revision are kept, and a daemon that is leaving stays
-/// so.
+/// marked as leaving.
 fn merge(view: &mut MemberView, reported: MemberView) {
     if reported.incarnation < view.incarnation {
         return;
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -35,11 +35,11 @@
 pub struct SnapshotPart {
     /// Number of the sender's transfer that the part belongs to.
     pub transfer: i64,
-    /// Its index in the transfer, from 0.
+    /// Index of the part in the transfer, from 0.
     pub index: i32,
-    /// Its bytes.
+    /// Bytes of the part.
     pub bytes: Vec<u8>,
-    /// Whether it is the last.
+    /// Whether the part is the last of its transfer.
     pub last: bool,
 }
 
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -40,8 +40,8 @@
 /// Maximum number of ended incarnations of backend servers that are remembered, to recognise
 /// heartbeats that arrive after their end.
 const ENDED_MAX: usize = 64;
-/// Maximum number of backend servers whose incarnations are tracked: a host has few, and a client
-/// that names more of them is no backend server of this host.
+/// Maximum number of backend servers whose incarnations are tracked: a host has few backend
+/// servers, and a client that names more of them is no backend server of this host.
 const TRACKERS_MAX: usize = 256;
 
 /// `RegistrationTable` is what this daemon knows of the backend servers on its host, apart from
@@ -133,7 +133,8 @@
 
 fn answer_server(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     // An acknowledged change must also reach the next incarnation of this daemon, through the
-    // store, but this daemon no longer waits until it is stored. The backend server retries.
+    // store. This daemon no longer waits for writes to the store, so it refuses the change, and the
+    // backend server retries.
     if state.stop.is_over(state.now()) {
         return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon is shutting down");
     }
@@ -169,8 +170,8 @@
     ServerReply::whole(StatusCode::OK, "application/json", body)
 }
 
-/// Returns why a heartbeat is refused, as it may come from some other client than a backend server
-/// of this host. Either its service or its address differs from those registered for the same
+/// Returns why a heartbeat is refused, because its sender may not be a backend server of this host.
+/// Either its service or its address differs from those registered for the same
 /// incarnation, or the incarnation is not registered and its service is not configured.
 fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
@@ -266,8 +267,8 @@
     roster::note_departure(state);
 }
 
-/// Recovers the backend servers that an earlier incarnation of this daemon published. Each that
-/// still answers with its name is in use again before its next heartbeat.
+/// Recovers the backend servers that an earlier incarnation of this daemon published. Each server
+/// that still answers with its name is in use again before its next heartbeat.
 pub fn recover(state: &Rc<DaemonState>, record: &HostRecord) {
     let known = state.registrations.recovered.borrow().as_ref().map(HostRecord::order);
     if known >= Some(record.order()) {
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -53,7 +53,7 @@
     Some(FileVersion { changed_at, bytes: data.len() })
 }
 
-/// Reloads the settings. Invalid ones change nothing.
+/// Reloads the settings. Invalid settings change nothing.
 fn reload(state: &Rc<DaemonState>, cause: &str) {
     let mut options = match DaemonOptions::try_new(state.options.given.clone()) {
         Ok(options) => options,
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -39,8 +39,8 @@
 
 /// Table of the rows.
 pub const HOSTS_TABLE: &str = "hosts";
-/// Longest pause after consecutive failed calls to the store: what changed during an outage of the
-/// store must be known within about two seconds of its end.
+/// Longest pause after consecutive failed calls to the store: changes that were made during an
+/// outage of the store must be known within about two seconds of the end of the outage.
 pub const FAILED_CALL_PAUSE_MAX: Duration = Duration::from_millis(2000);
 /// Time for which a starting daemon waits for the backend server on its host before it writes its
 /// row without one: a little longer than the usual time between two heartbeats.
@@ -51,8 +51,8 @@
 const NOTIFY_AFTER: Duration = Duration::from_millis(200);
 /// Shortest time between checks for rows of hosts that are gone.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// Longest time between these checks as a multiple of the shortest, so that not all daemons check
-/// at once.
+/// Longest time between these checks as a multiple of [`SWEEP_INTERVAL`], so that not all daemons
+/// check at once.
 const SWEEP_JITTER: f64 = 1.5;
 
 /// `HostRecord` is what a host's daemon publishes about itself and the backend servers on its host.
@@ -61,16 +61,16 @@
     /// Name of the host. A row that holds the record of another host is not valid.
     #[serde(default)]
     pub host: String,
-    /// Incarnation of the daemon; a later start has a higher one.
+    /// Incarnation of the daemon; a later start has a higher number.
     pub incarnation: i64,
     /// Failure domain of the host.
     pub failure_domain: String,
     /// Address at which the daemon accepts links.
     pub peer_address: String,
-    /// Address of its administration.
+    /// Address of the daemon's admin API.
     pub admin_address: String,
     /// Number of changes of the servers in this incarnation. Of two records of one incarnation, the
-    /// one with more changes is later.
+    /// record with more changes is later.
     #[serde(default)]
     pub changes: u64,
     /// Whether the daemon is leaving.
@@ -108,8 +108,8 @@
 }
 
 impl HostRecord {
-    /// Returns the sort key of a host's records, by which the later one is greater: the
-    /// incarnation, then the changes.
+    /// Returns the sort key of a host's records: the incarnation, then the changes. The later of
+    /// two records has the greater key.
     pub fn order(&self) -> (i64, u64) {
         (self.incarnation, self.changes)
     }
@@ -505,7 +505,7 @@
     Ok(record)
 }
 
-/// Removes a list from a record. A value that is not a list counts as an empty one.
+/// Removes a list from a record. A value that is not a list counts as an empty list.
 fn take_list(record: &mut Value, name: &str) -> Vec<Value> {
     match record.as_object_mut().and_then(|fields| fields.remove(name)) {
         Some(Value::Array(list)) => list,
@@ -518,7 +518,8 @@
     (!server.name.is_empty() && server.slots > 0).then_some(server)
 }
 
-/// Recovers what an earlier incarnation of this daemon published, from the store or a peer.
+/// Recovers the record that an earlier incarnation of this daemon published, from the store or a
+/// peer.
 fn recover_own(state: &Rc<DaemonState>, record: &HostRecord) {
     if record.incarnation >= state.identity.incarnation {
         return;
@@ -583,8 +584,8 @@
     let key = row_key(&state.options.host);
     let check = RowCheck { key: key.clone(), version: state.roster.own_version.get() };
     let write = RowWrite { key, value: Some(json!(record)) };
-    // A write without an answer may have taken effect, or may do so later: until a later write is
-    // answered, the content of the row is not known.
+    // A write without an answer may have taken effect, or may take effect later. Until a later
+    // write is answered, the content of the row is not known.
     state.roster.note_written(None);
     match state.platform.transact(vec![check], vec![write]).await {
         Ok(version) => {
@@ -593,8 +594,8 @@
             update_record(state, &state.options.host, Some(record.clone()));
             Ok(())
         }
-        // Records the row that the store holds instead, such as one of an earlier incarnation. The
-        // next attempt replaces it.
+        // The row that the store holds instead is recorded, for example that of an earlier
+        // incarnation. The next attempt replaces that row.
         Err(StoreError::Conflict { rows }) => {
             for row in rows {
                 state.roster.own_version.set(row.version);
@@ -613,9 +614,9 @@
 
 /// Runs for ever: removes the rows of hosts whose latest known heartbeat is very old.
 ///
-/// One daemon is responsible for each host, by rendezvous hashing over the live ones. A row is
-/// removed only while the store answers and only if it has not been written since; a daemon that is
-/// alive writes its row again.
+/// One daemon is responsible for each host, by rendezvous hashing over the live daemons. A row is
+/// removed only while the store answers, and only if the row has not been written since this daemon
+/// read it. A daemon that is alive writes its row again.
 pub async fn sweep(state: Rc<DaemonState>) {
     loop {
         let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER));
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -4,12 +4,12 @@
 //! Distributes the rows of the hosts to every daemon.
 //!
 //! Each change of a row completes every call that waits for changes at the store. If all daemons
-//! waited there, the calls would grow with the square of the number of daemons. Therefore two
-//! daemons of each failure domain, the readers, follow the feed and relay its changes. The others
-//! subscribe to the readers and renew the subscription each second. A daemon that receives nothing
-//! for a while reads the store itself. All daemons choose the same two readers by rendezvous
-//! hashing over the members they know. If two daemons choose differently for a moment, that only
-//! costs additional calls.
+//! waited at the store, the calls would grow with the square of the number of daemons. Therefore
+//! two daemons of each failure domain, the readers, follow the feed and relay its changes. The
+//! other daemons subscribe to the readers and renew the subscription each second. A daemon that
+//! receives nothing from any reader for a while reads the store itself. All daemons of a failure
+//! domain choose the same two readers by rendezvous hashing over the members they know. If two
+//! daemons choose different readers for a moment, the only cost is additional calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/options/src/bounds.rs
+++ b/crates/options/src/bounds.rs
@@ -12,21 +12,21 @@
 /// Time between the end of the longest drain and the platform's kill, in which responses that were
 /// just written still leave the host.
 const KILL_MARGIN: Duration = Duration::from_millis(250);
-/// Divisor of the file descriptors that yields the share for callers' connections; the others are
-/// for links to peers, connections to backend servers, and files.
+/// Divisor of the file descriptors that yields the share for callers' connections; the remaining
+/// descriptors are for links to peers, connections to backend servers, and files.
 const CALLER_DESCRIPTORS_DIVISOR: u64 = 2;
 /// Divisor of the memory that yields the share for callers' connections.
 const CALLER_MEMORY_DIVISOR: u64 = 2;
 /// Memory of a caller's connection with a request in progress, in bytes. The idle connection takes
 /// 11.3 KiB and the request takes 21.2 KiB at the ingress, as scripts/measure-memory reports them.
 const CALLER_BYTES: u64 = 33 * 1024;
-/// Longest accepted time until the platform's kill; a longer one is refused as a probable mistake
-/// in units.
+/// Longest accepted time until the platform's kill; a longer time is refused because it was
+/// probably given in the wrong unit.
 const KILL_AFTER_MS_MAX: u64 = 86_400_000;
 /// Longest accepted drain, as no platform waits longer for a host.
 pub const DRAIN_MS_MAX: u64 = 3_600_000;
 
-/// Returns the bound on callers' connections: the given one, lowered where the file descriptors or
+/// Returns the bound on callers' connections: the given bound, lowered if the file descriptors or
 /// the memory leave too little for links to peers, connections to backend servers and requests in
 /// progress.
 pub fn caller_connections(
--- a/crates/options/src/check.rs
+++ b/crates/options/src/check.rs
@@ -33,9 +33,9 @@
     pub peers: SocketAddr,
     /// Address for operators.
     pub admin: SocketAddr,
-    /// Address at which other daemons reach this one, if not the one it listens on.
+    /// Address at which other daemons reach this daemon, if it differs from `peers`.
     pub advertise_peers: Option<SocketAddr>,
-    /// Address at which operators reach this daemon, if not the one it listens on.
+    /// Address at which operators reach this daemon, if it differs from `admin`.
     pub advertise_admin: Option<SocketAddr>,
     /// Addresses of some other daemons, used while the platform's list of hosts is unavailable.
     pub seeds: Vec<SocketAddr>,
@@ -92,7 +92,7 @@
     /// Where requests that find no free slot are queued.
     pub waiting: WaitingMode,
     /// Time that a request waits in its own failure domain rather than cause a transfer of one
-    /// megabyte to another.
+    /// megabyte to another failure domain.
     pub far_megabyte: Duration,
 }
 
--- a/crates/options/src/defaults.rs
+++ b/crates/options/src/defaults.rs
@@ -20,9 +20,9 @@
     pub queue: u32,
     /// Share of requests that may be retried.
     pub retry_share: f64,
-    /// Retries beyond that share, over the whole fleet in one window.
+    /// Retries beyond `retry_share`, over the whole fleet in one window.
     pub retry_extra: u32,
-    /// Length of that window.
+    /// Length of the window of `retry_extra`.
     pub retry_window: Duration,
 }
 
--- a/crates/options/src/raw.rs
+++ b/crates/options/src/raw.rs
@@ -88,13 +88,14 @@
     pub queue: Option<String>,
     /// Default share of requests that may be retried.
     pub retry_share: Option<String>,
-    /// Default number of retries beyond that share, per service over the whole fleet in one window.
+    /// Default number of retries beyond `retry_share`, per service over the whole fleet in one
+    /// window.
     pub retry_extra: Option<String>,
     /// Length of that window in milliseconds.
     pub retry_window_ms: Option<String>,
     /// Share of a limit by which it may be exceeded.
     pub limit_over: Option<String>,
-    /// Requests beyond that share that are admitted in one window.
+    /// Requests beyond `limit_over` that are admitted in one window.
     pub limit_extra: Option<String>,
     /// Length of that window in milliseconds.
     pub limit_window_ms: Option<String>,
--- a/crates/options/src/restart.rs
+++ b/crates/options/src/restart.rs
@@ -32,7 +32,7 @@
         checks.iter().filter(|(_, differs)| *differs).map(|(name, _)| *name).collect()
     }
 
-    /// Replaces the configured addresses by those that are bound.
+    /// Replaces the configured addresses by the addresses of `bound`, which are in use.
     pub fn keep_bound(&mut self, bound: &Self) {
         self.callers = bound.callers;
         self.peers = bound.peers;
--- a/crates/options/src/waiting.rs
+++ b/crates/options/src/waiting.rs
@@ -9,7 +9,7 @@
 /// `WaitingMode` says where requests that find no free slot are queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitingMode {
-    /// In the queue of one host, and lost with it.
+    /// In the queue of one host; the requests in the queue are lost if the host fails.
     OneHost,
     /// At the ingress, with reservations in the queues of several hosts.
     Reservations,
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -41,7 +41,7 @@
     copy: TableCopy,
 }
 
-/// `TableCopy` is the copy that the table is restored from: empty before the first one is taken.
+/// `TableCopy` is the copy from which the table is restored. It is empty before a copy is taken.
 #[derive(Debug, Clone, Default)]
 struct TableCopy {
     rows: TableRows,
@@ -67,7 +67,7 @@
 }
 
 impl PlatformTable {
-    /// From now on keeps a snapshot per transaction, for reads of an older state.
+    /// Starts to keep a snapshot per transaction, for reads of an older state.
     pub fn keep_snapshots(&mut self) {
         if !self.keep_snapshots {
             self.snapshots.push_back((Instant::now(), self.rows.clone()));
@@ -141,7 +141,7 @@
         Ok(PageBody { ver: version, ..PageBody::default() })
     }
 
-    /// Returns the rows as they were `age` ago, or the oldest that are kept if none are that old.
+    /// Returns the rows as they were `age` ago, or the oldest snapshot if none is that old.
     fn rows_at(&self, age: Duration) -> &TableRows {
         if age.is_zero() || !self.keep_snapshots {
             return &self.rows;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -85,7 +85,7 @@
         Self(OnceLock::new())
     }
 
-    /// Records a duration; one that is recorded before [`start`] is discarded.
+    /// Records a duration. A duration that is recorded before [`start`] is discarded.
     pub fn record(&self, time: Duration) {
         self.record_as(time, []);
     }
