--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -46,7 +46,7 @@
 /// How the operator's table is followed. A failed call costs as much as a successful one. After an
 /// outage, the first daemon that reads a change announces it to the other daemons, so that retries
 /// every 1.5 s are enough.
-const FEED: FeedPlan = FeedPlan {
+const DOCUMENT_FEED_PLAN: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
     failure_pause_max: Duration::from_millis(1500),
@@ -92,7 +92,7 @@
 
 /// Reads the document and follows its changes for ever.
 pub async fn follow(state: Rc<DaemonState>) {
-    let mut reader = FeedReader::new(FEED);
+    let mut reader = FeedReader::new(DOCUMENT_FEED_PLAN);
     loop {
         let Some(news) = next_unless_stale(&state, &mut reader).await else { continue };
         let (FeedUpdate::Whole(page) | FeedUpdate::Changes(page)) = news else { continue };
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -46,7 +46,7 @@
 /// take: five of six requests complete within this time.
 const RESERVED_DEVIATIONS: f64 = 1.0;
 /// Duration of the overdue timer of a request that never counts as overdue.
-const NEVER: Duration = Duration::from_secs(3600);
+const NEVER_OVERDUE: Duration = Duration::from_secs(3600);
 
 /// Serves one exchange to its end and reports a failure to the ingress.
 pub async fn serve(
@@ -488,23 +488,27 @@
         let watch = AttemptWatch::start(self, progress);
         let calls = watch.calls().clone();
         let HttpStream { reader, writer } = stream;
-        let sent = Cell::new(false);
-        let mut sending =
-            std::pin::pin!(
-                sending::send_request(self, progress.timeout.time, writer, body, &sent).fuse()
-            );
+        let is_sent = Cell::new(false);
+        let mut sending = std::pin::pin!(sending::send_request(
+            self,
+            progress.timeout.time,
+            writer,
+            body,
+            &is_sent
+        )
+        .fuse());
         let relay = AnswerRelay { attempt: self, progress, answer, claim, calls };
         let mut answering = std::pin::pin!(relay.run(reader).fuse());
         let mut cancelled = std::pin::pin!(body.cancelled().fuse());
         let mut timed_out = std::pin::pin!(monoio::time::sleep(self.time_left()).fuse());
         let mut deadline_passed =
             std::pin::pin!(self.state.clock.passed_after_resume(self.deadline).fuse());
-        let overdue_after = overdue_after.unwrap_or(NEVER);
+        let overdue_after = overdue_after.unwrap_or(NEVER_OVERDUE);
         let mut overdue = std::pin::pin!(monoio::time::sleep(overdue_after).fuse());
         let mut watching = std::pin::pin!(watch.check_until_settled().fuse());
         loop {
             select_biased! {
-                result = answering => return result.map(|clean| clean && sent.get()),
+                result = answering => return result.map(|clean| clean && is_sent.get()),
                 () = watching => {}
                 result = sending => match result {
                     // A server may respond before it has read the whole request, so a connection
--- a/crates/daemon/src/ingress/failure.rs
+++ b/crates/daemon/src/ingress/failure.rs
@@ -16,7 +16,7 @@
 const RETRY_AFTER_MIN_SECONDS: u64 = 1;
 
 /// Challenge sent with status 401 to a caller without a known key; RFC 9110 requires one.
-const CHALLENGE: &str = "ApiKey";
+const AUTH_CHALLENGE: &str = "ApiKey";
 
 /// `CallerFailure` is the reply that a caller gets in place of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -82,7 +82,7 @@
             put(header::ALLOW, allow);
         }
         if self.status == StatusCode::UNAUTHORIZED {
-            put(header::WWW_AUTHENTICATE, CHALLENGE);
+            put(header::WWW_AUTHENTICATE, AUTH_CHALLENGE);
         }
         if close {
             put(header::CONNECTION, "close");
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -32,13 +32,13 @@
 /// Longest time that a request waits for a link to be established.
 ///
 /// Dialling continues in the background, so that a later request finds a link to a distant daemon.
-const LINK_WAIT: Duration = Duration::from_millis(500);
+const LINK_WAIT_MAX: Duration = Duration::from_millis(500);
 /// Time between checks of the links.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without use after which a link is closed.
-const IDLE_MAX: Duration = Duration::from_secs(120);
+const IDLE_TIME_MAX: Duration = Duration::from_secs(120);
 /// Time for which a path may be cut before its link is closed and established again.
-const CUT_MAX: Duration = Duration::from_secs(10);
+const CUT_TIME_MAX: Duration = Duration::from_secs(10);
 /// Time without a received frame after which a second link is dialled along a cut path, beside the
 /// first link: a connection may be black-holed for good while new connections work. Requests in
 /// flight on the first link continue.
@@ -58,7 +58,7 @@
     if let Some(link) = path.link() {
         return Ok(link);
     }
-    match monoio::time::timeout(LINK_WAIT, wait_link(state, path)).await {
+    match monoio::time::timeout(LINK_WAIT_MAX, wait_link(state, path)).await {
         Ok(result) => result,
         Err(_) => Err(LinkError::TimedOut),
     }
@@ -102,14 +102,14 @@
 pub async fn renew(state: &Rc<DaemonState>, path: &Rc<PeerPath>) {
     let seen = path.change_count();
     if start_dial(state, path) || path.is_dialling() {
-        let _ = monoio::time::timeout(LINK_WAIT, path.wait_change(seen)).await;
+        let _ = monoio::time::timeout(LINK_WAIT_MAX, path.wait_change(seen)).await;
     }
 }
 
-/// Closes a replaced link once nothing is in flight on it, or after [`CUT_MAX`].
+/// Closes a replaced link once nothing is in flight on it, or after [`CUT_TIME_MAX`].
 async fn retire(link: Rc<DialledLink>) {
     let mut waited = Duration::ZERO;
-    while link.exchange_count() > 0 && waited < CUT_MAX {
+    while link.exchange_count() > 0 && waited < CUT_TIME_MAX {
         monoio::time::sleep(WATCH_INTERVAL).await;
         waited += WATCH_INTERVAL;
     }
@@ -301,9 +301,9 @@
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
     log_silence(path, link.exchange_count(), now);
-    let idle = !in_use && now.saturating_sub(path.used_at()) > IDLE_MAX;
+    let idle = !in_use && now.saturating_sub(path.used_at()) > IDLE_TIME_MAX;
     let is_cut = path.state(now) == PathState::Cut;
-    if idle || is_cut && path.silent_for(now) > CUT_MAX {
+    if idle || is_cut && path.silent_for(now) > CUT_TIME_MAX {
         link.sender().close();
     } else if is_cut && path.silent_for(now) > RENEW_AFTER {
         start_dial(state, path);
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -37,7 +37,7 @@
 const SUSPECT_HEARTBEATS: u32 = 12;
 /// Number of members whose entries one round of heartbeats renews. For each such number of members
 /// in the fleet, the suspect time grows by one heartbeat interval.
-const RENEWED_EACH_ROUND: usize = 40;
+const MEMBERS_RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
 /// Numbers of the states in the peer protocol.
@@ -98,7 +98,7 @@
 /// Returns the time without a heartbeat after which a member is suspect, in a fleet of `members`
 /// members.
 pub fn suspect_after(heartbeat: Duration, members: usize) -> Duration {
-    heartbeat * (SUSPECT_HEARTBEATS + (members / RENEWED_EACH_ROUND) as u32)
+    heartbeat * (SUSPECT_HEARTBEATS + (members / MEMBERS_RENEWED_EACH_ROUND) as u32)
 }
 
 impl MemberTable {
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -53,7 +53,7 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
 /// Longest time between these checks as a multiple of [`SWEEP_INTERVAL`], so that not all daemons
 /// check at once.
-const SWEEP_JITTER: f64 = 1.5;
+const SWEEP_JITTER_FACTOR: f64 = 1.5;
 
 /// `HostRecord` is what a host's daemon publishes about itself and the backend servers on its host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -619,7 +619,7 @@
 /// read it. A daemon that is alive writes its row again.
 pub async fn sweep(state: Rc<DaemonState>) {
     loop {
-        let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER));
+        let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER_FACTOR));
         monoio::time::sleep(pause).await;
         let mut gone = state.members.expired_hosts(&state);
         gone.extend(state.roster.stale.borrow_mut().drain(..));
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -35,7 +35,7 @@
 /// How the feed is followed. Changes in quick succession, as when a fleet starts, are read in one
 /// call. No request waits for a change, since the daemon of a host refuses requests that its server
 /// must not get.
-const FEED: FeedPlan = FeedPlan {
+const HOSTS_FEED_PLAN: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
     failure_pause_max: FAILED_CALL_PAUSE_MAX,
@@ -45,7 +45,7 @@
 };
 /// Daemons of a failure domain that follow the feed: one may be unreachable before this is
 /// detected.
-const READERS: usize = 2;
+const READERS_PER_DOMAIN: usize = 2;
 /// The key of the rendezvous hashing by which the readers are chosen.
 const READERS_KEY: &str = "rows of hosts";
 /// Time between requests for changes, which renew the subscription.
@@ -217,7 +217,7 @@
     let mut local = state.members.live_in_domain(state);
     local.retain(|host| !state.rows.is_avoided(host, now));
     let mut readers = Vec::new();
-    while readers.len() < READERS {
+    while readers.len() < READERS_PER_DOMAIN {
         let next = limits::owner_of(READERS_KEY, local.iter().map(String::as_str));
         let next = match next {
             Some(host) => host.to_owned(),
@@ -231,7 +231,7 @@
 
 /// Keeps the rows up to date for ever: from the store, or from the readers.
 pub async fn follow(state: Rc<DaemonState>) {
-    let mut reader = FeedReader::new(FEED);
+    let mut reader = FeedReader::new(HOSTS_FEED_PLAN);
     loop {
         let is_reader = readers(&state).contains(&state.options.host);
         if state.rows.is_known() && !is_reader && state.rows.has_recent_changes(state.now()) {
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -38,7 +38,7 @@
 /// in another window. A retry that a server refuses unexpectedly was received as well, although no
 /// daemon charges it to the budget. With 0.85, a service received 217 retries in a window that
 /// allowed 198.
-const BUDGET_FRACTION: f64 = 0.7;
+const RETRY_BUDGET_FRACTION: f64 = 0.7;
 /// Maximum number of routes with a weighted split whose state is kept. Beyond this number the
 /// states of all routes are dropped, so that the states of removed routes do not accumulate.
 const SPLITS_MAX: usize = 4096;
@@ -479,8 +479,8 @@
     let daemons = state.roster.daemons().max(state.members.count()) as f64;
     let extra = f64::from(defaults.retry_extra) / daemons;
     BudgetTerms {
-        share: share * BUDGET_FRACTION,
-        extra: if share > 0.0 { extra * BUDGET_FRACTION } else { 0.0 },
+        share: share * RETRY_BUDGET_FRACTION,
+        extra: if share > 0.0 { extra * RETRY_BUDGET_FRACTION } else { 0.0 },
         window: defaults.retry_window,
     }
 }
--- a/crates/daemon/tests/common/client.rs
+++ b/crates/daemon/tests/common/client.rs
@@ -125,7 +125,7 @@
         if let Some(end) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             break end + 4;
         }
-        if !fill(stream, buffer) {
+        if !receive_into(stream, buffer) {
             return None;
         }
     };
@@ -144,13 +144,13 @@
         None if reply.header("transfer-encoding").is_some() => {
             read_chunked_body(stream, buffer, &mut reply)
         }
-        None => while fill(stream, &mut reply.body) {},
+        None => while receive_into(stream, &mut reply.body) {},
     }
     Some(reply)
 }
 
 /// Appends received bytes to `buffer`; returns false once the connection has ended or failed.
-fn fill(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
+fn receive_into(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     let mut chunk = [0; 16384];
     loop {
         match stream.read(&mut chunk) {
@@ -167,7 +167,7 @@
 }
 
 fn read_sized_body(stream: &mut TcpStream, buffer: &mut Vec<u8>, length: usize, reply: &mut Reply) {
-    while buffer.len() < length && fill(stream, buffer) {}
+    while buffer.len() < length && receive_into(stream, buffer) {}
     reply.complete = buffer.len() >= length;
     reply.body = buffer.drain(..length.min(buffer.len())).collect();
 }
@@ -178,14 +178,14 @@
             if let Some(end) = buffer.windows(2).position(|window| window == b"\r\n") {
                 break end;
             }
-            if !fill(stream, buffer) {
+            if !receive_into(stream, buffer) {
                 return;
             }
         };
         let line = String::from_utf8_lossy(&buffer[..line_end]).into_owned();
         let size = usize::from_str_radix(line.trim(), 16).expect("chunk size");
         while buffer.len() < line_end + 2 + size + 2 {
-            if !fill(stream, buffer) {
+            if !receive_into(stream, buffer) {
                 return;
             }
         }
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -117,14 +117,14 @@
     let backward = (cuts.clone(), first_frame.clone());
     thread::spawn(move || {
         let (cuts, first) = &forward;
-        pump(near_read, far_write, black_holed_forward, |chunk| {
+        forward_bytes(near_read, far_write, black_holed_forward, |chunk| {
             let first = first.get_or_init(|| chunk.to_vec());
             cuts.forward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
     thread::spawn(move || {
         let (cuts, first) = &backward;
-        pump(far, near, black_holed_backward, |_| {
+        forward_bytes(far, near, black_holed_backward, |_| {
             let first = first.get().map_or(&[][..], Vec::as_slice);
             cuts.backward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
@@ -132,7 +132,7 @@
 }
 
 /// Forwards bytes in one direction until the connection ends.
-fn pump(
+fn forward_bytes(
     mut from: TcpStream,
     mut to: TcpStream,
     is_black_holed: impl Fn() -> bool,
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -159,22 +159,22 @@
 
 #[test]
 fn verify_a_large_answer_to_a_slow_caller_does_not_grow_the_memory_of_daemons() {
-    const LENGTH: usize = 1 << 30;
+    const BODY_LENGTH: usize = 1 << 30;
     // The only server is beside the first daemon, so that the body passes over the link between the
     // daemons.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, ..FleetPlan::default() });
     let before_kib: Vec<u64> =
         fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
-    let path = format!("/bytes/{LENGTH}");
+    let path = format!("/bytes/{BODY_LENGTH}");
     let text = client::request_text("GET", &path, &[("Host", "solver.example")], "");
     stream.write_all(text.as_bytes()).expect("write");
     let mut chunk = vec![0; 1 << 20];
     let mut received_bytes = 0;
     let mut growth_kib = 0;
-    while received_bytes < LENGTH {
+    while received_bytes < BODY_LENGTH {
         let count = stream.read(&mut chunk).expect("read");
-        assert!(count > 0, "answer cut after {received_bytes} of {LENGTH} bytes");
+        assert!(count > 0, "answer cut after {received_bytes} of {BODY_LENGTH} bytes");
         received_bytes += count;
         for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
             growth_kib =
@@ -188,7 +188,7 @@
 
 #[test]
 fn verify_a_large_request_body_streams_through() {
-    const LENGTH: usize = 1 << 30;
+    const BODY_LENGTH: usize = 1 << 30;
     let routes = json!({"sink": {"host": "solver.example", "path_prefix": "/sink",
         "service": "solver-app", "timeout_ms": LONG_TIMEOUT_MS}});
     // The only server is beside the first daemon, so that the body passes over the link between the
@@ -197,18 +197,19 @@
     let before_kib: Vec<u64> =
         fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
-    let head =
-        format!("POST /sink HTTP/1.1\r\nHost: solver.example\r\nContent-Length: {LENGTH}\r\n\r\n");
+    let head = format!(
+        "POST /sink HTTP/1.1\r\nHost: solver.example\r\nContent-Length: {BODY_LENGTH}\r\n\r\n"
+    );
     stream.write_all(head.as_bytes()).expect("write");
     let chunk = vec![b'z'; 1 << 20];
-    for _ in 0..LENGTH >> 20 {
+    for _ in 0..BODY_LENGTH >> 20 {
         stream.write_all(&chunk).expect("write");
     }
     let reply = client::read_reply(&mut stream, "POST").expect("reply");
     assert_eq!(reply.status, 200);
     let received: u64 =
         fleet.backends.iter().map(|b| b.runs()["body_bytes"].as_u64().expect("bytes")).sum();
-    assert_eq!(received, LENGTH as u64);
+    assert_eq!(received, BODY_LENGTH as u64);
     for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
         let growth_kib = resident_kib(daemon.process_id()).saturating_sub(*before_kib);
         assert!(growth_kib < 16 * 1024, "{} grew by {growth_kib} KiB", daemon.host);
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -19,7 +19,7 @@
 use test_case::test_case;
 
 /// Name of a second server beside the first daemon, which stays registered.
-const STAYS: &str = "i-stays";
+const REMAINING_SERVER: &str = "i-stays";
 
 /// Two hosts; beside the first daemon are a server that leaves and one that stays registered.
 struct LeavingFleet {
@@ -34,11 +34,13 @@
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
         assert_eq!(fleet.send_heartbeat(0, false).status, 200);
         let fields = basaltarch_platform::headers::exchange_fields();
-        let stays = TestBackend::start_at(common::loopback(), STAYS, 1, fields);
-        let heartbeat = fleet.heartbeat_from(stays.address, STAYS, SERVICE, false);
+        let stays = TestBackend::start_at(common::loopback(), REMAINING_SERVER, 1, fields);
+        let heartbeat = fleet.heartbeat_from(stays.address, REMAINING_SERVER, SERVICE, false);
         assert_eq!(fleet.call_daemon(0, &heartbeat).status, 200);
         fleet.wait_served(1, &[0, 1]);
-        eventually("the row lists both servers", || stored_servers(&fleet) == ["i-1", STAYS]);
+        eventually("the row lists both servers", || {
+            stored_servers(&fleet) == ["i-1", REMAINING_SERVER]
+        });
         eventually("the other daemon knows of both servers", || {
             fleet.daemons[1].log_text().contains("i-1, i-stays")
         });
@@ -55,7 +57,7 @@
     fn check_left_server_unused(&mut self, flags: &[(&str, &str)]) {
         let fleet = &mut self.fleet;
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
-        eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
+        eventually("the server that stays is recovered", || is_recovered(fleet, REMAINING_SERVER));
         let before = fleet.backends[0].total_runs();
         for number in 0..60 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("left-{number}"));
@@ -175,7 +177,7 @@
     leaving.fleet.platform.set_faults(json!({}));
     let fleet = &mut leaving.fleet;
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
-    eventually("the server that stays is recovered", || is_recovered(fleet, STAYS));
+    eventually("the server that stays is recovered", || is_recovered(fleet, REMAINING_SERVER));
     let mut round = 0;
     eventually("nothing reaches the server that left", || {
         round += 1;
@@ -185,5 +187,7 @@
         }
         fleet.backends[0].total_runs() == before
     });
-    eventually("the row no longer lists the server that left", || stored_servers(fleet) == [STAYS]);
+    eventually("the row no longer lists the server that left", || {
+        stored_servers(fleet) == [REMAINING_SERVER]
+    });
 }
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -191,7 +191,7 @@
         self.store.cuts.backward.store(is_cut, Ordering::SeqCst);
     }
 
-    fn pay(&self, daemon: usize, key: &str) -> (u16, Option<String>) {
+    fn send_payout(&self, daemon: usize, key: &str) -> (u16, Option<String>) {
         let headers = [("idempotency-key", key), ("x-request-id", key)];
         let reply = self.fleet.request(daemon, "POST", "/payouts", &headers, "100");
         (reply.status, reply.outcome())
@@ -204,7 +204,7 @@
     let fleet = &regions.fleet;
     let served = |daemon: usize| fleet.request(daemon, "GET", "/puzzle", &[], "").status == 200;
     assert!((0..4).all(served));
-    assert_eq!(regions.pay(2, "before").0, 200);
+    assert_eq!(regions.send_payout(2, "before").0, 200);
     regions.set_cut(true);
     for daemon in 0..4 {
         eventually("each region serves its own callers", || (0..10).all(|_| served(daemon)));
@@ -222,15 +222,17 @@
     assert_eq!((fleet.daemons[2].revision(), fleet.daemons[3].revision()), (1, 1));
     // An at-most-once request needs the store, so it runs in the region with the store and is
     // refused in the other region.
-    eventually("a request runs in this region", || regions.pay(0, "one-key").0 == 200);
-    let (status, outcome) = regions.pay(2, "one-key");
+    eventually("a request runs in this region", || regions.send_payout(0, "one-key").0 == 200);
+    let (status, outcome) = regions.send_payout(2, "one-key");
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
-    let (status, outcome) = regions.pay(3, "before");
+    let (status, outcome) = regions.send_payout(3, "before");
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")), "the row can't be read");
     regions.set_cut(false);
     fleet.wait_revision(4);
     for key in ["one-key", "before"] {
-        eventually("the other region learns that it has run", || regions.pay(2, key).0 == 200);
+        eventually("the other region learns that it has run", || {
+            regions.send_payout(2, key).0 == 200
+        });
         assert_eq!(fleet.run_count(key), 1, "{key}");
     }
     let last_revision = fleet.daemons[3].revision();
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -155,12 +155,12 @@
 
 #[test]
 fn verify_a_fast_failing_server_receives_no_more_requests_than_healthy_ones() {
-    const SLOTS: u32 = 4;
+    const SLOTS_PER_SERVER: u32 = 4;
     // With a floor of 1.0 all slots are needed, so the circuit breaker of the server opens but
     // the server stays in service.
     let service = json!({"floor": 1.0, "prefer": "detection"});
-    let mut fleet = start_with(HOSTS, "places", SLOTS, service);
-    let requests_per_server = REQUESTS_PER_SLOT * SLOTS as usize;
+    let mut fleet = start_with(HOSTS, "places", SLOTS_PER_SERVER, service);
+    let requests_per_server = REQUESTS_PER_SLOT * SLOTS_PER_SERVER as usize;
     let failing = json!({"error_rate": 1.0, "quick_errors": true});
     let ends = send(&mut fleet, requests_per_server * HOSTS, requests_per_server as f64, |fleet| {
         fleet.backends[2].set_faults(failing);
