--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -24,7 +24,7 @@
 pub enum TouchedServices {
     /// Every service may have changed.
     All,
-    /// These services and their upstreams.
+    /// Only these services or their upstreams may have changed.
     Some(Vec<Rc<str>>),
 }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Returns the services touched since the last call.
+    /// Returns the services that changes affected since the last call of this function.
     pub fn take_touched(&self) -> TouchedServices {
         self.touched.replace(TouchedServices::Some(Vec::new()))
     }
@@ -159,7 +159,7 @@
             self.log_older(config.revision());
             return false;
         }
-        // The changes between the two revisions are not known here, so watches must restart.
+        // The changes between the old and the new revision are not known, so watches must restart.
         self.records.borrow_mut().clear();
         keep_unchanged(&self.active.borrow(), &mut next);
         *self.active.borrow_mut() = Rc::new(next);
@@ -212,8 +212,8 @@
     }
 }
 
-/// Reuses the entries of services that did not change, so that state learnt about these services
-/// survives.
+/// Reuses the entries of services that did not change, so that the ingress keeps the state that it
+/// learnt about these services.
 fn keep_unchanged(old: &ActiveConfig, next: &mut ActiveConfig) {
     for (name, known) in &old.services {
         if next.services.get(name).is_some_and(|entry| entry == known) {
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -162,7 +162,7 @@
     Ok(())
 }
 
-/// Deletes a resource; with `at`, only if that is its revision.
+/// Deletes a resource; with `at`, only if the resource has that revision.
 pub async fn delete(
     api: &AdminApi,
     kind: &str,
@@ -231,12 +231,12 @@
     for record in reply["records"].as_array().into_iter().flatten() {
         for change in record["changes"].as_array().into_iter().flatten() {
             let mut row = tables::cells(record, &["revision", "at", "actor", "from"]);
-            let what = match (change["before"].is_null(), change["after"].is_null()) {
+            let action = match (change["before"].is_null(), change["after"].is_null()) {
                 (true, _) => "made",
                 (_, true) => "deleted",
                 _ => "changed",
             };
-            row.push(what.to_owned());
+            row.push(action.to_owned());
             let (kind, name) = (tables::cell(&change["kind"]), tables::cell(&change["name"]));
             row.push(format!("{kind}/{name}"));
             rows.push(row);
@@ -390,8 +390,8 @@
     Ok(())
 }
 
-/// Replaces the `here` entry of each upstream of the reply by that of a daemon's view, if the view
-/// has one for this upstream.
+/// Replaces the `here` entry of each upstream in the reply by the `here` entry in a daemon's view,
+/// if the view has one for this upstream.
 fn merge_host_view(reply: &mut Value, view: &Value) {
     let services = reply["services"].as_array_mut().into_iter().flatten();
     for (service, service_view) in services.zip(view["services"].as_array().into_iter().flatten()) {
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -6,7 +6,7 @@
 //!
 //! Revisions only increase. A daemon that learns of changes forwards them to its neighbours.
 //! Heartbeats carry revisions, so that a daemon that missed a change pulls it. Polling covers the
-//! case that both fail.
+//! case that both forwarding and heartbeats fail.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,7 +43,8 @@
 /// half of the thread's time; timers have no finer resolution.
 const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
-/// Polls the store for ever, no more often than this daemon's share of the fleet's reads allows.
+/// Polls the store for ever, no more often than this daemon's share of the store reads that the
+/// whole fleet may make.
 pub async fn poll(state: Rc<DaemonState>) {
     let mut backoff = RetryBackoff::default();
     loop {
@@ -68,26 +69,26 @@
     Duration::from_secs_f64(period_s).max(POLL_MIN)
 }
 
-/// Reads the newest revision from the store, and the changes that are missing here.
+/// Reads the newest revision from the store, and the changes that this daemon lacks.
 pub async fn poll_once(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
     let (revision, _) = state.changes.head().await?;
     if revision > state.config.revision() {
         catch_up(state, revision).await?;
     } else if revision < state.config.revision() {
-        // The answer was stale. The later configuration here was accepted by the store, and stays
-        // in force.
+        // The answer was stale. The store had accepted the later configuration that is in force at
+        // this daemon, so it stays in force.
         metrics::OLD_REVISIONS.add_one();
     }
     state.config.mark_loaded();
-    // A stale answer does not confirm that the configuration here is the newest.
+    // A stale answer does not confirm that this daemon's configuration is the newest.
     if state.config.revision() == revision {
         state.freshness.note_store(asked_at);
     }
     Ok(())
 }
 
-/// Reads the missing changes from the store, a snapshot first if there are many.
+/// Reads the missing changes from the store. If many are missing, a snapshot is read first.
 async fn catch_up(state: &Rc<DaemonState>, revision: FleetRevision) -> Result<(), StoreError> {
     let missing = revision.0 - state.config.revision().0;
     if missing > changes::SNAPSHOT_EVERY {
@@ -103,8 +104,8 @@
     }
 }
 
-/// Lets requests be served between two slices of a long task, once there is a configuration to
-/// serve them with.
+/// Lets requests be served between two slices of a long task. Before a configuration is loaded, no
+/// requests can be served, so there is no pause.
 pub async fn yield_to_requests(state: &DaemonState) {
     if state.config.is_loaded() {
         monoio::time::sleep(YIELD_PAUSE).await;
@@ -142,16 +143,16 @@
     }
 }
 
-/// Builds the layout of a whole configuration in slices, and adopts it if it is later than the one
-/// in force by then.
+/// Builds the layout of a whole configuration in slices, and adopts it if it is later than the
+/// configuration that is in force when the layout is complete.
 async fn adopt(state: &Rc<DaemonState>, config: FleetConfig) {
     let layout =
         ActiveConfig::build_in_slices(&config, &async || yield_to_requests(state).await).await;
     state.config.adopt(config, layout, state.now());
 }
 
-/// Forwards changes that are new here to the neighbours and to some of the daemons that dialled
-/// this one.
+/// Forwards changes that are new to this daemon to its neighbours and to some of the daemons that
+/// dialled it.
 pub fn forward_changes(state: &Rc<DaemonState>, records: &[ChangeRecord]) {
     let mut senders: Vec<FrameSender> = Vec::new();
     for host in state.members.neighbours(state) {
@@ -189,8 +190,8 @@
     }
 }
 
-/// Compares the revision of a peer with the own one: sends the peer the changes that it lacks, or
-/// asks it for those that are missing here.
+/// Compares the revision of a peer with that of this daemon: sends the peer the changes that it
+/// lacks, or asks it for the changes that this daemon lacks.
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let ours = state.config.revision();
     if state.options.source == ConfigSource::Document {
@@ -301,13 +302,13 @@
     if state.options.source == ConfigSource::Document {
         return document::adopt_snapshot(state, &peer.host, &bytes);
     }
-    let reading = match SnapshotReadGuard::take(state) {
+    let read_guard = match SnapshotReadGuard::take(state) {
         Some(guard) => guard,
         None => return,
     };
     let host = peer.host.clone();
     monoio::spawn(async move {
-        let state = &reading.state;
+        let state = &read_guard.state;
         match snapshot::read(&bytes, &async || yield_to_requests(state).await).await {
             Ok(config) => adopt(state, config).await,
             Err(error) => {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -66,8 +66,8 @@
     let revision = FleetRevision(note.revision.max(0) as u64);
     state.members.note_heartbeat(state, peer, revision);
     state.members.note_entries(state, &note.members);
-    // The record is sent before the reply, which may prompt the peer to ask for all that is known
-    // here.
+    // The record is sent before the reply, which may prompt the peer to ask for everything that
+    // this daemon knows.
     roster::send_previous_record(state, sender, peer);
     if note.reply {
         freshness::note_answer(state, &note);
@@ -83,7 +83,7 @@
     }
     let (state, sender) = (state.clone(), sender.clone());
     monoio::spawn(async move {
-        // The reply reports the last confirmation known by then, even if none is recent.
+        // The reply reports the last known confirmation, even if none is recent after the check.
         freshness::is_certain(&state).await;
         answer_heartbeat(&state, &sender, &note);
     });
@@ -91,6 +91,6 @@
 
 fn answer_heartbeat(state: &DaemonState, sender: &FrameSender, note: &HeartbeatNote) {
     let reply = membership::heartbeat_reply(state, note);
-    // A link that ended needs no reply.
+    // A send error is ignored: a link that ended needs no reply.
     let _ = sender.send(NO_EXCHANGE, FrameBody::Heartbeat(reply));
 }
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -39,13 +39,14 @@
 use crate::roster::{self, RelayedRecord};
 use crate::state::DaemonState;
 
-/// Longest wait of a call: every daemon makes such calls, and the store charges for each, whether
-/// or not anything changed. The store waits no longer than 30 s.
+/// Longest wait of a long poll of the operator's table. It is long because every daemon makes such
+/// calls and the store charges for each, whether or not anything changed. The store waits no longer
+/// than 30 s.
 const WAIT_MAX: Duration = Duration::from_secs(28);
-/// How the operator's table is followed. Failed calls cost as much as others, and after an outage,
-/// the first daemon that reads a change announces it to the others, so that retries every 1.5 s are
-/// enough.
-const FEED: FeedPlan = FeedPlan {
+/// How the operator's table is followed. A failed call costs as much as a successful one. After an
+/// outage, the first daemon that reads a change announces it to the other daemons, so that retries
+/// every 1.5 s are enough.
+const DOCUMENT_FEED_PLAN: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
     failure_pause_max: Duration::from_millis(1500),
@@ -55,8 +56,8 @@
 /// feed takes milliseconds, and a whole document is large.
 const STORE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time for which a daemon waits for a document that it pulls from a peer before it may ask
-/// another: a document of some hundred kilobytes takes a few tens of milliseconds within a region.
+/// Time for which a daemon waits for a document that it pulls from a peer before it may ask another
+/// peer: a document of some hundred kilobytes takes a few tens of milliseconds within a region.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Name of the store in logs, as the source of a document; a document from a peer is logged with
 /// the name of the peer's host.
@@ -91,7 +92,7 @@
 
 /// Reads the document and follows its changes for ever.
 pub async fn follow(state: Rc<DaemonState>) {
-    let mut reader = FeedReader::new(FEED);
+    let mut reader = FeedReader::new(DOCUMENT_FEED_PLAN);
     loop {
         let Some(news) = next_unless_stale(&state, &mut reader).await else { continue };
         let (FeedUpdate::Whole(page) | FeedUpdate::Changes(page)) = news else { continue };
@@ -102,7 +103,7 @@
 
 /// Waits for the next changes from the store. Abandons the call if a peer turns out to have a later
 /// document, which the call has not returned: the connection of the call may be black-holed, and
-/// would hold the call for up to 8.7 s.
+/// the call would then hang for up to 8.7 s.
 async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedUpdate> {
     let began = state.now();
     let became_stale = state.document.stale_call.above(state.document.stale_call.get());
@@ -129,8 +130,8 @@
 /// Queries the store for a later document, and adopts it.
 pub async fn query_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
     let asked_at = state.now();
-    // A document that could not be read may be readable now. The feed does not report its change
-    // again, so the whole table is read.
+    // A document that could not be read may be readable now. The feed reports each change only
+    // once, so the whole table is read.
     let is_outdated = state.freshness.known().is_outdated();
     let position = state.document.position.get().filter(|_| !is_outdated);
     let changes = match position {
@@ -148,11 +149,11 @@
 /// `DocumentOutcome` is what became of a received document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DocumentOutcome {
-    /// It is in force, or was already.
+    /// The document is in force, or was already.
     InForce,
-    /// It is older than the one in force and was ignored.
+    /// The document is older than the one in force and was ignored.
     Outdated,
-    /// It can't be read.
+    /// The document can't be read.
     Unreadable,
 }
 
@@ -294,8 +295,8 @@
     }
 }
 
-/// Applies the configuration to the host role at once, without waiting for the task that does so:
-/// an acknowledgement to a backend server must be true when it is sent.
+/// Applies the configuration to the host role at once, without waiting for the task that applies
+/// changes: an acknowledgement to a backend server must be true when it is sent.
 pub fn put_host_in_force(state: &Rc<DaemonState>) {
     let active = state.config.active();
     state.host.configure(state, &active, &TouchedServices::All);
@@ -308,7 +309,7 @@
     let mut builder = ConfigBuilder::default();
     let mut push = |kind: ResourceKind, name: &str, value: Value| {
         let resource = SnapshotResource(kind.name().to_owned(), name.to_owned(), revision, value);
-        // Names that are invalid in the resource API can't be shown by it.
+        // The resource API can't show resources whose names are invalid in it.
         if let Err(error) = builder.push(&resource) {
             fleet::ResourceNotShown { error: &error.to_string() }.log();
         }
@@ -341,8 +342,9 @@
     })
 }
 
-/// Pulls the document of a peer that has a later revision in force: at once if no document is in
-/// force here, or else if the store has not delivered it within [`STORE_TIMEOUT`].
+/// Pulls the document of a peer that has a later revision in force. It is pulled at once if this
+/// daemon has no document in force, or else if the store has not delivered the document within
+/// [`STORE_TIMEOUT`].
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let is_behind = move |state: &DaemonState| theirs > state.config.revision();
     if !is_behind(state) || state.document.pulling.replace(true) {
@@ -357,8 +359,8 @@
             state.document.stale_call.raise();
             let seen = state.config.changed().get();
             let pull = ChangePull { after: state.config.revision().0 as i64 };
-            // The peer announces its revision again until this daemon has it, so that a lost answer
-            // is asked for again.
+            // If the answer is lost, the document is pulled again: the peer announces its revision
+            // until this daemon has it.
             let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
             let _ = monoio::time::timeout(PULL_TIMEOUT, state.config.changed().above(seen)).await;
         }
@@ -366,7 +368,7 @@
     });
 }
 
-/// Returns the snapshot for a peer that is behind, if there is a document.
+/// Returns the snapshot for a peer with an earlier revision, if a document is in force.
 pub fn snapshot(state: &DaemonState) -> Option<Vec<u8>> {
     let document = state.document.get()?;
     let mut hosts = Vec::new();
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -46,7 +46,7 @@
 /// take: five of six requests complete within this time.
 const RESERVED_DEVIATIONS: f64 = 1.0;
 /// Duration of the overdue timer of a request that never counts as overdue.
-const NEVER: Duration = Duration::from_secs(3600);
+const NEVER_OVERDUE: Duration = Duration::from_secs(3600);
 
 /// Serves one exchange to its end and reports a failure to the ingress.
 pub async fn serve(
@@ -116,16 +116,16 @@
     deadline: Duration,
     objective: Option<Duration>,
     arrived_at: Duration,
-    /// Whether it is the trial of a server that is out of service.
+    /// Whether the attempt is the trial of a server that is out of service.
     pub is_trial: bool,
-    /// Crash tally of the request at the last check before it was sent.
+    /// Crash tally of the request at the last check before the request was sent.
     tally: Cell<CrashTally>,
 }
 
 impl HostAttempt<'_> {
     /// Builds the attempt for a request that was dispatched after a slot offer, from its dispatch
-    /// head. Its evidence about the server counts from now on, as the host only held a reservation
-    /// before.
+    /// head. The attempt gives evidence about the server from now on; before, the host only held a
+    /// reservation.
     pub fn with_dispatch_head<'b>(&'b self, head: &'b DispatchHead) -> HostAttempt<'b> {
         HostAttempt { head, tally: self.tally.clone(), arrived_at: self.state.now(), ..*self }
     }
@@ -158,14 +158,14 @@
     /// as a trial, and the copy is not refused.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
         let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
-        let known = match self.state.suspects.is_empty() {
+        let known_tally = match self.state.suspects.is_empty() {
             true => CrashTally::default(),
             false => self.state.suspects.tally(&self.fingerprint()),
         };
-        if known.is_refused() && known > reported {
+        if known_tally.is_refused() && known_tally > reported {
             return Err(NotRunReason::CrashesServers);
         }
-        self.tally.set(known.max(reported));
+        self.tally.set(known_tally.max(reported));
         Ok(())
     }
 
@@ -230,8 +230,8 @@
     }
 
     /// Releases the claim of a request that did not run. The refusal of the request is sent after
-    /// this. Once a shutdown gives up pending requests, the release is no longer awaited, since the
-    /// refusal would then never be sent.
+    /// the release. Once a shutdown gives up pending requests, the release is no longer awaited,
+    /// since the refusal would then never be sent.
     async fn release(&self, token: ClaimToken) {
         let mut releasing = std::pin::pin!(self.state.ledger.release(token).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
@@ -488,26 +488,31 @@
         let watch = AttemptWatch::start(self, progress);
         let calls = watch.calls().clone();
         let HttpStream { reader, writer } = stream;
-        let sent = Cell::new(false);
-        let mut sending =
-            std::pin::pin!(
-                sending::send_request(self, progress.timeout.time, writer, body, &sent).fuse()
-            );
+        let is_sent = Cell::new(false);
+        let mut sending = std::pin::pin!(sending::send_request(
+            self,
+            progress.timeout.time,
+            writer,
+            body,
+            &is_sent
+        )
+        .fuse());
         let relay = AnswerRelay { attempt: self, progress, answer, claim, calls };
         let mut answering = std::pin::pin!(relay.run(reader).fuse());
         let mut cancelled = std::pin::pin!(body.cancelled().fuse());
         let mut timed_out = std::pin::pin!(monoio::time::sleep(self.time_left()).fuse());
         let mut deadline_passed =
             std::pin::pin!(self.state.clock.passed_after_resume(self.deadline).fuse());
-        let overdue_after = overdue_after.unwrap_or(NEVER);
+        let overdue_after = overdue_after.unwrap_or(NEVER_OVERDUE);
         let mut overdue = std::pin::pin!(monoio::time::sleep(overdue_after).fuse());
         let mut watching = std::pin::pin!(watch.check_until_settled().fuse());
         loop {
             select_biased! {
-                result = answering => return result.map(|clean| clean && sent.get()),
+                result = answering => return result.map(|clean| clean && is_sent.get()),
                 () = watching => {}
                 result = sending => match result {
-                    // A server may respond before it has read the whole request; its response
+                    // A server may respond before it has read the whole request, so a connection
+                    // that breaks while the request is sent does not end the exchange: the response
                     // decides.
                     Ok(()) | Err(AttemptFault::Broken) => {}
                     Err(fault) => return Err(fault),
@@ -532,7 +537,7 @@
 
 /// Waits for `needed`, which a request needs before it can be sent to its backend server, unless
 /// the ingress cancels the request because its caller disconnected. The cancel is polled first, so
-/// that one that arrived together with the request takes effect before the request starts.
+/// that a cancel that arrived together with the request takes effect before the request starts.
 pub async fn unless_cancelled<T>(
     body: &EventPipe,
     needed: impl Future<Output = Result<T, NotRunReason>>,
@@ -547,7 +552,7 @@
 
 /// `ClaimStep` is what follows the claim of a request's ledger row.
 enum ClaimStep {
-    /// The request is run; if it has a ledger row, its claim is held.
+    /// The request is run; if it has a ledger row, the token is the claim of that row.
     Run(Option<ClaimToken>),
     /// An earlier attempt was answered, and its stored response is sent.
     Answered(KeptAnswer),
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -21,16 +21,16 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Time after a daemon's start for which the whole fleet may have started together. If the fleet
-/// started for the first time, the owner then grants the whole burst, as a fleet that starts must
-/// not refuse requests.
+/// Time after a daemon's start during which it assumes that the whole fleet may have started
+/// together. If the fleet started for the first time, the owner grants the whole burst, as a fleet
+/// that starts must not refuse requests.
 const FIRST_START_WINDOW: Duration = Duration::from_secs(3);
 /// Time for which the list of eligible hosts is kept. Owners change only when a daemon leaves or
 /// has been unresponsive for seconds.
 const ELIGIBLE_TTL: Duration = Duration::from_millis(200);
 
-/// Minimum age of an owner, if any daemon is that old. A new daemon is known to some daemons sooner
-/// than to others, and two owners at once would grant a limit twice.
+/// Minimum age of an owner, if any daemon is that old. Some daemons know a new daemon sooner than
+/// others do, and two owners at once would grant a limit twice.
 const OWNER_AGE_MIN: Duration = Duration::from_secs(15);
 
 /// `OwnerAssignment` is the owner of a limit and its backup.
@@ -96,8 +96,8 @@
         eligible.refreshed_at = now;
         let hosts = eligible_hosts(state);
         if eligible.generation == 0 || hosts != eligible.hosts {
-            // Which hosts were eligible before the first list was built is not known, so that this
-            // list counts as unchanged since this daemon's start.
+            // It is not known which hosts were eligible before the first list was built, so the
+            // first list counts as unchanged since this daemon's start.
             eligible.changed_at = if eligible.generation == 0 { Duration::ZERO } else { now };
             eligible.generation += 1;
             eligible.hosts = hosts;
@@ -121,8 +121,8 @@
     }
 
     /// Answers as the owner of a limit, or as its backup if the request carries a claim. Returns
-    /// `None` where another daemon is the owner: two owners would together grant twice the limit,
-    /// and the requester asks the backup instead.
+    /// `None` if another daemon is the owner, because two owners would together grant twice the
+    /// limit. The requester then asks the backup.
     pub fn answer(
         &self,
         state: &DaemonState,
@@ -161,12 +161,14 @@
 /// `FleetStart` says whether this daemon may have started together with all other daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FleetStart {
-    /// It started a moment ago and for the first time, so that no tokens were granted before.
+    /// The daemon started a moment ago and for the first time, so that no tokens were granted
+    /// before.
     First,
-    /// It started a moment ago, and not for the first time. If all daemons were killed at once,
-    /// their earlier grants are no longer known, and a whole burst would be a second one.
+    /// The daemon started a moment ago, and not for the first time. If all daemons were killed at
+    /// once, their earlier grants are no longer known, and granting a whole burst could grant it a
+    /// second time.
     Restart,
-    /// It started longer ago.
+    /// The daemon started longer ago.
     Settled,
 }
 
@@ -181,19 +183,19 @@
     }
 }
 
-/// Returns the hosts whose daemons may own limits: live ones that can be reached, and of these, if
-/// there are any, those that started long enough ago.
+/// Returns the hosts whose daemons may own limits: the live and reachable daemons, and if any of
+/// them started at least [`OWNER_AGE_MIN`] ago, only those.
 ///
-/// A daemon that itself restarted a moment ago knows the start times of the others only from their
-/// rows. If all daemons were killed at once, those rows describe earlier incarnations. A daemon
-/// that restarted a moment ago therefore ignores start times.
+/// A daemon that itself restarted a moment ago knows the start times of other daemons only from
+/// their rows. If all daemons were killed at once, those rows describe earlier incarnations. A
+/// daemon that restarted a moment ago therefore ignores start times.
 fn eligible_hosts(state: &DaemonState) -> Vec<String> {
     let started_by = units::wall_millis() as i64 - OWNER_AGE_MIN.as_millis() as i64;
     let now = state.now();
-    let own = &state.options.host;
+    let own_host = &state.options.host;
     let mut hosts = state.members.live_hosts(state);
-    hosts.retain(|host| host == own || !state.peers.path(host).is_lost(now));
-    let is_old_enough = |host: &String| match host == own {
+    hosts.retain(|host| host == own_host || !state.peers.path(host).is_lost(now));
+    let is_old_enough = |host: &String| match host == own_host {
         true => state.identity.incarnation <= started_by,
         false => state.members.incarnation(host) <= started_by,
     };
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -30,8 +30,8 @@
 /// domains take 6 ms; an owner that takes longer than this timeout is treated as unreachable. The
 /// time to establish the link is not included, as it is longer right after a start.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which an ingress that can't reach the owner of a limit does without it, before it asks
-/// the owner again.
+/// Time for which an ingress that can't reach the owner of a limit sends it no requests for tokens,
+/// before it tries the owner again.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// `LimitState` is what this ingress knows of one limit.
@@ -39,7 +39,8 @@
     limiter: LocalLimiter,
     /// Raised when the token request in progress has ended, `None` if there is none.
     pending_request: Option<Rc<RisingSignal>>,
-    /// Time from which the owner is asked again, while neither it nor its backup can be reached.
+    /// Time from which the owner is asked again, while neither the owner nor its backup can be
+    /// reached.
     retry_owner_at: Duration,
     /// Time until which the owner is not asked again, because it could not be reached.
     owner_lost_until: Option<Duration>,
@@ -102,8 +103,9 @@
     /// Lists the limits that a request counts towards.
     fn limits(self, active: &'a ActiveConfig) -> impl Iterator<Item = &'a Rc<LimitEntry>> {
         let organisation = self.organisation.map(|name| (LimitScope::Organisation, name));
-        let keys = [(LimitScope::Service, self.service), (LimitScope::Route, self.route)];
-        keys.into_iter()
+        let scoped_targets = [(LimitScope::Service, self.service), (LimitScope::Route, self.route)];
+        scoped_targets
+            .into_iter()
             .chain(organisation)
             .flat_map(|(scope, target)| active.limits_of(scope, target))
     }
@@ -114,7 +116,7 @@
 pub struct LimitRefusal {
     /// Time after which the caller may retry.
     pub wait: Duration,
-    /// Which limit it was, and which daemon counts it.
+    /// Message that names the limit and the daemon that counts it.
     pub message: String,
 }
 
@@ -227,8 +229,8 @@
     let state = state.clone();
     let entry = entry.clone();
     let done = signal.clone();
-    // Runs in a task of its own, so that a caller that disconnects does not leave the other
-    // requests waiting.
+    // The token request runs in a task of its own: if it belonged to the request of a caller that
+    // disconnects, the other requests would wait in vain.
     monoio::spawn(async move {
         request_from_any(&state, &entry, wanted).await;
         set_pending_request(&state, &entry, None);
@@ -303,7 +305,7 @@
     };
     let now = state.now();
     state.limits.with_limit(entry, |known| match &answer {
-        // The owner may have become reachable again in the meantime.
+        // The owner has become reachable again since the backup was asked.
         _ if known.owner_lost_until.is_none() => {}
         Some(answer) => {
             known.limiter.note_backup();
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -5,7 +5,7 @@
 //!
 //! The view is seeded by the rows of the hosts and kept up to date by gossip, in heartbeats between
 //! a few peers. The views of two daemons may always differ, so no guarantee of the fleet depends on
-//! them. Information about a later incarnation of a daemon takes precedence.
+//! these views. Information about a later incarnation of a daemon takes precedence.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -35,9 +35,9 @@
 const ENTRIES_MAX: usize = 8;
 /// Heartbeat intervals after which a member without a known heartbeat is suspect, in a small fleet.
 const SUSPECT_HEARTBEATS: u32 = 12;
-/// Number of members whose entries one round of heartbeats renews. The suspect time grows by one
-/// heartbeat interval for every so many members of the fleet.
-const RENEWED_EACH_ROUND: usize = 40;
+/// Number of members whose entries one round of heartbeats renews. For each such number of members
+/// in the fleet, the suspect time grows by one heartbeat interval.
+const MEMBERS_RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
 /// Numbers of the states in the peer protocol.
@@ -47,11 +47,11 @@
 /// `MemberState` is the assumed state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// Its latest known heartbeat is recent.
+    /// The member's latest known heartbeat is recent.
     Live,
-    /// Its latest known heartbeat is older than the suspect time.
+    /// The member's latest known heartbeat is older than the suspect time.
     Suspect,
-    /// It announced that it is leaving.
+    /// The member announced that it is leaving.
     Leaving,
 }
 
@@ -73,9 +73,9 @@
     pub failure_domain: String,
     /// Address at which it accepts links.
     pub peer_address: String,
-    /// Address of its administration.
+    /// Address of its admin API.
     pub admin_address: String,
-    /// Number of its incarnation; that of a later start is higher.
+    /// Number of its incarnation; a later start has a higher number.
     pub incarnation: i64,
     /// Time of its latest known heartbeat, received directly or reported by another member.
     pub last_heartbeat_at: Duration,
@@ -98,7 +98,7 @@
 /// Returns the time without a heartbeat after which a member is suspect, in a fleet of `members`
 /// members.
 pub fn suspect_after(heartbeat: Duration, members: usize) -> Duration {
-    heartbeat * (SUSPECT_HEARTBEATS + (members / RENEWED_EACH_ROUND) as u32)
+    heartbeat * (SUSPECT_HEARTBEATS + (members / MEMBERS_RENEWED_EACH_ROUND) as u32)
 }
 
 impl MemberTable {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns the hosts whose daemons are live, including this one unless it is leaving.
+    /// Returns the hosts whose daemons are live, including this daemon's unless it is leaving.
     pub fn live_hosts(&self, state: &DaemonState) -> Vec<String> {
         let members = self.members.borrow();
         let live =
@@ -135,13 +135,14 @@
         hosts
     }
 
-    /// Returns the live hosts of the own failure domain, including this one unless it is leaving.
+    /// Returns the live hosts of this daemon's failure domain, including its own unless it is
+    /// leaving.
     pub fn live_in_domain(&self, state: &DaemonState) -> Vec<String> {
-        let own = &state.options.failure_domain;
+        let own_domain = &state.options.failure_domain;
         let mut local = self.live_hosts(state);
         let members = self.members.borrow();
         let is_local =
-            |host: &String| members.get(host).is_none_or(|view| view.failure_domain == *own);
+            |host: &String| members.get(host).is_none_or(|view| view.failure_domain == *own_domain);
         local.retain(is_local);
         local
     }
@@ -235,8 +236,8 @@
             failure_domain: String::new(),
             peer_address: address.to_string(),
             admin_address: String::new(),
-            // One less than the actual incarnation, so that the daemon's own entry, which follows
-            // in a heartbeat, takes precedence and fills in the other fields.
+            // The stored incarnation is one less than the actual one, so that the daemon's own
+            // entry, which follows in a heartbeat, replaces this view and fills in its fields.
             incarnation: peer.incarnation.saturating_sub(1),
             last_heartbeat_at: state.now(),
             leaving: false,
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Records what a peer reports of other members.
+    /// Records the entries of other members that a peer reports.
     pub fn note_entries(&self, state: &DaemonState, entries: &[MemberEntry]) {
         let now = state.now();
         let mut members = self.members.borrow_mut();
@@ -332,9 +333,9 @@
     }
 }
 
-/// Merges a reported view into the known one. A later incarnation replaces the known view. Within
+/// Merges a reported view into the known view. A later incarnation replaces the known view. Within
 /// one incarnation, the later heartbeat and revision are kept, and a daemon that is leaving stays
-/// so.
+/// marked as leaving.
 fn merge(view: &mut MemberView, reported: MemberView) {
     if reported.incarnation < view.incarnation {
         return;
@@ -438,9 +439,9 @@
 /// `HeartbeatContent` is what a heartbeat reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatContent {
-    /// This daemon's own entry alone, such as when its revision or state changed.
+    /// Only this daemon's entry, for instance after its revision or state changed.
     Own,
-    /// The own entry and some other members.
+    /// The entries of this daemon and of some other members.
     Members,
 }
 
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -39,21 +39,21 @@
 
 /// Table of the rows.
 pub const HOSTS_TABLE: &str = "hosts";
-/// Longest pause after consecutive failed calls to the store: what changed during an outage of the
-/// store must be known within about two seconds of its end.
-pub const FAILURE_PAUSE_MAX: Duration = Duration::from_millis(2000);
+/// Longest pause after consecutive failed calls to the store: changes that were made during an
+/// outage of the store must be known within about two seconds of the end of the outage.
+pub const FAILED_CALL_PAUSE_MAX: Duration = Duration::from_millis(2000);
 /// Time for which a starting daemon waits for the backend server on its host before it writes its
 /// row without one: a little longer than the usual time between two heartbeats.
 const FIRST_SERVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which the own record is sent to the peers if the store has not accepted it. A write
-/// takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends 300 ms
-/// later.
+/// Time after which this daemon's record is sent to the peers if the store has not accepted it. A
+/// write takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends
+/// 300 ms later.
 const NOTIFY_AFTER: Duration = Duration::from_millis(200);
 /// Shortest time between checks for rows of hosts that are gone.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// Longest time between these checks as a multiple of the shortest, so that not all daemons check
-/// at once.
-const SWEEP_JITTER: f64 = 1.5;
+/// Longest time between these checks as a multiple of [`SWEEP_INTERVAL`], so that not all daemons
+/// check at once.
+const SWEEP_JITTER_FACTOR: f64 = 1.5;
 
 /// `HostRecord` is what a host's daemon publishes about itself and the backend servers on its host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -61,16 +61,16 @@
     /// Name of the host. A row that holds the record of another host is not valid.
     #[serde(default)]
     pub host: String,
-    /// Incarnation of the daemon; a later start has a higher one.
+    /// Incarnation of the daemon; a later start has a higher number.
     pub incarnation: i64,
     /// Failure domain of the host.
     pub failure_domain: String,
     /// Address at which the daemon accepts links.
     pub peer_address: String,
-    /// Address of its administration.
+    /// Address of the daemon's admin API.
     pub admin_address: String,
     /// Number of changes of the servers in this incarnation. Of two records of one incarnation, the
-    /// one with more changes is later.
+    /// record with more changes is later.
     #[serde(default)]
     pub changes: u64,
     /// Whether the daemon is leaving.
@@ -108,8 +108,8 @@
 }
 
 impl HostRecord {
-    /// Returns the sort key of a host's records, by which the later one is greater: the
-    /// incarnation, then the changes.
+    /// Returns the sort key of a host's records: the incarnation, then the changes. The later of
+    /// two records has the greater key.
     pub fn order(&self) -> (i64, u64) {
         (self.incarnation, self.changes)
     }
@@ -143,7 +143,7 @@
     }
 }
 
-/// `HostRoster` holds the rows of all hosts, this one included.
+/// `HostRoster` holds the rows of all hosts, including the host of this daemon.
 #[derive(Debug, Default)]
 pub struct HostRoster {
     records: RefCell<BTreeMap<String, HostRecord>>,
@@ -152,7 +152,7 @@
     own_version: Cell<u64>,
     /// This daemon's own row as the store holds it, `None` if that is not known.
     written: RefCell<Option<HostRecord>>,
-    /// Whether a backend server left and the own row in the store may still list it.
+    /// Whether a backend server left while this daemon's row in the store may still list it.
     has_unwritten: Cell<bool>,
     changed: RisingSignal,
     /// Whether the store or a peer reported an earlier incarnation of this host's daemon.
@@ -174,7 +174,7 @@
         self.records.borrow().values().filter(|record| !record.leaving).count().max(1)
     }
 
-    /// Returns the backend servers that registered here.
+    /// Returns the backend servers that registered with this daemon.
     pub fn own_servers(&self) -> Vec<ServerRecord> {
         self.own_servers.borrow().clone()
     }
@@ -232,13 +232,14 @@
         self.has_unwritten.get()
     }
 
-    /// Says whether the own row in the store is known to list the backend servers as they are.
+    /// Says whether this daemon's row in the store is known to list the backend servers that are
+    /// registered now.
     fn is_row_current(&self) -> bool {
         let written = self.written.borrow();
         written.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
     }
 
-    /// Records what the store holds as the own row, `None` if that is not known.
+    /// Records which row of this daemon the store holds, `None` if that is not known.
     fn note_written(&self, record: Option<HostRecord>) {
         *self.written.borrow_mut() = record;
         if self.is_row_current() {
@@ -277,7 +278,7 @@
     }
 }
 
-/// Schedules a write of the own row if the refused requests for it have changed.
+/// Schedules a write of this daemon's row if its list of refused requests has changed.
 pub fn refresh_refused(state: &Rc<DaemonState>) {
     let refused = state.suspects.own_records(state.now());
     let known = state.roster.record(&state.options.host);
@@ -286,8 +287,8 @@
     }
 }
 
-/// Sets the backend servers that are registered here. They are in force in this daemon on return;
-/// the other daemons learn of them through the store.
+/// Sets the backend servers that are registered with this daemon. They are in force at this daemon
+/// on return; the other daemons read them from the store.
 pub fn set_own_servers(state: &Rc<DaemonState>, servers: Vec<ServerRecord>) {
     if *state.roster.own_servers.borrow() == servers {
         return;
@@ -320,7 +321,7 @@
     });
 }
 
-/// Sends the own record, which the store has not accepted, to the linked daemons.
+/// Sends this daemon's record, which the store has not accepted, to the linked daemons.
 fn notify_peers(state: &DaemonState) {
     let relayed = RelayedRecord { host: state.options.host.clone(), record: own_record(state) };
     for link in state.members.sample_accepted(usize::MAX) {
@@ -332,7 +333,7 @@
 }
 
 /// Sends a daemon the record of its previous incarnation, if no record of its current incarnation
-/// is known here.
+/// is known to this daemon.
 pub fn send_previous_record(state: &DaemonState, sender: &FrameSender, peer: &PeerIdentity) {
     let records = state.roster.records.borrow();
     let known = records.get(&peer.host);
@@ -342,7 +343,8 @@
     }
 }
 
-/// Updates a host's record, or removes it. An earlier record than the known one is ignored.
+/// Updates a host's record, or removes it. A record that is earlier than the latest known record of
+/// the host is ignored.
 fn update_record(state: &Rc<DaemonState>, host: &str, record: Option<HostRecord>) {
     let known = state.roster.record(host);
     if known == record {
@@ -412,7 +414,7 @@
     .log();
 }
 
-/// Applies records that a peer relayed, where they are later than the known ones.
+/// Applies each record that a peer relayed, if it is later than the known record of its host.
 pub fn apply_relayed(state: &Rc<DaemonState>, relayed: Vec<RelayedRecord>) {
     for RelayedRecord { host, record } in relayed {
         suspects::apply_records(state, &host, &record.refused);
@@ -472,8 +474,9 @@
     state.roster.touch();
 }
 
-/// Handles a row that can't be read, as some other writer wrote it. The known record of its host
-/// stays, as the daemon there will write the row again; for the own row, that write is scheduled.
+/// Handles a row that can't be read because some other writer wrote it. The known record of its
+/// host stays, since the daemon of that host will write the row again. If it is this daemon's row,
+/// that write is scheduled.
 fn note_unreadable(state: &DaemonState, row: &StoredRow) {
     if row.key == state.options.host {
         state.roster.own_version.set(row.version);
@@ -502,7 +505,7 @@
     Ok(record)
 }
 
-/// Removes a list from a record. A value that is not a list counts as an empty one.
+/// Removes a list from a record. A value that is not a list counts as an empty list.
 fn take_list(record: &mut Value, name: &str) -> Vec<Value> {
     match record.as_object_mut().and_then(|fields| fields.remove(name)) {
         Some(Value::Array(list)) => list,
@@ -515,7 +518,8 @@
     (!server.name.is_empty() && server.slots > 0).then_some(server)
 }
 
-/// Recovers what an earlier incarnation of this daemon published, from the store or a peer.
+/// Recovers the record that an earlier incarnation of this daemon published, from the store or a
+/// peer.
 fn recover_own(state: &Rc<DaemonState>, record: &HostRecord) {
     if record.incarnation >= state.identity.incarnation {
         return;
@@ -530,7 +534,8 @@
     if host != state.options.host {
         return update_record(state, host, None);
     }
-    // Other daemons considered this one gone and removed its row, which is written again.
+    // Other daemons considered this daemon's host gone and removed its row, so the row is written
+    // again.
     state.roster.own_version.set(0);
     state.roster.note_written(None);
     state.roster.touch();
@@ -538,7 +543,7 @@
 
 /// Writes this daemon's row whenever its record has changed, for ever.
 pub async fn publish(state: Rc<DaemonState>) {
-    let mut backoff = RetryBackoff::with_max_delay(FAILURE_PAUSE_MAX);
+    let mut backoff = RetryBackoff::with_max_delay(FAILED_CALL_PAUSE_MAX);
     await_first_server(&state).await;
     loop {
         let seen = state.roster.changed.get();
@@ -579,8 +584,8 @@
     let key = row_key(&state.options.host);
     let check = RowCheck { key: key.clone(), version: state.roster.own_version.get() };
     let write = RowWrite { key, value: Some(json!(record)) };
-    // A write without an answer may have taken effect, or may do so later: until a later write is
-    // answered, the content of the row is not known.
+    // A write without an answer may have taken effect, or may take effect later. Until a later
+    // write is answered, the content of the row is not known.
     state.roster.note_written(None);
     match state.platform.transact(vec![check], vec![write]).await {
         Ok(version) => {
@@ -589,8 +594,8 @@
             update_record(state, &state.options.host, Some(record.clone()));
             Ok(())
         }
-        // Records the row that the store holds instead, such as one of an earlier incarnation. The
-        // next attempt replaces it.
+        // The row that the store holds instead is recorded, for example that of an earlier
+        // incarnation. The next attempt replaces that row.
         Err(StoreError::Conflict { rows }) => {
             for row in rows {
                 state.roster.own_version.set(row.version);
@@ -609,12 +614,12 @@
 
 /// Runs for ever: removes the rows of hosts whose latest known heartbeat is very old.
 ///
-/// One daemon is responsible for each host, by rendezvous hashing over the live ones. A row is
-/// removed only while the store answers and only if it has not been written since; a daemon that is
-/// alive writes its row again.
+/// One daemon is responsible for each host, by rendezvous hashing over the live daemons. A row is
+/// removed only while the store answers, and only if the row has not been written since this daemon
+/// read it. A daemon that is alive writes its row again.
 pub async fn sweep(state: Rc<DaemonState>) {
     loop {
-        let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER));
+        let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER_FACTOR));
         monoio::time::sleep(pause).await;
         let mut gone = state.members.expired_hosts(&state);
         gone.extend(state.roster.stale.borrow_mut().drain(..));
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -4,12 +4,12 @@
 //! Distributes the rows of the hosts to every daemon.
 //!
 //! Each change of a row completes every call that waits for changes at the store. If all daemons
-//! waited there, the calls would grow with the square of the number of daemons. Therefore two
-//! daemons of each failure domain, the readers, follow the feed and relay its changes. The others
-//! subscribe to the readers and renew the subscription each second. A daemon that receives nothing
-//! for a while reads the store itself. All daemons choose the same two readers by rendezvous
-//! hashing over the members they know. If two daemons choose differently for a moment, that only
-//! costs additional calls.
+//! waited at the store, the calls would grow with the square of the number of daemons. Therefore
+//! two daemons of each failure domain, the readers, follow the feed and relay its changes. The
+//! other daemons subscribe to the readers and renew the subscription each second. A daemon that
+//! receives nothing from any reader for a while reads the store itself. All daemons of a failure
+//! domain choose the same two readers by rendezvous hashing over the members they know. If two
+//! daemons choose different readers for a moment, the only cost is additional calls.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,23 +29,23 @@
 
 use crate::feed::{FeedPlan, FeedReader, FeedUpdate};
 use crate::links;
-use crate::roster::{self, RelayedRecord, FAILURE_PAUSE_MAX, HOSTS_TABLE};
+use crate::roster::{self, RelayedRecord, FAILED_CALL_PAUSE_MAX, HOSTS_TABLE};
 use crate::state::DaemonState;
 
 /// How the feed is followed. Changes in quick succession, as when a fleet starts, are read in one
 /// call. No request waits for a change, since the daemon of a host refuses requests that its server
 /// must not get.
-const FEED: FeedPlan = FeedPlan {
+const HOSTS_FEED_PLAN: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
-    failure_pause_max: FAILURE_PAUSE_MAX,
-    // Two daemons of a failure domain read for all others, so a call of theirs on a black-holed
-    // connection must end soon.
+    failure_pause_max: FAILED_CALL_PAUSE_MAX,
+    // Two daemons of a failure domain read the store for all its daemons, so their calls must end
+    // soon on a black-holed connection.
     wait_max: FEED_WAIT,
 };
 /// Daemons of a failure domain that follow the feed: one may be unreachable before this is
 /// detected.
-const READERS: usize = 2;
+const READERS_PER_DOMAIN: usize = 2;
 /// The key of the rendezvous hashing by which the readers are chosen.
 const READERS_KEY: &str = "rows of hosts";
 /// Time between requests for changes, which renew the subscription.
@@ -68,7 +68,7 @@
 /// `RowsRelay` is this daemon's part in reading the rows and relaying them.
 #[derive(Default)]
 pub struct RowsRelay {
-    /// Version of the table that is known here.
+    /// Version of the table of hosts up to which this daemon has applied the changes.
     version: Cell<u64>,
     /// Whether the store answered this daemon's last call for the rows.
     is_reading: Cell<bool>,
@@ -158,7 +158,8 @@
         false
     }
 
-    /// Stores the current state of a row. A removed row is remembered as such for a while.
+    /// Stores the current state of a row. The note that a row was removed is kept until there are
+    /// more than [`REMOVED_MAX`] of them.
     fn store_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
@@ -203,19 +204,20 @@
         subscribers.retain(|subscriber| {
             let try_send =
                 || subscriber.sender.send(NO_EXCHANGE, FrameBody::RowsNews(news.clone()));
-            // A subscriber that is gone or has a new link asks again.
+            // A subscriber that can't be sent to is dropped: a daemon that still runs subscribes
+            // again over its new link.
             subscriber.expires_at > now && try_send().is_ok()
         });
     }
 }
 
-/// Returns the daemons of the own failure domain that should read the rows from the store.
+/// Returns the daemons of this daemon's failure domain that should read the rows from the store.
 pub fn readers(state: &DaemonState) -> Vec<String> {
     let now = state.now();
     let mut local = state.members.live_in_domain(state);
     local.retain(|host| !state.rows.is_avoided(host, now));
     let mut readers = Vec::new();
-    while readers.len() < READERS {
+    while readers.len() < READERS_PER_DOMAIN {
         let next = limits::owner_of(READERS_KEY, local.iter().map(String::as_str));
         let next = match next {
             Some(host) => host.to_owned(),
@@ -229,7 +231,7 @@
 
 /// Keeps the rows up to date for ever: from the store, or from the readers.
 pub async fn follow(state: Rc<DaemonState>) {
-    let mut reader = FeedReader::new(FEED);
+    let mut reader = FeedReader::new(HOSTS_FEED_PLAN);
     loop {
         let is_reader = readers(&state).contains(&state.options.host);
         if state.rows.is_known() && !is_reader && state.rows.has_recent_changes(state.now()) {
@@ -285,14 +287,14 @@
         return;
     }
     metrics::ROWS_CALLS.add_one();
-    // If the store does not answer, the next message of a reader raises the same signal.
+    // If the store does not answer, the next message of a reader raises `gap` again.
     if let Ok(FeedUpdate::Whole(page)) = reader.read_whole(state).await {
         adopt_table(state, &page);
     }
 }
 
-/// Asks the readers of the own failure domain for changes, for ever. A reader that gets no answer
-/// from the store asks the other one.
+/// Asks the readers of this daemon's failure domain for changes, for ever. A reader that gets no
+/// answer from the store asks the other reader.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(RENEW_INTERVAL).await;
@@ -343,12 +345,11 @@
     subscribers.retain(|known| known.host != peer.host);
     subscribers.push(subscriber);
     let news = state.rows.changes_after(request.version);
-    // A peer that is gone needs no answer.
+    // A send error is ignored: a peer whose link has ended needs no answer.
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
-/// Applies changes that a peer sent, unless they are already known or earlier changes are missing
-/// here.
+/// Applies changes that a peer sent, unless this daemon has them already or lacks earlier changes.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: RowsNews) {
     if news.version == RELAYED_VERSION && !news.rows.is_empty() {
         let relayed = news.rows.iter().filter_map(|note| relayed_record(peer, note));
@@ -386,7 +387,8 @@
         rows: vec![row],
         forgotten: false,
     };
-    // A peer that is gone reads the store later, or gets the record from others.
+    // A send error is ignored: a peer whose link has ended reads the store later, or gets the
+    // record from other daemons.
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -42,7 +42,7 @@
     /// Signals of the system: SIGTERM drains, however often it comes. SIGINT does too, but ends the
     /// daemon at once if it is stopping already.
     Signals,
-    /// Only the admin API and [`stop::StopState::asked`].
+    /// Only the admin API and [`stop::StopState::asked`]; signals of the system are not handled.
     Api,
 }
 
@@ -98,11 +98,11 @@
     let state = DaemonState::try_new(options).map_err(|source| DaemonError::Clock { source })?;
     if let StopRequests::Signals = stops {
         let signals = SignalStream::stops().map_err(start)?;
-        monoio::spawn(raise_on(signals, state.clone(), |state| &state.stop.asked));
+        monoio::spawn(relay_signals(signals, state.clone(), |state| &state.stop.asked));
         let signals = SignalStream::interrupts().map_err(start)?;
-        monoio::spawn(raise_on(signals, state.clone(), |state| state.stop.interrupt_signal()));
+        monoio::spawn(relay_signals(signals, state.clone(), |state| state.stop.interrupt_signal()));
         let signals = SignalStream::reloads().map_err(start)?;
-        monoio::spawn(raise_on(signals, state.clone(), |state| &state.reloading));
+        monoio::spawn(relay_signals(signals, state.clone(), |state| &state.reloading));
     }
     log_listening(&state);
     start_tasks(&state, listeners);
@@ -129,8 +129,8 @@
     .log();
 }
 
-/// Raises a signal of the state at each signal of the system, for ever.
-async fn raise_on(
+/// Raises the signal that `choose` returns for each signal of the system, for ever.
+async fn relay_signals(
     mut signals: SignalStream,
     state: Rc<DaemonState>,
     choose: fn(&DaemonState) -> &RisingSignal,
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -163,15 +163,15 @@
     assert!(requests >= 300, "{requests} requests");
 }
 
-/// Without a confirmation from store or peers, known routes are served and unknown ones refused as
-/// not run.
+/// Without a confirmation from the store or a peer, requests for known routes are served and
+/// requests for unknown routes are refused as not run.
 #[test]
 fn verify_an_unknown_route_is_not_reported_missing_without_confirmation() {
     let proxied = ProxiedFleet::start("4000");
     proxied.write(2);
     proxied.wait_revision(2);
     proxied.fleet.platform.set_faults(json!({"busy": true}));
-    // Before all confirmations have expired, a peer may hold one and send it late, to a daemon that
+    // Before all confirmations have expired, a peer may still send a confirmation after a daemon
     // has stopped waiting for it.
     let busy_since = Instant::now();
     eventually("all confirmations have expired", || busy_since.elapsed() > CERTAIN_FOR);
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -25,7 +25,7 @@
     /// Connections up to this number are black-holed: they stay open, and all bytes sent on them
     /// are read and dropped.
     black_holed_to: AtomicU64,
-    /// Number of connections opened so far.
+    /// Number of connections that were opened.
     opened_count: AtomicU64,
     /// Hosts whose links are cut; if empty, all links are cut. A daemon names its host in its first
     /// frame.
@@ -117,14 +117,14 @@
     let backward = (cuts.clone(), first_frame.clone());
     thread::spawn(move || {
         let (cuts, first) = &forward;
-        pump(near_read, far_write, black_holed_forward, |chunk| {
+        forward_bytes(near_read, far_write, black_holed_forward, |chunk| {
             let first = first.get_or_init(|| chunk.to_vec());
             cuts.forward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
     thread::spawn(move || {
         let (cuts, first) = &backward;
-        pump(far, near, black_holed_backward, |_| {
+        forward_bytes(far, near, black_holed_backward, |_| {
             let first = first.get().map_or(&[][..], Vec::as_slice);
             cuts.backward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
@@ -132,7 +132,7 @@
 }
 
 /// Forwards bytes in one direction until the connection ends.
-fn pump(
+fn forward_bytes(
     mut from: TcpStream,
     mut to: TcpStream,
     is_black_holed: impl Fn() -> bool,
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -185,8 +185,8 @@
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
     fleet.wait_revision(5);
-    // A second fault at the same time: an answer to a write of the store is lost, and the daemon
-    // that accepted the change is killed.
+    // A second fault during the cut: the store's answer to a write is lost, and the daemon that
+    // accepted the change is killed.
     fleet.platform.set_faults(json!({"lose_write_answers": 1}));
     let reply = put_organisation(&fleet.daemons[1], "second", "t", ("If-None-Match", "*"));
     assert_eq!(reply.status, 200, "{}", reply.text());
@@ -233,7 +233,8 @@
 #[test]
 fn verify_a_row_of_an_earlier_incarnation_or_an_unreadable_row_changes_nothing() {
     let mut fleet = fleet_of(3);
-    // The daemon is killed first: it would rewrite its row before the others read the changed one.
+    // The daemon is killed first: otherwise it would rewrite its row before the other daemons read
+    // the changed row.
     fleet.daemons[2].kill();
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     let old = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
@@ -268,7 +269,7 @@
     let flags = [("seeds", seeds.as_str())];
     let daemon = TestDaemon::start(fleet.platform.address, "host-c", "bkk-c", &flags);
     fleet.daemons.push(daemon);
-    // Peers learn of each other without the store.
+    // Daemons discover each other through peers, without the store.
     eventually("the new daemon and the others know each other", || {
         fleet.daemons[2].live_members() == 3 && fleet.daemons[0].live_members() == 3
     });
