--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -19,23 +19,23 @@
 
 use crate::checker::{CallerSample, SeenAnswer};
 use crate::fleet::{self, SoakHost};
-use crate::operator::{RequestedRoute, SoakOperator, HOST};
+use crate::operator::{RequestedRoute, SoakOperator, REQUESTED_HOST};
 
-/// Deadline of a request, sent with it.
-const DEADLINE: Duration = Duration::from_secs(2);
+/// Deadline of a request, which the caller sends along in a header field.
+const REQUEST_DEADLINE: Duration = Duration::from_secs(2);
 /// Shortest and longest pause between two requests of a caller, in milliseconds.
-const PAUSE_MS: std::ops::RangeInclusive<u64> = 40..=120;
+const REQUEST_PAUSE_MS: std::ops::RangeInclusive<u64> = 40..=120;
 /// Interval at which a caller checks whether its daemon is up again.
-const DOWN_PAUSE: Duration = Duration::from_millis(50);
+const DAEMON_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// `AnswerViolation` is a guarantee of one exchange that was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerViolation {
-    /// The body of a successful response is truncated or belongs to another request.
+    /// The body of a successful response is truncated, or is the response to another request.
     NotItsOwn,
     /// The response reported that the request was not run, but a backend server ran it.
     RanAfterAll,
-    /// A non-repeatable request ran this number of times, more than once.
+    /// A non-repeatable request ran more than once; the value is how often the request ran.
     RanTwice(u64),
 }
 
@@ -43,19 +43,20 @@
 /// counters of the backend servers.
 #[derive(Default)]
 pub struct PlainRequests {
-    /// Maps the id of each request to whether its response reported that it was not run.
-    refused: RefCell<FnvHashMap<String, bool>>,
+    /// Maps the id of each request to whether the response reported that the request was not run.
+    refused_by_id: RefCell<FnvHashMap<String, bool>>,
 }
 
 impl PlainRequests {
-    /// Returns the violations, given how often the backend servers ran each request.
+    /// Returns the id and the violation of each violating request; `runs` maps the id of a request
+    /// to how often the backend servers ran the request.
     pub fn violations(&self, runs: &FnvHashMap<String, u64>) -> Vec<(String, AnswerViolation)> {
-        let refused = self.refused.borrow();
-        let violations = refused.iter().filter_map(|(id, refused)| {
-            let count = runs.get(id).copied().unwrap_or(0);
-            match (*refused, count) {
+        let refused_by_id = self.refused_by_id.borrow();
+        let violations = refused_by_id.iter().filter_map(|(id, was_refused)| {
+            let run_count = runs.get(id).copied().unwrap_or(0);
+            match (*was_refused, run_count) {
                 (true, 1..) => Some((id.clone(), AnswerViolation::RanAfterAll)),
-                (false, 2..) => Some((id.clone(), AnswerViolation::RanTwice(count))),
+                (false, 2..) => Some((id.clone(), AnswerViolation::RanTwice(run_count))),
                 _ => None,
             }
         });
@@ -65,42 +66,42 @@
 
 /// `CallerPlan` holds the settings and the state of a caller.
 pub struct CallerPlan {
-    /// Index of the host.
+    /// Index of the host whose daemon gets the requests.
     pub host_index: usize,
-    /// The host.
+    /// The host whose daemon gets the requests.
     pub host: Rc<SoakHost>,
     /// Index of the caller among those of its host.
-    pub caller: usize,
+    pub caller_index: usize,
     /// The operator, which knows the newest step.
     pub operator: Rc<SoakOperator>,
     /// The non-repeatable requests of all callers.
-    pub plain: Rc<PlainRequests>,
+    pub plain_requests: Rc<PlainRequests>,
     /// Time at which the run began.
     pub began: Instant,
-    /// Random numbers of this caller.
+    /// Generator of the caller's random numbers.
     pub rng: ChaCha8Rng,
 }
 
-/// Sends requests for ever, and passes the outcome of each to `on_sample`.
+/// Sends requests for ever, and passes the outcome of each request to `on_sample`.
 pub async fn run(
     mut plan: CallerPlan,
     on_sample: impl Fn(CallerSample, Option<AnswerViolation>) + 'static,
 ) {
     let mut client: Option<(u64, HttpClient)> = None;
-    let mut count = 0;
+    let mut request_count = 0;
     loop {
         let incarnation = plan.host.daemon_incarnation();
-        let Some(address) = plan.host.callers() else {
+        let Some(address) = plan.host.caller_address() else {
             client = None;
-            monoio::time::sleep(DOWN_PAUSE).await;
+            monoio::time::sleep(DAEMON_POLL_INTERVAL).await;
             continue;
         };
-        // A client and its connections are kept until the daemon is restarted.
+        // The client keeps its connections open until the daemon is restarted.
         if client.as_ref().is_none_or(|(connected, _)| *connected != incarnation) {
-            client = Some((incarnation, HttpClient::new(address, DEADLINE * 2)));
+            client = Some((incarnation, HttpClient::new(address, REQUEST_DEADLINE * 2)));
         }
-        count += 1;
-        let id = format!("{}-{}-{count}", plan.host.name, plan.caller);
+        request_count += 1;
+        let id = format!("{}-{}-{request_count}", plan.host.name, plan.caller_index);
         let route = choose_route(&mut plan);
         let sent_at = plan.began.elapsed();
         if let Some((_, client)) = &client {
@@ -113,17 +114,17 @@
                 violation,
             );
         }
-        let pause = plan.rng.random_range(PAUSE_MS);
+        let pause = plan.rng.random_range(REQUEST_PAUSE_MS);
         monoio::time::sleep(Duration::from_millis(pause)).await;
     }
 }
 
 fn choose_route(plan: &mut CallerPlan) -> RequestedRoute {
-    let newest = plan.operator.newest();
-    let older_step = newest.saturating_sub(plan.rng.random_range(1..=6));
+    let newest_step = plan.operator.newest_step();
+    let older_step = newest_step.saturating_sub(plan.rng.random_range(1..=6));
     let routes = [
-        RequestedRoute::Added(newest),
-        RequestedRoute::Added(newest),
+        RequestedRoute::Added(newest_step),
+        RequestedRoute::Added(newest_step),
         RequestedRoute::Moved,
         RequestedRoute::Added(older_step),
         RequestedRoute::Steady,
@@ -134,14 +135,14 @@
 
 async fn send_request(client: &HttpClient, route: RequestedRoute, id: &str) -> Option<ClientReply> {
     let fields = headers::exchange_fields();
-    let mut lines = HeaderMap::new();
-    lines.insert(header::HOST, HeaderValue::from_static(HOST));
+    let mut request_headers = HeaderMap::new();
+    request_headers.insert(header::HOST, HeaderValue::from_static(REQUESTED_HOST));
     if let (Some(name), Ok(value)) = (fields.request, HeaderValue::from_str(id)) {
-        lines.insert(name, value);
+        request_headers.insert(name, value);
     }
-    lines.insert(fields.deadline, HeaderValue::from(DEADLINE.as_millis() as u64));
+    request_headers.insert(fields.deadline, HeaderValue::from(REQUEST_DEADLINE.as_millis() as u64));
     let method = if route == RequestedRoute::Plain { Method::POST } else { Method::GET };
-    client.call(method, &route.path(), lines, Bytes::new()).await.ok()
+    client.call(method, &route.path(), request_headers, Bytes::new()).await.ok()
 }
 
 fn classify(
@@ -152,12 +153,12 @@
 ) -> (SeenAnswer, Option<AnswerViolation>) {
     let status = reply.map(|reply| reply.status);
     if route == RequestedRoute::Plain {
-        let refused = status.is_some_and(reports_not_run);
-        plan.plain.refused.borrow_mut().insert(id.to_owned(), refused);
+        let was_refused = status.is_some_and(reports_not_run);
+        plan.plain_requests.refused_by_id.borrow_mut().insert(id.to_owned(), was_refused);
     }
     match (status, reply) {
         (Some(StatusCode::NOT_FOUND), _) => (SeenAnswer::Missing, None),
-        (Some(StatusCode::OK), Some(reply)) => match service_in(reply, route, id) {
+        (Some(StatusCode::OK), Some(reply)) => match read_answering_service(reply, route, id) {
             Some(service) => (SeenAnswer::ServedBy(service), None),
             None => (SeenAnswer::Inconclusive, Some(AnswerViolation::NotItsOwn)),
         },
@@ -172,11 +173,12 @@
     )
 }
 
-/// Returns the service that answered, if the body is the complete response to this request.
-fn service_in(reply: &ClientReply, route: RequestedRoute, id: &str) -> Option<usize> {
+/// Returns the index of the service that answered, if the body of the response is complete and
+/// names the requested path and id.
+fn read_answering_service(reply: &ClientReply, route: RequestedRoute, id: &str) -> Option<usize> {
     let text = std::str::from_utf8(&reply.body).ok()?;
     let (server, rest) = text.split_once(' ')?;
     let is_complete = rest == format!("200 {} {id}\n", route.path());
     let host_index = server.strip_prefix("i-")?.parse::<usize>().ok()?;
-    is_complete.then(|| fleet::service_of(host_index))
+    is_complete.then(|| fleet::service_index_of(host_index))
 }
--- a/crates/soak/src/errors.rs
+++ b/crates/soak/src/errors.rs
@@ -32,16 +32,17 @@
     Program {
         /// Path of the program or of its log.
         path: PathBuf,
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A fault proxy can't listen.
     #[snafu(display("fault proxy can't listen on 127.0.0.1: {source}"))]
     Listen {
-        /// What the system reported.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A process did not log that it listens, or logged it without an expected address.
+    /// A process did not log that it listens, or an expected address is missing from that line of
+    /// its log.
     #[snafu(display("{name} is not ready: {what} missing from its log"))]
     NotReady {
         /// Name of the process, or the line of its log that lacks an address.
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Fault injection from outside the processes, drawn from a seed: faults follow each other and may
-//! overlap.
+//! Fault injection from outside the processes. Kinds, hosts and durations of the faults are drawn
+//! from a seed. Faults follow each other and may overlap.
 
 use std::rc::Rc;
 use std::thread;
@@ -38,15 +38,15 @@
     Stopped,
     /// The store refuses calls or drops their connections.
     StoreOut,
-    /// The store answers late.
+    /// The store delays its responses by 50 to 400 ms.
     StoreSlow,
     /// The store discards its history of changes.
     Forgotten,
-    /// Other threads compete for the processor.
+    /// Spinning threads of the soak compete with the processes of the fleet for the processor.
     Starved,
 }
 
-/// Every kind, with its name on the command line.
+/// Every kind of fault, with its name on the command line.
 pub const KINDS: [(FaultKind, &str); 12] = [
     (FaultKind::SilentStore, "silent-store"),
     (FaultKind::SilentHalf, "silent-half"),
@@ -62,54 +62,55 @@
     (FaultKind::Starved, "starved"),
 ];
 
-/// Shortest and longest pause between the beginnings of two faults, in milliseconds. Faults that
-/// last longer than the pause overlap with the next one.
-const PAUSE_MS: std::ops::RangeInclusive<u64> = 500..=7000;
+/// Shortest and longest pause between the beginnings of two faults, in milliseconds. A fault that
+/// lasts longer than the pause overlaps with the next fault.
+const FAULT_PAUSE_MS: std::ops::RangeInclusive<u64> = 500..=7000;
 /// Shortest and longest duration of a fault, in milliseconds.
-const LENGTH_MS: std::ops::RangeInclusive<u64> = 300..=6000;
-/// Threads that spin to starve the processes.
+const FAULT_LENGTH_MS: std::ops::RangeInclusive<u64> = 300..=6000;
+/// Number of threads that spin in order to starve the processes of the fleet.
 const BUSY_THREADS: usize = 4;
 
-/// Returns the kind of this name, if there is one.
+/// Returns the kind of fault with this name on the command line, if there is such a kind.
 pub fn kind_of(name: &str) -> Option<FaultKind> {
     KINDS.iter().find(|(_, known)| *known == name).map(|(kind, _)| *kind)
 }
 
-/// `FaultPlan` is one fault with its parameters, as drawn.
+/// `FaultPlan` is one fault with its randomly drawn parameters.
 #[derive(Debug, Clone)]
 struct FaultPlan {
     kind: FaultKind,
+    /// Indices of the affected hosts.
     hosts: Vec<usize>,
     hold: ProxyHold,
     length: Duration,
-    /// Faults to set at the store.
-    store: Value,
+    /// Body of the call that sets the faults of the store; null for other kinds of faults.
+    store_faults: Value,
     seed: u64,
 }
 
-/// Injects faults into the fleet for ever.
+/// Injects faults into the fleet for ever; returns at once if `kinds` is empty.
 pub async fn run(state: Rc<SoakState>, kinds: Vec<FaultKind>, mut rng: ChaCha8Rng) {
     loop {
-        let pause = Duration::from_millis(rng.random_range(PAUSE_MS));
+        let pause = Duration::from_millis(rng.random_range(FAULT_PAUSE_MS));
         monoio::time::sleep(pause).await;
         let Some(kind) = kinds.choose(&mut rng) else { return };
-        let plan = draw(*kind, state.fleet.hosts.len(), &mut rng);
+        let plan = draw_plan(*kind, state.fleet.hosts.len(), &mut rng);
         let state = state.clone();
-        monoio::spawn(async move { apply(&state, &plan).await });
+        monoio::spawn(async move { apply_fault(&state, &plan).await });
     }
 }
 
-fn draw(kind: FaultKind, hosts: usize, rng: &mut ChaCha8Rng) -> FaultPlan {
-    let count = match kind {
-        FaultKind::SilentHalf | FaultKind::SilentAll => hosts,
-        FaultKind::SilentStore => (hosts / 3).max(1),
-        FaultKind::HeldStore | FaultKind::HeldPeers => (hosts / 6).max(1),
-        FaultKind::Paused | FaultKind::Killed | FaultKind::Stopped => (hosts / 12).max(1),
+fn draw_plan(kind: FaultKind, fleet_size: usize, rng: &mut ChaCha8Rng) -> FaultPlan {
+    let host_count = match kind {
+        FaultKind::SilentHalf | FaultKind::SilentAll => fleet_size,
+        FaultKind::SilentStore => (fleet_size / 3).max(1),
+        FaultKind::HeldStore | FaultKind::HeldPeers => (fleet_size / 6).max(1),
+        FaultKind::Paused | FaultKind::Killed | FaultKind::Stopped => (fleet_size / 12).max(1),
         _ => 0,
     };
     let holds = [(true, true), (true, false), (false, true)];
     let (forward, back) = *holds.choose(rng).unwrap_or(&(true, true));
-    let store = match kind {
+    let store_faults = match kind {
         FaultKind::StoreOut => {
             let outages = [json!({"busy": true}), json!({"down": true}), json!({"many": true})];
             outages.choose(rng).cloned().unwrap_or_default()
@@ -120,15 +121,15 @@
     };
     FaultPlan {
         kind,
-        hosts: (0..hosts).sample(rng, count),
+        hosts: (0..fleet_size).sample(rng, host_count),
         hold: ProxyHold { forward, back },
-        length: Duration::from_millis(rng.random_range(LENGTH_MS)),
-        store,
+        length: Duration::from_millis(rng.random_range(FAULT_LENGTH_MS)),
+        store_faults,
         seed: rng.random(),
     }
 }
 
-async fn apply(state: &Rc<SoakState>, plan: &FaultPlan) {
+async fn apply_fault(state: &Rc<SoakState>, plan: &FaultPlan) {
     state.print_event(&format!(
         "fault {:?} of hosts {:?} for {:?}",
         plan.kind, plan.hosts, plan.length
@@ -137,66 +138,68 @@
         FaultKind::SilentStore => black_hole(state, plan, 1.0, false),
         FaultKind::SilentHalf => black_hole(state, plan, 0.5, true),
         FaultKind::SilentAll => black_hole(state, plan, 1.0, true),
-        FaultKind::HeldStore | FaultKind::HeldPeers => hold(state, plan).await,
-        FaultKind::Paused => pause(state, plan).await,
-        FaultKind::Killed | FaultKind::Stopped => restart(state, plan).await,
+        FaultKind::HeldStore | FaultKind::HeldPeers => hold_connections(state, plan).await,
+        FaultKind::Paused => pause_daemons(state, plan).await,
+        FaultKind::Killed | FaultKind::Stopped => restart_daemons(state, plan).await,
         FaultKind::StoreOut | FaultKind::StoreSlow => disturb_store(state, plan).await,
         FaultKind::Forgotten => forget_history(state, plan).await,
-        FaultKind::Starved => starve(state, plan).await,
+        FaultKind::Starved => starve_processes(state, plan).await,
     }
 }
 
-/// Black-holes open connections. This counts as a fault of every host, as each may be the other end
-/// of such a connection.
-fn black_hole(state: &SoakState, plan: &FaultPlan, share: f64, peers: bool) {
-    let handle = state.begin(&state.all_hosts(), false);
+/// Black-holes a share of the open connections of the plan's hosts to the store and, with
+/// `includes_peers`, of the connections to their daemons. The fault counts for every host, as each
+/// host may be at the other end of a black-holed connection.
+fn black_hole(state: &SoakState, plan: &FaultPlan, share: f64, includes_peers: bool) {
+    let handle = state.begin_fault(&state.all_hosts(), false);
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    for number in &plan.hosts {
-        let host = &state.fleet.hosts[*number];
-        host.store.black_hole(|| rng.random_bool(share));
-        if peers {
-            host.peers.black_hole(|| rng.random_bool(share));
+    for host_index in &plan.hosts {
+        let host = &state.fleet.hosts[*host_index];
+        host.store_proxy.black_hole(|| rng.random_bool(share));
+        if includes_peers {
+            host.peer_proxy.black_hole(|| rng.random_bool(share));
         }
     }
-    state.end(&handle);
+    state.end_fault(&handle);
 }
 
-async fn hold(state: &SoakState, plan: &FaultPlan) {
+async fn hold_connections(state: &SoakState, plan: &FaultPlan) {
     let is_store = plan.kind == FaultKind::HeldStore;
-    // Holding the links of a host affects every peer at their other ends.
+    // If data on the links of a host is held back, every peer at the other end of a link is
+    // affected.
     let affected = if is_store { plan.hosts.clone() } else { state.all_hosts() };
-    let handle = state.begin(&affected, false);
+    let handle = state.begin_fault(&affected, false);
     let set_hold = |hold| {
-        for number in &plan.hosts {
-            let host = &state.fleet.hosts[*number];
-            let proxy = if is_store { &host.store } else { &host.peers };
+        for host_index in &plan.hosts {
+            let host = &state.fleet.hosts[*host_index];
+            let proxy = if is_store { &host.store_proxy } else { &host.peer_proxy };
             proxy.hold(hold);
         }
     };
     set_hold(plan.hold);
     monoio::time::sleep(plan.length).await;
     set_hold(ProxyHold::default());
-    state.end(&handle);
+    state.end_fault(&handle);
 }
 
-async fn pause(state: &SoakState, plan: &FaultPlan) {
-    let handle = state.begin(&plan.hosts, false);
+async fn pause_daemons(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin_fault(&plan.hosts, false);
     let signal = |signal| {
-        let hosts = plan.hosts.iter().map(|number| &state.fleet.hosts[*number]);
+        let hosts = plan.hosts.iter().map(|host_index| &state.fleet.hosts[*host_index]);
         hosts.for_each(|host| host.with_daemon(|daemon| daemon.signal(signal)));
     };
     signal(Signal::SIGSTOP);
     monoio::time::sleep(plan.length).await;
     signal(Signal::SIGCONT);
-    state.end(&handle);
+    state.end_fault(&handle);
 }
 
-async fn restart(state: &SoakState, plan: &FaultPlan) {
-    let handle = state.begin(&plan.hosts, false);
-    for number in &plan.hosts {
-        let host = &state.fleet.hosts[*number];
-        // Overlapping faults may restart the same daemon.
-        if !state.claim_restart(*number) {
+async fn restart_daemons(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin_fault(&plan.hosts, false);
+    for host_index in &plan.hosts {
+        let host = &state.fleet.hosts[*host_index];
+        // An overlapping fault may already be restarting the same daemon.
+        if !state.claim_restart(*host_index) {
             continue;
         }
         if plan.kind == FaultKind::Stopped {
@@ -208,33 +211,33 @@
             };
             let _ = monoio::time::timeout(Duration::from_secs(10), wait_for_exit()).await;
         }
-        state.fleet.kill(host);
+        state.fleet.kill_daemon(host);
         monoio::time::sleep(plan.length.min(Duration::from_secs(2))).await;
-        if let Err(error) = state.fleet.restart(host).await {
+        if let Err(error) = state.fleet.restart_daemon(host).await {
             state.add_finding(format!("{} did not restart: {error}", host.name));
         }
-        state.release_restart(*number);
+        state.release_restart(*host_index);
     }
-    state.end(&handle);
+    state.end_fault(&handle);
 }
 
 async fn disturb_store(state: &SoakState, plan: &FaultPlan) {
-    let handle = state.begin(&[], true);
-    state.apply_store_faults(&plan.store).await;
+    let handle = state.begin_fault(&[], true);
+    state.apply_store_faults(&plan.store_faults).await;
     monoio::time::sleep(plan.length).await;
     state.apply_store_faults(&json!({})).await;
-    state.end(&handle);
+    state.end_fault(&handle);
 }
 
 async fn forget_history(state: &SoakState, plan: &FaultPlan) {
-    let handle = state.begin(&[], true);
-    state.apply_store_faults(&plan.store).await;
-    state.end(&handle);
+    let handle = state.begin_fault(&[], true);
+    state.apply_store_faults(&plan.store_faults).await;
+    state.end_fault(&handle);
 }
 
 /// Occupies the processor with spinning threads for the length of the fault.
-async fn starve(state: &SoakState, plan: &FaultPlan) {
-    let handle = state.begin(&state.all_hosts(), false);
+async fn starve_processes(state: &SoakState, plan: &FaultPlan) {
+    let handle = state.begin_fault(&state.all_hosts(), false);
     let length = plan.length;
     for _ in 0..BUSY_THREADS {
         thread::spawn(move || {
@@ -245,5 +248,5 @@
         });
     }
     monoio::time::sleep(length).await;
-    state.end(&handle);
+    state.end_fault(&handle);
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -24,17 +24,19 @@
 use crate::process::{self, ProgramCall, SoakProcess};
 use crate::proxy::FaultProxy;
 
-const DOMAINS: [&str; 4] = ["gasabo", "kicukiro", "nyarugenge", "remera"];
-/// One in this many hosts has a backend server of the second service.
+/// Names of the failure domains, which are assigned to the hosts round-robin.
+const FAILURE_DOMAINS: [&str; 4] = ["gasabo", "kicukiro", "nyarugenge", "remera"];
+/// Number of hosts of which one has a backend server of the second service; the backend servers of
+/// the other hosts belong to the first service.
 const SECOND_SERVICE_EVERY: usize = 4;
 /// Interval of the heartbeats of a backend server.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1500);
 /// Time-out of a heartbeat, and of a call that sets faults of the store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Slots of a backend server, the number of requests that it runs concurrently.
-const SLOTS: u32 = 4;
+/// Slots of a backend server: the number of requests that the server runs concurrently.
+const SERVER_SLOTS: u32 = 4;
 /// Median service time of a request, in milliseconds.
-const SERVICE_MS: &str = "10";
+const SERVICE_TIME_MS: &str = "10";
 /// Interval of the heartbeats of a daemon to its peers, in milliseconds, as on the prepared
 /// platform.
 const DAEMON_HEARTBEAT_MS: &str = "4000";
@@ -45,21 +47,21 @@
 const KILL_AFTER_MS: &str = "6000";
 
 /// Returns the index in [`SERVICES`] of the service of a host's backend server.
-pub fn service_of(host: usize) -> usize {
+pub fn service_index_of(host: usize) -> usize {
     usize::from(host % SECOND_SERVICE_EVERY == SECOND_SERVICE_EVERY - 1)
 }
 
 /// `FleetOptions` are the settings of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// Number of hosts, each with a daemon and a backend server.
+    /// Number of hosts, each of which has a daemon and a backend server.
     pub hosts: usize,
-    /// Folder with the programs.
+    /// Folder that holds the programs `basaltarchd` and `basaltarch-standin`.
     pub programs: PathBuf,
-    /// Folder for the logs.
+    /// Folder into which the processes write their logs.
     pub folder: PathBuf,
-    /// Key that the daemons share. It must differ from that of any concurrent run, as ports are
-    /// reused.
+    /// Key that the daemons share. The key must differ from the key of any concurrent run, as the
+    /// operating system reuses ports, and a daemon might else link to a daemon of another run.
     pub key: String,
 }
 
@@ -67,29 +69,29 @@
 pub struct SoakHost {
     /// Name of the host.
     pub name: String,
-    /// Index in [`SERVICES`] of the service of its backend server.
-    pub service: usize,
-    /// Proxy between its daemon and the store.
-    pub store: FaultProxy,
-    /// Proxy through which peers connect to its daemon.
-    pub peers: FaultProxy,
+    /// Index in [`SERVICES`] of the service of the host's backend server.
+    pub service_index: usize,
+    /// Proxy between the host's daemon and the store.
+    pub store_proxy: FaultProxy,
+    /// Proxy through which peers connect to the host's daemon.
+    pub peer_proxy: FaultProxy,
     domain: &'static str,
     upstream: String,
     daemon: RefCell<Rc<SoakProcess>>,
     backend: SoakProcess,
     backend_address: SocketAddr,
-    callers: Cell<Option<SocketAddr>>,
-    registration: Cell<Option<SocketAddr>>,
+    caller_address: Cell<Option<SocketAddr>>,
+    registration_address: Cell<Option<SocketAddr>>,
     daemon_incarnation: Cell<u64>,
 }
 
 impl SoakHost {
-    /// Returns the daemon's address for callers, unless the daemon is down.
-    pub fn callers(&self) -> Option<SocketAddr> {
-        self.callers.get()
+    /// Returns the daemon's address for callers, or `None` if the daemon is down.
+    pub fn caller_address(&self) -> Option<SocketAddr> {
+        self.caller_address.get()
     }
 
-    /// Returns the incarnation of the daemon: how often it was started.
+    /// Returns the incarnation of the daemon: how often the daemon was started.
     pub fn daemon_incarnation(&self) -> u64 {
         self.daemon_incarnation.get()
     }
@@ -107,9 +109,9 @@
     async fn read_addresses(&self) -> Result<(), SoakError> {
         let daemon = self.daemon.borrow().clone();
         let line = daemon.wait_listening().await?;
-        self.peers.forward_to(process::address_in(&line, "peers")?);
-        self.registration.set(Some(process::address_in(&line, "registration")?));
-        self.callers.set(Some(process::address_in(&line, "callers")?));
+        self.peer_proxy.forward_to(process::read_address(&line, "peers")?);
+        self.registration_address.set(Some(process::read_address(&line, "registration")?));
+        self.caller_address.set(Some(process::read_address(&line, "callers")?));
         self.daemon_incarnation.set(self.daemon_incarnation.get() + 1);
         Ok(())
     }
@@ -117,91 +119,96 @@
 
 /// `SoakFleet` is the fleet of a run.
 pub struct SoakFleet {
-    /// Address of the store, bypassing all proxies.
-    pub platform: SocketAddr,
-    /// The hosts.
+    /// Address of the store itself, for calls that bypass the proxies.
+    pub store_address: SocketAddr,
+    /// Hosts of the fleet, by index.
     pub hosts: Vec<Rc<SoakHost>>,
     options: FleetOptions,
     store: SoakProcess,
 }
 
 impl SoakFleet {
-    /// Starts the store, without any hosts.
+    /// Starts the store of a fleet that has no hosts yet.
     pub async fn start(options: FleetOptions) -> Result<Self, SoakError> {
-        let call = standin_call(&options, &["platform"]);
+        let call = build_standin_call(&options, &["platform"]);
         let store = SoakProcess::start(&call, "store", &options.folder)?;
-        let platform = process::address_in(&store.wait_listening().await?, "address")?;
-        Ok(Self { platform, hosts: Vec::new(), options, store })
+        let store_address = process::read_address(&store.wait_listening().await?, "address")?;
+        Ok(Self { store_address, hosts: Vec::new(), options, store })
     }
 
     /// Starts the processes of all hosts, and the heartbeats of the backend servers.
     pub async fn start_hosts(&mut self) -> Result<(), SoakError> {
-        for number in 0..self.options.hosts {
-            let host = Rc::new(self.start_host(number).await?);
+        for host_index in 0..self.options.hosts {
+            let host = Rc::new(self.start_host(host_index).await?);
             monoio::spawn(send_heartbeats(host.clone()));
             self.hosts.push(host);
         }
         Ok(())
     }
 
-    async fn start_host(&self, number: usize) -> Result<SoakHost, SoakError> {
-        let store = FaultProxy::start().context(ListenSnafu)?;
-        store.forward_to(self.platform);
-        let peers = FaultProxy::start().context(ListenSnafu)?;
-        let name = format!("host-{number}");
-        let upstream = format!("i-{number}");
+    async fn start_host(&self, host_index: usize) -> Result<SoakHost, SoakError> {
+        let store_proxy = FaultProxy::start().context(ListenSnafu)?;
+        store_proxy.forward_to(self.store_address);
+        let peer_proxy = FaultProxy::start().context(ListenSnafu)?;
+        let name = format!("host-{host_index}");
+        let upstream = format!("i-{host_index}");
         let folder = &self.options.folder;
-        let arguments = ["backend", "--name", &upstream, "--service-ms", SERVICE_MS];
-        let mut call = standin_call(&self.options, &arguments);
+        let arguments = ["backend", "--name", &upstream, "--service-ms", SERVICE_TIME_MS];
+        let mut call = build_standin_call(&self.options, &arguments);
         call.arguments.push("--prepared".to_owned());
         let backend = SoakProcess::start(&call, &upstream, folder)?;
-        let backend_address = process::address_in(&backend.wait_listening().await?, "address")?;
-        let domain = DOMAINS[number % DOMAINS.len()];
-        let service = service_of(number);
-        let call = self.daemon_call(&name, domain, service, &store, &peers);
+        let backend_address = process::read_address(&backend.wait_listening().await?, "address")?;
+        let domain = FAILURE_DOMAINS[host_index % FAILURE_DOMAINS.len()];
+        let service_index = service_index_of(host_index);
+        let call = self.build_daemon_call(&name, domain, service_index, &store_proxy, &peer_proxy);
         let daemon = RefCell::new(Rc::new(SoakProcess::start(&call, &name, folder)?));
         let host = SoakHost {
             name,
-            service,
-            store,
-            peers,
+            service_index,
+            store_proxy,
+            peer_proxy,
             domain,
             upstream,
             daemon,
             backend,
             backend_address,
-            callers: Cell::default(),
-            registration: Cell::default(),
+            caller_address: Cell::default(),
+            registration_address: Cell::default(),
             daemon_incarnation: Cell::default(),
         };
         host.read_addresses().await?;
         Ok(host)
     }
 
-    /// Restarts the daemon of a host; its previous process must have ended.
-    pub async fn restart(&self, host: &SoakHost) -> Result<(), SoakError> {
-        let call =
-            self.daemon_call(&host.name, host.domain, host.service, &host.store, &host.peers);
+    /// Restarts the daemon of a host. The previous process of the daemon must have ended.
+    pub async fn restart_daemon(&self, host: &SoakHost) -> Result<(), SoakError> {
+        let call = self.build_daemon_call(
+            &host.name,
+            host.domain,
+            host.service_index,
+            &host.store_proxy,
+            &host.peer_proxy,
+        );
         let process = SoakProcess::start(&call, &host.name, &self.options.folder)?;
         drop(host.daemon.replace(Rc::new(process)));
         host.read_addresses().await
     }
 
     /// Returns the path of the log of a host's daemon.
-    pub fn log_of(&self, host: &str) -> PathBuf {
+    pub fn daemon_log_path(&self, host: &str) -> PathBuf {
         process::log_path(&self.options.folder, host)
     }
 
     /// Kills the daemon of a host.
-    pub fn kill(&self, host: &SoakHost) {
-        host.callers.set(None);
+    pub fn kill_daemon(&self, host: &SoakHost) {
+        host.caller_address.set(None);
         host.daemon.borrow().kill();
     }
 
     /// Ends every process of the fleet.
-    pub fn end(&self) {
+    pub fn end_processes(&self) {
         for host in &self.hosts {
-            self.kill(host);
+            self.kill_daemon(host);
             host.backend.kill();
         }
         self.store.kill();
@@ -209,7 +216,7 @@
 
     /// Sets the faults of the store.
     pub async fn set_store_faults(&self, faults: &Value) -> Result<(), SoakError> {
-        let client = HttpClient::new(self.platform, CALL_TIMEOUT);
+        let client = HttpClient::new(self.store_address, CALL_TIMEOUT);
         let body = Bytes::from(faults.to_string());
         let what = "setting faults of the store";
         let call = client.call(Method::PUT, FAULTS_PATH, HeaderMap::new(), body);
@@ -220,23 +227,23 @@
         Ok(())
     }
 
-    fn daemon_call(
+    fn build_daemon_call(
         &self,
         name: &str,
         domain: &str,
-        service: usize,
-        store: &FaultProxy,
-        peers: &FaultProxy,
+        service_index: usize,
+        store_proxy: &FaultProxy,
+        peer_proxy: &FaultProxy,
     ) -> ProgramCall {
         let pairs = [
             ("host", name),
             ("failure-domain", domain),
             ("source", "document"),
-            ("platform", &store.address.to_string()),
-            ("advertise-peers", &peers.address.to_string()),
+            ("platform", &store_proxy.address.to_string()),
+            ("advertise-peers", &peer_proxy.address.to_string()),
             ("ready", "127.0.0.1:0"),
             ("registration", "127.0.0.1:0"),
-            ("own-service", SERVICES[service]),
+            ("own-service", SERVICES[service_index]),
             ("heartbeat-ms", DAEMON_HEARTBEAT_MS),
             ("drain-min-ms", DRAIN_MIN_MS),
             ("kill-after-ms", KILL_AFTER_MS),
@@ -259,11 +266,11 @@
 
 impl Drop for SoakFleet {
     fn drop(&mut self) {
-        self.end();
+        self.end_processes();
     }
 }
 
-fn standin_call(options: &FleetOptions, arguments: &[&str]) -> ProgramCall {
+fn build_standin_call(options: &FleetOptions, arguments: &[&str]) -> ProgramCall {
     ProgramCall {
         program: options.programs.join("basaltarch-standin"),
         arguments: arguments.iter().map(|argument| (*argument).to_owned()).collect(),
@@ -285,18 +292,18 @@
 }
 
 async fn send_heartbeat(host: &SoakHost, sequence: u64) {
-    let Some(address) = host.registration.get() else { return };
+    let Some(address) = host.registration_address.get() else { return };
     let StoreCall { method, target, body } = registration::heartbeat(&ServerHeartbeat {
         incarnation: ServerIncarnation::of_upstream(&host.upstream),
-        service: SERVICES[host.service].to_owned(),
+        service: SERVICES[host.service_index].to_owned(),
         address: host.backend_address,
         failure_domain: host.domain.to_owned(),
-        slots: SLOTS,
+        slots: SERVER_SLOTS,
         draining: false,
         cold_for: Duration::ZERO,
         sequence,
     });
     let client = HttpClient::new(address, CALL_TIMEOUT);
-    // A lost heartbeat is not retried, as the next one follows.
+    // A lost heartbeat is not retried, as the next heartbeat follows after `HEARTBEAT_INTERVAL`.
     let _ = client.call(method, &target, HeaderMap::new(), body.into()).await;
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -5,12 +5,13 @@
 //! outside.
 //!
 //! [`fleet`] starts the simulated store and, for each host, a daemon and a backend server as
-//! processes ([`process`]), with a [`proxy`] in front of the store and of the daemon's port for
-//! its peers. [`operator`] changes the configuration continually, [`callers`] request the
-//! changed routes from every daemon, and [`faults`] black-holes and holds connections, and
-//! suspends, kills and starves processes, drawn from a seed. [`checker`] checks the observations
-//! of callers and the operator for violated guarantees, [`logs`] reads when documents came in
-//! force, [`run`] runs it all, and [`report`] prints the result.
+//! processes ([`process`]), with a [`proxy`] in front of the store and of the daemon's port for its
+//! peers. [`operator`] changes the configuration continually, [`callers`] request the changed
+//! routes from every daemon, and [`faults`] black-holes and holds connections, and suspends, kills
+//! and starves processes. The faults are drawn from a seed. [`checker`] checks the observations of
+//! callers and the operator for violated guarantees, and [`logs`] reads from the daemons' logs when
+//! documents came in force. [`run`] combines the modules into a run, and [`report`] prints its
+//! result.
 
 #![forbid(unsafe_code)]
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -49,10 +49,13 @@
 /// Exit status when a run had findings or failed.
 const EXIT_FINDINGS: i32 = 1;
 
+/// `SoakOptions` holds the options of the command line.
 struct SoakOptions {
     seeds: std::ops::Range<u64>,
-    base: RunOptions,
-    keep: bool,
+    /// Options of the run of the first seed; its folder holds the log folders of all seeds.
+    base_options: RunOptions,
+    /// Whether the logs of runs without findings are kept too.
+    keeps_logs: bool,
 }
 
 fn main() {
@@ -78,22 +81,23 @@
         }
     }
     if finding_count > 0 {
-        println!("{finding_count} findings; logs below {}", options.base.folder.display());
+        println!("{finding_count} findings; logs below {}", options.base_options.folder.display());
         process::exit(EXIT_FINDINGS);
     }
     println!("no promise broken");
 }
 
-/// Runs one seed; the logs of a run without findings are removed, unless they are to be kept.
+/// Runs the soak with one seed. Removes the logs of a run without findings, unless `keeps_logs` is
+/// set.
 fn run_seed(options: &SoakOptions, seed: u64) -> Result<RunReport, SoakError> {
-    let SoakOptions { base, keep, .. } = options;
-    let folder = base.folder.join(format!("seed-{seed}"));
+    let SoakOptions { base_options, keeps_logs, .. } = options;
+    let folder = base_options.folder.join(format!("seed-{seed}"));
     let folder_error = |source| SoakError::Program { path: folder.clone(), source };
     fs::create_dir_all(&folder).map_err(folder_error)?;
-    let plan = RunOptions { seed, folder: folder.clone(), ..base.clone() };
+    let plan = RunOptions { seed, folder: folder.clone(), ..base_options.clone() };
     let result = runtime::run(async move { run::run(&plan).await });
     let report = result.map_err(|source| SoakError::Start { source })??;
-    if report.finding_count == 0 && !keep {
+    if report.finding_count == 0 && !keeps_logs {
         let _ = fs::remove_dir_all(&folder);
     }
     Ok(report)
@@ -117,7 +121,7 @@
         .logs
         .map(PathBuf::from)
         .unwrap_or_else(|| std::env::temp_dir().join(format!("basaltarch-soak-{}", process::id())));
-    let base = RunOptions {
+    let base_options = RunOptions {
         seed,
         length: Duration::from_secs(seconds),
         hosts: processes / 2,
@@ -127,13 +131,13 @@
         verbose: flags.verbose,
     };
     let seeds = seed..seed.saturating_add(seeds);
-    Ok(SoakOptions { seeds, base, keep: flags.keep })
+    Ok(SoakOptions { seeds, base_options, keeps_logs: flags.keep })
 }
 
 fn read_kinds(given: Option<String>) -> Result<Vec<FaultKind>, SettingError> {
-    let all = || KINDS.iter().map(|(kind, _)| *kind).collect();
+    let all_kinds = || KINDS.iter().map(|(kind, _)| *kind).collect();
     let text = match given.as_deref() {
-        None => return Ok(all()),
+        None => return Ok(all_kinds()),
         Some("none") => return Ok(Vec::new()),
         Some(text) => text,
     };
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The simulated operator: writes a document every second or so, each of which adds a route,
-//! removes one and moves one.
+//! The simulated operator: writes a configuration document every 0.7 to 2.5 seconds. Each document
+//! adds a route, removes the oldest added route, and moves a route to the other service.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -22,15 +22,16 @@
 use crate::checker::{SeenAnswer, StepTimes};
 use crate::errors::{CallSnafu, SoakError};
 
-/// Host name that callers request.
-pub const HOST: &str = "meters.example";
-/// The services; a host's backend server belongs to one of them.
+/// Value of the header `Host` in the requests of callers.
+pub const REQUESTED_HOST: &str = "meters.example";
+/// Names of the services. The backend server of each host belongs to one of the services.
 pub const SERVICES: [&str; 2] = ["reader-app", "billing-app"];
-/// Number of steps for which an added route remains in the documents.
+/// Number of consecutive documents that hold an added route.
 const ADDED_ROUTE_STEPS: usize = 4;
 /// Time-out of a write to the store.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Average increment of the version per step; `version_of` makes the increments uneven.
+/// Average increment of the document's version per step; [`version_of`] makes the increments
+/// uneven.
 const VERSION_STRIDE: usize = 7;
 
 /// `RequestedRoute` is the route that a caller requests.
@@ -40,9 +41,9 @@
     Steady,
     /// A route that every document has, to the first service, for non-repeatable requests.
     Plain,
-    /// The route that this step added.
+    /// The route that was added by the step of this number.
     Added(usize),
-    /// The route that each step moves to the other service.
+    /// The route that each step moves from one service to the other.
     Moved,
 }
 
@@ -58,32 +59,32 @@
     }
 }
 
-/// Returns whether a response is consistent with a step's document.
-pub fn allows(step: usize, route: RequestedRoute, answer: SeenAnswer) -> bool {
+/// Returns whether what a response shows about a route is consistent with a step's document.
+pub fn document_allows(step: usize, route: RequestedRoute, answer: SeenAnswer) -> bool {
     let service = match route {
         RequestedRoute::Steady | RequestedRoute::Plain => Some(0),
         RequestedRoute::Moved => Some(step % SERVICES.len()),
-        RequestedRoute::Added(added) => {
-            (added <= step && step < added + ADDED_ROUTE_STEPS).then_some(0)
+        RequestedRoute::Added(adding_step) => {
+            (adding_step <= step && step < adding_step + ADDED_ROUTE_STEPS).then_some(0)
         }
     };
     match answer {
         SeenAnswer::Missing => service.is_none(),
-        SeenAnswer::ServedBy(answering) => service == Some(answering),
+        SeenAnswer::ServedBy(answering_service) => service == Some(answering_service),
         SeenAnswer::Inconclusive => true,
     }
 }
 
-/// `SoakOperator` writes documents and records when each was sent and acknowledged.
+/// `SoakOperator` writes documents, and records when each document was sent and acknowledged.
 pub struct SoakOperator {
     client: HttpClient,
     steps: RefCell<Vec<StepTimes>>,
 }
 
 impl SoakOperator {
-    /// Builds the operator of the store at this address.
-    pub fn new(platform: SocketAddr) -> Self {
-        Self { client: HttpClient::new(platform, WRITE_TIMEOUT), steps: RefCell::default() }
+    /// Builds the operator that writes to the store at this address.
+    pub fn new(store_address: SocketAddr) -> Self {
+        Self { client: HttpClient::new(store_address, WRITE_TIMEOUT), steps: RefCell::default() }
     }
 
     /// Calls `read` with the times of all steps so far.
@@ -92,11 +93,11 @@
     }
 
     /// Returns the number of the newest step.
-    pub fn newest(&self) -> usize {
+    pub fn newest_step(&self) -> usize {
         self.steps.borrow().len().saturating_sub(1)
     }
 
-    /// Writes the next step's document; `now` returns the time of the run.
+    /// Writes the document of the next step to the store; `now` returns the time of the run.
     pub async fn step(&self, now: impl Fn() -> Duration) -> Result<(), SoakError> {
         let step = self.steps.borrow().len();
         self.steps.borrow_mut().push(StepTimes { sent_at: now(), acked_at: None });
@@ -120,7 +121,7 @@
 }
 
 fn document_of(step: usize) -> ConfigDocument {
-    let declaration = |name: &&str| ServiceDeclaration {
+    let declare_service = |name: &&str| ServiceDeclaration {
         name: (*name).to_owned(),
         health_path: "/health".to_owned(),
         connections: 300,
@@ -130,14 +131,14 @@
         route("plain", "/plain/", 0, WorkMode::Plain),
         route("moved", "/moved/", step % SERVICES.len(), WorkMode::Repeatable),
     ];
-    for added in (step + 1).saturating_sub(ADDED_ROUTE_STEPS)..=step {
-        let name = format!("added-{added}");
+    for adding_step in (step + 1).saturating_sub(ADDED_ROUTE_STEPS)..=step {
+        let name = format!("added-{adding_step}");
         routes.push(route(&name, &format!("/{name}/"), 0, WorkMode::Repeatable));
     }
     ConfigDocument {
         version: version_of(step),
         routes,
-        services: SERVICES.iter().map(declaration).collect(),
+        services: SERVICES.iter().map(declare_service).collect(),
         limits: CallerLimits {
             head_bytes: 16_384,
             body_bytes: 1 << 20,
@@ -150,7 +151,7 @@
 
 fn route(name: &str, path_prefix: &str, service: usize, mode: WorkMode) -> NamedRoute {
     let rule = RouteRule {
-        host: HOST.to_owned(),
+        host: REQUESTED_HOST.to_owned(),
         path_prefix: path_prefix.to_owned(),
         methods: Vec::new(),
         service: SERVICES[service].to_owned(),
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Runs the programs as child processes, which are signalled and killed by their process ids.
+//! Runs the programs of the fleet as child processes, which are signalled and killed by their
+//! process ids.
 
 use std::cell::RefCell;
 use std::fs::{self, File};
@@ -29,45 +30,50 @@
     pub program: PathBuf,
     /// Command-line arguments.
     pub arguments: Vec<String>,
-    /// Environment variables, in addition to those of the soak.
+    /// Environment variables that are set in addition to those of the soak process.
     pub variables: Vec<(&'static str, String)>,
 }
 
-/// `SoakProcess` is a process that logs JSON lines into a file; it is killed when dropped.
+/// `SoakProcess` is a child process that logs JSON lines into a file. Dropping the value kills the
+/// process.
 pub struct SoakProcess {
     /// Name of the process and of its log.
     pub name: String,
     log: PathBuf,
-    /// Size of the log, in bytes, when this process was started.
-    log_from: usize,
+    /// Size of the log, in bytes, when this process was started. The log may hold lines of earlier
+    /// processes of the same name.
+    log_start_bytes: usize,
     child: RefCell<Child>,
 }
 
 impl SoakProcess {
-    /// Starts a process that appends to the log of its name in `folder`.
+    /// Starts a process. Its output is appended to the log in `folder` that bears its name.
     pub fn start(call: &ProgramCall, name: &str, folder: &Path) -> Result<Self, SoakError> {
         let log = log_path(folder, name);
-        let path = || ProgramSnafu { path: &log };
-        let file = File::options().create(true).append(true).open(&log).with_context(|_| path())?;
-        let log_from = file.metadata().with_context(|_| path())?.len() as usize;
-        let errors = file.try_clone().with_context(|_| path())?;
+        let log_context = || ProgramSnafu { path: &log };
+        let file =
+            File::options().create(true).append(true).open(&log).with_context(|_| log_context())?;
+        let log_start_bytes = file.metadata().with_context(|_| log_context())?.len() as usize;
+        let error_output = file.try_clone().with_context(|_| log_context())?;
         let child = Command::new(&call.program)
             .args(&call.arguments)
             .envs(call.variables.iter().map(|(name, value)| (name, value)))
             .stdin(Stdio::null())
             .stdout(file)
-            .stderr(errors)
+            .stderr(error_output)
             .spawn()
             .context(ProgramSnafu { path: &call.program })?;
-        Ok(Self { name: name.to_owned(), log, log_from, child: RefCell::new(child) })
+        Ok(Self { name: name.to_owned(), log, log_start_bytes, child: RefCell::new(child) })
     }
 
-    /// Waits for the line of the log that holds the addresses on which the process listens.
+    /// Waits for the line of the log that holds the addresses on which the process listens, and
+    /// returns that line.
     pub async fn wait_listening(&self) -> Result<Value, SoakError> {
-        let begun = Instant::now();
-        while begun.elapsed() < PROCESS_TIMEOUT {
+        let waiting_since = Instant::now();
+        while waiting_since.elapsed() < PROCESS_TIMEOUT {
             let bytes = fs::read(&self.log).unwrap_or_default();
-            let text = String::from_utf8_lossy(bytes.get(self.log_from..).unwrap_or_default());
+            let text =
+                String::from_utf8_lossy(bytes.get(self.log_start_bytes..).unwrap_or_default());
             let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
             if let Some(line) = lines.into_iter().find(|line| line["message"] == "listening") {
                 return Ok(line);
@@ -97,10 +103,10 @@
         let _ = child.wait();
     }
 
-    /// Waits until the process ends by itself; kills it after the time-out.
+    /// Waits until the process ends by itself, or kills the process after `PROCESS_TIMEOUT`.
     pub async fn wait_ended(&self) {
-        let begun = Instant::now();
-        while self.is_running() && begun.elapsed() < PROCESS_TIMEOUT {
+        let waiting_since = Instant::now();
+        while self.is_running() && waiting_since.elapsed() < PROCESS_TIMEOUT {
             monoio::time::sleep(POLL_INTERVAL).await;
         }
         self.kill();
@@ -118,8 +124,8 @@
     folder.join(format!("{name}.log"))
 }
 
-/// Reads one of the addresses on which a process listens from the line of the log that holds them.
-pub fn address_in(line: &Value, field: &'static str) -> Result<SocketAddr, SoakError> {
+/// Reads the address on which a process listens from a field of a line of its log.
+pub fn read_address(line: &Value, field: &'static str) -> Result<SocketAddr, SoakError> {
     let address = line[field].as_str().and_then(|text| text.parse().ok());
     address.ok_or(SoakError::NotReady { name: line.to_string(), what: field })
 }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A TCP proxy on loopback that can hold back data or black-hole connections.
+//! A TCP proxy on loopback that can hold back the data of its connections or black-hole the
+//! connections.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -18,18 +19,18 @@
 
 /// Largest number of bytes that are read from a connection at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Interval at which a held direction is checked for its release.
+/// Interval at which a connection with held-back data checks whether the direction is still held.
 const HELD_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Maximum number of concurrent connections of a proxy: each of a few hundred daemons may link to
-/// the same daemon.
+/// Maximum number of concurrent connections of a proxy. Each of a few hundred daemons may link to
+/// the daemon behind the proxy.
 const CONNECTIONS_MAX: usize = 1024;
 
 /// `ProxyHold` is the set of directions in which a proxy holds back data.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProxyHold {
-    /// From the client to the target.
+    /// Whether data from the client to the target is held back.
     pub forward: bool,
-    /// From the target to the client.
+    /// Whether data from the target to the client is held back.
     pub back: bool,
 }
 
@@ -37,8 +38,8 @@
 struct ProxyState {
     target: Cell<Option<SocketAddr>>,
     hold: Cell<ProxyHold>,
-    /// For each open connection, whether it is black-holed.
-    open: RefCell<Vec<Weak<Cell<bool>>>>,
+    /// For each open connection, whether the connection is black-holed.
+    open_connections: RefCell<Vec<Weak<Cell<bool>>>>,
 }
 
 /// `FaultProxy` relays connections to a target and injects faults into them.
@@ -50,7 +51,8 @@
 }
 
 impl FaultProxy {
-    /// Starts a proxy without a target; it closes connections until it has one.
+    /// Starts a proxy without a target. Until a target is set, the proxy closes each new
+    /// connection.
     pub fn start() -> io::Result<Self> {
         let listener = connection::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
@@ -58,7 +60,7 @@
         let shared = state.clone();
         let serve = move |stream, _| {
             let state = shared.clone();
-            async move { relay(&state, stream).await }
+            async move { relay_connection(&state, stream).await }
         };
         let count = ConnectionCount::default();
         monoio::spawn(connection::accept_all(listener, CONNECTIONS_MAX, count, serve));
@@ -70,50 +72,55 @@
         self.state.target.set(Some(target));
     }
 
-    /// Sets which directions are held; data that was held back is sent once they are released.
+    /// Sets the directions in which data is held back. When a direction is released, the data that
+    /// was held back in that direction is sent.
     pub fn hold(&self, hold: ProxyHold) {
         self.state.hold.set(hold);
     }
 
-    /// Black-holes each open connection for which `chooses` returns true, permanently and in both
+    /// Black-holes each open connection for which `is_chosen` returns true, permanently and in both
     /// directions: no data is relayed, neither end is closed, and the operating system still
-    /// acknowledges what is sent. New connections work.
-    pub fn black_hole(&self, mut chooses: impl FnMut() -> bool) {
-        let mut open = self.state.open.borrow_mut();
-        open.retain(|black_holed| black_holed.strong_count() > 0);
-        for black_holed in open.iter().filter_map(Weak::upgrade) {
-            if chooses() {
+    /// acknowledges received data. Connections that are opened later are not black-holed.
+    pub fn black_hole(&self, mut is_chosen: impl FnMut() -> bool) {
+        let mut open_connections = self.state.open_connections.borrow_mut();
+        open_connections.retain(|black_holed| black_holed.strong_count() > 0);
+        for black_holed in open_connections.iter().filter_map(Weak::upgrade) {
+            if is_chosen() {
                 black_holed.set(true);
             }
         }
     }
 }
 
-async fn relay(state: &ProxyState, near: TcpStream) {
+async fn relay_connection(state: &ProxyState, client_stream: TcpStream) {
     let Some(target) = state.target.get() else { return };
-    let Ok(far) = TcpStream::connect_addr(target).await else { return };
-    // Without TCP_NODELAY the proxy would gather small writes and add a delay of its own.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+    let Ok(target_stream) = TcpStream::connect_addr(target).await else { return };
+    // Without TCP_NODELAY, the operating system would gather small writes and add a delay that the
+    // connection does not have without the proxy.
+    let _ = client_stream.set_nodelay(true);
+    let _ = target_stream.set_nodelay(true);
     let black_holed = Rc::new(Cell::new(false));
-    state.open.borrow_mut().push(Rc::downgrade(&black_holed));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let forward = pump(near_read, far_write, &black_holed, || state.hold.get().forward);
-    let back = pump(far_read, near_write, &black_holed, || state.hold.get().back);
+    state.open_connections.borrow_mut().push(Rc::downgrade(&black_holed));
+    let (client_read, client_write) = client_stream.into_split();
+    let (target_read, target_write) = target_stream.into_split();
+    let forward = relay_data(client_read, target_write, &black_holed, || state.hold.get().forward);
+    let back = relay_data(target_read, client_write, &black_holed, || state.hold.get().back);
     let forward = std::pin::pin!(forward);
     let back = std::pin::pin!(back);
     let remaining: Pin<&mut dyn Future<Output = ()>> = match future::select(forward, back).await {
         Either::Left(((), back)) => back,
         Either::Right(((), forward)) => forward,
     };
-    // On a black-holed connection the close of one side isn't relayed to the other either.
+    // On a black-holed connection, the close of one stream isn't relayed to the other stream
+    // either.
     if black_holed.get() {
         remaining.await;
     }
 }
 
-async fn pump(
+/// Copies data from one stream to another until a stream ends or fails. Holds data back while
+/// `is_held` returns true, and discards all data once the connection is black-holed.
+async fn relay_data(
     mut from: impl AsyncReadRent,
     mut to: impl AsyncWriteRentExt,
     black_holed: &Cell<bool>,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Runs a fleet with its operator, its callers and injected faults, and collects the findings.
+//! Runs a fleet with an operator, callers and injected faults, and collects the findings.
 
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
 use crate::callers::{self, AnswerViolation, CallerPlan, PlainRequests};
 use crate::checker::{
     CallerSample, ConfigChecker, FaultHandle, FaultHistory, GuaranteeViolation, SeenAnswer,
-    StepTimes, IN_FORCE_MAX,
+    StepTimes, IN_FORCE_DELAY_MAX,
 };
 use crate::errors::{CallSnafu, SoakError};
 use crate::faults::{self, FaultKind};
@@ -32,15 +32,15 @@
 use crate::report::RunReport;
 
 /// Number of callers of each daemon.
-const CALLERS: usize = 2;
+const CALLERS_PER_DAEMON: usize = 2;
 /// Shortest and longest pause between two documents, in milliseconds.
-const CHANGE_MS: std::ops::RangeInclusive<u64> = 700..=2500;
-/// Time for which a fleet settles before load and faults begin.
-const SETTLE: Duration = Duration::from_secs(4);
+const DOCUMENT_PAUSE_MS: std::ops::RangeInclusive<u64> = 700..=2500;
+/// Pause between the start of the fleet's processes and the beginning of load and faults.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 /// Time-out of a call for the run counters of a backend server.
 const RUNS_TIMEOUT: Duration = Duration::from_secs(10);
 /// Number of findings that the report holds as texts.
-const FINDINGS_MAX: usize = 40;
+const FINDING_TEXTS_MAX: usize = 40;
 
 /// `RunOptions` are the settings of a run.
 #[derive(Debug, Clone)]
@@ -49,13 +49,13 @@
     pub seed: u64,
     /// Duration of load and fault injection.
     pub length: Duration,
-    /// Number of hosts, each with two processes.
+    /// Number of hosts, each of which has two processes: a daemon and a backend server.
     pub hosts: usize,
-    /// Kinds of faults to draw from; empty for a run without faults.
+    /// Kinds of faults from which the injected faults are drawn; empty for a run without faults.
     pub kinds: Vec<FaultKind>,
-    /// Folder with the programs.
+    /// Folder that holds the programs `basaltarchd` and `basaltarch-standin`.
     pub programs: PathBuf,
-    /// Folder for the logs.
+    /// Folder into which the processes write their logs.
     pub folder: PathBuf,
     /// Whether faults and findings are printed as they occur.
     pub verbose: bool,
@@ -63,20 +63,20 @@
 
 /// `SoakState` is the state that the tasks of a run share.
 pub struct SoakState {
-    /// The fleet.
+    /// The fleet of the run.
     pub fleet: SoakFleet,
     operator: Rc<SoakOperator>,
     began: Instant,
     /// Time of day at which the run began.
     began_time_of_day: Duration,
-    history: RefCell<FaultHistory>,
+    fault_history: RefCell<FaultHistory>,
     checker: RefCell<ConfigChecker>,
     report: RefCell<RunReport>,
-    /// Whether a fault is restarting the daemon, for each host.
+    /// For each host, whether a fault is restarting the daemon of the host.
     restarting: RefCell<Vec<bool>>,
     verbose: bool,
-    /// Set when the run is over: later samples are not checked.
-    finished: Cell<bool>,
+    /// Whether the run is over; samples that arrive afterwards are not checked.
+    is_finished: Cell<bool>,
 }
 
 impl SoakState {
@@ -85,19 +85,19 @@
         self.began.elapsed()
     }
 
-    /// Returns the indices of all hosts.
+    /// Returns the index of each host of the fleet.
     pub fn all_hosts(&self) -> Vec<usize> {
         (0..self.fleet.hosts.len()).collect()
     }
 
-    /// Records that a fault of these hosts, and of the store if `store` is set, begins.
-    pub fn begin(&self, hosts: &[usize], store: bool) -> FaultHandle {
-        self.history.borrow_mut().begin(hosts, store, self.now())
+    /// Records that a fault of `hosts`, and of the store if `includes_store` is set, begins.
+    pub fn begin_fault(&self, hosts: &[usize], includes_store: bool) -> FaultHandle {
+        self.fault_history.borrow_mut().begin_fault(hosts, includes_store, self.now())
     }
 
-    /// Records that a fault has ended.
-    pub fn end(&self, handle: &FaultHandle) {
-        self.history.borrow_mut().end(handle, self.now());
+    /// Records that the fault of `handle` has ended.
+    pub fn end_fault(&self, handle: &FaultHandle) {
+        self.fault_history.borrow_mut().end_fault(handle, self.now());
     }
 
     /// Claims the restart of a daemon; returns false if another fault is restarting it.
@@ -110,14 +110,14 @@
         self.restarting.borrow_mut()[host] = false;
     }
 
-    /// Sets the faults of the store; a failure is a finding.
+    /// Sets the faults of the store. A failure to set the faults is added as a finding.
     pub async fn apply_store_faults(&self, faults: &Value) {
         if let Err(error) = self.fleet.set_store_faults(faults).await {
             self.add_finding(error.to_string());
         }
     }
 
-    /// Prints a line with the time of the run, if the run is verbose.
+    /// Prints `line` after the time of the run, if the run is verbose.
     pub fn print_event(&self, line: &str) {
         if self.verbose {
             println!("{:8.3} {line}", self.now().as_secs_f64());
@@ -129,13 +129,13 @@
         self.print_event(&finding);
         let mut report = self.report.borrow_mut();
         report.finding_count += 1;
-        if report.findings.len() < FINDINGS_MAX {
+        if report.findings.len() < FINDING_TEXTS_MAX {
             report.findings.push(format!("{:.3} s: {finding}", self.now().as_secs_f64()));
         }
     }
 
     fn check_sample(&self, sample: &CallerSample, answer_violation: Option<AnswerViolation>) {
-        if self.finished.get() {
+        if self.is_finished.get() {
             return;
         }
         let host = &self.fleet.hosts[sample.host].name;
@@ -145,19 +145,19 @@
         }
         let mut report = self.report.borrow_mut();
         report.requests += 1;
-        report.conclusive += u64::from(sample.answer != SeenAnswer::Inconclusive);
+        report.conclusive_count += u64::from(sample.answer != SeenAnswer::Inconclusive);
         drop(report);
         let violation = self.operator.with_steps(|steps| {
-            self.checker.borrow_mut().check(sample, steps, &self.history.borrow())
+            self.checker.borrow_mut().check(sample, steps, &self.fault_history.borrow())
         });
         let CallerSample { route, answer, sent_at, .. } = sample;
         let sent = sent_at.as_secs_f64();
         match violation {
-            Some(GuaranteeViolation::Late { after }) => {
-                let after = after.as_secs_f64();
+            Some(GuaranteeViolation::Late { delay }) => {
+                let delay = delay.as_secs_f64();
                 self.add_finding(format!(
                     "{host} {id} sent {sent:.3}: {route:?} {answer:?}, \
-                     {after:.3} s after it was forbidden"
+                     {delay:.3} s after it was forbidden"
                 ));
             }
             Some(GuaranteeViolation::RolledBack) => {
@@ -169,47 +169,51 @@
         }
     }
 
-    /// Returns the times from the acknowledgement of each document until it was in force at each
-    /// undisturbed host, sorted.
-    fn in_force_times(&self) -> Vec<Duration> {
-        let history = self.history.borrow();
-        let mut times = Vec::new();
+    /// Returns the times from the acknowledgement of each document until the document was in force
+    /// at each undisturbed host, sorted.
+    fn measure_in_force_delays(&self) -> Vec<Duration> {
+        let fault_history = self.fault_history.borrow();
+        let mut delays = Vec::new();
         for (host_index, host) in self.fleet.hosts.iter().enumerate() {
-            let lines =
-                logs::in_force_lines(&self.fleet.log_of(&host.name), self.began_time_of_day);
+            let lines = logs::in_force_lines(
+                &self.fleet.daemon_log_path(&host.name),
+                self.began_time_of_day,
+            );
             self.operator.with_steps(|steps| {
                 for (step, StepTimes { acked_at, .. }) in steps.iter().enumerate() {
                     let Some(acked_at) = *acked_at else { continue };
                     let until = in_force_at(&lines, step, acked_at).unwrap_or(self.now());
-                    if history.is_undisturbed(host_index, acked_at, until) {
-                        let took = until.saturating_sub(acked_at);
-                        self.print_late(&host.name, step, took);
-                        times.push(took);
+                    if fault_history.is_undisturbed(host_index, acked_at, until) {
+                        let in_force_delay = until.saturating_sub(acked_at);
+                        self.print_late(&host.name, step, in_force_delay);
+                        delays.push(in_force_delay);
                     }
                 }
             });
         }
-        times.sort();
-        times
+        delays.sort();
+        delays
     }
 
-    fn print_late(&self, host: &str, step: usize, took: Duration) {
-        if took > IN_FORCE_MAX {
-            self.print_event(&format!("document {step} was in force at {host} after {took:?}"));
+    fn print_late(&self, host: &str, step: usize, in_force_delay: Duration) {
+        if in_force_delay > IN_FORCE_DELAY_MAX {
+            self.print_event(&format!(
+                "document {step} was in force at {host} after {in_force_delay:?}"
+            ));
         }
     }
 }
 
-/// Returns when a step's document, or a later one, came in force at the daemon that logged `lines`.
-/// The result is no earlier than the acknowledgement, as a daemon may read the document before the
-/// operator gets the response.
+/// Returns the time of the run at which a step's document, or a later document, came in force at
+/// the daemon that logged `lines`. The result is no earlier than `acked_at`, although a daemon may
+/// read the document before the operator gets the acknowledgement.
 fn in_force_at(lines: &[InForceLine], step: usize, acked_at: Duration) -> Option<Duration> {
     let is_same_or_later = |line: &&InForceLine| line.revision >= operator::version_of(step);
-    let first = lines.iter().find(is_same_or_later)?;
-    Some(first.at.max(acked_at))
+    let first_line = lines.iter().find(is_same_or_later)?;
+    Some(first_line.at.max(acked_at))
 }
 
-/// Starts a fleet, runs load and faults on it, and ends it.
+/// Starts a fleet, runs load and faults on the fleet, and ends its processes.
 pub async fn run(options: &RunOptions) -> Result<RunReport, SoakError> {
     let RunOptions { seed, hosts, programs, folder, .. } = options.clone();
     let began = Instant::now();
@@ -217,7 +221,7 @@
     let began_time_of_day = logs::since_midnight(since_epoch);
     let key = format!("a-fleet-key-for-soak-{}-{seed}", process::id());
     let mut fleet = SoakFleet::start(FleetOptions { hosts, programs, folder, key }).await?;
-    let operator = Rc::new(SoakOperator::new(fleet.platform));
+    let operator = Rc::new(SoakOperator::new(fleet.store_address));
     operator.step(|| began.elapsed()).await?;
     fleet.start_hosts().await?;
     let state = Rc::new(SoakState {
@@ -225,41 +229,41 @@
         operator,
         began,
         began_time_of_day,
-        history: RefCell::new(FaultHistory::new(hosts)),
+        fault_history: RefCell::new(FaultHistory::new(hosts)),
         checker: RefCell::new(ConfigChecker::new(hosts)),
         report: RefCell::new(RunReport { seed, ..RunReport::default() }),
         restarting: RefCell::new(vec![false; hosts]),
         verbose: options.verbose,
-        finished: Cell::new(false),
+        is_finished: Cell::new(false),
     });
-    monoio::time::sleep(SETTLE).await;
-    // Tasks that never end keep references to the state, so dropping `state` does not end the
-    // fleet.
+    monoio::time::sleep(SETTLE_TIME).await;
+    // Tasks that never end hold references to the state, so the processes of the fleet do not end
+    // when `state` is dropped here.
     let result = run_load_and_faults(&state, options).await;
-    state.fleet.end();
+    state.fleet.end_processes();
     result
 }
 
-/// Runs callers, operator and faults on a fleet, and returns the report.
+/// Runs the callers, the operator and the faults on a fleet, and returns the report.
 async fn run_load_and_faults(
     state: &Rc<SoakState>,
     options: &RunOptions,
 ) -> Result<RunReport, SoakError> {
     let seed = options.seed;
-    let plain = Rc::<PlainRequests>::default();
-    start_callers(state, &plain, seed);
+    let plain_requests = Rc::<PlainRequests>::default();
+    start_callers(state, &plain_requests, seed);
     monoio::spawn(change_config(state.clone(), ChaCha8Rng::seed_from_u64(seed ^ 1)));
     let rng = ChaCha8Rng::seed_from_u64(seed ^ 2);
     monoio::spawn(faults::run(state.clone(), options.kinds.clone(), rng));
     monoio::time::sleep(options.length).await;
-    state.finished.set(true);
-    let runs = fetch_runs(state).await?;
-    for (id, answer_violation) in plain.violations(&runs) {
+    state.is_finished.set(true);
+    let runs = fetch_run_counts(state).await?;
+    for (id, answer_violation) in plain_requests.violations(&runs) {
         state.add_finding(format!("{id}: {answer_violation:?}"));
     }
     let mut report = state.report.borrow().clone();
-    report.steps = state.operator.with_steps(<[_]>::len);
-    report.in_force = state.in_force_times();
+    report.document_count = state.operator.with_steps(<[_]>::len);
+    report.in_force_delays = state.measure_in_force_delays();
     let late_count = report.late_count();
     if late_count > 0 {
         report.finding_count += late_count as u64;
@@ -270,16 +274,16 @@
     Ok(report)
 }
 
-fn start_callers(state: &Rc<SoakState>, plain: &Rc<PlainRequests>, seed: u64) {
+fn start_callers(state: &Rc<SoakState>, plain_requests: &Rc<PlainRequests>, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 3);
     for (host_index, host) in state.fleet.hosts.iter().enumerate() {
-        for caller in 0..CALLERS {
+        for caller_index in 0..CALLERS_PER_DAEMON {
             let plan = CallerPlan {
                 host_index,
                 host: host.clone(),
-                caller,
+                caller_index,
                 operator: state.operator.clone(),
-                plain: plain.clone(),
+                plain_requests: plain_requests.clone(),
                 began: state.began,
                 rng: ChaCha8Rng::seed_from_u64(rng.random()),
             };
@@ -291,10 +295,10 @@
     }
 }
 
-/// Lets the operator change the configuration for ever.
+/// Writes a document after each pause of [`DOCUMENT_PAUSE_MS`], for ever.
 async fn change_config(state: Rc<SoakState>, mut rng: ChaCha8Rng) {
     loop {
-        let pause = Duration::from_millis(rng.random_range(CHANGE_MS));
+        let pause = Duration::from_millis(rng.random_range(DOCUMENT_PAUSE_MS));
         monoio::time::sleep(pause).await;
         if let Err(error) = state.operator.step(|| state.now()).await {
             state.add_finding(error.to_string());
@@ -302,8 +306,8 @@
     }
 }
 
-/// Returns how often each request ran on any backend server.
-async fn fetch_runs(state: &SoakState) -> Result<FnvHashMap<String, u64>, SoakError> {
+/// Returns, by id of the request, how often the request ran, summed over all backend servers.
+async fn fetch_run_counts(state: &SoakState) -> Result<FnvHashMap<String, u64>, SoakError> {
     let mut counts = FnvHashMap::default();
     for host in &state.fleet.hosts {
         let client = HttpClient::new(host.backend_address(), RUNS_TIMEOUT);
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Feeds hand-written samples to the checker of the soak. Guards against a checker that overlooks
-//! an outdated or rolled-back configuration, or that reports one where the allowed delay, a fault
-//! or a restart explains the response.
+//! an outdated or rolled-back configuration. Guards also against a checker that reports a violation
+//! although the allowed delay, a fault or a restart explains the response.
 
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
     late_ms: Option<u64>,
 ) {
     let violations = check_all(&[sample(sent_ms, route, answer)], &FaultHistory::new(1));
-    let late = late_ms.map(|millis| GuaranteeViolation::Late { after: at(millis) });
+    let late = late_ms.map(|millis| GuaranteeViolation::Late { delay: at(millis) });
     assert_eq!(violations, [late]);
 }
 
@@ -65,21 +65,21 @@
 fn verify_a_disturbed_host_is_not_held_to_time_bounds() {
     let late = sample(10_500, RequestedRoute::Added(4), SeenAnswer::Missing);
     let mut history = FaultHistory::new(1);
-    let handle = history.begin(&[0], false, at(7000));
-    history.end(&handle, at(7600));
+    let handle = history.begin_fault(&[0], false, at(7000));
+    history.end_fault(&handle, at(7600));
     assert_eq!(
         check_all(std::slice::from_ref(&late), &history),
         [None],
         "the fault ended 2.9 s before the request"
     );
     let mut history = FaultHistory::new(1);
-    let handle = history.begin(&[], true, at(7000));
+    let handle = history.begin_fault(&[], true, at(7000));
     assert_eq!(
         check_all(std::slice::from_ref(&late), &history),
         [None],
         "the fault of the store still lasts"
     );
-    history.end(&handle, at(7400));
+    history.end_fault(&handle, at(7400));
     assert_ne!(
         check_all(std::slice::from_ref(&late), &history),
         [None],
@@ -92,7 +92,7 @@
     let newer = sample(8100, RequestedRoute::Added(4), SeenAnswer::ServedBy(0));
     let older = sample(8600, RequestedRoute::Added(4), SeenAnswer::Missing);
     let mut history = FaultHistory::new(1);
-    history.begin(&[0], true, at(0));
+    history.begin_fault(&[0], true, at(0));
     let violations = check_all(&[newer.clone(), older.clone()], &history);
     assert_eq!(violations, [None, Some(GuaranteeViolation::RolledBack)]);
     let in_flight = CallerSample { sent_at: at(8200), answered_at: at(8700), ..older.clone() };
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,7 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Short seeded runs of the soak. Each seed that once had a finding stays here, with the cause.
+//! Short runs of the soak with fixed seeds. Guards against daemons that violate guarantees about
+//! the configuration under faults. Each seed that once had a finding is kept as a test case, with
+//! the cause of the finding.
 
 use std::path::Path;
 use std::process::Command;
@@ -13,14 +15,15 @@
     "silent-store,silent-half,silent-all,held-store,held-peers,paused,killed,stopped,store-out,\
                    store-slow,forgotten,starved";
 
-// Seed 1 guards against a daemon that answers 404 to an added route for up to 2.9 s too long: its
-// call to the store and its links to peers were black-holed, and it did not detect that its
-// configuration was outdated.
+// Seed 1 guards against a daemon that answers 404 to an added route for up to 2.9 s too long. The
+// daemon's call to the store and its links to peers were black-holed, and the daemon did not detect
+// that its configuration was outdated.
 #[test_case("1", "silent-all", "30", "24" ; "all connections are black-holed")]
 #[test_case("5", ALL, "30", "16" ; "all kinds of faults")]
 fn verify_no_promise_is_broken(seed: &str, kinds: &str, seconds: &str, processes: &str) {
     let soak = Path::new(env!("CARGO_BIN_EXE_basaltarch-soak"));
-    // The programs of other packages are built with the workspace.
+    // `basaltarchd` belongs to another package, so only a build of the workspace builds the
+    // program.
     let daemon = soak.with_file_name("basaltarchd");
     assert!(daemon.exists(), "build the workspace first: {} does not exist", daemon.display());
     let output = Command::new(soak)
