--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -39,7 +39,7 @@
     pub daemons: usize,
 }
 
-/// Size of the fleet that is expected in two years.
+/// Size that the fleet is expected to have in two years.
 pub const TWO_YEARS: FleetSize = FleetSize {
     services: 9_000,
     upstreams: 200_000,
@@ -49,7 +49,7 @@
 };
 
 impl FleetSize {
-    /// Returns this size scaled by a share, with at least one of each.
+    /// Returns this size multiplied by `share`, with at least one resource of each kind.
     pub fn scaled(self, share: f64) -> Self {
         let scaled_count = |count: usize| ((count as f64 * share) as usize).max(1);
         Self {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Generates the resources of a configuration of this size.
+/// Generates the resources of a configuration of `size`.
 pub fn generate(size: FleetSize) -> Vec<SnapshotResource> {
     let revision = GENERATED_REVISION;
     let mut resources = Vec::new();
@@ -117,19 +117,21 @@
 /// all of it.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigCost {
-    /// The size.
+    /// Size of the fleet that the configuration describes.
     pub size: FleetSize,
-    /// Bytes of the snapshot.
+    /// Size of the snapshot in bytes.
     pub snapshot_bytes: u64,
-    /// Memory of the resources.
+    /// Memory that the resources take, in bytes.
     pub fleet_bytes: u64,
-    /// Memory of the layout, the form in which requests look the configuration up.
+    /// Memory that the layout takes, in bytes. The layout is the form of the configuration in which
+    /// daemons look up the route and the service of a request.
     pub active_bytes: u64,
     /// Time to read the snapshot.
     pub read_time: Duration,
     /// Time to build the layout.
     pub build_time: Duration,
-    /// Time slices of reading and building the layout; within a slice nothing else is served.
+    /// Lengths of the time slices in which a daemon reads the snapshot and builds the layout. The
+    /// daemon serves nothing else within a time slice.
     pub slice_times: SliceTimes,
     /// Time to free the memory of a replaced configuration.
     pub drop_time: Duration,
@@ -139,26 +141,26 @@
     pub change_us: f64,
 }
 
-/// Measures a configuration of this size.
+/// Measures a generated configuration of `size`.
 pub fn measure_config(size: FleetSize) -> Option<ConfigCost> {
     let bytes = snapshot_of(size)?;
-    let before = allocated_bytes();
+    let allocated_before = allocated_bytes();
     let start = Instant::now();
     let config = snapshot::from_bytes(&bytes).ok()?;
     let read_time = start.elapsed();
-    let loaded = allocated_bytes();
+    let allocated_loaded = allocated_bytes();
     let start = Instant::now();
     let active = ActiveConfig::build(&config);
     let build_time = start.elapsed();
-    let built = allocated_bytes();
+    let allocated_built = allocated_bytes();
     let lookup_ns = measure_lookups(&active, size);
     let (change_us, drop_time) = measure_changes(config, active, size)?;
     let slice_times = measure_slices(&bytes)?;
     Some(ConfigCost {
         size,
         snapshot_bytes: bytes.len() as u64,
-        fleet_bytes: loaded.saturating_sub(before),
-        active_bytes: built.saturating_sub(loaded),
+        fleet_bytes: allocated_loaded.saturating_sub(allocated_before),
+        active_bytes: allocated_built.saturating_sub(allocated_loaded),
         read_time,
         build_time,
         slice_times,
@@ -168,11 +170,11 @@
     })
 }
 
-/// Revision of generated configurations, far enough from 0 that a new daemon reads the snapshot
-/// rather than the changes.
+/// Revision of generated configurations. The revision is far enough from 0 that a new daemon reads
+/// the snapshot rather than the changes.
 pub const GENERATED_REVISION: FleetRevision = FleetRevision(1000);
 
-/// Generates a configuration of this size and returns its snapshot.
+/// Generates a configuration of `size` and returns the bytes of its snapshot.
 pub fn snapshot_of(size: FleetSize) -> Option<Vec<u8>> {
     let mut builder = ConfigBuilder::default();
     for resource in generate(size) {
@@ -184,20 +186,20 @@
 /// `SliceTimes` is the distribution of the lengths of time slices.
 #[derive(Debug, Clone, Copy)]
 pub struct SliceTimes {
-    /// Median.
+    /// Median length of the time slices.
     pub median: Duration,
-    /// 99th percentile: 99 in 100 stay below.
+    /// 99th percentile: 99 in 100 time slices are no longer.
     pub p99: Duration,
-    /// Longest; on a shared machine mostly caused by other processes.
+    /// Length of the longest time slice, which other processes mostly cause on a shared machine.
     pub longest: Duration,
 }
 
 /// Measures the time slices of reading a snapshot and building its layout.
 fn measure_slices(bytes: &[u8]) -> Option<SliceTimes> {
-    let begun = Cell::new(Instant::now());
+    let slice_start = Cell::new(Instant::now());
     let times = RefCell::new(Vec::new());
     let pause = async || {
-        let slice = begun.replace(Instant::now()).elapsed();
+        let slice = slice_start.replace(Instant::now()).elapsed();
         times.borrow_mut().push(slice);
     };
     let config = slices::poll_to_completion(snapshot::read(bytes, &pause)).ok()?;
@@ -206,27 +208,28 @@
     black_box((config, layout));
     let mut times = times.into_inner();
     times.sort();
-    let at = |share: usize| times.get((times.len() - 1) * share / 100).copied();
-    Some(SliceTimes { median: at(50)?, p99: at(99)?, longest: at(100)? })
+    let percentile = |share: usize| times.get((times.len() - 1) * share / 100).copied();
+    Some(SliceTimes { median: percentile(50)?, p99: percentile(99)?, longest: percentile(100)? })
 }
 
-/// Applies changes one by one, as a daemon does: on copies that share the unchanged parts.
+/// Applies changes one by one, as a daemon does, to copies that share the unchanged parts. Returns
+/// the mean time of a change in microseconds, and the time to free the configuration.
 fn measure_changes(
     mut config: FleetConfig,
     mut active: ActiveConfig,
     size: FleetSize,
 ) -> Option<(f64, Duration)> {
     const CHANGES: usize = 500;
-    let mut spent = Duration::ZERO;
+    let mut changes_time = Duration::ZERO;
     for number in 0..CHANGES {
         let name = format!("server-{}", number * 37 % size.upstreams);
-        let known = config.get(ResourceKind::BackendServer, &name)?.value.to_json();
-        let mut value = known.clone();
+        let current_value = config.get(ResourceKind::BackendServer, &name)?.value.to_json();
+        let mut value = current_value.clone();
         value["state"] = json!("draining");
         let change = ResourceChange {
             kind: ResourceKind::BackendServer.name().to_owned(),
             name,
-            before: Some(known),
+            before: Some(current_value),
             after: Some(value),
         };
         let record = ChangeRecord {
@@ -238,22 +241,22 @@
             changes: vec![change],
         };
         let start = Instant::now();
-        let mut next = config.clone();
-        next.apply(&record).ok()?;
-        next.check_change(&record).ok()?;
+        let mut next_config = config.clone();
+        next_config.apply(&record).ok()?;
+        next_config.check_change(&record).ok()?;
         let mut layout = active.clone();
-        black_box(layout.update(&config, &next, &record));
-        spent += start.elapsed();
-        config = next;
+        black_box(layout.update(&config, &next_config, &record));
+        changes_time += start.elapsed();
+        config = next_config;
         active = layout;
     }
     let start = Instant::now();
     drop((config, active));
-    Some((spent.as_micros() as f64 / CHANGES as f64, start.elapsed()))
+    Some((changes_time.as_micros() as f64 / CHANGES as f64, start.elapsed()))
 }
 
-/// Returns the bytes that a resource of one kind takes, from two configurations that differ in the
-/// number of that kind only.
+/// Returns the bytes that a resource of one kind takes, measured on two configurations that differ
+/// only in the number of resources of that kind. `grow` raises that number.
 fn measure_kind(grow: impl Fn(&mut FleetSize)) -> Option<f64> {
     let small = FleetSize {
         services: 1000,
@@ -284,15 +287,15 @@
         })
         .collect();
     let start = Instant::now();
-    let mut found = 0;
+    let mut found_routes = 0;
     for index in 0..LOOKUPS {
         let (host, path) = &queries[index % queries.len()];
-        found += usize::from(matches!(
+        found_routes += usize::from(matches!(
             black_box(active.routes.find(host, path, "GET")),
             RouteMatch::Found(_)
         ));
     }
-    assert_eq!(found, LOOKUPS, "every lookup finds its route");
+    assert_eq!(found_routes, LOOKUPS, "every lookup finds its route");
     start.elapsed().as_nanos() as f64 / LOOKUPS as f64
 }
 
--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -6,7 +6,7 @@
 //! It simulates a fleet in virtual time, with one daemon beside each server, the decision code of
 //! the daemon (`basaltarch-decide`), and notices between daemons that are delayed and may be lost.
 //! Bad requests crash the server that runs them. They arrive among popular requests, each with many
-//! copies, and lone requests, each of which arrives once; servers also crash for other reasons. The
+//! copies, and lone requests, each of which arrives once. Servers also crash for other reasons. The
 //! bench measures how many innocent requests are refused, how many servers one bad request crashes,
 //! and the time until all daemons refuse the bad request.
 
@@ -17,21 +17,23 @@
 use crate::crashes::world::CrashWorld;
 use crate::errors::BenchError;
 
-/// Maximum number of servers that one bad request may crash, in the mean of the runs: three until
-/// it is refused, and one for each copy that still runs when the third crash is announced.
-const CRASHED_MAX: f64 = 6.0;
-/// Longest time from the crash that causes a bad request to be refused until all daemons refuse it:
-/// callers retry in a second or two, and each daemon that doesn't refuse by then loses a server.
-const KNOWN_AFTER_MAX: Duration = Duration::from_secs(3);
+/// Maximum number of servers that one bad request may crash, in the mean of the runs. Three servers
+/// crash until the request is refused, and one more for each copy that still runs when the third
+/// crash is announced.
+const CRASHES_PER_BAD_REQUEST_MAX: f64 = 6.0;
+/// Longest time from the crash that causes a bad request to be refused until all daemons refuse the
+/// request. Callers retry in a second or two, and each daemon that doesn't refuse the retry loses a
+/// server.
+const REFUSAL_DELAY_MAX: Duration = Duration::from_secs(3);
 /// Largest share of lone requests that may be refused, because their attempts ran on servers that
 /// crashed for another reason.
 const LONE_REFUSED_MAX: f64 = 0.0001;
 /// Numbers of daemons of the simulated fleets.
-const DAEMONS: [usize; 3] = [30, 100, 350];
-/// Numbers of distinct bad requests that are sent concurrently.
-const BAD: [usize; 2] = [1, 10];
-/// Number of seeds of each run.
-const SEEDS: u64 = 3;
+const FLEET_SIZES: [usize; 3] = [30, 100, 350];
+/// Numbers of distinct bad requests that arrive in the same run.
+const BAD_REQUESTS: [usize; 2] = [1, 10];
+/// Number of seeds with which each plan is run.
+const SEEDS_PER_PLAN: u64 = 3;
 
 /// `CrashPlan` holds the parameters of one run.
 #[derive(Debug, Clone, Copy)]
@@ -39,55 +41,60 @@
     /// Number of daemons, with one server each.
     pub daemons: usize,
     /// Number of distinct bad requests.
-    pub bad: usize,
-    /// Whether daemons send each other notices; otherwise each knows only the crashes of its own
-    /// server.
-    pub shared: bool,
-    /// Seed.
+    pub bad_requests: usize,
+    /// Whether daemons send each other notices of crashes. Without notices, each daemon knows only
+    /// the crashes of its own server.
+    pub shares_notices: bool,
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 /// `CrashResult` is the cost to callers and servers in one run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CrashResult {
-    /// Servers that crashed for each bad request.
-    pub crashed_each: f64,
-    /// Popular requests that were refused.
+    /// Mean number of server crashes that each bad request caused.
+    pub crashes_per_bad_request: f64,
+    /// Number of popular requests that were refused.
     pub popular_refused: u64,
-    /// Popular requests.
+    /// Number of popular requests that arrived.
     pub popular: u64,
-    /// Lone requests that were refused.
+    /// Number of lone requests that were refused.
     pub lone_refused: u64,
-    /// Lone requests.
+    /// Number of lone requests that arrived.
     pub lone: u64,
-    /// Longest time from the crash that caused a bad request to be refused until every daemon knew
-    /// that the request is refused.
-    pub known_after: Duration,
-    /// Notices between daemons for each crash.
-    pub notices_each: f64,
+    /// Longest time, over the bad requests, from the crash that caused the request to be refused
+    /// until every daemon knew that the request is to be refused.
+    pub refusal_delay: Duration,
+    /// Mean number of notices between daemons for each crash.
+    pub notices_per_crash: f64,
 }
 
 /// Runs a plan with each seed and aggregates the results: the sums of the counts, the means of the
 /// ratios, and the longest time.
 pub fn run(plan: CrashPlan) -> CrashResult {
     let mut sum = CrashResult::default();
-    for seed in 1..=SEEDS {
+    for seed in 1..=SEEDS_PER_PLAN {
         let result = CrashWorld::new(CrashPlan { seed, ..plan }).run();
-        sum.crashed_each += result.crashed_each / SEEDS as f64;
+        sum.crashes_per_bad_request += result.crashes_per_bad_request / SEEDS_PER_PLAN as f64;
         sum.popular_refused += result.popular_refused;
         sum.popular += result.popular;
         sum.lone_refused += result.lone_refused;
         sum.lone += result.lone;
-        sum.known_after = sum.known_after.max(result.known_after);
-        sum.notices_each += result.notices_each / SEEDS as f64;
+        sum.refusal_delay = sum.refusal_delay.max(result.refusal_delay);
+        sum.notices_per_crash += result.notices_per_crash / SEEDS_PER_PLAN as f64;
     }
     sum
 }
 
-/// Returns the plans of all fleet sizes, with or without notices between daemons.
-pub fn plans(shared: bool) -> Vec<CrashPlan> {
-    let sizes = DAEMONS.iter().flat_map(|daemons| BAD.map(|bad| (*daemons, bad)));
-    sizes.map(|(daemons, bad)| CrashPlan { daemons, bad, shared, seed: 0 }).collect()
+/// Returns the plans of all fleet sizes and numbers of bad requests, with or without notices
+/// between daemons.
+pub fn plans(shares_notices: bool) -> Vec<CrashPlan> {
+    let sizes = FLEET_SIZES
+        .iter()
+        .flat_map(|daemons| BAD_REQUESTS.map(|bad_requests| (*daemons, bad_requests)));
+    sizes
+        .map(|(daemons, bad_requests)| CrashPlan { daemons, bad_requests, shares_notices, seed: 0 })
+        .collect()
 }
 
 /// Prints the results as a table.
@@ -98,27 +105,27 @@
         println!(
             "| {} | {} | {} | {:.1} | {} of {} | {} of {} | {} ms | {:.0} |",
             plan.daemons,
-            plan.bad,
-            if plan.shared { "yes" } else { "no" },
-            result.crashed_each,
+            plan.bad_requests,
+            if plan.shares_notices { "yes" } else { "no" },
+            result.crashes_per_bad_request,
             result.popular_refused,
             result.popular,
             result.lone_refused,
             result.lone,
-            result.known_after.as_millis(),
-            result.notices_each,
+            result.refusal_delay.as_millis(),
+            result.notices_per_crash,
         );
     }
 }
 
-/// Checks the bounds that gate CI.
+/// Checks the results of the plans with notices against the bounds that gate CI.
 pub fn check(results: &[(CrashPlan, CrashResult)]) -> Result<(), BenchError> {
-    for (plan, result) in results.iter().filter(|(plan, _)| plan.shared) {
+    for (plan, result) in results.iter().filter(|(plan, _)| plan.shares_notices) {
         let lone_refused = result.lone_refused as f64 / result.lone.max(1) as f64;
-        let holds = result.crashed_each <= CRASHED_MAX
+        let holds = result.crashes_per_bad_request <= CRASHES_PER_BAD_REQUEST_MAX
             && result.popular_refused == 0
             && lone_refused <= LONE_REFUSED_MAX
-            && result.known_after <= KNOWN_AFTER_MAX;
+            && result.refusal_delay <= REFUSAL_DELAY_MAX;
         if !holds {
             return Err(BenchError::Bound { message: format!("{plan:?}: {result:?}") });
         }
--- a/crates/bench/src/decisions/actors.rs
+++ b/crates/bench/src/decisions/actors.rs
@@ -20,7 +20,8 @@
 use crate::decisions::rules::{PlainRule, RuleKind};
 use crate::decisions::scenario::{self, ScenarioPlan};
 
-/// Routes of the service; one of the four fails in the one-route case.
+/// Names of the routes of the service. The first route is the one that fails in the case
+/// `one route fails`.
 pub const ROUTES: [&str; 4] = ["route-1", "route-2", "route-3", "route-4"];
 
 /// `Event` is a scheduled step of the simulation.
@@ -29,16 +30,17 @@
     Arrival,
     Replace,
     Probe,
-    HostArrival { sent: Dispatch, refusable: bool },
-    HedgeDue { sent: Dispatch },
-    Cancel { sent: Dispatch },
+    HostArrival { attempt: Dispatch, refusable: bool },
+    HedgeDue { attempt: Dispatch },
+    Cancel { attempt: Dispatch },
     Overdue { job: usize },
     RunningCheck { job: usize },
     End { job: usize },
-    Reply { sent: Dispatch, answer: Answer },
+    Reply { attempt: Dispatch, answer: Answer },
 }
 
-/// `Dispatch` is one attempt at a request; `number` counts the attempts at the request from 1.
+/// `Dispatch` is one attempt at a request. `request` and `upstream` are indices, and `number`
+/// counts the attempts at the request from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Dispatch {
     pub request: usize,
@@ -49,7 +51,7 @@
 /// `Answer` is the reply of a host to an ingress.
 #[derive(Debug, Clone, Copy)]
 pub enum Answer {
-    Done { end: JobEnd, took: Duration, load: u32, health: HealthReport },
+    Done { end: JobEnd, service_time: Duration, load: u32, health: HealthReport },
     Refused { load: u32, health: HealthReport },
 }
 
@@ -65,13 +67,13 @@
     pub sent_at: Duration,
     pub dispatches: usize,
     pub excluded: Vec<usize>,
-    /// Latest attempt, for whose response the ingress waits; earlier attempts that still run are in
+    /// Latest attempt, for whose response the ingress waits. Earlier attempts that still run are in
     /// `slow_attempts`.
     pub current: Option<Dispatch>,
     /// Attempts that outlasted their hedging delay and still run.
     pub slow_attempts: Vec<Dispatch>,
     pub failed_at: Option<usize>,
-    /// Whether a failure of the last dispatch is evidence against the upstream.
+    /// Whether a failure of the latest attempt is evidence against its upstream.
     pub failure_counts: bool,
     pub finished: bool,
 }
@@ -79,20 +81,20 @@
 /// `Job` is the execution of a request at an upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    pub sent: Dispatch,
+    pub attempt: Dispatch,
     pub route: usize,
     pub started: Duration,
     pub end: JobEnd,
-    pub overdue: bool,
-    /// Number of the job in the hang detector of the upstream, if it is watched, and its typical
-    /// service time.
+    pub is_overdue: bool,
+    /// Number of the job in the hang detector of the upstream and typical service time of the job;
+    /// `None` if the hang detector does not watch the job.
     pub watched: Option<(u64, UsualTime)>,
-    pub trial: bool,
+    pub is_trial: bool,
     pub after_failure: bool,
     pub finished: bool,
 }
 
-/// `Upstream` is a scripted upstream, with the health that its daemon tracks.
+/// `Upstream` is a scripted upstream, with the health that the daemon of its host tracks.
 pub struct Upstream {
     pub health: UpstreamHealth,
     pub queue: VecDeque<(Dispatch, bool)>,
@@ -100,7 +102,7 @@
     pub accepted: Vec<Duration>,
 }
 
-/// `Ingress` is an ingress, with its view of the service.
+/// `Ingress` is an ingress, with its view of the service and the state of its decisions.
 pub struct Ingress {
     pub view: ServiceView,
     pub baselines: Vec<RouteBaseline>,
@@ -111,8 +113,8 @@
     pub domain: usize,
 }
 
-/// Terms of the retry budget of each ingress: the defaults of the daemon.
-const BUDGET: BudgetTerms =
+/// Terms of the retry budget of each ingress, which are the defaults of the daemon.
+const RETRY_BUDGET: BudgetTerms =
     BudgetTerms { share: 0.1, extra: 10.0, window: Duration::from_secs(10) };
 
 /// Builds the health of an upstream.
@@ -138,7 +140,7 @@
         baselines: vec![RouteBaseline::default(); ROUTES.len()],
         recent: RecentAnswers::default(),
         rule: PlainRule::new(rule, threshold, deployment.upstreams, deployment.floor),
-        budget: RetryBudget::new(BUDGET),
+        budget: RetryBudget::new(RETRY_BUDGET),
         poison: PoisonTable::default(),
         domain,
     }
@@ -153,15 +155,18 @@
     }
 }
 
-/// Numbers of distinct paths: ordinary ones, and poison ones that callers request repeatedly.
-const TARGETS: usize = 500;
-const POISON_TARGETS: usize = 4;
+/// Number of distinct paths of ordinary requests.
+const ORDINARY_PATHS: usize = 500;
+/// Number of distinct paths of the poison requests that callers repeat.
+const REPEATED_POISON_PATHS: usize = 4;
 
-/// Returns the hash of a request; every second poison request has a path of its own.
+/// Returns the hash of a request. Every second poison request has a path that no other request has.
 pub fn hash_of(number: usize, poison: bool) -> RequestHash {
     match (poison, number.is_multiple_of(2)) {
-        (false, _) => RequestHash::of("GET", &format!("/puzzle/{}", number % TARGETS)),
-        (true, true) => RequestHash::of("GET", &format!("/poison/{}", number / 2 % POISON_TARGETS)),
+        (false, _) => RequestHash::of("GET", &format!("/puzzle/{}", number % ORDINARY_PATHS)),
+        (true, true) => {
+            RequestHash::of("GET", &format!("/poison/{}", number / 2 % REPEATED_POISON_PATHS))
+        }
         (true, false) => RequestHash::of("GET", &format!("/poison/new/{number}")),
     }
 }
--- a/crates/bench/src/decisions/bounds.rs
+++ b/crates/bench/src/decisions/bounds.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The suites, and the bounds that gate CI.
+//! The suites of the decision bench, and the bounds that gate CI.
 
 use std::time::Duration;
 
@@ -13,22 +13,23 @@
 use crate::errors::BenchError;
 
 /// Factor by which `detection` must detect faults sooner than the best plain rule.
-const QUICKER_FACTOR: f64 = 3.0;
+const DETECTION_SPEEDUP_MIN: f64 = 3.0;
 /// Factor by which `precision` must have fewer false ejections than the best plain rule.
-const FEWER_FACTOR: f64 = 10.0;
-/// Maximum median detection time of `detection` over the suite of the gate. docs/MEASUREMENTS.md
-/// has the figures behind this bound and those below, which have a margin of a seventh, as
-/// floating-point results differ between processors.
+const FALSE_EJECTION_FACTOR_MIN: f64 = 10.0;
+/// Maximum median detection time of `detection` over the suite of the gate.
+///
+/// This bound and the three bounds that follow allow a seventh more than the measured figures in
+/// docs/MEASUREMENTS.md, as floating-point results differ between processors.
 pub const DETECTION_MEDIAN_MAX: Duration = Duration::from_millis(680);
-/// Maximum median detection time of `precision`.
+/// Maximum median detection time of `precision` over the suite of the gate.
 pub const PRECISION_MEDIAN_MAX: Duration = Duration::from_millis(1370);
 /// Maximum number of false ejections per upstream-hour of `detection`.
 pub const DETECTION_FALSE_MAX: f64 = 0.04;
 /// Maximum number of false ejections per upstream-hour of `precision`.
 pub const PRECISION_FALSE_MAX: f64 = 0.005;
 
-/// Number of seeds of the gate. With two seeds, the median detection times of equally good variants
-/// of the rule scatter by chance between 443 and 584 ms.
+/// Number of seeds of the gate. Two seeds are too few: with two, the median detection times of
+/// equally good variants of `detection` scatter by chance between 443 and 584 ms.
 const GATE_SEEDS: u64 = 4;
 
 /// Returns the whole suite: every case, severity, load and deployment.
@@ -49,19 +50,20 @@
     SuitePlan { severities: vec![2], loads: vec![LOADS[1]], ..whole_suite(GATE_SEEDS) }
 }
 
-/// Returns the plain rule with the shortest median detection time over all cases, that time, and
-/// its false ejections per upstream-hour.
+/// Returns the plain rule with the shortest median detection time over all cases, the median
+/// detection time of the rule, and its false ejections per upstream-hour.
 pub fn best_plain(results: &[(RunKey, RunResult)]) -> Option<(RuleKind, Duration, f64)> {
     let faulty = |key: &RunKey| CASES[key.case].one_is_faulty;
     let timed = PLAIN_RULES.iter().filter_map(|rule| {
-        let median = report::select(results, *rule, faulty).detection_median?;
-        let false_rate = report::select(results, *rule, |_| true).false_ejections_hour;
+        let median = report::summarize_rule(results, *rule, faulty).detection_median?;
+        let false_rate = report::summarize_rule(results, *rule, |_| true).false_ejections_hour;
         Some((*rule, median, false_rate))
     });
     timed.min_by_key(|(_, median, _)| *median)
 }
 
-/// Checks the factors over the best plain rule and the regression bounds.
+/// Checks that the rules of the daemon keep their bounds and surpass the best plain rule by the
+/// required factors, and that no run broke the floor.
 pub fn check(plan: &SuitePlan, results: &[(RunKey, RunResult)]) -> Result<(), BenchError> {
     let broken_runs = results.iter().filter(|(_, result)| result.floor_broken).count();
     require(broken_runs == 0, format!("ejections broke the floor in {broken_runs} runs"))?;
@@ -73,9 +75,9 @@
         (RuleKind::Precision, PRECISION_MEDIAN_MAX, PRECISION_FALSE_MAX),
     ] {
         let name = rule.name();
-        let median = report::select(results, rule, faulty).detection_median;
+        let median = report::summarize_rule(results, rule, faulty).detection_median;
         let median = median.unwrap_or(Duration::MAX);
-        let false_rate = report::select(results, rule, |_| true).false_ejections_hour;
+        let false_rate = report::summarize_rule(results, rule, |_| true).false_ejections_hour;
         require(
             median <= median_max,
             format!("{name}: median detection time {median:?} exceeds {median_max:?}"),
@@ -84,14 +86,15 @@
             false_rate <= false_max,
             format!("{name}: {false_rate:.3} false ejections per upstream-hour exceed {false_max}"),
         )?;
-        let quicker = plain_median.as_secs_f64() / median.as_secs_f64();
-        let fewer = plain_false / false_rate.max(1e-9);
-        let least_quicker = if rule == RuleKind::Detection { QUICKER_FACTOR } else { 1.0 };
-        let least_fewer = if rule == RuleKind::Precision { FEWER_FACTOR } else { 1.0 };
+        let speedup = plain_median.as_secs_f64() / median.as_secs_f64();
+        let fewer_factor = plain_false / false_rate.max(1e-9);
+        let speedup_min = if rule == RuleKind::Detection { DETECTION_SPEEDUP_MIN } else { 1.0 };
+        let fewer_factor_min =
+            if rule == RuleKind::Precision { FALSE_EJECTION_FACTOR_MIN } else { 1.0 };
         require(
-            quicker >= least_quicker && fewer >= least_fewer,
+            speedup >= speedup_min && fewer_factor >= fewer_factor_min,
             format!(
-                "{name}: {quicker:.1} times faster, {fewer:.1} times fewer false ejections than {}",
+                "{name}: {speedup:.1} times faster, {fewer_factor:.1} times fewer false ejections than {}",
                 plain.name()
             ),
         )?;
@@ -99,14 +102,18 @@
     check_slower_cases(&report::rows(plan, results))
 }
 
-/// Cases in which `detection` may be slower than the best plain rule, with the reason of each:
-/// `mixed routes, slow`: by chance the outlier rule has ejected the upstream before its fault
-/// begins; `stuck`: under a plain rule stuck requests hold the slots until they time out, so that
-/// the upstream takes no more requests whatever the rule decides. The daemon cancels slow attempts,
-/// which frees the slots: the upstream receives requests until it is ejected, but callers wait
-/// less; `quick errors`: under a plain rule the upstream attracts traffic by failing quickly and
-/// reaches five failures sooner, at the cost of callers; `stuck from its start`: the same reason as
-/// for `stuck`, and the hang detector allows a cold upstream more time.
+/// Cases in which `detection` may be slower than the best plain rule.
+///
+/// - `mixed routes, slow`: by chance, the outlier rule has already ejected the upstream before the
+///   fault begins.
+/// - `stuck`: under a plain rule, stuck requests hold the slots until the requests time out, so the
+///   upstream takes no more requests whatever the rule decides. The daemon cancels slow attempts,
+///   which frees the slots. So the upstream receives requests until the daemon ejects it, but
+///   callers wait less.
+/// - `stuck from its start`: the reason for `stuck` holds here too, and the hang detector allows a
+///   cold upstream more time.
+/// - `quick errors`: under a plain rule, the upstream attracts traffic by failing quickly, and so
+///   reaches five failures sooner, at the cost of callers.
 const KNOWN_SLOWER_CASES: [&str; 4] =
     ["mixed routes, slow", "stuck", "stuck from its start", "quick errors"];
 
--- a/crates/bench/src/decisions/chart.rs
+++ b/crates/bench/src/decisions/chart.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Chart of detection time against false ejections, with a curve over the threshold for each rule.
+//! Chart of detection time against false ejections. Each rule has a curve, whose points are the
+//! results with different thresholds of the rule.
 
 use plotters::prelude::*;
 
@@ -13,21 +14,23 @@
 use crate::errors::BenchError;
 
 /// Width and height of the chart in pixels.
-const SIZE: (u32, u32) = (860, 560);
-/// Value at which zero false ejections are drawn, as the axis is logarithmic.
-const NONE_AT: f64 = 0.002;
-/// Seconds at which a rule that never detects is drawn.
-const NEVER_AT: f64 = 60.0;
+const CHART_SIZE_PX: (u32, u32) = (860, 560);
+/// False ejections per upstream-hour at which zero is drawn, as the axis is logarithmic.
+const NO_EJECTIONS_AT: f64 = 0.002;
+/// Detection time in seconds at which a rule is drawn that detects no fault.
+const NO_DETECTION_AT_S: f64 = 60.0;
 
 /// `RuleCurve` holds the results of a rule over a range of thresholds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RuleCurve {
-    /// The rule.
+    /// Rule that the curve belongs to.
     pub rule: RuleKind,
-    /// Threshold, false ejections for each upstream-hour, median detection time in seconds.
+    /// For each threshold: the threshold, the false ejections per upstream-hour, and the median
+    /// detection time in seconds.
     pub points: Vec<(f64, f64, f64)>,
 }
 
+/// Rules of the chart, each with the thresholds for which the suite runs.
 const SWEEPS: [(RuleKind, [f64; 6]); 4] = [
     (RuleKind::Consecutive, [2.0, 3.0, 4.0, 5.0, 7.0, 10.0]),
     (RuleKind::Rate, [0.1, 0.2, 0.3, 0.4, 0.5, 0.7]),
@@ -47,7 +50,7 @@
 }
 
 /// Runs the suite for every rule and threshold of the chart.
-pub fn sweep() -> Vec<RuleCurve> {
+pub fn sweep_thresholds() -> Vec<RuleCurve> {
     SWEEPS
         .iter()
         .map(|(rule, values)| RuleCurve {
@@ -59,23 +62,26 @@
 
 fn point(rule: RuleKind, threshold: f64) -> (f64, f64, f64) {
     let results = suite::run(&sweep_suite(rule, threshold));
-    let faulty = report::select(&results, rule, |key| CASES[key.case].one_is_faulty);
-    let every = report::select(&results, rule, |_| true);
-    let seconds = faulty.detection_median.map_or(NEVER_AT, |median| median.as_secs_f64());
+    let faulty = report::summarize_rule(&results, rule, |key| CASES[key.case].one_is_faulty);
+    let every = report::summarize_rule(&results, rule, |_| true);
+    let seconds = faulty.detection_median.map_or(NO_DETECTION_AT_S, |median| median.as_secs_f64());
     (threshold, every.false_ejections_hour, seconds)
 }
 
 /// Draws curves into an SVG file.
 pub fn draw(path: &str, curves: &[RuleCurve]) -> Result<(), BenchError> {
     let file_error = |message: String| BenchError::File { path: path.to_owned(), message };
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, CHART_SIZE_PX).into_drawing_area();
     root.fill(&WHITE).map_err(|error| file_error(error.to_string()))?;
     let mut chart = ChartBuilder::on(&root)
         .caption("Detection time against false ejections", ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(48)
         .y_label_area_size(64)
-        .build_cartesian_2d((NONE_AT..60.0).log_scale(), (0.05..NEVER_AT * 1.2).log_scale())
+        .build_cartesian_2d(
+            (NO_EJECTIONS_AT..60.0).log_scale(),
+            (0.05..NO_DETECTION_AT_S * 1.2).log_scale(),
+        )
         .map_err(|error| file_error(error.to_string()))?;
     chart
         .configure_mesh()
@@ -86,7 +92,7 @@
     let colours = [&BLUE, &GREEN, &MAGENTA, &RED];
     for (curve, colour) in curves.iter().zip(colours) {
         let points: Vec<(f64, f64)> =
-            curve.points.iter().map(|(_, rate, time)| (rate.max(NONE_AT), *time)).collect();
+            curve.points.iter().map(|(_, rate, time)| (rate.max(NO_EJECTIONS_AT), *time)).collect();
         let name = match curve.rule {
             RuleKind::Detection => "basaltarch, threshold 5 to 18",
             other => other.name(),
--- a/crates/bench/src/decisions/faults.rs
+++ b/crates/bench/src/decisions/faults.rs
@@ -22,16 +22,17 @@
     Timeout,
 }
 
-/// `ServiceSample` is what the service time and outcome of a request at an upstream depend on.
+/// `ServiceSample` holds the inputs for drawing the service time and outcome of a request at an
+/// upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct ServiceSample<'a> {
-    /// The run.
+    /// Deployment, load and fault of the run.
     pub plan: &'a ScenarioPlan,
     /// The current virtual time.
     pub now: Duration,
-    /// Whether the upstream is the one with the fault.
+    /// Whether the upstream is the faulty upstream of the run.
     pub is_faulty: bool,
-    /// Whether the route of the request is the one that fails in [`FaultScript::RouteErrors`].
+    /// Whether the request is of the route that fails in [`FaultScript::RouteErrors`].
     pub is_failing_route: bool,
     /// Whether the request is of the slow route of the mixed cases.
     pub is_slow_route: bool,
@@ -42,8 +43,9 @@
 /// Share of requests that fail at the upstream whose health or load endpoint reports wrongly.
 const MISREPORTED_FAILURES: f64 = 0.5;
 
-/// Returns whether the health endpoint of an upstream reports the upstream as healthy; it does not
-/// show gray failures.
+/// Returns whether the health endpoint of an upstream reports the upstream as healthy. The endpoint
+/// reports no failure of requests; only [`FaultScript::LyingHealth`] makes endpoints report
+/// failures.
 pub fn endpoint_is_good(
     plan: &ScenarioPlan,
     now: Duration,
@@ -51,25 +53,27 @@
     faulty: usize,
 ) -> bool {
     let share = match plan.script {
-        FaultScript::LyingHealth(share) if plan.in_fault(now) => share,
+        FaultScript::LyingHealth(share) if plan.is_in_fault(now) => share,
         _ => return true,
     };
-    let others = plan.deployment.upstreams - 1;
-    let rank = (upstream + others - faulty) % plan.deployment.upstreams;
-    upstream == faulty || rank >= (share * others as f64).ceil() as usize
+    let healthy_upstreams = plan.deployment.upstreams - 1;
+    let rank = (upstream + healthy_upstreams - faulty) % plan.deployment.upstreams;
+    upstream == faulty || rank >= (share * healthy_upstreams as f64).ceil() as usize
 }
 
 /// Returns the load that the load endpoint of an upstream reports.
 pub fn claimed_load(plan: &ScenarioPlan, now: Duration, is_faulty: bool, load: u32) -> u32 {
     match plan.script {
-        FaultScript::LyingLoad(share) if is_faulty && plan.in_fault(now) => {
+        FaultScript::LyingLoad(share) if is_faulty && plan.is_in_fault(now) => {
             (f64::from(load) * (1.0 - share)).round() as u32
         }
         _ => load,
     }
 }
 
+/// `FaultEffect` is how a fault changes one request.
 struct FaultEffect {
+    /// Factor on the service time.
     factor: f64,
     fails: bool,
     never_answers: bool,
@@ -80,16 +84,16 @@
     pub fn sample(&self, times: &LogNormal<f64>, rng: &mut ChaCha8Rng) -> (Duration, JobEnd) {
         let mut seconds: f64 = times.sample(rng);
         if self.plan.is_mixed() && self.is_slow_route {
-            seconds *= scenario::MIXED_FACTOR;
+            seconds *= scenario::SLOW_ROUTE_FACTOR;
         }
-        let stragglers = match self.plan.script {
+        let straggler_share = match self.plan.script {
             FaultScript::Bursts(weight) => weight,
-            _ => scenario::USUAL_STRAGGLERS,
+            _ => scenario::USUAL_STRAGGLER_SHARE,
         };
-        if rng.random_bool(stragglers) {
+        if rng.random_bool(straggler_share) {
             seconds *= scenario::STRAGGLER_FACTOR;
         }
-        let mut fails = rng.random_bool(scenario::USUAL_FAILURES) || self.poison;
+        let mut fails = rng.random_bool(scenario::USUAL_FAILURE_SHARE) || self.poison;
         let mut never_answers = false;
         if self.is_affected() {
             let effect = self.sample_fault(rng);
@@ -105,13 +109,14 @@
     }
 
     fn is_affected(&self) -> bool {
-        let all = matches!(self.plan.script, FaultScript::AllSlow(_) | FaultScript::AllErrors(_));
-        self.plan.in_fault(self.now) && (all || self.is_faulty)
+        let affects_all =
+            matches!(self.plan.script, FaultScript::AllSlow(_) | FaultScript::AllErrors(_));
+        self.plan.is_in_fault(self.now) && (affects_all || self.is_faulty)
     }
 
     fn sample_fault(&self, rng: &mut ChaCha8Rng) -> FaultEffect {
         let mut effect = FaultEffect { factor: 1.0, fails: false, never_answers: false };
-        let since = self.now.saturating_sub(self.plan.fault_begin());
+        let fault_age = self.now.saturating_sub(self.plan.fault_begin());
         match self.plan.script {
             FaultScript::Errors(share)
             | FaultScript::Truncated(share)
@@ -137,12 +142,12 @@
                 effect.never_answers = rng.random_bool(share);
             }
             FaultScript::Flapping(period) => {
-                let in_failing_period = (since.as_millis() as u64 / period).is_multiple_of(2);
+                let in_failing_period = (fault_age.as_millis() as u64 / period).is_multiple_of(2);
                 effect.fails = in_failing_period && rng.random_bool(0.5);
             }
             FaultScript::ColdStart(factor) => {
-                let remaining = (1.0 - since.as_secs_f64() / 10.0).max(0.0);
-                effect.factor = 1.0 + (factor - 1.0) * remaining;
+                let remaining_share = (1.0 - fault_age.as_secs_f64() / 10.0).max(0.0);
+                effect.factor = 1.0 + (factor - 1.0) * remaining_share;
             }
             FaultScript::Healthy
             | FaultScript::Poison(_)
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -10,15 +10,16 @@
 use crate::decisions::faults::{self, JobEnd};
 use crate::decisions::rules;
 use crate::decisions::scenario;
-use crate::decisions::world::{World, FAULTY};
+use crate::decisions::world::{World, FAULTY_UPSTREAM};
 
-/// Multiple of the median service time above which a response counts as slow for its caller.
-const SLOW_ANSWER: u32 = 8;
+/// Multiple of the median service time above which a response counts as slow for the caller.
+const SLOW_ANSWER_FACTOR: u32 = 8;
 /// Maximum number of dispatches of one request, as in the daemon.
 const DISPATCHES_MAX: usize = 3;
 
 impl World {
-    /// Chooses an upstream for a request and sends it there.
+    /// Chooses an upstream for a request and sends the request to the upstream. If no upstream can
+    /// take the request, the request fails.
     pub(super) fn dispatch(&mut self, number: usize) {
         let request = &self.requests[number];
         let ingress = &mut self.ingresses[request.ingress];
@@ -50,17 +51,18 @@
         request.failure_counts = request.failed_at.is_none() && !known_poison;
         request.dispatches += 1;
         request.sent_at = self.now;
-        let sent = Dispatch { request: number, upstream: choice.index, number: request.dispatches };
-        self.requests[number].current = Some(sent);
-        self.schedule(delay, Event::HostArrival { sent, refusable: choice.refusable });
-        self.schedule_hedge(sent);
+        let attempt =
+            Dispatch { request: number, upstream: choice.index, number: request.dispatches };
+        self.requests[number].current = Some(attempt);
+        self.schedule(delay, Event::HostArrival { attempt, refusable: choice.refusable });
+        self.schedule_hedge(attempt);
     }
 
     /// Probes the health endpoints of all upstreams, for the rule that ejects by probes.
-    pub(super) fn probe(&mut self) {
+    pub(super) fn probe_upstreams(&mut self) {
         let fraction = 1.0 / self.ingresses.len() as f64;
         for index in 0..self.upstreams.len() {
-            let good = faults::endpoint_is_good(&self.plan, self.now, index, FAULTY);
+            let good = faults::endpoint_is_good(&self.plan, self.now, index, FAULTY_UPSTREAM);
             for ingress in 0..self.ingresses.len() {
                 if self.ingresses[ingress].rule.note_probe(index, good, self.now) {
                     self.note_ejection(index, fraction);
@@ -70,85 +72,89 @@
         self.schedule(rules::PROBE_INTERVAL, Event::Probe);
     }
 
-    /// Schedules a hedge for a repeatable request after its hedging delay, as the daemon does.
-    fn schedule_hedge(&mut self, sent: Dispatch) {
-        let may_hedge = self.requests[sent.request].repeatable && sent.number < DISPATCHES_MAX;
+    /// Schedules a hedge for a repeatable request after the hedging delay, as the daemon does.
+    fn schedule_hedge(&mut self, attempt: Dispatch) {
+        let may_hedge =
+            self.requests[attempt.request].repeatable && attempt.number < DISPATCHES_MAX;
         if self.rule.prefer().is_none() || !may_hedge {
             return;
         }
-        let baseline = self.baseline_for(sent);
+        let baseline = self.baseline_for(attempt);
         if let Some(usual) = baseline.usual_time() {
-            self.schedule(hedge::due_after(&usual, None), Event::HedgeDue { sent });
+            self.schedule(hedge::due_after(&usual, None), Event::HedgeDue { attempt });
         }
     }
 
-    fn is_waiting_for(&self, sent: Dispatch) -> bool {
-        let request = &self.requests[sent.request];
-        !request.finished && request.dispatches == sent.number
+    fn is_waiting_for(&self, attempt: Dispatch) -> bool {
+        let request = &self.requests[attempt.request];
+        !request.finished && request.dispatches == attempt.number
     }
 
-    /// Sends a hedge while a slow attempt still runs, if the retry budget allows the hedge.
-    pub(super) fn send_hedge(&mut self, sent: Dispatch) {
-        if !self.is_waiting_for(sent) {
+    /// Sends a hedge while an attempt still runs after its hedging delay, if the retry budget
+    /// allows the hedge.
+    pub(super) fn send_hedge(&mut self, attempt: Dispatch) {
+        if !self.is_waiting_for(attempt) {
             return;
         }
-        let request = &mut self.requests[sent.request];
+        let request = &mut self.requests[attempt.request];
         let ingress = &mut self.ingresses[request.ingress];
         if !ingress.budget.take(self.now) {
             return;
         }
-        request.excluded.push(sent.upstream);
-        request.slow_attempts.push(sent);
-        ingress.view.note_late(sent.upstream, self.now);
-        self.dispatch(sent.request);
+        request.excluded.push(attempt.upstream);
+        request.slow_attempts.push(attempt);
+        ingress.view.note_late(attempt.upstream, self.now);
+        self.dispatch(attempt.request);
     }
 
-    /// Handles the response of a slow attempt, which ends the request only if it is successful.
-    fn handle_slow_answer(&mut self, sent: Dispatch, answer: Answer) {
-        let request = &mut self.requests[sent.request];
+    /// Handles the response to a slow attempt. The response ends the request only if it is
+    /// successful.
+    fn handle_slow_answer(&mut self, attempt: Dispatch, answer: Answer) {
+        let request = &mut self.requests[attempt.request];
         let before = request.slow_attempts.len();
-        request.slow_attempts.retain(|attempt| *attempt != sent);
+        request.slow_attempts.retain(|slow_attempt| *slow_attempt != attempt);
         let was_slow = request.slow_attempts.len() < before;
         let is_good = matches!(answer, Answer::Done { end: JobEnd::Good, .. });
         if was_slow {
-            self.ingresses[request.ingress].view.note_ended(sent.upstream);
+            self.ingresses[request.ingress].view.note_ended(attempt.upstream);
         }
         if was_slow && is_good && !request.finished {
-            self.cancel_current(sent.request);
-            self.finish_request(sent.request, true);
+            self.cancel_current(attempt.request);
+            self.finish_request(attempt.request, true);
         }
     }
 
-    /// Cancels the current attempt of a request after a slower one responded first.
+    /// Cancels the current attempt of a request after an earlier, slow attempt has got the
+    /// response.
     fn cancel_current(&mut self, number: usize) {
-        if let Some(sent) = self.requests[number].current {
-            self.cancel_from_ingress(sent);
+        if let Some(attempt) = self.requests[number].current {
+            self.cancel_from_ingress(attempt);
         }
     }
 
-    fn cancel_from_ingress(&mut self, sent: Dispatch) {
-        let ingress = &mut self.ingresses[self.requests[sent.request].ingress];
-        ingress.view.note_ended(sent.upstream);
-        let delay = actors::delay_between(&self.plan, ingress.domain, sent.upstream);
-        self.schedule(delay, Event::Cancel { sent });
+    fn cancel_from_ingress(&mut self, attempt: Dispatch) {
+        let ingress = &mut self.ingresses[self.requests[attempt.request].ingress];
+        ingress.view.note_ended(attempt.upstream);
+        let delay = actors::delay_between(&self.plan, ingress.domain, attempt.upstream);
+        self.schedule(delay, Event::Cancel { attempt });
     }
 
-    pub(super) fn reach_ingress(&mut self, sent: Dispatch, answer: Answer) {
-        if !self.is_waiting_for(sent) {
-            return self.handle_slow_answer(sent, answer);
+    pub(super) fn handle_reply(&mut self, attempt: Dispatch, answer: Answer) {
+        if !self.is_waiting_for(attempt) {
+            return self.handle_slow_answer(attempt, answer);
         }
-        let (number, index) = (sent.request, sent.upstream);
+        let (number, index) = (attempt.request, attempt.upstream);
         let request = self.requests[number].clone();
         let ingress = &mut self.ingresses[request.ingress];
         ingress.view.note_ended(index);
         let (load, health) = match answer {
             Answer::Done { load, health, .. } | Answer::Refused { load, health } => (load, health),
         };
-        if let Answer::Done { end, took, .. } = answer {
+        if let Answer::Done { end, service_time, .. } = answer {
             let baseline = ingress.baselines[request.route].current();
             let failed = end != JobEnd::Good;
-            let took = (!failed).then_some(took);
-            ingress.recent.note(index as u32, failed, took, &baseline, self.now);
+            let service_time = (!failed).then_some(service_time);
+            ingress.recent.note(index as u32, failed, service_time, &baseline, self.now);
         }
         ingress.baselines[request.route].note(index as u32, &health);
         ingress.view.note_median(ingress.baselines[request.route].current().median_ln);
@@ -168,7 +174,7 @@
         let ingress = &mut self.ingresses[request.ingress];
         if self.rule.prefer().is_none() {
             let latency = self.now.saturating_sub(request.sent_at);
-            let ejected = ingress.rule.note(index, failed, latency, self.now);
+            let ejected = ingress.rule.note_result(index, failed, latency, self.now);
             let fraction = 1.0 / self.ingresses.len() as f64;
             for each in ejected {
                 self.note_ejection(each, fraction);
@@ -218,14 +224,14 @@
     fn finish_request(&mut self, number: usize, good: bool) {
         let begun = self.requests[number].begun;
         self.requests[number].finished = true;
-        for sent in std::mem::take(&mut self.requests[number].slow_attempts) {
-            self.cancel_from_ingress(sent);
+        for attempt in std::mem::take(&mut self.requests[number].slow_attempts) {
+            self.cancel_from_ingress(attempt);
         }
-        let in_fault = self.plan.in_fault(begun);
-        if !in_fault {
+        let is_in_fault = self.plan.is_in_fault(begun);
+        if !is_in_fault {
             return;
         }
-        let slow = self.now - begun > scenario::SERVICE_MEDIAN * SLOW_ANSWER;
+        let slow = self.now - begun > scenario::SERVICE_TIME_MEDIAN * SLOW_ANSWER_FACTOR;
         self.result.failed += u64::from(!good);
         self.result.slow += u64::from(good && slow);
     }
--- a/crates/bench/src/decisions/measure.rs
+++ b/crates/bench/src/decisions/measure.rs
@@ -1,45 +1,46 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Measurements of a run.
+//! Measurements of a run of the decision bench.
 
 use std::time::Duration;
 
-use crate::decisions::world::{World, FAULTY};
+use crate::decisions::world::{World, FAULTY_UPSTREAM};
 
 /// Time without requests after which an upstream counts as taken out of service, as a multiple of
-/// the mean time between its requests.
+/// the mean time between requests to the upstream.
 const IDLE_GAPS: u32 = 25;
 /// Minimum time without requests after which an upstream counts as taken out of service.
-const IDLE_MIN: Duration = Duration::from_millis(1000);
+const IDLE_TIME_MIN: Duration = Duration::from_millis(1000);
 
 /// `RunResult` holds the measurements of one run.
 #[derive(Debug, Clone, Default)]
 pub struct RunResult {
     /// Time from the fault until the last request that the faulty upstream received, if it stopped
     /// receiving requests.
-    pub detection: Option<Duration>,
-    /// Requests that the faulty upstream received in that time.
+    pub detection_time: Option<Duration>,
+    /// Number of requests that the faulty upstream received from the fault until its detection.
     pub received: u64,
-    /// Ejections of upstreams that were not faulty; an ejection by one of several ingresses counts
-    /// as a fraction.
+    /// Number of ejections of upstreams that were not faulty. An ejection by one of several
+    /// ingresses counts as a fraction.
     pub false_ejections: f64,
     /// Upstream-hours of the run, by which the false ejections are divided.
     pub upstream_hours: f64,
-    /// Requests of callers.
+    /// Number of requests that callers sent.
     pub requests: u64,
-    /// Requests that failed for the caller while the fault lasted.
+    /// Number of requests that arrived while the fault lasted and failed for the caller.
     pub failed: u64,
-    /// Successful responses that were slow for the caller while the fault lasted.
+    /// Number of requests that arrived while the fault lasted and got a successful but slow
+    /// response.
     pub slow: u64,
     /// Fewest slots in service in the view of any ingress while it avoided an upstream, as a ratio
     /// to the slots that the floor requires.
-    pub lowest_over_floor: f64,
+    pub lowest_floor_ratio: f64,
     /// Whether ejections brought the service below its floor.
     pub floor_broken: bool,
     /// Time from the end of the fault until the faulty upstream returned, if it was ejected when
     /// the fault ended.
-    pub returned: Option<Duration>,
+    pub return_time: Option<Duration>,
 }
 
 impl World {
@@ -50,7 +51,8 @@
             return;
         }
         let now = self.now;
-        let ejected = self.ingresses.iter().any(|ingress| ingress.rule.is_ejected(FAULTY, now));
+        let ejected =
+            self.ingresses.iter().any(|ingress| ingress.rule.is_ejected(FAULTY_UPSTREAM, now));
         self.ejected_after_fault |= ejected;
         if self.ejected_after_fault && !ejected {
             self.returned_at.get_or_insert(now);
@@ -61,25 +63,28 @@
     pub(super) fn note_capacity(&mut self, number: usize) {
         let view = &self.ingresses[self.requests[number].ingress].view;
         let plan = view.plan();
-        let plain = self.rule.prefer().is_none();
-        let ejects = plain && view.upstreams().iter().any(|upstream| upstream.draining);
-        if (ejects || plan.avoided.iter().any(|avoided| *avoided)) && plan.floor > 0 {
-            let over = f64::from(plan.in_service) / f64::from(plan.floor);
-            self.result.lowest_over_floor = self.result.lowest_over_floor.min(over);
+        let is_plain_rule = self.rule.prefer().is_none();
+        let has_plain_ejection =
+            is_plain_rule && view.upstreams().iter().any(|upstream| upstream.draining);
+        if (has_plain_ejection || plan.avoided.iter().any(|avoided| *avoided)) && plan.floor > 0 {
+            let floor_ratio = f64::from(plan.in_service) / f64::from(plan.floor);
+            self.result.lowest_floor_ratio = self.result.lowest_floor_ratio.min(floor_ratio);
         }
         self.result.floor_broken |= view.violations() > 0;
     }
 
     pub(super) fn note_ejection(&mut self, index: usize, fraction: f64) {
-        let faulty =
-            self.plan.one_is_faulty && index == FAULTY && self.now >= self.plan.fault_begin();
-        if !faulty {
+        let is_faulty = self.plan.one_is_faulty
+            && index == FAULTY_UPSTREAM
+            && self.now >= self.plan.fault_begin();
+        if !is_faulty {
             self.result.false_ejections += fraction;
         }
     }
 
     pub(super) fn note_return(&mut self, index: usize) {
-        if self.plan.one_is_faulty && index == FAULTY && self.now >= self.plan.fault_end() {
+        if self.plan.one_is_faulty && index == FAULTY_UPSTREAM && self.now >= self.plan.fault_end()
+        {
             self.returned_at.get_or_insert(self.now);
         }
     }
@@ -89,21 +94,23 @@
         self.result.upstream_hours = upstreams * self.plan.end().as_secs_f64() / 3600.0;
         if self.plan.one_is_faulty {
             self.measure_detection();
-            self.result.returned =
+            self.result.return_time =
                 self.returned_at.map(|at| at.saturating_sub(self.plan.fault_end()));
         }
         self.result
     }
 
-    /// Finds the last request to the faulty upstream before its first idle time; the detection time
-    /// ends with that request.
+    /// Finds the last request that the faulty upstream received before the first long time without
+    /// requests, and records the time from the fault until that request as the detection time.
     pub(super) fn measure_detection(&mut self) {
         let begin = self.plan.fault_begin();
         let end = self.plan.fault_end();
-        let gap = self.plan.gap() * self.upstreams.len() as u32;
-        let idle_time = (gap * IDLE_GAPS).max(IDLE_MIN);
+        let upstream_gap = self.plan.mean_gap() * self.upstreams.len() as u32;
+        let idle_time = (upstream_gap * IDLE_GAPS).max(IDLE_TIME_MIN);
         let mut last = begin;
-        for at in self.upstreams[FAULTY].accepted.iter().filter(|at| (begin..end).contains(*at)) {
+        for at in
+            self.upstreams[FAULTY_UPSTREAM].accepted.iter().filter(|at| (begin..end).contains(*at))
+        {
             if *at - last > idle_time {
                 break;
             }
@@ -111,6 +118,6 @@
             self.result.received += 1;
         }
         let stopped = end.saturating_sub(last) > idle_time;
-        self.result.detection = stopped.then(|| last - begin);
+        self.result.detection_time = stopped.then(|| last - begin);
     }
 }
--- a/crates/bench/src/decisions/mod.rs
+++ b/crates/bench/src/decisions/mod.rs
@@ -5,7 +5,8 @@
 //! and how often it ejects a healthy one.
 //!
 //! It simulates the upstreams of one service in virtual time with seeded random numbers, and runs
-//! the decision code of the daemon (`basaltarch-decide`) and plain rules in common use over them.
+//! the decision code of the daemon (`basaltarch-decide`) and plain rules in common use over the
+//! upstreams.
 //! No network, platform or process is involved, and every run gives the same figures.
 
 pub mod actors;
--- a/crates/bench/src/decisions/report.rs
+++ b/crates/bench/src/decisions/report.rs
@@ -11,7 +11,8 @@
 use crate::decisions::scenario::CASES;
 use crate::decisions::suite::{self, RuleSummary, RunKey, SuitePlan};
 
-/// Ratio to the detection time of the best plain rule above which a case is listed as slower.
+/// Ratio of a rule's detection time to that of the best plain rule above which the rule counts as
+/// slower in a case.
 const SLOWER_FACTOR: f64 = 1.1;
 
 const DETECTION_TITLE: &str = "Detection time, median (requests received; 99 in 100; share of \
@@ -34,7 +35,7 @@
 }
 
 impl CaseRow {
-    /// Returns the summary of a rule.
+    /// Returns the summary of a rule, or `None` if the suite did not run the rule.
     pub fn summary_of(&self, rule: RuleKind) -> Option<&RuleSummary> {
         self.rules.iter().find(|(kind, _)| *kind == rule).map(|(_, summary)| summary)
     }
@@ -54,7 +55,10 @@
                 .iter()
                 .filter(|rule| plan.rules.contains(rule))
                 .map(|rule| {
-                    (*rule, select(results, *rule, |key| key.case == case && key.load == load))
+                    (
+                        *rule,
+                        summarize_rule(results, *rule, |key| key.case == case && key.load == load),
+                    )
                 })
                 .collect();
             rows.push(CaseRow { case, load, rules });
@@ -63,19 +67,19 @@
     rows
 }
 
-/// Aggregates those results of a rule whose keys `wanted` accepts.
-pub fn select(
+/// Aggregates those results of a rule whose keys `is_wanted` accepts.
+pub fn summarize_rule(
     results: &[(RunKey, RunResult)],
     rule: RuleKind,
-    wanted: impl Fn(&RunKey) -> bool,
+    is_wanted: impl Fn(&RunKey) -> bool,
 ) -> RuleSummary {
     let chosen: Vec<&(RunKey, RunResult)> =
-        results.iter().filter(|(key, _)| key.rule == rule && wanted(key)).collect();
+        results.iter().filter(|(key, _)| key.rule == rule && is_wanted(key)).collect();
     let faulty = chosen.first().is_some_and(|(key, _)| CASES[key.case].one_is_faulty);
     suite::summarize(chosen.iter().map(|(_, result)| result), faulty)
 }
 
-fn millis(time: Option<Duration>) -> String {
+fn format_time(time: Option<Duration>) -> String {
     match time {
         Some(time) if time >= Duration::from_secs(10) => format!("{:.1} s", time.as_secs_f64()),
         Some(time) => format!("{} ms", time.as_millis()),
@@ -95,13 +99,15 @@
     });
     write_table(&mut text, plan, &rows, CALLERS_TITLE, callers_cell);
     write_table(&mut text, plan, &rows, CAPACITY_TITLE, capacity_cell);
-    write_table(&mut text, plan, &faulty, RETURN_TITLE, |summary| millis(summary.returned_median));
+    write_table(&mut text, plan, &faulty, RETURN_TITLE, |summary| {
+        format_time(summary.returned_median)
+    });
     write_rules(&mut text, results);
     write_slower_cases(&mut text, plan, &rows);
     text
 }
 
-/// Writes a table with a line for each of `rows` and a column for each rule that ejects.
+/// Writes a table with a line for each of `rows` and a column for each rule that ejects upstreams.
 fn write_table(
     text: &mut String,
     plan: &SuitePlan,
@@ -128,9 +134,9 @@
 fn detection_cell(summary: &RuleSummary) -> String {
     format!(
         "{} ({}; {}; {:.0}%)",
-        millis(summary.detection_median),
+        format_time(summary.detection_median),
         summary.received_median,
-        millis(summary.detection_p99),
+        format_time(summary.detection_p99),
         100.0 * summary.stopped as f64 / summary.runs.max(1) as f64
     )
 }
@@ -139,10 +145,11 @@
     format!("{:.2}%, {:.2}%", 100.0 * summary.failed_share, 100.0 * summary.slow_share)
 }
 
-/// Formats the fewest slots in service as a ratio to the floor, or a dash if nothing was avoided.
+/// Formats the fewest slots in service as a ratio to the floor, or a dash if no upstream was
+/// ejected.
 fn capacity_cell(summary: &RuleSummary) -> String {
-    if summary.lowest_over_floor.is_finite() {
-        format!("{:.2}", summary.lowest_over_floor)
+    if summary.lowest_floor_ratio.is_finite() {
+        format!("{:.2}", summary.lowest_floor_ratio)
     } else {
         "-".to_owned()
     }
@@ -151,7 +158,7 @@
 fn write_rules(text: &mut String, results: &[(RunKey, RunResult)]) {
     text.push_str("Over all cases\n\n| rule | detection median | received | stopped | false ejections an upstream-hour | failed answers | slow answers | lowest over floor | floor broken | return median |\n|---|---|---|---|---|---|---|---|---|---|\n");
     for rule in RULES {
-        let faulty = select(results, rule, |key| CASES[key.case].one_is_faulty);
+        let faulty = summarize_rule(results, rule, |key| CASES[key.case].one_is_faulty);
         let all: Vec<&RunResult> =
             results.iter().filter(|(key, _)| key.rule == rule).map(|(_, result)| result).collect();
         let every = suite::summarize(all.into_iter(), false);
@@ -159,22 +166,23 @@
             text,
             "| {} | {} | {} | {} of {} | {:.3} | {:.3}% | {:.3}% | {:.2} | {} | {} |",
             rule.name(),
-            millis(faulty.detection_median),
+            format_time(faulty.detection_median),
             faulty.received_median,
             faulty.stopped,
             faulty.runs,
             every.false_ejections_hour,
             100.0 * every.failed_share,
             100.0 * every.slow_share,
-            every.lowest_over_floor,
-            every.floor_broken,
-            millis(faulty.returned_median)
+            every.lowest_floor_ratio,
+            every.floor_broken_runs,
+            format_time(faulty.returned_median)
         );
     }
 }
 
 /// Returns the rows in which a rule of the daemon is slower than the best plain rule by over a
-/// tenth: case, load, median detection time of the plain rule, and that of the daemon's rule.
+/// tenth. Each item holds the index of the case, the index of the load, the median detection time
+/// of the plain rule, and the median detection time of the daemon's rule.
 pub fn slower_cases(
     rows: &[CaseRow],
     rule: RuleKind,
@@ -184,9 +192,9 @@
         .filter_map(|row| {
             let best = row.best_plain()?;
             let median = row.summary_of(rule)?.detection_median;
-            let slower = median
+            let is_slower = median
                 .is_none_or(|median| median.as_secs_f64() > best.as_secs_f64() * SLOWER_FACTOR);
-            slower.then_some((row.case, row.load, best, median))
+            is_slower.then_some((row.case, row.load, best, median))
         })
         .collect()
 }
@@ -201,8 +209,8 @@
                 rule.name(),
                 CASES[case].name,
                 plan.loads[load].name,
-                millis(median),
-                millis(Some(best))
+                format_time(median),
+                format_time(Some(best))
             );
         }
     }
--- a/crates/bench/src/decisions/rules.rs
+++ b/crates/bench/src/decisions/rules.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The ejection rules that are compared: plain ones in common use, and those of the daemon.
+//! The ejection rules that are compared: plain rules in common use, and the rules of the daemon.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const RATE_WINDOW: Duration = Duration::from_secs(10);
 /// Minimum number of requests in the window for [`RuleKind::Rate`] to eject.
 const RATE_REQUESTS_MIN: usize = 20;
-/// Share of failures in the window from which [`RuleKind::Rate`] ejects.
+/// Share of failed requests in the window from which on [`RuleKind::Rate`] ejects.
 const RATE_SHARE: f64 = 0.5;
 /// Time between evaluations of [`RuleKind::Outlier`].
 const OUTLIER_INTERVAL: Duration = Duration::from_secs(10);
@@ -24,31 +24,37 @@
 /// Minimum number of requests of an upstream between two evaluations for [`RuleKind::Outlier`] to
 /// compare that upstream.
 const OUTLIER_REQUESTS_MIN: u32 = 10;
-/// Minimum number of upstreams that [`RuleKind::Outlier`] compares; with fewer it ejects none.
+/// Minimum number of upstreams that [`RuleKind::Outlier`] compares; with fewer upstreams the rule
+/// ejects none.
 const OUTLIER_UPSTREAMS_MIN: usize = 3;
 /// Failed probes of the health endpoint in a row after which [`RuleKind::Probes`] ejects.
 const FAILED_PROBES: f64 = 3.0;
 /// Time between two probes of an upstream by one ingress.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// Length of the first ejection by a plain rule; the n-th lasts n times as long.
+/// Length of the first ejection of an upstream by a plain rule; the n-th ejection of the upstream
+/// lasts n times as long.
 const EJECTION_TIME: Duration = Duration::from_secs(30);
-/// Bounds of the share of upstreams that a plain rule may keep ejected at the same time.
+/// Least share of upstreams that a plain rule may keep ejected at the same time, whatever the
+/// floor.
 const EJECTION_CAP_MIN: f64 = 0.1;
+/// Largest share of upstreams that a plain rule may keep ejected at the same time, whatever the
+/// floor.
 const EJECTION_CAP_MAX: f64 = 0.5;
 
 /// `RuleKind` is an ejection rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RuleKind {
-    /// Nothing is ejected.
+    /// Ejects no upstream.
     Nothing,
-    /// Five failures in a row.
+    /// Ejects after five failures in a row.
     Consecutive,
-    /// Half of the requests of the last 10 s failed.
+    /// Ejects if at least half of the requests of the last 10 s failed.
     Rate,
-    /// Failure rate or mean latency over 1.9 standard deviations above the mean, every 10 s.
+    /// Every 10 s, ejects upstreams whose failure rate or mean latency is over 1.9 standard
+    /// deviations above the mean of the upstreams.
     Outlier,
-    /// Three failed probes of the health endpoint in a row; balances by the load that the load
-    /// endpoint reports.
+    /// Ejects after three failed probes of the health endpoint in a row, and balances by the load
+    /// that the load endpoint reports.
     Probes,
     /// The rule of the daemon, with `prefer: detection`.
     Detection,
@@ -56,7 +62,7 @@
     Precision,
 }
 
-/// Every rule.
+/// Every rule, in the order of the tables.
 pub const RULES: [RuleKind; 7] = [
     RuleKind::Nothing,
     RuleKind::Consecutive,
@@ -72,7 +78,7 @@
     [RuleKind::Consecutive, RuleKind::Rate, RuleKind::Outlier, RuleKind::Probes];
 
 impl RuleKind {
-    /// Returns the name in tables.
+    /// Returns the name of the rule in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Nothing => "no ejection",
@@ -85,7 +91,7 @@
         }
     }
 
-    /// Returns the default threshold of the rule; a lower one ejects more.
+    /// Returns the default threshold of the rule; a lower threshold ejects more.
     pub fn default_threshold(self) -> f64 {
         match self {
             Self::Nothing => 0.0,
@@ -111,16 +117,17 @@
 #[derive(Debug, Clone, Default)]
 struct PlainUpstream {
     failures_in_row: u32,
-    bad_probes: u32,
+    failed_probes_in_row: u32,
     window: VecDeque<(Duration, bool)>,
     answered: u32,
     failed: u32,
-    time_sum: f64,
+    latency_sum_s: f64,
     ejected_until: Option<Duration>,
     ejections: u32,
 }
 
-/// `PlainRule` is the state of a plain rule at one ingress, which sees only its own requests.
+/// `PlainRule` is the state of a plain rule at one ingress. The rule sees only the requests of that
+/// ingress.
 #[derive(Debug, Clone)]
 pub struct PlainRule {
     kind: RuleKind,
@@ -131,8 +138,8 @@
 }
 
 impl PlainRule {
-    /// Builds a rule that ejects at most the share of upstreams above the floor, clamped to 10 to
-    /// 50%.
+    /// Builds a rule that keeps at most the share of upstreams above the floor ejected. The share
+    /// is clamped to 10 to 50%, and at least one upstream may be ejected.
     pub fn new(kind: RuleKind, threshold: f64, upstreams: usize, floor: f64) -> Self {
         let share = (1.0 - floor).clamp(EJECTION_CAP_MIN, EJECTION_CAP_MAX);
         Self {
@@ -144,13 +151,14 @@
         }
     }
 
-    /// Returns whether an upstream is ejected.
+    /// Returns whether the rule keeps an upstream ejected.
     pub fn is_ejected(&self, index: usize, now: Duration) -> bool {
         self.upstreams[index].ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Records the result of a request; returns the upstreams that the rule ejects now.
-    pub fn note(
+    /// Records the result of a request, and returns the upstreams that the rule ejects because of
+    /// the result.
+    pub fn note_result(
         &mut self,
         index: usize,
         failed: bool,
@@ -161,7 +169,7 @@
         upstream.failures_in_row = if failed { upstream.failures_in_row + 1 } else { 0 };
         upstream.answered += 1;
         upstream.failed += u32::from(failed);
-        upstream.time_sum += latency.as_secs_f64();
+        upstream.latency_sum_s += latency.as_secs_f64();
         let chosen = match self.kind {
             RuleKind::Consecutive if f64::from(upstream.failures_in_row) >= self.threshold => {
                 upstream.failures_in_row = 0;
@@ -181,11 +189,12 @@
         chosen.into_iter().filter(|index| self.eject(*index, now)).collect()
     }
 
-    /// Records a probe of the health endpoint of an upstream; returns whether that ejects it.
+    /// Records a probe of the health endpoint of an upstream, and returns whether the rule ejects
+    /// the upstream because of the probe.
     pub fn note_probe(&mut self, index: usize, good: bool, now: Duration) -> bool {
         let upstream = &mut self.upstreams[index];
-        upstream.bad_probes = if good { 0 } else { upstream.bad_probes + 1 };
-        f64::from(upstream.bad_probes) >= self.threshold && self.eject(index, now)
+        upstream.failed_probes_in_row = if good { 0 } else { upstream.failed_probes_in_row + 1 };
+        f64::from(upstream.failed_probes_in_row) >= self.threshold && self.eject(index, now)
     }
 
     fn eject(&mut self, index: usize, now: Duration) -> bool {
@@ -201,7 +210,7 @@
     }
 
     /// Returns the upstreams whose failure rate or mean latency is too far above the mean over the
-    /// upstreams. Evaluates every ten seconds, and returns nothing in between.
+    /// upstreams. Evaluates every ten seconds, and returns no upstream between two evaluations.
     fn outliers(&mut self, now: Duration) -> Vec<usize> {
         if now.saturating_sub(self.evaluated_at) < OUTLIER_INTERVAL {
             return Vec::new();
@@ -212,17 +221,18 @@
             .collect();
         let mut chosen = Vec::new();
         if compared.len() >= OUTLIER_UPSTREAMS_MIN {
-            let failures = |upstream: &PlainUpstream| {
+            let failure_rate = |upstream: &PlainUpstream| {
                 f64::from(upstream.failed) / f64::from(upstream.answered)
             };
-            let times = |upstream: &PlainUpstream| upstream.time_sum / f64::from(upstream.answered);
-            chosen = self.outliers_by(&compared, failures);
-            chosen.extend(self.outliers_by(&compared, times));
+            let mean_latency =
+                |upstream: &PlainUpstream| upstream.latency_sum_s / f64::from(upstream.answered);
+            chosen = self.outliers_by(&compared, failure_rate);
+            chosen.extend(self.outliers_by(&compared, mean_latency));
         }
         for upstream in &mut self.upstreams {
             upstream.answered = 0;
             upstream.failed = 0;
-            upstream.time_sum = 0.0;
+            upstream.latency_sum_s = 0.0;
         }
         chosen
     }
--- a/crates/bench/src/decisions/suite.rs
+++ b/crates/bench/src/decisions/suite.rs
@@ -13,10 +13,10 @@
 use crate::decisions::scenario::{Deployment, FaultCase, LoadLevel, ScenarioPlan, CASES};
 use crate::decisions::world::World;
 
-/// Severities of each case.
-pub const SEVERITIES: usize = 5;
+/// Number of severities of each case; the severities are numbered from 0.
+pub const SEVERITY_COUNT: usize = 5;
 
-/// `RunKey` identifies a run.
+/// `RunKey` identifies a run of a suite.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunKey {
     /// Index of the case in [`CASES`].
@@ -27,9 +27,9 @@
     pub load: usize,
     /// Index of the deployment in [`SuitePlan::deployments`].
     pub deployment: usize,
-    /// The rule.
+    /// Ejection rule that decides in the run.
     pub rule: RuleKind,
-    /// Seed.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -38,17 +38,17 @@
 pub struct SuitePlan {
     /// Indices of the cases in [`CASES`].
     pub cases: Vec<usize>,
-    /// Severities.
+    /// Severities, each from 0 to 4.
     pub severities: Vec<usize>,
-    /// Loads.
+    /// Loads on the service.
     pub loads: Vec<LoadLevel>,
-    /// Deployments.
+    /// Deployments of the service.
     pub deployments: Vec<Deployment>,
-    /// Rules.
+    /// Ejection rules that are compared.
     pub rules: Vec<RuleKind>,
-    /// Seeds.
+    /// Seeds of the random numbers.
     pub seeds: Vec<u64>,
-    /// Threshold of the rules in place of [`RuleKind::default_threshold`].
+    /// Threshold of all rules; `None` for the [`RuleKind::default_threshold`] of each rule.
     pub threshold: Option<f64>,
 }
 
@@ -86,7 +86,7 @@
                     Some(key) => *key,
                     None => return,
                 };
-                let result = run_one(plan, &key);
+                let result = run_scenario(plan, &key);
                 if let Ok(mut results) = results.lock() {
                     results.push((key, result));
                 }
@@ -98,7 +98,7 @@
     results
 }
 
-fn run_one(plan: &SuitePlan, key: &RunKey) -> RunResult {
+fn run_scenario(plan: &SuitePlan, key: &RunKey) -> RunResult {
     let case: &FaultCase = &CASES[key.case];
     let scenario = ScenarioPlan {
         deployment: plan.deployments[key.deployment],
@@ -116,13 +116,13 @@
 pub struct RuleSummary {
     /// Number of runs.
     pub runs: usize,
-    /// Runs in which the faulty upstream stopped receiving requests.
+    /// Number of runs in which the faulty upstream stopped receiving requests.
     pub stopped: usize,
     /// Median of the detection times; a run without detection counts as longer than all others.
     pub detection_median: Option<Duration>,
-    /// 99th percentile of the detection times: 99 in 100 runs stay below.
+    /// 99th percentile of the detection times: 99 in 100 runs took no longer.
     pub detection_p99: Option<Duration>,
-    /// Median of the requests that the faulty upstream received.
+    /// Median number of requests that the faulty upstream received until its detection.
     pub received_median: u64,
     /// False ejections per upstream-hour.
     pub false_ejections_hour: f64,
@@ -131,15 +131,15 @@
     /// Requests that were slow for callers during the fault, as a share of all requests of the
     /// runs.
     pub slow_share: f64,
-    /// Fewest slots in service, as a ratio to the slots that the floor requires.
-    pub lowest_over_floor: f64,
-    /// Runs in which the floor was broken.
-    pub floor_broken: usize,
+    /// Fewest slots in service in any run, as a ratio to the slots that the floor requires.
+    pub lowest_floor_ratio: f64,
+    /// Number of runs in which ejections left fewer slots in service than the floor requires.
+    pub floor_broken_runs: usize,
     /// Median time from the end of the fault to the return of the faulty upstream.
     pub returned_median: Option<Duration>,
 }
 
-/// Aggregates the results of one rule.
+/// Aggregates the results of one rule. Detection and return are left out unless `one_is_faulty`.
 pub fn summarize<'a>(
     results: impl Iterator<Item = &'a RunResult>,
     one_is_faulty: bool,
@@ -153,25 +153,26 @@
         sum(|result| result.false_ejections) / sum(|result| result.upstream_hours).max(1e-9);
     summary.failed_share = sum(|result| result.failed as f64) / requests;
     summary.slow_share = sum(|result| result.slow as f64) / requests;
-    summary.floor_broken = results.iter().filter(|result| result.floor_broken).count();
-    summary.lowest_over_floor =
-        results.iter().map(|result| result.lowest_over_floor).fold(f64::INFINITY, f64::min);
+    summary.floor_broken_runs = results.iter().filter(|result| result.floor_broken).count();
+    summary.lowest_floor_ratio =
+        results.iter().map(|result| result.lowest_floor_ratio).fold(f64::INFINITY, f64::min);
     if !one_is_faulty {
         return summary;
     }
-    summary.stopped = results.iter().filter(|result| result.detection.is_some()).count();
-    let longest = Duration::MAX;
+    summary.stopped = results.iter().filter(|result| result.detection_time.is_some()).count();
+    let never_detected = Duration::MAX;
     let mut times: Vec<Duration> =
-        results.iter().map(|result| result.detection.unwrap_or(longest)).collect();
+        results.iter().map(|result| result.detection_time.unwrap_or(never_detected)).collect();
     times.sort();
-    summary.detection_median = quantile(&times, 0.5).filter(|time| *time != longest);
-    summary.detection_p99 = quantile(&times, 0.99).filter(|time| *time != longest);
+    summary.detection_median = quantile(&times, 0.5).filter(|time| *time != never_detected);
+    summary.detection_p99 = quantile(&times, 0.99).filter(|time| *time != never_detected);
     let mut received: Vec<u64> = results.iter().map(|result| result.received).collect();
     received.sort();
     summary.received_median = quantile(&received, 0.5).unwrap_or(0);
-    let mut returned: Vec<Duration> = results.iter().filter_map(|result| result.returned).collect();
-    returned.sort();
-    summary.returned_median = quantile(&returned, 0.5);
+    let mut return_times: Vec<Duration> =
+        results.iter().filter_map(|result| result.return_time).collect();
+    return_times.sort();
+    summary.returned_median = quantile(&return_times, 0.5);
     summary
 }
 
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -17,12 +17,13 @@
 use crate::decisions::rules::{self, RuleKind};
 use crate::decisions::scenario::{self, FaultScript, ScenarioPlan};
 
-/// Route of the slow requests of the mixed cases.
+/// Index in [`ROUTES`] of the slow route of the mixed cases.
 pub(super) const SLOW_ROUTE: usize = 3;
-/// Seconds from the start of one burst to the next, seconds that a burst lasts, and the factor by
-/// which it raises the load.
+/// Seconds from the start of one burst to the start of the next burst.
 const BURST_PERIOD: u64 = 10;
+/// Seconds that a burst lasts.
 const BURST_SECONDS: u64 = 2;
+/// Factor by which a burst raises the load.
 const BURST_FACTOR: f64 = 2.0;
 
 /// `World` is the state of one simulated run.
@@ -33,7 +34,7 @@
     pub(super) now: Duration,
     pub(super) sequence: u64,
     pub(super) events: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    pub(super) scheduled: Vec<Event>,
+    pub(super) scheduled_events: Vec<Event>,
     pub(super) rng: ChaCha8Rng,
     pub(super) service_times: LogNormal<f64>,
     pub(super) requests: Vec<Request>,
@@ -46,7 +47,7 @@
 }
 
 /// Index of the faulty upstream, in cases that have one.
-pub(super) const FAULTY: usize = 1;
+pub(super) const FAULTY_UPSTREAM: usize = 1;
 
 impl World {
     /// Builds the initial state of a run.
@@ -61,11 +62,11 @@
                 accepted: Vec::new(),
             })
             .collect();
-        let ingresses = (0..scenario::INGRESSES)
+        let ingresses = (0..scenario::INGRESS_COUNT)
             .map(|number| actors::new_ingress(&plan, rule, threshold, number % deployment.domains))
             .collect();
-        let median_ln = scenario::SERVICE_MEDIAN.as_secs_f64().ln();
-        let service_times = LogNormal::new(median_ln, scenario::SERVICE_SPREAD);
+        let median_ln = scenario::SERVICE_TIME_MEDIAN.as_secs_f64().ln();
+        let service_times = LogNormal::new(median_ln, scenario::SERVICE_TIME_LN_DEVIATION);
         let mut world = Self {
             plan,
             rule,
@@ -73,7 +74,7 @@
             now: Duration::ZERO,
             sequence: 0,
             events: BinaryHeap::new(),
-            scheduled: Vec::new(),
+            scheduled_events: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
             service_times: service_times
                 .unwrap_or_else(|_| unreachable!("the spread is a positive constant")),
@@ -81,7 +82,7 @@
             jobs: Vec::new(),
             upstreams,
             ingresses,
-            result: RunResult { lowest_over_floor: f64::INFINITY, ..RunResult::default() },
+            result: RunResult { lowest_floor_ratio: f64::INFINITY, ..RunResult::default() },
             returned_at: None,
             ejected_after_fault: false,
         };
@@ -102,17 +103,19 @@
                 break;
             }
             self.now = at;
-            match self.scheduled[index] {
-                Event::Arrival => self.arrive(),
+            match self.scheduled_events[index] {
+                Event::Arrival => self.handle_arrival(),
                 Event::Replace => self.replace_faulty(),
-                Event::Probe => self.probe(),
-                Event::HostArrival { sent, refusable } => self.reach_host(sent, refusable),
-                Event::HedgeDue { sent } => self.send_hedge(sent),
-                Event::Cancel { sent } => self.cancel(sent),
+                Event::Probe => self.probe_upstreams(),
+                Event::HostArrival { attempt, refusable } => {
+                    self.handle_host_arrival(attempt, refusable)
+                }
+                Event::HedgeDue { attempt } => self.send_hedge(attempt),
+                Event::Cancel { attempt } => self.cancel_attempt(attempt),
                 Event::Overdue { job } => self.note_overdue(job),
                 Event::RunningCheck { job } => self.check_job(job),
                 Event::End { job } => self.end_job(job),
-                Event::Reply { sent, answer } => self.reach_ingress(sent, answer),
+                Event::Reply { attempt, answer } => self.handle_reply(attempt, answer),
             }
         }
         self.finish()
@@ -120,27 +123,28 @@
 
     pub(super) fn schedule(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
-        self.scheduled.push(event);
-        let key = (self.now + after, self.sequence, self.scheduled.len() - 1);
+        self.scheduled_events.push(event);
+        let key = (self.now + after, self.sequence, self.scheduled_events.len() - 1);
         self.events.push(Reverse(key));
     }
 
-    /// Replaces the upstream of the cold-start cases; its daemon begins with the health of a new
-    /// backend server.
+    /// Replaces the faulty upstream by a new backend server, for the cold-start cases. The daemon
+    /// of the upstream begins with the health of a new backend server.
     pub(super) fn replace_faulty(&mut self) {
         let prefer = self.rule.prefer().unwrap_or(EjectionPreference::Precision);
-        self.upstreams[FAULTY].health = actors::new_health(prefer, self.threshold, self.now, true);
+        self.upstreams[FAULTY_UPSTREAM].health =
+            actors::new_health(prefer, self.threshold, self.now, true);
     }
 
-    pub(super) fn in_fault(&self) -> bool {
-        self.plan.in_fault(self.now)
+    pub(super) fn is_in_fault(&self) -> bool {
+        self.plan.is_in_fault(self.now)
     }
 
-    pub(super) fn arrive(&mut self) {
+    pub(super) fn handle_arrival(&mut self) {
         let number = self.requests.len();
         let route = self.sample_route();
         let poison = match self.plan.script {
-            FaultScript::Poison(share) => self.in_fault() && self.rng.random_bool(share),
+            FaultScript::Poison(share) => self.is_in_fault() && self.rng.random_bool(share),
             _ => false,
         };
         let request = Request {
@@ -164,22 +168,22 @@
         self.result.requests += 1;
         self.dispatch(number);
         let relative_gap: f64 = Exp1.sample(&mut self.rng);
-        let gap = self.plan.gap().mul_f64(relative_gap / self.burst_factor());
-        self.schedule(gap, Event::Arrival);
+        let arrival_gap = self.plan.mean_gap().mul_f64(relative_gap / self.burst_factor());
+        self.schedule(arrival_gap, Event::Arrival);
     }
 
     pub(super) fn sample_route(&mut self) -> usize {
         if self.plan.is_mixed() {
-            let is_slow = self.rng.random_bool(scenario::MIXED_SHARE);
+            let is_slow = self.rng.random_bool(scenario::SLOW_ROUTE_SHARE);
             return if is_slow { SLOW_ROUTE } else { self.rng.random_range(0..SLOW_ROUTE) };
         }
         self.rng.random_range(0..ROUTES.len())
     }
 
     pub(super) fn burst_factor(&self) -> f64 {
-        let bursts = matches!(self.plan.script, FaultScript::Bursts(_));
-        let in_burst = self.now.as_secs() % BURST_PERIOD < BURST_SECONDS;
-        if bursts && in_burst {
+        let has_bursts = matches!(self.plan.script, FaultScript::Bursts(_));
+        let is_in_burst = self.now.as_secs() % BURST_PERIOD < BURST_SECONDS;
+        if has_bursts && is_in_burst {
             BURST_FACTOR
         } else {
             1.0
--- a/crates/bench/src/detection.rs
+++ b/crates/bench/src/detection.rs
@@ -9,12 +9,12 @@
 
 use crate::errors::{self, BenchError};
 
-/// Time that a response may take after its request was received, in milliseconds. If callers see
-/// errors of an ejected server for longer than it received requests plus this time, the daemon has
-/// a fault.
+/// Time that a response may take after the server received the request, in milliseconds. If callers
+/// see errors of an ejected server for longer than the server received requests plus this time, the
+/// daemon has a fault.
 const RESPONSE_SLACK_MS: u64 = 250;
 
-fn read(path: &str) -> Result<Value, BenchError> {
+fn read_json(path: &str) -> Result<Value, BenchError> {
     let file_error = |message: String| errors::BenchError::File { path: path.to_owned(), message };
     let text = fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
     serde_json::from_str(&text).map_err(|error| file_error(error.to_string()))
@@ -23,18 +23,20 @@
 /// Prints the comparison, and checks that callers saw errors no longer than the server received
 /// requests.
 pub fn run(load_path: &str, fault_path: &str, server: &str) -> Result<(), BenchError> {
-    let load = read(load_path)?;
-    let fault = read(fault_path)?;
+    let load = read_json(load_path)?;
+    let fault = read_json(fault_path)?;
     let report = &load[0];
     let tally = &report["servers"][server];
-    let first = tally["first_error_ms"].as_u64();
-    let last = tally["last_error_ms"].as_u64();
-    let seen_for = last.zip(first).map_or(0, |(last, first)| last - first);
-    let received_for = fault["received_for_ms"].as_u64().unwrap_or(0);
+    let first_error_ms = tally["first_error_ms"].as_u64();
+    let last_error_ms = tally["last_error_ms"].as_u64();
+    let seen_for_ms = last_error_ms
+        .zip(first_error_ms)
+        .map_or(0, |(last_error_ms, first_error_ms)| last_error_ms - first_error_ms);
+    let received_for_ms = fault["received_for_ms"].as_u64().unwrap_or(0);
     println!("failing server                     {server}");
-    println!("kept receiving work for            {received_for} ms");
+    println!("kept receiving work for            {received_for_ms} ms");
     println!("requests received in that time     {}", fault["received"]);
-    println!("callers saw its errors for         {seen_for} ms");
+    println!("callers saw its errors for         {seen_for_ms} ms");
     println!("errors that callers saw            {}", tally["errors"].as_u64().unwrap_or(0));
     println!("answers to callers                 {} ({} good)", report["answered"], report["good"]);
     println!(
@@ -43,14 +45,14 @@
     );
     check(fault["stopped"] == true, "the failing server was not ejected within the measured time")?;
     check(
-        seen_for <= received_for + RESPONSE_SLACK_MS,
+        seen_for_ms <= received_for_ms + RESPONSE_SLACK_MS,
         "callers saw errors of the failing server longer than it received requests",
     )?;
     check_clean(report)
 }
 
-/// Checks that no response of a load was truncated or belonged to another request, and that no
-/// outcome is unknown.
+/// Checks that a load got responses, that no response was truncated or belonged to another request,
+/// and that no outcome is unknown.
 pub fn check_clean(report: &Value) -> Result<(), BenchError> {
     check(report["answered"].as_u64().unwrap_or(0) > 0, "no request got a response")?;
     for field in ["unknown", "broken", "crossed"] {
--- a/crates/bench/src/errors.rs
+++ b/crates/bench/src/errors.rs
@@ -27,7 +27,7 @@
     /// A call to a process failed.
     #[snafu(display("{what}: {source}"))]
     Call {
-        /// What was called.
+        /// Process that was called, with its address.
         what: String,
         /// Error of the call.
         source: HttpError,
--- a/crates/bench/src/experiment/day_runs.rs
+++ b/crates/bench/src/experiment/day_runs.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Runs days with the users' bench, a few at a time.
+//! Runs days with the users' bench, several days in parallel.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -19,20 +19,20 @@
 pub struct ExperimentOptions {
     /// Path of the users' bench.
     pub bench: PathBuf,
-    /// Checkouts that are compared, the baseline first.
+    /// Folders of the checkouts whose builds are compared, the baseline first.
     pub builds: Vec<PathBuf>,
     /// Site files.
     pub sites: Vec<PathBuf>,
     /// Names of days.
     pub days: Vec<String>,
-    /// Seeds of each day; `None` stands for the default seed of the day.
+    /// Seeds with which each day runs; `None` stands for the default seed of the day.
     pub seeds: Vec<Option<u64>>,
-    /// Days that run at the same time.
+    /// Maximum number of days that run in parallel.
     pub jobs: usize,
     /// Whether the bench accounts for processor time.
     pub counts_processor: bool,
     /// Reason of the experiment, for the journal of the users' bench.
-    pub why: String,
+    pub reason: String,
 }
 
 /// `DayKey` identifies a day of a site with its seed.
@@ -49,11 +49,11 @@
 /// `DayRun` is the result of one day with one build.
 #[derive(Debug, Clone)]
 pub struct DayRun {
-    /// The day.
+    /// Site, day and seed of the run.
     pub key: DayKey,
     /// Index of the build in [`ExperimentOptions::builds`].
     pub build: usize,
-    /// Report of the day, or why there is none.
+    /// Report of the day, or the reason why the users' bench wrote no report.
     pub outcome: Result<DayReport, String>,
 }
 
@@ -77,12 +77,12 @@
     };
     fs::create_dir_all(&folder).map_err(folder_error)?;
     let plan = plan(options);
-    let next = AtomicUsize::new(0);
+    let next_number = AtomicUsize::new(0);
     let runs = Mutex::new(Vec::new());
     thread::scope(|scope| {
         for _ in 0..options.jobs {
             scope.spawn(|| loop {
-                let number = next.fetch_add(1, Ordering::Relaxed);
+                let number = next_number.fetch_add(1, Ordering::Relaxed);
                 let planned = match plan.get(number) {
                     Some(planned) => planned,
                     None => return,
@@ -98,7 +98,7 @@
     Ok(runs.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner()))
 }
 
-/// Lists the runs. For each day, the runs of the builds directly follow each other.
+/// Lists the runs in their order. For each day, the runs of the builds directly follow each other.
 fn plan(options: &ExperimentOptions) -> Vec<PlannedDay> {
     let mut plan = Vec::new();
     for site in &options.sites {
@@ -135,7 +135,7 @@
 ) -> Result<DayReport, String> {
     let mut command = Command::new(&options.bench);
     command.arg("run").arg(&planned.site).arg(&planned.key.day);
-    command.args(["--jobs", "1", "--why", &options.why]).arg("--report").arg(report);
+    command.args(["--jobs", "1", "--why", &options.reason]).arg("--report").arg(report);
     if let Some(seed) = planned.key.seed {
         command.args(["--seed", &seed.to_string()]);
     }
--- a/crates/bench/src/experiment/verdict.rs
+++ b/crates/bench/src/experiment/verdict.rs
@@ -10,25 +10,25 @@
 
 use crate::experiment::day_runs::{DayKey, DayRun};
 
-/// Standard errors above which a difference counts as significant; chance alone exceeds them once
-/// in twenty comparisons.
+/// Number of standard errors above which a difference counts as significant. Chance alone exceeds
+/// this bound once in twenty comparisons.
 const SIGNIFICANT_ERRORS: f64 = 2.0;
-/// Prices that stay below this share in every report are left out of the table.
+/// Least share of a price in any report for which the table shows the price.
 const PRICE_SHOWN_MIN: f64 = 0.0005;
 
-/// `PairedFigure` is the paired comparison of one figure.
+/// `PairedFigure` is the comparison of one figure over pairs of runs with the two builds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PairedFigure {
-    /// Mean with the baseline build.
+    /// Mean of the figure with the baseline build.
     pub base: f64,
-    /// Mean with the build under test.
+    /// Mean of the figure with the build under test.
     pub trial: f64,
     /// Standard error of the mean difference; `None` with fewer than two pairs.
-    pub error: Option<f64>,
+    pub standard_error: Option<f64>,
 }
 
 impl PairedFigure {
-    /// Compares pairs of values; returns `None` if there are none.
+    /// Compares pairs of values, of the baseline build first; returns `None` without any pairs.
     pub fn of(pairs: &[(f64, f64)]) -> Option<Self> {
         if pairs.is_empty() {
             return None;
@@ -38,18 +38,20 @@
         let trial = pairs.iter().map(|pair| pair.1).sum::<f64>() / count;
         let difference = trial - base;
         let squares: f64 = pairs.iter().map(|pair| (pair.1 - pair.0 - difference).powi(2)).sum();
-        let error = (pairs.len() > 1).then(|| (squares / (count - 1.0) / count).sqrt());
-        Some(Self { base, trial, error })
+        let standard_error = (pairs.len() > 1).then(|| (squares / (count - 1.0) / count).sqrt());
+        Some(Self { base, trial, standard_error })
     }
 
-    /// Returns the mean difference.
+    /// Returns the mean difference of the build under test from the baseline build.
     pub fn difference(&self) -> f64 {
         self.trial - self.base
     }
 
     /// Returns whether the difference is statistically significant.
     pub fn is_significant(&self) -> bool {
-        self.error.is_some_and(|error| self.difference().abs() > SIGNIFICANT_ERRORS * error)
+        self.standard_error.is_some_and(|standard_error| {
+            self.difference().abs() > SIGNIFICANT_ERRORS * standard_error
+        })
     }
 }
 
@@ -59,20 +61,22 @@
     trial: &'a DayReport,
 }
 
-/// Returns the comparison as text: a table for each site, one for all sites, and the runs that
-/// failed.
+/// Returns the comparison as text: a table for each site, a table for all sites if there are
+/// several, and the list of failed runs.
 pub fn table(runs: &[DayRun]) -> String {
     let mut text = String::new();
     let pairs = pairs_of(runs);
     let sites: BTreeSet<&str> = pairs.iter().map(|pair| pair.key.site.as_str()).collect();
     for site in &sites {
-        let of_site: Vec<&DayPair> = pairs.iter().filter(|pair| pair.key.site == *site).collect();
-        write_figures(&mut text, site, &of_site);
-        let days: BTreeSet<&str> = of_site.iter().map(|pair| pair.key.day.as_str()).collect();
+        let site_pairs: Vec<&DayPair> =
+            pairs.iter().filter(|pair| pair.key.site == *site).collect();
+        write_figures(&mut text, site, &site_pairs);
+        let days: BTreeSet<&str> = site_pairs.iter().map(|pair| pair.key.day.as_str()).collect();
         for day in days {
-            let of_day = of_site.iter().filter(|pair| pair.key.day == day).copied();
-            let worths: Vec<_> = of_day.map(|pair| (pair.base.worth, pair.trial.worth)).collect();
-            write_row(&mut text, &format!("  worth of {day}"), PairedFigure::of(&worths));
+            let day_pairs = site_pairs.iter().filter(|pair| pair.key.day == day).copied();
+            let worth_pairs: Vec<_> =
+                day_pairs.map(|pair| (pair.base.worth, pair.trial.worth)).collect();
+            write_row(&mut text, &format!("  worth of {day}"), PairedFigure::of(&worth_pairs));
         }
     }
     if sites.len() > 1 {
@@ -99,19 +103,19 @@
 
 fn write_figures(text: &mut String, title: &str, pairs: &[&DayPair<'_>]) {
     write_line(text, format_args!("{title}: {} pairs", pairs.len()));
-    let mut figure = |name: &str, read: &dyn Fn(&DayReport) -> f64| {
+    let mut write_figure = |name: &str, read: &dyn Fn(&DayReport) -> f64| {
         let values: Vec<_> = pairs.iter().map(|pair| (read(pair.base), read(pair.trial))).collect();
         write_row(text, name, PairedFigure::of(&values));
     };
-    figure("worth", &|report| report.worth);
-    figure("served", &|report| report.served);
-    figure("refused", &|report| report.refused);
-    figure("failed", &|report| report.failed);
+    write_figure("worth", &|report| report.worth);
+    write_figure("served", &|report| report.served);
+    write_figure("refused", &|report| report.refused);
+    write_figure("failed", &|report| report.failed);
     let lines = pairs.iter().flat_map(|pair| pair.base.prices.iter().chain(&pair.trial.prices));
     let shown = lines.filter(|line| line.share >= PRICE_SHOWN_MIN);
     let names: BTreeSet<&str> = shown.map(|line| line.name.as_str()).collect();
     for name in names {
-        figure(&format!("price: {name}"), &|report| price_of(report, name));
+        write_figure(&format!("price: {name}"), &|report| price_of(report, name));
     }
 }
 
@@ -124,20 +128,22 @@
         Some(figure) => figure,
         None => return,
     };
-    let error = figure.error.map_or("-".to_owned(), |error| format!("{error:.4}"));
-    let mark = if figure.is_significant() { "*" } else { "" };
+    let standard_error = figure
+        .standard_error
+        .map_or("-".to_owned(), |standard_error| format!("{standard_error:.4}"));
+    let significance = if figure.is_significant() { "*" } else { "" };
     let PairedFigure { base, trial, .. } = figure;
     let difference = figure.difference();
     write_line(
         text,
-        format_args!("  {name:<46} {base:>8.4} {trial:>8.4} {difference:>+9.4} ±{error} {mark}"),
+        format_args!("  {name:<46} {base:>8.4} {trial:>8.4} {difference:>+9.4} ±{standard_error} {significance}"),
     );
 }
 
-/// Lists the runs without a report, with a fault or with a broken rule.
+/// Lists the runs that have no report, or whose report states a fault or a broken rule.
 fn write_failures(text: &mut String, runs: &[DayRun]) {
     for DayRun { key, build, outcome } in runs {
-        let what = match outcome {
+        let failure = match outcome {
             Err(message) => message.clone(),
             Ok(report) => match (&report.fault, report.broken.is_empty()) {
                 (Some(fault), _) => format!("fault: {fault}"),
@@ -149,7 +155,7 @@
         let seed = key.seed.map_or("own".to_owned(), |seed| seed.to_string());
         write_line(
             text,
-            format_args!("{} {} seed {seed}, {build} build: {what}", key.site, key.day),
+            format_args!("{} {} seed {seed}, {build} build: {failure}", key.site, key.day),
         );
     }
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -148,6 +148,7 @@
     }
 }
 
+/// Description of a valid address, for the error about an invalid address.
 const ADDRESS_ALLOWED: &str = "an IP address with port, such as 127.0.0.1:8080";
 
 /// Default value of `--days`: the trouble and scale days of a site file.
@@ -187,41 +188,41 @@
     }
 }
 
-fn setting(source: SettingError) -> BenchError {
+fn setting_error(source: SettingError) -> BenchError {
     BenchError::Setting { source }
 }
 
-fn number(
+fn read_number(
     flag: &str,
     given: Option<String>,
     default: f64,
-    least: f64,
-    most: f64,
+    minimum: f64,
+    maximum: f64,
 ) -> Result<f64, BenchError> {
-    let allowed = format!("{least} to {most}");
-    let accept = |value: &f64| (least..=most).contains(value);
-    settings::checked(flag, given, default, &allowed, accept).map_err(setting)
+    let allowed = format!("{minimum} to {maximum}");
+    let accept = |value: &f64| (minimum..=maximum).contains(value);
+    settings::checked(flag, given, default, &allowed, accept).map_err(setting_error)
 }
 
-fn address(flag: &str, given: &str) -> Result<SocketAddr, BenchError> {
-    settings::required(flag, Some(given.to_owned()), ADDRESS_ALLOWED).map_err(setting)
+fn read_address(flag: &str, given: &str) -> Result<SocketAddr, BenchError> {
+    settings::required(flag, Some(given.to_owned()), ADDRESS_ALLOWED).map_err(setting_error)
 }
 
-fn load_options(flags: &flags::Load) -> Result<LoadOptions, BenchError> {
+fn read_load_options(flags: &flags::Load) -> Result<LoadOptions, BenchError> {
     let to: Result<Vec<SocketAddr>, BenchError> =
-        flags.to.split(',').map(|each| address("to", each)).collect();
+        flags.to.split(',').map(|each| read_address("to", each)).collect();
     let mut targets = vec![LoadTarget { name: "daemons".to_owned(), addresses: to? }];
     if let Some(baseline) = &flags.baseline {
         targets.push(LoadTarget {
             name: "direct".to_owned(),
-            addresses: vec![address("baseline", baseline)?],
+            addresses: vec![read_address("baseline", baseline)?],
         });
     }
-    let rate = number("rate", flags.rate.clone(), 900.0, 0.1, 200_000.0)?;
-    let seconds = number("seconds", flags.seconds.clone(), 10.0, 0.1, 600.0)?;
+    let rate = read_number("rate", flags.rate.clone(), 900.0, 0.1, 200_000.0)?;
+    let seconds = read_number("seconds", flags.seconds.clone(), 10.0, 0.1, 600.0)?;
     let method: Option<Method> =
-        settings::optional("method", flags.method.clone(), "a method").map_err(setting)?;
-    let body_bytes = number("body-bytes", flags.body_bytes.clone(), 0.0, 0.0, 1e8)?;
+        settings::optional("method", flags.method.clone(), "a method").map_err(setting_error)?;
+    let body_bytes = read_number("body-bytes", flags.body_bytes.clone(), 0.0, 0.0, 1e8)?;
     Ok(LoadOptions {
         rate: rate * targets.len() as f64,
         targets,
@@ -244,7 +245,7 @@
     let sites: Result<Vec<PathBuf>, BenchError> =
         flags.sites.split(',').map(|site| absolute(&PathBuf::from(site))).collect();
     let seeds: Result<Vec<Option<u64>>, BenchError> =
-        flags.seeds.as_deref().unwrap_or(OWN_SEED).split(',').map(seed).collect();
+        flags.seeds.as_deref().unwrap_or(OWN_SEED).split(',').map(read_seed).collect();
     let days = flags.days.as_deref().unwrap_or(DAYS_WITH_TROUBLE);
     let options = ExperimentOptions {
         bench: absolute(&flags.bench)?,
@@ -252,33 +253,35 @@
         sites: sites?,
         days: days.split(',').map(str::to_owned).collect(),
         seeds: seeds?,
-        jobs: number("jobs", flags.jobs, 4.0, 1.0, 64.0)? as usize,
+        jobs: read_number("jobs", flags.jobs, 4.0, 1.0, 64.0)? as usize,
         counts_processor: !flags.no_cpu,
-        why: flags.why.unwrap_or("experiment".to_owned()),
+        reason: flags.why.unwrap_or("experiment".to_owned()),
     };
     print!("{}", verdict::table(&day_runs::run_all(&options)?));
     Ok(())
 }
 
-fn seed(text: &str) -> Result<Option<u64>, BenchError> {
+fn read_seed(text: &str) -> Result<Option<u64>, BenchError> {
     if text == OWN_SEED {
         return Ok(None);
     }
-    settings::required("seeds", Some(text.to_owned()), "numbers or own").map(Some).map_err(setting)
+    settings::required("seeds", Some(text.to_owned()), "numbers or own")
+        .map(Some)
+        .map_err(setting_error)
 }
 
 fn run_load(flags: flags::Load) -> Result<(), BenchError> {
-    let options = load_options(&flags)?;
-    let rounds = number("rounds", flags.rounds.clone(), 1.0, 1.0, 100.0)? as usize;
+    let options = read_load_options(&flags)?;
+    let rounds = read_number("rounds", flags.rounds.clone(), 1.0, 1.0, 100.0)? as usize;
     let mut reports = Vec::new();
-    let mut added = Vec::new();
+    let mut latency_differences = Vec::new();
     for _ in 0..rounds {
         let running = load::run(options.clone());
         reports = runtime::run(running).map_err(|source| BenchError::Start { source })?;
-        if let [through, direct] = &reports[..] {
-            let micros = |high: u64, low: u64| high as i64 - low as i64;
-            let p50 = micros(through.p50_us, direct.p50_us);
-            added.push((p50, micros(through.p99_us, direct.p99_us)));
+        if let [proxied, direct] = &reports[..] {
+            let difference_us = |high: u64, low: u64| high as i64 - low as i64;
+            let p50 = difference_us(proxied.p50_us, direct.p50_us);
+            latency_differences.push((p50, difference_us(proxied.p99_us, direct.p99_us)));
         }
     }
     if flags.clean {
@@ -293,13 +296,13 @@
     for report in &reports {
         print_report(report);
     }
-    if !added.is_empty() {
-        print_added(&added);
+    if !latency_differences.is_empty() {
+        print_latency_differences(&latency_differences);
     }
     Ok(())
 }
 
-fn print_added(added: &[(i64, i64)]) {
+fn print_latency_differences(latency_differences: &[(i64, i64)]) {
     let median = |values: Vec<i64>| {
         let mut values = values;
         values.sort();
@@ -307,10 +310,10 @@
     };
     println!(
         "added, median of {} rounds: p50 {:.3} ms, p99 {:.3} ms (p99 of each round: {:?} us)",
-        added.len(),
-        median(added.iter().map(|(p50, _)| *p50).collect()),
-        median(added.iter().map(|(_, p99)| *p99).collect()),
-        added.iter().map(|(_, p99)| *p99).collect::<Vec<i64>>()
+        latency_differences.len(),
+        median(latency_differences.iter().map(|(p50, _)| *p50).collect()),
+        median(latency_differences.iter().map(|(_, p99)| *p99).collect()),
+        latency_differences.iter().map(|(_, p99)| *p99).collect::<Vec<i64>>()
     );
 }
 
@@ -340,13 +343,13 @@
 }
 
 fn run_hold(flags: &flags::Hold) -> Result<(), BenchError> {
-    let seconds = number("seconds", flags.seconds.clone(), 3.0, 0.1, 60.0)?;
-    let count = number("count", Some(flags.count.clone()), 1.0, 1.0, 20_000.0)?;
+    let seconds = read_number("seconds", flags.seconds.clone(), 3.0, 0.1, 60.0)?;
+    let count = read_number("count", Some(flags.count.clone()), 1.0, 1.0, 20_000.0)?;
     let request = flags.path.clone().map(|path| ("solver.example".to_owned(), path));
     let options = HoldOptions {
-        address: address("to", &flags.to)?,
-        count: count as usize,
-        time: Duration::from_secs_f64(seconds),
+        address: read_address("to", &flags.to)?,
+        connection_count: count as usize,
+        hold_time: Duration::from_secs_f64(seconds),
         request,
     };
     runtime::run(hold::run(options)).map_err(|source| BenchError::Start { source })?
@@ -354,10 +357,10 @@
 
 fn run_spread(flags: &flags::Spread) -> Result<(), BenchError> {
     let admins: Result<Vec<SocketAddr>, BenchError> =
-        flags.admins.split(',').map(|each| address("admins", each)).collect();
-    let changes = number("changes", flags.changes.clone(), 10.0, 1.0, 1000.0)? as usize;
+        flags.admins.split(',').map(|each| read_address("admins", each)).collect();
+    let changes = read_number("changes", flags.changes.clone(), 10.0, 1.0, 1000.0)? as usize;
     let default_pause_ms = spread::CHANGE_PAUSE.as_millis() as f64;
-    let pause = number("pause-ms", flags.pause_ms.clone(), default_pause_ms, 1.0, 60_000.0)?;
+    let pause = read_number("pause-ms", flags.pause_ms.clone(), default_pause_ms, 1.0, 60_000.0)?;
     let pause = Duration::from_secs_f64(pause / 1000.0);
     let running = spread::run(admins?, flags.token.clone(), changes, pause);
     let report = runtime::run(running).map_err(|source| BenchError::Start { source })??;
@@ -365,10 +368,10 @@
     Ok(())
 }
 
-/// Prints a generated configuration in the format that `basaltctl apply` reads, or writes the
-/// configuration as a snapshot into a file.
+/// Prints a generated configuration in the format that `basaltctl apply` reads. With `--snapshot`,
+/// writes the configuration as a snapshot into a file instead.
 fn run_generate(flags: &flags::Generate) -> Result<(), BenchError> {
-    let share = number("share", Some(flags.share.clone()), 1.0, 1e-6, 1.0)?;
+    let share = read_number("share", Some(flags.share.clone()), 1.0, 1e-6, 1.0)?;
     let size = capacity::TWO_YEARS.scaled(share);
     if let Some(path) = &flags.snapshot {
         let bytes = capacity::snapshot_of(size).unwrap_or_default();
@@ -388,9 +391,9 @@
 }
 
 fn run_decisions(flags: flags::Decisions) -> Result<(), BenchError> {
-    let seeds = number("seeds", flags.seeds, 1.0, 1.0, 100.0)?;
+    let seeds = read_number("seeds", flags.seeds, 1.0, 1.0, 100.0)?;
     if let Some(path) = &flags.chart {
-        let curves = chart::sweep();
+        let curves = chart::sweep_thresholds();
         for curve in &curves {
             for (threshold, rate, seconds) in &curve.points {
                 println!("{} at {threshold}: {rate:.3}, {seconds:.2} s", curve.rule.name());
@@ -424,9 +427,9 @@
 }
 
 fn run_fault(flags: flags::Fault) -> Result<(), BenchError> {
-    let address = address("address", &flags.address)?;
-    let idle_ms = number("quiet-ms", flags.quiet_ms, 1000.0, 10.0, 60_000.0)?;
-    let most_ms = number("most-ms", flags.most_ms, 20_000.0, 10.0, 600_000.0)?;
+    let address = read_address("address", &flags.address)?;
+    let idle_ms = read_number("quiet-ms", flags.quiet_ms, 1000.0, 10.0, 60_000.0)?;
+    let most_ms = read_number("most-ms", flags.most_ms, 20_000.0, 10.0, 600_000.0)?;
     let idle_time = Duration::from_secs_f64(idle_ms / 1000.0);
     let time_max = Duration::from_secs_f64(most_ms / 1000.0);
     let running = fault::run(address, &flags.fault, idle_time, time_max);
--- a/crates/bench/tests/crashes.rs
+++ b/crates/bench/tests/crashes.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn verify_bad_requests_crash_few_servers_and_innocent_ones_are_served() {
-    // The two smaller fleet sizes; the largest is run by hand.
+    // Runs the two smaller fleet sizes. The largest fleet size is run by hand.
     let plans = crashes::plans(true).into_iter().filter(|plan| plan.daemons <= 100);
     let results: Vec<_> = plans.map(|plan| (plan, crashes::run(plan))).collect();
     if let Err(error) = crashes::check(&results) {
--- a/crates/bench/tests/decisions.rs
+++ b/crates/bench/tests/decisions.rs
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Runs the decision bench, whose figures are deterministic, in CI. Guards against changes of the
-//! decision code by which faulty upstreams are ejected later, or more healthy ones are ejected.
+//! decision code by which faulty upstreams are ejected later, or more healthy upstreams are
+//! ejected.
 
 use basaltarch_bench::decisions::rules::RuleKind;
 use basaltarch_bench::decisions::scenario::{CASES, DEPLOYMENTS, LOADS};
@@ -42,17 +43,20 @@
         suite::run(&plan)
     };
     let daemon_rules = vec![RuleKind::Detection, RuleKind::Precision];
-    // At the middle severity of `errors` half of the requests fail, as at an upstream whose
-    // endpoint reports wrongly.
+    // At the middle severity of `errors`, half of the requests fail. The same share fails at an
+    // upstream whose endpoint reports wrongly.
     let honest = runs("errors", vec![2], daemon_rules.clone());
-    for severity in 0..suite::SEVERITIES {
+    for severity in 0..suite::SEVERITY_COUNT {
         let lying = runs(case, vec![severity], daemon_rules.clone());
         for ((_, lying), (_, honest)) in lying.iter().zip(&honest) {
             assert_eq!(format!("{lying:?}"), format!("{honest:?}"));
         }
     }
     let probes = runs(case, vec![4], vec![RuleKind::Probes]);
-    assert!(probes.iter().all(|(_, result)| result.detection.is_none()), "probes detect nothing");
+    assert!(
+        probes.iter().all(|(_, result)| result.detection_time.is_none()),
+        "probes detect nothing"
+    );
 }
 
 #[test]
@@ -63,7 +67,8 @@
     plan.loads = LOADS.to_vec();
     plan.rules = vec![RuleKind::Precision, RuleKind::Detection];
     let results = suite::run(&plan);
-    let false_ejections = |rule| report::select(&results, rule, |_| true).false_ejections_hour;
+    let false_ejections =
+        |rule| report::summarize_rule(&results, rule, |_| true).false_ejections_hour;
     assert_eq!(false_ejections(RuleKind::Precision), 0.0);
     assert!(false_ejections(RuleKind::Detection) < 0.1, "{}", false_ejections(RuleKind::Detection));
 }
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Guards against an experiment that calls a chance difference between two builds significant,
-//! compares days that only one build completed, or hides runs that failed.
+//! compares days that only one of the builds completed, or hides runs that failed.
 
 use basaltarch_bench::experiment::day_runs::{DayKey, DayRun};
 use basaltarch_bench::experiment::verdict::{self, PairedFigure};
--- a/crates/bench/tests/reference.rs
+++ b/crates/bench/tests/reference.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! docs/REFERENCE.md quotes the help text word for word. Guards against a change of the help text
-//! that leaves the document as it was.
+//! docs/REFERENCE.md quotes the help text of the bench word for word. Guards against a change of
+//! the help text after which the document quotes the old text.
 
 use std::fs;
 use std::process::Command;
