--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -194,7 +194,7 @@
     pub longest: Duration,
 }
 
-/// Measures the time slices of reading a snapshot and building its layout.
+/// Measures the lengths of the time slices in which a snapshot is read and its layout is built.
 fn measure_slices(bytes: &[u8]) -> Option<SliceTimes> {
     let slice_start = Cell::new(Instant::now());
     let times = RefCell::new(Vec::new());
@@ -303,7 +303,7 @@
 pub fn print_all() {
     println!("configuration held whole by one daemon");
     println!(
-        "share    snapshot MB  resources MB  layout MB  read s  lay out s  turns p50 p99 max ms   drop ms  \
+        "share    snapshot MB  resources MB  layout MB  read s  build s    slice p50 p99 max ms   drop ms  \
          look-up ns  change us"
     );
     for share in [0.01, 0.05, 0.1, 1.0] {
--- a/crates/bench/src/crashes/mod.rs
+++ b/crates/bench/src/crashes/mod.rs
@@ -3,12 +3,12 @@
 
 //! The crash bench: decisions about requests that crash the servers that run them.
 //!
-//! It simulates a fleet in virtual time, with one daemon beside each server, the decision code of
-//! the daemon (`basaltarch-decide`), and notices between daemons that are delayed and may be lost.
-//! Bad requests crash the server that runs them. They arrive among popular requests, each with many
-//! copies, and lone requests, each of which arrives once. Servers also crash for other reasons. The
-//! bench measures how many innocent requests are refused, how many servers one bad request crashes,
-//! and the time until all daemons refuse the bad request.
+//! The bench simulates a fleet in virtual time, with one daemon beside each server, the decision
+//! code of the daemon (`basaltarch-decide`), and notices between daemons that are delayed and may
+//! be lost. Bad requests crash the server that runs them. Bad requests arrive among popular
+//! requests, each with many copies, and lone requests, each of which arrives once. Servers also
+//! crash for other reasons. The bench measures how many innocent requests are refused, how many
+//! servers one bad request crashes, and the time until all daemons refuse the bad request.
 
 pub mod world;
 
@@ -99,7 +99,7 @@
 
 /// Prints the results as a table.
 pub fn print(results: &[(CrashPlan, CrashResult)]) {
-    println!("| daemons | bad requests | told | servers crashed by each | popular refused | lone refused | known after | words a crash |");
+    println!("| daemons | bad requests | notices | servers crashed by each | popular refused | lone refused | refused by all after | notices per crash |");
     println!("|---|---|---|---|---|---|---|---|");
     for (plan, result) in results {
         println!(
--- a/crates/bench/src/crashes/world.rs
+++ b/crates/bench/src/crashes/world.rs
@@ -18,8 +18,8 @@
 
 /// Length of a run in virtual time.
 const RUN_TIME: Duration = Duration::from_secs(40);
-/// Copies of each bad request that arrive per second in the whole fleet. Callers that retry at once
-/// after a crash send such a rate, as in a real incident.
+/// Number of copies of each bad request that arrive per second in the whole fleet. Callers that
+/// retried at once after a crash caused this pattern in a real incident.
 const BAD_REQUESTS_PER_SECOND: f64 = 2.0;
 /// Popular requests per second for each daemon.
 const POPULAR_REQUESTS_PER_SECOND: f64 = 8.0;
--- a/crates/bench/src/decisions/actors.rs
+++ b/crates/bench/src/decisions/actors.rs
@@ -24,40 +24,40 @@
 /// `one route fails`.
 pub const ROUTES: [&str; 4] = ["route-1", "route-2", "route-3", "route-4"];
 
-/// `Event` is a scheduled step of the simulation.
+/// `SimulationEvent` is a scheduled step of the simulation.
 #[derive(Debug, Clone, Copy)]
-pub enum Event {
+pub enum SimulationEvent {
     Arrival,
     Replace,
     Probe,
-    HostArrival { attempt: Dispatch, refusable: bool },
-    HedgeDue { attempt: Dispatch },
-    Cancel { attempt: Dispatch },
+    HostArrival { attempt: RequestAttempt, refusable: bool },
+    HedgeDue { attempt: RequestAttempt },
+    Cancel { attempt: RequestAttempt },
     Overdue { job: usize },
     RunningCheck { job: usize },
     End { job: usize },
-    Reply { attempt: Dispatch, answer: Answer },
+    Reply { attempt: RequestAttempt, answer: HostAnswer },
 }
 
-/// `Dispatch` is one attempt at a request. `request` and `upstream` are indices, and `number`
+/// `RequestAttempt` is one attempt at a request. `request` and `upstream` are indices, and `number`
 /// counts the attempts at the request from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Dispatch {
+pub struct RequestAttempt {
     pub request: usize,
     pub upstream: usize,
     pub number: usize,
 }
 
-/// `Answer` is the reply of a host to an ingress.
+/// `HostAnswer` is the reply of a host to an ingress.
 #[derive(Debug, Clone, Copy)]
-pub enum Answer {
+pub enum HostAnswer {
     Done { end: JobEnd, service_time: Duration, load: u32, health: HealthReport },
     Refused { load: u32, health: HealthReport },
 }
 
-/// `Request` is a caller's request.
+/// `CallerRequest` is a caller's request.
 #[derive(Debug, Clone)]
-pub struct Request {
+pub struct CallerRequest {
     pub ingress: usize,
     pub route: usize,
     pub repeatable: bool,
@@ -69,19 +69,19 @@
     pub excluded: Vec<usize>,
     /// Latest attempt, for whose response the ingress waits. Earlier attempts that still run are in
     /// `slow_attempts`.
-    pub current: Option<Dispatch>,
+    pub current: Option<RequestAttempt>,
     /// Attempts that outlasted their hedging delay and still run.
-    pub slow_attempts: Vec<Dispatch>,
+    pub slow_attempts: Vec<RequestAttempt>,
     pub failed_at: Option<usize>,
     /// Whether a failure of the latest attempt is evidence against its upstream.
     pub failure_counts: bool,
-    pub finished: bool,
+    pub is_finished: bool,
 }
 
-/// `Job` is the execution of a request at an upstream.
+/// `ServiceJob` is the execution of a request at an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Job {
-    pub attempt: Dispatch,
+pub struct ServiceJob {
+    pub attempt: RequestAttempt,
     pub route: usize,
     pub started: Duration,
     pub end: JobEnd,
@@ -91,19 +91,19 @@
     pub watched: Option<(u64, UsualTime)>,
     pub is_trial: bool,
     pub after_failure: bool,
-    pub finished: bool,
+    pub is_finished: bool,
 }
 
-/// `Upstream` is a scripted upstream, with the health that the daemon of its host tracks.
-pub struct Upstream {
+/// `ScriptedUpstream` is a scripted upstream, with the health that the daemon of its host tracks.
+pub struct ScriptedUpstream {
     pub health: UpstreamHealth,
-    pub queue: VecDeque<(Dispatch, bool)>,
+    pub queue: VecDeque<(RequestAttempt, bool)>,
     pub running: Vec<usize>,
     pub accepted: Vec<Duration>,
 }
 
-/// `Ingress` is an ingress, with its view of the service and the state of its decisions.
-pub struct Ingress {
+/// `SimulatedIngress` is an ingress, with its view of the service and the state of its decisions.
+pub struct SimulatedIngress {
     pub view: ServiceView,
     pub baselines: Vec<RouteBaseline>,
     pub recent: RecentAnswers,
@@ -122,20 +122,25 @@
     prefer: EjectionPreference,
     threshold: f64,
     now: Duration,
-    cold: bool,
+    is_cold: bool,
 ) -> UpstreamHealth {
-    let mut health = UpstreamHealth::new(prefer, now, cold);
+    let mut health = UpstreamHealth::new(prefer, now, is_cold);
     health.set_threshold(threshold.max(1.0));
     health
 }
 
 /// Builds an ingress in a failure domain.
-pub fn new_ingress(plan: &ScenarioPlan, rule: RuleKind, threshold: f64, domain: usize) -> Ingress {
+pub fn new_ingress(
+    plan: &ScenarioPlan,
+    rule: RuleKind,
+    threshold: f64,
+    domain: usize,
+) -> SimulatedIngress {
     let deployment = plan.deployment;
     let views = (0..deployment.upstreams)
         .map(|index| LoadView::new(deployment.slots, index % deployment.domains == domain))
         .collect();
-    Ingress {
+    SimulatedIngress {
         view: ServiceView::new(deployment.floor, views),
         baselines: vec![RouteBaseline::default(); ROUTES.len()],
         recent: RecentAnswers::default(),
--- a/crates/bench/src/decisions/bounds.rs
+++ b/crates/bench/src/decisions/bounds.rs
@@ -53,13 +53,13 @@
 /// Returns the plain rule with the shortest median detection time over all cases, the median
 /// detection time of the rule, and its false ejections per upstream-hour.
 pub fn best_plain(results: &[(RunKey, RunResult)]) -> Option<(RuleKind, Duration, f64)> {
-    let faulty = |key: &RunKey| CASES[key.case].one_is_faulty;
-    let timed = PLAIN_RULES.iter().filter_map(|rule| {
-        let median = report::summarize_rule(results, *rule, faulty).detection_median?;
+    let is_faulty_case = |key: &RunKey| CASES[key.case].one_is_faulty;
+    let timed_rules = PLAIN_RULES.iter().filter_map(|rule| {
+        let median = report::summarize_rule(results, *rule, is_faulty_case).detection_median?;
         let false_rate = report::summarize_rule(results, *rule, |_| true).false_ejections_hour;
         Some((*rule, median, false_rate))
     });
-    timed.min_by_key(|(_, median, _)| *median)
+    timed_rules.min_by_key(|(_, median, _)| *median)
 }
 
 /// Checks that the rules of the daemon keep their bounds and surpass the best plain rule by the
@@ -67,15 +67,15 @@
 pub fn check(plan: &SuitePlan, results: &[(RunKey, RunResult)]) -> Result<(), BenchError> {
     let broken_runs = results.iter().filter(|(_, result)| result.floor_broken).count();
     require(broken_runs == 0, format!("ejections broke the floor in {broken_runs} runs"))?;
-    let (plain, plain_median, plain_false) = best_plain(results)
+    let (plain_rule, plain_median, plain_false) = best_plain(results)
         .ok_or(BenchError::Bound { message: "no plain rule detected a fault".to_owned() })?;
-    let faulty = |key: &RunKey| CASES[key.case].one_is_faulty;
+    let is_faulty_case = |key: &RunKey| CASES[key.case].one_is_faulty;
     for (rule, median_max, false_max) in [
         (RuleKind::Detection, DETECTION_MEDIAN_MAX, DETECTION_FALSE_MAX),
         (RuleKind::Precision, PRECISION_MEDIAN_MAX, PRECISION_FALSE_MAX),
     ] {
         let name = rule.name();
-        let median = report::summarize_rule(results, rule, faulty).detection_median;
+        let median = report::summarize_rule(results, rule, is_faulty_case).detection_median;
         let median = median.unwrap_or(Duration::MAX);
         let false_rate = report::summarize_rule(results, rule, |_| true).false_ejections_hour;
         require(
@@ -95,7 +95,7 @@
             speedup >= speedup_min && fewer_factor >= fewer_factor_min,
             format!(
                 "{name}: {speedup:.1} times faster, {fewer_factor:.1} times fewer false ejections than {}",
-                plain.name()
+                plain_rule.name()
             ),
         )?;
     }
@@ -110,7 +110,7 @@
 ///   upstream takes no more requests whatever the rule decides. The daemon cancels slow attempts,
 ///   which frees the slots. So the upstream receives requests until the daemon ejects it, but
 ///   callers wait less.
-/// - `stuck from its start`: the reason for `stuck` holds here too, and the hang detector allows a
+/// - `stuck from its start`: the reason is that of `stuck`; in addition, the hang detector allows a
 ///   cold upstream more time.
 /// - `quick errors`: under a plain rule, the upstream attracts traffic by failing quickly, and so
 ///   reaches five failures sooner, at the cost of callers.
--- a/crates/bench/src/decisions/chart.rs
+++ b/crates/bench/src/decisions/chart.rs
@@ -55,17 +55,19 @@
         .iter()
         .map(|(rule, values)| RuleCurve {
             rule: *rule,
-            points: values.iter().map(|value| point(*rule, *value)).collect(),
+            points: values.iter().map(|value| measure_point(*rule, *value)).collect(),
         })
         .collect()
 }
 
-fn point(rule: RuleKind, threshold: f64) -> (f64, f64, f64) {
+fn measure_point(rule: RuleKind, threshold: f64) -> (f64, f64, f64) {
     let results = suite::run(&sweep_suite(rule, threshold));
-    let faulty = report::summarize_rule(&results, rule, |key| CASES[key.case].one_is_faulty);
-    let every = report::summarize_rule(&results, rule, |_| true);
-    let seconds = faulty.detection_median.map_or(NO_DETECTION_AT_S, |median| median.as_secs_f64());
-    (threshold, every.false_ejections_hour, seconds)
+    let faulty_summary =
+        report::summarize_rule(&results, rule, |key| CASES[key.case].one_is_faulty);
+    let overall_summary = report::summarize_rule(&results, rule, |_| true);
+    let seconds =
+        faulty_summary.detection_median.map_or(NO_DETECTION_AT_S, |median| median.as_secs_f64());
+    (threshold, overall_summary.false_ejections_hour, seconds)
 }
 
 /// Draws curves into an SVG file.
--- a/crates/bench/src/decisions/faults.rs
+++ b/crates/bench/src/decisions/faults.rs
@@ -50,15 +50,15 @@
     plan: &ScenarioPlan,
     now: Duration,
     upstream: usize,
-    faulty: usize,
+    faulty_upstream: usize,
 ) -> bool {
     let share = match plan.script {
         FaultScript::LyingHealth(share) if plan.is_in_fault(now) => share,
         _ => return true,
     };
     let healthy_upstreams = plan.deployment.upstreams - 1;
-    let rank = (upstream + healthy_upstreams - faulty) % plan.deployment.upstreams;
-    upstream == faulty || rank >= (share * healthy_upstreams as f64).ceil() as usize
+    let rank = (upstream + healthy_upstreams - faulty_upstream) % plan.deployment.upstreams;
+    upstream == faulty_upstream || rank >= (share * healthy_upstreams as f64).ceil() as usize
 }
 
 /// Returns the load that the load endpoint of an upstream reports.
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -12,16 +12,18 @@
     AdmitVerdict, DispatchTerms, HealthChange, HealthReport, WatchEnd,
 };
 
-use crate::decisions::actors::{self, Answer, Dispatch, Event, Job, ROUTES};
+use crate::decisions::actors::{
+    self, HostAnswer, RequestAttempt, ServiceJob, SimulationEvent, ROUTES,
+};
 use crate::decisions::faults::{self, JobEnd};
 use crate::decisions::rules::RuleKind;
 use crate::decisions::scenario;
-use crate::decisions::world::{World, FAULTY_UPSTREAM, SLOW_ROUTE};
+use crate::decisions::world::{DecisionWorld, FAULTY_UPSTREAM, SLOW_ROUTE};
 
-impl World {
+impl DecisionWorld {
     /// Returns the baseline that an ingress sends along with a request: the typical latencies and
     /// the health scores of the other upstreams of the service.
-    pub(super) fn baseline_for(&self, attempt: Dispatch) -> ServiceBaseline {
+    pub(super) fn baseline_for(&self, attempt: RequestAttempt) -> ServiceBaseline {
         let request = &self.requests[attempt.request];
         let ingress = &self.ingresses[request.ingress];
         let mut baseline = ingress.baselines[request.route].current();
@@ -30,7 +32,7 @@
         baseline
     }
 
-    pub(super) fn handle_host_arrival(&mut self, attempt: Dispatch, refusable: bool) {
+    pub(super) fn handle_host_arrival(&mut self, attempt: RequestAttempt, refusable: bool) {
         let mut is_trial = false;
         if self.rule.prefer().is_some() {
             let request = &self.requests[attempt.request];
@@ -67,9 +69,9 @@
         }
     }
 
-    fn refuse_attempt(&mut self, attempt: Dispatch) {
+    fn refuse_attempt(&mut self, attempt: RequestAttempt) {
         let (load, health) = self.report(attempt.upstream, self.requests[attempt.request].route);
-        self.send_reply(attempt, Answer::Refused { load, health });
+        self.send_reply(attempt, HostAnswer::Refused { load, health });
     }
 
     fn report(&self, index: usize, route: usize) -> (u32, HealthReport) {
@@ -89,13 +91,13 @@
         (load, health)
     }
 
-    fn send_reply(&mut self, attempt: Dispatch, answer: Answer) {
+    fn send_reply(&mut self, attempt: RequestAttempt, answer: HostAnswer) {
         let domain = self.ingresses[self.requests[attempt.request].ingress].domain;
         let delay = actors::delay_between(&self.plan, domain, attempt.upstream);
-        self.schedule(delay, Event::Reply { attempt, answer });
+        self.schedule(delay, SimulationEvent::Reply { attempt, answer });
     }
 
-    fn start_job(&mut self, attempt: Dispatch, is_trial: bool) {
+    fn start_job(&mut self, attempt: RequestAttempt, is_trial: bool) {
         let route = self.requests[attempt.request].route;
         let (time, end) = self.sample_service(attempt);
         let job = self.jobs.len();
@@ -107,7 +109,7 @@
         if !is_trial {
             upstream.accepted.push(self.now);
         }
-        self.jobs.push(Job {
+        self.jobs.push(ServiceJob {
             attempt,
             route,
             started: self.now,
@@ -116,24 +118,24 @@
             watched,
             is_trial,
             after_failure: !self.requests[attempt.request].failure_counts,
-            finished: false,
+            is_finished: false,
         });
-        self.schedule(time, Event::End { job });
+        self.schedule(time, SimulationEvent::End { job });
         if let Some((_, usual)) = watched {
-            self.schedule(hang::first_check(&usual), Event::RunningCheck { job });
+            self.schedule(hang::first_check(&usual), SimulationEvent::RunningCheck { job });
         }
         if self.rule.prefer().is_some() && !is_trial {
             let health = &self.upstreams[attempt.upstream].health;
             if let Some(after) = health.overdue_after(ROUTES[route], self.now) {
                 if after < time {
-                    self.schedule(after, Event::Overdue { job });
+                    self.schedule(after, SimulationEvent::Overdue { job });
                 }
             }
         }
     }
 
     /// Samples how long the request of an attempt runs, and its outcome.
-    fn sample_service(&mut self, attempt: Dispatch) -> (Duration, JobEnd) {
+    fn sample_service(&mut self, attempt: RequestAttempt) -> (Duration, JobEnd) {
         let request = &self.requests[attempt.request];
         let sample = faults::ServiceSample {
             plan: &self.plan,
@@ -146,32 +148,35 @@
         sample.sample(&self.service_times, &mut self.rng)
     }
 
-    pub(super) fn note_overdue(&mut self, number: usize) {
-        let job = self.jobs[number];
-        if job.finished {
+    pub(super) fn note_overdue(&mut self, job_index: usize) {
+        let job = self.jobs[job_index];
+        if job.is_finished {
             return;
         }
-        self.jobs[number].is_overdue = true;
+        self.jobs[job_index].is_overdue = true;
         let health = &mut self.upstreams[job.attempt.upstream].health;
         let change = health.note_overdue(ROUTES[job.route], self.now);
         self.note_change(job.attempt.upstream, change);
     }
 
     /// Checks whether the running jobs of a job's upstream hang, as the daemon does.
-    pub(super) fn check_job(&mut self, number: usize) {
-        let job = self.jobs[number];
+    pub(super) fn check_job(&mut self, job_index: usize) {
+        let job = self.jobs[job_index];
         let usual = match job.watched {
-            Some((_, usual)) if !job.finished => usual,
+            Some((_, usual)) if !job.is_finished => usual,
             _ => return,
         };
         let change = self.upstreams[job.attempt.upstream].health.check_running(self.now);
         self.note_change(job.attempt.upstream, change);
-        self.schedule(hang::check_interval(&usual), Event::RunningCheck { job: number });
+        self.schedule(
+            hang::check_interval(&usual),
+            SimulationEvent::RunningCheck { job: job_index },
+        );
     }
 
     /// Removes a job from the hang detector.
-    fn end_watch(&mut self, number: usize, answered: bool) {
-        let job = self.jobs[number];
+    fn end_watch(&mut self, job_index: usize, answered: bool) {
+        let job = self.jobs[job_index];
         let end = match (answered, job.is_overdue) {
             (true, _) => WatchEnd::Progressed,
             (false, true) => WatchEnd::Recorded,
@@ -184,24 +189,24 @@
         }
     }
 
-    pub(super) fn end_job(&mut self, number: usize) {
-        let job = self.jobs[number];
-        if job.finished {
+    pub(super) fn end_job(&mut self, job_index: usize) {
+        let job = self.jobs[job_index];
+        if job.is_finished {
             return;
         }
-        self.end_watch(number, job.end != JobEnd::Timeout);
-        self.free_slot(number);
+        self.end_watch(job_index, job.end != JobEnd::Timeout);
+        self.free_slot(job_index);
         self.note_evidence(&job);
         let (load, health) = self.report(job.attempt.upstream, job.route);
         let service_time = self.now - job.started;
-        self.send_reply(job.attempt, Answer::Done { end: job.end, service_time, load, health });
+        self.send_reply(job.attempt, HostAnswer::Done { end: job.end, service_time, load, health });
         self.start_next(job.attempt.upstream);
     }
 
-    fn free_slot(&mut self, number: usize) {
-        self.jobs[number].finished = true;
-        let index = self.jobs[number].attempt.upstream;
-        self.upstreams[index].running.retain(|running| *running != number);
+    fn free_slot(&mut self, job_index: usize) {
+        self.jobs[job_index].is_finished = true;
+        let index = self.jobs[job_index].attempt.upstream;
+        self.upstreams[index].running.retain(|running| *running != job_index);
     }
 
     fn start_next(&mut self, index: usize) {
@@ -212,23 +217,23 @@
 
     /// Cancels an attempt for whose response the ingress no longer waits. The cancelled attempt is
     /// no evidence about the upstream, except if the attempt was already recorded as overdue.
-    pub(super) fn cancel_attempt(&mut self, attempt: Dispatch) {
+    pub(super) fn cancel_attempt(&mut self, attempt: RequestAttempt) {
         let upstream = &mut self.upstreams[attempt.upstream];
         let waiting = upstream.queue.iter().position(|(queued, _)| *queued == attempt);
         if let Some((_, is_trial)) = waiting.and_then(|position| upstream.queue.remove(position)) {
             return self.release_trial(attempt.upstream, is_trial);
         }
         let mut running = upstream.running.iter().copied();
-        let job = running.find(|number| self.jobs[*number].attempt == attempt);
-        if let Some(number) = job {
-            self.end_watch(number, false);
-            self.free_slot(number);
-            self.release_trial(attempt.upstream, self.jobs[number].is_trial);
+        let job = running.find(|job_index| self.jobs[*job_index].attempt == attempt);
+        if let Some(job_index) = job {
+            self.end_watch(job_index, false);
+            self.free_slot(job_index);
+            self.release_trial(attempt.upstream, self.jobs[job_index].is_trial);
             self.start_next(attempt.upstream);
         }
     }
 
-    fn note_evidence(&mut self, job: &Job) {
+    fn note_evidence(&mut self, job: &ServiceJob) {
         if self.rule.prefer().is_none() {
             return;
         }
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -6,22 +6,22 @@
 use basaltarch_decide::balance::ChoiceRequest;
 use basaltarch_decide::hedge;
 
-use crate::decisions::actors::{self, Answer, Dispatch, Event, ROUTES};
+use crate::decisions::actors::{self, HostAnswer, RequestAttempt, SimulationEvent, ROUTES};
 use crate::decisions::faults::{self, JobEnd};
 use crate::decisions::rules;
 use crate::decisions::scenario;
-use crate::decisions::world::{World, FAULTY_UPSTREAM};
+use crate::decisions::world::{DecisionWorld, FAULTY_UPSTREAM};
 
 /// Multiple of the median service time above which a response counts as slow for the caller.
 const SLOW_ANSWER_FACTOR: u32 = 8;
 /// Maximum number of dispatches of one request, as in the daemon.
 const DISPATCHES_MAX: usize = 3;
 
-impl World {
+impl DecisionWorld {
     /// Chooses an upstream for a request and sends the request to the upstream. If no upstream can
     /// take the request, the request fails.
-    pub(super) fn dispatch(&mut self, number: usize) {
-        let request = &self.requests[number];
+    pub(super) fn dispatch(&mut self, request_index: usize) {
+        let request = &self.requests[request_index];
         let ingress = &mut self.ingresses[request.ingress];
         if self.rule.prefer().is_none() {
             for index in 0..self.upstreams.len() {
@@ -29,7 +29,7 @@
             }
             self.note_plain_return();
         }
-        let request = &self.requests[number];
+        let request = &self.requests[request_index];
         let ingress = &mut self.ingresses[request.ingress];
         let must_take = request.dispatches + 1 >= DISPATCHES_MAX;
         let criteria = ChoiceRequest {
@@ -41,20 +41,23 @@
         let choice = ingress.view.choose(self.now, &criteria, &mut self.rng);
         let choice = match choice {
             Some(choice) if request.dispatches < DISPATCHES_MAX => choice,
-            _ => return self.finish_request(number, false),
+            _ => return self.finish_request(request_index, false),
         };
         ingress.view.note_sent(choice.index);
         let known_poison = ingress.poison.is_poison(request.hash, self.now);
         let delay = actors::delay_between(&self.plan, ingress.domain, choice.index);
-        self.note_capacity(number);
-        let request = &mut self.requests[number];
+        self.note_capacity(request_index);
+        let request = &mut self.requests[request_index];
         request.failure_counts = request.failed_at.is_none() && !known_poison;
         request.dispatches += 1;
         request.sent_at = self.now;
-        let attempt =
-            Dispatch { request: number, upstream: choice.index, number: request.dispatches };
-        self.requests[number].current = Some(attempt);
-        self.schedule(delay, Event::HostArrival { attempt, refusable: choice.refusable });
+        let attempt = RequestAttempt {
+            request: request_index,
+            upstream: choice.index,
+            number: request.dispatches,
+        };
+        self.requests[request_index].current = Some(attempt);
+        self.schedule(delay, SimulationEvent::HostArrival { attempt, refusable: choice.refusable });
         self.schedule_hedge(attempt);
     }
 
@@ -62,18 +65,18 @@
     pub(super) fn probe_upstreams(&mut self) {
         let fraction = 1.0 / self.ingresses.len() as f64;
         for index in 0..self.upstreams.len() {
-            let good = faults::endpoint_is_good(&self.plan, self.now, index, FAULTY_UPSTREAM);
+            let is_good = faults::endpoint_is_good(&self.plan, self.now, index, FAULTY_UPSTREAM);
             for ingress in 0..self.ingresses.len() {
-                if self.ingresses[ingress].rule.note_probe(index, good, self.now) {
+                if self.ingresses[ingress].rule.note_probe(index, is_good, self.now) {
                     self.note_ejection(index, fraction);
                 }
             }
         }
-        self.schedule(rules::PROBE_INTERVAL, Event::Probe);
+        self.schedule(rules::PROBE_INTERVAL, SimulationEvent::Probe);
     }
 
     /// Schedules a hedge for a repeatable request after the hedging delay, as the daemon does.
-    fn schedule_hedge(&mut self, attempt: Dispatch) {
+    fn schedule_hedge(&mut self, attempt: RequestAttempt) {
         let may_hedge =
             self.requests[attempt.request].repeatable && attempt.number < DISPATCHES_MAX;
         if self.rule.prefer().is_none() || !may_hedge {
@@ -81,18 +84,18 @@
         }
         let baseline = self.baseline_for(attempt);
         if let Some(usual) = baseline.usual_time() {
-            self.schedule(hedge::due_after(&usual, None), Event::HedgeDue { attempt });
+            self.schedule(hedge::due_after(&usual, None), SimulationEvent::HedgeDue { attempt });
         }
     }
 
-    fn is_waiting_for(&self, attempt: Dispatch) -> bool {
+    fn is_waiting_for(&self, attempt: RequestAttempt) -> bool {
         let request = &self.requests[attempt.request];
-        !request.finished && request.dispatches == attempt.number
+        !request.is_finished && request.dispatches == attempt.number
     }
 
     /// Sends a hedge while an attempt still runs after its hedging delay, if the retry budget
     /// allows the hedge.
-    pub(super) fn send_hedge(&mut self, attempt: Dispatch) {
+    pub(super) fn send_hedge(&mut self, attempt: RequestAttempt) {
         if !self.is_waiting_for(attempt) {
             return;
         }
@@ -109,16 +112,16 @@
 
     /// Handles the response to a slow attempt. The response ends the request only if it is
     /// successful.
-    fn handle_slow_answer(&mut self, attempt: Dispatch, answer: Answer) {
+    fn handle_slow_answer(&mut self, attempt: RequestAttempt, answer: HostAnswer) {
         let request = &mut self.requests[attempt.request];
         let before = request.slow_attempts.len();
         request.slow_attempts.retain(|slow_attempt| *slow_attempt != attempt);
         let was_slow = request.slow_attempts.len() < before;
-        let is_good = matches!(answer, Answer::Done { end: JobEnd::Good, .. });
+        let is_good = matches!(answer, HostAnswer::Done { end: JobEnd::Good, .. });
         if was_slow {
             self.ingresses[request.ingress].view.note_ended(attempt.upstream);
         }
-        if was_slow && is_good && !request.finished {
+        if was_slow && is_good && !request.is_finished {
             self.cancel_current(attempt.request);
             self.finish_request(attempt.request, true);
         }
@@ -126,31 +129,33 @@
 
     /// Cancels the current attempt of a request after an earlier, slow attempt has got the
     /// response.
-    fn cancel_current(&mut self, number: usize) {
-        if let Some(attempt) = self.requests[number].current {
+    fn cancel_current(&mut self, request_index: usize) {
+        if let Some(attempt) = self.requests[request_index].current {
             self.cancel_from_ingress(attempt);
         }
     }
 
-    fn cancel_from_ingress(&mut self, attempt: Dispatch) {
+    fn cancel_from_ingress(&mut self, attempt: RequestAttempt) {
         let ingress = &mut self.ingresses[self.requests[attempt.request].ingress];
         ingress.view.note_ended(attempt.upstream);
         let delay = actors::delay_between(&self.plan, ingress.domain, attempt.upstream);
-        self.schedule(delay, Event::Cancel { attempt });
+        self.schedule(delay, SimulationEvent::Cancel { attempt });
     }
 
-    pub(super) fn handle_reply(&mut self, attempt: Dispatch, answer: Answer) {
+    pub(super) fn handle_reply(&mut self, attempt: RequestAttempt, answer: HostAnswer) {
         if !self.is_waiting_for(attempt) {
             return self.handle_slow_answer(attempt, answer);
         }
-        let (number, index) = (attempt.request, attempt.upstream);
-        let request = self.requests[number].clone();
+        let (request_index, index) = (attempt.request, attempt.upstream);
+        let request = self.requests[request_index].clone();
         let ingress = &mut self.ingresses[request.ingress];
         ingress.view.note_ended(index);
         let (load, health) = match answer {
-            Answer::Done { load, health, .. } | Answer::Refused { load, health } => (load, health),
+            HostAnswer::Done { load, health, .. } | HostAnswer::Refused { load, health } => {
+                (load, health)
+            }
         };
-        if let Answer::Done { end, service_time, .. } = answer {
+        if let HostAnswer::Done { end, service_time, .. } = answer {
             let baseline = ingress.baselines[request.route].current();
             let failed = end != JobEnd::Good;
             let service_time = (!failed).then_some(service_time);
@@ -160,17 +165,17 @@
         ingress.view.note_median(ingress.baselines[request.route].current().median_ln);
         ingress.view.note_report(index, load, health, self.now);
         match answer {
-            Answer::Done { end, .. } => self.handle_answer(number, index, end),
-            Answer::Refused { .. } => {
-                self.requests[number].excluded.push(index);
-                self.dispatch(number);
+            HostAnswer::Done { end, .. } => self.handle_answer(request_index, index, end),
+            HostAnswer::Refused { .. } => {
+                self.requests[request_index].excluded.push(index);
+                self.dispatch(request_index);
             }
         }
     }
 
-    fn handle_answer(&mut self, number: usize, index: usize, end: JobEnd) {
+    fn handle_answer(&mut self, request_index: usize, index: usize, end: JobEnd) {
         let failed = end != JobEnd::Good;
-        let request = &self.requests[number];
+        let request = &self.requests[request_index];
         let ingress = &mut self.ingresses[request.ingress];
         if self.rule.prefer().is_none() {
             let latency = self.now.saturating_sub(request.sent_at);
@@ -180,21 +185,21 @@
                 self.note_ejection(each, fraction);
             }
         }
-        let ingress = &mut self.ingresses[self.requests[number].ingress];
-        let hash = self.requests[number].hash;
+        let ingress = &mut self.ingresses[self.requests[request_index].ingress];
+        let hash = self.requests[request_index].hash;
         if !failed {
             ingress.poison.note_success(hash);
-            return self.finish_request(number, true);
+            return self.finish_request(request_index, true);
         }
-        let first_failed = self.requests[number].failed_at;
+        let first_failed = self.requests[request_index].failed_at;
         if let Some(first_failed) = first_failed {
             ingress.poison.note_withdrawn(hash, &(first_failed as u32));
         }
-        let failure_counts = self.requests[number].failure_counts;
+        let failure_counts = self.requests[request_index].failure_counts;
         let withdrawn = ingress.poison.note_failure(hash, index as u32, failure_counts, self.now);
         let retry_forbidden =
             self.rule.prefer().is_some() && ingress.poison.forbids_retry(hash, self.now);
-        let route = self.requests[number].route;
+        let route = self.requests[request_index].route;
         for failures in withdrawn {
             for _ in 0..failures.count {
                 self.withdraw(failures.upstream as usize, route);
@@ -202,17 +207,17 @@
         }
         if let Some(first_failed) = first_failed {
             self.withdraw(first_failed, route);
-            return self.finish_request(number, false);
+            return self.finish_request(request_index, false);
         }
-        let request = &mut self.requests[number];
+        let request = &mut self.requests[request_index];
         let before_timeout = self.now.saturating_sub(request.begun) < scenario::REQUEST_TIMEOUT;
         let budget = &mut self.ingresses[request.ingress].budget;
         if request.repeatable && before_timeout && !retry_forbidden && budget.take(self.now) {
             request.failed_at = Some(index);
             request.excluded.push(index);
-            return self.dispatch(number);
+            return self.dispatch(request_index);
         }
-        self.finish_request(number, false);
+        self.finish_request(request_index, false);
     }
 
     fn withdraw(&mut self, index: usize, route: usize) {
@@ -221,10 +226,10 @@
         }
     }
 
-    fn finish_request(&mut self, number: usize, good: bool) {
-        let begun = self.requests[number].begun;
-        self.requests[number].finished = true;
-        for attempt in std::mem::take(&mut self.requests[number].slow_attempts) {
+    fn finish_request(&mut self, request_index: usize, is_good: bool) {
+        let begun = self.requests[request_index].begun;
+        self.requests[request_index].is_finished = true;
+        for attempt in std::mem::take(&mut self.requests[request_index].slow_attempts) {
             self.cancel_from_ingress(attempt);
         }
         let is_in_fault = self.plan.is_in_fault(begun);
@@ -232,7 +237,7 @@
             return;
         }
         let slow = self.now - begun > scenario::SERVICE_TIME_MEDIAN * SLOW_ANSWER_FACTOR;
-        self.result.failed += u64::from(!good);
-        self.result.slow += u64::from(good && slow);
+        self.result.failed_count += u64::from(!is_good);
+        self.result.slow_count += u64::from(is_good && slow);
     }
 }
--- a/crates/bench/src/decisions/measure.rs
+++ b/crates/bench/src/decisions/measure.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use crate::decisions::world::{World, FAULTY_UPSTREAM};
+use crate::decisions::world::{DecisionWorld, FAULTY_UPSTREAM};
 
 /// Time without requests after which an upstream counts as taken out of service, as a multiple of
 /// the mean time between requests to the upstream.
@@ -16,34 +16,34 @@
 /// `RunResult` holds the measurements of one run.
 #[derive(Debug, Clone, Default)]
 pub struct RunResult {
-    /// Time from the fault until the last request that the faulty upstream received, if it stopped
-    /// receiving requests.
+    /// Time from the fault until the last request that the faulty upstream received; `None` if the
+    /// upstream did not stop receiving requests.
     pub detection_time: Option<Duration>,
     /// Number of requests that the faulty upstream received from the fault until its detection.
-    pub received: u64,
+    pub received_count: u64,
     /// Number of ejections of upstreams that were not faulty. An ejection by one of several
     /// ingresses counts as a fraction.
     pub false_ejections: f64,
     /// Upstream-hours of the run, by which the false ejections are divided.
     pub upstream_hours: f64,
     /// Number of requests that callers sent.
-    pub requests: u64,
+    pub request_count: u64,
     /// Number of requests that arrived while the fault lasted and failed for the caller.
-    pub failed: u64,
+    pub failed_count: u64,
     /// Number of requests that arrived while the fault lasted and got a successful but slow
     /// response.
-    pub slow: u64,
-    /// Fewest slots in service in the view of any ingress while it avoided an upstream, as a ratio
-    /// to the slots that the floor requires.
+    pub slow_count: u64,
+    /// Fewest slots in service in the view of any ingress that avoided an upstream at the time, as
+    /// a ratio to the slots that the floor requires.
     pub lowest_floor_ratio: f64,
-    /// Whether ejections brought the service below its floor.
+    /// Whether ejections left fewer slots in service than the floor of the service requires.
     pub floor_broken: bool,
-    /// Time from the end of the fault until the faulty upstream returned, if it was ejected when
-    /// the fault ended.
+    /// Time from the end of the fault until the faulty upstream returned; `None` if the upstream
+    /// was not ejected when the fault ended, or did not return.
     pub return_time: Option<Duration>,
 }
 
-impl World {
+impl DecisionWorld {
     /// Records when, after the fault, the faulty upstream is no longer ejected at any ingress under
     /// a plain rule.
     pub(super) fn note_plain_return(&mut self) {
@@ -60,8 +60,8 @@
     }
 
     /// Records the ratio of the slots in service to the floor, after each decision.
-    pub(super) fn note_capacity(&mut self, number: usize) {
-        let view = &self.ingresses[self.requests[number].ingress].view;
+    pub(super) fn note_capacity(&mut self, request_index: usize) {
+        let view = &self.ingresses[self.requests[request_index].ingress].view;
         let plan = view.plan();
         let is_plain_rule = self.rule.prefer().is_none();
         let has_plain_ejection =
@@ -115,7 +115,7 @@
                 break;
             }
             last = *at;
-            self.result.received += 1;
+            self.result.received_count += 1;
         }
         let stopped = end.saturating_sub(last) > idle_time;
         self.result.detection_time = stopped.then(|| last - begin);
--- a/crates/bench/src/decisions/mod.rs
+++ b/crates/bench/src/decisions/mod.rs
@@ -1,13 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The decision bench: how soon each ejection rule stops sending requests to a faulty upstream,
-//! and how often it ejects a healthy one.
+//! The decision bench: how soon each ejection rule stops sending requests to a faulty upstream, and
+//! how often the rule ejects a healthy upstream.
 //!
-//! It simulates the upstreams of one service in virtual time with seeded random numbers, and runs
-//! the decision code of the daemon (`basaltarch-decide`) and plain rules in common use over the
-//! upstreams.
-//! No network, platform or process is involved, and every run gives the same figures.
+//! The bench simulates the upstreams of one service in virtual time with seeded random numbers, and
+//! runs the decision code of the daemon (`basaltarch-decide`) and plain rules in common use over
+//! the upstreams. No network, platform or process is involved, and every run gives the same
+//! figures.
 
 pub mod actors;
 pub mod bounds;
--- a/crates/bench/src/decisions/report.rs
+++ b/crates/bench/src/decisions/report.rs
@@ -67,7 +67,7 @@
     rows
 }
 
-/// Aggregates those results of a rule whose keys `is_wanted` accepts.
+/// Aggregates the results of a rule for whose keys `is_wanted` returns true.
 pub fn summarize_rule(
     results: &[(RunKey, RunResult)],
     rule: RuleKind,
@@ -75,8 +75,8 @@
 ) -> RuleSummary {
     let chosen: Vec<&(RunKey, RunResult)> =
         results.iter().filter(|(key, _)| key.rule == rule && is_wanted(key)).collect();
-    let faulty = chosen.first().is_some_and(|(key, _)| CASES[key.case].one_is_faulty);
-    suite::summarize(chosen.iter().map(|(_, result)| result), faulty)
+    let one_is_faulty = chosen.first().is_some_and(|(key, _)| CASES[key.case].one_is_faulty);
+    suite::summarize(chosen.iter().map(|(_, result)| result), one_is_faulty)
 }
 
 fn format_time(time: Option<Duration>) -> String {
@@ -91,15 +91,15 @@
 pub fn markdown(plan: &SuitePlan, results: &[(RunKey, RunResult)]) -> String {
     let rows = rows(plan, results);
     let mut text = String::new();
-    let faulty: Vec<CaseRow> =
+    let faulty_rows: Vec<CaseRow> =
         rows.iter().filter(|row| CASES[row.case].one_is_faulty).cloned().collect();
-    write_table(&mut text, plan, &faulty, DETECTION_TITLE, detection_cell);
+    write_table(&mut text, plan, &faulty_rows, DETECTION_TITLE, detection_cell);
     write_table(&mut text, plan, &rows, "False ejections for each upstream-hour", |summary| {
         format!("{:.3}", summary.false_ejections_hour)
     });
     write_table(&mut text, plan, &rows, CALLERS_TITLE, callers_cell);
     write_table(&mut text, plan, &rows, CAPACITY_TITLE, capacity_cell);
-    write_table(&mut text, plan, &faulty, RETURN_TITLE, |summary| {
+    write_table(&mut text, plan, &faulty_rows, RETURN_TITLE, |summary| {
         format_time(summary.returned_median)
     });
     write_rules(&mut text, results);
@@ -137,7 +137,7 @@
         format_time(summary.detection_median),
         summary.received_median,
         format_time(summary.detection_p99),
-        100.0 * summary.stopped as f64 / summary.runs.max(1) as f64
+        100.0 * summary.detected_run_count as f64 / summary.run_count.max(1) as f64
     )
 }
 
@@ -158,24 +158,24 @@
 fn write_rules(text: &mut String, results: &[(RunKey, RunResult)]) {
     text.push_str("Over all cases\n\n| rule | detection median | received | stopped | false ejections an upstream-hour | failed answers | slow answers | lowest over floor | floor broken | return median |\n|---|---|---|---|---|---|---|---|---|---|\n");
     for rule in RULES {
-        let faulty = summarize_rule(results, rule, |key| CASES[key.case].one_is_faulty);
-        let all: Vec<&RunResult> =
+        let faulty_summary = summarize_rule(results, rule, |key| CASES[key.case].one_is_faulty);
+        let rule_results: Vec<&RunResult> =
             results.iter().filter(|(key, _)| key.rule == rule).map(|(_, result)| result).collect();
-        let every = suite::summarize(all.into_iter(), false);
+        let overall_summary = suite::summarize(rule_results.into_iter(), false);
         let _ = writeln!(
             text,
             "| {} | {} | {} | {} of {} | {:.3} | {:.3}% | {:.3}% | {:.2} | {} | {} |",
             rule.name(),
-            format_time(faulty.detection_median),
-            faulty.received_median,
-            faulty.stopped,
-            faulty.runs,
-            every.false_ejections_hour,
-            100.0 * every.failed_share,
-            100.0 * every.slow_share,
-            every.lowest_floor_ratio,
-            every.floor_broken_runs,
-            format_time(faulty.returned_median)
+            format_time(faulty_summary.detection_median),
+            faulty_summary.received_median,
+            faulty_summary.detected_run_count,
+            faulty_summary.run_count,
+            overall_summary.false_ejections_hour,
+            100.0 * overall_summary.failed_share,
+            100.0 * overall_summary.slow_share,
+            overall_summary.lowest_floor_ratio,
+            overall_summary.floor_broken_run_count,
+            format_time(faulty_summary.returned_median)
         );
     }
 }
--- a/crates/bench/src/decisions/rules.rs
+++ b/crates/bench/src/decisions/rules.rs
@@ -119,8 +119,8 @@
     failures_in_row: u32,
     failed_probes_in_row: u32,
     window: VecDeque<(Duration, bool)>,
-    answered: u32,
-    failed: u32,
+    answered_count: u32,
+    failed_count: u32,
     latency_sum_s: f64,
     ejected_until: Option<Duration>,
     ejections: u32,
@@ -167,8 +167,8 @@
     ) -> Vec<usize> {
         let upstream = &mut self.upstreams[index];
         upstream.failures_in_row = if failed { upstream.failures_in_row + 1 } else { 0 };
-        upstream.answered += 1;
-        upstream.failed += u32::from(failed);
+        upstream.answered_count += 1;
+        upstream.failed_count += u32::from(failed);
         upstream.latency_sum_s += latency.as_secs_f64();
         let chosen = match self.kind {
             RuleKind::Consecutive if f64::from(upstream.failures_in_row) >= self.threshold => {
@@ -191,9 +191,9 @@
 
     /// Records a probe of the health endpoint of an upstream, and returns whether the rule ejects
     /// the upstream because of the probe.
-    pub fn note_probe(&mut self, index: usize, good: bool, now: Duration) -> bool {
+    pub fn note_probe(&mut self, index: usize, is_good: bool, now: Duration) -> bool {
         let upstream = &mut self.upstreams[index];
-        upstream.failed_probes_in_row = if good { 0 } else { upstream.failed_probes_in_row + 1 };
+        upstream.failed_probes_in_row = if is_good { 0 } else { upstream.failed_probes_in_row + 1 };
         f64::from(upstream.failed_probes_in_row) >= self.threshold && self.eject(index, now)
     }
 
@@ -217,21 +217,22 @@
         }
         self.evaluated_at = now;
         let compared: Vec<usize> = (0..self.upstreams.len())
-            .filter(|index| self.upstreams[*index].answered >= OUTLIER_REQUESTS_MIN)
+            .filter(|index| self.upstreams[*index].answered_count >= OUTLIER_REQUESTS_MIN)
             .collect();
         let mut chosen = Vec::new();
         if compared.len() >= OUTLIER_UPSTREAMS_MIN {
             let failure_rate = |upstream: &PlainUpstream| {
-                f64::from(upstream.failed) / f64::from(upstream.answered)
+                f64::from(upstream.failed_count) / f64::from(upstream.answered_count)
+            };
+            let mean_latency = |upstream: &PlainUpstream| {
+                upstream.latency_sum_s / f64::from(upstream.answered_count)
             };
-            let mean_latency =
-                |upstream: &PlainUpstream| upstream.latency_sum_s / f64::from(upstream.answered);
             chosen = self.outliers_by(&compared, failure_rate);
             chosen.extend(self.outliers_by(&compared, mean_latency));
         }
         for upstream in &mut self.upstreams {
-            upstream.answered = 0;
-            upstream.failed = 0;
+            upstream.answered_count = 0;
+            upstream.failed_count = 0;
             upstream.latency_sum_s = 0.0;
         }
         chosen
--- a/crates/bench/src/decisions/scenario.rs
+++ b/crates/bench/src/decisions/scenario.rs
@@ -5,9 +5,10 @@
 
 use std::time::Duration;
 
-/// `Deployment` is a simulated service. Its size is one that the project's requirements state.
+/// `ServiceDeployment` is a simulated service. Its size is one that the project's requirements
+/// state.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Deployment {
+pub struct ServiceDeployment {
     /// Name of the service.
     pub name: &'static str,
     /// Number of upstreams.
@@ -21,11 +22,11 @@
 }
 
 /// The services whose sizes the project's requirements state.
-pub const DEPLOYMENTS: [Deployment; 4] = [
-    Deployment { name: "solver-app", upstreams: 15, slots: 4, domains: 3, floor: 0.7 },
-    Deployment { name: "contest-desk", upstreams: 6, slots: 4, domains: 3, floor: 0.6 },
-    Deployment { name: "reader-desk", upstreams: 25, slots: 3, domains: 4, floor: 0.8 },
-    Deployment { name: "billing-core", upstreams: 8, slots: 3, domains: 4, floor: 0.75 },
+pub const DEPLOYMENTS: [ServiceDeployment; 4] = [
+    ServiceDeployment { name: "solver-app", upstreams: 15, slots: 4, domains: 3, floor: 0.7 },
+    ServiceDeployment { name: "contest-desk", upstreams: 6, slots: 4, domains: 3, floor: 0.6 },
+    ServiceDeployment { name: "reader-desk", upstreams: 25, slots: 3, domains: 4, floor: 0.8 },
+    ServiceDeployment { name: "billing-core", upstreams: 8, slots: 3, domains: 4, floor: 0.75 },
 ];
 
 /// `LoadLevel` is a mean utilisation of the slots.
@@ -44,7 +45,8 @@
     LoadLevel { name: "morning", share: 0.6 },
 ];
 
-/// `FaultScript` is the behaviour that is injected into upstreams while the fault lasts.
+/// `FaultScript` is the behaviour that is injected into upstreams while the fault lasts. The value
+/// of a variant is the share, factor or time that the comment of the variant calls "this".
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FaultScript {
     /// No upstream is faulty.
@@ -74,7 +76,7 @@
     AllSlow(f64),
     /// This share of requests fails on all upstreams.
     AllErrors(f64),
-    /// This share of requests is poison: they fail at whichever upstream runs them.
+    /// This share of requests is poison: a poison request fails at whichever upstream runs it.
     Poison(f64),
     /// Half of the requests fail although the health endpoint of the faulty upstream reports no
     /// failure, while the health endpoints of this share of the healthy upstreams report a failure.
@@ -227,8 +229,8 @@
 pub const SERVICE_TIME_LN_DEVIATION: f64 = 0.5;
 /// Share of requests that fail at a healthy upstream.
 pub const USUAL_FAILURE_SHARE: f64 = 0.001;
-/// Share of requests that are stragglers at a healthy upstream: they take [`STRAGGLER_FACTOR`]
-/// times as long.
+/// Share of requests that are stragglers at a healthy upstream. A straggler takes
+/// [`STRAGGLER_FACTOR`] times as long as an ordinary request.
 pub const USUAL_STRAGGLER_SHARE: f64 = 0.002;
 /// Factor on the service time of a straggler.
 pub const STRAGGLER_FACTOR: f64 = 10.0;
@@ -253,7 +255,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ScenarioPlan {
     /// Simulated service of the run.
-    pub deployment: Deployment,
+    pub deployment: ServiceDeployment,
     /// Load on the service.
     pub load: LoadLevel,
     /// Fault that is injected.
@@ -296,7 +298,7 @@
         self.fault_end() + AFTER_FAULT_TIME * self.time_stretch()
     }
 
-    /// Returns whether the load mixes a slow route with fast ones.
+    /// Returns whether the load mixes requests of a slow route with requests of fast routes.
     pub fn is_mixed(&self) -> bool {
         matches!(self.script, FaultScript::MixedSlow(_) | FaultScript::MixedHealthy(_))
     }
--- a/crates/bench/src/decisions/suite.rs
+++ b/crates/bench/src/decisions/suite.rs
@@ -10,8 +10,8 @@
 
 use crate::decisions::measure::RunResult;
 use crate::decisions::rules::RuleKind;
-use crate::decisions::scenario::{Deployment, FaultCase, LoadLevel, ScenarioPlan, CASES};
-use crate::decisions::world::World;
+use crate::decisions::scenario::{FaultCase, LoadLevel, ScenarioPlan, ServiceDeployment, CASES};
+use crate::decisions::world::DecisionWorld;
 
 /// Number of severities of each case; the severities are numbered from 0.
 pub const SEVERITY_COUNT: usize = 5;
@@ -43,7 +43,7 @@
     /// Loads on the service.
     pub loads: Vec<LoadLevel>,
     /// Deployments of the service.
-    pub deployments: Vec<Deployment>,
+    pub deployments: Vec<ServiceDeployment>,
     /// Ejection rules that are compared.
     pub rules: Vec<RuleKind>,
     /// Seeds of the random numbers.
@@ -108,16 +108,16 @@
         seed: key.seed,
     };
     let threshold = plan.threshold.unwrap_or(key.rule.default_threshold());
-    World::new(scenario, key.rule, threshold).run()
+    DecisionWorld::new(scenario, key.rule, threshold).run()
 }
 
 /// `RuleSummary` aggregates the runs of one rule.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RuleSummary {
     /// Number of runs.
-    pub runs: usize,
+    pub run_count: usize,
     /// Number of runs in which the faulty upstream stopped receiving requests.
-    pub stopped: usize,
+    pub detected_run_count: usize,
     /// Median of the detection times; a run without detection counts as longer than all others.
     pub detection_median: Option<Duration>,
     /// 99th percentile of the detection times: 99 in 100 runs took no longer.
@@ -134,7 +134,7 @@
     /// Fewest slots in service in any run, as a ratio to the slots that the floor requires.
     pub lowest_floor_ratio: f64,
     /// Number of runs in which ejections left fewer slots in service than the floor requires.
-    pub floor_broken_runs: usize,
+    pub floor_broken_run_count: usize,
     /// Median time from the end of the fault to the return of the faulty upstream.
     pub returned_median: Option<Duration>,
 }
@@ -145,30 +145,32 @@
     one_is_faulty: bool,
 ) -> RuleSummary {
     let results: Vec<&RunResult> = results.collect();
-    let mut summary = RuleSummary { runs: results.len(), ..RuleSummary::default() };
+    let mut summary = RuleSummary { run_count: results.len(), ..RuleSummary::default() };
     let sum =
         |value: fn(&RunResult) -> f64| results.iter().map(|result| value(result)).sum::<f64>();
-    let requests = sum(|result| result.requests as f64).max(1.0);
+    let requests = sum(|result| result.request_count as f64).max(1.0);
     summary.false_ejections_hour =
         sum(|result| result.false_ejections) / sum(|result| result.upstream_hours).max(1e-9);
-    summary.failed_share = sum(|result| result.failed as f64) / requests;
-    summary.slow_share = sum(|result| result.slow as f64) / requests;
-    summary.floor_broken_runs = results.iter().filter(|result| result.floor_broken).count();
+    summary.failed_share = sum(|result| result.failed_count as f64) / requests;
+    summary.slow_share = sum(|result| result.slow_count as f64) / requests;
+    summary.floor_broken_run_count = results.iter().filter(|result| result.floor_broken).count();
     summary.lowest_floor_ratio =
         results.iter().map(|result| result.lowest_floor_ratio).fold(f64::INFINITY, f64::min);
     if !one_is_faulty {
         return summary;
     }
-    summary.stopped = results.iter().filter(|result| result.detection_time.is_some()).count();
+    summary.detected_run_count =
+        results.iter().filter(|result| result.detection_time.is_some()).count();
     let never_detected = Duration::MAX;
     let mut times: Vec<Duration> =
         results.iter().map(|result| result.detection_time.unwrap_or(never_detected)).collect();
     times.sort();
     summary.detection_median = quantile(&times, 0.5).filter(|time| *time != never_detected);
     summary.detection_p99 = quantile(&times, 0.99).filter(|time| *time != never_detected);
-    let mut received: Vec<u64> = results.iter().map(|result| result.received).collect();
-    received.sort();
-    summary.received_median = quantile(&received, 0.5).unwrap_or(0);
+    let mut received_counts: Vec<u64> =
+        results.iter().map(|result| result.received_count).collect();
+    received_counts.sort();
+    summary.received_median = quantile(&received_counts, 0.5).unwrap_or(0);
     let mut return_times: Vec<Duration> =
         results.iter().filter_map(|result| result.return_time).collect();
     return_times.sort();
--- a/crates/bench/src/decisions/world.rs
+++ b/crates/bench/src/decisions/world.rs
@@ -12,7 +12,9 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
 
-use crate::decisions::actors::{self, Event, Ingress, Job, Request, Upstream, ROUTES};
+use crate::decisions::actors::{
+    self, CallerRequest, ScriptedUpstream, ServiceJob, SimulatedIngress, SimulationEvent, ROUTES,
+};
 use crate::decisions::measure::RunResult;
 use crate::decisions::rules::{self, RuleKind};
 use crate::decisions::scenario::{self, FaultScript, ScenarioPlan};
@@ -26,21 +28,21 @@
 /// Factor by which a burst raises the load.
 const BURST_FACTOR: f64 = 2.0;
 
-/// `World` is the state of one simulated run.
-pub struct World {
+/// `DecisionWorld` is the state of one simulated run.
+pub struct DecisionWorld {
     pub(super) plan: ScenarioPlan,
     pub(super) rule: RuleKind,
     pub(super) threshold: f64,
     pub(super) now: Duration,
     pub(super) sequence: u64,
     pub(super) events: BinaryHeap<Reverse<(Duration, u64, usize)>>,
-    pub(super) scheduled_events: Vec<Event>,
+    pub(super) scheduled_events: Vec<SimulationEvent>,
     pub(super) rng: ChaCha8Rng,
     pub(super) service_times: LogNormal<f64>,
-    pub(super) requests: Vec<Request>,
-    pub(super) jobs: Vec<Job>,
-    pub(super) upstreams: Vec<Upstream>,
-    pub(super) ingresses: Vec<Ingress>,
+    pub(super) requests: Vec<CallerRequest>,
+    pub(super) jobs: Vec<ServiceJob>,
+    pub(super) upstreams: Vec<ScriptedUpstream>,
+    pub(super) ingresses: Vec<SimulatedIngress>,
     pub(super) result: RunResult,
     pub(super) returned_at: Option<Duration>,
     pub(super) ejected_after_fault: bool,
@@ -49,13 +51,13 @@
 /// Index of the faulty upstream, in cases that have one.
 pub(super) const FAULTY_UPSTREAM: usize = 1;
 
-impl World {
+impl DecisionWorld {
     /// Builds the initial state of a run.
     pub fn new(plan: ScenarioPlan, rule: RuleKind, threshold: f64) -> Self {
         let deployment = plan.deployment;
         let prefer = rule.prefer().unwrap_or(EjectionPreference::Precision);
         let upstreams = (0..deployment.upstreams)
-            .map(|_| Upstream {
+            .map(|_| ScriptedUpstream {
                 health: actors::new_health(prefer, threshold, Duration::ZERO, false),
                 queue: VecDeque::new(),
                 running: Vec::new(),
@@ -86,12 +88,12 @@
             returned_at: None,
             ejected_after_fault: false,
         };
-        world.schedule(Duration::ZERO, Event::Arrival);
+        world.schedule(Duration::ZERO, SimulationEvent::Arrival);
         if rule == RuleKind::Probes {
-            world.schedule(rules::PROBE_INTERVAL, Event::Probe);
+            world.schedule(rules::PROBE_INTERVAL, SimulationEvent::Probe);
         }
         if let FaultScript::ColdStart(_) | FaultScript::ColdStuck(_) = plan.script {
-            world.schedule(plan.fault_begin(), Event::Replace);
+            world.schedule(plan.fault_begin(), SimulationEvent::Replace);
         }
         world
     }
@@ -104,24 +106,24 @@
             }
             self.now = at;
             match self.scheduled_events[index] {
-                Event::Arrival => self.handle_arrival(),
-                Event::Replace => self.replace_faulty(),
-                Event::Probe => self.probe_upstreams(),
-                Event::HostArrival { attempt, refusable } => {
+                SimulationEvent::Arrival => self.handle_arrival(),
+                SimulationEvent::Replace => self.replace_faulty(),
+                SimulationEvent::Probe => self.probe_upstreams(),
+                SimulationEvent::HostArrival { attempt, refusable } => {
                     self.handle_host_arrival(attempt, refusable)
                 }
-                Event::HedgeDue { attempt } => self.send_hedge(attempt),
-                Event::Cancel { attempt } => self.cancel_attempt(attempt),
-                Event::Overdue { job } => self.note_overdue(job),
-                Event::RunningCheck { job } => self.check_job(job),
-                Event::End { job } => self.end_job(job),
-                Event::Reply { attempt, answer } => self.handle_reply(attempt, answer),
+                SimulationEvent::HedgeDue { attempt } => self.send_hedge(attempt),
+                SimulationEvent::Cancel { attempt } => self.cancel_attempt(attempt),
+                SimulationEvent::Overdue { job } => self.note_overdue(job),
+                SimulationEvent::RunningCheck { job } => self.check_job(job),
+                SimulationEvent::End { job } => self.end_job(job),
+                SimulationEvent::Reply { attempt, answer } => self.handle_reply(attempt, answer),
             }
         }
         self.finish()
     }
 
-    pub(super) fn schedule(&mut self, after: Duration, event: Event) {
+    pub(super) fn schedule(&mut self, after: Duration, event: SimulationEvent) {
         self.sequence += 1;
         self.scheduled_events.push(event);
         let key = (self.now + after, self.sequence, self.scheduled_events.len() - 1);
@@ -141,18 +143,18 @@
     }
 
     pub(super) fn handle_arrival(&mut self) {
-        let number = self.requests.len();
+        let request_index = self.requests.len();
         let route = self.sample_route();
         let poison = match self.plan.script {
             FaultScript::Poison(share) => self.is_in_fault() && self.rng.random_bool(share),
             _ => false,
         };
-        let request = Request {
+        let request = CallerRequest {
             ingress: self.rng.random_range(0..self.ingresses.len()),
             route,
             repeatable: self.rng.random_bool(scenario::REPEATABLE_SHARE),
             poison,
-            hash: actors::hash_of(number, poison),
+            hash: actors::hash_of(request_index, poison),
             begun: self.now,
             sent_at: self.now,
             dispatches: 0,
@@ -161,15 +163,15 @@
             slow_attempts: Vec::new(),
             failed_at: None,
             failure_counts: true,
-            finished: false,
+            is_finished: false,
         };
         self.ingresses[request.ingress].budget.note_request(self.now);
         self.requests.push(request);
-        self.result.requests += 1;
-        self.dispatch(number);
+        self.result.request_count += 1;
+        self.dispatch(request_index);
         let relative_gap: f64 = Exp1.sample(&mut self.rng);
         let arrival_gap = self.plan.mean_gap().mul_f64(relative_gap / self.burst_factor());
-        self.schedule(arrival_gap, Event::Arrival);
+        self.schedule(arrival_gap, SimulationEvent::Arrival);
     }
 
     pub(super) fn sample_route(&mut self) -> usize {
--- a/crates/bench/src/detection.rs
+++ b/crates/bench/src/detection.rs
@@ -20,8 +20,8 @@
     serde_json::from_str(&text).map_err(|error| file_error(error.to_string()))
 }
 
-/// Prints the comparison, and checks that callers saw errors no longer than the server received
-/// requests.
+/// Prints the comparison of the report of a load with the report of a fault, and checks that
+/// callers saw errors no longer than the server received requests.
 pub fn run(load_path: &str, fault_path: &str, server: &str) -> Result<(), BenchError> {
     let load = read_json(load_path)?;
     let fault = read_json(fault_path)?;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -83,7 +83,7 @@
     pub name: String,
     /// Number of requests that were started.
     pub started: u64,
-    /// Number of complete responses, without those counted in `not_run` and `unknown`.
+    /// Number of complete responses, except for responses that `not_run` and `unknown` count.
     pub answered: u64,
     /// Number of complete responses with a status below 400.
     pub good: u64,
--- a/crates/bench/tests/decisions.rs
+++ b/crates/bench/tests/decisions.rs
@@ -24,17 +24,17 @@
     let mut plan = bounds::gate_suite();
     plan.cases = vec![0, 12];
     plan.deployments = vec![DEPLOYMENTS[1]];
-    let figures = |plan| {
+    let run_figures = |plan| {
         let results = suite::run(plan);
         results.iter().map(|(key, result)| format!("{key:?} {result:?}")).collect::<Vec<_>>()
     };
-    assert_eq!(figures(&plan), figures(&plan));
+    assert_eq!(run_figures(&plan), run_figures(&plan));
 }
 
 #[test_case("health endpoint lies")]
 #[test_case("load endpoint lies")]
 fn verify_lying_endpoints_change_no_decision(case: &str) {
-    let runs = |case: &str, severities: Vec<usize>, rules: Vec<RuleKind>| {
+    let run_case = |case: &str, severities: Vec<usize>, rules: Vec<RuleKind>| {
         let mut plan = bounds::gate_suite();
         plan.cases = (0..CASES.len()).filter(|each| CASES[*each].name == case).collect();
         plan.deployments = vec![DEPLOYMENTS[1], DEPLOYMENTS[3]];
@@ -45,14 +45,14 @@
     let daemon_rules = vec![RuleKind::Detection, RuleKind::Precision];
     // At the middle severity of `errors`, half of the requests fail. The same share fails at an
     // upstream whose endpoint reports wrongly.
-    let honest = runs("errors", vec![2], daemon_rules.clone());
+    let honest = run_case("errors", vec![2], daemon_rules.clone());
     for severity in 0..suite::SEVERITY_COUNT {
-        let lying = runs(case, vec![severity], daemon_rules.clone());
+        let lying = run_case(case, vec![severity], daemon_rules.clone());
         for ((_, lying), (_, honest)) in lying.iter().zip(&honest) {
             assert_eq!(format!("{lying:?}"), format!("{honest:?}"));
         }
     }
-    let probes = runs(case, vec![4], vec![RuleKind::Probes]);
+    let probes = run_case(case, vec![4], vec![RuleKind::Probes]);
     assert!(
         probes.iter().all(|(_, result)| result.detection_time.is_none()),
         "probes detect nothing"
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -172,7 +172,7 @@
         Self { shown_steps: vec![ShownStep::default(); host_count] }
     }
 
-    /// Records a sample and returns the guarantee that it violates, if any.
+    /// Records a sample, and returns the guarantee that the sample violates, if any.
     pub fn check(
         &mut self,
         sample: &CallerSample,
--- a/crates/soak/src/errors.rs
+++ b/crates/soak/src/errors.rs
@@ -41,8 +41,7 @@
         /// Error of the operating system.
         source: io::Error,
     },
-    /// A process did not log that it listens, or an expected address is missing from that line of
-    /// its log.
+    /// A process did not log that it listens, or an address is missing from the logged line.
     #[snafu(display("{name} is not ready: {what} missing from its log"))]
     NotReady {
         /// Name of the process, or the line of its log that lacks an address.
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -47,7 +47,7 @@
 }
 
 impl SoakProcess {
-    /// Starts a process. Its output is appended to the log in `folder` that bears its name.
+    /// Starts a process, whose output is appended to the log called `name` in `folder`.
     pub fn start(call: &ProgramCall, name: &str, folder: &Path) -> Result<Self, SoakError> {
         let log = log_path(folder, name);
         let log_context = || ProgramSnafu { path: &log };
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -100,7 +100,7 @@
         self.fault_history.borrow_mut().end_fault(handle, self.now());
     }
 
-    /// Claims the restart of a daemon; returns false if another fault is restarting it.
+    /// Claims the restart of a daemon; returns false if another fault is restarting the daemon.
     pub fn claim_restart(&self, host: usize) -> bool {
         !std::mem::replace(&mut self.restarting.borrow_mut()[host], true)
     }
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -17,8 +17,8 @@
     Duration::from_millis(millis)
 }
 
-/// Returns the times of eight steps: one step every two seconds from the start of the run, each
-/// acknowledged when it was sent.
+/// Returns the times of eight steps: one step every two seconds from the start of the run. The
+/// document of each step is acknowledged at the time at which it is sent.
 fn steps() -> Vec<StepTimes> {
     let step =
         |number: u64| StepTimes { sent_at: at(number * 2000), acked_at: Some(at(number * 2000)) };
