--- a/crates/bench/src/crashes/world.rs
+++ b/crates/bench/src/crashes/world.rs
@@ -60,10 +60,11 @@
     Lone(u64),
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 /// `SentRequest` is a request with the daemon at which it arrived and the number of its dispatches.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SentRequest {
     kind: RequestKind,
+    /// Index of the daemon at which the request arrived.
     ingress: usize,
     dispatches: u32,
 }
@@ -71,11 +72,14 @@
 /// `ServerRun` is one execution of a request at a server.
 #[derive(Debug, Clone)]
 struct ServerRun {
+    /// Identifies the run among all runs, for the event of its end.
     number: u64,
     request: SentRequest,
+    /// Crashes of the request that were known when the run started.
     tally: CrashTally,
 }
 
+/// `CrashServer` is a server with the requests that run on the server.
 #[derive(Debug, Default)]
 struct CrashServer {
     runs: Vec<ServerRun>,
@@ -93,8 +97,8 @@
     RunEnd { server: usize, number: u64 },
 }
 
-#[derive(Debug, Clone, Copy, Default)]
 /// `RefusalTimes` holds when the daemons learned that a bad request is to be refused.
+#[derive(Debug, Clone, Copy, Default)]
 struct RefusalTimes {
     /// Time of the run at which the first daemon learned to refuse the request.
     first: Option<Duration>,
@@ -123,6 +127,7 @@
     result: CrashResult,
 }
 
+/// Returns a fingerprint that is the same for all copies of a request and differs between requests.
 fn fingerprint(kind: RequestKind) -> RequestFingerprint {
     let number = match kind {
         RequestKind::Popular => 1,
@@ -302,11 +307,11 @@
         }
         let run = runs.remove(index);
         let fingerprint = fingerprint(run.request.kind);
-        let before = self.daemons[server].tally(&fingerprint);
+        let tally_before = self.daemons[server].tally(&fingerprint);
         if let Some(tally) = self.daemons[server].note_success(&fingerprint, self.now) {
             let upstream = Rc::from("");
             let notice = SuspectNotice { fingerprint, tally, seen_ago: Duration::ZERO, upstream };
-            self.notify_daemons(server, &notice, notice.notify_count(before));
+            self.notify_daemons(server, &notice, notice.notify_count(tally_before));
         }
     }
 
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -103,9 +103,11 @@
         let job = self.jobs.len();
         let upstream = &mut self.upstreams[attempt.upstream];
         upstream.running.push(job);
-        let usual = upstream.health.usual_time(ROUTES[route], None);
-        let usual = usual.filter(|_| self.rule.prefer().is_some());
-        let watched = usual.map(|usual| (upstream.health.start_request(usual, self.now), usual));
+        let typical_time = upstream.health.usual_time(ROUTES[route], None);
+        let typical_time = typical_time.filter(|_| self.rule.prefer().is_some());
+        let watched = typical_time.map(|typical_time| {
+            (upstream.health.start_request(typical_time, self.now), typical_time)
+        });
         if !is_trial {
             upstream.accepted.push(self.now);
         }
@@ -121,8 +123,8 @@
             is_finished: false,
         });
         self.schedule(time, SimulationEvent::End { job });
-        if let Some((_, usual)) = watched {
-            self.schedule(hang::first_check(&usual), SimulationEvent::RunningCheck { job });
+        if let Some((_, typical_time)) = watched {
+            self.schedule(hang::first_check(&typical_time), SimulationEvent::RunningCheck { job });
         }
         if self.rule.prefer().is_some() && !is_trial {
             let health = &self.upstreams[attempt.upstream].health;
@@ -162,14 +164,14 @@
     /// Checks whether the running jobs of a job's upstream hang, as the daemon does.
     pub(super) fn check_job(&mut self, job_index: usize) {
         let job = self.jobs[job_index];
-        let usual = match job.watched {
-            Some((_, usual)) if !job.is_finished => usual,
+        let typical_time = match job.watched {
+            Some((_, typical_time)) if !job.is_finished => typical_time,
             _ => return,
         };
         let change = self.upstreams[job.attempt.upstream].health.check_running(self.now);
         self.note_change(job.attempt.upstream, change);
         self.schedule(
-            hang::check_interval(&usual),
+            hang::check_interval(&typical_time),
             SimulationEvent::RunningCheck { job: job_index },
         );
     }
@@ -257,7 +259,7 @@
         };
         if failure.is_some() || evidence != RequestEvidence::Neutral {
             // Whether the end of the job opens or closes the circuit breaker shows only in the
-            // health reports, so the returned change is not recorded.
+            // health reports of the upstream.
             health.note_end(failure, job.started, self.now);
         }
         self.note_change(job.attempt.upstream, change);
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -83,8 +83,11 @@
             return;
         }
         let baseline = self.baseline_for(attempt);
-        if let Some(usual) = baseline.usual_time() {
-            self.schedule(hedge::due_after(&usual, None), SimulationEvent::HedgeDue { attempt });
+        if let Some(typical_time) = baseline.usual_time() {
+            self.schedule(
+                hedge::due_after(&typical_time, None),
+                SimulationEvent::HedgeDue { attempt },
+            );
         }
     }
 
--- a/crates/bench/src/decisions/rules.rs
+++ b/crates/bench/src/decisions/rules.rs
@@ -114,10 +114,12 @@
     }
 }
 
+/// `PlainUpstream` is what a plain rule has recorded about one upstream.
 #[derive(Debug, Clone, Default)]
 struct PlainUpstream {
     failures_in_row: u32,
     failed_probes_in_row: u32,
+    /// Time of each request in the window of [`RuleKind::Rate`], and whether the request failed.
     window: VecDeque<(Duration, bool)>,
     answered_count: u32,
     failed_count: u32,
