--- a/crates/bench/src/decisions/actors.rs
+++ b/crates/bench/src/decisions/actors.rs
@@ -20,42 +20,44 @@
 use crate::decisions::rules::{PlainRule, RuleKind};
 use crate::decisions::scenario::{self, ScenarioPlan};
 
-/// Routes of the service; one of the four fails in the one-route case.
+/// Names of the routes of the service. The first route is the one that fails in the case
+/// `one route fails`.
 pub const ROUTES: [&str; 4] = ["route-1", "route-2", "route-3", "route-4"];
 
-/// `Event` is a scheduled step of the simulation.
+/// `SimulationEvent` is a scheduled step of the simulation.
 #[derive(Debug, Clone, Copy)]
-pub enum Event {
+pub enum SimulationEvent {
     Arrival,
     Replace,
     Probe,
-    HostArrival { sent: Dispatch, refusable: bool },
-    HedgeDue { sent: Dispatch },
-    Cancel { sent: Dispatch },
+    HostArrival { attempt: RequestAttempt, refusable: bool },
+    HedgeDue { attempt: RequestAttempt },
+    Cancel { attempt: RequestAttempt },
     Overdue { job: usize },
     RunningCheck { job: usize },
     End { job: usize },
-    Reply { sent: Dispatch, answer: Answer },
+    Reply { attempt: RequestAttempt, answer: HostAnswer },
 }
 
-/// `Dispatch` is one attempt at a request; `number` counts the attempts at the request from 1.
+/// `RequestAttempt` is one attempt at a request. `request` and `upstream` are indices, and `number`
+/// counts the attempts at the request from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Dispatch {
+pub struct RequestAttempt {
     pub request: usize,
     pub upstream: usize,
     pub number: usize,
 }
 
-/// `Answer` is the reply of a host to an ingress.
+/// `HostAnswer` is the reply of a host to an ingress.
 #[derive(Debug, Clone, Copy)]
-pub enum Answer {
-    Done { end: JobEnd, took: Duration, load: u32, health: HealthReport },
+pub enum HostAnswer {
+    Done { end: JobEnd, service_time: Duration, load: u32, health: HealthReport },
     Refused { load: u32, health: HealthReport },
 }
 
-/// `Request` is a caller's request.
+/// `CallerRequest` is a caller's request.
 #[derive(Debug, Clone)]
-pub struct Request {
+pub struct CallerRequest {
     pub ingress: usize,
     pub route: usize,
     pub repeatable: bool,
@@ -65,43 +67,43 @@
     pub sent_at: Duration,
     pub dispatches: usize,
     pub excluded: Vec<usize>,
-    /// Latest attempt, for whose response the ingress waits; earlier attempts that still run are in
+    /// Latest attempt, for whose response the ingress waits. Earlier attempts that still run are in
     /// `slow_attempts`.
-    pub current: Option<Dispatch>,
+    pub current: Option<RequestAttempt>,
     /// Attempts that outlasted their hedging delay and still run.
-    pub slow_attempts: Vec<Dispatch>,
+    pub slow_attempts: Vec<RequestAttempt>,
     pub failed_at: Option<usize>,
-    /// Whether a failure of the last dispatch is evidence against the upstream.
+    /// Whether a failure of the latest attempt is evidence against its upstream.
     pub failure_counts: bool,
-    pub finished: bool,
+    pub is_finished: bool,
 }
 
-/// `Job` is the execution of a request at an upstream.
+/// `ServiceJob` is the execution of a request at an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Job {
-    pub sent: Dispatch,
+pub struct ServiceJob {
+    pub attempt: RequestAttempt,
     pub route: usize,
     pub started: Duration,
     pub end: JobEnd,
-    pub overdue: bool,
-    /// Number of the job in the hang detector of the upstream, if it is watched, and its typical
-    /// service time.
+    pub is_overdue: bool,
+    /// Number of the job in the hang detector of the upstream and typical service time of the job;
+    /// `None` if the hang detector does not watch the job.
     pub watched: Option<(u64, UsualTime)>,
-    pub trial: bool,
+    pub is_trial: bool,
     pub after_failure: bool,
-    pub finished: bool,
+    pub is_finished: bool,
 }
 
-/// `Upstream` is a scripted upstream, with the health that its daemon tracks.
-pub struct Upstream {
+/// `ScriptedUpstream` is a scripted upstream, with the health that the daemon of its host tracks.
+pub struct ScriptedUpstream {
     pub health: UpstreamHealth,
-    pub queue: VecDeque<(Dispatch, bool)>,
+    pub queue: VecDeque<(RequestAttempt, bool)>,
     pub running: Vec<usize>,
     pub accepted: Vec<Duration>,
 }
 
-/// `Ingress` is an ingress, with its view of the service.
-pub struct Ingress {
+/// `SimulatedIngress` is an ingress, with its view of the service and the state of its decisions.
+pub struct SimulatedIngress {
     pub view: ServiceView,
     pub baselines: Vec<RouteBaseline>,
     pub recent: RecentAnswers,
@@ -111,8 +113,8 @@
     pub domain: usize,
 }
 
-/// Terms of the retry budget of each ingress: the defaults of the daemon.
-const BUDGET: BudgetTerms =
+/// Terms of the retry budget of each ingress, which are the defaults of the daemon.
+const RETRY_BUDGET: BudgetTerms =
     BudgetTerms { share: 0.1, extra: 10.0, window: Duration::from_secs(10) };
 
 /// Builds the health of an upstream.
@@ -120,25 +122,30 @@
     prefer: EjectionPreference,
     threshold: f64,
     now: Duration,
-    cold: bool,
+    is_cold: bool,
 ) -> UpstreamHealth {
-    let mut health = UpstreamHealth::new(prefer, now, cold);
+    let mut health = UpstreamHealth::new(prefer, now, is_cold);
     health.set_threshold(threshold.max(1.0));
     health
 }
 
 /// Builds an ingress in a failure domain.
-pub fn new_ingress(plan: &ScenarioPlan, rule: RuleKind, threshold: f64, domain: usize) -> Ingress {
+pub fn new_ingress(
+    plan: &ScenarioPlan,
+    rule: RuleKind,
+    threshold: f64,
+    domain: usize,
+) -> SimulatedIngress {
     let deployment = plan.deployment;
     let views = (0..deployment.upstreams)
         .map(|index| LoadView::new(deployment.slots, index % deployment.domains == domain))
         .collect();
-    Ingress {
+    SimulatedIngress {
         view: ServiceView::new(deployment.floor, views),
         baselines: vec![RouteBaseline::default(); ROUTES.len()],
         recent: RecentAnswers::default(),
         rule: PlainRule::new(rule, threshold, deployment.upstreams, deployment.floor),
-        budget: RetryBudget::new(BUDGET),
+        budget: RetryBudget::new(RETRY_BUDGET),
         poison: PoisonTable::default(),
         domain,
     }
@@ -153,15 +160,18 @@
     }
 }
 
-/// Numbers of distinct paths: ordinary ones, and poison ones that callers request repeatedly.
-const TARGETS: usize = 500;
-const POISON_TARGETS: usize = 4;
+/// Number of distinct paths of ordinary requests.
+const ORDINARY_PATHS: usize = 500;
+/// Number of distinct paths of the poison requests that callers repeat.
+const REPEATED_POISON_PATHS: usize = 4;
 
-/// Returns the hash of a request; every second poison request has a path of its own.
+/// Returns the hash of a request. Every second poison request has a path that no other request has.
 pub fn hash_of(number: usize, poison: bool) -> RequestHash {
     match (poison, number.is_multiple_of(2)) {
-        (false, _) => RequestHash::of("GET", &format!("/puzzle/{}", number % TARGETS)),
-        (true, true) => RequestHash::of("GET", &format!("/poison/{}", number / 2 % POISON_TARGETS)),
+        (false, _) => RequestHash::of("GET", &format!("/puzzle/{}", number % ORDINARY_PATHS)),
+        (true, true) => {
+            RequestHash::of("GET", &format!("/poison/{}", number / 2 % REPEATED_POISON_PATHS))
+        }
         (true, false) => RequestHash::of("GET", &format!("/poison/new/{number}")),
     }
 }
