--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -4,9 +4,9 @@
 //! The accepted configuration in the platform's table.
 //!
 //! The head row holds the revision of the fleet. Each accepted change adds a row, which is both the
-//! configuration change and its audit record. Both rows are written in one transaction that is
-//! conditional on the head row being unchanged. Periodically the whole configuration is written as
-//! a snapshot object, so that a new daemon need not read all changes.
+//! configuration change and its audit record. The head row and the change row are written in one
+//! transaction that is conditional on the head row being unchanged. Periodically the whole
+//! configuration is written as a snapshot object, so that a new daemon need not read all changes.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -31,21 +31,23 @@
 pub const CHANGE_PREFIX: &str = "config/change/";
 /// Row that names the latest snapshot.
 pub const SNAPSHOT_KEY: &str = "config/snapshot";
-/// Maximum number of changes read in one scan.
-const SCAN_LIMIT: usize = 200;
-/// Number of changes between snapshots: a new daemon reads at most two scans of changes.
+/// Maximum number of change rows read in one scan.
+const SCAN_CHANGES_MAX: usize = 200;
+/// Number of changes between two snapshots. A new daemon reads the latest snapshot and at most two
+/// scans of later changes.
 pub const SNAPSHOT_EVERY: u64 = 256;
 /// Maximum number of attempts to commit a change that conflicts with concurrent changes.
 const COMMIT_TRIES_MAX: u32 = 20;
-/// Maximum backoff between the attempts to commit a change: all attempts together take a few
-/// seconds at most, so that an operator soon gets an answer.
-const CONTENDED_BACKOFF_MAX: Duration = Duration::from_millis(200);
+/// Maximum backoff between the attempts to commit a change. All attempts together take a few
+/// seconds at most, so that the operator who requested the change soon gets an answer.
+const COMMIT_BACKOFF_MAX: Duration = Duration::from_millis(200);
 /// Maximum number of attempts to find out whether a change took effect after the store's answer
 /// was lost.
 const OUTCOME_TRIES_MAX: u32 = 8;
-/// Maximum size of one object in bytes (4 MiB); the platform accepts 8 MiB.
+/// Maximum size in bytes of one object that this module writes (4 MiB); the platform accepts 8 MiB.
 const OBJECT_BYTES_MAX: usize = 4 << 20;
-/// Maximum number of resources in one change; at 200 bytes each they fit into one object.
+/// Maximum number of resource edits in one change. At 200 bytes for each edit, a change fits into
+/// one object.
 pub const CHANGES_MAX: usize = 20_000;
 
 /// `ChangeGuard` is the precondition of a change on the revision of a resource.
@@ -116,7 +118,7 @@
     /// change.
     pub async fn head(&self) -> Result<(FleetRevision, u64), StoreError> {
         match self.platform.read(HEAD_KEY).await? {
-            Some(row) => Ok((parse::<HeadValue>(&row.value)?.revision, row.version)),
+            Some(row) => Ok((parse_row_value::<HeadValue>(&row.value)?.revision, row.version)),
             None => Ok((FleetRevision(0), 0)),
         }
     }
@@ -127,33 +129,33 @@
         revision: FleetRevision,
     ) -> Result<Vec<ChangeRecord>, StoreError> {
         let after = change_key(revision);
-        let rows = self.platform.scan(CHANGE_PREFIX, &after, SCAN_LIMIT).await?;
+        let rows = self.platform.scan(CHANGE_PREFIX, &after, SCAN_CHANGES_MAX).await?;
         let mut records = Vec::with_capacity(rows.len());
         for row in &rows {
-            records.push(self.record_of(row).await?);
+            records.push(self.read_record(row).await?);
         }
         Ok(records)
     }
 
     /// Reads the change of a row, or of the object that the row refers to.
-    async fn record_of(&self, row: &TableRow) -> Result<ChangeRecord, StoreError> {
+    async fn read_record(&self, row: &TableRow) -> Result<ChangeRecord, StoreError> {
         let name = match ObjectValue::deserialize(&row.value) {
             Ok(value) => value.object,
-            Err(_) => return parse(&row.value),
+            Err(_) => return parse_row_value(&row.value),
         };
         let content = self.platform.get_object(&name).await?;
         let content = content.ok_or_else(|| malformed(format!("object {name} is missing")))?;
         serde_json::from_slice(&content).map_err(malformed)
     }
 
-    /// Reads the latest snapshot, if there is one and none of its objects is missing; `pause`
-    /// yields between steps.
+    /// Reads the latest snapshot. Returns `None` if no snapshot exists or an object of the snapshot
+    /// is missing. `pause` is awaited between steps, so that other tasks can run.
     pub async fn snapshot(
         &self,
         pause: &impl AsyncFn(),
     ) -> Result<Option<FleetConfig>, StoreError> {
         let value: SnapshotValue = match self.platform.read(SNAPSHOT_KEY).await? {
-            Some(row) => parse(&row.value)?,
+            Some(row) => parse_row_value(&row.value)?,
             None => return Ok(None),
         };
         let mut content = Vec::new();
@@ -166,8 +168,8 @@
         snapshot::read(&content, pause).await.map(Some).map_err(malformed)
     }
 
-    /// Writes a snapshot and makes it the latest, unless there is a later one; `pause` yields
-    /// between steps.
+    /// Writes a snapshot and makes it the latest, unless the store names a snapshot of the same or
+    /// a later revision. `pause` is awaited between steps, so that other tasks can run.
     pub async fn put_snapshot(
         &self,
         config: &FleetConfig,
@@ -187,7 +189,7 @@
         let mut version = 0;
         if let Some(row) = self.platform.read(SNAPSHOT_KEY).await? {
             version = row.version;
-            if parse::<SnapshotValue>(&row.value)?.revision >= revision {
+            if parse_row_value::<SnapshotValue>(&row.value)?.revision >= revision {
                 return Ok(());
             }
         }
@@ -197,7 +199,8 @@
         self.platform.transact(vec![check], vec![write]).await.map(drop)
     }
 
-    /// Reads the changes after the revision of `config`, applies them to it and returns them.
+    /// Reads the changes after the revision of `config`, applies these changes to `config` and
+    /// returns them.
     pub async fn catch_up(
         &self,
         config: &mut FleetConfig,
@@ -205,7 +208,7 @@
         let mut new_records = Vec::new();
         loop {
             let records = self.changes_after(config.revision()).await?;
-            let is_full_scan = records.len() == SCAN_LIMIT;
+            let is_full_scan = records.len() == SCAN_CHANGES_MAX;
             for record in records {
                 let applied = config.apply(&record).map_err(malformed)?;
                 if !applied {
@@ -221,7 +224,8 @@
 
     /// Commits a change atomically: all of its edits, or none.
     ///
-    /// Brings `config` up to date, and applies the change to it once it is accepted.
+    /// Applies the earlier changes of the store to `config` first, and applies the new change to
+    /// `config` once the store has accepted the change.
     pub async fn commit(
         &self,
         config: &mut FleetConfig,
@@ -229,14 +233,14 @@
         author: &ChangeAuthor,
     ) -> Result<ChangeRecord, ChangeError> {
         let writer = fresh_token();
-        let mut backoff = RetryBackoff::with_max_delay(CONTENDED_BACKOFF_MAX);
+        let mut backoff = RetryBackoff::with_max_delay(COMMIT_BACKOFF_MAX);
         for _ in 0..COMMIT_TRIES_MAX {
             let version = self.sync_to_head(config).await?;
             let record = plan_change(config, edits, author, &writer)?;
             if record.changes.is_empty() {
                 return Ok(ChangeRecord { revision: config.revision(), ..record });
             }
-            match self.write(&record, version).await {
+            match self.write_change(&record, version).await {
                 Ok(()) => {
                     let applied = config.apply(&record);
                     debug_assert_eq!(applied, Ok(true));
@@ -252,18 +256,19 @@
         Err(ChangeError::Contended)
     }
 
-    /// Brings `config` up to date and returns the version of the head row.
+    /// Applies the missing changes of the store to `config` and returns the version of the head
+    /// row.
     async fn sync_to_head(&self, config: &mut FleetConfig) -> Result<u64, ChangeError> {
-        let store = |source| ChangeError::Store { source };
-        let (revision, version) = self.head().await.map_err(store)?;
+        let store_error = |source| ChangeError::Store { source };
+        let (revision, version) = self.head().await.map_err(store_error)?;
         if revision > config.revision() {
-            self.catch_up(config).await.map_err(store)?;
+            self.catch_up(config).await.map_err(store_error)?;
         }
         Ok(version)
     }
 
-    /// Writes a change, provided that the head row still has this version.
-    async fn write(&self, record: &ChangeRecord, version: u64) -> Result<(), StoreError> {
+    /// Writes a change, provided that the head row still has the version `version`.
+    async fn write_change(&self, record: &ChangeRecord, version: u64) -> Result<(), StoreError> {
         let check = RowCheck { key: HEAD_KEY.to_owned(), version };
         let head = RowWrite {
             key: HEAD_KEY.to_owned(),
@@ -288,8 +293,9 @@
 
     /// Finds out whether a write took effect after the store's answer was lost.
     ///
-    /// The same write is retried; its check ensures that it takes effect at most once. If the check
-    /// fails, the token in the row of that revision shows which writer committed the revision.
+    /// The same write is retried; the check on the head row ensures that the write takes effect at
+    /// most once. If the check fails, the token in the change row of the revision shows which
+    /// writer committed the revision.
     async fn resolve_outcome(
         &self,
         config: &mut FleetConfig,
@@ -299,7 +305,7 @@
         let mut backoff = RetryBackoff::default();
         for _ in 0..OUTCOME_TRIES_MAX {
             monoio::time::sleep(backoff.next_delay()).await;
-            match self.write(&record, version).await {
+            match self.write_change(&record, version).await {
                 Ok(()) => {
                     let _ = config.apply(&record);
                     return Ok(record);
@@ -311,12 +317,12 @@
                 Ok(row) => row,
                 Err(_) => continue,
             };
-            let written = match &row {
-                Some(row) => self.record_of(row).await.map(Some),
+            let written_record = match &row {
+                Some(row) => self.read_record(row).await.map(Some),
                 None => Ok(None),
             };
-            match written {
-                Ok(written) => return outcome_by_row(config, record, written),
+            match written_record {
+                Ok(written_record) => return outcome_by_row(config, record, written_record),
                 Err(_) => continue,
             }
         }
@@ -327,10 +333,10 @@
 fn outcome_by_row(
     config: &mut FleetConfig,
     record: ChangeRecord,
-    written: Option<ChangeRecord>,
+    written_record: Option<ChangeRecord>,
 ) -> Result<ChangeRecord, ChangeError> {
-    match written {
-        Some(written) if written.writer == record.writer => {
+    match written_record {
+        Some(written_record) if written_record.writer == record.writer => {
             let _ = config.apply(&record);
             Ok(record)
         }
@@ -346,10 +352,10 @@
     author: &ChangeAuthor,
     writer: &str,
 ) -> Result<ChangeRecord, ChangeError> {
-    let invalid = |source| ChangeError::Invalid { source };
+    let invalid_change = |source| ChangeError::Invalid { source };
     if edits.len() > CHANGES_MAX {
         let error = basaltarch_core::errors::bad_value("changes", edits.len(), "up to 20000");
-        return Err(invalid(error));
+        return Err(invalid_change(error));
     }
     let mut changes = Vec::new();
     let mut edited = HashSet::new();
@@ -361,10 +367,10 @@
                 "two edits",
                 "one edit of a resource per change",
             );
-            return Err(invalid(error));
+            return Err(invalid_change(error));
         }
         check_guard(config, edit)?;
-        if let Some(change) = plan_edit(config, edit).map_err(invalid)? {
+        if let Some(change) = plan_edit(config, edit).map_err(invalid_change)? {
             changes.push(change);
         }
     }
@@ -377,8 +383,8 @@
         changes,
     };
     let mut changed_config = config.clone();
-    changed_config.apply(&record).map_err(invalid)?;
-    changed_config.check_change(&record).map_err(invalid)?;
+    changed_config.apply(&record).map_err(invalid_change)?;
+    changed_config.check_change(&record).map_err(invalid_change)?;
     Ok(record)
 }
 
@@ -422,16 +428,16 @@
 }
 
 fn change_key(revision: FleetRevision) -> String {
-    // Twenty digits hold any `u64`, so that keys sort in the order of revisions.
+    // Twenty digits hold any `u64`, so that the keys of changes sort in the order of revisions.
     format!("{CHANGE_PREFIX}{:020}", revision.0)
 }
 
-/// Returns a random token that identifies a writer.
+/// Returns a random token that identifies the writer of one change or claim.
 pub fn fresh_token() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
-fn parse<T: serde::de::DeserializeOwned>(value: &Value) -> Result<T, StoreError> {
+fn parse_row_value<T: serde::de::DeserializeOwned>(value: &Value) -> Result<T, StoreError> {
     T::deserialize(value).map_err(malformed)
 }
 
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -8,29 +8,29 @@
 
 use crate::transaction::TableRow;
 
-/// `StoreError` says why a call failed and whether it may have taken effect.
+/// `StoreError` says why a call to the store failed and whether the call may have taken effect.
 #[derive(Debug, Clone, PartialEq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StoreError {
     /// The call certainly did not take effect.
     #[snafu(display("the platform can't be reached: {message}"))]
     Unreachable {
-        /// What failed.
+        /// Error of the attempt to connect.
         message: String,
     },
-    /// The call may have taken effect: its answer was lost.
+    /// The answer to the call was lost, so the call may have taken effect.
     #[snafu(display("the platform's answer was lost: {message}"))]
     AnswerLost {
-        /// What failed.
+        /// Error that ended the call.
         message: String,
     },
     /// The platform rejected the call, for instance by rate limiting.
     #[snafu(display("the platform refused the call with status {status}"))]
     Refused {
-        /// HTTP status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// A check of a transaction failed.
+    /// At least one row did not have the version that the transaction requires.
     #[snafu(display("{} rows do not have the expected versions", rows.len()))]
     Conflict {
         /// Current contents of the rows that did not have the required version.
@@ -39,7 +39,7 @@
     /// The answer could not be parsed.
     #[snafu(display("the platform's answer can't be read: {message}"))]
     Malformed {
-        /// What is wrong.
+        /// What the parser reported.
         message: String,
     },
     /// The call exceeds this process's own rate limit and was not made.
@@ -66,7 +66,7 @@
     /// The change is not valid.
     #[snafu(display("{source}"))]
     Invalid {
-        /// What is wrong.
+        /// Reason why the change is not valid.
         source: ResourceError,
     },
     /// A guard does not match the revision of the resource in force.
@@ -74,11 +74,11 @@
     GuardFailed {
         /// Path of the resource.
         path: String,
-        /// Revision that the operator expected; 0 for "new".
+        /// Revision that the operator expected; 0 if the operator expected no such resource.
         expected: u64,
         /// Revision in force; 0 if there is no such resource.
         in_force: u64,
-        /// Value in force as JSON.
+        /// Value of the resource in force, as JSON.
         value: Option<serde_json::Value>,
     },
     /// Every attempt conflicted with a concurrent change of the configuration.
@@ -89,7 +89,7 @@
     /// The platform failed before the change took effect.
     #[snafu(display("{source}"))]
     Store {
-        /// What failed.
+        /// Error of the call to the platform.
         source: StoreError,
     },
     /// The store's answer was lost, and reading the store did not show whether the change took
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -5,8 +5,8 @@
 //! request is dispatched.
 //!
 //! Rows of concurrent requests are written in one transaction (group commit), since the platform
-//! accepts only a few hundred writes a second. Each row carries its writer's token, by which a
-//! writer finds out whether a write took effect after the store's answer was lost.
+//! accepts only a few hundred writes a second. Each row carries the token of its writer. By this
+//! token, a writer finds out whether a write took effect after the store's answer was lost.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -27,15 +27,18 @@
 
 /// Prefix of the ledger's rows.
 pub const LEDGER_PREFIX: &str = "once/";
-/// Maximum number of rows in one transaction; each takes a check and a write.
-const GROUP_MAX: usize = transaction::ENTRIES_MAX / 2;
-/// Maximum number of requests that wait for their rows to be written; further requests are refused
-/// immediately.
-const WAITING_MAX: usize = 4096;
-/// Time for which a claim is retried to find out whether its row was written, after the store's
-/// answer was lost. The claim then ends as [`ClaimOutcome::Unsettled`], an unknown outcome.
-const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// Maximum body of a recorded answer in bytes: receipts are small, and a row must stay small.
+/// Maximum number of ledger rows in one transaction; each row takes a check and a write.
+const GROUP_ROWS_MAX: usize = transaction::ENTRIES_MAX / 2;
+/// Maximum length of the queue of claims that wait for their rows to be written, and of the queue
+/// of answers that wait to be recorded. Further claims are refused immediately, and further answers
+/// are not recorded.
+const QUEUE_LENGTH_MAX: usize = 4096;
+/// Time from the start of a claim for which the claim is retried after the store's answer was lost,
+/// to find out whether the row was written. After this time the claim ends as
+/// [`ClaimOutcome::Unsettled`], an unknown outcome.
+const CLAIM_RETRY_TIME: Duration = Duration::from_secs(5);
+/// Maximum size in bytes of the body of a recorded answer. The usual answers, receipts, are small,
+/// and a ledger row must stay small.
 pub const KEPT_BODY_MAX: usize = 4 * units::KIB;
 
 /// `OnceKey` identifies one at-most-once request (its idempotency key).
@@ -43,7 +46,7 @@
 pub struct OnceKey {
     /// Service that handles the request.
     pub service: String,
-    /// Organisation of the caller, empty if there is none.
+    /// Organisation of the caller; empty if the caller has no organisation.
     pub organisation: String,
     /// Key that the caller supplied.
     pub key: String,
@@ -53,7 +56,7 @@
 
 impl OnceKey {
     /// Returns the key of the ledger row. The parts are hashed with their lengths, so that no
-    /// caller can craft a key that collides with another's.
+    /// caller can craft a key that collides with the key of another caller.
     pub fn row_key(&self) -> String {
         let parts = [&self.service, &self.organisation, &self.key];
         format!("{LEDGER_PREFIX}{}", digest(parts.iter().map(|part| part.as_bytes())))
@@ -91,7 +94,7 @@
     pub digest: String,
     /// Time of the claim, in milliseconds since 1970 UTC, by the writer's clock.
     pub at_ms: u64,
-    /// Epoch in which the row was written; 0 if the writer did not know it.
+    /// Epoch in which the row was written; 0 if the writer did not know the epoch.
     #[serde(default)]
     pub epoch: u64,
     /// The complete answer; absent until the request has finished, or if the answer was too large
@@ -104,9 +107,9 @@
 pub enum ClaimOutcome {
     /// The claimant may run the request; the token finishes or releases the claim.
     Granted(ClaimToken),
-    /// An earlier attempt started the request, and this is its answer.
+    /// An earlier attempt ran the request; holds the recorded answer.
     Answered(KeptAnswer),
-    /// An earlier attempt started the request, and its answer is not known.
+    /// An earlier attempt started the request, and no answer is recorded.
     Started,
     /// The key was used for a different request.
     OtherRequest,
@@ -129,7 +132,7 @@
     row_key: String,
     entry: LedgerEntry,
     claimed_at: Instant,
-    maybe_written: bool,
+    may_be_written: bool,
     reply: oneshot::Sender<ClaimOutcome>,
 }
 
@@ -163,14 +166,14 @@
         self.transactions.get()
     }
 
-    /// Sets the epoch of new rows; 0 while it is unknown.
+    /// Sets the epoch of new rows; 0 while the current epoch is unknown.
     pub fn set_epoch(&self, epoch: u64) {
         self.epoch.set(epoch);
     }
 
     /// Claims the key of an at-most-once request before the request runs.
     pub async fn claim(self: &Rc<Self>, key: &OnceKey) -> ClaimOutcome {
-        if self.waiting.borrow().len() >= WAITING_MAX {
+        if self.waiting.borrow().len() >= QUEUE_LENGTH_MAX {
             return ClaimOutcome::Unavailable;
         }
         let (reply, outcome) = oneshot::channel();
@@ -185,7 +188,7 @@
             row_key: key.row_key(),
             entry,
             claimed_at: Instant::now(),
-            maybe_written: false,
+            may_be_written: false,
             reply,
         });
         self.ensure_running();
@@ -194,7 +197,7 @@
 
     /// Records the answer of a finished request for later attempts, in the background.
     pub fn finish(self: &Rc<Self>, token: ClaimToken, answer: KeptAnswer) {
-        if answer.body.len() <= KEPT_BODY_MAX && self.finished.borrow().len() < WAITING_MAX {
+        if answer.body.len() <= KEPT_BODY_MAX && self.finished.borrow().len() < QUEUE_LENGTH_MAX {
             self.finished.borrow_mut().push_back((token, answer));
             self.ensure_running();
         }
@@ -226,7 +229,7 @@
         let mut backoff = RetryBackoff::with_max_delay(Duration::from_millis(400));
         loop {
             self.release_abandoned().await;
-            let group = self.next_group();
+            let group = self.take_next_group();
             if group.is_empty() {
                 if self.finished.borrow().is_empty() && self.abandoned.borrow().is_empty() {
                     break;
@@ -256,13 +259,13 @@
 
     /// Takes the claims of the next transaction; claims of the same row go into separate
     /// transactions.
-    fn next_group(&self) -> Vec<WaitingClaim> {
+    fn take_next_group(&self) -> Vec<WaitingClaim> {
         let mut waiting = self.waiting.borrow_mut();
         let mut group: Vec<WaitingClaim> = Vec::new();
         let mut remaining = VecDeque::new();
         while let Some(claim) = waiting.pop_front() {
             let is_duplicate = group.iter().any(|each| each.row_key == claim.row_key);
-            if is_duplicate || group.len() >= GROUP_MAX {
+            if is_duplicate || group.len() >= GROUP_ROWS_MAX {
                 remaining.push_back(claim);
             } else {
                 group.push(claim);
@@ -272,11 +275,11 @@
         group
     }
 
-    /// Writes a group of claims in one transaction and replies to them. Returns whether the
-    /// platform answered.
+    /// Writes the rows of a group of claims in one transaction and sends the outcome of each claim
+    /// to its caller. Returns whether the platform answered.
     async fn write_group(&self, group: Vec<WaitingClaim>) -> bool {
-        let checks = group.iter().map(|claim| check_absent(&claim.row_key)).collect();
-        let writes = group.iter().map(|claim| put(&claim.row_key, &claim.entry)).collect();
+        let checks = group.iter().map(|claim| row_absent_check(&claim.row_key)).collect();
+        let writes = group.iter().map(|claim| row_write(&claim.row_key, &claim.entry)).collect();
         self.transactions.set(self.transactions.get() + 1);
         match self.platform.transact(checks, writes).await {
             Ok(version) => {
@@ -308,13 +311,14 @@
     }
 
     /// Resolves the waiting claims of a row that was just written, since the store would only
-    /// report that row as their conflict. A claim whose own write may have taken effect keeps
-    /// waiting.
+    /// report a conflict with that row for these claims. A claim whose own write may have taken
+    /// effect keeps waiting.
     fn resolve_same_row(&self, row_key: &str, version: u64, entry: &LedgerEntry) {
         let row = TableRow { key: row_key.to_owned(), version, value: json!(entry) };
         let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        let (same_row_claims, other_claims): (VecDeque<_>, VecDeque<_>) =
-            waiting.into_iter().partition(|claim| claim.row_key == row_key && !claim.maybe_written);
+        let (same_row_claims, other_claims): (VecDeque<_>, VecDeque<_>) = waiting
+            .into_iter()
+            .partition(|claim| claim.row_key == row_key && !claim.may_be_written);
         *self.waiting.borrow_mut() = other_claims;
         for claim in same_row_claims {
             let outcome = resolve_claim(&claim, &row);
@@ -338,13 +342,13 @@
     }
 
     /// Handles a failed write: refuses claims whose rows were certainly not written, and retries
-    /// claims whose rows may have been written until the outcome is known or [`SETTLE_TIME`] has
-    /// passed.
+    /// claims whose rows may have been written until the outcome is known or [`CLAIM_RETRY_TIME`]
+    /// has passed.
     fn retry_or_refuse(&self, group: Vec<WaitingClaim>, may_have_happened: bool) {
         for mut claim in group {
-            claim.maybe_written |= may_have_happened;
-            let has_timed_out = claim.claimed_at.elapsed() > SETTLE_TIME;
-            if !claim.maybe_written {
+            claim.may_be_written |= may_have_happened;
+            let has_timed_out = claim.claimed_at.elapsed() > CLAIM_RETRY_TIME;
+            if !claim.may_be_written {
                 let _ = claim.reply.send(ClaimOutcome::Unavailable);
             } else if has_timed_out {
                 let _ = claim.reply.send(ClaimOutcome::Unsettled);
@@ -354,25 +358,25 @@
         }
     }
 
-    fn next_answers(&self) -> Vec<(ClaimToken, KeptAnswer)> {
+    fn take_next_answers(&self) -> Vec<(ClaimToken, KeptAnswer)> {
         let mut finished = self.finished.borrow_mut();
-        let count = finished.len().min(GROUP_MAX);
+        let count = finished.len().min(GROUP_ROWS_MAX);
         finished.drain(..count).collect()
     }
 
     async fn write_answers(&self) {
-        let group = self.next_answers();
+        let group = self.take_next_answers();
         let mut checks = Vec::with_capacity(group.len());
         let mut writes = Vec::with_capacity(group.len());
         for (token, answer) in group {
             checks.push(RowCheck { key: token.row_key.clone(), version: token.version });
             let mut entry = token.entry;
             entry.answer = Some(answer);
-            writes.push(put(&token.row_key, &entry));
+            writes.push(row_write(&token.row_key, &entry));
         }
         self.transactions.set(self.transactions.get() + 1);
-        // Recording answers is best effort: without a recorded answer, a later attempt gets the
-        // answer that the request was started, which is true.
+        // Recording answers is best effort. Without a recorded answer, a later attempt gets
+        // [`ClaimOutcome::Started`], which is still correct.
         if let Err(error) = self.platform.transact(checks, writes).await {
             process::AnswersNotKept { error: &error.to_string() }.log();
         }
@@ -400,10 +404,10 @@
     }
 }
 
-fn check_absent(key: &str) -> RowCheck {
+fn row_absent_check(key: &str) -> RowCheck {
     RowCheck { key: key.to_owned(), version: 0 }
 }
 
-fn put(key: &str, entry: &LedgerEntry) -> RowWrite {
+fn row_write(key: &str, entry: &LedgerEntry) -> RowWrite {
     RowWrite { key: key.to_owned(), value: Some(json!(entry)) }
 }
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -22,11 +22,12 @@
 /// Timeout of one call; a healthy platform answers in a few milliseconds.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Usual maximum duration of one long poll of the feed. Each poll costs as much as a read, so polls
-/// must not be short; a poll that hangs because of an outage must end soon after the outage.
+/// must not be short. A poll that hangs because of an outage must end soon after the outage, so
+/// polls must not be long.
 pub const FEED_WAIT: Duration = Duration::from_secs(8);
 /// Minimum duration of a long poll as a share of its maximum. When an outage leaves polls hanging
-/// at many daemons, this jitter spreads the times at which they end, and the first daemon that gets
-/// an answer notifies the others.
+/// at many daemons, this jitter spreads the times at which the polls end. The first daemon that
+/// gets an answer notifies the other daemons.
 const FEED_WAIT_MIN_SHARE: f64 = 0.4;
 
 /// Draws the duration of a long poll, at most `max_wait`.
@@ -34,7 +35,8 @@
     max_wait.mul_f64(rand::random_range(FEED_WAIT_MIN_SHARE..=1.0))
 }
 /// Time from the end of the requested wait of a long poll until the poll is abandoned. A healthy
-/// store answers within a few milliseconds of the end; a slow store takes a hundred times as long.
+/// store answers within a few milliseconds after the requested wait; a slow store takes a hundred
+/// times as long.
 const FEED_GRACE: Duration = Duration::from_millis(700);
 /// Idle time after which TCP keep-alive probes the store's end of a connection.
 const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(1);
@@ -42,7 +44,7 @@
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 /// Maximum backoff after consecutive failed calls.
 const BACKOFF_MAX: Duration = Duration::from_secs(5);
-/// Maximum number of rows in one answer.
+/// Number of rows requested with each page when a whole table is read: the platform's maximum.
 const PAGE_ROWS: usize = rows::PAGE_ROWS_MAX;
 
 /// `CallCounts` counts the calls to the platform by result.
@@ -52,7 +54,7 @@
     pub answered: u64,
     /// Calls that were refused with status 429 or 503 and had no effect.
     pub refused: u64,
-    /// Calls without an answer: a write may have taken effect.
+    /// Calls without an answer; a write among these calls may have taken effect.
     pub no_answer: u64,
 }
 
@@ -69,7 +71,7 @@
         Self { rate, tokens: rate.max(1.0), filled_at: Instant::now() }
     }
 
-    fn take(&mut self) -> Result<(), StoreError> {
+    fn take_token(&mut self) -> Result<(), StoreError> {
         let elapsed = self.filled_at.elapsed().as_secs_f64();
         self.filled_at = Instant::now();
         self.tokens = (self.tokens + elapsed * self.rate).min(self.rate.max(1.0));
@@ -99,7 +101,8 @@
         matches!((self.era, era), (Some(known), Some(reported)) if known != reported)
     }
 
-    /// Returns this position, advanced to `version` and `era` of an answer that was read from here.
+    /// Returns this position, advanced to the `version` and `era` of an answer to a read from this
+    /// position.
     fn advanced(self, version: u64, era: Option<u64>) -> Self {
         Self { era: era.or(self.era), version: self.version.max(version) }
     }
@@ -115,14 +118,16 @@
     Forgotten,
 }
 
-/// `PlatformClient` is the client of the platform's store. Every call is bounded in time and rate.
+/// `PlatformClient` is the client of the platform's store. Every call has a timeout, and the calls
+/// per second are limited.
 #[derive(Debug)]
 pub struct PlatformClient {
     client: HttpClient,
-    /// Client for long polls, which have a longer timeout.
-    feeds: HttpClient,
-    /// Client for calls that must not wait on a dead connection: each call opens a new connection.
-    unpooled: HttpClient,
+    /// HTTP client for long polls, with a longer timeout than `client`.
+    feed_client: HttpClient,
+    /// HTTP client for calls that must not wait on a dead connection. Each call of this client
+    /// opens a new connection.
+    unpooled_client: HttpClient,
     reads: RefCell<CallBudget>,
     writes: RefCell<CallBudget>,
     counts: Cell<CallCounts>,
@@ -134,8 +139,8 @@
         let feed_timeout = FEED_WAIT + FEED_GRACE;
         Self {
             client: HttpClient::new(address, CALL_TIMEOUT).tcp_keepalive(KEEP_ALIVE_AFTER),
-            feeds: HttpClient::new(address, feed_timeout).tcp_keepalive(KEEP_ALIVE_AFTER),
-            unpooled: HttpClient::new(address, CALL_TIMEOUT),
+            feed_client: HttpClient::new(address, feed_timeout).tcp_keepalive(KEEP_ALIVE_AFTER),
+            unpooled_client: HttpClient::new(address, CALL_TIMEOUT),
             reads: RefCell::new(CallBudget::new(reads)),
             writes: RefCell::new(CallBudget::new(writes)),
             counts: Cell::default(),
@@ -148,7 +153,7 @@
         checks: Vec<RowCheck>,
         writes: Vec<RowWrite>,
     ) -> Result<u64, StoreError> {
-        self.writes.borrow_mut().take()?;
+        self.writes.borrow_mut().take_token()?;
         let expectations = checks.iter().map(|check| RowExpectation {
             address: RowPath::of(&check.key).address(),
             version: check.version,
@@ -168,7 +173,7 @@
         Ok(read_page(&require_success(reply)?)?.version)
     }
 
-    /// Reads the row with this key, if there is one.
+    /// Reads the row with the key `key`; returns `None` if the row does not exist.
     pub async fn read(&self, key: &str) -> Result<Option<TableRow>, StoreError> {
         let RowAddress { table, part, key: key_in_table } = RowPath::of(key).address();
         let (page, _) = self.read_page(table, part, key_in_table, 1).await?;
@@ -200,14 +205,14 @@
         while has_more {
             let from = all.rows.last().map(|row| format!("{}\0", row.key)).unwrap_or_default();
             let (next, _) = self.read_page(table, "", &from, PAGE_ROWS).await?;
-            // A page without rows has no key from which the next one could start.
+            // A page without rows has no key from which the next page could start.
             has_more = next.more && !next.rows.is_empty();
             all.rows.extend(next.rows);
             all.keyless += next.keyless;
         }
         all.more = false;
-        // If the store is restored between two reads, pages of two eras are mixed here. The feed
-        // then reports another era than the first page, and the table is read again.
+        // If the store is restored between two reads, `all` mixes pages of two eras. The feed
+        // reports another era than the first page in this case, and the table is read again.
         let position = TablePosition { era, version: all.version };
         Ok((all, position))
     }
@@ -219,7 +224,7 @@
         from: &str,
         limit: usize,
     ) -> Result<(RowsPage, Option<u64>), StoreError> {
-        self.reads.borrow_mut().take()?;
+        self.reads.borrow_mut().take_token()?;
         let reply = self.call(rows::read_from(table, part, from, limit)).await?;
         let era = headers::store_era(&reply.headers);
         Ok((read_page(&require_success(reply)?)?, era))
@@ -232,29 +237,34 @@
         after: TablePosition,
         wait: Duration,
     ) -> Result<FeedReply, StoreError> {
-        self.reads.borrow_mut().take()?;
-        let calling = call(&self.feeds, rows::follow(table, after.version, wait));
-        let reply = match monoio::time::timeout(wait + FEED_GRACE, calling).await {
+        self.reads.borrow_mut().take_token()?;
+        let poll = call(&self.feed_client, rows::follow(table, after.version, wait));
+        let reply = match monoio::time::timeout(wait + FEED_GRACE, poll).await {
             Ok(reply) => reply,
             Err(_) => Err(StoreError::AnswerLost { message: "long poll timed out".to_owned() }),
         };
-        self.read_feed(after, self.count(reply)?)
+        self.parse_feed_reply(after, self.count_result(reply)?)
     }
 
-    /// Polls the changes of a table after a position without waiting. Uses a new connection, since
-    /// an open connection may be dead.
+    /// Reads the changes of a table after a position without waiting for a change. Uses a new
+    /// connection, since an open connection may be dead.
     pub async fn changes_now(
         &self,
         table: &str,
         after: TablePosition,
     ) -> Result<FeedReply, StoreError> {
-        self.reads.borrow_mut().take()?;
-        self.unpooled.close_idle();
-        let reply = call(&self.unpooled, rows::follow(table, after.version, Duration::ZERO)).await;
-        self.read_feed(after, self.count(reply)?)
+        self.reads.borrow_mut().take_token()?;
+        self.unpooled_client.close_idle();
+        let reply =
+            call(&self.unpooled_client, rows::follow(table, after.version, Duration::ZERO)).await;
+        self.parse_feed_reply(after, self.count_result(reply)?)
     }
 
-    fn read_feed(&self, after: TablePosition, reply: ClientReply) -> Result<FeedReply, StoreError> {
+    fn parse_feed_reply(
+        &self,
+        after: TablePosition,
+        reply: ClientReply,
+    ) -> Result<FeedReply, StoreError> {
         let era = headers::store_era(&reply.headers);
         if reply.status == StatusCode::GONE {
             return Ok(FeedReply::Forgotten);
@@ -274,19 +284,19 @@
     /// for the feed.
     pub fn close_idle_connections(&self) {
         self.client.close_idle();
-        self.feeds.close_idle();
+        self.feed_client.close_idle();
     }
 
     /// Writes an object.
     pub async fn put_object(&self, name: &str, content: Bytes) -> Result<(), StoreError> {
-        self.writes.borrow_mut().take()?;
+        self.writes.borrow_mut().take_token()?;
         let reply = self.call(objects::put(name, content.into())).await?;
         require_success(reply).map(drop)
     }
 
-    /// Reads an object, if there is one.
+    /// Reads the object `name`; returns `None` if the object does not exist.
     pub async fn get_object(&self, name: &str) -> Result<Option<Bytes>, StoreError> {
-        self.reads.borrow_mut().take()?;
+        self.reads.borrow_mut().take_token()?;
         let reply = self.call(objects::get(name)).await?;
         if reply.status == StatusCode::NOT_FOUND {
             return Ok(None);
@@ -295,7 +305,7 @@
     }
 
     async fn call(&self, request: StoreCall) -> Result<ClientReply, StoreError> {
-        self.count(call(&self.client, request).await)
+        self.count_result(call(&self.client, request).await)
     }
 
     /// Returns the number of calls by result, since the client was built.
@@ -304,7 +314,10 @@
     }
 
     /// Counts the result of a call; closes the idle connections after a call without an answer.
-    fn count(&self, reply: Result<ClientReply, StoreError>) -> Result<ClientReply, StoreError> {
+    fn count_result(
+        &self,
+        reply: Result<ClientReply, StoreError>,
+    ) -> Result<ClientReply, StoreError> {
         let mut counts = self.counts.get();
         match &reply {
             Ok(reply) if is_refusal(reply.status) => counts.refused += 1,
@@ -324,8 +337,8 @@
     matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Makes a call. A call without an answer closes its connection, so that the next call uses another
-/// connection.
+/// Sends a call to the store and returns the answer. A call without an answer closes its
+/// connection, so that the next call uses another connection.
 async fn call(client: &HttpClient, request: StoreCall) -> Result<ClientReply, StoreError> {
     let StoreCall { method, target, body } = request;
     let result = client.call(method, &target, HeaderMap::new(), Bytes::from(body)).await;
@@ -339,7 +352,7 @@
     })
 }
 
-/// Returns a reply of a successful call; any other status is an error.
+/// Returns the reply if its status is a success (2xx); any other status is an error.
 fn require_success(reply: ClientReply) -> Result<ClientReply, StoreError> {
     if reply.status.is_success() {
         return Ok(reply);
@@ -367,8 +380,8 @@
     page.rows.into_iter().map(table_row).collect()
 }
 
-/// `RetryBackoff` is an exponential backoff between failed calls, with jitter, so that a fleet does
-/// not retry all at once.
+/// `RetryBackoff` is an exponential backoff between failed calls. Its jitter keeps the daemons of a
+/// fleet from retrying all at once.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBackoff {
     current: Duration,
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -4,11 +4,11 @@
 //! Removes expired ledger rows of at-most-once requests.
 //!
 //! Removing a row too early would let an at-most-once request run twice. Wall clocks are therefore
-//! not used for expiry: a daemon whose clock is a day ahead would remove every row. Instead, rows
-//! carry the epoch in which they were written. One row of the table holds the current epoch. Only a
-//! daemon that has seen that row unchanged for [`EPOCH_TIME`], by its own monotonic clock, writes
-//! the next epoch. So an epoch never lasts less than [`EPOCH_TIME`]; pauses, restarts and outages
-//! only make it longer.
+//! not used for expiry: a daemon whose clock is a day ahead would remove every row. Instead, each
+//! row carries the epoch in which the row was written. One row of the table holds the current
+//! epoch. Only a daemon that has seen that row unchanged for [`EPOCH_TIME`], by its own monotonic
+//! clock, writes the next epoch. So an epoch never lasts less than [`EPOCH_TIME`]; pauses, restarts
+//! and outages only make it longer.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -27,16 +27,16 @@
 /// Minimum duration of an epoch: daemons run several hours between restarts, so that nearly always
 /// some daemon sees an epoch to its end.
 pub const EPOCH_TIME: Duration = Duration::from_secs(3600);
-/// Maximum number of rows of one scan.
-const SCAN_ROWS: usize = 200;
-/// Maximum number of rows changed in one transaction; each takes a check and a write.
-const BATCH_ROWS: usize = transaction::ENTRIES_MAX / 2;
-/// Maximum number of scans of one round, so that a round ends even if rows are added as fast as
-/// they are removed.
-const SCANS_MAX: usize = 20;
+/// Maximum number of ledger rows read in one scan.
+const SCAN_ROWS_MAX: usize = 200;
+/// Maximum number of rows changed in one transaction; each row takes a check and a write.
+const BATCH_ROWS_MAX: usize = transaction::ENTRIES_MAX / 2;
+/// Maximum number of scans of one round, so that a round ends even if rows are added as fast as the
+/// round removes rows.
+const SCANS_PER_ROUND_MAX: usize = 20;
 /// Number of partitions of the ledger, by the first two hexadecimal digits of the hashed key; a
 /// round sweeps one partition.
-const PARTITIONS: u32 = 256;
+const PARTITION_COUNT: u32 = 256;
 
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 struct EpochValue {
@@ -48,27 +48,28 @@
 pub struct EpochWatch {
     epoch: u64,
     /// When this daemon first read the epoch, by its monotonic clock.
-    seen_at: Duration,
+    first_read_at: Duration,
     /// When this daemon last read the epoch.
-    read_at: Duration,
+    last_read_at: Duration,
 }
 
 impl EpochWatch {
-    /// Records that the table holds this epoch. A stale answer, with an earlier epoch, changes
-    /// nothing.
+    /// Records that the table holds the epoch `epoch` at the time `now`. A stale answer, which
+    /// holds an earlier epoch, changes nothing.
     pub fn record_epoch(&mut self, epoch: u64, now: Duration) {
         if epoch > self.epoch {
             self.epoch = epoch;
-            self.seen_at = now;
+            self.first_read_at = now;
         }
         if epoch == self.epoch {
-            self.read_at = now;
+            self.last_read_at = now;
         }
     }
 
-    /// Returns the epoch, or 0 if it is unknown or was last read so long ago that it may be over.
+    /// Returns the current epoch, or 0 if the epoch is unknown or was last read at least
+    /// [`EPOCH_TIME`] ago and may be over.
     pub fn current(&self, now: Duration) -> u64 {
-        let is_fresh = now.saturating_sub(self.read_at) < EPOCH_TIME;
+        let is_fresh = now.saturating_sub(self.last_read_at) < EPOCH_TIME;
         if is_fresh {
             self.epoch
         } else {
@@ -76,16 +77,17 @@
         }
     }
 
-    /// Returns whether this daemon has seen the epoch for at least [`EPOCH_TIME`].
+    /// Returns whether this daemon first read the current epoch at least [`EPOCH_TIME`] ago, so
+    /// that the epoch may be advanced.
     pub fn is_over(&self, now: Duration) -> bool {
-        self.epoch > 0 && now.saturating_sub(self.seen_at) >= EPOCH_TIME
+        self.epoch > 0 && now.saturating_sub(self.first_read_at) >= EPOCH_TIME
     }
 }
 
 /// `SweepReport` is the result of one round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SweepReport {
-    /// Current epoch; 0 if unknown.
+    /// Current epoch; 0 if the epoch is unknown.
     pub epoch: u64,
     /// Number of rows removed.
     pub removed: u64,
@@ -114,10 +116,11 @@
         let epoch = self.watch.borrow().current(now);
         self.ledger.set_epoch(epoch);
         result?;
-        self.sweep(rand::random_range(0..PARTITIONS), epoch).await
+        self.sweep(rand::random_range(0..PARTITION_COUNT), epoch).await
     }
 
-    /// Reads the current epoch, and advances it if this daemon has seen it to its end.
+    /// Reads the current epoch, and advances the epoch if this daemon has seen the same epoch for
+    /// [`EPOCH_TIME`] or if the table holds no epoch yet.
     async fn update_epoch(&self, now: Duration) -> Result<(), StoreError> {
         let (epoch, version) = match self.platform.read(EPOCH_KEY).await? {
             Some(row) => (read_epoch(&row)?, row.version),
@@ -129,11 +132,11 @@
             return Ok(());
         }
         // The check lets only one daemon advance each epoch, even if the store's answer is lost.
-        let next = EpochValue { epoch: self.watch.borrow().epoch + 1 };
+        let next_epoch = EpochValue { epoch: self.watch.borrow().epoch + 1 };
         let check = RowCheck { key: EPOCH_KEY.to_owned(), version };
-        let write = RowWrite { key: EPOCH_KEY.to_owned(), value: Some(json!(next)) };
+        let write = RowWrite { key: EPOCH_KEY.to_owned(), value: Some(json!(next_epoch)) };
         match self.platform.transact(vec![check], vec![write]).await {
-            Ok(_) => self.watch.borrow_mut().record_epoch(next.epoch, now),
+            Ok(_) => self.watch.borrow_mut().record_epoch(next_epoch.epoch, now),
             // Another daemon advanced the epoch; the next round reads it.
             Err(StoreError::Conflict { .. }) => {}
             Err(error) => return Err(error),
@@ -141,21 +144,22 @@
         Ok(())
     }
 
-    /// Sweeps one partition of the ledger.
+    /// Sweeps one partition of the ledger: removes expired rows, and stamps rows without an epoch
+    /// with the epoch `epoch`. Does nothing if `epoch` is 0 (unknown).
     pub async fn sweep(&self, partition: u32, epoch: u64) -> Result<SweepReport, StoreError> {
         let mut report = SweepReport { epoch, ..SweepReport::default() };
         if epoch == 0 {
             return Ok(report);
         }
         let prefix = format!("{LEDGER_PREFIX}{partition:02x}");
-        let mut after = String::new();
-        for _ in 0..SCANS_MAX {
-            let rows = self.platform.scan(&prefix, &after, SCAN_ROWS).await?;
-            for batch in rows.chunks(BATCH_ROWS) {
+        let mut start_after = String::new();
+        for _ in 0..SCANS_PER_ROUND_MAX {
+            let rows = self.platform.scan(&prefix, &start_after, SCAN_ROWS_MAX).await?;
+            for batch in rows.chunks(BATCH_ROWS_MAX) {
                 self.sweep_rows(batch, &mut report).await?;
             }
             match rows.last() {
-                Some(last) if rows.len() == SCAN_ROWS => after = last.key.clone(),
+                Some(last) if rows.len() == SCAN_ROWS_MAX => start_after = last.key.clone(),
                 _ => break,
             }
         }
@@ -167,7 +171,7 @@
         rows: &[TableRow],
         report: &mut SweepReport,
     ) -> Result<(), StoreError> {
-        let mut updated = *report;
+        let mut updated_report = *report;
         let mut checks = Vec::new();
         let mut writes = Vec::new();
         for row in rows {
@@ -178,10 +182,10 @@
             let value = if entry.epoch == 0 {
                 // The age of the row is unknown, so its retention starts now.
                 entry.epoch = report.epoch;
-                updated.dated += 1;
+                updated_report.dated += 1;
                 Some(json!(entry))
             } else if report.epoch > entry.epoch + self.keep_epochs {
-                updated.removed += 1;
+                updated_report.removed += 1;
                 None
             } else {
                 continue;
@@ -193,7 +197,7 @@
             return Ok(());
         }
         match self.platform.transact(checks, writes).await {
-            Ok(_) => *report = updated,
+            Ok(_) => *report = updated_report,
             // A row changed in the meantime; a later round retries.
             Err(StoreError::Conflict { .. }) => {}
             Err(error) => return Err(error),
--- a/crates/store/src/transaction.rs
+++ b/crates/store/src/transaction.rs
@@ -22,7 +22,8 @@
     pub value: Value,
 }
 
-/// `RowCheck` is a condition of a transaction, which commits only if the row has this version.
+/// `RowCheck` is a condition of a transaction: the transaction commits only if the row has the
+/// required version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RowCheck {
     /// Key of the row.
@@ -56,13 +57,13 @@
         Self { table, key }
     }
 
-    /// Returns the key of this path.
+    /// Returns the key in the form that [`RowPath::of`] splits: table, slash, key within the table.
     pub fn store_key(&self) -> String {
         format!("{}/{}", self.table, self.key)
     }
 
-    /// Returns the address of the row. The tables of this crate are not partitioned, as its
-    /// transactions are small and touch related rows.
+    /// Returns the address of the row. The tables of this crate are not partitioned, as the
+    /// transactions of this crate are small and touch related rows.
     pub fn address(&self) -> RowAddress<'a> {
         RowAddress { table: self.table, part: "", key: self.key }
     }
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -1,8 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The contract with the platform's store: calls, conditions, change feed and outages, tested
-//! against a simulated store.
+//! The contract with the platform's store, tested against a simulated store: conditional writes,
+//! scans, the change feed, and outages. A client that misjudges whether a write took effect would
+//! lose a change or apply a change twice.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,8 +27,8 @@
 struct TestStore {
     address: SocketAddr,
     client: PlatformClient,
-    /// Client in the second host group, which alone is affected by partial outages.
-    second: PlatformClient,
+    /// Client in the second host group. A partial outage affects the hosts of this group only.
+    second_group_client: PlatformClient,
 }
 
 impl TestStore {
@@ -40,10 +41,10 @@
         monoio::spawn(platform::serve(first, standin.clone(), HostGroup::First));
         monoio::spawn(platform::serve(second, standin, HostGroup::Second));
         let client = PlatformClient::new(address, 1e6, 1e6);
-        Self { address, client, second: PlatformClient::new(second_address, 1e6, 1e6) }
+        Self { address, client, second_group_client: PlatformClient::new(second_address, 1e6, 1e6) }
     }
 
-    async fn faults(&self, faults: Value) {
+    async fn set_faults(&self, faults: Value) {
         let client = HttpClient::new(self.address, Duration::from_secs(10));
         let body = Bytes::from(faults.to_string());
         let call = client.call(Method::PUT, platform::FAULTS_PATH, HeaderMap::new(), body);
@@ -98,9 +99,9 @@
         assert_eq!(next[0].key, "t/a007");
         let end = store.client.scan("t/a", "t/a598", 7).await.expect("scan");
         assert_eq!(end.len(), 1, "rows of another prefix or table are not returned");
-        let (all, _) = store.client.read_table("t").await.expect("table");
-        assert_eq!(all.rows.len(), 601, "more than one page");
-        assert!(all.rows.is_sorted_by(|left, right| left.key < right.key));
+        let (table_page, _) = store.client.read_table("t").await.expect("table");
+        assert_eq!(table_page.rows.len(), 601, "more than one page");
+        assert!(table_page.rows.is_sorted_by(|left, right| left.key < right.key));
     });
 }
 
@@ -120,7 +121,7 @@
         let FeedReply::Changes(page, position) = reply.expect("feed") else { panic!("forgotten") };
         let keys: Vec<&str> = page.rows.iter().map(|row| row.key.as_str()).collect();
         assert_eq!((keys, page.version), (vec!["b"], version));
-        store.faults(json!({"forget_history": true})).await;
+        store.set_faults(json!({"forget_history": true})).await;
         let reply = store.client.follow("t", position, FEED_WAIT).await.expect("feed");
         assert_eq!(reply, FeedReply::Forgotten);
         let (page, _) = store.client.read_table("t").await.expect("table");
@@ -166,14 +167,14 @@
 ) {
     run(async {
         let store = TestStore::start();
-        store.faults(faults).await;
+        store.set_faults(faults).await;
         let _ = store.client.read("t/none").await;
         let error = store.put("t/k", 0, json!(1)).await.expect_err("an outage");
         assert_eq!(error.may_have_happened(), may_have_happened, "{error}");
-        store.faults(json!({})).await;
-        // Repeating the same write resolves its outcome: it takes effect at most once.
-        let settled = store.put("t/k", 0, json!(1)).await;
-        assert!(matches!(settled, Ok(_) | Err(StoreError::Conflict { .. })), "{settled:?}");
+        store.set_faults(json!({})).await;
+        // Repeating the same write shows the outcome: the write takes effect at most once.
+        let repeated = store.put("t/k", 0, json!(1)).await;
+        assert!(matches!(repeated, Ok(_) | Err(StoreError::Conflict { .. })), "{repeated:?}");
         let again = store.put("t/k", 0, json!(1)).await;
         assert!(matches!(again, Err(StoreError::Conflict { .. })), "{again:?}");
     });
@@ -187,16 +188,17 @@
     run(async {
         let store = TestStore::start();
         faults["second_group_only"] = json!(true);
-        store.faults(faults).await;
+        store.set_faults(faults).await;
         let version = store.put("t/k", 0, json!(1)).await.expect("the first group is served");
-        store.second.read("t/k").await.expect_err("the second group is not");
+        store.second_group_client.read("t/k").await.expect_err("the second group is not");
         store
-            .second
+            .second_group_client
             .follow("t", TablePosition::default(), FEED_WAIT)
             .await
             .expect_err("nor is its feed");
-        store.faults(json!({})).await;
-        let row = store.second.read("t/k").await.expect("read").expect("the row exists");
+        store.set_faults(json!({})).await;
+        let row =
+            store.second_group_client.read("t/k").await.expect("read").expect("the row exists");
         assert_eq!(row.version, version);
     });
 }
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Ledger rows of at-most-once requests are removed once they expire, and never before: a row
-//! removed too early would let a request run twice. The tests pass in the time of the monotonic
-//! clock.
+//! removed too early would let a request run twice. The tests pass the time of the monotonic clock
+//! as an argument.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,9 +22,9 @@
 use test_case::test_case;
 
 const KEEP_EPOCHS: u64 = 3;
-const PARTITIONS: u32 = 256;
+const PARTITION_COUNT: u32 = 256;
 
-/// A simulated platform and one daemon's view of it.
+/// A simulated platform, and the ledger and retention of one daemon that uses this platform.
 struct TestStore {
     address: SocketAddr,
     ledger: Rc<OnceLedger>,
@@ -40,17 +40,17 @@
             Rc::new(PlatformStandin::default()),
             HostGroup::First,
         ));
-        Self::at(address)
+        Self::connect_to(address)
     }
 
-    fn at(address: SocketAddr) -> Self {
+    fn connect_to(address: SocketAddr) -> Self {
         let platform = Rc::new(PlatformClient::new(address, 1e6, 1e6));
         let ledger = OnceLedger::new(platform.clone());
         let retention = OnceRetention::new(platform, ledger.clone(), KEEP_EPOCHS);
         Self { address, ledger, retention }
     }
 
-    async fn faults(&self, faults: Value) {
+    async fn set_faults(&self, faults: Value) {
         let client = HttpClient::new(self.address, Duration::from_secs(5));
         let body = Bytes::from(faults.to_string());
         client
@@ -68,7 +68,7 @@
     /// Sweeps all partitions and returns the number of rows removed.
     async fn sweep_all(&self, epoch: u64) -> u64 {
         let mut removed = 0;
-        for partition in 0..PARTITIONS {
+        for partition in 0..PARTITION_COUNT {
             removed += self.retention.sweep(partition, epoch).await.expect("sweep").removed;
         }
         removed
@@ -128,7 +128,8 @@
             assert_eq!(store.claim("early-3").await, ClaimOutcome::Started, "not expired yet");
         }
         assert_eq!(store.epoch_at(KEEP_EPOCHS as u32 + 1).await, Some(epoch + 1));
-        // Each round has swept one partition already.
+        // Each call of `epoch_at` sweeps one partition. The last call may have removed some of the
+        // 30 rows already.
         assert!(store.sweep_all(epoch + 1).await > 20);
         assert!(matches!(store.claim("early-3").await, ClaimOutcome::Granted(_)), "expired");
         assert_eq!(store.claim("later-1").await, ClaimOutcome::Started, "newer rows remain");
@@ -159,9 +160,9 @@
         let store = TestStore::start().await;
         assert_eq!(store.epoch_at(0).await, Some(1));
         store.claim("kept").await;
-        store.faults(faults).await;
+        store.set_faults(faults).await;
         assert_eq!(store.epoch_at(1).await, None, "the round fails");
-        store.faults(json!({})).await;
+        store.set_faults(json!({})).await;
         // Whether or not the failed write took effect, the epoch advances by one.
         assert_eq!(store.epoch_at(1).await, Some(2));
         assert_eq!(store.epoch_at(1).await, Some(2));
@@ -175,21 +176,23 @@
 fn verify_several_daemons_advance_an_epoch_once_and_new_daemons_never() {
     run(async {
         let store = TestStore::start().await;
-        let others: Vec<TestStore> = (0..5).map(|_| TestStore::at(store.address)).collect();
+        let other_daemons: Vec<TestStore> =
+            (0..5).map(|_| TestStore::connect_to(store.address)).collect();
         assert_eq!(store.epoch_at(0).await, Some(1));
-        for other in &others {
-            assert_eq!(other.epoch_at(0).await, Some(1));
+        for other_daemon in &other_daemons {
+            assert_eq!(other_daemon.epoch_at(0).await, Some(1));
         }
         assert_eq!(store.epoch_at(1).await, Some(2));
-        for other in &others {
+        for other_daemon in &other_daemons {
             assert_eq!(
-                other.epoch_at(1).await,
+                other_daemon.epoch_at(1).await,
                 Some(2),
                 "the hour was spent in epoch 1, not in epoch 2"
             );
         }
-        // The clock of a new daemon may be high, but it has not seen the epoch before.
-        let new_daemon = TestStore::at(store.address);
+        // The monotonic clock of a new daemon may be high, but the daemon has not read the epoch
+        // before.
+        let new_daemon = TestStore::connect_to(store.address);
         assert_eq!(new_daemon.epoch_at(900).await, Some(2));
     });
 }
@@ -198,20 +201,20 @@
 fn verify_a_stale_answer_never_takes_an_epoch_back() {
     run(async {
         let store = TestStore::start().await;
-        let lagging = TestStore::at(store.address);
+        let lagging_daemon = TestStore::connect_to(store.address);
         assert_eq!(store.epoch_at(0).await, Some(1));
-        assert_eq!(lagging.epoch_at(0).await, Some(1));
-        let stale_reads = json!({"reads_from_past_ms": 3_600_000});
-        store.faults(stale_reads.clone()).await;
-        store.faults(json!({})).await;
+        assert_eq!(lagging_daemon.epoch_at(0).await, Some(1));
+        let stale_read_faults = json!({"reads_from_past_ms": 3_600_000});
+        store.set_faults(stale_read_faults.clone()).await;
+        store.set_faults(json!({})).await;
         assert_eq!(store.epoch_at(1).await, Some(2));
         assert_eq!(store.epoch_at(2).await, Some(3));
-        store.faults(stale_reads).await;
-        // The lagging daemon reads the first epoch, which it has seen for hours, and tries to write
-        // the second.
-        assert_eq!(lagging.epoch_at(3).await, Some(1));
-        store.faults(json!({})).await;
-        let new_daemon = TestStore::at(store.address);
+        store.set_faults(stale_read_faults).await;
+        // The lagging daemon reads epoch 1 from a stale answer. This daemon has seen epoch 1 for
+        // hours, and tries to write epoch 2.
+        assert_eq!(lagging_daemon.epoch_at(3).await, Some(1));
+        store.set_faults(json!({})).await;
+        let new_daemon = TestStore::connect_to(store.address);
         assert_eq!(new_daemon.epoch_at(0).await, Some(3));
     });
 }
@@ -221,9 +224,9 @@
     run(async {
         let store = TestStore::start().await;
         assert_eq!(store.epoch_at(0).await, Some(1));
-        store.faults(json!({"down": true})).await;
+        store.set_faults(json!({"down": true})).await;
         assert_eq!(store.epoch_at(5).await, None);
-        store.faults(json!({})).await;
+        store.set_faults(json!({})).await;
         store.claim("after the outage").await;
         let key = once_key("after the outage").row_key();
         let platform = PlatformClient::new(store.address, 1e6, 1e6);
