--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -209,7 +209,7 @@
         config_sync::forward_changes(state, &committed);
     }
     let [record] = committed;
-    if record.revision.0.is_multiple_of(changes::SNAPSHOT_EVERY) {
+    if record.revision.0.is_multiple_of(changes::CHANGES_PER_SNAPSHOT) {
         monoio::spawn(write_snapshot(state.clone()));
     }
     fleet::ChangeAccepted {
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -91,7 +91,7 @@
 /// Reads the missing changes from the store. If many are missing, a snapshot is read first.
 async fn catch_up(state: &Rc<DaemonState>, revision: FleetRevision) -> Result<(), StoreError> {
     let missing = revision.0 - state.config.revision().0;
-    if missing > changes::SNAPSHOT_EVERY {
+    if missing > changes::CHANGES_PER_SNAPSHOT {
         adopt_from_store(state).await?;
     }
     loop {
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -27,7 +27,7 @@
     let mut wait = ROUND_FIRST;
     loop {
         monoio::time::sleep(wait.mul_f64(rand::random_range(0.8..1.2))).await;
-        match retention.round(state.now()).await {
+        match retention.run_round(state.now()).await {
             Ok(report) => {
                 metrics::ONCE_REMOVED.add(report.removed);
                 if report.removed + report.dated > 0 {
--- a/crates/daemon/tests/organisations.rs
+++ b/crates/daemon/tests/organisations.rs
@@ -31,7 +31,7 @@
 }
 
 fn write_document(fleet: &RegisteredFleet, version: u64, organisations: &[OrganisationDraft]) {
-    let bytes = document::write_with(&keyed_document(version), Some(organisations));
+    let bytes = document::write_with_organisations(&keyed_document(version), Some(organisations));
     fleet.write_text(&String::from_utf8(bytes).expect("text"));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == version);
@@ -55,7 +55,7 @@
     id: &str,
     extra_headers: &[(&str, &str)],
 ) -> Reply {
-    let mut headers = vec![("Host", HOST), (names::REQUEST, id), (names::DEADLINE, "3000")];
+    let mut headers = vec![("Host", HOST), (names::REQUEST_ID, id), (names::DEADLINE, "3000")];
     headers.extend_from_slice(extra_headers);
     client::call(fleet.daemons[daemon].callers, "POST", path, &headers, "x")
 }
@@ -185,7 +185,7 @@
     let parent = std::thread::spawn(move || {
         let headers = [
             ("Host", HOST),
-            (names::REQUEST, "parent"),
+            (names::REQUEST_ID, "parent"),
             (names::API_KEY, SHOP_KEY),
             ("x-work-ms", "1500"),
         ];
@@ -211,7 +211,7 @@
     let address = fleet.daemons[0].callers;
     let headers = [
         ("Host", HOST),
-        (names::REQUEST, "parent"),
+        (names::REQUEST_ID, "parent"),
         (names::API_KEY, SHOP_KEY),
         ("x-work-ms", "1500"),
     ];
@@ -232,7 +232,8 @@
 fn verify_a_bad_table_of_organisations_changes_nothing_and_no_key_is_logged() {
     let fleet = start(1);
     let desk_with_shop_key = OrganisationDraft { keys: &[SHOP_KEY], ..DESK };
-    let bytes = document::write_with(&keyed_document(9), Some(&[SHOP, desk_with_shop_key]));
+    let bytes =
+        document::write_with_organisations(&keyed_document(9), Some(&[SHOP, desk_with_shop_key]));
     fleet.write_text(&String::from_utf8(bytes).expect("text"));
     let daemon = &fleet.daemons[0];
     eventually("the bad document was read", || {
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -49,6 +49,6 @@
 }
 
 fn request_status(fleet: &RegisteredFleet, daemon: usize, id: &str) -> u16 {
-    let headers = [("Host", "nowhere.example"), (names::REQUEST, id)];
+    let headers = [("Host", "nowhere.example"), (names::REQUEST_ID, id)];
     client::call(fleet.daemons[daemon].callers, "GET", "/", &headers, "").status
 }
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -24,7 +24,7 @@
     }
     let reply = fleet.request(0, "POST", "/unsafe/pay", "exchange");
     assert_eq!(reply.status, 200, "{}", reply.text());
-    assert_eq!(reply.header(names::REQUEST).as_deref(), Some("exchange"));
+    assert_eq!(reply.header(names::REQUEST_ID).as_deref(), Some("exchange"));
     assert_eq!(fleet.run_count("exchange"), 1);
     let server =
         fleet.backends.iter().find(|backend| backend.run_count("exchange") == 1).expect("ran");
--- a/crates/standin/src/backend/probe.rs
+++ b/crates/standin/src/backend/probe.rs
@@ -36,7 +36,7 @@
     let body = Bytes::from(text);
     let mut headers = HeaderMap::new();
     if standin.options.fields.expected_server.is_some() {
-        reply::put(&mut headers, headers::SERVER, &standin.options.name);
+        reply::put(&mut headers, headers::SERVER_NAME, &standin.options.name);
     }
     sending::send_buffered(stream, &head.method, status, &headers, body, &no_faults).await
 }
--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -35,7 +35,7 @@
 const SCAN_CHANGES_MAX: usize = 200;
 /// Number of changes between two snapshots. A new daemon reads the latest snapshot and at most two
 /// scans of later changes.
-pub const SNAPSHOT_EVERY: u64 = 256;
+pub const CHANGES_PER_SNAPSHOT: u64 = 256;
 /// Maximum number of attempts to commit a change that conflicts with concurrent changes.
 const COMMIT_TRIES_MAX: u32 = 20;
 /// Maximum backoff between the attempts to commit a change. All attempts together take a few
@@ -48,7 +48,7 @@
 const OBJECT_BYTES_MAX: usize = 4 << 20;
 /// Maximum number of resource edits in one change. At 200 bytes for each edit, a change fits into
 /// one object.
-pub const CHANGES_MAX: usize = 20_000;
+pub const CHANGE_EDITS_MAX: usize = 20_000;
 
 /// `ChangeGuard` is the precondition of a change on the revision of a resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -353,7 +353,7 @@
     writer: &str,
 ) -> Result<ChangeRecord, ChangeError> {
     let invalid_change = |source| ChangeError::Invalid { source };
-    if edits.len() > CHANGES_MAX {
+    if edits.len() > CHANGE_EDITS_MAX {
         let error = basaltarch_core::errors::bad_value("changes", edits.len(), "up to 20000");
         return Err(invalid_change(error));
     }
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -39,7 +39,7 @@
 const CLAIM_RETRY_TIME: Duration = Duration::from_secs(5);
 /// Maximum size in bytes of the body of a recorded answer. The usual answers, receipts, are small,
 /// and a ledger row must stay small.
-pub const KEPT_BODY_MAX: usize = 4 * units::KIB;
+pub const KEPT_BODY_BYTES_MAX: usize = 4 * units::KIB;
 
 /// `OnceKey` identifies one at-most-once request (its idempotency key).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -197,7 +197,9 @@
 
     /// Records the answer of a finished request for later attempts, in the background.
     pub fn finish(self: &Rc<Self>, token: ClaimToken, answer: KeptAnswer) {
-        if answer.body.len() <= KEPT_BODY_MAX && self.finished.borrow().len() < QUEUE_LENGTH_MAX {
+        if answer.body.len() <= KEPT_BODY_BYTES_MAX
+            && self.finished.borrow().len() < QUEUE_LENGTH_MAX
+        {
             self.finished.borrow_mut().push_back((token, answer));
             self.ensure_running();
         }
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -111,7 +111,7 @@
 
     /// Runs one round at the time `now` of a monotonic clock: updates the epoch and sweeps one
     /// partition.
-    pub async fn round(&self, now: Duration) -> Result<SweepReport, StoreError> {
+    pub async fn run_round(&self, now: Duration) -> Result<SweepReport, StoreError> {
         let result = self.update_epoch(now).await;
         let epoch = self.watch.borrow().current(now);
         self.ledger.set_epoch(epoch);
--- a/crates/store/tests/retention.rs
+++ b/crates/store/tests/retention.rs
@@ -62,7 +62,7 @@
     /// Runs a round `epochs` whole epochs after the start of the clock; returns the current epoch,
     /// or `None` if the round failed.
     async fn epoch_at(&self, epochs: u32) -> Option<u64> {
-        self.retention.round(EPOCH_TIME * epochs).await.ok().map(|report| report.epoch)
+        self.retention.run_round(EPOCH_TIME * epochs).await.ok().map(|report| report.epoch)
     }
 
     /// Sweeps all partitions and returns the number of rows removed.
