--- a/crates/store/src/changes.rs
+++ b/crates/store/src/changes.rs
@@ -57,7 +57,7 @@
     Any,
     /// The resource does not exist yet.
     Absent,
-    /// The resource was last changed at this revision.
+    /// The resource in force was last changed at the given revision.
     At(FleetRevision),
 }
 
@@ -79,7 +79,7 @@
 pub struct ChangeAuthor {
     /// Name of the operator.
     pub actor: String,
-    /// Address that the request came from.
+    /// Address that the operator's request came from.
     pub from: String,
 }
 
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Commits a change atomically: all of its edits, or none.
+    /// Commits a change atomically: either all edits of the change take effect, or none does.
     ///
     /// Applies the earlier changes of the store to `config` first, and applies the new change to
     /// `config` once the store has accepted the change.
@@ -285,7 +285,8 @@
         if text.len() <= transaction::VALUE_BYTES_MAX {
             return Ok(json!(record));
         }
-        // The name contains the writer's token, so that no writer overwrites the object of another.
+        // The name contains the writer's token, so that no writer overwrites the object of another
+        // writer.
         let object = format!("change-{:020}-{}", record.revision.0, record.writer);
         self.platform.put_object(&object, Bytes::from(text)).await.map_err(as_not_applied)?;
         Ok(json!(ObjectValue { object }))
--- a/crates/store/src/errors.rs
+++ b/crates/store/src/errors.rs
@@ -76,7 +76,7 @@
         path: String,
         /// Revision that the operator expected; 0 if the operator expected no such resource.
         expected: u64,
-        /// Revision in force; 0 if there is no such resource.
+        /// Revision of the resource in force; 0 if the resource does not exist.
         in_force: u64,
         /// Value of the resource in force, as JSON.
         value: Option<serde_json::Value>,
--- a/crates/store/src/ledger.rs
+++ b/crates/store/src/ledger.rs
@@ -114,9 +114,9 @@
     /// The key was used for a different request.
     OtherRequest,
     /// The ledger can't be written. The request did not run, and no row remains that would keep a
-    /// later attempt from running it.
+    /// later attempt from running the request.
     Unavailable,
-    /// The store's answer was lost, and it remained unknown whether the row was written.
+    /// The store's answer was lost, and retries did not show whether the row was written.
     Unsettled,
 }
 
@@ -205,10 +205,11 @@
         }
     }
 
-    /// Removes the row of a request that certainly did not run, so that a later attempt can run it.
+    /// Removes the row of a request that certainly did not run, so that a later attempt can run the
+    /// request.
     ///
     /// If the platform does not answer, the row may remain. A later attempt then gets the answer
-    /// that the request was started, and does not run it.
+    /// that the request was started, and does not run the request.
     pub async fn release(&self, token: ClaimToken) {
         let check = RowCheck { key: token.row_key.clone(), version: token.version };
         let write = RowWrite { key: token.row_key, value: None };
@@ -305,7 +306,7 @@
         }
     }
 
-    /// Grants a claim; if its caller has disconnected, the row is released instead.
+    /// Grants a claim, or schedules the release of the row if the caller has disconnected.
     fn grant(&self, reply: oneshot::Sender<ClaimOutcome>, token: ClaimToken) {
         if let Err(ClaimOutcome::Granted(token)) = reply.send(ClaimOutcome::Granted(token)) {
             self.abandoned.borrow_mut().push(token);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -3,8 +3,8 @@
 
 //! Persistent data of basaltarch in the platform's store.
 //!
-//! [`platform`] is the client of the store: rows, their change feed, and objects. It builds on the
-//! calls of the crate `basaltarch-platform`. No other code of the fleet calls the store.
+//! [`platform`] is the client of the store: rows, their change feed, and objects. The client builds
+//! on the calls of the crate `basaltarch-platform`. No other code of the fleet calls the store.
 //! [`changes`] keeps the accepted configuration, [`ledger`] the rows of at-most-once requests, and
 //! [`retention`] removes old rows of the ledger.
 
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -88,7 +88,7 @@
 /// again.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TablePosition {
-    /// Number of restores of the store from an older copy, if the store reported it.
+    /// Number of restores of the store from an older copy, if the store reported this number.
     pub era: Option<u64>,
     /// Version up to which the table was read.
     pub version: u64,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Runs a transaction and returns its number.
+    /// Runs a transaction and returns the number of the transaction.
     pub async fn transact(
         &self,
         checks: Vec<RowCheck>,
@@ -277,7 +277,7 @@
         Ok(FeedReply::Changes(page, position))
     }
 
-    /// Closes the idle connections, so that no later call uses one of them.
+    /// Closes the idle connections, so that no later call uses an idle connection.
     ///
     /// After a call without an answer, the idle connections may be dead, like the connection of
     /// that call. Each dead connection would delay one more call until its timeout, which is 8.7 s
@@ -400,8 +400,8 @@
         Self { current: BACKOFF_MIN, max_delay }
     }
 
-    /// Returns the next delay: a random time between half and all of a duration that doubles with
-    /// each call, up to the maximum.
+    /// Returns the next delay: a random time between 50 % and 100 % of a base duration. The base
+    /// duration doubles with each call of this method, up to the maximum.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.current.mul_f64(rand::random_range(0.5..=1.0));
         self.current = (self.current * 2).min(self.max_delay);
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -49,7 +49,7 @@
     epoch: u64,
     /// When this daemon first read the epoch, by its monotonic clock.
     first_read_at: Duration,
-    /// When this daemon last read the epoch.
+    /// When this daemon last read the epoch, by its monotonic clock.
     last_read_at: Duration,
 }
 
@@ -91,7 +91,7 @@
     pub epoch: u64,
     /// Number of rows removed.
     pub removed: u64,
-    /// Number of rows without an epoch that were stamped with the current epoch.
+    /// Number of rows without an epoch into which the sweep wrote the current epoch.
     pub dated: u64,
 }
 
@@ -144,8 +144,8 @@
         Ok(())
     }
 
-    /// Sweeps one partition of the ledger: removes expired rows, and stamps rows without an epoch
-    /// with the epoch `epoch`. Does nothing if `epoch` is 0 (unknown).
+    /// Sweeps one partition of the ledger: removes expired rows, and writes the epoch `epoch` into
+    /// rows without an epoch. Does nothing if `epoch` is 0 (unknown).
     pub async fn sweep(&self, partition: u32, epoch: u64) -> Result<SweepReport, StoreError> {
         let mut report = SweepReport { epoch, ..SweepReport::default() };
         if epoch == 0 {
@@ -180,7 +180,7 @@
                 Err(_) => continue,
             };
             let value = if entry.epoch == 0 {
-                // The age of the row is unknown, so its retention starts now.
+                // The age of the row is unknown, so the retention of the row starts now.
                 entry.epoch = report.epoch;
                 updated_report.dated += 1;
                 Some(json!(entry))
