--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Handles operators' changes: of one resource, or of many in one transaction.
+//! Handles operators' changes, each of one resource or of many resources in one transaction.
 
 use std::rc::Rc;
 
@@ -42,7 +42,8 @@
     kind: String,
     name: String,
     value: Option<Value>,
-    /// Revision that the resource must have; 0 if it must not exist; absent if neither is required.
+    /// Revision that the resource must have. The value 0 requires that the resource does not exist.
+    /// An absent value requires nothing.
     at: Option<u64>,
 }
 
@@ -92,7 +93,7 @@
     }
 }
 
-/// Reads `If-Match: "REVISION"`, `If-Match: *` or `If-None-Match: *`.
+/// Reads the precondition of a change: `If-Match: "REVISION"`, `If-Match: *` or `If-None-Match: *`.
 fn read_guard(request: &ServerRequest) -> Result<ChangeGuard, Box<ServerReply>> {
     let headers = &request.head.headers;
     if fields::single(headers, &header::IF_NONE_MATCH) == Some("*") {
@@ -183,7 +184,7 @@
     state.config.with_fleet(|fleet| changes::plan_change(fleet, edits, &author, ""))
 }
 
-/// Commits a change to the store and puts it in force at this daemon at once.
+/// Commits a change to the store and puts the change in force at this daemon at once.
 async fn commit(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
@@ -221,8 +222,8 @@
     Ok(record)
 }
 
-/// Writes the configuration in force as a snapshot, for daemons that join later. A missing snapshot
-/// only makes their start slower, since every change has a row of its own.
+/// Writes the configuration in force as a snapshot, for daemons that join later. Without a
+/// snapshot, daemons only start more slowly, since every change has a row of its own.
 async fn write_snapshot(state: Rc<DaemonState>) {
     let config = state.config.with_fleet(FleetConfig::clone);
     let pause = async || config_sync::yield_to_requests(&state).await;
--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -10,7 +10,7 @@
 use crate::host::upstream::HostUpstream;
 use crate::state::DaemonState;
 
-/// Updates the gauges.
+/// Updates the gauges from the state of this daemon.
 pub fn refresh(state: &DaemonState) {
     refresh_upstreams(state);
     refresh_services(state);
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The admin role: resource API, watches, audit trail, status and metrics.
+//! The admin role: serves operators the resource API, watches, the audit trail, status and metrics.
 
 pub mod changes;
 pub mod gauges;
@@ -24,7 +24,7 @@
 
 /// Maximum number of operators' connections: people, scripts and watches.
 const CONNECTIONS_MAX: usize = 512;
-/// Largest size of a request's body: enough for one transaction of 20,000 resources.
+/// Largest size of a request's body in bytes: enough for one transaction of 20,000 resources.
 const BODY_BYTES_MAX: u64 = 16 << 20;
 
 /// Accepts operators' connections for as long as the daemon runs.
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -20,8 +20,8 @@
 /// Maximum number of records in one reply of the audit trail.
 const AUDIT_LIMIT: usize = 1000;
 
-/// Calls `read` with the resources in force: those declared, or those derived from the operator's
-/// document and the backend servers' registrations.
+/// Calls `read` with the resources in force: the declared resources, or the resources derived from
+/// the operator's document and the backend servers' registrations.
 fn with_resources<T>(state: &DaemonState, read: impl FnOnce(&FleetConfig) -> T) -> T {
     match state.options.source {
         ConfigSource::Resources => state.config.with_fleet(read),
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -18,7 +18,7 @@
 use crate::services::ServiceState;
 use crate::state::DaemonState;
 
-/// Reports the state of each daemon and the revision that it has in force.
+/// Reports the state of each daemon and the revision that the daemon has in force.
 pub fn fleet(state: &Rc<DaemonState>) -> ServerReply {
     let now = state.now();
     let mut members = vec![own_status(state)];
@@ -157,7 +157,8 @@
     })
 }
 
-/// Returns the health of an upstream of this host. Only the host's own daemon knows it in full.
+/// Returns the health of an upstream of this host. Only the daemon of the host knows all of these
+/// values.
 fn own_health(state: &DaemonState, own: &HostUpstream) -> Value {
     let now = state.now();
     let health = own.health.borrow();
--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -16,7 +16,7 @@
 use crate::state::DaemonState;
 use crate::suspects;
 
-/// Lists all suspect requests known to this daemon, those with the most crashes first.
+/// Lists all suspect requests known to this daemon, requests with the most crashes first.
 pub fn list(state: &DaemonState) -> ServerReply {
     let notices = state.suspects.notices(state.now());
     let suspects: Vec<Value> = notices
@@ -36,9 +36,9 @@
     ServerReply::json(StatusCode::OK, &body)
 }
 
-/// Lifts the refusal of a request in the whole fleet. This changes no configuration, so it is
-/// allowed whatever the source of the configuration is. The log records which operator lifted the
-/// refusal.
+/// Lifts the refusal of a request in the whole fleet. Lifting a refusal changes no configuration,
+/// so lifting is allowed whatever the source of the configuration is. The log records which
+/// operator lifted the refusal.
 pub fn lift(state: &Rc<DaemonState>, request: &ServerRequest, text: &str) -> ServerReply {
     let fingerprint = match RequestFingerprint::parse(text) {
         Some(fingerprint) => fingerprint,
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -75,9 +75,9 @@
         self.open.get()
     }
 
-    /// Says whether the address refuses connections, so that no process listens there. If a
-    /// connection can be opened, it is kept for the next request, in place of the connection that
-    /// broke.
+    /// Says whether the address refuses connections, which shows that no process listens at the
+    /// address. A connection that could be opened is kept for the next request, in place of the
+    /// connection that broke.
     pub async fn is_refused(&self) -> bool {
         if self.open.get() >= self.limit.get() {
             return false;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes an idle connection that is still usable, or opens one.
+    /// Takes an idle connection that is still usable, or opens a new connection.
     pub async fn take(&self) -> Result<PooledStream<'_>, HttpError> {
         loop {
             let idle = self.idle.borrow_mut().pop();
@@ -134,7 +134,7 @@
     }
 }
 
-/// `PooledStream` is a connection in use; it is closed unless it is given back.
+/// `PooledStream` is a connection in use. A connection that is not given back is closed on drop.
 pub struct PooledStream<'a> {
     pool: &'a BackendPool,
     address: SocketAddr,
@@ -142,7 +142,7 @@
 }
 
 impl PooledStream<'_> {
-    /// Returns the connection.
+    /// Returns the HTTP stream of the connection.
     pub fn stream(&mut self) -> &mut HttpStream {
         self.stream.as_mut().unwrap_or_else(|| {
             unreachable!("the stream is taken only when the connection is given back")
@@ -169,8 +169,8 @@
 
 impl Drop for PooledStream<'_> {
     fn drop(&mut self) {
-        // `give_back` counts a connection that it returns to the pool a second time, so that such a
-        // connection is still counted once after this decrement.
+        // `give_back` counts a returned connection a second time, so that a returned connection is
+        // still counted once after this decrement.
         self.pool.open.set(self.pool.open.get() - 1);
     }
 }
--- a/crates/daemon/src/host/calls.rs
+++ b/crates/daemon/src/host/calls.rs
@@ -4,9 +4,9 @@
 //! Nested calls: requests that this host's backend servers send through this daemon while they
 //! serve other requests.
 //!
-//! A server that forwards the id of a request appends its own id to it, so that a nested call names
-//! its parent request. A request that makes a nested call does not count as hung. If the nested
-//! call fails, an error of the parent is not attributed to its server.
+//! A server that forwards the id of a request appends an id of its own, so that the id of a nested
+//! call names the parent request. A request that makes a nested call does not count as hung. If the
+//! nested call fails, an error of the parent is not attributed to its server.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -42,8 +42,8 @@
 
 /// Time after which a caller may retry when a backend server was full or out of service.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Standard deviations above the typical service time up to which a reserved request is expected to
-/// take: five of six requests complete within this time.
+/// Number of standard deviations by which the time that a reserved request is expected to need
+/// exceeds the typical service time. Five of six requests complete within the expected time.
 const RESERVED_DEVIATIONS: f64 = 1.0;
 /// Duration of the overdue timer of a request that never counts as overdue.
 const NEVER_OVERDUE: Duration = Duration::from_secs(3600);
@@ -98,8 +98,8 @@
         attempt.log_refused(reason);
     }
     if attempt.is_trial && result.is_err() {
-        // A trial that did not reach the server is no evidence, but once its end is recorded
-        // another trial can start.
+        // A trial that did not reach the server is no evidence. Its end is recorded all the same,
+        // because only after that can another trial start.
         attempt.record_result(RequestEvidence::Neutral, false, None);
     }
     result
@@ -116,7 +116,7 @@
     deadline: Duration,
     objective: Option<Duration>,
     arrived_at: Duration,
-    /// Whether the attempt is the trial of a server that is out of service.
+    /// Whether the attempt is a trial of a server that is out of service.
     pub is_trial: bool,
     /// Crash tally of the request at the last check before the request was sent.
     tally: Cell<CrashTally>,
@@ -124,8 +124,8 @@
 
 impl HostAttempt<'_> {
     /// Builds the attempt for a request that was dispatched after a slot offer, from its dispatch
-    /// head. The attempt gives evidence about the server from now on; before, the host only held a
-    /// reservation.
+    /// head. The attempt gives evidence about the server only from the dispatch on, since the host
+    /// held only a reservation before the dispatch.
     pub fn with_dispatch_head<'b>(&'b self, head: &'b DispatchHead) -> HostAttempt<'b> {
         HostAttempt { head, tally: self.tally.clone(), arrived_at: self.state.now(), ..*self }
     }
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Refuses a request that crashes the servers that run it; otherwise stores its crash tally. If
-    /// the ingress knows of at least as many crashes as this host, it sent this copy deliberately
-    /// as a trial, and the copy is not refused.
+    /// Refuses a request whose copies crashed backend servers; otherwise stores the crash tally of
+    /// the request. If the ingress knows of at least as many crashes as this host, it sent this
+    /// copy deliberately as a trial, and the copy is not refused.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
         let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
         let known_tally = match self.state.suspects.is_empty() {
@@ -207,7 +207,8 @@
         self.upstream.record_result(&self.head.route, &result, self.state.now());
     }
 
-    /// Claims the ledger row if the request needs one, waits for a slot and runs the request.
+    /// Claims the ledger row of an at-most-once request with a key, waits for a slot and runs the
+    /// request.
     async fn run(&self, body: &EventPipe, answer: &EventSink) -> Result<(), FailureOutcome> {
         let class = wire::class_of(self.head.work_class);
         if !self.upstream.slots.has_room(class) {
@@ -275,8 +276,8 @@
         }
     }
 
-    /// Returns the distribution of the service time of requests on this route, if it is known or
-    /// can be assumed from the objective.
+    /// Returns the distribution of the service time of requests on this route, if the distribution
+    /// is known or can be assumed from the objective.
     pub fn usual_time(&self) -> Option<UsualTime> {
         let objective = self.objective.map(|at| at.saturating_sub(self.state.now()));
         let objective = objective.filter(|left| !left.is_zero());
@@ -419,8 +420,8 @@
                 return Err(FailureOutcome::NotRun(NotRunReason::ConnectFailed));
             }
         };
-        // A drain or shutdown may have been acknowledged while the connection was opened; no
-        // request may start after that.
+        // A drain or shutdown may have been acknowledged while the connection was opened. No
+        // request may start after the acknowledgement.
         if self.upstream.is_draining(self.state.now())
             || !stop::allows_start(self.state, self.deadline)
         {
@@ -474,7 +475,7 @@
         }
     }
 
-    /// Runs the HTTP exchange within its deadline; says whether the connection can be reused.
+    /// Runs the HTTP exchange within its deadline; returns whether the connection can be reused.
     async fn run_exchange(
         &self,
         stream: &mut HttpStream,
@@ -535,9 +536,9 @@
     }
 }
 
-/// Waits for `needed`, which a request needs before it can be sent to its backend server, unless
-/// the ingress cancels the request because its caller disconnected. The cancel is polled first, so
-/// that a cancel that arrived together with the request takes effect before the request starts.
+/// Waits for `needed`, without which a request can't be sent to its backend server, unless the
+/// ingress cancels the request because its caller disconnected. The cancel is polled first, so that
+/// a cancel that arrived together with the request takes effect before the request starts.
 pub async fn unless_cancelled<T>(
     body: &EventPipe,
     needed: impl Future<Output = Result<T, NotRunReason>>,
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -45,7 +45,7 @@
 }
 
 impl HostRole {
-    /// Returns the backend server of this name if it runs on this host.
+    /// Returns the backend server of this name if the server runs on this host.
     pub fn get(&self, name: &str) -> Option<Rc<HostUpstream>> {
         self.upstreams.borrow().get(name).cloned()
     }
@@ -125,7 +125,7 @@
     }
 
     /// Withdraws a failure that was recorded for an upstream, after the same request also failed at
-    /// another one.
+    /// another upstream.
     pub fn withdraw_failure(&self, upstream: &str, route: &str) {
         if let Some(upstream) = self.get(upstream) {
             upstream.health.borrow_mut().withdraw_failure(route);
@@ -146,8 +146,8 @@
     link.forget(exchange);
 }
 
-/// Starts an exchange between the ingress of this daemon and a backend server of this host. The
-/// code that serves exchanges over peer links serves it too.
+/// Starts an exchange between the ingress of this daemon and a backend server of this host.
+/// Exchanges over peer links are served by the same code.
 pub fn dispatch_local(state: &Rc<DaemonState>, head: DispatchHead) -> OutboundExchange {
     let body = Rc::new(EventPipe::default());
     body.shut_window();
@@ -162,7 +162,7 @@
     });
     let cancel_body = body.clone();
     let cancel = Box::new(move || {
-        // The push fails only when the exchange has ended, and then there is nothing to cancel.
+        // The push fails only if the exchange has ended. An ended exchange needs no cancel.
         let _ = cancel_body.push(StreamEvent::Cancelled);
     });
     OutboundExchange::new(EventSink::Local(body), answer, cancel)
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -55,14 +55,14 @@
     BadAnswer,
     /// The backend server refused the request by a shed notice.
     Shed,
-    /// Another backend server now listens at this address; it refused the request.
+    /// Another backend server now listens at this address and refused the request.
     Moved,
     /// The ingress no longer reads the response.
     SinkGone,
 }
 
 impl AttemptFault {
-    /// Returns the name in logs.
+    /// Returns the name of the fault in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Cancelled => "cancelled",
@@ -106,8 +106,8 @@
     pub fn evidence(self, was_overdue: bool) -> RequestEvidence {
         match self {
             Self::Broken | Self::BadAnswer => RequestEvidence::Failed,
-            // A timeout only bounds the service time from below (a censored observation), so that
-            // it is evidence only if the request was overdue.
+            // A timeout only bounds the service time from below (a censored observation). A timeout
+            // is therefore evidence only if the request was overdue.
             Self::TimedOut if was_overdue => RequestEvidence::Failed,
             _ => RequestEvidence::Neutral,
         }
@@ -120,8 +120,8 @@
     started: Instant,
     /// Timeout that the server was given.
     pub timeout: AttemptTimeout,
-    /// Whether the attempt was counted as hung, because it took longer than `late_after` of its
-    /// timeout.
+    /// Whether the attempt was counted as hung, because the attempt ran longer than `late_after` of
+    /// its timeout.
     pub counted_as_hung: Cell<bool>,
     /// Whether the response head arrived.
     pub head_seen: Cell<bool>,
@@ -129,7 +129,7 @@
     pub has_succeeded: Cell<bool>,
     /// Whether the request was recorded as overdue.
     pub was_overdue: Cell<bool>,
-    /// Whether the end of the attempt was recorded.
+    /// Whether the end of the attempt was recorded as evidence about the server.
     pub is_recorded: Cell<bool>,
     /// Whether the connection can be reused although the server refused the request.
     pub reusable: Cell<bool>,
@@ -162,11 +162,11 @@
 
 /// `AnswerRelay` relays the response of a backend server to the ingress.
 pub struct AnswerRelay<'a> {
-    /// The attempt.
+    /// Attempt whose response is relayed.
     pub attempt: &'a HostAttempt<'a>,
-    /// Progress of the attempt.
+    /// Progress of the attempt, which the relay updates as the response arrives.
     pub progress: &'a AttemptProgress,
-    /// Where the response goes.
+    /// Sink through which the response is sent to the ingress.
     pub answer: &'a EventSink,
     /// Claim of the ledger row of an at-most-once request.
     pub claim: Option<ClaimToken>,
@@ -187,7 +187,7 @@
     basaltarch_http::reader::ByteReader<monoio::io::OwnedReadHalf<monoio::net::TcpStream>>;
 
 impl AnswerRelay<'_> {
-    /// Relays the response; says whether the connection can be reused after it.
+    /// Relays the response; returns whether the connection can be reused after the response.
     pub async fn run(self, reader: &mut BackendReader) -> Result<bool, AttemptFault> {
         let AnswerStart { mut head, framing, verdict, is_first_response } =
             self.start(reader).await?;
@@ -226,7 +226,8 @@
         Ok(!close && reader.buffer.is_empty())
     }
 
-    /// Reads heads until one belongs to the request; responses to earlier requests are discarded.
+    /// Reads response heads until a head belongs to the request; responses to earlier requests are
+    /// discarded.
     async fn start(&self, reader: &mut BackendReader) -> Result<AnswerStart, AttemptFault> {
         let method = self.attempt.head.method.parse().unwrap_or(Method::GET);
         let mut is_first_response = true;
@@ -282,7 +283,8 @@
     }
 
     /// Buffers the start of a body. A short body that arrives within [`BUFFER_TIME`] is buffered
-    /// whole: if it is truncated, no part of it reaches the caller, and the request can be retried.
+    /// whole: if the buffered body is truncated, no part of the response reaches the caller, and
+    /// the request can be retried.
     async fn buffer_start(
         &self,
         body: &mut BodyReader,
@@ -320,14 +322,15 @@
         Err(AttemptFault::Shed)
     }
 
-    /// Records the end of the attempt and releases its slot, so that the load report covers both.
+    /// Records the end of the attempt and releases its slot. The load report that is sent after
+    /// this call covers both changes.
     fn record_end(&self, status: StatusCode, took: Duration) {
         let was_overdue = self.progress.was_overdue.get();
         let failed = wire::is_server_error(status.as_u16());
         let evidence = match status {
             // An error after a failed nested call is not attributed to this server.
             _ if failed && self.calls.has_failed_call() => RequestEvidence::Neutral,
-            // The server gave up the request at the timeout that it was given, which shows only
+            // The server gave up the request at the timeout that the host had set, which shows only
             // that this timeout was too short.
             StatusCode::GATEWAY_TIMEOUT => AttemptFault::TimedOut.evidence(was_overdue),
             _ if failed => RequestEvidence::Failed,
@@ -420,8 +423,8 @@
     }
 }
 
-/// Returns the length that the response declares, even if it has no body, such as a response to
-/// `HEAD`. A negative length means that none is declared.
+/// Returns the length that the response declares, even if the response has no body, such as a
+/// response to `HEAD`. A negative length means that none is declared.
 fn declared_length(head: &response::Parts, framing: BodyFraming) -> i64 {
     match framing {
         BodyFraming::Empty => match framing::content_length(&head.headers) {
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -4,9 +4,9 @@
 //! Reservations for the slots of this host, held for requests that wait at their ingress.
 //!
 //! When a slot is free or about to become free, the host offers it to the ingress, which either
-//! dispatches the request or loses the reservation. Before the dispatch, the host has nothing of
-//! the request that it could send to the backend server. The request has therefore not run, however
-//! the reservation ends.
+//! dispatches the request or loses the reservation. Before the dispatch, the host holds no part of
+//! the request that could be sent to the backend server. However the reservation ends before the
+//! dispatch, the request has therefore not run.
 
 use std::time::Duration;
 
@@ -28,7 +28,8 @@
         self.head.reserved == Some(true)
     }
 
-    /// Waits for a slot, offers it to the ingress and runs the request that is dispatched for it.
+    /// Waits for a slot, offers the slot to the ingress and runs the request that the ingress
+    /// dispatches in reply.
     pub async fn run_reserved(
         &self,
         body: &EventPipe,
@@ -45,8 +46,8 @@
         let offer = offer.map_err(FailureOutcome::NotRun)?;
         body.offer_slot();
         let head = self.await_dispatch(body).await.map_err(FailureOutcome::NotRun)?;
-        // The ingress may send no body until the backend server reads it, which opens the window
-        // again.
+        // The ingress may send no further body bytes before the request's head is sent to the
+        // backend server. The window is opened again after that head.
         body.shut_window();
         let attempt = self.with_dispatch_head(&head);
         let starting = exchange::unless_cancelled(body, offer.start(attempt.slot_request()));
--- a/crates/daemon/src/host/sending.rs
+++ b/crates/daemon/src/host/sending.rs
@@ -16,8 +16,8 @@
 use crate::host::exchange::HostAttempt;
 use crate::host::relay::AttemptFault;
 
-/// Sends the request, with `timeout` in its deadline field; sets `sent` once the whole request is
-/// sent.
+/// Sends the request, with `timeout` in its deadline field; sets `sent` to `true` once the whole
+/// request is sent.
 pub async fn send_request(
     attempt: &HostAttempt<'_>,
     timeout: Duration,
--- a/crates/daemon/src/host/trace.rs
+++ b/crates/daemon/src/host/trace.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The log lines of one attempt at the host role.
+//! Writes the log lines of one attempt at the host role.
 //!
-//! The ingress decides whether a request is logged from its start; its attempts are then logged
-//! too. An attempt that failed at the backend server is logged in any case, within the limit on
-//! logged failures.
+//! The ingress decides whether a request is logged from its start. The host logs the attempts at
+//! such a request too. An attempt that failed at the backend server is logged in any case, within
+//! the limit on logged failures.
 
 use std::time::Duration;
 
@@ -66,7 +66,8 @@
         .log();
     }
 
-    /// Logs that the request is refused and nothing of it was sent.
+    /// Logs that the request is refused and that no part of the request was sent to the backend
+    /// server.
     pub fn log_refused(&self, reason: NotRunReason) {
         if !self.is_logged() {
             return;
@@ -104,7 +105,7 @@
         .log();
     }
 
-    /// Logs that no usable response arrived.
+    /// Logs that no usable response arrived from the backend server.
     pub fn log_broke(&self, fault: AttemptFault, crashed: bool, progress: &AttemptProgress) {
         if !self.is_logged() && !self.state.log_budget.takes_failure(self.state.now()) {
             return;
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -26,7 +26,7 @@
 use crate::state::DaemonState;
 use crate::wire::{self, HostLoad};
 
-/// Time for which a backend server's drain notice counts without being renewed.
+/// Time after which a backend server's drain notice expires, unless another notice renews it.
 const DRAIN_NOTICE_TTL: Duration = Duration::from_secs(30);
 
 /// `HostUpstream` is one backend server of this host.
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Applies a changed resource.
+    /// Applies a change of the backend server's resource or of its service's settings.
     pub fn configure(&self, server: &Rc<BackendServer>, spec: &ServiceSpec) {
         self.slots.configure(server.slots, spec.queue);
         self.health.borrow_mut().set_prefer(spec.prefer);
@@ -99,8 +99,8 @@
     }
 
     /// Says whether the last attempt to connect to the backend server failed, or the server has
-    /// crashed since. Such a server gets no reservations: its slots become free again at once, so
-    /// that they would be offered to all waiting requests, one after the other.
+    /// crashed since. An unreachable server gets no reservations: each slot would become free again
+    /// at once, so that its slots would be offered to all waiting requests, one after the other.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable.get()
     }
@@ -169,9 +169,9 @@
         self.log_change(change);
     }
 
-    /// Handles the resume of the host from a suspend. The age of running requests is no evidence of
-    /// a hang. The server may have closed idle connections during the suspend. Waiting requests
-    /// that can no longer meet their deadline are refused.
+    /// Handles the resume of the host from a suspend. After a suspend, the age of running requests
+    /// is no evidence of a hang. The server may have closed idle connections during the suspend.
+    /// Waiting requests that can no longer meet their deadline are refused.
     pub fn note_resumed(&self) {
         self.health.borrow_mut().forget_running();
         self.pool.clear();
@@ -218,7 +218,8 @@
         }
     }
 
-    /// Returns the load report for a dispatch of `route`, with the time that its response took.
+    /// Returns the load report for a dispatch on `route`; `took` is the time until its response, if
+    /// the dispatch has got a response.
     pub fn report(&self, state: &DaemonState, route: &str, took: Option<Duration>) -> LoadReport {
         let now = state.now();
         let load = HostLoad {
@@ -236,13 +237,13 @@
 /// `AttemptResult` is the result of one attempt, as evidence about its upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptResult {
-    /// The evidence.
+    /// Evidence that the attempt gives about its upstream.
     pub evidence: RequestEvidence,
     /// Whether the request was recorded as overdue while it ran.
     pub was_overdue: bool,
     /// Whether the request was a trial.
     pub is_trial: bool,
-    /// When the request arrived at the host.
+    /// Time at which the request arrived at the host, since the daemon's start.
     pub started: Duration,
     /// How the request failed, if the backend server failed it.
     pub failure: Option<FailureKind>,
--- a/crates/daemon/src/host/verify.rs
+++ b/crates/daemon/src/host/verify.rs
@@ -13,11 +13,11 @@
 pub enum AnswerVerdict {
     /// The response to the request.
     Matching,
-    /// The response to an earlier request on the same connection; the expected one follows.
+    /// The response to an earlier request on the same connection; the expected response follows.
     Surplus,
-    /// The backend server's shed notice: it did not run the request.
+    /// The backend server's shed notice, which says that the server did not run the request.
     Shed,
-    /// Another backend server listens at this address; it did not run the request.
+    /// Another backend server listens at this address and did not run the request.
     Moved,
     /// A response that must not reach a caller.
     Invalid,
@@ -34,8 +34,8 @@
     if head.headers.contains_key(&fields.shed) && allows_shed(fields, head.status) {
         return AnswerVerdict::Shed;
     }
-    // Callers take these statuses as proof that the request did not run, but this server sent no
-    // shed notice.
+    // Callers take a status for which `implies_not_run` holds as proof that the request did not
+    // run, but without a shed notice the server may have run the request.
     if fields.has_not_run_statuses && implies_not_run(head.status) {
         return AnswerVerdict::Invalid;
     }
@@ -46,7 +46,7 @@
     AnswerVerdict::Matching
 }
 
-/// Compares the ids of request and response; `None` if they match or are not in use.
+/// Compares the ids of request and response; returns `None` if the ids match or are not in use.
 fn compare_ids(
     fields: &ExchangeFields,
     request: &[u8],
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Watches each request while a backend server processes it, since a hung request causes no event.
+//! Watches the requests that backend servers process, since a hung request causes no event.
 
 use std::future;
 use std::rc::Rc;
@@ -42,8 +42,8 @@
         &self.calls
     }
 
-    /// Checks the request periodically until it makes a nested call, which shows progress. Never
-    /// returns, even after the last check.
+    /// Checks the request periodically until the request makes a nested call, which shows progress.
+    /// Never returns, even after the last check.
     pub async fn check_until_settled(&self) {
         let usual = match &self.usual {
             Some(usual) => usual,
--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Writes the answer; says whether the connection is closed after it.
+/// Writes the answer; returns whether the connection is closed after the answer.
 async fn relay_answer(
     writer: &mut OwnedWriteHalf<TcpStream>,
     request: &CallerRequest,
@@ -160,7 +160,7 @@
     }
 }
 
-/// Buffers the whole body of the answer in its head.
+/// Reads the rest of the body into the `body` field of the answer's head.
 async fn buffer_answer(answer: &EventPipe, head: &mut AnswerHead) -> Result<(), HttpError> {
     loop {
         match answer.next().await {
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -1,13 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The attempts at one request: choosing an upstream, dispatching, and deciding what may be tried
-//! again.
+//! Makes the attempts at one request: chooses an upstream, dispatches the request, and decides
+//! whether a further attempt is allowed.
 //!
-//! A request that certainly did not run can be sent to another upstream without harm. This happens
-//! at most twice, and the last dispatch is marked as not refusable. A request that may have run is
-//! retried only if its route allows it, and the retry is charged to the retry budget of its
-//! service. No request is retried once the head of an answer was sent to the caller.
+//! A request that certainly did not run can be sent to another upstream without harm. One request
+//! is sent again at most twice, and its last dispatch is marked as not refusable. A request that
+//! may have run is retried only if its route allows it, and the retry is charged to the retry
+//! budget of its service. No request is retried once the head of an answer was sent to the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -74,7 +74,8 @@
     pub wait_until: Option<Duration>,
     /// How the last attempt ended.
     pub last_outcome: FailureOutcome,
-    /// Why an earlier attempt may have run; `None` if no earlier attempt can have run.
+    /// Why an earlier attempt may have run the request; `None` if no earlier attempt can have run
+    /// the request.
     may_have_run: Option<UnknownReason>,
     /// Upstream at which an earlier attempt failed.
     pub failed_at: Option<usize>,
@@ -308,8 +309,8 @@
         self.end_failed(failure)
     }
 
-    /// Builds the end of a request without an answer. If any attempt may have run, the request is
-    /// not reported as not run.
+    /// Builds the end of a request without an answer. If any attempt may have run the request, the
+    /// caller is not told that the request was not run.
     fn end_failed(&self, failure: CallerFailure) -> AttemptEnd {
         match (self.may_have_run, failure.outcome) {
             (Some(reason), FailureOutcome::NotRun(_)) => {
@@ -342,8 +343,8 @@
         self.request.objective.map_or(Duration::ZERO, |at| at.saturating_sub(self.state.now()))
     }
 
-    /// Returns the service rounds that the request may wait in the local failure domain before a
-    /// remote one is preferred.
+    /// Returns the number of service rounds that the request may wait for an upstream in the local
+    /// failure domain before an upstream in another failure domain is preferred.
     pub fn local_wait_rounds(&self) -> f64 {
         let far_megabyte_time = self.state.live().far_megabyte;
         self.request.service.local_wait_rounds(&self.request.route.name, far_megabyte_time)
@@ -428,7 +429,7 @@
         }
     }
 
-    /// Refuses a request whose caller's key was revoked after the request was admitted. This is
+    /// Refuses a request whose caller's key was revoked after the request was admitted. The key is
     /// checked before each dispatch, so that a request that waited for a retry doesn't start under
     /// a revoked key.
     pub fn refuse_revoked_key(&self) -> Result<(), CallerFailure> {
@@ -441,8 +442,8 @@
     }
 
     /// Refuses a request whose copies crash the servers that run them, unless this copy is sent as
-    /// a trial. This is checked before each dispatch, since another daemon may have reported a
-    /// crash after the last check.
+    /// a trial. The request is checked before each dispatch, since another daemon may have reported
+    /// a crash after the last check.
     pub fn refuse_suspect(&mut self) -> Result<(), CallerFailure> {
         if self.is_crash_trial || self.state.suspects.is_empty() {
             return Ok(());
@@ -463,7 +464,8 @@
     }
 
     /// Says whether the request may still be dispatched while the daemon shuts down. Before the
-    /// first dispatch the admission is checked again, because reading the body took time.
+    /// first dispatch, the admission of the request is checked again, because the daemon may have
+    /// begun to shut down while the body was read.
     pub fn may_dispatch(&self) -> bool {
         if self.dispatches + self.decline_count == 0 {
             return stop::admits_request(self.state, &self.request.trace.id);
@@ -497,8 +499,8 @@
     }
 
     /// Records that an upstream declined the request because its circuit breaker is open or because
-    /// it is full or draining. Returns whether the upstream declined and another one may be tried.
-    /// A decline costs only a round trip, so it does not count as a dispatch.
+    /// it is full or draining. Returns whether the upstream declined and another upstream may be
+    /// tried. A decline costs only a round trip, so a decline does not count as a dispatch.
     fn has_declined(&mut self, index: usize, outcome: FailureOutcome) -> bool {
         let decline_reasons = [
             NotRunReason::Unhealthy,
@@ -507,8 +509,9 @@
             NotRunReason::Draining,
         ];
         let connect_failed = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
-        // A host offers a slot before it knows whether its backend server accepts a connection. If
-        // the server refuses the connection, the offer was void and counts as a decline.
+        // A host offers a slot before the host knows whether its backend server accepts a
+        // connection. If the server refuses the connection, the offer was void and counts as a
+        // decline.
         let offer_was_void =
             connect_failed && self.state.live().waiting == WaitingMode::Reservations;
         let declined =
@@ -528,9 +531,9 @@
         true
     }
 
-    /// Says whether the request may be sent as a trial to an upstream that may fail it. A request
-    /// that fails as a trial must be retried, so neither a retry nor a request for which the retry
-    /// budget is exhausted is used as a trial.
+    /// Says whether the request may be sent as a trial to an upstream that may fail the request. A
+    /// request that fails as a trial must be retried, so neither a retry nor a request for which
+    /// the retry budget is exhausted is used as a trial.
     fn may_be_trial(&self) -> bool {
         self.is_repeatable()
             && self.server_attempts == 0
@@ -558,8 +561,8 @@
         self.request.service.take_retry(self.state)
     }
 
-    /// Says whether a request that may have run may be sent again. If it may, charges the retry
-    /// budget.
+    /// Says whether a request that may have run may be sent again. If the request may be sent
+    /// again, the retry budget is charged.
     fn may_retry(&self, body: &BodyReader) -> bool {
         self.is_repeatable()
             && body.is_done()
@@ -572,7 +575,7 @@
     }
 }
 
-/// Says whether the request reached a backend server, or may have.
+/// Says whether the request reached or may have reached a backend server.
 fn may_have_reached_server(outcome: FailureOutcome) -> bool {
     matches!(outcome, FailureOutcome::Unknown(_) | FailureOutcome::NotRun(NotRunReason::Shed))
 }
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -29,8 +29,8 @@
 use crate::state::DaemonState;
 use crate::stop;
 
-/// Longest time that a caller may take to accept what is written to it before its connection is
-/// closed.
+/// Longest time that a caller may take to accept the bytes of one write. After this time, the
+/// connection is closed.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// `AfterRequest` says what happens to the connection after a request.
@@ -77,7 +77,7 @@
     counts: RefCell<FnvHashMap<IpAddr, usize>>,
 }
 
-/// `CallerGuard` counts one connection for as long as it lives.
+/// `CallerGuard` counts one connection of a caller's address until the guard is dropped.
 struct CallerGuard {
     callers: Rc<CallerCounts>,
     address: IpAddr,
@@ -148,10 +148,10 @@
     }
 }
 
-/// Reads the head of the next request. Returns `None` if the connection has ended, or if it is idle
-/// when the daemon is about to exit. A daemon that shuts down keeps reading until it is about to
-/// exit, because callers discover the shutdown only after some time, and a refusal shows them that
-/// the request did not run.
+/// Reads the head of the next request. Returns `None` if the connection has ended, or if the
+/// connection is idle when the daemon is about to exit. A daemon that shuts down keeps reading
+/// until it is about to exit, because callers discover the shutdown only after some time, and a
+/// refusal shows them that the request did not run.
 async fn next_head(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
--- a/crates/daemon/src/ingress/caller_key.rs
+++ b/crates/daemon/src/ingress/caller_key.rs
@@ -19,7 +19,7 @@
 /// `CallerIdentity` is the identity of a request's caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallerIdentity {
-    /// Name of the organisation, if it is known.
+    /// Name of the caller's organisation, if the organisation is known.
     pub organisation: Option<Rc<str>>,
     /// Class of the organisation's requests, if it overrides the class of the route.
     pub class: Option<WorkClass>,
@@ -33,14 +33,14 @@
 pub enum GivenKey {
     /// No key.
     Missing,
-    /// More than one key, so that none of them is used.
+    /// More than one key. No key of such a request is used.
     Several,
     /// One key.
     One(KeyDigest),
 }
 
 impl GivenKey {
-    /// Reads the key of a request.
+    /// Reads the key from the header field `name` of a request.
     pub fn of(headers: &HeaderMap, name: &HeaderName) -> Self {
         let mut values = headers.get_all(name).iter();
         match (values.next(), values.next()) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Returns the message for the caller when its request is refused for its key.
+    /// Returns the message for a caller whose request is refused for its key.
     fn refusal_message(&self) -> String {
         match self {
             Self::Missing => "the route requires an API key, but the request has none".to_owned(),
@@ -95,7 +95,7 @@
     }
 
     /// Says whether the caller's key still belongs to the same organisation: a request whose key
-    /// was revoked while it waited is not started any more.
+    /// was revoked while the request waited is not started any more.
     pub fn is_key_valid(&self, active: &ActiveConfig) -> bool {
         let Some(digest) = &self.key else { return true };
         let owner = active.keys.find(digest);
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -27,7 +27,7 @@
 use crate::services::SentGuard;
 use crate::wire;
 
-/// Largest number of dispatches of one request: the first and two more.
+/// Largest number of dispatches of one request: the first dispatch and two more.
 pub const DISPATCHES_MAX: usize = 3;
 /// Size in bytes above which a body may be withheld until the host has started the request. For a
 /// shorter body, withholding is not worth the extra round trip.
@@ -41,9 +41,9 @@
     pub withheld: Option<Bytes>,
     /// Path to the other daemon, if the attempt may be hedged when that path is cut.
     pub path: Option<Rc<PeerPath>>,
-    /// Time after which the attempt is hedged, if it may be.
+    /// Time after which the attempt is hedged, if the attempt may be hedged.
     pub hedging_delay: Option<Duration>,
-    /// Whether a failure counts as evidence against the upstream.
+    /// Whether a failure of the attempt counts as evidence against the upstream.
     pub is_evidence: bool,
     /// Counts the request as in flight at the upstream.
     pub sent: SentGuard,
@@ -60,7 +60,7 @@
 }
 
 impl RequestAttempts<'_> {
-    /// Counts a dispatch.
+    /// Counts a dispatch of the request. Each dispatch after the first counts as a retry.
     pub fn note_dispatch(&mut self) {
         self.dispatches += 1;
         metrics::DISPATCHES.add_one();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Dispatches to the chosen upstream.
+    /// Dispatches the request to the chosen upstream.
     pub async fn dispatch(
         &mut self,
         stream: &mut HttpStream,
@@ -83,7 +83,7 @@
         // Establishing a link takes time, so the head with the remaining time is built afterwards.
         let link = match waiting::unless_caller_gone(stream, self.link(&path)).await {
             // While the link was established, this daemon may have begun to give up requests
-            // because it is shutting down. It then starts no request.
+            // because it is shutting down. A daemon that gives up requests starts none.
             Some(Ok(Some(_))) if self.state.stop.giving_up.is_raised() => {
                 return DispatchEnd::Unreachable;
             }
@@ -190,16 +190,16 @@
     }
 
     /// Says whether the request is a nested call made by a request that runs on this host. Hosts
-    /// give such calls priority if requests wait for slots with reservations. In the other waiting
-    /// mode, the result is `None` and the field is not sent.
+    /// give nested calls priority if requests wait for slots with reservations. In the other
+    /// waiting mode, the result is `None` and the field is not sent.
     fn is_call(&self) -> Option<bool> {
         let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
         uses_reservations.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
     }
 
-    /// Builds the baseline of the service for the host's daemon. Only if requests wait for slots
-    /// with reservations does it include the slow requests seen at the other upstreams, which bound
-    /// the timeout at that host.
+    /// Builds the baseline of the service for the host's daemon. If requests wait for slots with
+    /// reservations, the baseline includes the slow requests seen at the other upstreams. The slow
+    /// requests bound the adaptive timeout at that host.
     fn baseline_note(&self, index: usize, baseline: &ServiceBaseline) -> Option<BaselineNote> {
         if self.state.live().waiting == WaitingMode::Reservations {
             let slow_requests =
@@ -225,9 +225,9 @@
         is_watched.then_some(path)
     }
 
-    /// Returns the hedging delay of an attempt, if it may be hedged. The service rounds that are
-    /// `queued` at the upstream ahead of the attempt are not the upstream's fault, so they extend
-    /// the delay.
+    /// Returns the hedging delay of an attempt, if the attempt may be hedged. `queued` is the
+    /// number of service rounds that the attempt waits in the queue of the upstream. That wait is
+    /// not the upstream's fault, so the wait extends the delay.
     pub fn hedging_delay(&self, baseline: &ServiceBaseline, queued: f64) -> Option<Duration> {
         if !self.may_hedge() {
             return None;
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -36,8 +36,8 @@
         request.service.note_bytes(&request.route.name, bytes);
     }
 
-    /// Records the report of an upstream's daemon; `failed` says whether the request failed there,
-    /// if it ran.
+    /// Records the load report of an upstream's daemon. If the request ran at the upstream,
+    /// `failed` says whether the request failed.
     pub fn note_report(&self, index: usize, report: &LoadReport, failed: Option<bool>) {
         let route = &self.request.route.name;
         let now = self.state.now();
@@ -78,7 +78,7 @@
         request.service.note_withdrawn(request.method.as_str(), &request.target, index);
     }
 
-    /// Withdraws a failure at an upstream.
+    /// Withdraws a failure of the request that was recorded at an upstream.
     pub fn withdraw_at(&self, index: usize) {
         let upstream = &self.request.service.entry.upstreams[index].name;
         let path = self.request.service.path(index);
--- a/crates/daemon/src/ingress/failure.rs
+++ b/crates/daemon/src/ingress/failure.rs
@@ -12,10 +12,11 @@
 use bytes::BytesMut;
 use http::{header, Method, StatusCode};
 
-/// Shortest wait in a `Retry-After`, which has whole seconds (RFC 9110).
+/// Shortest wait in a `Retry-After` field, whose value is in whole seconds (RFC 9110).
 const RETRY_AFTER_MIN_SECONDS: u64 = 1;
 
-/// Challenge sent with status 401 to a caller without a known key; RFC 9110 requires one.
+/// Challenge sent with status 401 to a caller without a known key; RFC 9110 requires a challenge
+/// with this status.
 const AUTH_CHALLENGE: &str = "ApiKey";
 
 /// `CallerFailure` is the reply that a caller gets in place of an answer.
@@ -29,7 +30,7 @@
     pub retry_after: Option<Duration>,
     /// Human-readable message.
     pub message: String,
-    /// Methods that are accepted, if the request's method is not one of them.
+    /// Methods that the route serves, if the request was refused for its method.
     pub allow: Option<String>,
 }
 
@@ -62,7 +63,7 @@
         Some(Self::bad_request(status, error))
     }
 
-    /// Writes the whole reply.
+    /// Writes the whole reply to `buffer`. The reply to a `HEAD` request has no body.
     pub fn put(&self, buffer: &mut BytesMut, method: &Method, close: bool) {
         let body = format!("{}\n", self.message);
         writer::put_status_line(buffer, self.status);
--- a/crates/daemon/src/ingress/load_probe.rs
+++ b/crates/daemon/src/ingress/load_probe.rs
@@ -28,7 +28,7 @@
 }
 
 impl PendingProbes {
-    /// Delivers an answer to the probe that waits for it.
+    /// Delivers an answer to the probe with the same sequence number.
     pub fn take(&self, answer: LoadAnswer) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&answer.sequence) {
             let _ = waiting.send(answer.report);
@@ -74,7 +74,7 @@
 }
 
 /// Probes several upstreams of a request's service concurrently. Upstreams of this host are left
-/// out, and those whose daemon is not linked or does not support probes.
+/// out, and so are upstreams whose daemon is not linked or does not support probes.
 pub async fn probe_all(
     state: &Rc<DaemonState>,
     request: &CallerRequest,
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one request of a caller: checks, limits, body, attempts, answer.
+//! Serves one request of a caller: checks the request against the configuration and the limits,
+//! reads the start of the body, makes the attempts and relays the answer.
 
 use std::cell::OnceCell;
 use std::future;
@@ -39,8 +40,9 @@
 use crate::stop;
 use crate::wire;
 
-/// Bytes of a body that are read before the request is dispatched, and kept for a retry. Shorter
-/// bodies are sent in the first frame, and a slow caller holds no slot while it sends such a body.
+/// Number of bytes of a body that are read before the request is dispatched, and kept for a retry.
+/// A shorter body is sent in the first frame, and a slow caller holds no slot while sending a
+/// shorter body.
 pub const PREFIX_BYTES: usize = 64 * units::KIB;
 /// Largest length of a request's id in the logs, in characters; the rest is cut off.
 const REQUEST_ID_MAX: usize = 128;
@@ -49,35 +51,35 @@
 
 /// `CallerRequest` is a request that passed its checks.
 pub struct CallerRequest {
-    /// Its route.
+    /// Route of the request.
     pub route: Rc<RouteEntry>,
-    /// Its service.
+    /// Service of the request.
     pub service: Rc<ServiceState>,
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Its target in origin form.
+    /// Target of the request in origin form.
     pub target: String,
-    /// Its HTTP version.
+    /// HTTP version of the request.
     pub version: Version,
-    /// Its header fields as the backend server gets them.
+    /// Header fields of the request, as the backend server gets them.
     pub field_lines: Vec<u8>,
-    /// Its caller.
+    /// Caller of the request.
     pub caller: CallerIdentity,
     /// Revision of the configuration under which the request was admitted.
     pub revision: FleetRevision,
     /// Idempotency key of an at-most-once request.
     pub once_key: Option<String>,
-    /// Time by which it must be answered.
+    /// Time by which the request must be answered.
     pub deadline: Duration,
     /// Time after which an answer misses the route's latency objective, if the route declares one.
     pub objective: Option<Duration>,
-    /// How its body is framed.
+    /// Framing of the request's body.
     pub framing: BodyFraming,
-    /// Start of its body.
+    /// Start of the request's body, of up to about [`PREFIX_BYTES`].
     pub prefix: Bytes,
     /// Whether the connection is closed after the request.
     pub close: bool,
-    /// Its trace.
+    /// Trace of the request for the logs.
     pub trace: RequestTrace,
     fingerprint: OnceCell<RequestFingerprint>,
 }
@@ -98,25 +100,26 @@
         }
     }
 
-    /// Returns its class: the class of its organisation overrides that of its route.
+    /// Returns the class of the request: the class of its organisation overrides the class of its
+    /// route.
     pub fn class(&self) -> WorkClass {
         self.caller.class.unwrap_or(self.route.rule.criticality)
     }
 
-    /// Says whether its whole body was read before it is dispatched.
+    /// Says whether the whole body was read before the request is dispatched.
     pub fn has_whole_body(&self) -> bool {
         self.prefix.len() < PREFIX_BYTES
     }
 
-    /// Returns its crash tally; `None` if nothing counts against the request.
+    /// Returns the crash tally of the request; `None` if the tally is empty.
     pub fn tally(&self, state: &DaemonState) -> Option<CrashTally> {
         let has_suspects = !state.suspects.is_empty();
         let tally = has_suspects.then(|| state.suspects.tally(&self.fingerprint(state)));
         tally.filter(|tally| *tally != CrashTally::default())
     }
 
-    /// Returns its fingerprint, which identical requests share and no other request has. The prefix
-    /// of its body must have been read.
+    /// Returns the fingerprint of the request, which identical requests share and no other request
+    /// has. The prefix of the body must have been read.
     pub fn fingerprint(&self, state: &DaemonState) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let parts = RequestParts {
@@ -396,7 +399,7 @@
     })
 }
 
-/// Returns the id that identifies a request in the logs: the one that the caller sent, else one
+/// Returns the id that identifies a request in the logs: the id that the caller sent, else an id
 /// that this daemon assigns.
 pub fn id_of(state: &DaemonState, head: &request::Parts) -> String {
     let default_name = fields::REQUEST_ID;
@@ -430,7 +433,8 @@
     }
 }
 
-/// Returns the timeout of a request: the route's, or a shorter one that the caller asks for.
+/// Returns the timeout of a request: the timeout of the route, or a shorter timeout that the caller
+/// asks for.
 fn caller_timeout(
     state: &DaemonState,
     route: &RouteEntry,
@@ -463,8 +467,8 @@
     }
 }
 
-/// Removes the fields that are not meant for the backend server, and adds those that say where the
-/// request came from.
+/// Removes the fields that are not meant for the backend server, and adds the fields that say where
+/// the request came from.
 fn forward_fields(state: &DaemonState, head: &mut request::Parts, host: &str, from: SocketAddr) {
     let headers = &mut head.headers;
     fields::remove_hop_fields(headers);
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -4,8 +4,9 @@
 //! Lets a request that finds no free slot wait at its ingress, with reservations for the slots of
 //! several hosts.
 //!
-//! The request itself is sent only to a host that has offered it a slot. Until then it has
-//! certainly not run, even if hosts that hold a reservation fail.
+//! The request is sent only to a host that has offered a slot for the request. While the request
+//! waits for an offer, it has certainly not run, even if hosts that hold one of its reservations
+//! fail.
 
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -46,7 +47,7 @@
 
 /// `SlotEnd` is how the wait for a slot ended.
 pub enum SlotEnd {
-    /// A host offered a slot, and the request was sent there.
+    /// A host offered a slot, and the request was sent to that host.
     Sent(UpstreamChoice, LiveExchange),
     /// No host accepts a reservation; the request may still be dispatched without one.
     NoReservation,
@@ -70,10 +71,10 @@
 
 impl RequestAttempts<'_> {
     /// Says whether the request waits for a slot with reservations rather than being dispatched at
-    /// once: all healthy upstreams are full, or one has just reported that it is full. Once no host
-    /// accepts a reservation, the request is dispatched to one of the remaining upstreams. A
-    /// request that needs a row in the ledger is dispatched at once, because that row is written
-    /// before the request takes a slot.
+    /// once. The request waits if all healthy upstreams are full, or if an upstream has just
+    /// declined the request because that upstream is full. Once no host accepts a reservation, the
+    /// request is dispatched to one of the remaining upstreams. A request that needs a row in the
+    /// ledger is dispatched at once, because that row is written before the request takes a slot.
     pub fn needs_reservation(&self, choice: &UpstreamChoice) -> bool {
         let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
         let has_no_free_slot = matches!(choice.ground, ChoiceGround::Waiting | ChoiceGround::Any);
@@ -81,7 +82,7 @@
         uses_reservations && may_wait && (has_no_free_slot || !self.full.is_empty())
     }
 
-    /// Waits until a host offers the request a slot, and sends it there.
+    /// Waits until a host offers a slot for the request, and sends the request to that host.
     pub async fn wait_for_slot(&mut self, stream: &mut HttpStream, body_is_done: bool) -> SlotEnd {
         let began = self.state.now();
         let mut set = ReservationSet::new(ReservationPlan::default());
@@ -157,11 +158,12 @@
                     let index = reservation.index;
                     let reason = self.note_refused(reservation, &failure);
                     match reason {
-                        // A host with such a refusal is not excluded: if another host offers a
-                        // slot and the request fails there, the refusing host may have room.
+                        // A full host is not excluded: if another host offers a slot and the
+                        // request fails at that other host, the full host may have room by that
+                        // time.
                         NotRunReason::QueueFull | NotRunReason::Unproven => full.push(index),
-                        // An unhealthy host is not excluded either: the request itself is still
-                        // sent to it when no other upstream remains.
+                        // An unhealthy host is not excluded, because the request is still sent to
+                        // an unhealthy host when no other upstream remains.
                         NotRunReason::Unhealthy => unhealthy.push(index),
                         _ => self.excluded.push(index),
                     }
@@ -187,9 +189,9 @@
         linked.is_some()
     }
 
-    /// Requests the missing reservations, at linked hosts that are not in `full`. Links to the
-    /// other hosts that were drawn are established in the background. Returns an upstream that was
-    /// drawn but is not linked yet, if there is one.
+    /// Requests the missing reservations, at linked hosts that are not in `full`. Links to drawn
+    /// hosts that are not linked yet are established in the background. Returns the index of an
+    /// upstream that was drawn but is not linked yet, if there is such an upstream.
     fn request_reservations(
         &mut self,
         set: &mut ReservationSet<OutboundExchange>,
@@ -254,9 +256,9 @@
         }
     }
 
-    /// Builds the head that requests a reservation. It leaves out what is needed only to run the
-    /// request, such as the body, because most reservations are released unused and traffic between
-    /// failure domains is expensive.
+    /// Builds the head that requests a reservation. The head leaves out what is needed only to run
+    /// the request, such as the body, because most reservations are released unused and traffic
+    /// between failure domains is expensive.
     fn reservation_head(&self, index: usize) -> DispatchHead {
         let now = self.state.now();
         let choice = self.request.service.with_view(|view| view.offered_choice(index, now));
@@ -323,8 +325,8 @@
         reason
     }
 
-    /// Sends the request to the host that offered it a slot, if it may still be sent. While the
-    /// request waited, the daemon may have begun to shut down, the caller's key may have been
+    /// Sends the request to the host that offered a slot, if the request may still be sent. While
+    /// the request waited, the daemon may have begun to shut down, the caller's key may have been
     /// revoked, or copies of the request may have crashed servers.
     fn send_offered(
         &mut self,
--- a/crates/daemon/src/ingress/slow_attempts.rs
+++ b/crates/daemon/src/ingress/slow_attempts.rs
@@ -4,8 +4,8 @@
 //! Slow attempts: attempts that took longer than their hedging delay, or whose path was cut, and
 //! that continue beside their hedge. The first successful answer is used.
 //!
-//! A slow attempt is not cancelled when its hedge is sent: that would discard a run that may be
-//! about to complete, and start the request over.
+//! A slow attempt is not cancelled when its hedge is sent. A cancel would discard a run that may be
+//! about to complete, and the request would start over.
 
 use std::future::poll_fn;
 use std::task::{Context, Poll};
@@ -19,9 +19,9 @@
 
 /// `SlowAttempt` is an attempt that still runs beside its hedge.
 pub struct SlowAttempt {
-    /// Its number, its upstream and its start.
+    /// Number, upstream and start of the attempt.
     pub start: AttemptStart,
-    /// Its exchange; dropping it cancels the request at the host.
+    /// Exchange of the attempt; dropping the exchange cancels the request at the host.
     pub live: LiveExchange,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl SlowAttempts {
-    /// Adds an attempt.
+    /// Adds an attempt for which a hedge is sent.
     pub fn push(&mut self, attempt: SlowAttempt) {
         self.attempts.push(attempt);
     }
@@ -42,13 +42,14 @@
         self.attempts.is_empty()
     }
 
-    /// Waits until one of the attempts answers successfully; never returns if none does. Attempts
-    /// that fail are dropped.
+    /// Waits until one of the attempts answers successfully; never returns if no attempt succeeds.
+    /// Attempts that fail are dropped.
     pub async fn answered(&mut self) -> (SlowAttempt, AnswerHead) {
         poll_fn(|context| self.poll_answered(context)).await
     }
 
-    /// Waits until one of the attempts answers successfully; returns `None` once all have failed.
+    /// Waits until one of the attempts answers successfully; returns `None` once all attempts have
+    /// failed.
     pub async fn answered_if_any(&mut self) -> Option<(SlowAttempt, AnswerHead)> {
         poll_fn(|context| match self.poll_answered(context) {
             Poll::Ready(answered) => Poll::Ready(Some(answered)),
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -17,27 +17,27 @@
 
 /// `RequestTarget` is the route and the caller of a request.
 pub struct RequestTarget {
-    /// Its route.
+    /// Route of the request.
     pub route: Rc<RouteEntry>,
-    /// Its caller.
+    /// Caller of the request.
     pub caller: CallerIdentity,
 }
 
-/// `TargetQuery` is what the route and the caller of a request are resolved from.
+/// `TargetQuery` holds the parts of a request from which its route and its caller are resolved.
 pub struct TargetQuery<'a> {
     /// Head of the request.
     pub head: &'a request::Parts,
     /// Host name that the request is addressed to.
     pub host: &'a str,
-    /// Id of the request, which shows a nested call made by a request that runs on this host. Such
-    /// a call needs no key.
+    /// Id of the request. The id of a nested call names the parent request. A nested call whose
+    /// parent request runs on this host needs no key.
     pub id: &'a str,
 }
 
 /// Resolves the route and the caller of a request. A refusal says that something is not configured,
-/// and callers treat that as permanent. A request is therefore refused only if the configuration is
-/// confirmed to be the newest. Without this rule, a daemon that had received no changes for 5.6 s
-/// refused requests for a route that had been added in that time.
+/// and callers treat such a refusal as permanent. A request is therefore refused only if the
+/// configuration is confirmed to be the newest. Without this rule, a daemon that had received no
+/// changes for 5.6 s refused requests for a route that had been added in that time.
 pub async fn resolve(
     state: &Rc<DaemonState>,
     query: &TargetQuery<'_>,
@@ -93,8 +93,8 @@
     }
 }
 
-/// Returns the host name that a request is addressed to: the one in an absolute target, else the
-/// one in the `Host` field.
+/// Returns the host name that a request is addressed to: the host name in an absolute target, else
+/// the host name in the `Host` field.
 pub fn caller_host(head: &request::Parts) -> Result<String, CallerFailure> {
     let bad = |message: &str| CallerFailure::bad_request(StatusCode::BAD_REQUEST, message);
     if head.method == Method::CONNECT {
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -124,15 +124,15 @@
 pub struct RequestTrace {
     /// Id of the request.
     pub id: String,
-    /// Whether its lines are written as they happen.
+    /// Whether the log line of each step is written when the step happens.
     pub is_logged: bool,
-    /// Number of attempts that were made, including those that were declined.
+    /// Number of attempts that were made, including declined attempts.
     pub attempts: Cell<u64>,
     began: Duration,
     steps: RefCell<Vec<TimedStep>>,
 }
 
-/// `TimedStep` is a step and when it happened.
+/// `TimedStep` is a step and the time at which the step happened, since the daemon's start.
 #[derive(Debug, Clone, Copy)]
 struct TimedStep {
     at: Duration,
@@ -157,7 +157,7 @@
         attempt: usize,
         /// Start of the wait, as time since the daemon's start.
         began: Duration,
-        /// Hosts that were asked for a reservation.
+        /// Number of hosts that were asked for a reservation.
         hosts_asked: usize,
         /// Why no host offered a slot, if none did.
         failure: Option<FailureOutcome>,
@@ -166,7 +166,7 @@
     Ended {
         /// Number of the attempt.
         attempt: usize,
-        /// Position of the upstream.
+        /// Position of the upstream in its service.
         index: usize,
         /// How the attempt ended.
         end: StepEnd,
@@ -304,7 +304,7 @@
     .log();
 }
 
-/// Logs a step, or buffers it.
+/// Logs a step of a request, or buffers the step if the request is not logged from its start.
 pub fn note(state: &DaemonState, request: &CallerRequest, step: TraceStep) {
     let step = TimedStep { at: state.now(), step };
     if request.trace.is_logged {
@@ -469,8 +469,8 @@
     .log();
 }
 
-/// Writes the buffered steps of a request that did not succeed; says whether its end is to be
-/// logged too.
+/// Writes the buffered steps of a request that did not succeed; returns whether the end of the
+/// request is to be logged too.
 fn write_buffered(state: &DaemonState, request: &CallerRequest) -> bool {
     if request.trace.is_logged {
         return true;
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -22,7 +22,7 @@
 use crate::state::DaemonState;
 
 /// Time for which an answer is awaited after the deadline. The host's daemon enforces the deadline
-/// itself, so if nothing arrives from it within this time, the path is at fault.
+/// itself, so if nothing arrives from the host's daemon within this time, the path is at fault.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 /// Time between checks of the path of an attempt in flight.
 const PATH_CHECK_EVERY: Duration = Duration::from_millis(150);
@@ -34,8 +34,8 @@
 pub enum FirstEvent {
     /// The head of an answer.
     Head(AnswerHead),
-    /// The exchange ended without an answer. The report is the one that the host's daemon sent at
-    /// the end of the exchange, if any.
+    /// The exchange ended without an answer. The load report is present if the host's daemon sent a
+    /// report at the end of the exchange.
     Failed(FailureOutcome, Option<LoadReport>),
     /// The attempt outlasted its hedging delay or its path was cut, and the retry budget allows a
     /// hedge.
@@ -90,9 +90,9 @@
     }
 }
 
-/// Waits for `needed`, which an attempt needs before it can be sent; returns `None` if the caller
+/// Waits for `needed`, without which an attempt can't be sent; returns `None` if the caller
 /// disconnects first. The request of a caller that has disconnected must not be sent: nobody reads
-/// its answer, and a cancel that is sent after the request may arrive too late.
+/// the answer, and a cancel that is sent after the request may arrive too late.
 pub async fn unless_caller_gone<T>(
     stream: &mut HttpStream,
     needed: impl Future<Output = T>,
@@ -110,8 +110,8 @@
     }
 }
 
-/// Waits for the answer of slow attempts when no further attempt is made; ends with `failure` if
-/// none of them succeeds.
+/// Waits for the answer of slow attempts when no further attempt is made; ends with `failure` if no
+/// slow attempt succeeds.
 pub async fn last_event(
     state: &DaemonState,
     time_left: Duration,
@@ -142,8 +142,8 @@
     }
 }
 
-/// Waits until this host has resumed from a suspend in which the deadline passed, and then for
-/// [`DEADLINE_GRACE`], because the host's daemon may still report whether the request ran.
+/// Waits until this host has resumed from a suspend during which the deadline passed. Then waits
+/// for [`DEADLINE_GRACE`] more, because the host's daemon may still report whether the request ran.
 async fn passed_while_suspended(state: &DaemonState, deadline: Duration) {
     state.clock.passed_after_resume(deadline).await;
     monoio::time::sleep(DEADLINE_GRACE).await;
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -67,7 +67,8 @@
         self.address
     }
 
-    /// Closes the idle connections: after one was found dead, the others are likely to be dead too.
+    /// Closes the idle connections. After one connection was found dead, the idle connections to
+    /// the same address are likely to be dead too.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
@@ -155,7 +156,7 @@
     writer::send_piece(&mut stream.writer, &mut buffer, framing, body, true).await
 }
 
-/// Reads a reply with its complete body. Also returns whether the connection ends after it.
+/// Reads a reply with its complete body. Also returns whether the connection ends after the reply.
 pub async fn receive(
     stream: &mut HttpStream,
     method: &Method,
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -18,7 +18,7 @@
 use crate::errors::{self, HttpError};
 use crate::reader::{ByteReader, HEAD_READ_BYTES};
 
-/// Delay before the next accept after one failed, for instance for lack of file descriptors.
+/// Delay between a failed accept, for instance for lack of file descriptors, and the next accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// `HttpStream` is a connection split into its read and write halves.
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -24,7 +24,7 @@
         /// Error that the operating system reported.
         source: io::Error,
     },
-    /// The peer was too slow.
+    /// The peer did not send or accept bytes within the time allowed.
     #[snafu(display("timed out waiting for {what}"))]
     TimedOut {
         /// What was awaited.
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -89,7 +89,8 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Hop-by-hop fields (RFC 9110 section 7.6.1), and the length, which is written again on each hop.
+/// Hop-by-hop fields (RFC 9110 section 7.6.1), and `Content-Length`, which is written again on each
+/// hop.
 const HOP_FIELDS: [HeaderName; 11] = [
     CONNECTION,
     KEEP_ALIVE,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,11 +3,11 @@
 
 //! HTTP/1.1 for all basaltarch processes.
 //!
-//! Heads are parsed by `monoio-http`. This crate adds what `monoio-http` does not do: limits on the
-//! size and the number of fields of a head, the rules of message framing, and streamed bodies. The
-//! payload types of `monoio-http` hold a body of known length in memory as a whole, and its decoder
-//! of chunked bodies does the same with each chunk, while a daemon must forward bodies larger than
-//! its memory.
+//! Heads are parsed by `monoio-http`. This crate adds features that `monoio-http` lacks: limits on
+//! the size and the number of fields of a head, the rules of message framing, and streamed bodies.
+//! The payload types of `monoio-http` hold a body of known length in memory as a whole, and its
+//! decoder of chunked bodies holds each chunk in memory as a whole. A daemon, however, must forward
+//! bodies larger than its memory.
 
 pub mod body;
 pub mod client;
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -11,10 +11,10 @@
 
 use crate::errors::{self, HttpError};
 
-/// Buffer size of a read while a head is awaited: most heads fit, and an idle connection holds no
-/// more than this.
+/// Buffer size in bytes of a read while a head is awaited. Most heads fit into this buffer, and an
+/// idle connection holds no larger buffer.
 pub const HEAD_READ_BYTES: usize = 4 * units::KIB;
-/// Buffer size of a read within a body: one body chunk of a link between daemons.
+/// Buffer size in bytes of a read within a body: one body chunk of a link between daemons.
 pub const BODY_READ_BYTES: usize = 32 * units::KIB;
 
 /// `ByteReader` is a buffered reader of the read half of a connection.
@@ -52,7 +52,8 @@
         Ok(count)
     }
 
-    /// Reads as [`Self::fill`] does, within `limit`; the error names `what` was awaited.
+    /// Reads as [`Self::fill`] does, but for at most `limit`. The error of a timeout names `what`
+    /// was awaited.
     pub async fn fill_within(
         &mut self,
         max_bytes: usize,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! A small server for the administration API and for simulated servers (`basaltarch-standin`).
-//! Requests are read as a whole; replies are sent as a whole or streamed. Callers' requests are not
-//! served here but by the ingress role.
+//! Requests are read as a whole; replies are sent as a whole or streamed. Callers' requests are
+//! served by the ingress role of a daemon instead.
 
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/http/src/writer.rs
+++ b/crates/http/src/writer.rs
@@ -12,7 +12,8 @@
 use crate::errors::{self, HttpError};
 use crate::framing::BodyFraming;
 
-/// Pieces up to this size are copied behind the buffered bytes, which saves a system call.
+/// Size in bytes up to which a body piece is appended to the buffered bytes, which saves a system
+/// call.
 const COPY_BYTES_MAX: usize = 8 * 1024;
 
 /// Writes the head of a request.
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -209,7 +209,8 @@
         run(async {
             let mut reader = PieceReader::new(&text, piece);
             if let Ok(head) = head::read_request(&mut reader, &HeadLimits::default()).await {
-                // A message with both lengths must be rejected: which one holds is ambiguous.
+                // A message with both length fields must be rejected, because the length of its
+                // body is ambiguous.
                 let framing = framing::of_request(&head);
                 let both = head.headers.contains_key("content-length")
                     && head.headers.contains_key("transfer-encoding");
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -21,10 +21,11 @@
 use crate::errors::{self, LinkError};
 use crate::protocol::{FrameBody, PeerFrame};
 
-/// Bytes of the length prefix of each frame.
+/// Size of the length prefix of each frame, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Maximum frame length. A frame has room for one body chunk ([`CHUNK_BYTES_MAX`]) and the longest
-/// head that an ingress accepts (32 KiB), and for at least as many bytes that the daemons add.
+/// Maximum frame length in bytes. A frame has room for one body chunk ([`CHUNK_BYTES_MAX`]) and the
+/// longest head that an ingress accepts (32 KiB). At least the same number of bytes remains for the
+/// fields that daemons add.
 pub const FRAME_BYTES_MAX: usize = 256 * units::KIB;
 /// Maximum body bytes in one frame: half of the flow-control window of an exchange, so that two
 /// chunks can be in flight.
@@ -32,11 +33,11 @@
 /// Maximum bytes in the send queue of one link. Flow-control windows bound the bytes that exchanges
 /// queue. A longer queue means that the other side no longer reads.
 pub const QUEUE_BYTES_MAX: usize = 32 * 1024 * units::KIB;
-/// Capacity by which the buffer grows before a read of uncompressed frames.
+/// Number of bytes by which the buffer grows before a read of uncompressed frames.
 const READ_BYTES: usize = 64 * units::KIB;
 
-/// Free capacity below which the buffer grows before a read of uncompressed frames. It is also the
-/// buffer size of a read of compressed frames.
+/// Free capacity below which the buffer grows before a read of uncompressed frames. This constant
+/// is also the buffer size of a read of compressed frames.
 const READ_BYTES_MIN: usize = 8 * units::KIB;
 
 /// Appends a frame with its length prefix to `buffer`.
@@ -282,7 +283,7 @@
     }
 }
 
-/// Writes a whole buffer and returns it for reuse.
+/// Writes a whole buffer and returns the buffer for reuse.
 async fn write<W: AsyncWriteRent, B: IoBuf>(
     io: &mut W,
     buffer: B,
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -3,9 +3,9 @@
 
 //! Mutual authentication on connecting: each side proves that it holds the fleet key.
 //!
-//! Each side sends a nonce and answers the other's with an HMAC-SHA-256 (RFC 2104) over its role,
-//! both nonces and both host names. The roles differ, so that a proof can't be reflected to its
-//! sender.
+//! Each side sends a nonce and answers the nonce of the other side with an HMAC-SHA-256 (RFC 2104)
+//! over its role, both nonces and both host names. The roles differ, so that a proof can't be
+//! reflected to its sender.
 
 use std::time::Duration;
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -3,10 +3,11 @@
 
 //! The protocol between daemons.
 //!
-//! A link is one TCP connection between two daemons. The daemon that dialled it dispatches
-//! exchanges over it, and the other daemon answers. Any number of exchanges are multiplexed over
-//! one link, identified by number. Each has its own flow-control window, so that a slow caller
-//! doesn't stall the others. Heartbeats and configuration go both ways.
+//! A link is one TCP connection between two daemons. The daemon that dialled the link dispatches
+//! exchanges over the link, and the other daemon answers. Any number of exchanges are multiplexed
+//! over one link, identified by number. Each exchange has its own flow-control window, so that a
+//! slow caller doesn't stall other exchanges. Heartbeats and configuration are sent in both
+//! directions.
 
 pub mod compression;
 pub mod errors;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A link after its handshake. Routes the frames that it receives to their exchanges.
+//! Links after their handshake. Each side of a link routes the frames that it receives to their
+//! exchanges.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -39,8 +40,8 @@
     next_exchange: Cell<i64>,
 }
 
-/// `OutboundExchange` is the ingress side of an exchange. Dropping it cancels an unfinished
-/// exchange.
+/// `OutboundExchange` is the ingress side of an exchange. Dropping an unfinished exchange cancels
+/// the request at the host.
 pub struct OutboundExchange {
     /// Sink for the rest of the request body.
     pub body: EventSink,
@@ -50,7 +51,8 @@
 }
 
 impl OutboundExchange {
-    /// Builds an exchange; `cancel` runs if it is dropped before [`Self::finish`] is called.
+    /// Builds an exchange; `cancel` runs if the exchange is dropped before [`Self::finish`] is
+    /// called.
     pub fn new(body: EventSink, answer: Rc<EventPipe>, cancel: Box<dyn FnOnce()>) -> Self {
         Self { body, answer, cancel: Some(cancel) }
     }
@@ -60,7 +62,7 @@
         self.body.begin(head)
     }
 
-    /// Marks the exchange as finished, so that dropping it doesn't cancel it.
+    /// Marks the exchange as finished, so that dropping the exchange sends no cancel.
     pub fn finish(&mut self) {
         self.cancel = None;
     }
@@ -225,8 +227,8 @@
         &self.sender
     }
 
-    /// Reads frames until the link ends; `on_dispatch` gets each new exchange and `on_control` the
-    /// frames that belong to none.
+    /// Reads frames until the link ends; `on_dispatch` gets each new exchange, and `on_control`
+    /// gets the frames that belong to no exchange.
     pub async fn run<R: AsyncReadRent>(
         self: &Rc<Self>,
         reader: &mut FrameReader<R>,
@@ -270,7 +272,7 @@
 
     fn route(&self, exchange: i64, body: FrameBody) -> Result<(), LinkError> {
         let exchanges = self.exchanges.borrow();
-        // Frames of a finished exchange may still be in transit; they are dropped.
+        // Frames of a finished exchange, which may still be in transit, are dropped.
         let entry = match exchanges.get(&exchange) {
             Some(entry) => entry,
             None => return Ok(()),
--- a/crates/peer/src/stream.rs
+++ b/crates/peer/src/stream.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The two directions of an exchange, within a process and over a link.
+//! Streams the events of an exchange in its two directions, within a process and over a link.
 //!
 //! Each direction has a flow-control window: once a whole window of body bytes is in flight, the
 //! sender waits until the receiver has consumed some of them.
@@ -23,8 +23,8 @@
 /// Body bytes that may be in flight in one direction of one exchange: 64 KiB sustains 20 MB/s over
 /// the 3 ms round trip between failure domains.
 pub const WINDOW_BYTES: usize = 64 * units::KIB;
-/// Credit by which a host offers a slot to a reservation. One byte is enough to make the sender
-/// ready, which then sends the request.
+/// Credit by which a host offers a slot to a reservation. One byte is enough to make the sender at
+/// the ingress ready, and a ready sender sends the request.
 const OFFER_CREDIT_BYTES: usize = 1;
 /// Number of consumed bytes after which credit is returned; half a window keeps the sender busy.
 const CREDIT_STEP_BYTES: usize = WINDOW_BYTES / 2;
@@ -36,7 +36,7 @@
     Head(AnswerHead),
     /// The request of a reservation that was offered a slot.
     Begin(Box<DispatchHead>),
-    /// A piece of the body, and whether it is the last. The last piece may be empty.
+    /// A piece of the body, and whether this piece is the last. The last piece may be empty.
     Data(Bytes, bool),
     /// The exchange ended without a complete answer.
     Failed(ExchangeFailure),
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// Adds an event. A piece of the body waits until the window has room for it.
+    /// Adds an event. A piece of the body waits until the window has room.
     pub async fn send(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         if matches!(event, StreamEvent::Data(..)) {
             poll_fn(|context| self.poll_room(context)).await?;
@@ -358,8 +358,8 @@
         }
     }
 
-    /// Sends the request of a reservation that was offered a slot; unlike body bytes, it does not
-    /// wait for the window.
+    /// Sends the request of a reservation that was offered a slot; unlike body bytes, the request
+    /// does not wait for the window.
     pub fn begin(&self, head: DispatchHead) -> Result<(), StreamClosed> {
         match self {
             Self::Local(pipe) => pipe.push(StreamEvent::Begin(Box::new(head))),
@@ -390,7 +390,7 @@
     let sender = sender.clone();
     EventPipe::new(Some(Box::new(move |bytes| {
         let grant = CreditGrant { bytes: bytes as i32 };
-        // A closed link ends the exchange anyway, so that its credit no longer matters.
+        // A send error is ignored: a closed link ends the exchange anyway.
         let _ = sender.send(exchange, FrameBody::Credit(grant));
     })))
 }
