--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -24,7 +24,7 @@
 use crate::state::DaemonState;
 
 /// Header field that names the operator.
-const ACTOR: HeaderName = HeaderName::from_static("basaltarch-actor");
+const ACTOR_FIELD: HeaderName = HeaderName::from_static("basaltarch-actor");
 
 /// `ApplyRequest` is a transaction of many resources.
 #[derive(Debug, Deserialize)]
@@ -137,7 +137,7 @@
         }
     }
     let result = if transaction.dry_run {
-        plan(state, request, &edits)
+        plan_edits(state, request, &edits)
     } else {
         commit(state, request, &edits).await
     };
@@ -171,11 +171,11 @@
 /// Returns the author of a change: the operator that its request names, and the address that the
 /// request came from.
 pub fn author(request: &ServerRequest) -> ChangeAuthor {
-    let actor = fields::single(&request.head.headers, &ACTOR).unwrap_or("operator");
+    let actor = fields::single(&request.head.headers, &ACTOR_FIELD).unwrap_or("operator");
     ChangeAuthor { actor: actor.to_owned(), from: request.from.to_string() }
 }
 
-fn plan(
+fn plan_edits(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
     edits: &[ResourceEdit],
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -32,12 +32,12 @@
     let limits = ServerLimits::with_body_bytes(BODY_BYTES_MAX);
     let handle_request = move |request| {
         let state = state.clone();
-        async move { handle(&state, &request).await }
+        async move { serve_request(&state, &request).await }
     };
     server::serve_all(listener, CONNECTIONS_MAX, limits, handle_request).await;
 }
 
-async fn handle(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
+async fn serve_request(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     match request.path() {
         "/healthz" => return ServerReply::text(StatusCode::OK, "ok\n"),
         "/readyz" => return ready(state),
@@ -79,10 +79,10 @@
     // A shutdown waits for changes in progress, so that the operator gets their results.
     let _counted = is_write.then(|| state.stop.count_in_flight());
     match (method.as_str(), path.as_str()) {
-        ("GET", "status") => status::fleet(state),
+        ("GET", "status") => status::report_fleet(state),
         ("GET", "health") => status::health(state, request.query("service")),
         ("GET", "suspects") => suspects::list(state),
-        ("GET", "audit") => read::audit(state, request).await,
+        ("GET", "audit") => read::read_audit_trail(state, request).await,
         ("GET", "watch") => watch::start(state, request, None),
         ("POST", "apply") => changes::apply(state, request).await,
         ("POST", "drain") => {
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -18,7 +18,7 @@
 use crate::state::DaemonState;
 
 /// Maximum number of records in one reply of the audit trail.
-const AUDIT_LIMIT: usize = 1000;
+const AUDIT_RECORDS_MAX: usize = 1000;
 
 /// Calls `read` with the resources in force: the declared resources, or the resources derived from
 /// the operator's document and the backend servers' registrations.
@@ -56,7 +56,7 @@
 
 /// Reads the audit trail from the store, or from the records cached at this daemon if the store
 /// does not answer.
-pub async fn audit(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
+pub async fn read_audit_trail(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     let filter = match AuditFilter::try_new(request) {
         Ok(filter) => filter,
         Err(message) => return admin::problem(StatusCode::UNPROCESSABLE_ENTITY, message),
@@ -64,7 +64,7 @@
     let mut selected = Vec::new();
     let mut after = filter.after;
     let mut store_answered = true;
-    while selected.len() < AUDIT_LIMIT {
+    while selected.len() < AUDIT_RECORDS_MAX {
         let records = match state.changes.changes_after(after).await {
             Ok(records) => records,
             Err(_) => {
@@ -83,7 +83,7 @@
             break;
         }
     }
-    selected.truncate(AUDIT_LIMIT);
+    selected.truncate(AUDIT_RECORDS_MAX);
     let source = if store_answered { "store" } else { "kept here; the store did not answer" };
     ServerReply::json(StatusCode::OK, &json!({"records": selected, "source": source}))
 }
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -19,7 +19,7 @@
 use crate::state::DaemonState;
 
 /// Reports the state of each daemon and the revision that the daemon has in force.
-pub fn fleet(state: &Rc<DaemonState>) -> ServerReply {
+pub fn report_fleet(state: &Rc<DaemonState>) -> ServerReply {
     let now = state.now();
     let mut members = vec![own_status(state)];
     state.members.for_each(|host, view| {
@@ -40,25 +40,25 @@
         "loaded": state.config.is_loaded(),
         "in_flight": state.stop.in_flight(),
         "floor_violations": metrics::FLOOR_VIOLATIONS.get(),
-        "outcomes": outcomes(),
+        "outcomes": count_outcomes(),
         "members": members,
     });
     ServerReply::json(StatusCode::OK, &body)
 }
 
 /// Reports the outcomes of the requests of this daemon's callers since its start.
-fn outcomes() -> Value {
+fn count_outcomes() -> Value {
     let not_run = NOT_RUN_REASONS.iter().map(|reason| reason.name()).zip(&metrics::NOT_RUN);
     let unknown = UNKNOWN_REASONS.iter().map(|reason| reason.name()).zip(&metrics::UNKNOWN);
-    let counts = |cells: Vec<(&str, &CounterCell)>| -> Map<String, Value> {
+    let nonzero_counts = |cells: Vec<(&str, &CounterCell)>| -> Map<String, Value> {
         let nonzero = cells.into_iter().filter(|(_, cell)| cell.get() > 0);
         nonzero.map(|(name, cell)| (name.to_owned(), json!(cell.get()))).collect()
     };
     json!({
         "requests": metrics::REQUESTS.get(),
         "complete": metrics::COMPLETE.get(),
-        "not_run": counts(not_run.collect()),
-        "unknown": counts(unknown.collect()),
+        "not_run": nonzero_counts(not_run.collect()),
+        "unknown": nonzero_counts(unknown.collect()),
         "retries": metrics::RETRIES.get(),
         "retries_denied": metrics::RETRIES_DENIED.get(),
     })
@@ -119,8 +119,8 @@
             value["upstream"] = json!(&*upstream.name);
             value["host"] = json!(upstream.server.host);
             value["failure_domain"] = json!(upstream.server.failure_domain);
-            if let Some(own) = state.host.get(&upstream.name) {
-                value["here"] = own_health(state, &own);
+            if let Some(local_upstream) = state.host.get(&upstream.name) {
+                value["here"] = own_health(state, &local_upstream);
             }
             value
         })
@@ -145,13 +145,14 @@
         (.., None) => "not heard of",
         _ => "in service",
     };
-    let age = view.health.map(|_| now.saturating_sub(view.reported_at).as_millis() as u64);
+    let report_age_ms =
+        view.health.map(|_| now.saturating_sub(view.reported_at).as_millis() as u64);
     json!({
         "state": state_name,
         "score": sickness,
         "load": view.load,
         "slots": view.slots,
-        "reported_ms_ago": age,
+        "reported_ms_ago": report_age_ms,
         "median_ms": view.health.map(|health| health.median_ln.exp() / 1000.0),
         "failure_rate": view.health.map(|health| health.failure_rate),
     })
@@ -159,9 +160,9 @@
 
 /// Returns the health of an upstream of this host. Only the daemon of the host knows all of these
 /// values.
-fn own_health(state: &DaemonState, own: &HostUpstream) -> Value {
+fn own_health(state: &DaemonState, local_upstream: &HostUpstream) -> Value {
     let now = state.now();
-    let health = own.health.borrow();
+    let health = local_upstream.health.borrow();
     let recovery = health.recovery();
     json!({
         "ejected": health.is_ejected(),
@@ -171,8 +172,8 @@
         "ejections": recovery.ejections(),
         "trial_in_ms": recovery.trial_in(now).map(|wait| wait.as_millis() as u64),
         "share": recovery.ramp(now),
-        "in_flight": own.slots.used(),
-        "queued": own.slots.queued(),
-        "connections": own.pool.open(),
+        "in_flight": local_upstream.slots.used(),
+        "queued": local_upstream.slots.queued(),
+        "connections": local_upstream.pool.open(),
     })
 }
--- a/crates/daemon/src/admin/watch.rs
+++ b/crates/daemon/src/admin/watch.rs
@@ -87,7 +87,7 @@
             _ = changed => {}
             () = stopping => {}
             () = idle => {
-                let line = line_of(&json!({ "bookmark": watch.seen_revision }));
+                let line = json_line(&json!({ "bookmark": watch.seen_revision }));
                 return Some((line, watch));
             }
         }
@@ -99,7 +99,7 @@
         let mut lines = Vec::new();
         for record in records {
             if let Some(value) = self.select(record) {
-                lines.extend_from_slice(&line_of(&value));
+                lines.extend_from_slice(&json_line(&value));
             }
         }
         Bytes::from(lines)
@@ -118,10 +118,10 @@
         let revision = self.daemon.config.revision();
         let value =
             json!({"error": reason, "seen": self.seen_revision, "start_again_at": revision});
-        (line_of(&value), self)
+        (json_line(&value), self)
     }
 }
 
-fn line_of(value: &Value) -> Bytes {
+fn json_line(value: &Value) -> Bytes {
     Bytes::from(format!("{value}\n"))
 }
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -34,7 +34,7 @@
 /// `BackendPool` keeps connections to one backend server.
 pub struct BackendPool {
     address: Cell<SocketAddr>,
-    limit: Cell<usize>,
+    connections_max: Cell<usize>,
     open: Cell<usize>,
     idle: RefCell<Vec<IdleStream>>,
 }
@@ -46,26 +46,26 @@
 }
 
 impl BackendPool {
-    /// Builds a pool of at most `limit` connections.
-    pub fn new(address: SocketAddr, limit: usize) -> Self {
+    /// Builds a pool of at most `connections_max` connections.
+    pub fn new(address: SocketAddr, connections_max: usize) -> Self {
         Self {
             address: Cell::new(address),
-            limit: Cell::new(limit),
+            connections_max: Cell::new(connections_max),
             open: Cell::new(0),
             idle: RefCell::default(),
         }
     }
 
     /// Applies a changed address or limit.
-    pub fn configure(&self, address: SocketAddr, limit: usize) {
+    pub fn configure(&self, address: SocketAddr, connections_max: usize) {
         if self.address.replace(address) != address {
-            self.clear();
+            self.close_idle();
         }
-        self.limit.set(limit);
+        self.connections_max.set(connections_max);
     }
 
     /// Closes the idle connections.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         let closed_count = self.idle.borrow_mut().drain(..).count();
         self.open.set(self.open.get() - closed_count);
     }
@@ -79,7 +79,7 @@
     /// address. A connection that could be opened is kept for the next request, in place of the
     /// connection that broke.
     pub async fn is_refused(&self) -> bool {
-        if self.open.get() >= self.limit.get() {
+        if self.open.get() >= self.connections_max.get() {
             return false;
         }
         self.open.set(self.open.get() + 1);
@@ -115,7 +115,7 @@
             }
             self.open.set(self.open.get() - 1);
         }
-        if self.open.get() >= self.limit.get() {
+        if self.open.get() >= self.connections_max.get() {
             return Err(HttpError::TimedOut { what: "a free connection" });
         }
         // The connection is counted before it is opened, so that the limit holds while several
--- a/crates/daemon/src/host/calls.rs
+++ b/crates/daemon/src/host/calls.rs
@@ -29,7 +29,7 @@
 
 impl NestedCalls {
     /// Says whether the request made a nested call.
-    pub fn has_called(&self) -> bool {
+    pub fn has_made_call(&self) -> bool {
         self.call_made.get()
     }
 
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -444,15 +444,15 @@
         let result_label = if result.is_ok() { "answered" } else { "broke" };
         metrics::ATTEMPT_SECONDS.record_as(progress.elapsed(), [("result", result_label)]);
         match result {
-            Ok(reusable) => {
+            Ok(is_reusable) => {
                 self.log_ended(&progress);
-                if reusable {
+                if is_reusable {
                     pooled_stream.give_back(progress.keep_alive.get());
                 }
                 Ok(())
             }
             Err(AttemptFault::Shed) => {
-                if progress.reusable.get() {
+                if progress.is_reusable.get() {
                     pooled_stream.give_back(None);
                 }
                 Err(AttemptFault::Shed.outcome())
@@ -465,7 +465,7 @@
                 // The slot is released after the connection is closed, not before.
                 drop(pooled_stream);
                 let crashed = fault.is_connection_failure() && self.detect_crash().await;
-                self.log_broke(fault, crashed, &progress);
+                self.log_failed(fault, crashed, &progress);
                 if !progress.is_recorded.get() {
                     self.record_result(fault.evidence(was_overdue), was_overdue, fault.failure());
                 }
@@ -506,7 +506,7 @@
             std::pin::pin!(self.state.clock.passed_after_resume(self.deadline).fuse());
         let overdue_after = overdue_after.unwrap_or(NEVER_OVERDUE);
         let mut overdue = std::pin::pin!(monoio::time::sleep(overdue_after).fuse());
-        let mut watching = std::pin::pin!(watch.check_until_settled().fuse());
+        let mut watching = std::pin::pin!(watch.check_until_nested_call().fuse());
         loop {
             select_biased! {
                 result = answering => return result.map(|clean| clean && is_sent.get()),
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -71,11 +71,11 @@
             }
             TouchedServices::All => {
                 self.upstreams.borrow_mut().retain(|_, upstream| {
-                    let stays = active.services.contains_key(&upstream.service);
-                    if !stays {
+                    let is_retained = active.services.contains_key(&upstream.service);
+                    if !is_retained {
                         upstream.release();
                     }
-                    stays
+                    is_retained
                 });
                 for (name, packed) in &active.services {
                     self.configure_service(state, name, Some(&packed.unpack(name)), cold);
@@ -96,12 +96,12 @@
             service.iter().flat_map(|service| &service.upstreams).filter(is_local).collect();
         let mut upstreams = self.upstreams.borrow_mut();
         upstreams.retain(|known, upstream| {
-            let stays =
+            let is_retained =
                 upstream.service != *name || local_upstreams.iter().any(|each| each.name == *known);
-            if !stays {
+            if !is_retained {
                 upstream.release();
             }
-            stays
+            is_retained
         });
         for (service, upstream) in
             service.into_iter().flat_map(|s| local_upstreams.iter().map(move |u| (s, u)))
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -132,7 +132,7 @@
     /// Whether the end of the attempt was recorded as evidence about the server.
     pub is_recorded: Cell<bool>,
     /// Whether the connection can be reused although the server refused the request.
-    pub reusable: Cell<bool>,
+    pub is_reusable: Cell<bool>,
     /// Keep-alive timeout that the server announced.
     pub keep_alive: Cell<Option<Duration>>,
 }
@@ -154,7 +154,7 @@
             has_succeeded: Cell::new(false),
             was_overdue: Cell::new(false),
             is_recorded: Cell::new(false),
-            reusable: Cell::new(false),
+            is_reusable: Cell::new(false),
             keep_alive: Cell::new(None),
         }
     }
@@ -190,7 +190,7 @@
     /// Relays the response; returns whether the connection can be reused after the response.
     pub async fn run(self, reader: &mut BackendReader) -> Result<bool, AttemptFault> {
         let AnswerStart { mut head, framing, verdict, is_first_response } =
-            self.start(reader).await?;
+            self.read_start(reader).await?;
         self.progress.head_seen.set(true);
         let now = self.attempt.state.now();
         let drain = &self.attempt.state.fields.drain;
@@ -228,21 +228,21 @@
 
     /// Reads response heads until a head belongs to the request; responses to earlier requests are
     /// discarded.
-    async fn start(&self, reader: &mut BackendReader) -> Result<AnswerStart, AttemptFault> {
+    async fn read_start(&self, reader: &mut BackendReader) -> Result<AnswerStart, AttemptFault> {
         let method = self.attempt.head.method.parse().unwrap_or(Method::GET);
         let mut is_first_response = true;
         for _ in 0..RESPONSES_MAX {
             let head = self.read_head(reader).await?;
             let framing =
                 framing::of_response(&head, &method).map_err(|_| AttemptFault::BadAnswer)?;
-            let names = &self.attempt.state.fields;
-            let verdict = verify::classify(names, &self.attempt.head.field_lines, &head);
+            let field_names = &self.attempt.state.fields;
+            let verdict = verify::classify(field_names, &self.attempt.head.field_lines, &head);
             if verdict != AnswerVerdict::Surplus {
                 return Ok(AnswerStart { head, framing, verdict, is_first_response });
             }
             is_first_response = false;
             metrics::SURPLUS_ANSWERS.add_one();
-            self.attempt.log_surplus(head.status.as_u16());
+            self.attempt.log_surplus_response(head.status.as_u16());
             self.discard_body(reader, framing).await?;
         }
         Err(AttemptFault::BadAnswer)
@@ -316,7 +316,7 @@
     ) -> Result<bool, AttemptFault> {
         // The shed notice was in the head; a broken body only makes the connection unusable.
         let complete = self.discard_body(reader, framing).await.is_ok();
-        self.progress.reusable.set(complete && !close && reader.buffer.is_empty());
+        self.progress.is_reusable.set(complete && !close && reader.buffer.is_empty());
         self.attempt.record_result(RequestEvidence::Neutral, false, None);
         self.progress.is_recorded.set(true);
         Err(AttemptFault::Shed)
@@ -324,7 +324,7 @@
 
     /// Records the end of the attempt and releases its slot. The load report that is sent after
     /// this call covers both changes.
-    fn record_end(&self, status: StatusCode, took: Duration) {
+    fn record_end(&self, status: StatusCode, service_time: Duration) {
         let was_overdue = self.progress.was_overdue.get();
         let failed = wire::is_server_error(status.as_u16());
         let evidence = match status {
@@ -334,7 +334,7 @@
             // that this timeout was too short.
             StatusCode::GATEWAY_TIMEOUT => AttemptFault::TimedOut.evidence(was_overdue),
             _ if failed => RequestEvidence::Failed,
-            _ => RequestEvidence::Answered(took),
+            _ => RequestEvidence::Answered(service_time),
         };
         let failure = (evidence == RequestEvidence::Failed).then_some(FailureKind::Answered);
         self.progress.has_succeeded.set(!failed);
@@ -342,7 +342,12 @@
             let mut adaptive_timeout = self.attempt.upstream.adaptive_timeout.borrow_mut();
             let was_counted_as_hung = self.progress.counted_as_hung.get();
             let now = self.attempt.state.now();
-            adaptive_timeout.note_answered(&self.progress.timeout, took, was_counted_as_hung, now);
+            adaptive_timeout.note_answered(
+                &self.progress.timeout,
+                service_time,
+                was_counted_as_hung,
+                now,
+            );
         }
         self.attempt.record_result(evidence, was_overdue, failure);
         self.progress.is_recorded.set(true);
--- a/crates/daemon/src/host/sending.rs
+++ b/crates/daemon/src/host/sending.rs
@@ -16,14 +16,14 @@
 use crate::host::exchange::HostAttempt;
 use crate::host::relay::AttemptFault;
 
-/// Sends the request, with `timeout` in its deadline field; sets `sent` to `true` once the whole
+/// Sends the request, with `timeout` in its deadline field; sets `is_sent` to `true` once the whole
 /// request is sent.
 pub async fn send_request(
     attempt: &HostAttempt<'_>,
     timeout: Duration,
     writer: &mut monoio::io::OwnedWriteHalf<monoio::net::TcpStream>,
     body: &EventPipe,
-    sent: &Cell<bool>,
+    is_sent: &Cell<bool>,
 ) -> Result<(), AttemptFault> {
     let head = attempt.head;
     let framing = request_framing(head);
@@ -32,7 +32,7 @@
     writer::put_piece(&mut buffer, framing, &head.body, head.last);
     writer::flush(writer, &mut buffer).await.map_err(|_| AttemptFault::Broken)?;
     if head.last {
-        sent.set(true);
+        is_sent.set(true);
         return Ok(());
     }
     body.open_window();
@@ -42,7 +42,7 @@
                 let sending = writer::send_piece(writer, &mut buffer, framing, data, last);
                 sending.await.map_err(|_| AttemptFault::Broken)?;
                 if last {
-                    sent.set(true);
+                    is_sent.set(true);
                     return Ok(());
                 }
             }
@@ -73,9 +73,9 @@
     buffer.extend_from_slice(b" HTTP/1.1\r\n");
     buffer.extend_from_slice(&head.field_lines);
     let timeout = timeout.as_millis().to_string();
-    let names = &attempt.state.fields;
-    writer::put_field(buffer, names.deadline.as_str().as_bytes(), timeout.as_bytes());
-    if let Some(name) = &names.expected_server {
+    let field_names = &attempt.state.fields;
+    writer::put_field(buffer, field_names.deadline.as_str().as_bytes(), timeout.as_bytes());
+    if let Some(name) = &field_names.expected_server {
         let server = incarnation::server_of(&attempt.upstream.name);
         writer::put_field(buffer, name.as_str().as_bytes(), server.as_bytes());
     }
--- a/crates/daemon/src/host/trace.rs
+++ b/crates/daemon/src/host/trace.rs
@@ -106,7 +106,7 @@
     }
 
     /// Logs that no usable response arrived from the backend server.
-    pub fn log_broke(&self, fault: AttemptFault, crashed: bool, progress: &AttemptProgress) {
+    pub fn log_failed(&self, fault: AttemptFault, crashed: bool, progress: &AttemptProgress) {
         if !self.is_logged() && !self.state.log_budget.takes_failure(self.state.now()) {
             return;
         }
@@ -126,7 +126,7 @@
     }
 
     /// Logs that a response to an earlier request was discarded.
-    pub fn log_surplus(&self, status: u16) {
+    pub fn log_surplus_response(&self, status: u16) {
         if !self.is_logged() && !self.state.log_budget.takes_failure(self.state.now()) {
             return;
         }
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -174,7 +174,7 @@
     /// Waiting requests that can no longer meet their deadline are refused.
     pub fn note_resumed(&self) {
         self.health.borrow_mut().forget_running();
-        self.pool.clear();
+        self.pool.close_idle();
         self.slots.refuse_expired();
     }
 
--- a/crates/daemon/src/host/watch.rs
+++ b/crates/daemon/src/host/watch.rs
@@ -44,21 +44,21 @@
 
     /// Checks the request periodically until the request makes a nested call, which shows progress.
     /// Never returns, even after the last check.
-    pub async fn check_until_settled(&self) {
+    pub async fn check_until_nested_call(&self) {
         let usual = match &self.usual {
             Some(usual) => usual,
             None => return future::pending().await,
         };
         monoio::time::sleep(hang::first_check(usual)).await;
-        while !self.calls.has_called() {
-            self.check_once();
+        while !self.calls.has_made_call() {
+            self.check_for_hang();
             monoio::time::sleep(hang::check_interval(usual)).await;
         }
         self.end(WatchEnd::Progressed);
         future::pending().await
     }
 
-    fn check_once(&self) {
+    fn check_for_hang(&self) {
         let now = self.attempt.state.now();
         self.attempt.upstream.detect_hang(now);
         let took_too_long = self.progress.elapsed() > self.progress.timeout.late_after;
@@ -77,9 +77,9 @@
 impl Drop for AttemptWatch<'_> {
     fn drop(&mut self) {
         self.attempt.state.host.calls.end(&self.request);
-        let progressed = self.progress.has_succeeded.get() || self.calls.has_called();
-        let recorded = self.progress.was_overdue.get() || self.progress.head_seen.get();
-        self.end(match (progressed, recorded) {
+        let has_progressed = self.progress.has_succeeded.get() || self.calls.has_made_call();
+        let is_recorded = self.progress.was_overdue.get() || self.progress.head_seen.get();
+        self.end(match (has_progressed, is_recorded) {
             (true, _) => WatchEnd::Progressed,
             (false, true) => WatchEnd::Recorded,
             (false, false) => WatchEnd::GivenUp,
--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -95,12 +95,12 @@
         buffer_answer(answer, &mut head).await?;
     }
     let status = StatusCode::from_u16(head.status as u16).unwrap_or(StatusCode::BAD_GATEWAY);
-    let bodiless = framing::never_has_body(status) || request.method == Method::HEAD;
-    let framing = answer_framing(&head, bodiless);
+    let is_bodiless = framing::never_has_body(status) || request.method == Method::HEAD;
+    let framing = answer_framing(&head, is_bodiless);
     let mut buffer = BytesMut::with_capacity(512 + head.body.len());
     put_head(&mut buffer, status, &head, framing, request.close);
     if head.last {
-        let piece = if bodiless { Bytes::new() } else { Bytes::from(head.body) };
+        let piece = if is_bodiless { Bytes::new() } else { Bytes::from(head.body) };
         send(writer, &mut buffer, framing, piece, true).await?;
         return Ok(request.close);
     }
@@ -119,10 +119,10 @@
     }
 }
 
-fn answer_framing(head: &AnswerHead, bodiless: bool) -> BodyFraming {
+fn answer_framing(head: &AnswerHead, is_bodiless: bool) -> BodyFraming {
     match head.content_length {
         length if length >= 0 => BodyFraming::Length(length as u64),
-        _ if bodiless => BodyFraming::Empty,
+        _ if is_bodiless => BodyFraming::Empty,
         _ if head.last => BodyFraming::Length(head.body.len() as u64),
         _ => BodyFraming::Chunked,
     }
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -112,7 +112,8 @@
                 return attempts.end_with(stream, &mut slow, fallback, failure).await;
             }
         };
-        let choice = match waiting::unless_caller_gone(stream, attempts.probe(choice)).await {
+        let choice = match waiting::unless_caller_gone(stream, attempts.probe_choice(choice)).await
+        {
             Some(Some(choice)) => choice,
             // None of the probed upstreams would accept the request.
             Some(None) => continue,
@@ -178,9 +179,9 @@
                 }
                 attempts.note_report(choice.index, &head.report, Some(failed));
                 if failed && fallback.is_some() {
-                    attempts.withdraw();
+                    attempts.withdraw_first_failure();
                 }
-                attempts.note_end(choice.index, &live, failed);
+                attempts.note_attempt_result(choice.index, &live, failed);
                 let is_final = !failed || !head.last;
                 let has_next_attempt = !is_final && fallback.is_none() && attempts.may_retry(body);
                 if is_final || !has_next_attempt && slow.is_empty() {
@@ -215,7 +216,7 @@
                     attempts.note_report(choice.index, report, ran.then_some(true));
                 }
                 if failed_at_server(outcome) {
-                    attempts.note_end(choice.index, &live, true);
+                    attempts.note_attempt_result(choice.index, &live, true);
                 }
                 let end = StepEnd::Failed(outcome);
                 let load = report.as_ref().map(StepLoad::of);
@@ -264,7 +265,7 @@
         let attempt = attempts.get() as usize;
         let passable = self.is_passable();
         let step = TraceStep::Chosen { attempt, choice: *choice, passable };
-        trace::note(self.state, self.request, step);
+        trace::note_step(self.state, self.request, step);
         AttemptStart { attempt, index: choice.index, began: self.state.now() }
     }
 
@@ -272,14 +273,14 @@
     fn log_end(&self, start: &AttemptStart, end: StepEnd, load: Option<StepLoad>, next: NextStep) {
         let AttemptStart { attempt, index, began } = *start;
         let step = TraceStep::Ended { attempt, index, end, began, load, next };
-        trace::note(self.state, self.request, step);
+        trace::note_step(self.state, self.request, step);
     }
 
     /// Ends the request with the successful answer of a slow attempt.
     fn end_with_slow(&self, attempt: SlowAttempt, head: AnswerHead) -> AttemptEnd {
         let SlowAttempt { start, live } = attempt;
         self.note_report(start.index, &head.report, Some(false));
-        self.note_end(start.index, &live, false);
+        self.note_attempt_result(start.index, &live, false);
         let end = StepEnd::Answered(head.status as u16);
         self.log_end(&start, end, Some(StepLoad::of(&head.report)), NextStep::Answer);
         AttemptEnd::Answer(live, head)
@@ -297,7 +298,7 @@
     ) -> AttemptEnd {
         if !slow.is_empty() {
             let (time_left, outcome) = (self.time_left(), failure.outcome);
-            match waiting::last_event(self.state, time_left, stream, slow, outcome).await {
+            match waiting::await_slow_answers(self.state, time_left, stream, slow, outcome).await {
                 FirstEvent::SlowAnswer(attempt, head) => return self.end_with_slow(attempt, head),
                 FirstEvent::CallerGone => return AttemptEnd::CallerGone,
                 _ => {}
@@ -380,7 +381,7 @@
     /// Probes the load of the chosen upstream and of the other candidate of the choice, and returns
     /// a choice of the better upstream. Returns `None` if each of the two would decline the request
     /// or doesn't answer, and other upstreams can be tried.
-    async fn probe(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
+    async fn probe_choice(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
         if !self.is_probe_useful(&choice) {
             return Some(choice);
         }
@@ -438,7 +439,7 @@
         if is_same || caller.is_key_valid(&self.state.config.active()) {
             return Ok(());
         }
-        Err(caller.revoked())
+        Err(caller.revoked_key_failure())
     }
 
     /// Refuses a request whose copies crash the servers that run them, unless this copy is sent as
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -56,8 +56,8 @@
         let open_count = open_count.clone();
         let callers = callers.clone();
         async move {
-            match callers.enter(from.ip(), state.options.connections_each) {
-                Some(_guard) => serve(&state, stream, from).await,
+            match callers.count_connection(from.ip(), state.options.connections_each) {
+                Some(_caller_guard) => serve(&state, stream, from).await,
                 None => log_refused_connection(from.ip(), state.options.connections_each),
             }
             metrics::CALLER_CONNECTIONS.set(open_count.get() as i64 - 1);
@@ -84,7 +84,11 @@
 }
 
 impl CallerCounts {
-    fn enter(self: &Rc<Self>, address: IpAddr, connections_max: usize) -> Option<CallerGuard> {
+    fn count_connection(
+        self: &Rc<Self>,
+        address: IpAddr,
+        connections_max: usize,
+    ) -> Option<CallerGuard> {
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(address).or_default();
         if *count >= connections_max {
@@ -124,7 +128,8 @@
         };
         let id = request::id_of(state, &head);
         // Refused requests aren't counted: callers that keep retrying would delay the shutdown.
-        let counted = stop::admits_request(state, &id).then(|| state.stop.count_in_flight());
+        let in_flight_guard =
+            stop::admits_request(state, &id).then(|| state.stop.count_in_flight());
         metrics::REQUESTS.add_one();
         metrics::IN_FLIGHT.add(1);
         // The future is boxed, so that an idle connection does not hold memory for a request's
@@ -136,7 +141,7 @@
             AfterRequest::Close => {
                 // The request is complete: a caller that keeps its connection open must not delay a
                 // shutdown.
-                drop(counted);
+                drop(in_flight_guard);
                 let _lingering = state.stop.count_lingering();
                 return stream.linger().await;
             }
--- a/crates/daemon/src/ingress/caller_key.rs
+++ b/crates/daemon/src/ingress/caller_key.rs
@@ -103,7 +103,7 @@
     }
 
     /// Builds the refusal of a request whose key was revoked.
-    pub fn revoked(&self) -> CallerFailure {
+    pub fn revoked_key_failure(&self) -> CallerFailure {
         let key = self.key.as_ref().map(KeyDigest::public_part).unwrap_or_default();
         unknown_key(format!("the API key {key} was revoked"))
     }
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -185,14 +185,14 @@
             fingerprint: None,
             tally: self.request.tally(self.state).map(wire::tally_note),
             reserved: None,
-            called: self.is_call(),
+            called: self.is_nested_call(),
         }
     }
 
     /// Says whether the request is a nested call made by a request that runs on this host. Hosts
     /// give nested calls priority if requests wait for slots with reservations. In the other
     /// waiting mode, the result is `None` and the field is not sent.
-    fn is_call(&self) -> Option<bool> {
+    fn is_nested_call(&self) -> Option<bool> {
         let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
         uses_reservations.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
     }
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -46,7 +46,7 @@
 
     /// Records how the request ended at an upstream, to detect requests that fail at every
     /// upstream.
-    pub fn note_end(&self, index: usize, live: &LiveExchange, failed: bool) {
+    pub fn note_attempt_result(&self, index: usize, live: &LiveExchange, failed: bool) {
         let request = self.request;
         let method = request.method.as_str();
         let now = self.state.now();
@@ -55,31 +55,32 @@
             return;
         }
         let target = &request.target;
-        let counted = request.service.note_failure(method, target, index, live.is_evidence, now);
+        let counted_failures =
+            request.service.note_failure(method, target, index, live.is_evidence, now);
         let upstreams = &request.service.entry.upstreams;
-        for failures in counted {
+        for failures in counted_failures {
             // An upstream that was removed since its failure has no failure to withdraw.
             let index = upstreams.iter().position(|each| each.name == failures.upstream);
             for index in index.into_iter().cycle().take(failures.count as usize) {
-                self.withdraw_at(index);
+                self.withdraw_failure_at(index);
             }
         }
     }
 
     /// Withdraws the failure of the first attempt: the same request failed at a second upstream, so
     /// the request is at fault rather than the servers.
-    pub fn withdraw(&self) {
+    pub fn withdraw_first_failure(&self) {
         let index = match self.failed_at {
             Some(index) => index,
             None => return,
         };
-        self.withdraw_at(index);
+        self.withdraw_failure_at(index);
         let request = self.request;
         request.service.note_withdrawn(request.method.as_str(), &request.target, index);
     }
 
     /// Withdraws a failure of the request that was recorded at an upstream.
-    pub fn withdraw_at(&self, index: usize) {
+    pub fn withdraw_failure_at(&self, index: usize) {
         let upstream = &self.request.service.entry.upstreams[index].name;
         let path = self.request.service.path(index);
         if path.is_self {
--- a/crates/daemon/src/ingress/load_probe.rs
+++ b/crates/daemon/src/ingress/load_probe.rs
@@ -23,15 +23,15 @@
 /// `PendingProbes` holds the load probes that have no answer yet.
 #[derive(Default)]
 pub struct PendingProbes {
-    waiting: RefCell<FnvHashMap<i64, oneshot::Sender<Option<LoadReport>>>>,
+    reply_senders: RefCell<FnvHashMap<i64, oneshot::Sender<Option<LoadReport>>>>,
     sequence: Cell<i64>,
 }
 
 impl PendingProbes {
     /// Delivers an answer to the probe with the same sequence number.
     pub fn take(&self, answer: LoadAnswer) {
-        if let Some(waiting) = self.waiting.borrow_mut().remove(&answer.sequence) {
-            let _ = waiting.send(answer.report);
+        if let Some(reply_sender) = self.reply_senders.borrow_mut().remove(&answer.sequence) {
+            let _ = reply_sender.send(answer.report);
         }
     }
 }
@@ -68,9 +68,9 @@
 
 /// Returns the best of the upstreams whose daemons reported their load.
 pub fn best_of(probed: &[ProbedUpstream]) -> Option<&ProbedUpstream> {
-    let answered = || probed.iter().filter(|each| each.report.is_some());
-    let loads: Vec<ProbedLoad> = answered().filter_map(ProbedUpstream::load).collect();
-    probing::best(&loads).and_then(|position| answered().nth(position))
+    let answered_probes = || probed.iter().filter(|each| each.report.is_some());
+    let loads: Vec<ProbedLoad> = answered_probes().filter_map(ProbedUpstream::load).collect();
+    probing::best(&loads).and_then(|position| answered_probes().nth(position))
 }
 
 /// Probes several upstreams of a request's service concurrently. Upstreams of this host are left
@@ -80,11 +80,11 @@
     request: &CallerRequest,
     indexes: &[usize],
 ) -> Vec<ProbedUpstream> {
-    let probes = indexes.iter().map(|index| probe_one(state, request, *index));
+    let probes = indexes.iter().map(|index| probe_upstream(state, request, *index));
     future::join_all(probes).await.into_iter().flatten().collect()
 }
 
-async fn probe_one(
+async fn probe_upstream(
     state: &Rc<DaemonState>,
     request: &CallerRequest,
     index: usize,
@@ -97,8 +97,8 @@
     let sequence = state.pending_probes.sequence.get() + 1;
     state.pending_probes.sequence.set(sequence);
     let (sender, receiver) = oneshot::channel();
-    state.pending_probes.waiting.borrow_mut().insert(sequence, sender);
-    let _guard = ProbeGuard { state, sequence };
+    state.pending_probes.reply_senders.borrow_mut().insert(sequence, sender);
+    let _probe_guard = ProbeGuard { state, sequence };
     let upstream = &request.service.entry.upstreams[index];
     let question = LoadQuestion {
         upstream: upstream.name.to_string(),
@@ -117,11 +117,11 @@
 fn note_answer(
     path: &PeerPath,
     answer: Option<Option<Option<LoadReport>>>,
-    took: Duration,
+    answer_time: Duration,
 ) -> Option<LoadReport> {
     match answer {
         Some(answer) => {
-            path.note_round_trip(took);
+            path.note_round_trip(answer_time);
             answer.flatten()
         }
         None => {
@@ -140,7 +140,7 @@
 
 impl Drop for ProbeGuard<'_> {
     fn drop(&mut self) {
-        self.state.pending_probes.waiting.borrow_mut().remove(&self.sequence);
+        self.state.pending_probes.reply_senders.borrow_mut().remove(&self.sequence);
     }
 }
 
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -75,7 +75,7 @@
     pub objective: Option<Duration>,
     /// Framing of the request's body.
     pub framing: BodyFraming,
-    /// Start of the request's body, of up to about [`PREFIX_BYTES`].
+    /// Start of the request's body, as read before the first dispatch.
     pub prefix: Bytes,
     /// Whether the connection is closed after the request.
     pub close: bool,
@@ -190,11 +190,11 @@
         trace::log_rejected(state, id, &failure);
         return refuse(stream, &method, &failure, true).await;
     }
-    finish(state, stream, &request, &mut body).await
+    run_and_reply(state, stream, &request, &mut body).await
 }
 
 /// Runs the attempts at an admitted request and replies to its caller.
-async fn finish(
+async fn run_and_reply(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
     request: &CallerRequest,
@@ -212,9 +212,9 @@
         }
     };
     let record = |outcome: &str| {
-        let took = state.now().saturating_sub(began);
+        let elapsed_time = state.now().saturating_sub(began);
         let service = &request.service.entry.name;
-        state.route_labels.record(&request.route.name, service, outcome, took);
+        state.route_labels.record(&request.route.name, service, outcome, elapsed_time);
     };
     match attempt::run(state, stream, request, body).await {
         AttemptEnd::Answer(mut exchange, head) => {
@@ -496,12 +496,12 @@
         Some(earlier_addresses) => format!("{earlier_addresses}, {address}"),
         None => address,
     };
-    let mut set = |name, value: &str| {
+    let mut set_field = |name, value: &str| {
         if let Ok(value) = HeaderValue::from_str(value) {
             headers.insert(name, value);
         }
     };
-    set(fields::FORWARDED_FOR, &chain);
-    set(fields::FORWARDED_PROTO, "http");
-    set(fields::FORWARDED_HOST, host);
+    set_field(fields::FORWARDED_FOR, &chain);
+    set_field(fields::FORWARDED_PROTO, "http");
+    set_field(fields::FORWARDED_HOST, host);
 }
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -109,7 +109,7 @@
         metrics::RESERVATION_WAIT_SECONDS.record_as(waited, [("result", result)]);
         let attempt = self.request.trace.attempts.get() as usize + 1;
         let hosts_asked = set.tries();
-        trace::note(
+        trace::note_step(
             self.state,
             self.request,
             TraceStep::Awaited { attempt, began, hosts_asked, failure },
@@ -294,7 +294,7 @@
         let widen_every = ReservationPlan::default().widen_every;
         let mut widen = std::pin::pin!(monoio::time::sleep(widen_every).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
-        let mut disconnected = std::pin::pin!(waiting::caller_gone(stream).fuse());
+        let mut disconnected = std::pin::pin!(waiting::wait_until_caller_gone(stream).fuse());
         select_biased! {
             (reservation, reply) = reply => WaitStep::Reply(reservation, reply),
             () = stopping => WaitStep::GiveUp(NotRunReason::Draining),
--- a/crates/daemon/src/ingress/slow_attempts.rs
+++ b/crates/daemon/src/ingress/slow_attempts.rs
@@ -44,22 +44,22 @@
 
     /// Waits until one of the attempts answers successfully; never returns if no attempt succeeds.
     /// Attempts that fail are dropped.
-    pub async fn answered(&mut self) -> (SlowAttempt, AnswerHead) {
-        poll_fn(|context| self.poll_answered(context)).await
+    pub async fn next_success(&mut self) -> (SlowAttempt, AnswerHead) {
+        poll_fn(|context| self.poll_success(context)).await
     }
 
     /// Waits until one of the attempts answers successfully; returns `None` once all attempts have
     /// failed.
-    pub async fn answered_if_any(&mut self) -> Option<(SlowAttempt, AnswerHead)> {
-        poll_fn(|context| match self.poll_answered(context) {
-            Poll::Ready(answered) => Poll::Ready(Some(answered)),
+    pub async fn next_success_if_any(&mut self) -> Option<(SlowAttempt, AnswerHead)> {
+        poll_fn(|context| match self.poll_success(context) {
+            Poll::Ready(next_success) => Poll::Ready(Some(next_success)),
             Poll::Pending if self.attempts.is_empty() => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
         })
         .await
     }
 
-    fn poll_answered(&mut self, context: &mut Context<'_>) -> Poll<(SlowAttempt, AnswerHead)> {
+    fn poll_success(&mut self, context: &mut Context<'_>) -> Poll<(SlowAttempt, AnswerHead)> {
         let mut index = 0;
         while let Some(attempt) = self.attempts.get(index) {
             match attempt.live.exchange.answer.poll_next(context) {
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -96,7 +96,8 @@
 /// Returns the host name that a request is addressed to: the host name in an absolute target, else
 /// the host name in the `Host` field.
 pub fn caller_host(head: &request::Parts) -> Result<String, CallerFailure> {
-    let bad = |message: &str| CallerFailure::bad_request(StatusCode::BAD_REQUEST, message);
+    let bad_request_failure =
+        |message: &str| CallerFailure::bad_request(StatusCode::BAD_REQUEST, message);
     if head.method == Method::CONNECT {
         let message = "the method CONNECT is not supported";
         return Err(CallerFailure::bad_request(StatusCode::NOT_IMPLEMENTED, message));
@@ -104,18 +105,18 @@
     let mut hosts = head.headers.get_all(header::HOST).iter();
     let field = hosts.next();
     if hosts.next().is_some() {
-        return Err(bad("the request has more than one Host field"));
+        return Err(bad_request_failure("the request has more than one Host field"));
     }
     if field.is_none() && head.version == Version::HTTP_11 {
-        return Err(bad("the request has no Host field"));
+        return Err(bad_request_failure("the request has no Host field"));
     }
     let absolute = head.uri.authority().map(|authority| authority.as_str());
     if absolute.is_some() && head.uri.scheme().is_none() {
-        return Err(bad("the request target is an authority without a path"));
+        return Err(bad_request_failure("the request target is an authority without a path"));
     }
     let field = match field.map(HeaderValue::to_str) {
         Some(Ok(text)) => Some(text),
-        Some(Err(_)) => return Err(bad("the Host field is not visible ASCII")),
+        Some(Err(_)) => return Err(bad_request_failure("the Host field is not visible ASCII")),
         None => None,
     };
     let host = absolute.or(field).unwrap_or_default();
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -69,23 +69,23 @@
 
     /// Says whether a new request is logged from its start; counts it as skipped otherwise.
     fn takes_request(&self, now: Duration) -> bool {
-        let takes = self.requests.borrow_mut().take(now);
-        if !takes {
+        let is_within_limit = self.requests.borrow_mut().take(now);
+        if !is_within_limit {
             self.skipped.set(self.skipped.get() + 1);
             metrics::REQUESTS_NOT_LOGGED.add_one();
         }
-        takes
+        is_within_limit
     }
 
     /// Says whether a failed request that was not logged from its start is logged now; counts it as
     /// skipped otherwise.
     pub fn takes_failure(&self, now: Duration) -> bool {
-        let takes = self.failures.borrow_mut().take(now);
-        if !takes {
+        let is_within_limit = self.failures.borrow_mut().take(now);
+        if !is_within_limit {
             self.skipped_failures.set(self.skipped_failures.get() + 1);
             metrics::FAILURES_NOT_LOGGED.add_one();
         }
-        takes
+        is_within_limit
     }
 
     /// Returns how many requests, and how many failures among them, were not logged since the last
@@ -226,7 +226,7 @@
 
 impl StepEnd {
     /// Returns the outcome and the status as they are logged.
-    fn texts(self) -> (&'static str, Option<u64>) {
+    fn logged_outcome(self) -> (&'static str, Option<u64>) {
         match self {
             Self::Answered(status) => ("answered", Some(status.into())),
             Self::Hedged => ("late", None),
@@ -270,15 +270,15 @@
 
 fn write_received(state: &DaemonState, request: &CallerRequest) {
     let trace = &request.trace;
-    let until = |at: Duration| millis(at.saturating_sub(trace.began));
+    let millis_until = |at: Duration| millis(at.saturating_sub(trace.began));
     RequestReceived {
         request: &trace.id,
         method: request.method.as_str(),
         fingerprint: &request.fingerprint(state).to_string(),
         route: &request.route.name,
         service: &request.service.entry.name,
-        deadline_ms: until(request.deadline),
-        objective_ms: request.objective.map(until),
+        deadline_ms: millis_until(request.deadline),
+        objective_ms: request.objective.map(millis_until),
         revision: state.config.revision().0,
     }
     .log();
@@ -305,7 +305,7 @@
 }
 
 /// Logs a step of a request, or buffers the step if the request is not logged from its start.
-pub fn note(state: &DaemonState, request: &CallerRequest, step: TraceStep) {
+pub fn note_step(state: &DaemonState, request: &CallerRequest, step: TraceStep) {
     let step = TimedStep { at: state.now(), step };
     if request.trace.is_logged {
         return write_step(request, &step);
@@ -331,7 +331,7 @@
         }
         .log(),
         TraceStep::Ended { attempt, index, end, began, load, next } => {
-            let (outcome, status) = end.texts();
+            let (outcome, status) = end.logged_outcome();
             AttemptEnded {
                 request: &request.trace.id,
                 at_ms: request.trace.at_ms(timed.at),
@@ -381,7 +381,7 @@
 /// are logged first.
 pub fn log_answered(state: &DaemonState, request: &CallerRequest, status: u16) {
     let should_log = if wire::is_server_error(status) {
-        write_buffered(state, request)
+        write_buffered_steps(state, request)
     } else {
         request.trace.is_logged
     };
@@ -402,7 +402,7 @@
 
 /// Logs the buffered steps and that the caller got no answer from a backend server.
 pub fn log_failed(state: &DaemonState, request: &CallerRequest, failure: &CallerFailure) {
-    if !write_buffered(state, request) {
+    if !write_buffered_steps(state, request) {
         return;
     }
     let now = state.now();
@@ -443,7 +443,7 @@
 
 /// Logs that the caller disconnected.
 pub fn log_caller_gone(state: &DaemonState, request: &CallerRequest) {
-    if !write_buffered(state, request) {
+    if !write_buffered_steps(state, request) {
         return;
     }
     CallerGone {
@@ -457,7 +457,7 @@
 
 /// Logs that the answer was cut short on its way to the caller.
 pub fn log_cut(state: &DaemonState, request: &CallerRequest, error: &HttpError) {
-    if !write_buffered(state, request) {
+    if !write_buffered_steps(state, request) {
         return;
     }
     AnswerCut {
@@ -471,7 +471,7 @@
 
 /// Writes the buffered steps of a request that did not succeed; returns whether the end of the
 /// request is to be logged too.
-fn write_buffered(state: &DaemonState, request: &CallerRequest) -> bool {
+fn write_buffered_steps(state: &DaemonState, request: &CallerRequest) -> bool {
     if request.trace.is_logged {
         return true;
     }
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -60,14 +60,15 @@
 ) -> FirstEvent {
     let answer = live.exchange.answer.clone();
     let mut event = std::pin::pin!(answer.next().fuse());
-    let wait = time_left + DEADLINE_GRACE;
-    let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
-    let hedging_delay = live.hedging_delay.filter(|_| body.is_done()).unwrap_or(wait * 2);
+    let answer_wait = time_left + DEADLINE_GRACE;
+    let mut deadline_timer = std::pin::pin!(monoio::time::sleep(answer_wait).fuse());
+    let hedging_delay = live.hedging_delay.filter(|_| body.is_done()).unwrap_or(answer_wait * 2);
     let mut hedging = std::pin::pin!(monoio::time::sleep(hedging_delay).fuse());
-    let mut cut = std::pin::pin!(path_cut(state, live).fuse());
+    let mut path_cut_event = std::pin::pin!(path_cut(state, live).fuse());
     let mut sending = std::pin::pin!(send_body(stream, body, live).fuse());
-    let mut resumed = std::pin::pin!(passed_while_suspended(state, request.deadline).fuse());
-    let mut slow_answer = std::pin::pin!(slow.answered().fuse());
+    let mut passed_in_suspend =
+        std::pin::pin!(passed_while_suspended(state, request.deadline).fuse());
+    let mut slow_answer = std::pin::pin!(slow.next_success().fuse());
     let mut stopping = std::pin::pin!(state.stop.giving_up.raised().fuse());
     loop {
         select_biased! {
@@ -77,10 +78,10 @@
                 WatchOutcome::BufferFull => {}
                 WatchOutcome::CallerGone => return FirstEvent::CallerGone,
             },
-            () = overdue => return timed_out(),
-            () = resumed => return timed_out(),
+            () = deadline_timer => return timed_out_event(),
+            () = passed_in_suspend => return timed_out_event(),
             () = stopping => return FirstEvent::Stopping,
-            () = cut => if request.service.take_retry(state) {
+            () = path_cut_event => if request.service.take_retry(state) {
                 return FirstEvent::HedgeDue;
             },
             () = hedging => if request.service.take_retry(state) {
@@ -112,27 +113,28 @@
 
 /// Waits for the answer of slow attempts when no further attempt is made; ends with `failure` if no
 /// slow attempt succeeds.
-pub async fn last_event(
+pub async fn await_slow_answers(
     state: &DaemonState,
     time_left: Duration,
     stream: &mut HttpStream,
     slow: &mut SlowAttempts,
     failure: FailureOutcome,
 ) -> FirstEvent {
-    let mut answered = std::pin::pin!(slow.answered_if_any().fuse());
-    let wait = time_left + DEADLINE_GRACE;
-    let mut overdue = std::pin::pin!(monoio::time::sleep(wait).fuse());
-    let mut resumed = std::pin::pin!(passed_while_suspended(state, state.now() + time_left).fuse());
+    let mut next_success = std::pin::pin!(slow.next_success_if_any().fuse());
+    let answer_wait = time_left + DEADLINE_GRACE;
+    let mut deadline_timer = std::pin::pin!(monoio::time::sleep(answer_wait).fuse());
+    let mut passed_in_suspend =
+        std::pin::pin!(passed_while_suspended(state, state.now() + time_left).fuse());
     let mut watching = std::pin::pin!(watch_caller(stream).fuse());
     let mut stopping = std::pin::pin!(state.stop.giving_up.raised().fuse());
     loop {
         select_biased! {
-            answered = answered => return match answered {
+            next_success = next_success => return match next_success {
                 Some((attempt, head)) => FirstEvent::SlowAnswer(attempt, head),
                 None => FirstEvent::Failed(failure, None),
             },
-            () = overdue => return timed_out(),
-            () = resumed => return timed_out(),
+            () = deadline_timer => return timed_out_event(),
+            () = passed_in_suspend => return timed_out_event(),
             () = stopping => return FirstEvent::Stopping,
             outcome = watching => match outcome {
                 WatchOutcome::BufferFull => {}
@@ -162,7 +164,7 @@
     }
 }
 
-fn timed_out() -> FirstEvent {
+fn timed_out_event() -> FirstEvent {
     FirstEvent::Failed(FailureOutcome::Unknown(UnknownReason::TimedOut), None)
 }
 
@@ -224,7 +226,7 @@
 }
 
 /// Waits until the caller disconnects.
-pub async fn caller_gone(stream: &mut HttpStream) {
+pub async fn wait_until_caller_gone(stream: &mut HttpStream) {
     match watch_caller(stream).await {
         WatchOutcome::CallerGone => {}
         // The buffer for pipelined requests is full, so a disconnect is noticed only when the
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -175,8 +175,8 @@
 fn chunk_size(line: &[u8]) -> Result<u64, HttpError> {
     let size = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = size.trim_ascii_end();
-    let fits = !digits.is_empty() && digits.len() <= CHUNK_DIGITS_MAX;
-    if !fits || !digits.iter().all(u8::is_ascii_hexdigit) {
+    let has_valid_length = !digits.is_empty() && digits.len() <= CHUNK_DIGITS_MAX;
+    if !has_valid_length || !digits.iter().all(u8::is_ascii_hexdigit) {
         return Err(HttpError::BadChunk);
     }
     let text = std::str::from_utf8(digits).map_err(|_| HttpError::BadChunk)?;
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -20,7 +20,7 @@
 use crate::writer;
 
 /// Maximum number of idle connections in the pool.
-const IDLE_MAX: usize = 8;
+const IDLE_CONNECTIONS_MAX: usize = 8;
 
 /// `ClientReply` is a reply with its complete body.
 #[derive(Debug)]
@@ -104,7 +104,7 @@
         send(&mut stream, &method, target, &headers, body).await?;
         let (reply, close) = receive(&mut stream, &method, self.limits).await?;
         let mut idle = self.idle.borrow_mut();
-        if !close && idle.len() < IDLE_MAX {
+        if !close && idle.len() < IDLE_CONNECTIONS_MAX {
             idle.push(stream);
         }
         Ok(reply)
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -145,11 +145,11 @@
             continue;
         }
         count.0.set(count.get() + 1);
-        let open = count.clone();
+        let open_count = count.clone();
         let task = serve(stream, address);
         monoio::spawn(async move {
             catch_panics("connection", task).await;
-            open.0.set(open.get() - 1);
+            open_count.0.set(open_count.get() - 1);
         });
     }
 }
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -107,14 +107,14 @@
 
 /// Removes the hop-by-hop fields, including those that `Connection` lists.
 pub fn remove_hop_fields(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed_names: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed_names {
         headers.remove(name);
     }
     for name in &HOP_FIELDS {
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -45,8 +45,8 @@
     reader: &mut ByteReader<R>,
     limits: &HeadLimits,
 ) -> Result<request::Parts, HttpError> {
-    let mut head = read_bytes(reader, limits).await?;
-    decoded(RequestHeadDecoder.decode(&mut head))
+    let mut head = read_head_bytes(reader, limits).await?;
+    require_complete_head(RequestHeadDecoder.decode(&mut head))
 }
 
 /// Reads the head of a response.
@@ -54,11 +54,11 @@
     reader: &mut ByteReader<R>,
     limits: &HeadLimits,
 ) -> Result<response::Parts, HttpError> {
-    let mut head = read_bytes(reader, limits).await?;
-    decoded(ResponseHeadDecoder.decode(&mut head))
+    let mut head = read_head_bytes(reader, limits).await?;
+    require_complete_head(ResponseHeadDecoder.decode(&mut head))
 }
 
-fn decoded<T>(result: Result<Decoded<T>, DecodeError>) -> Result<T, HttpError> {
+fn require_complete_head<T>(result: Result<Decoded<T>, DecodeError>) -> Result<T, HttpError> {
     match result {
         Ok(Decoded::Some(head)) => Ok(head),
         Ok(_) => Err(errors::bad_head("incomplete")),
@@ -66,7 +66,7 @@
     }
 }
 
-async fn read_bytes<R: AsyncReadRent>(
+async fn read_head_bytes<R: AsyncReadRent>(
     reader: &mut ByteReader<R>,
     limits: &HeadLimits,
 ) -> Result<BytesMut, HttpError> {
@@ -82,7 +82,7 @@
     let start = Instant::now();
     loop {
         skip_empty_lines(&mut reader.buffer);
-        if let Some(end) = find_end(&reader.buffer, limits)? {
+        if let Some(end) = find_head_end(&reader.buffer, limits)? {
             return Ok(reader.buffer.split_to(end));
         }
         let remaining_time = limits.time.saturating_sub(start.elapsed());
@@ -100,7 +100,7 @@
     }
 }
 
-fn find_end(buffer: &[u8], limits: &HeadLimits) -> Result<Option<usize>, HttpError> {
+fn find_head_end(buffer: &[u8], limits: &HeadLimits) -> Result<Option<usize>, HttpError> {
     let mut fields = 0;
     let mut line_start = 0;
     let searched_bytes = buffer.len().min(limits.bytes);
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -23,13 +23,13 @@
     io: R,
     /// Bytes that were read and not yet consumed.
     pub buffer: BytesMut,
-    spare: Option<BytesMut>,
+    spare_buffer: Option<BytesMut>,
 }
 
 impl<R: AsyncReadRent> ByteReader<R> {
     /// Builds a reader over `io`.
     pub fn new(io: R) -> Self {
-        Self { io, buffer: BytesMut::new(), spare: None }
+        Self { io, buffer: BytesMut::new(), spare_buffer: None }
     }
 
     /// Reads at least one byte and at most `max_bytes` into the buffer; returns 0 at the end of the
@@ -37,17 +37,17 @@
     ///
     /// The future is cancel safe: the epoll driver reads only when polled, and into a spare buffer.
     pub async fn fill(&mut self, max_bytes: usize) -> Result<usize, HttpError> {
-        let mut spare = self.spare.take().unwrap_or_default();
-        spare.clear();
-        spare.reserve(max_bytes);
-        let (result, filled) = self.io.read(spare).await;
+        let mut spare_buffer = self.spare_buffer.take().unwrap_or_default();
+        spare_buffer.clear();
+        spare_buffer.reserve(max_bytes);
+        let (result, filled) = self.io.read(spare_buffer).await;
         let count = result.map_err(errors::broken)?;
         if self.buffer.is_empty() {
             let old = std::mem::replace(&mut self.buffer, filled);
-            self.spare = Some(old);
+            self.spare_buffer = Some(old);
         } else {
             self.buffer.extend_from_slice(&filled);
-            self.spare = Some(filled);
+            self.spare_buffer = Some(filled);
         }
         Ok(count)
     }
@@ -68,7 +68,7 @@
 
     /// Frees the buffers while the connection is idle.
     pub fn release(&mut self) {
-        self.spare = None;
+        self.spare_buffer = None;
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -156,7 +156,7 @@
         let request = match read_request(&mut stream, from, &limits).await {
             Ok(request) => request,
             Err(error) => {
-                refuse(&mut stream, &error).await;
+                refuse_request(&mut stream, &error).await;
                 return;
             }
         };
@@ -190,7 +190,7 @@
     Ok(ServerRequest { head, body, from })
 }
 
-async fn refuse(stream: &mut HttpStream, error: &HttpError) {
+async fn refuse_request(stream: &mut HttpStream, error: &HttpError) {
     if let Some(status) = error.status() {
         let reply = ServerReply::text(status, format!("{error}\n"));
         if write_reply(stream, &Method::GET, reply, true).await.is_ok() {
--- a/crates/http/src/writer.rs
+++ b/crates/http/src/writer.rs
@@ -127,8 +127,8 @@
     if buffer.is_empty() {
         return Ok(());
     }
-    let full = std::mem::take(buffer);
-    let (result, mut written) = io.write_all(full).await;
+    let unsent = std::mem::take(buffer);
+    let (result, mut written) = io.write_all(unsent).await;
     written.clear();
     *buffer = written;
     result.map(drop).map_err(errors::broken)
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -212,9 +212,9 @@
                 // A message with both length fields must be rejected, because the length of its
                 // body is ambiguous.
                 let framing = framing::of_request(&head);
-                let both = head.headers.contains_key("content-length")
+                let has_both_lengths = head.headers.contains_key("content-length")
                     && head.headers.contains_key("transfer-encoding");
-                assert!(!both || framing.is_err());
+                assert!(!has_both_lengths || framing.is_err());
             }
         });
     }
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -34,7 +34,7 @@
 /// queue. A longer queue means that the other side no longer reads.
 pub const QUEUE_BYTES_MAX: usize = 32 * 1024 * units::KIB;
 /// Number of bytes by which the buffer grows before a read of uncompressed frames.
-const READ_BYTES: usize = 64 * units::KIB;
+const READ_GROWTH_BYTES: usize = 64 * units::KIB;
 
 /// Free capacity below which the buffer grows before a read of uncompressed frames. This constant
 /// is also the buffer size of a read of compressed frames.
@@ -151,7 +151,7 @@
         let mut buffer = std::mem::take(&mut self.buffer);
         let begin = buffer.len();
         if buffer.capacity() - begin < READ_BYTES_MIN {
-            buffer.reserve(READ_BYTES);
+            buffer.reserve(READ_GROWTH_BYTES);
         }
         let end = buffer.capacity();
         let (result, slice) = self.io.read(buffer.slice_mut(begin..end)).await;
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -98,7 +98,7 @@
         answers_looks: Some(identity.answers_looks),
         takes_reservations: Some(identity.takes_reservations),
     };
-    write(writer, FrameBody::Hello(ours.clone())).await?;
+    write_frame(writer, FrameBody::Hello(ours.clone())).await?;
     let theirs = match reader.next().await?.body {
         FrameBody::Hello(hello) => hello,
         other => return Err(unexpected(&other)),
@@ -110,7 +110,7 @@
         });
     }
     let mac = proof_mac(key, side, &ours, &theirs).finalize().into_bytes().to_vec();
-    write(writer, FrameBody::Proof(ProofNote { mac })).await?;
+    write_frame(writer, FrameBody::Proof(ProofNote { mac })).await?;
     let proof = match reader.next().await?.body {
         FrameBody::Proof(proof) => proof,
         other => return Err(unexpected(&other)),
@@ -151,7 +151,7 @@
     mac
 }
 
-async fn write<W: AsyncWriteRent>(writer: &mut W, body: FrameBody) -> Result<(), LinkError> {
+async fn write_frame<W: AsyncWriteRent>(writer: &mut W, body: FrameBody) -> Result<(), LinkError> {
     let mut buffer = bytes::BytesMut::new();
     frames::encode(&PeerFrame { exchange: 0, body }, &mut buffer)?;
     let (result, _) = writer.write_all(buffer).await;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -134,13 +134,13 @@
             on_frame();
             if frame.exchange == NO_EXCHANGE {
                 on_control(frame.body);
-            } else if let Err(error) = self.route(frame) {
+            } else if let Err(error) = self.route_frame(frame) {
                 return error;
             }
         }
     }
 
-    fn route(&self, frame: PeerFrame) -> Result<(), LinkError> {
+    fn route_frame(&self, frame: PeerFrame) -> Result<(), LinkError> {
         let exchange = frame.exchange;
         let (last, event) = match frame.body {
             FrameBody::Answer(head) => (head.last, StreamEvent::Head(head)),
@@ -241,10 +241,10 @@
                 Err(error) => return error,
             };
             match frame.body {
-                FrameBody::Dispatch(head) => on_dispatch(self.open(frame.exchange, head)),
+                FrameBody::Dispatch(head) => on_dispatch(self.open_exchange(frame.exchange, head)),
                 body if frame.exchange == NO_EXCHANGE => on_control(body),
                 body => {
-                    if let Err(error) = self.route(frame.exchange, body) {
+                    if let Err(error) = self.route_frame(frame.exchange, body) {
                         return error;
                     }
                 }
@@ -252,7 +252,7 @@
         }
     }
 
-    fn open(&self, exchange: i64, head: DispatchHead) -> InboundExchange {
+    fn open_exchange(&self, exchange: i64, head: DispatchHead) -> InboundExchange {
         let body = Rc::new(stream::remote_pipe(exchange, &self.sender));
         let credit = Rc::new(SendCredit::of_answer());
         let entry = AcceptedExchange { body: body.clone(), credit: credit.clone() };
@@ -270,7 +270,7 @@
         }
     }
 
-    fn route(&self, exchange: i64, body: FrameBody) -> Result<(), LinkError> {
+    fn route_frame(&self, exchange: i64, body: FrameBody) -> Result<(), LinkError> {
         let exchanges = self.exchanges.borrow();
         // Frames of a finished exchange, which may still be in transit, are dropped.
         let entry = match exchanges.get(&exchange) {
--- a/crates/peer/src/stream.rs
+++ b/crates/peer/src/stream.rs
@@ -54,9 +54,9 @@
     events: VecDeque<StreamEvent>,
     queued_bytes: usize,
     uncredited_bytes: usize,
-    reader_closed: bool,
+    is_reader_closed: bool,
     cancelled: bool,
-    window_shut: bool,
+    is_window_shut: bool,
     reader_waker: Option<Waker>,
     cancel_waker: Option<Waker>,
     sender_waker: Option<Waker>,
@@ -81,9 +81,9 @@
             events: VecDeque::new(),
             queued_bytes: 0,
             uncredited_bytes: 0,
-            reader_closed: false,
+            is_reader_closed: false,
             cancelled: false,
-            window_shut: false,
+            is_window_shut: false,
             reader_waker: None,
             cancel_waker: None,
             sender_waker: None,
@@ -94,13 +94,13 @@
 
     /// Blocks senders of body bytes until [`Self::open_window`] or [`Self::offer_slot`] is called.
     pub fn shut_window(&self) {
-        self.state.borrow_mut().window_shut = true;
+        self.state.borrow_mut().is_window_shut = true;
     }
 
     /// Grants senders the first window of body bytes.
     pub fn open_window(&self) {
         let mut state = self.state.borrow_mut();
-        state.window_shut = false;
+        state.is_window_shut = false;
         wake(&mut state.sender_waker);
         if let Some(hook) = &state.on_consumed {
             hook(WINDOW_BYTES);
@@ -111,7 +111,7 @@
     /// [`StreamEvent::Begin`].
     pub fn offer_slot(&self) {
         let mut state = self.state.borrow_mut();
-        state.window_shut = false;
+        state.is_window_shut = false;
         wake(&mut state.sender_waker);
         if let Some(hook) = &state.on_consumed {
             hook(OFFER_CREDIT_BYTES);
@@ -126,7 +126,7 @@
     /// Adds an event without waiting for the window.
     pub fn push(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         let mut state = self.state.borrow_mut();
-        if state.reader_closed {
+        if state.is_reader_closed {
             return Err(StreamClosed);
         }
         if let StreamEvent::Data(data, _) = &event {
@@ -151,10 +151,10 @@
 
     fn poll_room(&self, context: &mut Context<'_>) -> Poll<Result<(), StreamClosed>> {
         let mut state = self.state.borrow_mut();
-        if state.reader_closed {
+        if state.is_reader_closed {
             return Poll::Ready(Err(StreamClosed));
         }
-        if state.queued_bytes < WINDOW_BYTES && !state.window_shut {
+        if state.queued_bytes < WINDOW_BYTES && !state.is_window_shut {
             return Poll::Ready(Ok(()));
         }
         state.sender_waker = Some(context.waker().clone());
@@ -198,7 +198,7 @@
     /// Closes the receiving end: senders fail with [`StreamClosed`] and queued events are dropped.
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
-        state.reader_closed = true;
+        state.is_reader_closed = true;
         state.events.clear();
         state.queued_bytes = 0;
         wake(&mut state.sender_waker);
@@ -229,7 +229,7 @@
 #[derive(Debug)]
 struct CreditState {
     available_bytes: i64,
-    closed: bool,
+    is_closed: bool,
     sender_waker: Option<Waker>,
 }
 
@@ -252,7 +252,7 @@
     }
 
     fn new(available_bytes: i64) -> Self {
-        let state = CreditState { available_bytes, closed: false, sender_waker: None };
+        let state = CreditState { available_bytes, is_closed: false, sender_waker: None };
         Self { state: RefCell::new(state) }
     }
 
@@ -266,7 +266,7 @@
     /// Closes the stream; a sender that waits for credit fails with [`StreamClosed`].
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
-        state.closed = true;
+        state.is_closed = true;
         wake(&mut state.sender_waker);
     }
 
@@ -286,7 +286,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Result<(), StreamClosed>> {
         let mut state = self.state.borrow_mut();
-        if state.closed {
+        if state.is_closed {
             return Poll::Ready(Err(StreamClosed));
         }
         // An empty last chunk needs no credit.
--- a/crates/peer/tests/frames.rs
+++ b/crates/peer/tests/frames.rs
@@ -82,15 +82,15 @@
     }
     for split in 1..bytes.len() {
         let mut buffer = BytesMut::from(&bytes[..split]);
-        let mut read = Vec::new();
+        let mut decoded_frames = Vec::new();
         while let Some(frame) = frames::decode(&mut buffer).expect("decode") {
-            read.push(frame);
+            decoded_frames.push(frame);
         }
         buffer.extend_from_slice(&bytes[split..]);
         while let Some(frame) = frames::decode(&mut buffer).expect("decode") {
-            read.push(frame);
+            decoded_frames.push(frame);
         }
-        assert_eq!(read, frames);
+        assert_eq!(decoded_frames, frames);
     }
 }
 
