--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -26,7 +26,7 @@
 /// Header field that names the operator.
 const ACTOR_FIELD: HeaderName = HeaderName::from_static("basaltarch-actor");
 
-/// `ApplyRequest` is a transaction of many resources.
+/// `ApplyRequest` is a transaction that changes many resources.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ApplyRequest {
@@ -35,7 +35,7 @@
     dry_run: bool,
 }
 
-/// `ApplyEntry` is one resource of a transaction.
+/// `ApplyEntry` is the change of one resource in a transaction.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ApplyEntry {
@@ -121,7 +121,8 @@
     }
 }
 
-/// Applies many resources in one transaction.
+/// Applies the changes of many resources in one transaction, or only plans the changes for a dry
+/// run.
 pub async fn apply(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     let transaction: ApplyRequest = match serde_json::from_slice(&request.body) {
         Ok(transaction) => transaction,
@@ -168,7 +169,7 @@
     })
 }
 
-/// Returns the author of a change: the operator that its request names, and the address that the
+/// Returns the author of a change: the operator that the request names, and the address that the
 /// request came from.
 pub fn author(request: &ServerRequest) -> ChangeAuthor {
     let actor = fields::single(&request.head.headers, &ACTOR_FIELD).unwrap_or("operator");
@@ -199,8 +200,8 @@
     let record = result?;
     let has_gap = record.revision > state.config.revision().next();
     if has_gap {
-        // Other daemons committed changes after the revision in force at this daemon. Those changes
-        // are read and applied first.
+        // Other daemons committed changes after the revision in force at this daemon. The changes
+        // of other daemons are read and applied first.
         if let Ok(missing) = state.changes.changes_after(state.config.revision()).await {
             state.config.apply(&missing, state.now());
         }
--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -60,7 +60,7 @@
         spare_slots_min = spare_slots_min.min(surplus);
         retries_left_min = retries_left_min.min(service.retries_left(now) as i64);
     });
-    // If no service is in use, there is no minimum to report, so both gauges are 0.
+    // If no service is in use, neither gauge has a minimum to report, so both gauges are 0.
     metrics::FLOOR_SPARE.set(if spare_slots_min == i64::MAX { 0 } else { spare_slots_min });
     metrics::RETRIES_LEFT.set(if retries_left_min == i64::MAX { 0 } else { retries_left_min });
 }
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -76,7 +76,7 @@
         let reply = problem(StatusCode::METHOD_NOT_ALLOWED, message);
         return reply.with_field(header::ALLOW, "GET");
     }
-    // A shutdown waits for changes in progress, so that the operator gets their results.
+    // A shutdown waits for changes in progress, so that operators get the results of their changes.
     let _counted = is_write.then(|| state.stop.count_in_flight());
     match (method.as_str(), path.as_str()) {
         ("GET", "status") => status::report_fleet(state),
@@ -133,7 +133,8 @@
     reply.with_field(header::ALLOW, allow)
 }
 
-/// Reports whether the daemon is ready to accept callers' requests.
+/// Builds the reply to a readiness check: status 200 if the daemon accepts callers' requests, else
+/// 503.
 pub fn ready(state: &DaemonState) -> ServerReply {
     if state.is_stopping() {
         return ServerReply::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n");
@@ -159,7 +160,7 @@
     given.len() == expected.len() && differences == 0
 }
 
-/// Builds an error reply with this message.
+/// Builds an error reply with a JSON body that holds the message.
 pub fn problem(status: StatusCode, message: impl ToString) -> ServerReply {
     ServerReply::json(status, &json!({ "error": message.to_string() }))
 }
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -17,7 +17,7 @@
 use crate::document;
 use crate::state::DaemonState;
 
-/// Maximum number of records in one reply of the audit trail.
+/// Maximum number of change records in one reply of the audit trail.
 const AUDIT_RECORDS_MAX: usize = 1000;
 
 /// Calls `read` with the resources in force: the declared resources, or the resources derived from
@@ -43,7 +43,7 @@
     ServerReply::json(StatusCode::OK, &body)
 }
 
-/// Reads one resource.
+/// Reads one resource; the reply carries its revision as the `ETag`.
 pub fn read_one(state: &Rc<DaemonState>, kind: ResourceKind, name: &str) -> ServerReply {
     with_resources(state, |fleet| match fleet.get(kind, name) {
         Some(stored) => {
@@ -88,7 +88,7 @@
     ServerReply::json(StatusCode::OK, &json!({"records": selected, "source": source}))
 }
 
-/// Returns the change records after a revision that are cached at this daemon.
+/// Returns the change records that follow the revision `after` and are cached at this daemon.
 fn cached_records(state: &DaemonState, after: FleetRevision) -> Vec<ChangeRecord> {
     let records = state.config.records_after(after).unwrap_or_default();
     records.iter().map(|record| (**record).clone()).collect()
--- a/crates/daemon/src/admin/status.rs
+++ b/crates/daemon/src/admin/status.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Status of the fleet and health of upstreams, as known to this daemon.
+//! Reports the status of the fleet and the health of upstreams, as known to this daemon.
 
 use std::rc::Rc;
 
@@ -46,7 +46,7 @@
     ServerReply::json(StatusCode::OK, &body)
 }
 
-/// Reports the outcomes of the requests of this daemon's callers since its start.
+/// Reports how many requests of this daemon's callers had each outcome, since the daemon's start.
 fn count_outcomes() -> Value {
     let not_run = NOT_RUN_REASONS.iter().map(|reason| reason.name()).zip(&metrics::NOT_RUN);
     let unknown = UNKNOWN_REASONS.iter().map(|reason| reason.name()).zip(&metrics::UNKNOWN);
@@ -158,8 +158,7 @@
     })
 }
 
-/// Returns the health of an upstream of this host. Only the daemon of the host knows all of these
-/// values.
+/// Returns the health of an upstream of this host, in more detail than other daemons know.
 fn own_health(state: &DaemonState, local_upstream: &HostUpstream) -> Value {
     let now = state.now();
     let health = local_upstream.health.borrow();
--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! Lists the requests that were running at backend servers when the servers crashed, and lifts the
-//! refusal of such requests.
+//! refusal of these suspect requests.
 
 use std::rc::Rc;
 
@@ -16,7 +16,7 @@
 use crate::state::DaemonState;
 use crate::suspects;
 
-/// Lists all suspect requests known to this daemon, requests with the most crashes first.
+/// Lists all suspect requests known to this daemon, in descending order of crashes.
 pub fn list(state: &DaemonState) -> ServerReply {
     let notices = state.suspects.notices(state.now());
     let suspects: Vec<Value> = notices
--- a/crates/daemon/src/admin/watch.rs
+++ b/crates/daemon/src/admin/watch.rs
@@ -20,7 +20,7 @@
 use crate::admin::{self, read};
 use crate::state::DaemonState;
 
-/// Time between the bookmarks that an idle watch sends to show its reader that the stream is alive.
+/// Time between the bookmarks of an idle watch, which show the reader that the stream is alive.
 const BOOKMARK_EVERY: Duration = Duration::from_secs(10);
 
 struct WatchState {
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -13,25 +13,27 @@
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
 
-/// Timeout for connecting to a backend server of the same host, which is expected to take 1 ms.
+/// Timeout for connecting to a backend server of the same host. A connection is expected to take 1
+/// ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Timeout of a check whether a process listens at an address of this host. The check normally
 /// takes less than a millisecond, and the ingress waits for its result.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time after which a new connection is checked again: a process that exits closes its sockets one
-/// after the other, and its listening socket is not necessarily the first.
+/// Time after which a new connection is checked again. A process that exits closes its sockets one
+/// after the other, and the listening socket is not necessarily the first to be closed.
 const RECHECK_AFTER: Duration = Duration::from_millis(2);
 
-/// Longest idle time after which a connection is reused: servers close idle connections after ten
-/// seconds or more, and a non-repeatable request that races with such a close is lost.
+/// Longest idle time after which a connection is reused. Servers close idle connections after ten
+/// seconds or more, and a non-repeatable request that is sent while the server closes the
+/// connection is lost.
 const IDLE_TIME_MAX: Duration = Duration::from_secs(5);
 /// Margin by which a connection is retired before the keep-alive timeout that the server announced:
 /// the timeout is in whole seconds, and a request takes time to arrive.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1200);
 
-/// `BackendPool` keeps connections to one backend server.
+/// `BackendPool` keeps the open connections to one backend server and limits their number.
 pub struct BackendPool {
     address: Cell<SocketAddr>,
     connections_max: Cell<usize>,
@@ -39,7 +41,7 @@
     idle: RefCell<Vec<IdleStream>>,
 }
 
-/// `IdleStream` is an idle connection with the time until which it may be reused.
+/// `IdleStream` is an idle connection and the time until which the connection may be reused.
 struct IdleStream {
     stream: HttpStream,
     usable_until: Instant,
--- a/crates/daemon/src/host/calls.rs
+++ b/crates/daemon/src/host/calls.rs
@@ -5,8 +5,8 @@
 //! serve other requests.
 //!
 //! A server that forwards the id of a request appends an id of its own, so that the id of a nested
-//! call names the parent request. A request that makes a nested call does not count as hung. If the
-//! nested call fails, an error of the parent is not attributed to its server.
+//! call names the parent request. A request that makes a nested call does not count as hung. If a
+//! nested call fails, an error of the parent request is not attributed to the parent's server.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -51,7 +51,8 @@
 }
 
 impl CallTable {
-    /// Records that a request starts to run.
+    /// Records that a request starts to run, so that its nested calls are attributed to the
+    /// request.
     pub fn begin(
         &self,
         request: &str,
@@ -69,8 +70,8 @@
         self.running.borrow_mut().remove(request);
     }
 
-    /// Returns the parent request of the nested call with this id, if the parent runs on this host,
-    /// and records the call.
+    /// Returns the parent request of the nested call whose id is `call`, if the parent runs on this
+    /// host, and records that the parent made a nested call.
     pub fn parent_of(&self, call: &str) -> Option<Rc<NestedCalls>> {
         let (request, _) = call.rsplit_once(CALL_SEPARATOR)?;
         let calls = self.running.borrow().get(request).cloned()?;
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -1,8 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one exchange at the host role: admission, the ledger claim of an at-most-once request,
-//! the exchange with the backend server, and the evidence for its health.
+//! Serves one exchange at the host role: admits the request, claims the ledger row of an
+//! at-most-once request, runs the exchange with the backend server, and records the evidence for
+//! the server's health.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -154,8 +155,8 @@
     }
 
     /// Refuses a request whose copies crashed backend servers; otherwise stores the crash tally of
-    /// the request. If the ingress knows of at least as many crashes as this host, it sent this
-    /// copy deliberately as a trial, and the copy is not refused.
+    /// the request. If the ingress knows of at least as many crashes as this host, the ingress sent
+    /// this copy deliberately as a trial, and the copy is not refused.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
         let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
         let known_tally = match self.state.suspects.is_empty() {
@@ -232,7 +233,7 @@
 
     /// Releases the claim of a request that did not run. The refusal of the request is sent after
     /// the release. Once a shutdown gives up pending requests, the release is no longer awaited,
-    /// since the refusal would then never be sent.
+    /// since otherwise the refusal would never be sent.
     async fn release(&self, token: ClaimToken) {
         let mut releasing = std::pin::pin!(self.state.ledger.release(token).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
@@ -284,7 +285,7 @@
         self.upstream.health.borrow().usual_time(&self.head.route, objective)
     }
 
-    /// Returns the timeout that the server is given for this attempt.
+    /// Returns the timeout that the host sets for the server's response to this attempt.
     fn attempt_timeout(&self) -> AttemptTimeout {
         let now = self.state.now();
         let objective_left = self.objective.map_or(Duration::ZERO, |at| at.saturating_sub(now));
@@ -324,7 +325,7 @@
                 Err(FailureOutcome::Unknown(UnknownReason::AlreadyStarted))
             }
             ClaimOutcome::OtherRequest => Err(FailureOutcome::NotRun(NotRunReason::KeyReused)),
-            // Whether or not the row was written, this attempt did not run the request.
+            // This attempt did not run the request, whether or not the ledger row was written.
             ClaimOutcome::Unavailable | ClaimOutcome::Unsettled => {
                 Err(FailureOutcome::NotRun(NotRunReason::LedgerUnavailable))
             }
@@ -512,9 +513,9 @@
                 result = answering => return result.map(|clean| clean && is_sent.get()),
                 () = watching => {}
                 result = sending => match result {
-                    // A server may respond before it has read the whole request, so a connection
-                    // that breaks while the request is sent does not end the exchange: the response
-                    // decides.
+                    // A server may respond before it has read the whole request. A connection that
+                    // breaks while the request is sent therefore does not end the exchange: the
+                    // result depends on the response.
                     Ok(()) | Err(AttemptFault::Broken) => {}
                     Err(fault) => return Err(fault),
                 },
@@ -553,7 +554,7 @@
 
 /// `ClaimStep` is what follows the claim of a request's ledger row.
 enum ClaimStep {
-    /// The request is run; if it has a ledger row, the token is the claim of that row.
+    /// The request is run. If the request has a ledger row, the token is the claim of that row.
     Run(Option<ClaimToken>),
     /// An earlier attempt was answered, and its stored response is sent.
     Answered(KeptAnswer),
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The host role: the daemon is the only process that sends requests to the backend servers of its
+//! The host role: a daemon is the only process that sends requests to the backend servers of its
 //! host.
 //!
 //! Slots are counted by this role and nowhere else. A refusal by this role proves that the request
-//! did not run, since no other part of the daemon could have started it.
+//! did not run, since no other part of the daemon could have started the request.
 
 pub mod backend;
 pub mod calls;
@@ -60,8 +60,8 @@
     /// Applies a configuration to the backend servers. Servers that remain on this host keep their
     /// health state.
     pub fn configure(&self, state: &DaemonState, active: &ActiveConfig, touched: &TouchedServices) {
-        // No server counts as cold at the first configuration: the daemon was replaced, not the
-        // servers.
+        // No server counts as cold at the first configuration, because the daemon was restarted
+        // while the servers kept running.
         let cold = self.was_configured.replace(true);
         match touched {
             TouchedServices::Some(names) => {
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Relays the response of a backend server to the ingress, and derives from it the evidence for the
-//! server's health.
+//! Relays the response of a backend server to the ingress, and derives the evidence for the
+//! server's health from the response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -30,7 +30,8 @@
 use crate::host::verify::{self, AnswerVerdict};
 use crate::wire;
 
-/// Informational (1xx) responses that a backend server may send before the final one.
+/// Maximum number of informational (1xx) responses that a backend server may send before the final
+/// response.
 const INFORMATIONAL_MAX: usize = 8;
 /// Responses with a body of up to this many bytes go to the ingress in one frame.
 const INLINE_BYTES_MAX: u64 = 32 * 1024;
@@ -39,7 +40,7 @@
 /// still being produced must not be held back.
 const BUFFER_TIME: Duration = Duration::from_millis(150);
 /// Largest number of responses that are read to find the response to the request: a surplus
-/// response to an earlier request, the expected response, and one more as a margin.
+/// response to an earlier request, the expected response, and one more response as a margin.
 const RESPONSES_MAX: usize = 3;
 
 /// `AttemptFault` says how an attempt failed after the request was sent.
@@ -87,8 +88,7 @@
         }
     }
 
-    /// Says whether the connection to the server broke, or the response on it was malformed or
-    /// truncated.
+    /// Says whether the connection to the server broke, or the response was malformed or truncated.
     pub fn is_connection_failure(self) -> bool {
         matches!(self, Self::Broken | Self::BadAnswer)
     }
@@ -143,7 +143,7 @@
         self.started.elapsed()
     }
 
-    /// Builds the progress of an attempt that starts now in this slot with this timeout.
+    /// Builds the progress of an attempt that starts now, holds `slot` and has `timeout`.
     pub fn new(slot: SlotGuard, timeout: AttemptTimeout) -> Self {
         Self {
             slot: Cell::new(Some(slot)),
@@ -217,8 +217,8 @@
             self.record_end(head.status, self.progress.started.elapsed());
             self.store_answer(&head, &inline);
             self.send_head(&head, length, inline, true).await?;
-            // Bytes after the complete response belong to no request, so they make the connection
-            // unusable.
+            // Bytes after the complete response belong to no request, so such bytes make the
+            // connection unusable.
             return Ok(!close && reader.buffer.is_empty());
         }
         self.send_head(&head, length, inline, false).await?;
@@ -328,7 +328,7 @@
         let was_overdue = self.progress.was_overdue.get();
         let failed = wire::is_server_error(status.as_u16());
         let evidence = match status {
-            // An error after a failed nested call is not attributed to this server.
+            // A server's error after a failed nested call is not attributed to that server.
             _ if failed && self.calls.has_failed_call() => RequestEvidence::Neutral,
             // The server gave up the request at the timeout that the host had set, which shows only
             // that this timeout was too short.
--- a/crates/daemon/src/host/reservations.rs
+++ b/crates/daemon/src/host/reservations.rs
@@ -1,12 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Reservations for the slots of this host, held for requests that wait at their ingress.
+//! Serves reservations for the slots of this host. Each reservation belongs to a request that waits
+//! at its ingress.
 //!
-//! When a slot is free or about to become free, the host offers it to the ingress, which either
-//! dispatches the request or loses the reservation. Before the dispatch, the host holds no part of
-//! the request that could be sent to the backend server. However the reservation ends before the
-//! dispatch, the request has therefore not run.
+//! When a slot is free or about to become free, the host offers the slot to the ingress. The
+//! ingress either dispatches the request or loses the reservation. Before the dispatch, the host
+//! holds no part of the request that could be sent to the backend server. However the reservation
+//! ends before the dispatch, the request has therefore not run.
 
 use std::time::Duration;
 
@@ -18,8 +19,8 @@
 use crate::host::exchange::{self, HostAttempt};
 
 /// Time for which a slot offer waits for its dispatch: several round trips between failure domains,
-/// plus a pause of a busy daemon. An offer to an ingress that was killed, or that is cut off in one
-/// direction, delays the next offer by this time.
+/// plus a pause of a busy daemon. An offer to an ingress that was killed, or whose path is cut in
+/// one direction, delays the next offer by this time.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl HostAttempt<'_> {
--- a/crates/daemon/src/host/trace.rs
+++ b/crates/daemon/src/host/trace.rs
@@ -3,9 +3,9 @@
 
 //! Writes the log lines of one attempt at the host role.
 //!
-//! The ingress decides whether a request is logged from its start. The host logs the attempts at
-//! such a request too. An attempt that failed at the backend server is logged in any case, within
-//! the limit on logged failures.
+//! The ingress decides whether a request is logged from its start. The host logs the attempts at a
+//! request that is logged from its start. An attempt that failed at the backend server is logged in
+//! any case, within the limit on logged failures.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The state of one backend server of this host, as kept by the host's daemon.
+//! Keeps the state of one backend server of this host: its slots, health and connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 /// Time after which a backend server's drain notice expires, unless another notice renews it.
 const DRAIN_NOTICE_TTL: Duration = Duration::from_secs(30);
 
-/// `HostUpstream` is one backend server of this host.
+/// `HostUpstream` is the state of one backend server of this host.
 pub struct HostUpstream {
     /// Name of the backend server.
     pub name: Rc<str>,
@@ -87,7 +87,7 @@
     }
 
     /// Stops serving the backend server. Requests that wait for a slot of this server are refused,
-    /// so that they can be sent to other upstreams.
+    /// so that the requests can be sent to other upstreams.
     pub fn release(&self) {
         self.slots.refuse_all(NotRunReason::Draining);
     }
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Records that the backend server crashed. Returns `false` if it was already known to be
-    /// unreachable.
+    /// Records that the backend server crashed. Returns `false` if the server was already known to
+    /// be unreachable.
     pub fn note_crashed(&self) -> bool {
         self.slots.refuse_reservations(NotRunReason::Unhealthy);
         !self.unreachable.replace(true)
@@ -163,7 +163,7 @@
         self.log_change(breaker_change);
     }
 
-    /// Records that a running request is overdue, before it has ended.
+    /// Records that a running request is overdue, before the request has ended.
     pub fn note_overdue(&self, route: &str, now: Duration) {
         let change = self.health.borrow_mut().note_overdue(route, now);
         self.log_change(change);
@@ -239,12 +239,12 @@
 pub struct AttemptResult {
     /// Evidence that the attempt gives about its upstream.
     pub evidence: RequestEvidence,
-    /// Whether the request was recorded as overdue while it ran.
+    /// Whether the request was recorded as overdue while the server processed the request.
     pub was_overdue: bool,
     /// Whether the request was a trial.
     pub is_trial: bool,
     /// Time at which the request arrived at the host, since the daemon's start.
     pub started: Duration,
-    /// How the request failed, if the backend server failed it.
+    /// How the backend server failed the request; `None` if the server did not fail the request.
     pub failure: Option<FailureKind>,
 }
--- a/crates/daemon/src/host/verify.rs
+++ b/crates/daemon/src/host/verify.rs
@@ -57,13 +57,14 @@
     match head.headers.get(name) {
         Some(value) if value.as_bytes() == expected => None,
         Some(_) => Some(AnswerVerdict::Surplus),
-        // An error may lack the id: a server may refuse a request before it has read the id.
+        // An error response may lack the id, since a server may refuse a request before reading the
+        // id.
         None if head.status.is_success() => Some(AnswerVerdict::Invalid),
         None => None,
     }
 }
 
-/// Says whether a response of this status may carry a shed notice.
+/// Says whether a response with `status` may carry a shed notice.
 fn allows_shed(fields: &ExchangeFields, status: StatusCode) -> bool {
     let is_unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
     is_unavailable
@@ -71,7 +72,7 @@
             && (implies_not_run(status) || status == StatusCode::BAD_REQUEST)
 }
 
-/// Says whether callers may take this status as proof that the request did not run.
+/// Says whether callers may take `status` as proof that the request did not run.
 fn implies_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Relays an answer to the caller, piece by piece as the caller reads it.
+//! Relays an answer to the caller, piece by piece, as fast as the caller reads the pieces.
 
 use basaltarch_base::metrics;
 use basaltarch_core::units;
@@ -25,7 +25,7 @@
 use crate::state::DaemonState;
 
 /// Largest size in bytes of an answer of unknown length that is buffered whole for an HTTP/1.0
-/// caller, which could not distinguish a truncated answer from a complete one.
+/// caller, which could not distinguish a truncated answer from a complete answer.
 const BUFFERED_BYTES_MAX: usize = 1024 * units::KIB;
 
 /// Relays an answer while sending the rest of the request's body.
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -35,9 +35,9 @@
 use crate::suspects;
 use crate::wire;
 
-/// Number of upstreams that may decline one request, for example because their circuit breaker is
-/// open. If the circuit breakers of a third of the upstreams are open, one request in 80 reaches a
-/// fifth upstream.
+/// Number of upstreams that may decline one request, for example because the circuit breaker of the
+/// upstream is open. If the circuit breakers of a third of the upstreams are open, one request in
+/// 80 reaches a fifth upstream.
 const DECLINES_MAX: usize = 4;
 
 /// `AttemptEnd` is how the attempts at a request ended.
@@ -58,15 +58,15 @@
     pub request: &'a CallerRequest,
     /// Upstreams to which the request must not be sent.
     pub excluded: Vec<usize>,
-    /// Upstreams that declined the request because they were full.
+    /// Upstreams that declined the request as full.
     pub full: Vec<usize>,
     /// Number of dispatches that were made.
     pub dispatches: usize,
     /// Number of attempts that reached or may have reached a backend server.
     pub server_attempts: usize,
     decline_count: usize,
-    /// Whether copies of the request are refused fleet-wide for crashing servers, and this copy is
-    /// sent as a trial.
+    /// Whether this request is sent as a trial although its copies are refused in the whole fleet
+    /// because they crashed servers.
     is_crash_trial: bool,
     /// Whether no healthy upstream accepts a reservation for the request.
     pub is_unreservable: bool,
@@ -81,7 +81,8 @@
     pub failed_at: Option<usize>,
 }
 
-/// Runs the attempts at a request until one brings an answer or no further attempt is allowed.
+/// Runs the attempts at a request until an attempt brings an answer or no further attempt is
+/// allowed.
 pub async fn run(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
@@ -287,7 +288,7 @@
     }
 
     /// Ends the request without another attempt: with the successful answer of a slow attempt, else
-    /// with `fallback`, a server error that an earlier attempt got as its answer, else with
+    /// with `fallback`, the server error that an earlier attempt got as its answer, else with
     /// `failure`.
     async fn end_with(
         &self,
@@ -379,8 +380,8 @@
     }
 
     /// Probes the load of the chosen upstream and of the other candidate of the choice, and returns
-    /// a choice of the better upstream. Returns `None` if each of the two would decline the request
-    /// or doesn't answer, and other upstreams can be tried.
+    /// a choice of the better upstream. Returns `None` if each of the two upstreams would decline
+    /// the request or doesn't answer, and other upstreams can be tried.
     async fn probe_choice(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
         if !self.is_probe_useful(&choice) {
             return Some(choice);
@@ -418,8 +419,8 @@
         is_open_choice && !path.is_self && is_worthwhile && self.request.service.should_probe()
     }
 
-    /// Skips the upstreams that were probed, because each would decline the request or did not
-    /// answer its probe.
+    /// Skips the upstreams that were probed, because each of these upstreams would decline the
+    /// request or did not answer its probe.
     fn skip_probed(&mut self, probed: &[ProbedUpstream]) {
         self.decline_count += 1;
         for probed_upstream in probed {
@@ -442,9 +443,9 @@
         Err(caller.revoked_key_failure())
     }
 
-    /// Refuses a request whose copies crash the servers that run them, unless this copy is sent as
-    /// a trial. The request is checked before each dispatch, since another daemon may have reported
-    /// a crash after the last check.
+    /// Refuses a request whose copies crash the servers that run them, unless this request is sent
+    /// as a trial. The request is checked before each dispatch, since another daemon may have
+    /// reported a crash after the last check.
     pub fn refuse_suspect(&mut self) -> Result<(), CallerFailure> {
         if self.is_crash_trial || self.state.suspects.is_empty() {
             return Ok(());
@@ -499,9 +500,9 @@
         self.decline_count < DECLINES_MAX && others > 1
     }
 
-    /// Records that an upstream declined the request because its circuit breaker is open or because
-    /// it is full or draining. Returns whether the upstream declined and another upstream may be
-    /// tried. A decline costs only a round trip, so a decline does not count as a dispatch.
+    /// Records that an upstream declined the request because the upstream is full or draining or
+    /// its circuit breaker is open. Returns whether the upstream declined and another upstream may
+    /// be tried. A decline costs only a round trip, so a decline does not count as a dispatch.
     fn has_declined(&mut self, index: usize, outcome: FailureOutcome) -> bool {
         let decline_reasons = [
             NotRunReason::Unhealthy,
@@ -581,7 +582,7 @@
     matches!(outcome, FailureOutcome::Unknown(_) | FailureOutcome::NotRun(NotRunReason::Shed))
 }
 
-/// Says whether the backend server failed, rather than the path to it.
+/// Says whether the backend server failed, rather than the path to the server.
 fn failed_at_server(outcome: FailureOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one caller's connection: its requests one after another, with the answers in the same
-//! order.
+//! Serves the connections of callers: the requests on a connection are served one after another,
+//! and answered in the same order.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
@@ -155,8 +155,8 @@
 
 /// Reads the head of the next request. Returns `None` if the connection has ended, or if the
 /// connection is idle when the daemon is about to exit. A daemon that shuts down keeps reading
-/// until it is about to exit, because callers discover the shutdown only after some time, and a
-/// refusal shows them that the request did not run.
+/// until it is about to exit. Callers discover the shutdown only after some time, and a refusal
+/// shows a caller that its request did not run.
 async fn next_head(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
--- a/crates/daemon/src/ingress/caller_key.rs
+++ b/crates/daemon/src/ingress/caller_key.rs
@@ -21,7 +21,7 @@
 pub struct CallerIdentity {
     /// Name of the caller's organisation, if the organisation is known.
     pub organisation: Option<Rc<str>>,
-    /// Class of the organisation's requests, if it overrides the class of the route.
+    /// Class of the organisation's requests, if the organisation overrides the class of the route.
     pub class: Option<WorkClass>,
     /// The key that identified the organisation; `None` for nested calls made by requests that run
     /// on this host.
@@ -89,7 +89,7 @@
     }
 
     /// Returns the organisation against whose limit the request counts. Nested calls count against
-    /// no limit, because the request that makes them was counted.
+    /// no limit, because the parent request was counted.
     pub fn limited_organisation(&self) -> Option<&str> {
         self.organisation.as_deref().filter(|_| self.key.is_some())
     }
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -37,9 +37,9 @@
 pub struct LiveExchange {
     /// The exchange.
     pub exchange: OutboundExchange,
-    /// Start of the body, if it is sent only once the host's daemon has started the request.
+    /// Start of the body, if the body is sent only once the host's daemon has started the request.
     pub withheld: Option<Bytes>,
-    /// Path to the other daemon, if the attempt may be hedged when that path is cut.
+    /// Path to the host's daemon, if the attempt may be hedged when that path is cut.
     pub path: Option<Rc<PeerPath>>,
     /// Time after which the attempt is hedged, if the attempt may be hedged.
     pub hedging_delay: Option<Duration>,
@@ -124,8 +124,8 @@
         })
     }
 
-    /// Returns the link to an upstream's daemon, establishing it if needed; `None` if the upstream
-    /// is on this host.
+    /// Returns the link to an upstream's daemon, and establishes the link if needed; `None` if the
+    /// upstream is on this host.
     pub async fn link(&self, path: &Rc<PeerPath>) -> Result<Option<Rc<DialledLink>>, LinkError> {
         if path.is_self {
             return Ok(None);
@@ -190,8 +190,9 @@
     }
 
     /// Says whether the request is a nested call made by a request that runs on this host. Hosts
-    /// give nested calls priority if requests wait for slots with reservations. In the other
-    /// waiting mode, the result is `None` and the field is not sent.
+    /// give nested calls priority if requests wait for slots with reservations. If requests wait in
+    /// queues at the hosts, the result is `None`, and the dispatch does not say whether the request
+    /// is a nested call.
     fn is_nested_call(&self) -> Option<bool> {
         let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
         uses_reservations.then(|| self.state.host.calls.parent_of(&self.request.trace.id).is_some())
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -10,7 +10,8 @@
 use crate::ingress::dispatch::LiveExchange;
 
 impl RequestAttempts<'_> {
-    /// Says whether the request recently failed at every upstream to which it was sent.
+    /// Says whether requests with the same method and target recently failed at every upstream to
+    /// which they were sent.
     pub fn fails_everywhere(&self) -> bool {
         let request = self.request;
         request.service.forbids_retry(request.method.as_str(), &request.target, self.state.now())
--- a/crates/daemon/src/ingress/failure.rs
+++ b/crates/daemon/src/ingress/failure.rs
@@ -35,7 +35,7 @@
 }
 
 impl CallerFailure {
-    /// Builds the failure of an exchange with this outcome.
+    /// Builds the reply for an exchange that ended with `outcome`.
     pub fn new(outcome: FailureOutcome) -> Self {
         Self {
             status: status_of(outcome),
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Builds the failure of a request that was not run.
+    /// Builds the reply for a request that was not run.
     pub fn not_run(reason: NotRunReason) -> Self {
         Self::new(FailureOutcome::NotRun(reason))
     }
 
-    /// Builds the failure of an invalid request.
+    /// Builds the reply for an invalid request.
     pub fn bad_request(status: StatusCode, message: impl ToString) -> Self {
         Self { status, message: message.to_string(), ..Self::not_run(NotRunReason::BadRequest) }
     }
 
-    /// Builds the failure of a request that can't be parsed, if the caller can still be sent a
-    /// reply.
+    /// Builds the reply for a request that can't be parsed, if a reply can still be sent to the
+    /// caller.
     pub fn unreadable(error: &HttpError) -> Option<Self> {
         let status = error.status()?;
         Some(Self::bad_request(status, error))
--- a/crates/daemon/src/ingress/load_probe.rs
+++ b/crates/daemon/src/ingress/load_probe.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Probes the load of upstreams at their daemons, before a request is sent to one of them.
+//! Probes the load of a request's candidate upstreams at their daemons, before the request is sent.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 }
 
 impl ProbedUpstream {
-    /// Returns the load of the upstream, if its daemon reported it.
+    /// Returns the load of the upstream, if its daemon reported a load.
     pub fn load(&self) -> Option<ProbedLoad> {
         let report = self.report.as_ref()?;
         Some(ProbedLoad {
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -71,7 +71,8 @@
     pub once_key: Option<String>,
     /// Time by which the request must be answered.
     pub deadline: Duration,
-    /// Time after which an answer misses the route's latency objective, if the route declares one.
+    /// Time after which an answer misses the route's latency objective, if the route declares an
+    /// objective.
     pub objective: Option<Duration>,
     /// Framing of the request's body.
     pub framing: BodyFraming,
@@ -137,7 +138,7 @@
     }
 }
 
-/// Serves one request.
+/// Serves one request of a caller and returns what happens to the connection after the request.
 pub async fn serve(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -36,7 +36,7 @@
 use crate::links;
 
 /// Share of the time until the deadline that a request may wait for a slot. A caller that is
-/// refused at the end of the wait still has time to retry, at this ingress or at another.
+/// refused at the end of the wait still has time to retry, at this ingress or at another ingress.
 const WAIT_SHARE_MAX: f64 = 0.6;
 /// Number of links that a request without any reservation tries to establish, one after the other,
 /// before the request is dispatched without a reservation.
@@ -49,7 +49,7 @@
 pub enum SlotEnd {
     /// A host offered a slot, and the request was sent to that host.
     Sent(UpstreamChoice, LiveExchange),
-    /// No host accepts a reservation; the request may still be dispatched without one.
+    /// No host accepts a reservation; the request may still be dispatched without a reservation.
     NoReservation,
     /// No host offered a slot.
     Failed(CallerFailure),
@@ -61,7 +61,8 @@
 enum WaitStep {
     /// A host offered a slot, or refused or ended its reservation.
     Reply(HeldReservation<OutboundExchange>, ReservationReply<ExchangeFailure>),
-    /// No host has offered a slot for a while, so one more reservation is due.
+    /// No host has offered a slot for a while, so the request holds one more reservation from now
+    /// on.
     Widen,
     /// The request may not wait any longer.
     GiveUp(NotRunReason),
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Traces one request at the ingress: the log lines of its steps.
+//! Traces requests at the ingress: logs or buffers the steps of each request.
 //!
 //! Up to a configured number of requests a second are logged in full: each line is written when its
 //! step happens, at the ingress and at the hosts that run the request. For the other requests, the
@@ -46,7 +46,7 @@
 
 impl LogBudget {
     /// Builds a budget of `requests` a second that are logged from their start, and `failures` a
-    /// second that are logged only because they fail.
+    /// second that are logged only because the requests fail.
     pub fn new(requests: u32, failures: u32) -> Self {
         let bucket = |rate: u32| {
             let rate = f64::from(rate);
@@ -60,14 +60,16 @@
         }
     }
 
-    /// Changes both rates, in requests a second.
+    /// Changes the rate of requests logged from their start, and the rate of logged failures, both
+    /// in requests a second.
     pub fn set(&self, requests: u32, failures: u32, now: Duration) {
         let (requests, failures) = (f64::from(requests), f64::from(failures));
         self.requests.borrow_mut().set_rate(requests, requests, now);
         self.failures.borrow_mut().set_rate(failures, failures, now);
     }
 
-    /// Says whether a new request is logged from its start; counts it as skipped otherwise.
+    /// Returns whether a new request is logged from its start; otherwise counts the request as
+    /// skipped.
     fn takes_request(&self, now: Duration) -> bool {
         let is_within_limit = self.requests.borrow_mut().take(now);
         if !is_within_limit {
@@ -77,8 +79,8 @@
         is_within_limit
     }
 
-    /// Says whether a failed request that was not logged from its start is logged now; counts it as
-    /// skipped otherwise.
+    /// Returns whether a failed request that was not logged from its start is logged now; otherwise
+    /// counts the failure as skipped.
     pub fn takes_failure(&self, now: Duration) -> bool {
         let is_within_limit = self.failures.borrow_mut().take(now);
         if !is_within_limit {
@@ -184,7 +186,7 @@
 pub enum StepEnd {
     /// The attempt ended with the head of an answer of this status.
     Answered(u16),
-    /// The attempt is slow; it continues, and a hedge is sent beside it.
+    /// The attempt is slow. The attempt continues, and a hedge is sent beside the attempt.
     Hedged,
     /// The attempt ended without an answer.
     Failed(FailureOutcome),
@@ -225,7 +227,7 @@
 }
 
 impl StepEnd {
-    /// Returns the outcome and the status as they are logged.
+    /// Returns the outcome and the status of the attempt, in the form in which both are logged.
     fn logged_outcome(self) -> (&'static str, Option<u64>) {
         match self {
             Self::Answered(status) => ("answered", Some(status.into())),
--- a/crates/daemon/src/ingress/waiting.rs
+++ b/crates/daemon/src/ingress/waiting.rs
@@ -151,7 +151,8 @@
     monoio::time::sleep(DEADLINE_GRACE).await;
 }
 
-/// Waits until the path to the upstream's daemon is cut, for an attempt that may then be hedged.
+/// Waits until the path to the upstream's daemon is cut, if the attempt may be hedged on a cut
+/// path; otherwise never returns.
 async fn path_cut(state: &DaemonState, live: &LiveExchange) {
     match &live.path {
         Some(path) => loop {
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -14,7 +14,7 @@
 
 /// Maximum length in bytes of a chunk header line with its extensions, and of a trailer line.
 const CHUNK_LINE_BYTES_MAX: usize = 1024;
-/// Maximum number of hexadecimal digits of a chunk size, so that it fits a `u64`.
+/// Maximum number of hexadecimal digits of a chunk size, so that the size fits a `u64`.
 const CHUNK_DIGITS_MAX: usize = 15;
 /// Maximum number of trailer lines that are discarded.
 const TRAILERS_MAX: usize = 64;
@@ -31,7 +31,7 @@
 impl Default for BodyLimits {
     fn default() -> Self {
         Self {
-            // Bodies are streamed, so that this limit protects backend servers rather than memory.
+            // Bodies are streamed, so the size limit protects backend servers rather than memory.
             bytes: 4 << 30,
             idle: Duration::from_secs(30),
         }
@@ -49,7 +49,7 @@
     UntilClose,
 }
 
-/// `BodyReader` is a reader of one body, which it returns in pieces.
+/// `BodyReader` reads one message body and returns the body in pieces.
 #[derive(Debug)]
 pub struct BodyReader {
     state: BodyState,
@@ -183,8 +183,8 @@
     u64::from_str_radix(text, 16).map_err(|_| HttpError::BadChunk)
 }
 
-/// Removes a line from the buffer and returns it without its CRLF; a line feed without a carriage
-/// return is an error.
+/// Removes a line from the buffer and returns the line without its CRLF; a line feed without a
+/// carriage return is an error.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, HttpError> {
     match buffer.iter().position(|byte| *byte == b'\n') {
         Some(end) if end > CHUNK_LINE_BYTES_MAX => Err(HttpError::BadChunk),
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -101,7 +101,7 @@
 
 /// Listens on `address`; with port 0 the system chooses the port.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    // Sharing a port between processes would hide that it is already in use.
+    // Sharing a port between processes would hide that the port is already in use.
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options)
 }
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of HTTP connections and the response status of each.
+//! Errors of HTTP connections, and the status of the response to each error.
 
 use std::io;
 
--- a/crates/http/src/fields.rs
+++ b/crates/http/src/fields.rs
@@ -11,9 +11,10 @@
 };
 use http::{request, HeaderMap, Version};
 
-/// Outcome of an exchange without a complete response: `not-run` or `unknown`.
+/// Outcome of an exchange without a complete response, `not-run` or `unknown`, in the reply to the
+/// caller.
 pub const OUTCOME: HeaderName = HeaderName::from_static("basaltarch-outcome");
-/// Reason for the outcome.
+/// Reason for the outcome of an exchange without a complete response.
 pub const REASON: HeaderName = HeaderName::from_static("basaltarch-reason");
 /// How a proxy handled the request (RFC 9209).
 pub const PROXY_STATUS: HeaderName = HeaderName::from_static("proxy-status");
@@ -21,8 +22,8 @@
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// Milliseconds until the caller's deadline; forwarded to backend servers.
 pub const DEADLINE: HeaderName = HeaderName::from_static("basaltarch-deadline-ms");
-/// API key of the caller, which identifies its organisation; the daemon that reads it does not
-/// forward it.
+/// API key of the caller, which identifies its organisation. The daemon that reads the key does not
+/// forward the key.
 pub const API_KEY: HeaderName = HeaderName::from_static("basaltarch-key");
 /// Organisation of the caller, as sent to backend servers.
 pub const ORGANISATION: HeaderName = HeaderName::from_static("basaltarch-organisation");
@@ -40,7 +41,7 @@
 pub const FORWARDED_HOST: HeaderName = HeaderName::from_static("x-forwarded-host");
 
 /// `ExchangeFields` is the set of names of the header fields that daemons and backend servers use
-/// in an exchange. A deployment whose servers use other names supplies its own.
+/// in an exchange. A deployment whose servers use other names supplies its own names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExchangeFields {
     /// Id of one attempt of a caller, which the response repeats. If no field is named, the ids of
@@ -65,7 +66,7 @@
     pub organisation: HeaderName,
     /// Whether callers take the statuses 408, 421, 429 and 503 as a promise that the request did
     /// not run, so that a backend server's own response with such a status and no shed notice must
-    /// not reach them.
+    /// not reach callers.
     pub has_not_run_statuses: bool,
 }
 
@@ -105,7 +106,7 @@
     CONTENT_LENGTH,
 ];
 
-/// Removes the hop-by-hop fields, including those that `Connection` lists.
+/// Removes the hop-by-hop fields, including the fields that `Connection` lists.
 pub fn remove_hop_fields(headers: &mut HeaderMap) {
     let listed_names: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -145,7 +146,7 @@
     seconds?.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Returns whether the caller waits for `100 Continue` before it sends the body.
+/// Returns whether the caller waits for `100 Continue` before sending the body.
 pub fn expects_continue(head: &request::Parts) -> bool {
     let value = head.headers.get(EXPECT).map(|value| value.as_bytes());
     value.is_some_and(|value| value.eq_ignore_ascii_case(b"100-continue"))
--- a/crates/http/src/framing.rs
+++ b/crates/http/src/framing.rs
@@ -22,7 +22,8 @@
 }
 
 impl BodyFraming {
-    /// Returns the length as daemons send it to each other: -1 when it is not known in advance.
+    /// Returns the body length in the form that daemons exchange: -1 if the length is not known in
+    /// advance.
     pub fn wire_length(self) -> i64 {
         match self {
             Self::Empty => 0,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -60,7 +60,8 @@
 pub enum ReplyBody {
     /// The complete body.
     Whole(Bytes),
-    /// Pieces that are sent as they become available; the reply ends with the stream.
+    /// Pieces of the body, each of which is sent as soon as it is available; the reply ends with
+    /// the stream.
     Stream(LocalBoxStream<'static, Bytes>),
 }
 
@@ -93,7 +94,7 @@
         Self::whole(status, "application/json", Bytes::from(body))
     }
 
-    /// Builds a reply with a body of this media type.
+    /// Builds a reply with a complete body of the given media type.
     pub fn whole(status: StatusCode, media_type: &'static str, body: Bytes) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(media_type));
@@ -145,7 +146,7 @@
     connection::accept_all(listener, max_connections, ConnectionCount::default(), serve_one).await;
 }
 
-/// Serves requests on one connection until it ends.
+/// Serves requests on one connection until the connection ends.
 pub async fn serve<F, Fut>(stream: TcpStream, from: SocketAddr, limits: ServerLimits, handle: F)
 where
     F: Fn(ServerRequest) -> Fut,
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A panic while a connection is served must not end the listener or other connections, nor keep
-//! the connection in the count of open ones.
+//! Guards against a panic in the task of one connection that ends the listener or other
+//! connections, or that leaves the ended connection in the count of open connections.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Limits and framing of heads and bodies, whose results must not depend on how the input is split
-//! into reads.
+//! Checks the limits and the framing of heads and bodies. Guards against results that depend on how
+//! the input is split into reads.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 use proptest::test_runner::RngSeed;
 use test_case::test_case;
 
-/// A connection that delivers its bytes in pieces of one size and then ends.
+/// A connection that delivers its bytes in pieces of equal size and then ends.
 struct PieceReader {
     pieces: std::collections::VecDeque<Vec<u8>>,
 }
--- a/crates/peer/src/errors.rs
+++ b/crates/peer/src/errors.rs
@@ -7,7 +7,7 @@
 
 use snafu::Snafu;
 
-/// `LinkError` says why a peer link could not be established or why it ended.
+/// `LinkError` says why a peer link could not be established or why an established link ended.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum LinkError {
@@ -34,7 +34,7 @@
         /// Error that the codec reported.
         message: String,
     },
-    /// A frame arrived that is not valid at this point of the protocol.
+    /// A frame arrived that is not valid at its point of the protocol.
     #[snafu(display("peer sent an unexpected {frame} frame"))]
     Unexpected {
         /// Name of the frame.
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -154,7 +154,8 @@
             }
             other => return Err(LinkError::Unexpected { frame: frames::frame_name(&other) }),
         };
-        // A cancelled exchange is no longer in the table: an answer to it is dropped.
+        // A cancelled exchange is no longer in the table, and an answer to a cancelled exchange is
+        // dropped.
         let mut exchanges = self.exchanges.borrow_mut();
         if let Some(entry) = exchanges.get(&exchange) {
             let _ = entry.answer.push(event);
--- a/crates/peer/src/stream.rs
+++ b/crates/peer/src/stream.rs
@@ -4,7 +4,7 @@
 //! Streams the events of an exchange in its two directions, within a process and over a link.
 //!
 //! Each direction has a flow-control window: once a whole window of body bytes is in flight, the
-//! sender waits until the receiver has consumed some of them.
+//! sender waits until the receiver has consumed some of these bytes.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -161,7 +161,7 @@
         Poll::Pending
     }
 
-    /// Waits for the next event and removes it.
+    /// Waits for the next event, removes it from the pipe and returns it.
     pub async fn next(&self) -> StreamEvent {
         poll_fn(|context| self.poll_next(context)).await
     }
@@ -306,7 +306,7 @@
     pub exchange: i64,
     /// Send queue of the link.
     pub sender: FrameSender,
-    /// Credit for body bytes of this direction.
+    /// Credit for the body bytes that may still be sent.
     pub credit: Rc<SendCredit>,
 }
 
