--- a/crates/daemon/src/admin/gauges.rs
+++ b/crates/daemon/src/admin/gauges.rs
@@ -14,8 +14,8 @@
 pub fn refresh(state: &DaemonState) {
     refresh_upstreams(state);
     refresh_services(state);
-    let age = state.now().saturating_sub(state.config.since());
-    metrics::REVISION_AGE.set(age.as_secs() as i64);
+    let revision_age = state.now().saturating_sub(state.config.since());
+    metrics::REVISION_AGE.set(revision_age.as_secs() as i64);
     let counts = state.platform.counts();
     let results = [counts.answered, counts.refused, counts.no_answer];
     for (cell, count) in metrics::STORE_CALLS.iter().zip(results) {
@@ -25,10 +25,11 @@
 
 fn refresh_upstreams(state: &DaemonState) {
     let upstreams = state.host.all();
-    let total = |read: fn(&Rc<HostUpstream>) -> u32| upstreams.iter().map(read).sum::<u32>().into();
-    metrics::SLOTS.set(total(|upstream| upstream.server.borrow().slots));
-    metrics::SLOTS_USED.set(total(|upstream| upstream.slots.used()));
-    metrics::QUEUED.set(total(|upstream| upstream.slots.queued()));
+    let sum_over_upstreams =
+        |read: fn(&Rc<HostUpstream>) -> u32| upstreams.iter().map(read).sum::<u32>().into();
+    metrics::SLOTS.set(sum_over_upstreams(|upstream| upstream.server.borrow().slots));
+    metrics::SLOTS_USED.set(sum_over_upstreams(|upstream| upstream.slots.used()));
+    metrics::QUEUED.set(sum_over_upstreams(|upstream| upstream.slots.queued()));
     for (cell, name) in metrics::UPSTREAMS.iter().zip(metrics::UPSTREAM_STATES) {
         let count = upstreams.iter().filter(|upstream| state_name(state, upstream) == name).count();
         cell.set(count as i64);
@@ -55,9 +56,9 @@
     let now = state.now();
     let (mut spare_slots_min, mut retries_left_min) = (i64::MAX, i64::MAX);
     state.services.for_each(|service| {
-        let surplus = service
+        let surplus_slots = service
             .with_view(|view| i64::from(view.plan().in_service) - i64::from(view.plan().floor));
-        spare_slots_min = spare_slots_min.min(surplus);
+        spare_slots_min = spare_slots_min.min(surplus_slots);
         retries_left_min = retries_left_min.min(service.retries_left(now) as i64);
     });
     // If no service is in use, neither gauge has a minimum to report, so both gauges are 0.
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -85,16 +85,17 @@
             return false;
         }
         self.open.set(self.open.get() + 1);
-        let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
-        match HttpStream::connect(pooled.address, CHECK_TIMEOUT).await {
+        let mut pooled_stream =
+            PooledStream { pool: self, address: self.address.get(), stream: None };
+        match HttpStream::connect(pooled_stream.address, CHECK_TIMEOUT).await {
             Ok(mut stream) => {
                 monoio::time::sleep(RECHECK_AFTER).await;
                 if client::is_reusable(&mut stream) {
-                    pooled.stream = Some(stream);
-                    pooled.give_back(None);
+                    pooled_stream.stream = Some(stream);
+                    pooled_stream.give_back(None);
                     return false;
                 }
-                is_refusal(HttpStream::connect(pooled.address, CHECK_TIMEOUT).await)
+                is_refusal(HttpStream::connect(pooled_stream.address, CHECK_TIMEOUT).await)
             }
             refused => is_refusal(refused),
         }
@@ -123,9 +124,11 @@
         // The connection is counted before it is opened, so that the limit holds while several
         // connections are being opened.
         self.open.set(self.open.get() + 1);
-        let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
-        pooled.stream = Some(HttpStream::connect(pooled.address, CONNECT_TIMEOUT).await?);
-        Ok(pooled)
+        let mut pooled_stream =
+            PooledStream { pool: self, address: self.address.get(), stream: None };
+        pooled_stream.stream =
+            Some(HttpStream::connect(pooled_stream.address, CONNECT_TIMEOUT).await?);
+        Ok(pooled_stream)
     }
 }
 
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -108,11 +108,11 @@
 
 /// `HostAttempt` is one attempt to run a request at one backend server.
 pub struct HostAttempt<'a> {
-    /// The daemon.
+    /// State of this daemon.
     pub state: &'a Rc<DaemonState>,
-    /// The backend server.
+    /// Backend server that is to run the request.
     pub upstream: &'a Rc<HostUpstream>,
-    /// The request, as the ingress dispatched it.
+    /// Head of the request, as dispatched by the ingress.
     pub head: &'a DispatchHead,
     deadline: Duration,
     objective: Option<Duration>,
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -117,8 +117,9 @@
                             state.registrations.is_cold(&upstream.name, state.now())
                         }
                     };
-                    let created = HostUpstream::new(upstream, service, state.clock.clone(), cold);
-                    upstreams.insert(upstream.name.clone(), Rc::new(created));
+                    let new_upstream =
+                        HostUpstream::new(upstream, service, state.clock.clone(), cold);
+                    upstreams.insert(upstream.name.clone(), Rc::new(new_upstream));
                 }
             }
         }
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -212,7 +212,7 @@
         self.progress.keep_alive.set(keep_alive);
         fields::remove_hop_fields(&mut head.headers);
         let mut body = BodyReader::new(framing, BodyLimits::default());
-        let inline = self.buffer_start(&mut body, reader, framing).await?;
+        let inline = self.buffer_body_start(&mut body, reader, framing).await?;
         if body.is_done() {
             self.record_end(head.status, self.progress.started.elapsed());
             self.store_answer(&head, &inline);
@@ -285,7 +285,7 @@
     /// Buffers the start of a body. A short body that arrives within [`BUFFER_TIME`] is buffered
     /// whole: if the buffered body is truncated, no part of the response reaches the caller, and
     /// the request can be retried.
-    async fn buffer_start(
+    async fn buffer_body_start(
         &self,
         body: &mut BodyReader,
         reader: &mut BackendReader,
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -52,9 +52,9 @@
 
 /// `RequestAttempts` is the state of the attempts at one request.
 pub struct RequestAttempts<'a> {
-    /// The daemon.
+    /// State of this daemon.
     pub state: &'a Rc<DaemonState>,
-    /// The request.
+    /// Request to which the attempts belong.
     pub request: &'a CallerRequest,
     /// Upstreams to which the request must not be sent.
     pub excluded: Vec<usize>,
@@ -153,9 +153,9 @@
             }
         };
         let time_left = attempts.time_left();
-        let first =
+        let attempt_event =
             waiting::first_event(state, request, time_left, stream, body, &live, &mut slow).await;
-        match first {
+        match attempt_event {
             FirstEvent::CallerGone => {
                 attempts.log_end(&start, StepEnd::CallerGone, None, NextStep::End);
                 return AttemptEnd::CallerGone;
@@ -213,8 +213,8 @@
             FirstEvent::Failed(outcome, report) => {
                 live.exchange.finish();
                 if let Some(report) = &report {
-                    let ran = matches!(outcome, FailureOutcome::Unknown(_));
-                    attempts.note_report(choice.index, report, ran.then_some(true));
+                    let has_run = matches!(outcome, FailureOutcome::Unknown(_));
+                    attempts.note_report(choice.index, report, has_run.then_some(true));
                 }
                 if failed_at_server(outcome) {
                     attempts.note_attempt_result(choice.index, &live, true);
@@ -308,12 +308,12 @@
         if let Some((live, head)) = fallback {
             return AttemptEnd::Answer(live, head);
         }
-        self.end_failed(failure)
+        self.end_without_answer(failure)
     }
 
     /// Builds the end of a request without an answer. If any attempt may have run the request, the
     /// caller is not told that the request was not run.
-    fn end_failed(&self, failure: CallerFailure) -> AttemptEnd {
+    fn end_without_answer(&self, failure: CallerFailure) -> AttemptEnd {
         match (self.may_have_run, failure.outcome) {
             (Some(reason), FailureOutcome::NotRun(_)) => {
                 AttemptEnd::Failed(CallerFailure::new(FailureOutcome::Unknown(reason)))
@@ -426,8 +426,8 @@
         for probed_upstream in probed {
             let is_full =
                 probed_upstream.load().is_some_and(|load| load.is_full() && !load.doubtful);
-            let list = if is_full { &mut self.full } else { &mut self.excluded };
-            list.push(probed_upstream.index);
+            let skip_list = if is_full { &mut self.full } else { &mut self.excluded };
+            skip_list.push(probed_upstream.index);
         }
     }
 
@@ -495,9 +495,9 @@
 
     /// Says whether another upstream can be tried if the next upstream declines the request.
     pub fn is_passable(&self) -> bool {
-        let tried = [&self.excluded[..], &self.full].concat();
-        let others = self.request.service.with_view(|view| view.count_others(&tried));
-        self.decline_count < DECLINES_MAX && others > 1
+        let tried_indexes = [&self.excluded[..], &self.full].concat();
+        let other_count = self.request.service.with_view(|view| view.count_others(&tried_indexes));
+        self.decline_count < DECLINES_MAX && other_count > 1
     }
 
     /// Records that an upstream declined the request because the upstream is full or draining or
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -121,7 +121,7 @@
                 if let Some(failure) = CallerFailure::unreadable(&error) {
                     metrics::count_failure(failure.outcome);
                     trace::log_rejected(state, "", &failure);
-                    refuse(&mut stream, &failure).await;
+                    send_refusal(&mut stream, &failure).await;
                 }
                 return;
             }
@@ -185,7 +185,7 @@
     }
 }
 
-async fn refuse(stream: &mut HttpStream, failure: &CallerFailure) {
+async fn send_refusal(stream: &mut HttpStream, failure: &CallerFailure) {
     let mut buffer = BytesMut::new();
     failure.put(&mut buffer, &Method::GET, true);
     let writing = writer::flush(&mut stream.writer, &mut buffer);
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -46,7 +46,7 @@
     /// Whether a failure of the attempt counts as evidence against the upstream.
     pub is_evidence: bool,
     /// Counts the request as in flight at the upstream.
-    pub sent: SentGuard,
+    pub sent_guard: SentGuard,
 }
 
 /// `DispatchEnd` is the result of a dispatch.
@@ -79,7 +79,7 @@
         self.note_dispatch();
         let service = &self.request.service;
         let path = service.path(choice.index).clone();
-        let sent = service.count_sent(choice.index);
+        let sent_guard = service.count_sent(choice.index);
         // Establishing a link takes time, so the head with the remaining time is built afterwards.
         let link = match waiting::unless_caller_gone(stream, self.link(&path)).await {
             // While the link was established, this daemon may have begun to give up requests
@@ -110,8 +110,8 @@
                 Err(_) => return self.note_unreachable(choice.index),
             },
         };
-        let queued = service.queued_rounds(choice.index, self.state.now());
-        let hedging_delay = self.hedging_delay(&baseline, queued);
+        let rounds_ahead = service.queued_rounds(choice.index, self.state.now());
+        let hedging_delay = self.hedging_delay(&baseline, rounds_ahead);
         let withheld = withheld.then(|| self.request.prefix.clone());
         let path = self.path_to_watch(path, body_is_done);
         DispatchEnd::Sent(LiveExchange {
@@ -120,7 +120,7 @@
             path,
             hedging_delay,
             is_evidence,
-            sent,
+            sent_guard,
         })
     }
 
@@ -226,15 +226,15 @@
         is_watched.then_some(path)
     }
 
-    /// Returns the hedging delay of an attempt, if the attempt may be hedged. `queued` is the
+    /// Returns the hedging delay of an attempt, if the attempt may be hedged. `rounds_ahead` is the
     /// number of service rounds that the attempt waits in the queue of the upstream. That wait is
     /// not the upstream's fault, so the wait extends the delay.
-    pub fn hedging_delay(&self, baseline: &ServiceBaseline, queued: f64) -> Option<Duration> {
+    pub fn hedging_delay(&self, baseline: &ServiceBaseline, rounds_ahead: f64) -> Option<Duration> {
         if !self.may_hedge() {
             return None;
         }
         let time_left = Some(self.objective_left()).filter(|time_left| !time_left.is_zero());
         let usual = baseline.usual_time().or(time_left.map(UsualTime::of_objective))?;
-        Some(hedge::due_after(&usual, time_left) + usual.at(0.0).mul_f64(queued))
+        Some(hedge::due_after(&usual, time_left) + usual.at(0.0).mul_f64(rounds_ahead))
     }
 }
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -162,7 +162,7 @@
             trace::log_rejected(state, id, &failure);
             // An unread body would be parsed as the next request.
             let close = close || framing != BodyFraming::Empty;
-            return refuse(stream, &method, &failure, close).await;
+            return send_refusal(stream, &method, &failure, close).await;
         }
     };
     let mut body = BodyReader::new(framing, state.body_limits());
@@ -173,7 +173,7 @@
         }
     }
     let time_left = request.deadline.saturating_sub(state.now());
-    match read_open_prefix(state, stream, &mut body, id, time_left).await {
+    match read_prefix_until_stop(state, stream, &mut body, id, time_left).await {
         Ok(prefix) => request.prefix = prefix,
         Err(PrefixFault::Unreadable(error)) => {
             return refuse_unreadable(state, stream, &method, id, &error).await;
@@ -181,7 +181,7 @@
         Err(PrefixFault::Refused) => {
             let failure = CallerFailure::not_run(NotRunReason::Draining);
             trace::log_rejected(state, id, &failure);
-            return refuse(stream, &method, &failure, true).await;
+            return send_refusal(stream, &method, &failure, true).await;
         }
     }
     trace::log_received(state, &request);
@@ -189,7 +189,7 @@
         let message = "an at-most-once request with a key may have a body of at most 65536 bytes";
         let failure = CallerFailure::bad_request(StatusCode::PAYLOAD_TOO_LARGE, message);
         trace::log_rejected(state, id, &failure);
-        return refuse(stream, &method, &failure, true).await;
+        return send_refusal(stream, &method, &failure, true).await;
     }
     run_and_reply(state, stream, &request, &mut body).await
 }
@@ -238,7 +238,7 @@
             trace::log_failed(state, request, &failure);
             record(failure.outcome.header_value());
             let close = request.close || !body.is_done();
-            refuse(stream, &request.method, &failure, close).await
+            send_refusal(stream, &request.method, &failure, close).await
         }
         AttemptEnd::CallerGone => {
             trace::log_caller_gone(state, request);
@@ -258,13 +258,13 @@
     match CallerFailure::unreadable(error) {
         Some(failure) => {
             trace::log_rejected(state, id, &failure);
-            refuse(stream, method, &failure, true).await
+            send_refusal(stream, method, &failure, true).await
         }
         None => AfterRequest::Abort,
     }
 }
 
-async fn refuse(
+async fn send_refusal(
     stream: &mut HttpStream,
     method: &Method,
     failure: &CallerFailure,
@@ -293,7 +293,7 @@
 /// Reads the body until its end or [`PREFIX_BYTES`], unless the daemon shuts down and no longer
 /// admits the request: a body that doesn't arrive would delay the shutdown until the end of the
 /// longest drain.
-async fn read_open_prefix(
+async fn read_prefix_until_stop(
     state: &DaemonState,
     stream: &mut HttpStream,
     body: &mut BodyReader,
@@ -301,7 +301,7 @@
     time_left: Duration,
 ) -> Result<Bytes, PrefixFault> {
     let mut reading = std::pin::pin!(read_prefix(stream, body, time_left).fuse());
-    let mut stopping = std::pin::pin!(refused_by_stop(state, id).fuse());
+    let mut stopping = std::pin::pin!(wait_until_stop_refuses(state, id).fuse());
     select_biased! {
         read = reading => read.map_err(PrefixFault::Unreadable),
         () = stopping => Err(PrefixFault::Refused),
@@ -309,7 +309,7 @@
 }
 
 /// Waits until the daemon shuts down and no longer admits this request.
-async fn refused_by_stop(state: &DaemonState, id: &str) {
+async fn wait_until_stop_refuses(state: &DaemonState, id: &str) {
     state.stop.closing.raised().await;
     if stop::admits_request(state, id) {
         future::pending().await
@@ -378,7 +378,7 @@
     let objective = route.rule.objective_ms;
     let objective = (objective > 0).then(|| now + Duration::from_millis(objective.into()));
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
-    forward_fields(state, &mut head, &host, from);
+    prepare_backend_fields(state, &mut head, &host, from);
     set_organisation(state, &mut head.headers, caller.organisation.as_deref());
     Ok(CallerRequest {
         route,
@@ -408,8 +408,8 @@
     match head.headers.get(name).and_then(|value| value.to_str().ok()) {
         Some(id) => id.chars().take(REQUEST_ID_MAX).collect(),
         None => {
-            let number = state.requests.replace(state.requests.get() + 1);
-            format!("{}-{:x}-{number}", state.options.host, state.identity.incarnation)
+            let request_number = state.requests.replace(state.requests.get() + 1);
+            format!("{}-{:x}-{request_number}", state.options.host, state.identity.incarnation)
         }
     }
 }
@@ -447,8 +447,8 @@
         Some(value) => value,
         None => return Ok(route_timeout),
     };
-    let requested = value.to_str().ok().and_then(|text| text.parse().ok());
-    match requested {
+    let requested_millis = value.to_str().ok().and_then(|text| text.parse().ok());
+    match requested_millis {
         Some(millis) => Ok(route_timeout.min(Duration::from_millis(millis))),
         None => {
             let message = format!("{name} must be a number of milliseconds");
@@ -470,7 +470,12 @@
 
 /// Removes the fields that are not meant for the backend server, and adds the fields that say where
 /// the request came from.
-fn forward_fields(state: &DaemonState, head: &mut request::Parts, host: &str, from: SocketAddr) {
+fn prepare_backend_fields(
+    state: &DaemonState,
+    head: &mut request::Parts,
+    host: &str,
+    from: SocketAddr,
+) {
     let headers = &mut head.headers;
     fields::remove_hop_fields(headers);
     headers.remove(&state.fields.deadline);
@@ -493,16 +498,17 @@
         return;
     }
     let address = from.ip().to_string();
-    let chain = match headers.get(fields::FORWARDED_FOR).and_then(|value| value.to_str().ok()) {
-        Some(earlier_addresses) => format!("{earlier_addresses}, {address}"),
-        None => address,
-    };
+    let address_chain =
+        match headers.get(fields::FORWARDED_FOR).and_then(|value| value.to_str().ok()) {
+            Some(earlier_addresses) => format!("{earlier_addresses}, {address}"),
+            None => address,
+        };
     let mut set_field = |name, value: &str| {
         if let Ok(value) = HeaderValue::from_str(value) {
             headers.insert(name, value);
         }
     };
-    set_field(fields::FORWARDED_FOR, &chain);
+    set_field(fields::FORWARDED_FOR, &address_chain);
     set_field(fields::FORWARDED_PROTO, "http");
     set_field(fields::FORWARDED_HOST, host);
 }
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -131,10 +131,10 @@
         let mut full = Vec::new();
         let mut unhealthy = Vec::new();
         loop {
-            let unlinked = self.request_reservations(set, &[&full[..], &unhealthy].concat());
+            let unlinked_index = self.request_reservations(set, &[&full[..], &unhealthy].concat());
             if set.is_empty() {
                 // Right after the daemon's start no host is linked yet.
-                let Some(index) = unlinked.filter(|_| links_tried < LINKS_MAX) else {
+                let Some(index) = unlinked_index.filter(|_| links_tried < LINKS_MAX) else {
                     // Hosts that refused a reservation because they are full would not queue the
                     // request itself either.
                     self.excluded.append(&mut full);
@@ -198,21 +198,21 @@
         set: &mut ReservationSet<OutboundExchange>,
         full: &[usize],
     ) -> Option<usize> {
-        let held: Vec<usize> = set.indexes().collect();
+        let held_indexes: Vec<usize> = set.indexes().collect();
         let missing = set.missing();
-        let mut unlinked = None;
+        let mut unlinked_index = None;
         if missing == 0 {
             return None;
         }
-        let unavailable = [&held[..], &self.excluded, full].concat();
-        let fits = |index: usize| !unavailable.contains(&index);
+        let unavailable = [&held_indexes[..], &self.excluded, full].concat();
+        let is_available = |index: usize| !unavailable.contains(&index);
         let service = self.request.service.clone();
         let request = ReservationRequest {
             count: missing,
             repeatable: self.is_repeatable(),
             local_wait_rounds: self.local_wait_rounds(),
         };
-        for index in service.draw_reservations(self.state.now(), &request, fits) {
+        for index in service.draw_reservations(self.state.now(), &request, is_available) {
             match self.reservation_link(index) {
                 ReservationLink::Local => {
                     let head = self.reservation_head(index);
@@ -225,13 +225,13 @@
                 }
                 ReservationLink::Unsupported => continue,
                 ReservationLink::Missing => {
-                    unlinked = Some(index);
+                    unlinked_index = Some(index);
                     continue;
                 }
             }
             metrics::RESERVATIONS.add_one();
         }
-        unlinked
+        unlinked_index
     }
 
     /// Returns how a reservation is requested at an upstream. A missing link is established in the
@@ -359,7 +359,7 @@
             path: self.path_to_watch(path, body_is_done),
             hedging_delay: self.hedging_delay(&baseline, 0.0),
             is_evidence: !self.exempts_failure(),
-            sent: service.count_sent(index),
+            sent_guard: service.count_sent(index),
         };
         SlotEnd::Sent(choice, live)
     }
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -360,13 +360,13 @@
     passable: bool,
 ) {
     let upstreams = &request.service.entry.upstreams;
-    let chosen = &upstreams[choice.index];
+    let chosen_upstream = &upstreams[choice.index];
     UpstreamChosen {
         request: &request.trace.id,
         at_ms: request.trace.at_ms(at),
         attempt: attempt as u64,
-        upstream: &chosen.name,
-        host: &chosen.server.host,
+        upstream: &chosen_upstream.name,
+        host: &chosen_upstream.server.host,
         ground: choice.ground.name(),
         cost: choice.cost,
         rival: choice.rival.map(|rival| &*upstreams[rival.index].name),
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -121,8 +121,8 @@
 
     async fn take_or_connect(&self) -> Result<HttpStream, HttpError> {
         loop {
-            let pooled = self.idle.borrow_mut().pop();
-            let mut stream = match pooled {
+            let idle_stream = self.idle.borrow_mut().pop();
+            let mut stream = match idle_stream {
                 Some(stream) => stream,
                 None => return self.connect().await,
             };
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -89,12 +89,12 @@
             Ok(result) => result.map_err(errors::broken)?,
             Err(_) => return Err(HttpError::TimedOut { what: "a connection" }),
         };
-        let enabled = stream.set_tcp_keepalive(
+        let keepalive_result = stream.set_tcp_keepalive(
             Some(probe_interval),
             Some(probe_interval),
             Some(KEEPALIVE_PROBES),
         );
-        enabled.map_err(errors::broken)?;
+        keepalive_result.map_err(errors::broken)?;
         Ok(Self::new(stream))
     }
 }
@@ -156,8 +156,8 @@
 
 /// Runs `task`, and catches and logs a panic instead of propagating it.
 pub async fn catch_panics(what: &'static str, task: impl Future<Output = ()>) {
-    let caught = std::panic::AssertUnwindSafe(task).catch_unwind().await;
-    if caught.is_err() {
+    let panic_result = std::panic::AssertUnwindSafe(task).catch_unwind().await;
+    if panic_result.is_err() {
         process::TaskPanicked { what }.log();
     }
 }
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -45,13 +45,13 @@
     /// The head is malformed.
     #[snafu(display("the head can't be read: {message}"))]
     BadHead {
-        /// What is wrong.
+        /// What is wrong with the head.
         message: String,
     },
     /// The length of the body is ambiguous.
     #[snafu(display("the length of the body is ambiguous: {message}"))]
     BadLength {
-        /// What is wrong.
+        /// What is wrong with the length.
         message: &'static str,
     },
     /// The transfer coding is not supported.
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -43,8 +43,8 @@
         let (result, filled) = self.io.read(spare_buffer).await;
         let count = result.map_err(errors::broken)?;
         if self.buffer.is_empty() {
-            let old = std::mem::replace(&mut self.buffer, filled);
-            self.spare_buffer = Some(old);
+            let emptied_buffer = std::mem::replace(&mut self.buffer, filled);
+            self.spare_buffer = Some(emptied_buffer);
         } else {
             self.buffer.extend_from_slice(&filled);
             self.spare_buffer = Some(filled);
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -139,11 +139,12 @@
     Fut: Future<Output = ServerReply> + 'static,
 {
     let handle = Rc::new(handle);
-    let serve_one = move |stream, from| {
+    let serve_connection = move |stream, from| {
         let handle = handle.clone();
         serve(stream, from, limits, move |request| handle(request))
     };
-    connection::accept_all(listener, max_connections, ConnectionCount::default(), serve_one).await;
+    connection::accept_all(listener, max_connections, ConnectionCount::default(), serve_connection)
+        .await;
 }
 
 /// Serves requests on one connection until the connection ends.
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -25,7 +25,7 @@
         let address = listener.local_addr().expect("address");
         let served = Rc::new(Cell::new(0));
         let count = ConnectionCount::default();
-        let open = count.clone();
+        let open_count = count.clone();
         let seen = served.clone();
         monoio::spawn(connection::accept_all(listener, 10, count, move |stream, from| {
             let seen = seen.clone();
@@ -48,7 +48,7 @@
         assert!(call("/panic").await.is_err());
         assert_eq!(call("/").await.expect("a reply").status, StatusCode::OK);
         assert_eq!(
-            (served.get(), open.get()),
+            (served.get(), open_count.get()),
             (4, 1),
             "4 requests served; only the pooled connection is still counted"
         );
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -69,11 +69,11 @@
     limits: BodyLimits,
 ) -> Result<Vec<u8>, HttpError> {
     let mut body = BodyReader::new(framing, limits);
-    let mut all = Vec::new();
+    let mut whole_body = Vec::new();
     while let Some(piece) = body.next(reader).await? {
-        all.extend_from_slice(&piece);
+        whole_body.extend_from_slice(&piece);
     }
-    Ok(all)
+    Ok(whole_body)
 }
 
 fn request(text: &str, piece: usize) -> Result<http::request::Parts, HttpError> {
--- a/crates/peer/src/frames.rs
+++ b/crates/peer/src/frames.rs
@@ -255,10 +255,10 @@
                 Some(encoder) => {
                     let mut compressed = Vec::new();
                     encoder.encode(&batch, &mut compressed);
-                    write(&mut io, compressed, on_write).await?;
+                    write_buffer(&mut io, compressed, on_write).await?;
                     batch
                 }
-                None => write(&mut io, batch, on_write).await?,
+                None => write_buffer(&mut io, batch, on_write).await?,
             };
             spare_buffer.clear();
         }
@@ -284,7 +284,7 @@
 }
 
 /// Writes a whole buffer and returns the buffer for reuse.
-async fn write<W: AsyncWriteRent, B: IoBuf>(
+async fn write_buffer<W: AsyncWriteRent, B: IoBuf>(
     io: &mut W,
     buffer: B,
     on_write: fn(usize),
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -101,7 +101,7 @@
     write_frame(writer, FrameBody::Hello(ours.clone())).await?;
     let theirs = match reader.next().await?.body {
         FrameBody::Hello(hello) => hello,
-        other => return Err(unexpected(&other)),
+        other => return Err(unexpected_frame(&other)),
     };
     if theirs.protocol_version != PROTOCOL_VERSION {
         return Err(LinkError::WrongVersion {
@@ -113,7 +113,7 @@
     write_frame(writer, FrameBody::Proof(ProofNote { mac })).await?;
     let proof = match reader.next().await?.body {
         FrameBody::Proof(proof) => proof,
-        other => return Err(unexpected(&other)),
+        other => return Err(unexpected_frame(&other)),
     };
     proof_mac(key, side.opposite(), &theirs, &ours)
         .verify_slice(&proof.mac)
@@ -127,7 +127,7 @@
     })
 }
 
-fn unexpected(body: &FrameBody) -> LinkError {
+fn unexpected_frame(body: &FrameBody) -> LinkError {
     LinkError::Unexpected { frame: frames::frame_name(body) }
 }
 
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -110,8 +110,8 @@
     }
 
     fn cancel(&self, exchange: i64) {
-        let removed = self.exchanges.borrow_mut().remove(&exchange);
-        if let Some(entry) = removed {
+        let removed_exchange = self.exchanges.borrow_mut().remove(&exchange);
+        if let Some(entry) = removed_exchange {
             entry.credit.close();
             let notice = CancelNotice { caller_gone: true };
             let _ = self.sender.send(exchange, FrameBody::Cancel(notice));
--- a/crates/peer/tests/frames.rs
+++ b/crates/peer/tests/frames.rs
@@ -146,23 +146,26 @@
     use basaltarch_core::outcome::FailureOutcome;
     run(async {
         let (link, sender) = link();
-        let submitted = link.dispatch(dispatch(Vec::new())).expect("dispatch");
+        let submitted_exchange = link.dispatch(dispatch(Vec::new())).expect("dispatch");
         // The writer task hands the bytes to the operating system; the listener never reads them.
-        let writing = sender.clone();
+        let writer_queue = sender.clone();
         let listener = monoio::net::TcpListener::bind("127.0.0.1:0").expect("bind");
         let address = listener.local_addr().expect("address");
         let stream = monoio::net::TcpStream::connect_addr(address).await.expect("connect");
-        let task = monoio::spawn(async move { writing.run(stream, None, |_| ()).await });
+        let writer_task =
+            monoio::spawn(async move { writer_queue.run(stream, None, |_| ()).await });
         while !sender.was_submitted(0) {
             monoio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
-        let later = link.dispatch(dispatch(Vec::new())).expect("dispatch");
+        let later_exchange = link.dispatch(dispatch(Vec::new())).expect("dispatch");
         link.end();
-        let first = FailureOutcome::from_wire(failure(submitted.answer.next().await).outcome);
-        let second = FailureOutcome::from_wire(failure(later.answer.next().await).outcome);
-        assert!(matches!(first, FailureOutcome::Unknown(_)), "{first}");
-        assert!(matches!(second, FailureOutcome::NotRun(_)), "{second}");
-        drop(task);
+        let submitted_outcome =
+            FailureOutcome::from_wire(failure(submitted_exchange.answer.next().await).outcome);
+        let later_outcome =
+            FailureOutcome::from_wire(failure(later_exchange.answer.next().await).outcome);
+        assert!(matches!(submitted_outcome, FailureOutcome::Unknown(_)), "{submitted_outcome}");
+        assert!(matches!(later_outcome, FailureOutcome::NotRun(_)), "{later_outcome}");
+        drop(writer_task);
     });
 }
 
