--- a/crates/daemon/src/admin/changes.rs
+++ b/crates/daemon/src/admin/changes.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Handles operators' changes: of one resource, or of many in one transaction.
+//! Handles operators' changes, each of one resource or of many resources in one transaction.
 
 use std::rc::Rc;
 
@@ -24,9 +24,9 @@
 use crate::state::DaemonState;
 
 /// Header field that names the operator.
-const ACTOR: HeaderName = HeaderName::from_static("basaltarch-actor");
+const ACTOR_FIELD: HeaderName = HeaderName::from_static("basaltarch-actor");
 
-/// `ApplyRequest` is a transaction of many resources.
+/// `ApplyRequest` is a transaction that changes many resources.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ApplyRequest {
@@ -35,14 +35,15 @@
     dry_run: bool,
 }
 
-/// `ApplyEntry` is one resource of a transaction.
+/// `ApplyEntry` is the change of one resource in a transaction.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ApplyEntry {
     kind: String,
     name: String,
     value: Option<Value>,
-    /// Revision that the resource must have; 0 if it must not exist; absent if neither is required.
+    /// Revision that the resource must have. The value 0 requires that the resource does not exist.
+    /// An absent value requires nothing.
     at: Option<u64>,
 }
 
@@ -92,7 +93,7 @@
     }
 }
 
-/// Reads `If-Match: "REVISION"`, `If-Match: *` or `If-None-Match: *`.
+/// Reads the precondition of a change: `If-Match: "REVISION"`, `If-Match: *` or `If-None-Match: *`.
 fn read_guard(request: &ServerRequest) -> Result<ChangeGuard, Box<ServerReply>> {
     let headers = &request.head.headers;
     if fields::single(headers, &header::IF_NONE_MATCH) == Some("*") {
@@ -120,7 +121,8 @@
     }
 }
 
-/// Applies many resources in one transaction.
+/// Applies the changes of many resources in one transaction, or only plans the changes for a dry
+/// run.
 pub async fn apply(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     let transaction: ApplyRequest = match serde_json::from_slice(&request.body) {
         Ok(transaction) => transaction,
@@ -136,7 +138,7 @@
         }
     }
     let result = if transaction.dry_run {
-        plan(state, request, &edits)
+        plan_edits(state, request, &edits)
     } else {
         commit(state, request, &edits).await
     };
@@ -167,14 +169,14 @@
     })
 }
 
-/// Returns the author of a change: the operator that its request names, and the address that the
+/// Returns the author of a change: the operator that the request names, and the address that the
 /// request came from.
 pub fn author(request: &ServerRequest) -> ChangeAuthor {
-    let actor = fields::single(&request.head.headers, &ACTOR).unwrap_or("operator");
+    let actor = fields::single(&request.head.headers, &ACTOR_FIELD).unwrap_or("operator");
     ChangeAuthor { actor: actor.to_owned(), from: request.from.to_string() }
 }
 
-fn plan(
+fn plan_edits(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
     edits: &[ResourceEdit],
@@ -183,7 +185,7 @@
     state.config.with_fleet(|fleet| changes::plan_change(fleet, edits, &author, ""))
 }
 
-/// Commits a change to the store and puts it in force at this daemon at once.
+/// Commits a change to the store and puts the change in force at this daemon at once.
 async fn commit(
     state: &Rc<DaemonState>,
     request: &ServerRequest,
@@ -198,8 +200,8 @@
     let record = result?;
     let has_gap = record.revision > state.config.revision().next();
     if has_gap {
-        // Other daemons committed changes after the revision in force at this daemon. Those changes
-        // are read and applied first.
+        // Other daemons committed changes after the revision in force at this daemon. The changes
+        // of other daemons are read and applied first.
         if let Ok(missing) = state.changes.changes_after(state.config.revision()).await {
             state.config.apply(&missing, state.now());
         }
@@ -221,8 +223,8 @@
     Ok(record)
 }
 
-/// Writes the configuration in force as a snapshot, for daemons that join later. A missing snapshot
-/// only makes their start slower, since every change has a row of its own.
+/// Writes the configuration in force as a snapshot, for daemons that join later. Without a
+/// snapshot, daemons only start more slowly, since every change has a row of its own.
 async fn write_snapshot(state: Rc<DaemonState>) {
     let config = state.config.with_fleet(FleetConfig::clone);
     let pause = async || config_sync::yield_to_requests(&state).await;
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The admin role: resource API, watches, audit trail, status and metrics.
+//! The admin role: serves operators the resource API, watches, the audit trail, status and metrics.
 
 pub mod changes;
 pub mod gauges;
@@ -24,7 +24,7 @@
 
 /// Maximum number of operators' connections: people, scripts and watches.
 const CONNECTIONS_MAX: usize = 512;
-/// Largest size of a request's body: enough for one transaction of 20,000 resources.
+/// Largest size of a request's body in bytes: enough for one transaction of 20,000 resources.
 const BODY_BYTES_MAX: u64 = 16 << 20;
 
 /// Accepts operators' connections for as long as the daemon runs.
@@ -32,12 +32,12 @@
     let limits = ServerLimits::with_body_bytes(BODY_BYTES_MAX);
     let handle_request = move |request| {
         let state = state.clone();
-        async move { handle(&state, &request).await }
+        async move { serve_request(&state, &request).await }
     };
     server::serve_all(listener, CONNECTIONS_MAX, limits, handle_request).await;
 }
 
-async fn handle(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
+async fn serve_request(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     match request.path() {
         "/healthz" => return ServerReply::text(StatusCode::OK, "ok\n"),
         "/readyz" => return ready(state),
@@ -76,13 +76,13 @@
         let reply = problem(StatusCode::METHOD_NOT_ALLOWED, message);
         return reply.with_field(header::ALLOW, "GET");
     }
-    // A shutdown waits for changes in progress, so that the operator gets their results.
+    // A shutdown waits for changes in progress, so that operators get the results of their changes.
     let _counted = is_write.then(|| state.stop.count_in_flight());
     match (method.as_str(), path.as_str()) {
-        ("GET", "status") => status::fleet(state),
+        ("GET", "status") => status::report_fleet(state),
         ("GET", "health") => status::health(state, request.query("service")),
         ("GET", "suspects") => suspects::list(state),
-        ("GET", "audit") => read::audit(state, request).await,
+        ("GET", "audit") => read::read_audit_trail(state, request).await,
         ("GET", "watch") => watch::start(state, request, None),
         ("POST", "apply") => changes::apply(state, request).await,
         ("POST", "drain") => {
@@ -133,7 +133,8 @@
     reply.with_field(header::ALLOW, allow)
 }
 
-/// Reports whether the daemon is ready to accept callers' requests.
+/// Builds the reply to a readiness check: status 200 if the daemon accepts callers' requests, else
+/// 503.
 pub fn ready(state: &DaemonState) -> ServerReply {
     if state.is_stopping() {
         return ServerReply::text(StatusCode::SERVICE_UNAVAILABLE, "leaving\n");
@@ -159,7 +160,7 @@
     given.len() == expected.len() && differences == 0
 }
 
-/// Builds an error reply with this message.
+/// Builds an error reply with a JSON body that holds the message.
 pub fn problem(status: StatusCode, message: impl ToString) -> ServerReply {
     ServerReply::json(status, &json!({ "error": message.to_string() }))
 }
--- a/crates/daemon/src/admin/read.rs
+++ b/crates/daemon/src/admin/read.rs
@@ -17,11 +17,11 @@
 use crate::document;
 use crate::state::DaemonState;
 
-/// Maximum number of records in one reply of the audit trail.
-const AUDIT_LIMIT: usize = 1000;
+/// Maximum number of change records in one reply of the audit trail.
+const AUDIT_RECORDS_MAX: usize = 1000;
 
-/// Calls `read` with the resources in force: those declared, or those derived from the operator's
-/// document and the backend servers' registrations.
+/// Calls `read` with the resources in force: the declared resources, or the resources derived from
+/// the operator's document and the backend servers' registrations.
 fn with_resources<T>(state: &DaemonState, read: impl FnOnce(&FleetConfig) -> T) -> T {
     match state.options.source {
         ConfigSource::Resources => state.config.with_fleet(read),
@@ -43,7 +43,7 @@
     ServerReply::json(StatusCode::OK, &body)
 }
 
-/// Reads one resource.
+/// Reads one resource; the reply carries its revision as the `ETag`.
 pub fn read_one(state: &Rc<DaemonState>, kind: ResourceKind, name: &str) -> ServerReply {
     with_resources(state, |fleet| match fleet.get(kind, name) {
         Some(stored) => {
@@ -56,7 +56,7 @@
 
 /// Reads the audit trail from the store, or from the records cached at this daemon if the store
 /// does not answer.
-pub async fn audit(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
+pub async fn read_audit_trail(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     let filter = match AuditFilter::try_new(request) {
         Ok(filter) => filter,
         Err(message) => return admin::problem(StatusCode::UNPROCESSABLE_ENTITY, message),
@@ -64,7 +64,7 @@
     let mut selected = Vec::new();
     let mut after = filter.after;
     let mut store_answered = true;
-    while selected.len() < AUDIT_LIMIT {
+    while selected.len() < AUDIT_RECORDS_MAX {
         let records = match state.changes.changes_after(after).await {
             Ok(records) => records,
             Err(_) => {
@@ -83,12 +83,12 @@
             break;
         }
     }
-    selected.truncate(AUDIT_LIMIT);
+    selected.truncate(AUDIT_RECORDS_MAX);
     let source = if store_answered { "store" } else { "kept here; the store did not answer" };
     ServerReply::json(StatusCode::OK, &json!({"records": selected, "source": source}))
 }
 
-/// Returns the change records after a revision that are cached at this daemon.
+/// Returns the change records that follow the revision `after` and are cached at this daemon.
 fn cached_records(state: &DaemonState, after: FleetRevision) -> Vec<ChangeRecord> {
     let records = state.config.records_after(after).unwrap_or_default();
     records.iter().map(|record| (**record).clone()).collect()
--- a/crates/daemon/src/host/backend.rs
+++ b/crates/daemon/src/host/backend.rs
@@ -13,59 +13,61 @@
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
 
-/// Timeout for connecting to a backend server of the same host, which is expected to take 1 ms.
+/// Timeout for connecting to a backend server of the same host. A connection is expected to take 1
+/// ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Timeout of a check whether a process listens at an address of this host. The check normally
 /// takes less than a millisecond, and the ingress waits for its result.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time after which a new connection is checked again: a process that exits closes its sockets one
-/// after the other, and its listening socket is not necessarily the first.
+/// Time after which a new connection is checked again. A process that exits closes its sockets one
+/// after the other, and the listening socket is not necessarily the first to be closed.
 const RECHECK_AFTER: Duration = Duration::from_millis(2);
 
-/// Longest idle time after which a connection is reused: servers close idle connections after ten
-/// seconds or more, and a non-repeatable request that races with such a close is lost.
+/// Longest idle time after which a connection is reused. Servers close idle connections after ten
+/// seconds or more, and a non-repeatable request that is sent while the server closes the
+/// connection is lost.
 const IDLE_TIME_MAX: Duration = Duration::from_secs(5);
 /// Margin by which a connection is retired before the keep-alive timeout that the server announced:
 /// the timeout is in whole seconds, and a request takes time to arrive.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1200);
 
-/// `BackendPool` keeps connections to one backend server.
+/// `BackendPool` keeps the open connections to one backend server and limits their number.
 pub struct BackendPool {
     address: Cell<SocketAddr>,
-    limit: Cell<usize>,
+    connections_max: Cell<usize>,
     open: Cell<usize>,
     idle: RefCell<Vec<IdleStream>>,
 }
 
-/// `IdleStream` is an idle connection with the time until which it may be reused.
+/// `IdleStream` is an idle connection and the time until which the connection may be reused.
 struct IdleStream {
     stream: HttpStream,
     usable_until: Instant,
 }
 
 impl BackendPool {
-    /// Builds a pool of at most `limit` connections.
-    pub fn new(address: SocketAddr, limit: usize) -> Self {
+    /// Builds a pool of at most `connections_max` connections.
+    pub fn new(address: SocketAddr, connections_max: usize) -> Self {
         Self {
             address: Cell::new(address),
-            limit: Cell::new(limit),
+            connections_max: Cell::new(connections_max),
             open: Cell::new(0),
             idle: RefCell::default(),
         }
     }
 
     /// Applies a changed address or limit.
-    pub fn configure(&self, address: SocketAddr, limit: usize) {
+    pub fn configure(&self, address: SocketAddr, connections_max: usize) {
         if self.address.replace(address) != address {
-            self.clear();
+            self.close_idle();
         }
-        self.limit.set(limit);
+        self.connections_max.set(connections_max);
     }
 
     /// Closes the idle connections.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         let closed_count = self.idle.borrow_mut().drain(..).count();
         self.open.set(self.open.get() - closed_count);
     }
@@ -75,30 +77,31 @@
         self.open.get()
     }
 
-    /// Says whether the address refuses connections, so that no process listens there. If a
-    /// connection can be opened, it is kept for the next request, in place of the connection that
-    /// broke.
+    /// Says whether the address refuses connections, which shows that no process listens at the
+    /// address. A connection that could be opened is kept for the next request, in place of the
+    /// connection that broke.
     pub async fn is_refused(&self) -> bool {
-        if self.open.get() >= self.limit.get() {
+        if self.open.get() >= self.connections_max.get() {
             return false;
         }
         self.open.set(self.open.get() + 1);
-        let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
-        match HttpStream::connect(pooled.address, CHECK_TIMEOUT).await {
+        let mut pooled_stream =
+            PooledStream { pool: self, address: self.address.get(), stream: None };
+        match HttpStream::connect(pooled_stream.address, CHECK_TIMEOUT).await {
             Ok(mut stream) => {
                 monoio::time::sleep(RECHECK_AFTER).await;
                 if client::is_reusable(&mut stream) {
-                    pooled.stream = Some(stream);
-                    pooled.give_back(None);
+                    pooled_stream.stream = Some(stream);
+                    pooled_stream.give_back(None);
                     return false;
                 }
-                is_refusal(HttpStream::connect(pooled.address, CHECK_TIMEOUT).await)
+                is_refusal(HttpStream::connect(pooled_stream.address, CHECK_TIMEOUT).await)
             }
             refused => is_refusal(refused),
         }
     }
 
-    /// Takes an idle connection that is still usable, or opens one.
+    /// Takes an idle connection that is still usable, or opens a new connection.
     pub async fn take(&self) -> Result<PooledStream<'_>, HttpError> {
         loop {
             let idle = self.idle.borrow_mut().pop();
@@ -115,15 +118,17 @@
             }
             self.open.set(self.open.get() - 1);
         }
-        if self.open.get() >= self.limit.get() {
+        if self.open.get() >= self.connections_max.get() {
             return Err(HttpError::TimedOut { what: "a free connection" });
         }
         // The connection is counted before it is opened, so that the limit holds while several
         // connections are being opened.
         self.open.set(self.open.get() + 1);
-        let mut pooled = PooledStream { pool: self, address: self.address.get(), stream: None };
-        pooled.stream = Some(HttpStream::connect(pooled.address, CONNECT_TIMEOUT).await?);
-        Ok(pooled)
+        let mut pooled_stream =
+            PooledStream { pool: self, address: self.address.get(), stream: None };
+        pooled_stream.stream =
+            Some(HttpStream::connect(pooled_stream.address, CONNECT_TIMEOUT).await?);
+        Ok(pooled_stream)
     }
 }
 
@@ -134,7 +139,7 @@
     }
 }
 
-/// `PooledStream` is a connection in use; it is closed unless it is given back.
+/// `PooledStream` is a connection in use. A connection that is not given back is closed on drop.
 pub struct PooledStream<'a> {
     pool: &'a BackendPool,
     address: SocketAddr,
@@ -142,7 +147,7 @@
 }
 
 impl PooledStream<'_> {
-    /// Returns the connection.
+    /// Returns the HTTP stream of the connection.
     pub fn stream(&mut self) -> &mut HttpStream {
         self.stream.as_mut().unwrap_or_else(|| {
             unreachable!("the stream is taken only when the connection is given back")
@@ -169,8 +174,8 @@
 
 impl Drop for PooledStream<'_> {
     fn drop(&mut self) {
-        // `give_back` counts a connection that it returns to the pool a second time, so that such a
-        // connection is still counted once after this decrement.
+        // `give_back` counts a returned connection a second time, so that a returned connection is
+        // still counted once after this decrement.
         self.pool.open.set(self.pool.open.get() - 1);
     }
 }
--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -1,8 +1,9 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one exchange at the host role: admission, the ledger claim of an at-most-once request,
-//! the exchange with the backend server, and the evidence for its health.
+//! Serves one exchange at the host role: admits the request, claims the ledger row of an
+//! at-most-once request, runs the exchange with the backend server, and records the evidence for
+//! the server's health.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -42,8 +43,8 @@
 
 /// Time after which a caller may retry when a backend server was full or out of service.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Standard deviations above the typical service time up to which a reserved request is expected to
-/// take: five of six requests complete within this time.
+/// Number of standard deviations by which the time that a reserved request is expected to need
+/// exceeds the typical service time. Five of six requests complete within the expected time.
 const RESERVED_DEVIATIONS: f64 = 1.0;
 /// Duration of the overdue timer of a request that never counts as overdue.
 const NEVER_OVERDUE: Duration = Duration::from_secs(3600);
@@ -98,8 +99,8 @@
         attempt.log_refused(reason);
     }
     if attempt.is_trial && result.is_err() {
-        // A trial that did not reach the server is no evidence, but once its end is recorded
-        // another trial can start.
+        // A trial that did not reach the server is no evidence. Its end is recorded all the same,
+        // because only after that can another trial start.
         attempt.record_result(RequestEvidence::Neutral, false, None);
     }
     result
@@ -107,16 +108,16 @@
 
 /// `HostAttempt` is one attempt to run a request at one backend server.
 pub struct HostAttempt<'a> {
-    /// The daemon.
+    /// State of this daemon.
     pub state: &'a Rc<DaemonState>,
-    /// The backend server.
+    /// Backend server that is to run the request.
     pub upstream: &'a Rc<HostUpstream>,
-    /// The request, as the ingress dispatched it.
+    /// Head of the request, as dispatched by the ingress.
     pub head: &'a DispatchHead,
     deadline: Duration,
     objective: Option<Duration>,
     arrived_at: Duration,
-    /// Whether the attempt is the trial of a server that is out of service.
+    /// Whether the attempt is a trial of a server that is out of service.
     pub is_trial: bool,
     /// Crash tally of the request at the last check before the request was sent.
     tally: Cell<CrashTally>,
@@ -124,8 +125,8 @@
 
 impl HostAttempt<'_> {
     /// Builds the attempt for a request that was dispatched after a slot offer, from its dispatch
-    /// head. The attempt gives evidence about the server from now on; before, the host only held a
-    /// reservation.
+    /// head. The attempt gives evidence about the server only from the dispatch on, since the host
+    /// held only a reservation before the dispatch.
     pub fn with_dispatch_head<'b>(&'b self, head: &'b DispatchHead) -> HostAttempt<'b> {
         HostAttempt { head, tally: self.tally.clone(), arrived_at: self.state.now(), ..*self }
     }
@@ -153,9 +154,9 @@
         }
     }
 
-    /// Refuses a request that crashes the servers that run it; otherwise stores its crash tally. If
-    /// the ingress knows of at least as many crashes as this host, it sent this copy deliberately
-    /// as a trial, and the copy is not refused.
+    /// Refuses a request whose copies crashed backend servers; otherwise stores the crash tally of
+    /// the request. If the ingress knows of at least as many crashes as this host, the ingress sent
+    /// this copy deliberately as a trial, and the copy is not refused.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
         let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
         let known_tally = match self.state.suspects.is_empty() {
@@ -207,7 +208,8 @@
         self.upstream.record_result(&self.head.route, &result, self.state.now());
     }
 
-    /// Claims the ledger row if the request needs one, waits for a slot and runs the request.
+    /// Claims the ledger row of an at-most-once request with a key, waits for a slot and runs the
+    /// request.
     async fn run(&self, body: &EventPipe, answer: &EventSink) -> Result<(), FailureOutcome> {
         let class = wire::class_of(self.head.work_class);
         if !self.upstream.slots.has_room(class) {
@@ -231,7 +233,7 @@
 
     /// Releases the claim of a request that did not run. The refusal of the request is sent after
     /// the release. Once a shutdown gives up pending requests, the release is no longer awaited,
-    /// since the refusal would then never be sent.
+    /// since otherwise the refusal would never be sent.
     async fn release(&self, token: ClaimToken) {
         let mut releasing = std::pin::pin!(self.state.ledger.release(token).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
@@ -275,15 +277,15 @@
         }
     }
 
-    /// Returns the distribution of the service time of requests on this route, if it is known or
-    /// can be assumed from the objective.
+    /// Returns the distribution of the service time of requests on this route, if the distribution
+    /// is known or can be assumed from the objective.
     pub fn usual_time(&self) -> Option<UsualTime> {
         let objective = self.objective.map(|at| at.saturating_sub(self.state.now()));
         let objective = objective.filter(|left| !left.is_zero());
         self.upstream.health.borrow().usual_time(&self.head.route, objective)
     }
 
-    /// Returns the timeout that the server is given for this attempt.
+    /// Returns the timeout that the host sets for the server's response to this attempt.
     fn attempt_timeout(&self) -> AttemptTimeout {
         let now = self.state.now();
         let objective_left = self.objective.map_or(Duration::ZERO, |at| at.saturating_sub(now));
@@ -323,7 +325,7 @@
                 Err(FailureOutcome::Unknown(UnknownReason::AlreadyStarted))
             }
             ClaimOutcome::OtherRequest => Err(FailureOutcome::NotRun(NotRunReason::KeyReused)),
-            // Whether or not the row was written, this attempt did not run the request.
+            // This attempt did not run the request, whether or not the ledger row was written.
             ClaimOutcome::Unavailable | ClaimOutcome::Unsettled => {
                 Err(FailureOutcome::NotRun(NotRunReason::LedgerUnavailable))
             }
@@ -419,8 +421,8 @@
                 return Err(FailureOutcome::NotRun(NotRunReason::ConnectFailed));
             }
         };
-        // A drain or shutdown may have been acknowledged while the connection was opened; no
-        // request may start after that.
+        // A drain or shutdown may have been acknowledged while the connection was opened. No
+        // request may start after the acknowledgement.
         if self.upstream.is_draining(self.state.now())
             || !stop::allows_start(self.state, self.deadline)
         {
@@ -443,15 +445,15 @@
         let result_label = if result.is_ok() { "answered" } else { "broke" };
         metrics::ATTEMPT_SECONDS.record_as(progress.elapsed(), [("result", result_label)]);
         match result {
-            Ok(reusable) => {
+            Ok(is_reusable) => {
                 self.log_ended(&progress);
-                if reusable {
+                if is_reusable {
                     pooled_stream.give_back(progress.keep_alive.get());
                 }
                 Ok(())
             }
             Err(AttemptFault::Shed) => {
-                if progress.reusable.get() {
+                if progress.is_reusable.get() {
                     pooled_stream.give_back(None);
                 }
                 Err(AttemptFault::Shed.outcome())
@@ -464,7 +466,7 @@
                 // The slot is released after the connection is closed, not before.
                 drop(pooled_stream);
                 let crashed = fault.is_connection_failure() && self.detect_crash().await;
-                self.log_broke(fault, crashed, &progress);
+                self.log_failed(fault, crashed, &progress);
                 if !progress.is_recorded.get() {
                     self.record_result(fault.evidence(was_overdue), was_overdue, fault.failure());
                 }
@@ -474,7 +476,7 @@
         }
     }
 
-    /// Runs the HTTP exchange within its deadline; says whether the connection can be reused.
+    /// Runs the HTTP exchange within its deadline; returns whether the connection can be reused.
     async fn run_exchange(
         &self,
         stream: &mut HttpStream,
@@ -505,15 +507,15 @@
             std::pin::pin!(self.state.clock.passed_after_resume(self.deadline).fuse());
         let overdue_after = overdue_after.unwrap_or(NEVER_OVERDUE);
         let mut overdue = std::pin::pin!(monoio::time::sleep(overdue_after).fuse());
-        let mut watching = std::pin::pin!(watch.check_until_settled().fuse());
+        let mut watching = std::pin::pin!(watch.check_until_nested_call().fuse());
         loop {
             select_biased! {
                 result = answering => return result.map(|clean| clean && is_sent.get()),
                 () = watching => {}
                 result = sending => match result {
-                    // A server may respond before it has read the whole request, so a connection
-                    // that breaks while the request is sent does not end the exchange: the response
-                    // decides.
+                    // A server may respond before it has read the whole request. A connection that
+                    // breaks while the request is sent therefore does not end the exchange: the
+                    // result depends on the response.
                     Ok(()) | Err(AttemptFault::Broken) => {}
                     Err(fault) => return Err(fault),
                 },
@@ -535,9 +537,9 @@
     }
 }
 
-/// Waits for `needed`, which a request needs before it can be sent to its backend server, unless
-/// the ingress cancels the request because its caller disconnected. The cancel is polled first, so
-/// that a cancel that arrived together with the request takes effect before the request starts.
+/// Waits for `needed`, without which a request can't be sent to its backend server, unless the
+/// ingress cancels the request because its caller disconnected. The cancel is polled first, so that
+/// a cancel that arrived together with the request takes effect before the request starts.
 pub async fn unless_cancelled<T>(
     body: &EventPipe,
     needed: impl Future<Output = Result<T, NotRunReason>>,
@@ -552,7 +554,7 @@
 
 /// `ClaimStep` is what follows the claim of a request's ledger row.
 enum ClaimStep {
-    /// The request is run; if it has a ledger row, the token is the claim of that row.
+    /// The request is run. If the request has a ledger row, the token is the claim of that row.
     Run(Option<ClaimToken>),
     /// An earlier attempt was answered, and its stored response is sent.
     Answered(KeptAnswer),
--- a/crates/daemon/src/host/mod.rs
+++ b/crates/daemon/src/host/mod.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The host role: the daemon is the only process that sends requests to the backend servers of its
+//! The host role: a daemon is the only process that sends requests to the backend servers of its
 //! host.
 //!
 //! Slots are counted by this role and nowhere else. A refusal by this role proves that the request
-//! did not run, since no other part of the daemon could have started it.
+//! did not run, since no other part of the daemon could have started the request.
 
 pub mod backend;
 pub mod calls;
@@ -45,7 +45,7 @@
 }
 
 impl HostRole {
-    /// Returns the backend server of this name if it runs on this host.
+    /// Returns the backend server of this name if the server runs on this host.
     pub fn get(&self, name: &str) -> Option<Rc<HostUpstream>> {
         self.upstreams.borrow().get(name).cloned()
     }
@@ -60,8 +60,8 @@
     /// Applies a configuration to the backend servers. Servers that remain on this host keep their
     /// health state.
     pub fn configure(&self, state: &DaemonState, active: &ActiveConfig, touched: &TouchedServices) {
-        // No server counts as cold at the first configuration: the daemon was replaced, not the
-        // servers.
+        // No server counts as cold at the first configuration, because the daemon was restarted
+        // while the servers kept running.
         let cold = self.was_configured.replace(true);
         match touched {
             TouchedServices::Some(names) => {
@@ -71,11 +71,11 @@
             }
             TouchedServices::All => {
                 self.upstreams.borrow_mut().retain(|_, upstream| {
-                    let stays = active.services.contains_key(&upstream.service);
-                    if !stays {
+                    let is_retained = active.services.contains_key(&upstream.service);
+                    if !is_retained {
                         upstream.release();
                     }
-                    stays
+                    is_retained
                 });
                 for (name, packed) in &active.services {
                     self.configure_service(state, name, Some(&packed.unpack(name)), cold);
@@ -96,12 +96,12 @@
             service.iter().flat_map(|service| &service.upstreams).filter(is_local).collect();
         let mut upstreams = self.upstreams.borrow_mut();
         upstreams.retain(|known, upstream| {
-            let stays =
+            let is_retained =
                 upstream.service != *name || local_upstreams.iter().any(|each| each.name == *known);
-            if !stays {
+            if !is_retained {
                 upstream.release();
             }
-            stays
+            is_retained
         });
         for (service, upstream) in
             service.into_iter().flat_map(|s| local_upstreams.iter().map(move |u| (s, u)))
@@ -117,15 +117,16 @@
                             state.registrations.is_cold(&upstream.name, state.now())
                         }
                     };
-                    let created = HostUpstream::new(upstream, service, state.clock.clone(), cold);
-                    upstreams.insert(upstream.name.clone(), Rc::new(created));
+                    let new_upstream =
+                        HostUpstream::new(upstream, service, state.clock.clone(), cold);
+                    upstreams.insert(upstream.name.clone(), Rc::new(new_upstream));
                 }
             }
         }
     }
 
     /// Withdraws a failure that was recorded for an upstream, after the same request also failed at
-    /// another one.
+    /// another upstream.
     pub fn withdraw_failure(&self, upstream: &str, route: &str) {
         if let Some(upstream) = self.get(upstream) {
             upstream.health.borrow_mut().withdraw_failure(route);
@@ -146,8 +147,8 @@
     link.forget(exchange);
 }
 
-/// Starts an exchange between the ingress of this daemon and a backend server of this host. The
-/// code that serves exchanges over peer links serves it too.
+/// Starts an exchange between the ingress of this daemon and a backend server of this host.
+/// Exchanges over peer links are served by the same code.
 pub fn dispatch_local(state: &Rc<DaemonState>, head: DispatchHead) -> OutboundExchange {
     let body = Rc::new(EventPipe::default());
     body.shut_window();
@@ -162,7 +163,7 @@
     });
     let cancel_body = body.clone();
     let cancel = Box::new(move || {
-        // The push fails only when the exchange has ended, and then there is nothing to cancel.
+        // The push fails only if the exchange has ended. An ended exchange needs no cancel.
         let _ = cancel_body.push(StreamEvent::Cancelled);
     });
     OutboundExchange::new(EventSink::Local(body), answer, cancel)
--- a/crates/daemon/src/host/relay.rs
+++ b/crates/daemon/src/host/relay.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Relays the response of a backend server to the ingress, and derives from it the evidence for the
-//! server's health.
+//! Relays the response of a backend server to the ingress, and derives the evidence for the
+//! server's health from the response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -30,7 +30,8 @@
 use crate::host::verify::{self, AnswerVerdict};
 use crate::wire;
 
-/// Informational (1xx) responses that a backend server may send before the final one.
+/// Maximum number of informational (1xx) responses that a backend server may send before the final
+/// response.
 const INFORMATIONAL_MAX: usize = 8;
 /// Responses with a body of up to this many bytes go to the ingress in one frame.
 const INLINE_BYTES_MAX: u64 = 32 * 1024;
@@ -39,7 +40,7 @@
 /// still being produced must not be held back.
 const BUFFER_TIME: Duration = Duration::from_millis(150);
 /// Largest number of responses that are read to find the response to the request: a surplus
-/// response to an earlier request, the expected response, and one more as a margin.
+/// response to an earlier request, the expected response, and one more response as a margin.
 const RESPONSES_MAX: usize = 3;
 
 /// `AttemptFault` says how an attempt failed after the request was sent.
@@ -55,14 +56,14 @@
     BadAnswer,
     /// The backend server refused the request by a shed notice.
     Shed,
-    /// Another backend server now listens at this address; it refused the request.
+    /// Another backend server now listens at this address and refused the request.
     Moved,
     /// The ingress no longer reads the response.
     SinkGone,
 }
 
 impl AttemptFault {
-    /// Returns the name in logs.
+    /// Returns the name of the fault in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Cancelled => "cancelled",
@@ -87,8 +88,7 @@
         }
     }
 
-    /// Says whether the connection to the server broke, or the response on it was malformed or
-    /// truncated.
+    /// Says whether the connection to the server broke, or the response was malformed or truncated.
     pub fn is_connection_failure(self) -> bool {
         matches!(self, Self::Broken | Self::BadAnswer)
     }
@@ -106,8 +106,8 @@
     pub fn evidence(self, was_overdue: bool) -> RequestEvidence {
         match self {
             Self::Broken | Self::BadAnswer => RequestEvidence::Failed,
-            // A timeout only bounds the service time from below (a censored observation), so that
-            // it is evidence only if the request was overdue.
+            // A timeout only bounds the service time from below (a censored observation). A timeout
+            // is therefore evidence only if the request was overdue.
             Self::TimedOut if was_overdue => RequestEvidence::Failed,
             _ => RequestEvidence::Neutral,
         }
@@ -120,8 +120,8 @@
     started: Instant,
     /// Timeout that the server was given.
     pub timeout: AttemptTimeout,
-    /// Whether the attempt was counted as hung, because it took longer than `late_after` of its
-    /// timeout.
+    /// Whether the attempt was counted as hung, because the attempt ran longer than `late_after` of
+    /// its timeout.
     pub counted_as_hung: Cell<bool>,
     /// Whether the response head arrived.
     pub head_seen: Cell<bool>,
@@ -129,10 +129,10 @@
     pub has_succeeded: Cell<bool>,
     /// Whether the request was recorded as overdue.
     pub was_overdue: Cell<bool>,
-    /// Whether the end of the attempt was recorded.
+    /// Whether the end of the attempt was recorded as evidence about the server.
     pub is_recorded: Cell<bool>,
     /// Whether the connection can be reused although the server refused the request.
-    pub reusable: Cell<bool>,
+    pub is_reusable: Cell<bool>,
     /// Keep-alive timeout that the server announced.
     pub keep_alive: Cell<Option<Duration>>,
 }
@@ -143,7 +143,7 @@
         self.started.elapsed()
     }
 
-    /// Builds the progress of an attempt that starts now in this slot with this timeout.
+    /// Builds the progress of an attempt that starts now, holds `slot` and has `timeout`.
     pub fn new(slot: SlotGuard, timeout: AttemptTimeout) -> Self {
         Self {
             slot: Cell::new(Some(slot)),
@@ -154,7 +154,7 @@
             has_succeeded: Cell::new(false),
             was_overdue: Cell::new(false),
             is_recorded: Cell::new(false),
-            reusable: Cell::new(false),
+            is_reusable: Cell::new(false),
             keep_alive: Cell::new(None),
         }
     }
@@ -162,11 +162,11 @@
 
 /// `AnswerRelay` relays the response of a backend server to the ingress.
 pub struct AnswerRelay<'a> {
-    /// The attempt.
+    /// Attempt whose response is relayed.
     pub attempt: &'a HostAttempt<'a>,
-    /// Progress of the attempt.
+    /// Progress of the attempt, which the relay updates as the response arrives.
     pub progress: &'a AttemptProgress,
-    /// Where the response goes.
+    /// Sink through which the response is sent to the ingress.
     pub answer: &'a EventSink,
     /// Claim of the ledger row of an at-most-once request.
     pub claim: Option<ClaimToken>,
@@ -187,10 +187,10 @@
     basaltarch_http::reader::ByteReader<monoio::io::OwnedReadHalf<monoio::net::TcpStream>>;
 
 impl AnswerRelay<'_> {
-    /// Relays the response; says whether the connection can be reused after it.
+    /// Relays the response; returns whether the connection can be reused after the response.
     pub async fn run(self, reader: &mut BackendReader) -> Result<bool, AttemptFault> {
         let AnswerStart { mut head, framing, verdict, is_first_response } =
-            self.start(reader).await?;
+            self.read_start(reader).await?;
         self.progress.head_seen.set(true);
         let now = self.attempt.state.now();
         let drain = &self.attempt.state.fields.drain;
@@ -212,13 +212,13 @@
         self.progress.keep_alive.set(keep_alive);
         fields::remove_hop_fields(&mut head.headers);
         let mut body = BodyReader::new(framing, BodyLimits::default());
-        let inline = self.buffer_start(&mut body, reader, framing).await?;
+        let inline = self.buffer_body_start(&mut body, reader, framing).await?;
         if body.is_done() {
             self.record_end(head.status, self.progress.started.elapsed());
             self.store_answer(&head, &inline);
             self.send_head(&head, length, inline, true).await?;
-            // Bytes after the complete response belong to no request, so they make the connection
-            // unusable.
+            // Bytes after the complete response belong to no request, so such bytes make the
+            // connection unusable.
             return Ok(!close && reader.buffer.is_empty());
         }
         self.send_head(&head, length, inline, false).await?;
@@ -226,22 +226,23 @@
         Ok(!close && reader.buffer.is_empty())
     }
 
-    /// Reads heads until one belongs to the request; responses to earlier requests are discarded.
-    async fn start(&self, reader: &mut BackendReader) -> Result<AnswerStart, AttemptFault> {
+    /// Reads response heads until a head belongs to the request; responses to earlier requests are
+    /// discarded.
+    async fn read_start(&self, reader: &mut BackendReader) -> Result<AnswerStart, AttemptFault> {
         let method = self.attempt.head.method.parse().unwrap_or(Method::GET);
         let mut is_first_response = true;
         for _ in 0..RESPONSES_MAX {
             let head = self.read_head(reader).await?;
             let framing =
                 framing::of_response(&head, &method).map_err(|_| AttemptFault::BadAnswer)?;
-            let names = &self.attempt.state.fields;
-            let verdict = verify::classify(names, &self.attempt.head.field_lines, &head);
+            let field_names = &self.attempt.state.fields;
+            let verdict = verify::classify(field_names, &self.attempt.head.field_lines, &head);
             if verdict != AnswerVerdict::Surplus {
                 return Ok(AnswerStart { head, framing, verdict, is_first_response });
             }
             is_first_response = false;
             metrics::SURPLUS_ANSWERS.add_one();
-            self.attempt.log_surplus(head.status.as_u16());
+            self.attempt.log_surplus_response(head.status.as_u16());
             self.discard_body(reader, framing).await?;
         }
         Err(AttemptFault::BadAnswer)
@@ -282,8 +283,9 @@
     }
 
     /// Buffers the start of a body. A short body that arrives within [`BUFFER_TIME`] is buffered
-    /// whole: if it is truncated, no part of it reaches the caller, and the request can be retried.
-    async fn buffer_start(
+    /// whole: if the buffered body is truncated, no part of the response reaches the caller, and
+    /// the request can be retried.
+    async fn buffer_body_start(
         &self,
         body: &mut BodyReader,
         reader: &mut BackendReader,
@@ -314,24 +316,25 @@
     ) -> Result<bool, AttemptFault> {
         // The shed notice was in the head; a broken body only makes the connection unusable.
         let complete = self.discard_body(reader, framing).await.is_ok();
-        self.progress.reusable.set(complete && !close && reader.buffer.is_empty());
+        self.progress.is_reusable.set(complete && !close && reader.buffer.is_empty());
         self.attempt.record_result(RequestEvidence::Neutral, false, None);
         self.progress.is_recorded.set(true);
         Err(AttemptFault::Shed)
     }
 
-    /// Records the end of the attempt and releases its slot, so that the load report covers both.
-    fn record_end(&self, status: StatusCode, took: Duration) {
+    /// Records the end of the attempt and releases its slot. The load report that is sent after
+    /// this call covers both changes.
+    fn record_end(&self, status: StatusCode, service_time: Duration) {
         let was_overdue = self.progress.was_overdue.get();
         let failed = wire::is_server_error(status.as_u16());
         let evidence = match status {
-            // An error after a failed nested call is not attributed to this server.
+            // A server's error after a failed nested call is not attributed to that server.
             _ if failed && self.calls.has_failed_call() => RequestEvidence::Neutral,
-            // The server gave up the request at the timeout that it was given, which shows only
+            // The server gave up the request at the timeout that the host had set, which shows only
             // that this timeout was too short.
             StatusCode::GATEWAY_TIMEOUT => AttemptFault::TimedOut.evidence(was_overdue),
             _ if failed => RequestEvidence::Failed,
-            _ => RequestEvidence::Answered(took),
+            _ => RequestEvidence::Answered(service_time),
         };
         let failure = (evidence == RequestEvidence::Failed).then_some(FailureKind::Answered);
         self.progress.has_succeeded.set(!failed);
@@ -339,7 +342,12 @@
             let mut adaptive_timeout = self.attempt.upstream.adaptive_timeout.borrow_mut();
             let was_counted_as_hung = self.progress.counted_as_hung.get();
             let now = self.attempt.state.now();
-            adaptive_timeout.note_answered(&self.progress.timeout, took, was_counted_as_hung, now);
+            adaptive_timeout.note_answered(
+                &self.progress.timeout,
+                service_time,
+                was_counted_as_hung,
+                now,
+            );
         }
         self.attempt.record_result(evidence, was_overdue, failure);
         self.progress.is_recorded.set(true);
@@ -420,8 +428,8 @@
     }
 }
 
-/// Returns the length that the response declares, even if it has no body, such as a response to
-/// `HEAD`. A negative length means that none is declared.
+/// Returns the length that the response declares, even if the response has no body, such as a
+/// response to `HEAD`. A negative length means that none is declared.
 fn declared_length(head: &response::Parts, framing: BodyFraming) -> i64 {
     match framing {
         BodyFraming::Empty => match framing::content_length(&head.headers) {
--- a/crates/daemon/src/ingress/answer.rs
+++ b/crates/daemon/src/ingress/answer.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Relays an answer to the caller, piece by piece as the caller reads it.
+//! Relays an answer to the caller, piece by piece, as fast as the caller reads the pieces.
 
 use basaltarch_base::metrics;
 use basaltarch_core::units;
@@ -25,7 +25,7 @@
 use crate::state::DaemonState;
 
 /// Largest size in bytes of an answer of unknown length that is buffered whole for an HTTP/1.0
-/// caller, which could not distinguish a truncated answer from a complete one.
+/// caller, which could not distinguish a truncated answer from a complete answer.
 const BUFFERED_BYTES_MAX: usize = 1024 * units::KIB;
 
 /// Relays an answer while sending the rest of the request's body.
@@ -84,7 +84,7 @@
     }
 }
 
-/// Writes the answer; says whether the connection is closed after it.
+/// Writes the answer; returns whether the connection is closed after the answer.
 async fn relay_answer(
     writer: &mut OwnedWriteHalf<TcpStream>,
     request: &CallerRequest,
@@ -95,12 +95,12 @@
         buffer_answer(answer, &mut head).await?;
     }
     let status = StatusCode::from_u16(head.status as u16).unwrap_or(StatusCode::BAD_GATEWAY);
-    let bodiless = framing::never_has_body(status) || request.method == Method::HEAD;
-    let framing = answer_framing(&head, bodiless);
+    let is_bodiless = framing::never_has_body(status) || request.method == Method::HEAD;
+    let framing = answer_framing(&head, is_bodiless);
     let mut buffer = BytesMut::with_capacity(512 + head.body.len());
     put_head(&mut buffer, status, &head, framing, request.close);
     if head.last {
-        let piece = if bodiless { Bytes::new() } else { Bytes::from(head.body) };
+        let piece = if is_bodiless { Bytes::new() } else { Bytes::from(head.body) };
         send(writer, &mut buffer, framing, piece, true).await?;
         return Ok(request.close);
     }
@@ -119,10 +119,10 @@
     }
 }
 
-fn answer_framing(head: &AnswerHead, bodiless: bool) -> BodyFraming {
+fn answer_framing(head: &AnswerHead, is_bodiless: bool) -> BodyFraming {
     match head.content_length {
         length if length >= 0 => BodyFraming::Length(length as u64),
-        _ if bodiless => BodyFraming::Empty,
+        _ if is_bodiless => BodyFraming::Empty,
         _ if head.last => BodyFraming::Length(head.body.len() as u64),
         _ => BodyFraming::Chunked,
     }
@@ -160,7 +160,7 @@
     }
 }
 
-/// Buffers the whole body of the answer in its head.
+/// Reads the rest of the body into the `body` field of the answer's head.
 async fn buffer_answer(answer: &EventPipe, head: &mut AnswerHead) -> Result<(), HttpError> {
     loop {
         match answer.next().await {
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -1,13 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The attempts at one request: choosing an upstream, dispatching, and deciding what may be tried
-//! again.
+//! Makes the attempts at one request: chooses an upstream, dispatches the request, and decides
+//! whether a further attempt is allowed.
 //!
-//! A request that certainly did not run can be sent to another upstream without harm. This happens
-//! at most twice, and the last dispatch is marked as not refusable. A request that may have run is
-//! retried only if its route allows it, and the retry is charged to the retry budget of its
-//! service. No request is retried once the head of an answer was sent to the caller.
+//! A request that certainly did not run can be sent to another upstream without harm. One request
+//! is sent again at most twice, and its last dispatch is marked as not refusable. A request that
+//! may have run is retried only if its route allows it, and the retry is charged to the retry
+//! budget of its service. No request is retried once the head of an answer was sent to the caller.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,9 +35,9 @@
 use crate::suspects;
 use crate::wire;
 
-/// Number of upstreams that may decline one request, for example because their circuit breaker is
-/// open. If the circuit breakers of a third of the upstreams are open, one request in 80 reaches a
-/// fifth upstream.
+/// Number of upstreams that may decline one request, for example because the circuit breaker of the
+/// upstream is open. If the circuit breakers of a third of the upstreams are open, one request in
+/// 80 reaches a fifth upstream.
 const DECLINES_MAX: usize = 4;
 
 /// `AttemptEnd` is how the attempts at a request ended.
@@ -52,21 +52,21 @@
 
 /// `RequestAttempts` is the state of the attempts at one request.
 pub struct RequestAttempts<'a> {
-    /// The daemon.
+    /// State of this daemon.
     pub state: &'a Rc<DaemonState>,
-    /// The request.
+    /// Request to which the attempts belong.
     pub request: &'a CallerRequest,
     /// Upstreams to which the request must not be sent.
     pub excluded: Vec<usize>,
-    /// Upstreams that declined the request because they were full.
+    /// Upstreams that declined the request as full.
     pub full: Vec<usize>,
     /// Number of dispatches that were made.
     pub dispatches: usize,
     /// Number of attempts that reached or may have reached a backend server.
     pub server_attempts: usize,
     decline_count: usize,
-    /// Whether copies of the request are refused fleet-wide for crashing servers, and this copy is
-    /// sent as a trial.
+    /// Whether this request is sent as a trial although its copies are refused in the whole fleet
+    /// because they crashed servers.
     is_crash_trial: bool,
     /// Whether no healthy upstream accepts a reservation for the request.
     pub is_unreservable: bool,
@@ -74,13 +74,15 @@
     pub wait_until: Option<Duration>,
     /// How the last attempt ended.
     pub last_outcome: FailureOutcome,
-    /// Why an earlier attempt may have run; `None` if no earlier attempt can have run.
+    /// Why an earlier attempt may have run the request; `None` if no earlier attempt can have run
+    /// the request.
     may_have_run: Option<UnknownReason>,
     /// Upstream at which an earlier attempt failed.
     pub failed_at: Option<usize>,
 }
 
-/// Runs the attempts at a request until one brings an answer or no further attempt is allowed.
+/// Runs the attempts at a request until an attempt brings an answer or no further attempt is
+/// allowed.
 pub async fn run(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
@@ -111,7 +113,8 @@
                 return attempts.end_with(stream, &mut slow, fallback, failure).await;
             }
         };
-        let choice = match waiting::unless_caller_gone(stream, attempts.probe(choice)).await {
+        let choice = match waiting::unless_caller_gone(stream, attempts.probe_choice(choice)).await
+        {
             Some(Some(choice)) => choice,
             // None of the probed upstreams would accept the request.
             Some(None) => continue,
@@ -150,9 +153,9 @@
             }
         };
         let time_left = attempts.time_left();
-        let first =
+        let attempt_event =
             waiting::first_event(state, request, time_left, stream, body, &live, &mut slow).await;
-        match first {
+        match attempt_event {
             FirstEvent::CallerGone => {
                 attempts.log_end(&start, StepEnd::CallerGone, None, NextStep::End);
                 return AttemptEnd::CallerGone;
@@ -177,9 +180,9 @@
                 }
                 attempts.note_report(choice.index, &head.report, Some(failed));
                 if failed && fallback.is_some() {
-                    attempts.withdraw();
+                    attempts.withdraw_first_failure();
                 }
-                attempts.note_end(choice.index, &live, failed);
+                attempts.note_attempt_result(choice.index, &live, failed);
                 let is_final = !failed || !head.last;
                 let has_next_attempt = !is_final && fallback.is_none() && attempts.may_retry(body);
                 if is_final || !has_next_attempt && slow.is_empty() {
@@ -210,11 +213,11 @@
             FirstEvent::Failed(outcome, report) => {
                 live.exchange.finish();
                 if let Some(report) = &report {
-                    let ran = matches!(outcome, FailureOutcome::Unknown(_));
-                    attempts.note_report(choice.index, report, ran.then_some(true));
+                    let has_run = matches!(outcome, FailureOutcome::Unknown(_));
+                    attempts.note_report(choice.index, report, has_run.then_some(true));
                 }
                 if failed_at_server(outcome) {
-                    attempts.note_end(choice.index, &live, true);
+                    attempts.note_attempt_result(choice.index, &live, true);
                 }
                 let end = StepEnd::Failed(outcome);
                 let load = report.as_ref().map(StepLoad::of);
@@ -263,7 +266,7 @@
         let attempt = attempts.get() as usize;
         let passable = self.is_passable();
         let step = TraceStep::Chosen { attempt, choice: *choice, passable };
-        trace::note(self.state, self.request, step);
+        trace::note_step(self.state, self.request, step);
         AttemptStart { attempt, index: choice.index, began: self.state.now() }
     }
 
@@ -271,21 +274,21 @@
     fn log_end(&self, start: &AttemptStart, end: StepEnd, load: Option<StepLoad>, next: NextStep) {
         let AttemptStart { attempt, index, began } = *start;
         let step = TraceStep::Ended { attempt, index, end, began, load, next };
-        trace::note(self.state, self.request, step);
+        trace::note_step(self.state, self.request, step);
     }
 
     /// Ends the request with the successful answer of a slow attempt.
     fn end_with_slow(&self, attempt: SlowAttempt, head: AnswerHead) -> AttemptEnd {
         let SlowAttempt { start, live } = attempt;
         self.note_report(start.index, &head.report, Some(false));
-        self.note_end(start.index, &live, false);
+        self.note_attempt_result(start.index, &live, false);
         let end = StepEnd::Answered(head.status as u16);
         self.log_end(&start, end, Some(StepLoad::of(&head.report)), NextStep::Answer);
         AttemptEnd::Answer(live, head)
     }
 
     /// Ends the request without another attempt: with the successful answer of a slow attempt, else
-    /// with `fallback`, a server error that an earlier attempt got as its answer, else with
+    /// with `fallback`, the server error that an earlier attempt got as its answer, else with
     /// `failure`.
     async fn end_with(
         &self,
@@ -296,7 +299,7 @@
     ) -> AttemptEnd {
         if !slow.is_empty() {
             let (time_left, outcome) = (self.time_left(), failure.outcome);
-            match waiting::last_event(self.state, time_left, stream, slow, outcome).await {
+            match waiting::await_slow_answers(self.state, time_left, stream, slow, outcome).await {
                 FirstEvent::SlowAnswer(attempt, head) => return self.end_with_slow(attempt, head),
                 FirstEvent::CallerGone => return AttemptEnd::CallerGone,
                 _ => {}
@@ -305,12 +308,12 @@
         if let Some((live, head)) = fallback {
             return AttemptEnd::Answer(live, head);
         }
-        self.end_failed(failure)
+        self.end_without_answer(failure)
     }
 
-    /// Builds the end of a request without an answer. If any attempt may have run, the request is
-    /// not reported as not run.
-    fn end_failed(&self, failure: CallerFailure) -> AttemptEnd {
+    /// Builds the end of a request without an answer. If any attempt may have run the request, the
+    /// caller is not told that the request was not run.
+    fn end_without_answer(&self, failure: CallerFailure) -> AttemptEnd {
         match (self.may_have_run, failure.outcome) {
             (Some(reason), FailureOutcome::NotRun(_)) => {
                 AttemptEnd::Failed(CallerFailure::new(FailureOutcome::Unknown(reason)))
@@ -342,8 +345,8 @@
         self.request.objective.map_or(Duration::ZERO, |at| at.saturating_sub(self.state.now()))
     }
 
-    /// Returns the service rounds that the request may wait in the local failure domain before a
-    /// remote one is preferred.
+    /// Returns the number of service rounds that the request may wait for an upstream in the local
+    /// failure domain before an upstream in another failure domain is preferred.
     pub fn local_wait_rounds(&self) -> f64 {
         let far_megabyte_time = self.state.live().far_megabyte;
         self.request.service.local_wait_rounds(&self.request.route.name, far_megabyte_time)
@@ -377,9 +380,9 @@
     }
 
     /// Probes the load of the chosen upstream and of the other candidate of the choice, and returns
-    /// a choice of the better upstream. Returns `None` if each of the two would decline the request
-    /// or doesn't answer, and other upstreams can be tried.
-    async fn probe(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
+    /// a choice of the better upstream. Returns `None` if each of the two upstreams would decline
+    /// the request or doesn't answer, and other upstreams can be tried.
+    async fn probe_choice(&mut self, choice: UpstreamChoice) -> Option<UpstreamChoice> {
         if !self.is_probe_useful(&choice) {
             return Some(choice);
         }
@@ -416,19 +419,19 @@
         is_open_choice && !path.is_self && is_worthwhile && self.request.service.should_probe()
     }
 
-    /// Skips the upstreams that were probed, because each would decline the request or did not
-    /// answer its probe.
+    /// Skips the upstreams that were probed, because each of these upstreams would decline the
+    /// request or did not answer its probe.
     fn skip_probed(&mut self, probed: &[ProbedUpstream]) {
         self.decline_count += 1;
         for probed_upstream in probed {
             let is_full =
                 probed_upstream.load().is_some_and(|load| load.is_full() && !load.doubtful);
-            let list = if is_full { &mut self.full } else { &mut self.excluded };
-            list.push(probed_upstream.index);
+            let skip_list = if is_full { &mut self.full } else { &mut self.excluded };
+            skip_list.push(probed_upstream.index);
         }
     }
 
-    /// Refuses a request whose caller's key was revoked after the request was admitted. This is
+    /// Refuses a request whose caller's key was revoked after the request was admitted. The key is
     /// checked before each dispatch, so that a request that waited for a retry doesn't start under
     /// a revoked key.
     pub fn refuse_revoked_key(&self) -> Result<(), CallerFailure> {
@@ -437,12 +440,12 @@
         if is_same || caller.is_key_valid(&self.state.config.active()) {
             return Ok(());
         }
-        Err(caller.revoked())
+        Err(caller.revoked_key_failure())
     }
 
-    /// Refuses a request whose copies crash the servers that run them, unless this copy is sent as
-    /// a trial. This is checked before each dispatch, since another daemon may have reported a
-    /// crash after the last check.
+    /// Refuses a request whose copies crash the servers that run them, unless this request is sent
+    /// as a trial. The request is checked before each dispatch, since another daemon may have
+    /// reported a crash after the last check.
     pub fn refuse_suspect(&mut self) -> Result<(), CallerFailure> {
         if self.is_crash_trial || self.state.suspects.is_empty() {
             return Ok(());
@@ -463,7 +466,8 @@
     }
 
     /// Says whether the request may still be dispatched while the daemon shuts down. Before the
-    /// first dispatch the admission is checked again, because reading the body took time.
+    /// first dispatch, the admission of the request is checked again, because the daemon may have
+    /// begun to shut down while the body was read.
     pub fn may_dispatch(&self) -> bool {
         if self.dispatches + self.decline_count == 0 {
             return stop::admits_request(self.state, &self.request.trace.id);
@@ -491,14 +495,14 @@
 
     /// Says whether another upstream can be tried if the next upstream declines the request.
     pub fn is_passable(&self) -> bool {
-        let tried = [&self.excluded[..], &self.full].concat();
-        let others = self.request.service.with_view(|view| view.count_others(&tried));
-        self.decline_count < DECLINES_MAX && others > 1
+        let tried_indexes = [&self.excluded[..], &self.full].concat();
+        let other_count = self.request.service.with_view(|view| view.count_others(&tried_indexes));
+        self.decline_count < DECLINES_MAX && other_count > 1
     }
 
-    /// Records that an upstream declined the request because its circuit breaker is open or because
-    /// it is full or draining. Returns whether the upstream declined and another one may be tried.
-    /// A decline costs only a round trip, so it does not count as a dispatch.
+    /// Records that an upstream declined the request because the upstream is full or draining or
+    /// its circuit breaker is open. Returns whether the upstream declined and another upstream may
+    /// be tried. A decline costs only a round trip, so a decline does not count as a dispatch.
     fn has_declined(&mut self, index: usize, outcome: FailureOutcome) -> bool {
         let decline_reasons = [
             NotRunReason::Unhealthy,
@@ -507,8 +511,9 @@
             NotRunReason::Draining,
         ];
         let connect_failed = outcome == FailureOutcome::NotRun(NotRunReason::ConnectFailed);
-        // A host offers a slot before it knows whether its backend server accepts a connection. If
-        // the server refuses the connection, the offer was void and counts as a decline.
+        // A host offers a slot before the host knows whether its backend server accepts a
+        // connection. If the server refuses the connection, the offer was void and counts as a
+        // decline.
         let offer_was_void =
             connect_failed && self.state.live().waiting == WaitingMode::Reservations;
         let declined =
@@ -528,9 +533,9 @@
         true
     }
 
-    /// Says whether the request may be sent as a trial to an upstream that may fail it. A request
-    /// that fails as a trial must be retried, so neither a retry nor a request for which the retry
-    /// budget is exhausted is used as a trial.
+    /// Says whether the request may be sent as a trial to an upstream that may fail the request. A
+    /// request that fails as a trial must be retried, so neither a retry nor a request for which
+    /// the retry budget is exhausted is used as a trial.
     fn may_be_trial(&self) -> bool {
         self.is_repeatable()
             && self.server_attempts == 0
@@ -558,8 +563,8 @@
         self.request.service.take_retry(self.state)
     }
 
-    /// Says whether a request that may have run may be sent again. If it may, charges the retry
-    /// budget.
+    /// Says whether a request that may have run may be sent again. If the request may be sent
+    /// again, the retry budget is charged.
     fn may_retry(&self, body: &BodyReader) -> bool {
         self.is_repeatable()
             && body.is_done()
@@ -572,12 +577,12 @@
     }
 }
 
-/// Says whether the request reached a backend server, or may have.
+/// Says whether the request reached or may have reached a backend server.
 fn may_have_reached_server(outcome: FailureOutcome) -> bool {
     matches!(outcome, FailureOutcome::Unknown(_) | FailureOutcome::NotRun(NotRunReason::Shed))
 }
 
-/// Says whether the backend server failed, rather than the path to it.
+/// Says whether the backend server failed, rather than the path to the server.
 fn failed_at_server(outcome: FailureOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/daemon/src/ingress/caller.rs
+++ b/crates/daemon/src/ingress/caller.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one caller's connection: its requests one after another, with the answers in the same
-//! order.
+//! Serves the connections of callers: the requests on a connection are served one after another,
+//! and answered in the same order.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, SocketAddr};
@@ -29,8 +29,8 @@
 use crate::state::DaemonState;
 use crate::stop;
 
-/// Longest time that a caller may take to accept what is written to it before its connection is
-/// closed.
+/// Longest time that a caller may take to accept the bytes of one write. After this time, the
+/// connection is closed.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// `AfterRequest` says what happens to the connection after a request.
@@ -56,8 +56,8 @@
         let open_count = open_count.clone();
         let callers = callers.clone();
         async move {
-            match callers.enter(from.ip(), state.options.connections_each) {
-                Some(_guard) => serve(&state, stream, from).await,
+            match callers.count_connection(from.ip(), state.options.connections_each) {
+                Some(_caller_guard) => serve(&state, stream, from).await,
                 None => log_refused_connection(from.ip(), state.options.connections_each),
             }
             metrics::CALLER_CONNECTIONS.set(open_count.get() as i64 - 1);
@@ -77,14 +77,18 @@
     counts: RefCell<FnvHashMap<IpAddr, usize>>,
 }
 
-/// `CallerGuard` counts one connection for as long as it lives.
+/// `CallerGuard` counts one connection of a caller's address until the guard is dropped.
 struct CallerGuard {
     callers: Rc<CallerCounts>,
     address: IpAddr,
 }
 
 impl CallerCounts {
-    fn enter(self: &Rc<Self>, address: IpAddr, connections_max: usize) -> Option<CallerGuard> {
+    fn count_connection(
+        self: &Rc<Self>,
+        address: IpAddr,
+        connections_max: usize,
+    ) -> Option<CallerGuard> {
         let mut counts = self.counts.borrow_mut();
         let count = counts.entry(address).or_default();
         if *count >= connections_max {
@@ -117,14 +121,15 @@
                 if let Some(failure) = CallerFailure::unreadable(&error) {
                     metrics::count_failure(failure.outcome);
                     trace::log_rejected(state, "", &failure);
-                    refuse(&mut stream, &failure).await;
+                    send_refusal(&mut stream, &failure).await;
                 }
                 return;
             }
         };
         let id = request::id_of(state, &head);
         // Refused requests aren't counted: callers that keep retrying would delay the shutdown.
-        let counted = stop::admits_request(state, &id).then(|| state.stop.count_in_flight());
+        let in_flight_guard =
+            stop::admits_request(state, &id).then(|| state.stop.count_in_flight());
         metrics::REQUESTS.add_one();
         metrics::IN_FLIGHT.add(1);
         // The future is boxed, so that an idle connection does not hold memory for a request's
@@ -136,7 +141,7 @@
             AfterRequest::Close => {
                 // The request is complete: a caller that keeps its connection open must not delay a
                 // shutdown.
-                drop(counted);
+                drop(in_flight_guard);
                 let _lingering = state.stop.count_lingering();
                 return stream.linger().await;
             }
@@ -148,10 +153,10 @@
     }
 }
 
-/// Reads the head of the next request. Returns `None` if the connection has ended, or if it is idle
-/// when the daemon is about to exit. A daemon that shuts down keeps reading until it is about to
-/// exit, because callers discover the shutdown only after some time, and a refusal shows them that
-/// the request did not run.
+/// Reads the head of the next request. Returns `None` if the connection has ended, or if the
+/// connection is idle when the daemon is about to exit. A daemon that shuts down keeps reading
+/// until it is about to exit. Callers discover the shutdown only after some time, and a refusal
+/// shows a caller that its request did not run.
 async fn next_head(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
@@ -180,7 +185,7 @@
     }
 }
 
-async fn refuse(stream: &mut HttpStream, failure: &CallerFailure) {
+async fn send_refusal(stream: &mut HttpStream, failure: &CallerFailure) {
     let mut buffer = BytesMut::new();
     failure.put(&mut buffer, &Method::GET, true);
     let writing = writer::flush(&mut stream.writer, &mut buffer);
--- a/crates/daemon/src/ingress/evidence.rs
+++ b/crates/daemon/src/ingress/evidence.rs
@@ -10,7 +10,8 @@
 use crate::ingress::dispatch::LiveExchange;
 
 impl RequestAttempts<'_> {
-    /// Says whether the request recently failed at every upstream to which it was sent.
+    /// Says whether requests with the same method and target recently failed at every upstream to
+    /// which they were sent.
     pub fn fails_everywhere(&self) -> bool {
         let request = self.request;
         request.service.forbids_retry(request.method.as_str(), &request.target, self.state.now())
@@ -36,8 +37,8 @@
         request.service.note_bytes(&request.route.name, bytes);
     }
 
-    /// Records the report of an upstream's daemon; `failed` says whether the request failed there,
-    /// if it ran.
+    /// Records the load report of an upstream's daemon. If the request ran at the upstream,
+    /// `failed` says whether the request failed.
     pub fn note_report(&self, index: usize, report: &LoadReport, failed: Option<bool>) {
         let route = &self.request.route.name;
         let now = self.state.now();
@@ -46,7 +47,7 @@
 
     /// Records how the request ended at an upstream, to detect requests that fail at every
     /// upstream.
-    pub fn note_end(&self, index: usize, live: &LiveExchange, failed: bool) {
+    pub fn note_attempt_result(&self, index: usize, live: &LiveExchange, failed: bool) {
         let request = self.request;
         let method = request.method.as_str();
         let now = self.state.now();
@@ -55,31 +56,32 @@
             return;
         }
         let target = &request.target;
-        let counted = request.service.note_failure(method, target, index, live.is_evidence, now);
+        let counted_failures =
+            request.service.note_failure(method, target, index, live.is_evidence, now);
         let upstreams = &request.service.entry.upstreams;
-        for failures in counted {
+        for failures in counted_failures {
             // An upstream that was removed since its failure has no failure to withdraw.
             let index = upstreams.iter().position(|each| each.name == failures.upstream);
             for index in index.into_iter().cycle().take(failures.count as usize) {
-                self.withdraw_at(index);
+                self.withdraw_failure_at(index);
             }
         }
     }
 
     /// Withdraws the failure of the first attempt: the same request failed at a second upstream, so
     /// the request is at fault rather than the servers.
-    pub fn withdraw(&self) {
+    pub fn withdraw_first_failure(&self) {
         let index = match self.failed_at {
             Some(index) => index,
             None => return,
         };
-        self.withdraw_at(index);
+        self.withdraw_failure_at(index);
         let request = self.request;
         request.service.note_withdrawn(request.method.as_str(), &request.target, index);
     }
 
-    /// Withdraws a failure at an upstream.
-    pub fn withdraw_at(&self, index: usize) {
+    /// Withdraws a failure of the request that was recorded at an upstream.
+    pub fn withdraw_failure_at(&self, index: usize) {
         let upstream = &self.request.service.entry.upstreams[index].name;
         let path = self.request.service.path(index);
         if path.is_self {
--- a/crates/daemon/src/ingress/failure.rs
+++ b/crates/daemon/src/ingress/failure.rs
@@ -12,10 +12,11 @@
 use bytes::BytesMut;
 use http::{header, Method, StatusCode};
 
-/// Shortest wait in a `Retry-After`, which has whole seconds (RFC 9110).
+/// Shortest wait in a `Retry-After` field, whose value is in whole seconds (RFC 9110).
 const RETRY_AFTER_MIN_SECONDS: u64 = 1;
 
-/// Challenge sent with status 401 to a caller without a known key; RFC 9110 requires one.
+/// Challenge sent with status 401 to a caller without a known key; RFC 9110 requires a challenge
+/// with this status.
 const AUTH_CHALLENGE: &str = "ApiKey";
 
 /// `CallerFailure` is the reply that a caller gets in place of an answer.
@@ -29,12 +30,12 @@
     pub retry_after: Option<Duration>,
     /// Human-readable message.
     pub message: String,
-    /// Methods that are accepted, if the request's method is not one of them.
+    /// Methods that the route serves, if the request was refused for its method.
     pub allow: Option<String>,
 }
 
 impl CallerFailure {
-    /// Builds the failure of an exchange with this outcome.
+    /// Builds the reply for an exchange that ended with `outcome`.
     pub fn new(outcome: FailureOutcome) -> Self {
         Self {
             status: status_of(outcome),
@@ -45,24 +46,24 @@
         }
     }
 
-    /// Builds the failure of a request that was not run.
+    /// Builds the reply for a request that was not run.
     pub fn not_run(reason: NotRunReason) -> Self {
         Self::new(FailureOutcome::NotRun(reason))
     }
 
-    /// Builds the failure of an invalid request.
+    /// Builds the reply for an invalid request.
     pub fn bad_request(status: StatusCode, message: impl ToString) -> Self {
         Self { status, message: message.to_string(), ..Self::not_run(NotRunReason::BadRequest) }
     }
 
-    /// Builds the failure of a request that can't be parsed, if the caller can still be sent a
-    /// reply.
+    /// Builds the reply for a request that can't be parsed, if a reply can still be sent to the
+    /// caller.
     pub fn unreadable(error: &HttpError) -> Option<Self> {
         let status = error.status()?;
         Some(Self::bad_request(status, error))
     }
 
-    /// Writes the whole reply.
+    /// Writes the whole reply to `buffer`. The reply to a `HEAD` request has no body.
     pub fn put(&self, buffer: &mut BytesMut, method: &Method, close: bool) {
         let body = format!("{}\n", self.message);
         writer::put_status_line(buffer, self.status);
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Serves one request of a caller: checks, limits, body, attempts, answer.
+//! Serves one request of a caller: checks the request against the configuration and the limits,
+//! reads the start of the body, makes the attempts and relays the answer.
 
 use std::cell::OnceCell;
 use std::future;
@@ -39,8 +40,9 @@
 use crate::stop;
 use crate::wire;
 
-/// Bytes of a body that are read before the request is dispatched, and kept for a retry. Shorter
-/// bodies are sent in the first frame, and a slow caller holds no slot while it sends such a body.
+/// Number of bytes of a body that are read before the request is dispatched, and kept for a retry.
+/// A shorter body is sent in the first frame, and a slow caller holds no slot while sending a
+/// shorter body.
 pub const PREFIX_BYTES: usize = 64 * units::KIB;
 /// Largest length of a request's id in the logs, in characters; the rest is cut off.
 const REQUEST_ID_MAX: usize = 128;
@@ -49,35 +51,36 @@
 
 /// `CallerRequest` is a request that passed its checks.
 pub struct CallerRequest {
-    /// Its route.
+    /// Route of the request.
     pub route: Rc<RouteEntry>,
-    /// Its service.
+    /// Service of the request.
     pub service: Rc<ServiceState>,
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Its target in origin form.
+    /// Target of the request in origin form.
     pub target: String,
-    /// Its HTTP version.
+    /// HTTP version of the request.
     pub version: Version,
-    /// Its header fields as the backend server gets them.
+    /// Header fields of the request, as the backend server gets them.
     pub field_lines: Vec<u8>,
-    /// Its caller.
+    /// Caller of the request.
     pub caller: CallerIdentity,
     /// Revision of the configuration under which the request was admitted.
     pub revision: FleetRevision,
     /// Idempotency key of an at-most-once request.
     pub once_key: Option<String>,
-    /// Time by which it must be answered.
+    /// Time by which the request must be answered.
     pub deadline: Duration,
-    /// Time after which an answer misses the route's latency objective, if the route declares one.
+    /// Time after which an answer misses the route's latency objective, if the route declares an
+    /// objective.
     pub objective: Option<Duration>,
-    /// How its body is framed.
+    /// Framing of the request's body.
     pub framing: BodyFraming,
-    /// Start of its body.
+    /// Start of the request's body, as read before the first dispatch.
     pub prefix: Bytes,
     /// Whether the connection is closed after the request.
     pub close: bool,
-    /// Its trace.
+    /// Trace of the request for the logs.
     pub trace: RequestTrace,
     fingerprint: OnceCell<RequestFingerprint>,
 }
@@ -98,25 +101,26 @@
         }
     }
 
-    /// Returns its class: the class of its organisation overrides that of its route.
+    /// Returns the class of the request: the class of its organisation overrides the class of its
+    /// route.
     pub fn class(&self) -> WorkClass {
         self.caller.class.unwrap_or(self.route.rule.criticality)
     }
 
-    /// Says whether its whole body was read before it is dispatched.
+    /// Says whether the whole body was read before the request is dispatched.
     pub fn has_whole_body(&self) -> bool {
         self.prefix.len() < PREFIX_BYTES
     }
 
-    /// Returns its crash tally; `None` if nothing counts against the request.
+    /// Returns the crash tally of the request; `None` if the tally is empty.
     pub fn tally(&self, state: &DaemonState) -> Option<CrashTally> {
         let has_suspects = !state.suspects.is_empty();
         let tally = has_suspects.then(|| state.suspects.tally(&self.fingerprint(state)));
         tally.filter(|tally| *tally != CrashTally::default())
     }
 
-    /// Returns its fingerprint, which identical requests share and no other request has. The prefix
-    /// of its body must have been read.
+    /// Returns the fingerprint of the request, which identical requests share and no other request
+    /// has. The prefix of the body must have been read.
     pub fn fingerprint(&self, state: &DaemonState) -> RequestFingerprint {
         *self.fingerprint.get_or_init(|| {
             let parts = RequestParts {
@@ -134,7 +138,7 @@
     }
 }
 
-/// Serves one request.
+/// Serves one request of a caller and returns what happens to the connection after the request.
 pub async fn serve(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
@@ -158,7 +162,7 @@
             trace::log_rejected(state, id, &failure);
             // An unread body would be parsed as the next request.
             let close = close || framing != BodyFraming::Empty;
-            return refuse(stream, &method, &failure, close).await;
+            return send_refusal(stream, &method, &failure, close).await;
         }
     };
     let mut body = BodyReader::new(framing, state.body_limits());
@@ -169,7 +173,7 @@
         }
     }
     let time_left = request.deadline.saturating_sub(state.now());
-    match read_open_prefix(state, stream, &mut body, id, time_left).await {
+    match read_prefix_until_stop(state, stream, &mut body, id, time_left).await {
         Ok(prefix) => request.prefix = prefix,
         Err(PrefixFault::Unreadable(error)) => {
             return refuse_unreadable(state, stream, &method, id, &error).await;
@@ -177,7 +181,7 @@
         Err(PrefixFault::Refused) => {
             let failure = CallerFailure::not_run(NotRunReason::Draining);
             trace::log_rejected(state, id, &failure);
-            return refuse(stream, &method, &failure, true).await;
+            return send_refusal(stream, &method, &failure, true).await;
         }
     }
     trace::log_received(state, &request);
@@ -185,13 +189,13 @@
         let message = "an at-most-once request with a key may have a body of at most 65536 bytes";
         let failure = CallerFailure::bad_request(StatusCode::PAYLOAD_TOO_LARGE, message);
         trace::log_rejected(state, id, &failure);
-        return refuse(stream, &method, &failure, true).await;
+        return send_refusal(stream, &method, &failure, true).await;
     }
-    finish(state, stream, &request, &mut body).await
+    run_and_reply(state, stream, &request, &mut body).await
 }
 
 /// Runs the attempts at an admitted request and replies to its caller.
-async fn finish(
+async fn run_and_reply(
     state: &Rc<DaemonState>,
     stream: &mut HttpStream,
     request: &CallerRequest,
@@ -209,9 +213,9 @@
         }
     };
     let record = |outcome: &str| {
-        let took = state.now().saturating_sub(began);
+        let elapsed_time = state.now().saturating_sub(began);
         let service = &request.service.entry.name;
-        state.route_labels.record(&request.route.name, service, outcome, took);
+        state.route_labels.record(&request.route.name, service, outcome, elapsed_time);
     };
     match attempt::run(state, stream, request, body).await {
         AttemptEnd::Answer(mut exchange, head) => {
@@ -234,7 +238,7 @@
             trace::log_failed(state, request, &failure);
             record(failure.outcome.header_value());
             let close = request.close || !body.is_done();
-            refuse(stream, &request.method, &failure, close).await
+            send_refusal(stream, &request.method, &failure, close).await
         }
         AttemptEnd::CallerGone => {
             trace::log_caller_gone(state, request);
@@ -254,13 +258,13 @@
     match CallerFailure::unreadable(error) {
         Some(failure) => {
             trace::log_rejected(state, id, &failure);
-            refuse(stream, method, &failure, true).await
+            send_refusal(stream, method, &failure, true).await
         }
         None => AfterRequest::Abort,
     }
 }
 
-async fn refuse(
+async fn send_refusal(
     stream: &mut HttpStream,
     method: &Method,
     failure: &CallerFailure,
@@ -289,7 +293,7 @@
 /// Reads the body until its end or [`PREFIX_BYTES`], unless the daemon shuts down and no longer
 /// admits the request: a body that doesn't arrive would delay the shutdown until the end of the
 /// longest drain.
-async fn read_open_prefix(
+async fn read_prefix_until_stop(
     state: &DaemonState,
     stream: &mut HttpStream,
     body: &mut BodyReader,
@@ -297,7 +301,7 @@
     time_left: Duration,
 ) -> Result<Bytes, PrefixFault> {
     let mut reading = std::pin::pin!(read_prefix(stream, body, time_left).fuse());
-    let mut stopping = std::pin::pin!(refused_by_stop(state, id).fuse());
+    let mut stopping = std::pin::pin!(wait_until_stop_refuses(state, id).fuse());
     select_biased! {
         read = reading => read.map_err(PrefixFault::Unreadable),
         () = stopping => Err(PrefixFault::Refused),
@@ -305,7 +309,7 @@
 }
 
 /// Waits until the daemon shuts down and no longer admits this request.
-async fn refused_by_stop(state: &DaemonState, id: &str) {
+async fn wait_until_stop_refuses(state: &DaemonState, id: &str) {
     state.stop.closing.raised().await;
     if stop::admits_request(state, id) {
         future::pending().await
@@ -374,7 +378,7 @@
     let objective = route.rule.objective_ms;
     let objective = (objective > 0).then(|| now + Duration::from_millis(objective.into()));
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
-    forward_fields(state, &mut head, &host, from);
+    prepare_backend_fields(state, &mut head, &host, from);
     set_organisation(state, &mut head.headers, caller.organisation.as_deref());
     Ok(CallerRequest {
         route,
@@ -396,7 +400,7 @@
     })
 }
 
-/// Returns the id that identifies a request in the logs: the one that the caller sent, else one
+/// Returns the id that identifies a request in the logs: the id that the caller sent, else an id
 /// that this daemon assigns.
 pub fn id_of(state: &DaemonState, head: &request::Parts) -> String {
     let default_name = fields::REQUEST_ID;
@@ -404,8 +408,8 @@
     match head.headers.get(name).and_then(|value| value.to_str().ok()) {
         Some(id) => id.chars().take(REQUEST_ID_MAX).collect(),
         None => {
-            let number = state.requests.replace(state.requests.get() + 1);
-            format!("{}-{:x}-{number}", state.options.host, state.identity.incarnation)
+            let request_number = state.requests.replace(state.requests.get() + 1);
+            format!("{}-{:x}-{request_number}", state.options.host, state.identity.incarnation)
         }
     }
 }
@@ -430,7 +434,8 @@
     }
 }
 
-/// Returns the timeout of a request: the route's, or a shorter one that the caller asks for.
+/// Returns the timeout of a request: the timeout of the route, or a shorter timeout that the caller
+/// asks for.
 fn caller_timeout(
     state: &DaemonState,
     route: &RouteEntry,
@@ -442,8 +447,8 @@
         Some(value) => value,
         None => return Ok(route_timeout),
     };
-    let requested = value.to_str().ok().and_then(|text| text.parse().ok());
-    match requested {
+    let requested_millis = value.to_str().ok().and_then(|text| text.parse().ok());
+    match requested_millis {
         Some(millis) => Ok(route_timeout.min(Duration::from_millis(millis))),
         None => {
             let message = format!("{name} must be a number of milliseconds");
@@ -463,9 +468,14 @@
     }
 }
 
-/// Removes the fields that are not meant for the backend server, and adds those that say where the
-/// request came from.
-fn forward_fields(state: &DaemonState, head: &mut request::Parts, host: &str, from: SocketAddr) {
+/// Removes the fields that are not meant for the backend server, and adds the fields that say where
+/// the request came from.
+fn prepare_backend_fields(
+    state: &DaemonState,
+    head: &mut request::Parts,
+    host: &str,
+    from: SocketAddr,
+) {
     let headers = &mut head.headers;
     fields::remove_hop_fields(headers);
     headers.remove(&state.fields.deadline);
@@ -488,16 +498,17 @@
         return;
     }
     let address = from.ip().to_string();
-    let chain = match headers.get(fields::FORWARDED_FOR).and_then(|value| value.to_str().ok()) {
-        Some(earlier_addresses) => format!("{earlier_addresses}, {address}"),
-        None => address,
-    };
-    let mut set = |name, value: &str| {
+    let address_chain =
+        match headers.get(fields::FORWARDED_FOR).and_then(|value| value.to_str().ok()) {
+            Some(earlier_addresses) => format!("{earlier_addresses}, {address}"),
+            None => address,
+        };
+    let mut set_field = |name, value: &str| {
         if let Ok(value) = HeaderValue::from_str(value) {
             headers.insert(name, value);
         }
     };
-    set(fields::FORWARDED_FOR, &chain);
-    set(fields::FORWARDED_PROTO, "http");
-    set(fields::FORWARDED_HOST, host);
+    set_field(fields::FORWARDED_FOR, &address_chain);
+    set_field(fields::FORWARDED_PROTO, "http");
+    set_field(fields::FORWARDED_HOST, host);
 }
--- a/crates/daemon/src/ingress/reservations.rs
+++ b/crates/daemon/src/ingress/reservations.rs
@@ -4,8 +4,9 @@
 //! Lets a request that finds no free slot wait at its ingress, with reservations for the slots of
 //! several hosts.
 //!
-//! The request itself is sent only to a host that has offered it a slot. Until then it has
-//! certainly not run, even if hosts that hold a reservation fail.
+//! The request is sent only to a host that has offered a slot for the request. While the request
+//! waits for an offer, it has certainly not run, even if hosts that hold one of its reservations
+//! fail.
 
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -35,7 +36,7 @@
 use crate::links;
 
 /// Share of the time until the deadline that a request may wait for a slot. A caller that is
-/// refused at the end of the wait still has time to retry, at this ingress or at another.
+/// refused at the end of the wait still has time to retry, at this ingress or at another ingress.
 const WAIT_SHARE_MAX: f64 = 0.6;
 /// Number of links that a request without any reservation tries to establish, one after the other,
 /// before the request is dispatched without a reservation.
@@ -46,9 +47,9 @@
 
 /// `SlotEnd` is how the wait for a slot ended.
 pub enum SlotEnd {
-    /// A host offered a slot, and the request was sent there.
+    /// A host offered a slot, and the request was sent to that host.
     Sent(UpstreamChoice, LiveExchange),
-    /// No host accepts a reservation; the request may still be dispatched without one.
+    /// No host accepts a reservation; the request may still be dispatched without a reservation.
     NoReservation,
     /// No host offered a slot.
     Failed(CallerFailure),
@@ -60,7 +61,8 @@
 enum WaitStep {
     /// A host offered a slot, or refused or ended its reservation.
     Reply(HeldReservation<OutboundExchange>, ReservationReply<ExchangeFailure>),
-    /// No host has offered a slot for a while, so one more reservation is due.
+    /// No host has offered a slot for a while, so the request holds one more reservation from now
+    /// on.
     Widen,
     /// The request may not wait any longer.
     GiveUp(NotRunReason),
@@ -70,10 +72,10 @@
 
 impl RequestAttempts<'_> {
     /// Says whether the request waits for a slot with reservations rather than being dispatched at
-    /// once: all healthy upstreams are full, or one has just reported that it is full. Once no host
-    /// accepts a reservation, the request is dispatched to one of the remaining upstreams. A
-    /// request that needs a row in the ledger is dispatched at once, because that row is written
-    /// before the request takes a slot.
+    /// once. The request waits if all healthy upstreams are full, or if an upstream has just
+    /// declined the request because that upstream is full. Once no host accepts a reservation, the
+    /// request is dispatched to one of the remaining upstreams. A request that needs a row in the
+    /// ledger is dispatched at once, because that row is written before the request takes a slot.
     pub fn needs_reservation(&self, choice: &UpstreamChoice) -> bool {
         let uses_reservations = self.state.live().waiting == WaitingMode::Reservations;
         let has_no_free_slot = matches!(choice.ground, ChoiceGround::Waiting | ChoiceGround::Any);
@@ -81,7 +83,7 @@
         uses_reservations && may_wait && (has_no_free_slot || !self.full.is_empty())
     }
 
-    /// Waits until a host offers the request a slot, and sends it there.
+    /// Waits until a host offers a slot for the request, and sends the request to that host.
     pub async fn wait_for_slot(&mut self, stream: &mut HttpStream, body_is_done: bool) -> SlotEnd {
         let began = self.state.now();
         let mut set = ReservationSet::new(ReservationPlan::default());
@@ -108,7 +110,7 @@
         metrics::RESERVATION_WAIT_SECONDS.record_as(waited, [("result", result)]);
         let attempt = self.request.trace.attempts.get() as usize + 1;
         let hosts_asked = set.tries();
-        trace::note(
+        trace::note_step(
             self.state,
             self.request,
             TraceStep::Awaited { attempt, began, hosts_asked, failure },
@@ -129,10 +131,10 @@
         let mut full = Vec::new();
         let mut unhealthy = Vec::new();
         loop {
-            let unlinked = self.request_reservations(set, &[&full[..], &unhealthy].concat());
+            let unlinked_index = self.request_reservations(set, &[&full[..], &unhealthy].concat());
             if set.is_empty() {
                 // Right after the daemon's start no host is linked yet.
-                let Some(index) = unlinked.filter(|_| links_tried < LINKS_MAX) else {
+                let Some(index) = unlinked_index.filter(|_| links_tried < LINKS_MAX) else {
                     // Hosts that refused a reservation because they are full would not queue the
                     // request itself either.
                     self.excluded.append(&mut full);
@@ -157,11 +159,12 @@
                     let index = reservation.index;
                     let reason = self.note_refused(reservation, &failure);
                     match reason {
-                        // A host with such a refusal is not excluded: if another host offers a
-                        // slot and the request fails there, the refusing host may have room.
+                        // A full host is not excluded: if another host offers a slot and the
+                        // request fails at that other host, the full host may have room by that
+                        // time.
                         NotRunReason::QueueFull | NotRunReason::Unproven => full.push(index),
-                        // An unhealthy host is not excluded either: the request itself is still
-                        // sent to it when no other upstream remains.
+                        // An unhealthy host is not excluded, because the request is still sent to
+                        // an unhealthy host when no other upstream remains.
                         NotRunReason::Unhealthy => unhealthy.push(index),
                         _ => self.excluded.push(index),
                     }
@@ -187,29 +190,29 @@
         linked.is_some()
     }
 
-    /// Requests the missing reservations, at linked hosts that are not in `full`. Links to the
-    /// other hosts that were drawn are established in the background. Returns an upstream that was
-    /// drawn but is not linked yet, if there is one.
+    /// Requests the missing reservations, at linked hosts that are not in `full`. Links to drawn
+    /// hosts that are not linked yet are established in the background. Returns the index of an
+    /// upstream that was drawn but is not linked yet, if there is such an upstream.
     fn request_reservations(
         &mut self,
         set: &mut ReservationSet<OutboundExchange>,
         full: &[usize],
     ) -> Option<usize> {
-        let held: Vec<usize> = set.indexes().collect();
+        let held_indexes: Vec<usize> = set.indexes().collect();
         let missing = set.missing();
-        let mut unlinked = None;
+        let mut unlinked_index = None;
         if missing == 0 {
             return None;
         }
-        let unavailable = [&held[..], &self.excluded, full].concat();
-        let fits = |index: usize| !unavailable.contains(&index);
+        let unavailable = [&held_indexes[..], &self.excluded, full].concat();
+        let is_available = |index: usize| !unavailable.contains(&index);
         let service = self.request.service.clone();
         let request = ReservationRequest {
             count: missing,
             repeatable: self.is_repeatable(),
             local_wait_rounds: self.local_wait_rounds(),
         };
-        for index in service.draw_reservations(self.state.now(), &request, fits) {
+        for index in service.draw_reservations(self.state.now(), &request, is_available) {
             match self.reservation_link(index) {
                 ReservationLink::Local => {
                     let head = self.reservation_head(index);
@@ -222,13 +225,13 @@
                 }
                 ReservationLink::Unsupported => continue,
                 ReservationLink::Missing => {
-                    unlinked = Some(index);
+                    unlinked_index = Some(index);
                     continue;
                 }
             }
             metrics::RESERVATIONS.add_one();
         }
-        unlinked
+        unlinked_index
     }
 
     /// Returns how a reservation is requested at an upstream. A missing link is established in the
@@ -254,9 +257,9 @@
         }
     }
 
-    /// Builds the head that requests a reservation. It leaves out what is needed only to run the
-    /// request, such as the body, because most reservations are released unused and traffic between
-    /// failure domains is expensive.
+    /// Builds the head that requests a reservation. The head leaves out what is needed only to run
+    /// the request, such as the body, because most reservations are released unused and traffic
+    /// between failure domains is expensive.
     fn reservation_head(&self, index: usize) -> DispatchHead {
         let now = self.state.now();
         let choice = self.request.service.with_view(|view| view.offered_choice(index, now));
@@ -292,7 +295,7 @@
         let widen_every = ReservationPlan::default().widen_every;
         let mut widen = std::pin::pin!(monoio::time::sleep(widen_every).fuse());
         let mut stopping = std::pin::pin!(self.state.stop.giving_up.raised().fuse());
-        let mut disconnected = std::pin::pin!(waiting::caller_gone(stream).fuse());
+        let mut disconnected = std::pin::pin!(waiting::wait_until_caller_gone(stream).fuse());
         select_biased! {
             (reservation, reply) = reply => WaitStep::Reply(reservation, reply),
             () = stopping => WaitStep::GiveUp(NotRunReason::Draining),
@@ -323,8 +326,8 @@
         reason
     }
 
-    /// Sends the request to the host that offered it a slot, if it may still be sent. While the
-    /// request waited, the daemon may have begun to shut down, the caller's key may have been
+    /// Sends the request to the host that offered a slot, if the request may still be sent. While
+    /// the request waited, the daemon may have begun to shut down, the caller's key may have been
     /// revoked, or copies of the request may have crashed servers.
     fn send_offered(
         &mut self,
@@ -356,7 +359,7 @@
             path: self.path_to_watch(path, body_is_done),
             hedging_delay: self.hedging_delay(&baseline, 0.0),
             is_evidence: !self.exempts_failure(),
-            sent: service.count_sent(index),
+            sent_guard: service.count_sent(index),
         };
         SlotEnd::Sent(choice, live)
     }
--- a/crates/daemon/src/ingress/target.rs
+++ b/crates/daemon/src/ingress/target.rs
@@ -17,27 +17,27 @@
 
 /// `RequestTarget` is the route and the caller of a request.
 pub struct RequestTarget {
-    /// Its route.
+    /// Route of the request.
     pub route: Rc<RouteEntry>,
-    /// Its caller.
+    /// Caller of the request.
     pub caller: CallerIdentity,
 }
 
-/// `TargetQuery` is what the route and the caller of a request are resolved from.
+/// `TargetQuery` holds the parts of a request from which its route and its caller are resolved.
 pub struct TargetQuery<'a> {
     /// Head of the request.
     pub head: &'a request::Parts,
     /// Host name that the request is addressed to.
     pub host: &'a str,
-    /// Id of the request, which shows a nested call made by a request that runs on this host. Such
-    /// a call needs no key.
+    /// Id of the request. The id of a nested call names the parent request. A nested call whose
+    /// parent request runs on this host needs no key.
     pub id: &'a str,
 }
 
 /// Resolves the route and the caller of a request. A refusal says that something is not configured,
-/// and callers treat that as permanent. A request is therefore refused only if the configuration is
-/// confirmed to be the newest. Without this rule, a daemon that had received no changes for 5.6 s
-/// refused requests for a route that had been added in that time.
+/// and callers treat such a refusal as permanent. A request is therefore refused only if the
+/// configuration is confirmed to be the newest. Without this rule, a daemon that had received no
+/// changes for 5.6 s refused requests for a route that had been added in that time.
 pub async fn resolve(
     state: &Rc<DaemonState>,
     query: &TargetQuery<'_>,
@@ -93,10 +93,11 @@
     }
 }
 
-/// Returns the host name that a request is addressed to: the one in an absolute target, else the
-/// one in the `Host` field.
+/// Returns the host name that a request is addressed to: the host name in an absolute target, else
+/// the host name in the `Host` field.
 pub fn caller_host(head: &request::Parts) -> Result<String, CallerFailure> {
-    let bad = |message: &str| CallerFailure::bad_request(StatusCode::BAD_REQUEST, message);
+    let bad_request_failure =
+        |message: &str| CallerFailure::bad_request(StatusCode::BAD_REQUEST, message);
     if head.method == Method::CONNECT {
         let message = "the method CONNECT is not supported";
         return Err(CallerFailure::bad_request(StatusCode::NOT_IMPLEMENTED, message));
@@ -104,18 +105,18 @@
     let mut hosts = head.headers.get_all(header::HOST).iter();
     let field = hosts.next();
     if hosts.next().is_some() {
-        return Err(bad("the request has more than one Host field"));
+        return Err(bad_request_failure("the request has more than one Host field"));
     }
     if field.is_none() && head.version == Version::HTTP_11 {
-        return Err(bad("the request has no Host field"));
+        return Err(bad_request_failure("the request has no Host field"));
     }
     let absolute = head.uri.authority().map(|authority| authority.as_str());
     if absolute.is_some() && head.uri.scheme().is_none() {
-        return Err(bad("the request target is an authority without a path"));
+        return Err(bad_request_failure("the request target is an authority without a path"));
     }
     let field = match field.map(HeaderValue::to_str) {
         Some(Ok(text)) => Some(text),
-        Some(Err(_)) => return Err(bad("the Host field is not visible ASCII")),
+        Some(Err(_)) => return Err(bad_request_failure("the Host field is not visible ASCII")),
         None => None,
     };
     let host = absolute.or(field).unwrap_or_default();
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Traces one request at the ingress: the log lines of its steps.
+//! Traces requests at the ingress: logs or buffers the steps of each request.
 //!
 //! Up to a configured number of requests a second are logged in full: each line is written when its
 //! step happens, at the ingress and at the hosts that run the request. For the other requests, the
@@ -46,7 +46,7 @@
 
 impl LogBudget {
     /// Builds a budget of `requests` a second that are logged from their start, and `failures` a
-    /// second that are logged only because they fail.
+    /// second that are logged only because the requests fail.
     pub fn new(requests: u32, failures: u32) -> Self {
         let bucket = |rate: u32| {
             let rate = f64::from(rate);
@@ -60,32 +60,34 @@
         }
     }
 
-    /// Changes both rates, in requests a second.
+    /// Changes the rate of requests logged from their start, and the rate of logged failures, both
+    /// in requests a second.
     pub fn set(&self, requests: u32, failures: u32, now: Duration) {
         let (requests, failures) = (f64::from(requests), f64::from(failures));
         self.requests.borrow_mut().set_rate(requests, requests, now);
         self.failures.borrow_mut().set_rate(failures, failures, now);
     }
 
-    /// Says whether a new request is logged from its start; counts it as skipped otherwise.
+    /// Returns whether a new request is logged from its start; otherwise counts the request as
+    /// skipped.
     fn takes_request(&self, now: Duration) -> bool {
-        let takes = self.requests.borrow_mut().take(now);
-        if !takes {
+        let is_within_limit = self.requests.borrow_mut().take(now);
+        if !is_within_limit {
             self.skipped.set(self.skipped.get() + 1);
             metrics::REQUESTS_NOT_LOGGED.add_one();
         }
-        takes
+        is_within_limit
     }
 
-    /// Says whether a failed request that was not logged from its start is logged now; counts it as
-    /// skipped otherwise.
+    /// Returns whether a failed request that was not logged from its start is logged now; otherwise
+    /// counts the failure as skipped.
     pub fn takes_failure(&self, now: Duration) -> bool {
-        let takes = self.failures.borrow_mut().take(now);
-        if !takes {
+        let is_within_limit = self.failures.borrow_mut().take(now);
+        if !is_within_limit {
             self.skipped_failures.set(self.skipped_failures.get() + 1);
             metrics::FAILURES_NOT_LOGGED.add_one();
         }
-        takes
+        is_within_limit
     }
 
     /// Returns how many requests, and how many failures among them, were not logged since the last
@@ -124,15 +126,15 @@
 pub struct RequestTrace {
     /// Id of the request.
     pub id: String,
-    /// Whether its lines are written as they happen.
+    /// Whether the log line of each step is written when the step happens.
     pub is_logged: bool,
-    /// Number of attempts that were made, including those that were declined.
+    /// Number of attempts that were made, including declined attempts.
     pub attempts: Cell<u64>,
     began: Duration,
     steps: RefCell<Vec<TimedStep>>,
 }
 
-/// `TimedStep` is a step and when it happened.
+/// `TimedStep` is a step and the time at which the step happened, since the daemon's start.
 #[derive(Debug, Clone, Copy)]
 struct TimedStep {
     at: Duration,
@@ -157,7 +159,7 @@
         attempt: usize,
         /// Start of the wait, as time since the daemon's start.
         began: Duration,
-        /// Hosts that were asked for a reservation.
+        /// Number of hosts that were asked for a reservation.
         hosts_asked: usize,
         /// Why no host offered a slot, if none did.
         failure: Option<FailureOutcome>,
@@ -166,7 +168,7 @@
     Ended {
         /// Number of the attempt.
         attempt: usize,
-        /// Position of the upstream.
+        /// Position of the upstream in its service.
         index: usize,
         /// How the attempt ended.
         end: StepEnd,
@@ -184,7 +186,7 @@
 pub enum StepEnd {
     /// The attempt ended with the head of an answer of this status.
     Answered(u16),
-    /// The attempt is slow; it continues, and a hedge is sent beside it.
+    /// The attempt is slow. The attempt continues, and a hedge is sent beside the attempt.
     Hedged,
     /// The attempt ended without an answer.
     Failed(FailureOutcome),
@@ -225,8 +227,8 @@
 }
 
 impl StepEnd {
-    /// Returns the outcome and the status as they are logged.
-    fn texts(self) -> (&'static str, Option<u64>) {
+    /// Returns the outcome and the status of the attempt, in the form in which both are logged.
+    fn logged_outcome(self) -> (&'static str, Option<u64>) {
         match self {
             Self::Answered(status) => ("answered", Some(status.into())),
             Self::Hedged => ("late", None),
@@ -270,15 +272,15 @@
 
 fn write_received(state: &DaemonState, request: &CallerRequest) {
     let trace = &request.trace;
-    let until = |at: Duration| millis(at.saturating_sub(trace.began));
+    let millis_until = |at: Duration| millis(at.saturating_sub(trace.began));
     RequestReceived {
         request: &trace.id,
         method: request.method.as_str(),
         fingerprint: &request.fingerprint(state).to_string(),
         route: &request.route.name,
         service: &request.service.entry.name,
-        deadline_ms: until(request.deadline),
-        objective_ms: request.objective.map(until),
+        deadline_ms: millis_until(request.deadline),
+        objective_ms: request.objective.map(millis_until),
         revision: state.config.revision().0,
     }
     .log();
@@ -304,8 +306,8 @@
     .log();
 }
 
-/// Logs a step, or buffers it.
-pub fn note(state: &DaemonState, request: &CallerRequest, step: TraceStep) {
+/// Logs a step of a request, or buffers the step if the request is not logged from its start.
+pub fn note_step(state: &DaemonState, request: &CallerRequest, step: TraceStep) {
     let step = TimedStep { at: state.now(), step };
     if request.trace.is_logged {
         return write_step(request, &step);
@@ -331,7 +333,7 @@
         }
         .log(),
         TraceStep::Ended { attempt, index, end, began, load, next } => {
-            let (outcome, status) = end.texts();
+            let (outcome, status) = end.logged_outcome();
             AttemptEnded {
                 request: &request.trace.id,
                 at_ms: request.trace.at_ms(timed.at),
@@ -358,13 +360,13 @@
     passable: bool,
 ) {
     let upstreams = &request.service.entry.upstreams;
-    let chosen = &upstreams[choice.index];
+    let chosen_upstream = &upstreams[choice.index];
     UpstreamChosen {
         request: &request.trace.id,
         at_ms: request.trace.at_ms(at),
         attempt: attempt as u64,
-        upstream: &chosen.name,
-        host: &chosen.server.host,
+        upstream: &chosen_upstream.name,
+        host: &chosen_upstream.server.host,
         ground: choice.ground.name(),
         cost: choice.cost,
         rival: choice.rival.map(|rival| &*upstreams[rival.index].name),
@@ -381,7 +383,7 @@
 /// are logged first.
 pub fn log_answered(state: &DaemonState, request: &CallerRequest, status: u16) {
     let should_log = if wire::is_server_error(status) {
-        write_buffered(state, request)
+        write_buffered_steps(state, request)
     } else {
         request.trace.is_logged
     };
@@ -402,7 +404,7 @@
 
 /// Logs the buffered steps and that the caller got no answer from a backend server.
 pub fn log_failed(state: &DaemonState, request: &CallerRequest, failure: &CallerFailure) {
-    if !write_buffered(state, request) {
+    if !write_buffered_steps(state, request) {
         return;
     }
     let now = state.now();
@@ -443,7 +445,7 @@
 
 /// Logs that the caller disconnected.
 pub fn log_caller_gone(state: &DaemonState, request: &CallerRequest) {
-    if !write_buffered(state, request) {
+    if !write_buffered_steps(state, request) {
         return;
     }
     CallerGone {
@@ -457,7 +459,7 @@
 
 /// Logs that the answer was cut short on its way to the caller.
 pub fn log_cut(state: &DaemonState, request: &CallerRequest, error: &HttpError) {
-    if !write_buffered(state, request) {
+    if !write_buffered_steps(state, request) {
         return;
     }
     AnswerCut {
@@ -469,9 +471,9 @@
     .log();
 }
 
-/// Writes the buffered steps of a request that did not succeed; says whether its end is to be
-/// logged too.
-fn write_buffered(state: &DaemonState, request: &CallerRequest) -> bool {
+/// Writes the buffered steps of a request that did not succeed; returns whether the end of the
+/// request is to be logged too.
+fn write_buffered_steps(state: &DaemonState, request: &CallerRequest) -> bool {
     if request.trace.is_logged {
         return true;
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -20,7 +20,7 @@
 use crate::writer;
 
 /// Maximum number of idle connections in the pool.
-const IDLE_MAX: usize = 8;
+const IDLE_CONNECTIONS_MAX: usize = 8;
 
 /// `ClientReply` is a reply with its complete body.
 #[derive(Debug)]
@@ -67,7 +67,8 @@
         self.address
     }
 
-    /// Closes the idle connections: after one was found dead, the others are likely to be dead too.
+    /// Closes the idle connections. After one connection was found dead, the idle connections to
+    /// the same address are likely to be dead too.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
@@ -103,7 +104,7 @@
         send(&mut stream, &method, target, &headers, body).await?;
         let (reply, close) = receive(&mut stream, &method, self.limits).await?;
         let mut idle = self.idle.borrow_mut();
-        if !close && idle.len() < IDLE_MAX {
+        if !close && idle.len() < IDLE_CONNECTIONS_MAX {
             idle.push(stream);
         }
         Ok(reply)
@@ -120,8 +121,8 @@
 
     async fn take_or_connect(&self) -> Result<HttpStream, HttpError> {
         loop {
-            let pooled = self.idle.borrow_mut().pop();
-            let mut stream = match pooled {
+            let idle_stream = self.idle.borrow_mut().pop();
+            let mut stream = match idle_stream {
                 Some(stream) => stream,
                 None => return self.connect().await,
             };
@@ -155,7 +156,7 @@
     writer::send_piece(&mut stream.writer, &mut buffer, framing, body, true).await
 }
 
-/// Reads a reply with its complete body. Also returns whether the connection ends after it.
+/// Reads a reply with its complete body. Also returns whether the connection ends after the reply.
 pub async fn receive(
     stream: &mut HttpStream,
     method: &Method,
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -18,7 +18,7 @@
 use crate::errors::{self, HttpError};
 use crate::reader::{ByteReader, HEAD_READ_BYTES};
 
-/// Delay before the next accept after one failed, for instance for lack of file descriptors.
+/// Delay between a failed accept, for instance for lack of file descriptors, and the next accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// `HttpStream` is a connection split into its read and write halves.
@@ -89,19 +89,19 @@
             Ok(result) => result.map_err(errors::broken)?,
             Err(_) => return Err(HttpError::TimedOut { what: "a connection" }),
         };
-        let enabled = stream.set_tcp_keepalive(
+        let keepalive_result = stream.set_tcp_keepalive(
             Some(probe_interval),
             Some(probe_interval),
             Some(KEEPALIVE_PROBES),
         );
-        enabled.map_err(errors::broken)?;
+        keepalive_result.map_err(errors::broken)?;
         Ok(Self::new(stream))
     }
 }
 
 /// Listens on `address`; with port 0 the system chooses the port.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    // Sharing a port between processes would hide that it is already in use.
+    // Sharing a port between processes would hide that the port is already in use.
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options)
 }
@@ -145,19 +145,19 @@
             continue;
         }
         count.0.set(count.get() + 1);
-        let open = count.clone();
+        let open_count = count.clone();
         let task = serve(stream, address);
         monoio::spawn(async move {
             catch_panics("connection", task).await;
-            open.0.set(open.get() - 1);
+            open_count.0.set(open_count.get() - 1);
         });
     }
 }
 
 /// Runs `task`, and catches and logs a panic instead of propagating it.
 pub async fn catch_panics(what: &'static str, task: impl Future<Output = ()>) {
-    let caught = std::panic::AssertUnwindSafe(task).catch_unwind().await;
-    if caught.is_err() {
+    let panic_result = std::panic::AssertUnwindSafe(task).catch_unwind().await;
+    if panic_result.is_err() {
         process::TaskPanicked { what }.log();
     }
 }
--- a/crates/http/src/errors.rs
+++ b/crates/http/src/errors.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Errors of HTTP connections and the response status of each.
+//! Errors of HTTP connections, and the status of the response to each error.
 
 use std::io;
 
@@ -24,7 +24,7 @@
         /// Error that the operating system reported.
         source: io::Error,
     },
-    /// The peer was too slow.
+    /// The peer did not send or accept bytes within the time allowed.
     #[snafu(display("timed out waiting for {what}"))]
     TimedOut {
         /// What was awaited.
@@ -45,13 +45,13 @@
     /// The head is malformed.
     #[snafu(display("the head can't be read: {message}"))]
     BadHead {
-        /// What is wrong.
+        /// What is wrong with the head.
         message: String,
     },
     /// The length of the body is ambiguous.
     #[snafu(display("the length of the body is ambiguous: {message}"))]
     BadLength {
-        /// What is wrong.
+        /// What is wrong with the length.
         message: &'static str,
     },
     /// The transfer coding is not supported.
--- a/crates/http/src/reader.rs
+++ b/crates/http/src/reader.rs
@@ -11,10 +11,10 @@
 
 use crate::errors::{self, HttpError};
 
-/// Buffer size of a read while a head is awaited: most heads fit, and an idle connection holds no
-/// more than this.
+/// Buffer size in bytes of a read while a head is awaited. Most heads fit into this buffer, and an
+/// idle connection holds no larger buffer.
 pub const HEAD_READ_BYTES: usize = 4 * units::KIB;
-/// Buffer size of a read within a body: one body chunk of a link between daemons.
+/// Buffer size in bytes of a read within a body: one body chunk of a link between daemons.
 pub const BODY_READ_BYTES: usize = 32 * units::KIB;
 
 /// `ByteReader` is a buffered reader of the read half of a connection.
@@ -23,13 +23,13 @@
     io: R,
     /// Bytes that were read and not yet consumed.
     pub buffer: BytesMut,
-    spare: Option<BytesMut>,
+    spare_buffer: Option<BytesMut>,
 }
 
 impl<R: AsyncReadRent> ByteReader<R> {
     /// Builds a reader over `io`.
     pub fn new(io: R) -> Self {
-        Self { io, buffer: BytesMut::new(), spare: None }
+        Self { io, buffer: BytesMut::new(), spare_buffer: None }
     }
 
     /// Reads at least one byte and at most `max_bytes` into the buffer; returns 0 at the end of the
@@ -37,22 +37,23 @@
     ///
     /// The future is cancel safe: the epoll driver reads only when polled, and into a spare buffer.
     pub async fn fill(&mut self, max_bytes: usize) -> Result<usize, HttpError> {
-        let mut spare = self.spare.take().unwrap_or_default();
-        spare.clear();
-        spare.reserve(max_bytes);
-        let (result, filled) = self.io.read(spare).await;
+        let mut spare_buffer = self.spare_buffer.take().unwrap_or_default();
+        spare_buffer.clear();
+        spare_buffer.reserve(max_bytes);
+        let (result, filled) = self.io.read(spare_buffer).await;
         let count = result.map_err(errors::broken)?;
         if self.buffer.is_empty() {
-            let old = std::mem::replace(&mut self.buffer, filled);
-            self.spare = Some(old);
+            let emptied_buffer = std::mem::replace(&mut self.buffer, filled);
+            self.spare_buffer = Some(emptied_buffer);
         } else {
             self.buffer.extend_from_slice(&filled);
-            self.spare = Some(filled);
+            self.spare_buffer = Some(filled);
         }
         Ok(count)
     }
 
-    /// Reads as [`Self::fill`] does, within `limit`; the error names `what` was awaited.
+    /// Reads as [`Self::fill`] does, but for at most `limit`. The error of a timeout names `what`
+    /// was awaited.
     pub async fn fill_within(
         &mut self,
         max_bytes: usize,
@@ -67,7 +68,7 @@
 
     /// Frees the buffers while the connection is idle.
     pub fn release(&mut self) {
-        self.spare = None;
+        self.spare_buffer = None;
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 //! A small server for the administration API and for simulated servers (`basaltarch-standin`).
-//! Requests are read as a whole; replies are sent as a whole or streamed. Callers' requests are not
-//! served here but by the ingress role.
+//! Requests are read as a whole; replies are sent as a whole or streamed. Callers' requests are
+//! served by the ingress role of a daemon instead.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -60,7 +60,8 @@
 pub enum ReplyBody {
     /// The complete body.
     Whole(Bytes),
-    /// Pieces that are sent as they become available; the reply ends with the stream.
+    /// Pieces of the body, each of which is sent as soon as it is available; the reply ends with
+    /// the stream.
     Stream(LocalBoxStream<'static, Bytes>),
 }
 
@@ -93,7 +94,7 @@
         Self::whole(status, "application/json", Bytes::from(body))
     }
 
-    /// Builds a reply with a body of this media type.
+    /// Builds a reply with a complete body of the given media type.
     pub fn whole(status: StatusCode, media_type: &'static str, body: Bytes) -> Self {
         let mut headers = HeaderMap::new();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(media_type));
@@ -138,14 +139,15 @@
     Fut: Future<Output = ServerReply> + 'static,
 {
     let handle = Rc::new(handle);
-    let serve_one = move |stream, from| {
+    let serve_connection = move |stream, from| {
         let handle = handle.clone();
         serve(stream, from, limits, move |request| handle(request))
     };
-    connection::accept_all(listener, max_connections, ConnectionCount::default(), serve_one).await;
+    connection::accept_all(listener, max_connections, ConnectionCount::default(), serve_connection)
+        .await;
 }
 
-/// Serves requests on one connection until it ends.
+/// Serves requests on one connection until the connection ends.
 pub async fn serve<F, Fut>(stream: TcpStream, from: SocketAddr, limits: ServerLimits, handle: F)
 where
     F: Fn(ServerRequest) -> Fut,
@@ -156,7 +158,7 @@
         let request = match read_request(&mut stream, from, &limits).await {
             Ok(request) => request,
             Err(error) => {
-                refuse(&mut stream, &error).await;
+                refuse_request(&mut stream, &error).await;
                 return;
             }
         };
@@ -190,7 +192,7 @@
     Ok(ServerRequest { head, body, from })
 }
 
-async fn refuse(stream: &mut HttpStream, error: &HttpError) {
+async fn refuse_request(stream: &mut HttpStream, error: &HttpError) {
     if let Some(status) = error.status() {
         let reply = ServerReply::text(status, format!("{error}\n"));
         if write_reply(stream, &Method::GET, reply, true).await.is_ok() {
--- a/crates/http/tests/connections.rs
+++ b/crates/http/tests/connections.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A panic while a connection is served must not end the listener or other connections, nor keep
-//! the connection in the count of open ones.
+//! Guards against a panic in the task of one connection that ends the listener or other
+//! connections, or that leaves the ended connection in the count of open connections.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
         let address = listener.local_addr().expect("address");
         let served = Rc::new(Cell::new(0));
         let count = ConnectionCount::default();
-        let open = count.clone();
+        let open_count = count.clone();
         let seen = served.clone();
         monoio::spawn(connection::accept_all(listener, 10, count, move |stream, from| {
             let seen = seen.clone();
@@ -48,7 +48,7 @@
         assert!(call("/panic").await.is_err());
         assert_eq!(call("/").await.expect("a reply").status, StatusCode::OK);
         assert_eq!(
-            (served.get(), open.get()),
+            (served.get(), open_count.get()),
             (4, 1),
             "4 requests served; only the pooled connection is still counted"
         );
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Limits and framing of heads and bodies, whose results must not depend on how the input is split
-//! into reads.
+//! Checks the limits and the framing of heads and bodies. Guards against results that depend on how
+//! the input is split into reads.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 use proptest::test_runner::RngSeed;
 use test_case::test_case;
 
-/// A connection that delivers its bytes in pieces of one size and then ends.
+/// A connection that delivers its bytes in pieces of equal size and then ends.
 struct PieceReader {
     pieces: std::collections::VecDeque<Vec<u8>>,
 }
@@ -69,11 +69,11 @@
     limits: BodyLimits,
 ) -> Result<Vec<u8>, HttpError> {
     let mut body = BodyReader::new(framing, limits);
-    let mut all = Vec::new();
+    let mut whole_body = Vec::new();
     while let Some(piece) = body.next(reader).await? {
-        all.extend_from_slice(&piece);
+        whole_body.extend_from_slice(&piece);
     }
-    Ok(all)
+    Ok(whole_body)
 }
 
 fn request(text: &str, piece: usize) -> Result<http::request::Parts, HttpError> {
@@ -209,11 +209,12 @@
         run(async {
             let mut reader = PieceReader::new(&text, piece);
             if let Ok(head) = head::read_request(&mut reader, &HeadLimits::default()).await {
-                // A message with both lengths must be rejected: which one holds is ambiguous.
+                // A message with both length fields must be rejected, because the length of its
+                // body is ambiguous.
                 let framing = framing::of_request(&head);
-                let both = head.headers.contains_key("content-length")
+                let has_both_lengths = head.headers.contains_key("content-length")
                     && head.headers.contains_key("transfer-encoding");
-                assert!(!both || framing.is_err());
+                assert!(!has_both_lengths || framing.is_err());
             }
         });
     }
--- a/crates/peer/src/handshake.rs
+++ b/crates/peer/src/handshake.rs
@@ -3,9 +3,9 @@
 
 //! Mutual authentication on connecting: each side proves that it holds the fleet key.
 //!
-//! Each side sends a nonce and answers the other's with an HMAC-SHA-256 (RFC 2104) over its role,
-//! both nonces and both host names. The roles differ, so that a proof can't be reflected to its
-//! sender.
+//! Each side sends a nonce and answers the nonce of the other side with an HMAC-SHA-256 (RFC 2104)
+//! over its role, both nonces and both host names. The roles differ, so that a proof can't be
+//! reflected to its sender.
 
 use std::time::Duration;
 
@@ -98,10 +98,10 @@
         answers_looks: Some(identity.answers_looks),
         takes_reservations: Some(identity.takes_reservations),
     };
-    write(writer, FrameBody::Hello(ours.clone())).await?;
+    write_frame(writer, FrameBody::Hello(ours.clone())).await?;
     let theirs = match reader.next().await?.body {
         FrameBody::Hello(hello) => hello,
-        other => return Err(unexpected(&other)),
+        other => return Err(unexpected_frame(&other)),
     };
     if theirs.protocol_version != PROTOCOL_VERSION {
         return Err(LinkError::WrongVersion {
@@ -110,10 +110,10 @@
         });
     }
     let mac = proof_mac(key, side, &ours, &theirs).finalize().into_bytes().to_vec();
-    write(writer, FrameBody::Proof(ProofNote { mac })).await?;
+    write_frame(writer, FrameBody::Proof(ProofNote { mac })).await?;
     let proof = match reader.next().await?.body {
         FrameBody::Proof(proof) => proof,
-        other => return Err(unexpected(&other)),
+        other => return Err(unexpected_frame(&other)),
     };
     proof_mac(key, side.opposite(), &theirs, &ours)
         .verify_slice(&proof.mac)
@@ -127,7 +127,7 @@
     })
 }
 
-fn unexpected(body: &FrameBody) -> LinkError {
+fn unexpected_frame(body: &FrameBody) -> LinkError {
     LinkError::Unexpected { frame: frames::frame_name(body) }
 }
 
@@ -151,7 +151,7 @@
     mac
 }
 
-async fn write<W: AsyncWriteRent>(writer: &mut W, body: FrameBody) -> Result<(), LinkError> {
+async fn write_frame<W: AsyncWriteRent>(writer: &mut W, body: FrameBody) -> Result<(), LinkError> {
     let mut buffer = bytes::BytesMut::new();
     frames::encode(&PeerFrame { exchange: 0, body }, &mut buffer)?;
     let (result, _) = writer.write_all(buffer).await;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A link after its handshake. Routes the frames that it receives to their exchanges.
+//! Links after their handshake. Each side of a link routes the frames that it receives to their
+//! exchanges.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -39,8 +40,8 @@
     next_exchange: Cell<i64>,
 }
 
-/// `OutboundExchange` is the ingress side of an exchange. Dropping it cancels an unfinished
-/// exchange.
+/// `OutboundExchange` is the ingress side of an exchange. Dropping an unfinished exchange cancels
+/// the request at the host.
 pub struct OutboundExchange {
     /// Sink for the rest of the request body.
     pub body: EventSink,
@@ -50,7 +51,8 @@
 }
 
 impl OutboundExchange {
-    /// Builds an exchange; `cancel` runs if it is dropped before [`Self::finish`] is called.
+    /// Builds an exchange; `cancel` runs if the exchange is dropped before [`Self::finish`] is
+    /// called.
     pub fn new(body: EventSink, answer: Rc<EventPipe>, cancel: Box<dyn FnOnce()>) -> Self {
         Self { body, answer, cancel: Some(cancel) }
     }
@@ -60,7 +62,7 @@
         self.body.begin(head)
     }
 
-    /// Marks the exchange as finished, so that dropping it doesn't cancel it.
+    /// Marks the exchange as finished, so that dropping the exchange sends no cancel.
     pub fn finish(&mut self) {
         self.cancel = None;
     }
@@ -108,8 +110,8 @@
     }
 
     fn cancel(&self, exchange: i64) {
-        let removed = self.exchanges.borrow_mut().remove(&exchange);
-        if let Some(entry) = removed {
+        let removed_exchange = self.exchanges.borrow_mut().remove(&exchange);
+        if let Some(entry) = removed_exchange {
             entry.credit.close();
             let notice = CancelNotice { caller_gone: true };
             let _ = self.sender.send(exchange, FrameBody::Cancel(notice));
@@ -132,13 +134,13 @@
             on_frame();
             if frame.exchange == NO_EXCHANGE {
                 on_control(frame.body);
-            } else if let Err(error) = self.route(frame) {
+            } else if let Err(error) = self.route_frame(frame) {
                 return error;
             }
         }
     }
 
-    fn route(&self, frame: PeerFrame) -> Result<(), LinkError> {
+    fn route_frame(&self, frame: PeerFrame) -> Result<(), LinkError> {
         let exchange = frame.exchange;
         let (last, event) = match frame.body {
             FrameBody::Answer(head) => (head.last, StreamEvent::Head(head)),
@@ -152,7 +154,8 @@
             }
             other => return Err(LinkError::Unexpected { frame: frames::frame_name(&other) }),
         };
-        // A cancelled exchange is no longer in the table: an answer to it is dropped.
+        // A cancelled exchange is no longer in the table, and an answer to a cancelled exchange is
+        // dropped.
         let mut exchanges = self.exchanges.borrow_mut();
         if let Some(entry) = exchanges.get(&exchange) {
             let _ = entry.answer.push(event);
@@ -225,8 +228,8 @@
         &self.sender
     }
 
-    /// Reads frames until the link ends; `on_dispatch` gets each new exchange and `on_control` the
-    /// frames that belong to none.
+    /// Reads frames until the link ends; `on_dispatch` gets each new exchange, and `on_control`
+    /// gets the frames that belong to no exchange.
     pub async fn run<R: AsyncReadRent>(
         self: &Rc<Self>,
         reader: &mut FrameReader<R>,
@@ -239,10 +242,10 @@
                 Err(error) => return error,
             };
             match frame.body {
-                FrameBody::Dispatch(head) => on_dispatch(self.open(frame.exchange, head)),
+                FrameBody::Dispatch(head) => on_dispatch(self.open_exchange(frame.exchange, head)),
                 body if frame.exchange == NO_EXCHANGE => on_control(body),
                 body => {
-                    if let Err(error) = self.route(frame.exchange, body) {
+                    if let Err(error) = self.route_frame(frame.exchange, body) {
                         return error;
                     }
                 }
@@ -250,7 +253,7 @@
         }
     }
 
-    fn open(&self, exchange: i64, head: DispatchHead) -> InboundExchange {
+    fn open_exchange(&self, exchange: i64, head: DispatchHead) -> InboundExchange {
         let body = Rc::new(stream::remote_pipe(exchange, &self.sender));
         let credit = Rc::new(SendCredit::of_answer());
         let entry = AcceptedExchange { body: body.clone(), credit: credit.clone() };
@@ -268,9 +271,9 @@
         }
     }
 
-    fn route(&self, exchange: i64, body: FrameBody) -> Result<(), LinkError> {
+    fn route_frame(&self, exchange: i64, body: FrameBody) -> Result<(), LinkError> {
         let exchanges = self.exchanges.borrow();
-        // Frames of a finished exchange may still be in transit; they are dropped.
+        // Frames of a finished exchange, which may still be in transit, are dropped.
         let entry = match exchanges.get(&exchange) {
             Some(entry) => entry,
             None => return Ok(()),
--- a/crates/peer/src/stream.rs
+++ b/crates/peer/src/stream.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The two directions of an exchange, within a process and over a link.
+//! Streams the events of an exchange in its two directions, within a process and over a link.
 //!
 //! Each direction has a flow-control window: once a whole window of body bytes is in flight, the
-//! sender waits until the receiver has consumed some of them.
+//! sender waits until the receiver has consumed some of these bytes.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,8 +23,8 @@
 /// Body bytes that may be in flight in one direction of one exchange: 64 KiB sustains 20 MB/s over
 /// the 3 ms round trip between failure domains.
 pub const WINDOW_BYTES: usize = 64 * units::KIB;
-/// Credit by which a host offers a slot to a reservation. One byte is enough to make the sender
-/// ready, which then sends the request.
+/// Credit by which a host offers a slot to a reservation. One byte is enough to make the sender at
+/// the ingress ready, and a ready sender sends the request.
 const OFFER_CREDIT_BYTES: usize = 1;
 /// Number of consumed bytes after which credit is returned; half a window keeps the sender busy.
 const CREDIT_STEP_BYTES: usize = WINDOW_BYTES / 2;
@@ -36,7 +36,7 @@
     Head(AnswerHead),
     /// The request of a reservation that was offered a slot.
     Begin(Box<DispatchHead>),
-    /// A piece of the body, and whether it is the last. The last piece may be empty.
+    /// A piece of the body, and whether this piece is the last. The last piece may be empty.
     Data(Bytes, bool),
     /// The exchange ended without a complete answer.
     Failed(ExchangeFailure),
@@ -54,9 +54,9 @@
     events: VecDeque<StreamEvent>,
     queued_bytes: usize,
     uncredited_bytes: usize,
-    reader_closed: bool,
+    is_reader_closed: bool,
     cancelled: bool,
-    window_shut: bool,
+    is_window_shut: bool,
     reader_waker: Option<Waker>,
     cancel_waker: Option<Waker>,
     sender_waker: Option<Waker>,
@@ -81,9 +81,9 @@
             events: VecDeque::new(),
             queued_bytes: 0,
             uncredited_bytes: 0,
-            reader_closed: false,
+            is_reader_closed: false,
             cancelled: false,
-            window_shut: false,
+            is_window_shut: false,
             reader_waker: None,
             cancel_waker: None,
             sender_waker: None,
@@ -94,13 +94,13 @@
 
     /// Blocks senders of body bytes until [`Self::open_window`] or [`Self::offer_slot`] is called.
     pub fn shut_window(&self) {
-        self.state.borrow_mut().window_shut = true;
+        self.state.borrow_mut().is_window_shut = true;
     }
 
     /// Grants senders the first window of body bytes.
     pub fn open_window(&self) {
         let mut state = self.state.borrow_mut();
-        state.window_shut = false;
+        state.is_window_shut = false;
         wake(&mut state.sender_waker);
         if let Some(hook) = &state.on_consumed {
             hook(WINDOW_BYTES);
@@ -111,7 +111,7 @@
     /// [`StreamEvent::Begin`].
     pub fn offer_slot(&self) {
         let mut state = self.state.borrow_mut();
-        state.window_shut = false;
+        state.is_window_shut = false;
         wake(&mut state.sender_waker);
         if let Some(hook) = &state.on_consumed {
             hook(OFFER_CREDIT_BYTES);
@@ -126,7 +126,7 @@
     /// Adds an event without waiting for the window.
     pub fn push(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         let mut state = self.state.borrow_mut();
-        if state.reader_closed {
+        if state.is_reader_closed {
             return Err(StreamClosed);
         }
         if let StreamEvent::Data(data, _) = &event {
@@ -141,7 +141,7 @@
         Ok(())
     }
 
-    /// Adds an event. A piece of the body waits until the window has room for it.
+    /// Adds an event. A piece of the body waits until the window has room.
     pub async fn send(&self, event: StreamEvent) -> Result<(), StreamClosed> {
         if matches!(event, StreamEvent::Data(..)) {
             poll_fn(|context| self.poll_room(context)).await?;
@@ -151,17 +151,17 @@
 
     fn poll_room(&self, context: &mut Context<'_>) -> Poll<Result<(), StreamClosed>> {
         let mut state = self.state.borrow_mut();
-        if state.reader_closed {
+        if state.is_reader_closed {
             return Poll::Ready(Err(StreamClosed));
         }
-        if state.queued_bytes < WINDOW_BYTES && !state.window_shut {
+        if state.queued_bytes < WINDOW_BYTES && !state.is_window_shut {
             return Poll::Ready(Ok(()));
         }
         state.sender_waker = Some(context.waker().clone());
         Poll::Pending
     }
 
-    /// Waits for the next event and removes it.
+    /// Waits for the next event, removes it from the pipe and returns it.
     pub async fn next(&self) -> StreamEvent {
         poll_fn(|context| self.poll_next(context)).await
     }
@@ -198,7 +198,7 @@
     /// Closes the receiving end: senders fail with [`StreamClosed`] and queued events are dropped.
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
-        state.reader_closed = true;
+        state.is_reader_closed = true;
         state.events.clear();
         state.queued_bytes = 0;
         wake(&mut state.sender_waker);
@@ -229,7 +229,7 @@
 #[derive(Debug)]
 struct CreditState {
     available_bytes: i64,
-    closed: bool,
+    is_closed: bool,
     sender_waker: Option<Waker>,
 }
 
@@ -252,7 +252,7 @@
     }
 
     fn new(available_bytes: i64) -> Self {
-        let state = CreditState { available_bytes, closed: false, sender_waker: None };
+        let state = CreditState { available_bytes, is_closed: false, sender_waker: None };
         Self { state: RefCell::new(state) }
     }
 
@@ -266,7 +266,7 @@
     /// Closes the stream; a sender that waits for credit fails with [`StreamClosed`].
     pub fn close(&self) {
         let mut state = self.state.borrow_mut();
-        state.closed = true;
+        state.is_closed = true;
         wake(&mut state.sender_waker);
     }
 
@@ -286,7 +286,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Result<(), StreamClosed>> {
         let mut state = self.state.borrow_mut();
-        if state.closed {
+        if state.is_closed {
             return Poll::Ready(Err(StreamClosed));
         }
         // An empty last chunk needs no credit.
@@ -306,7 +306,7 @@
     pub exchange: i64,
     /// Send queue of the link.
     pub sender: FrameSender,
-    /// Credit for body bytes of this direction.
+    /// Credit for the body bytes that may still be sent.
     pub credit: Rc<SendCredit>,
 }
 
@@ -358,8 +358,8 @@
         }
     }
 
-    /// Sends the request of a reservation that was offered a slot; unlike body bytes, it does not
-    /// wait for the window.
+    /// Sends the request of a reservation that was offered a slot; unlike body bytes, the request
+    /// does not wait for the window.
     pub fn begin(&self, head: DispatchHead) -> Result<(), StreamClosed> {
         match self {
             Self::Local(pipe) => pipe.push(StreamEvent::Begin(Box::new(head))),
@@ -390,7 +390,7 @@
     let sender = sender.clone();
     EventPipe::new(Some(Box::new(move |bytes| {
         let grant = CreditGrant { bytes: bytes as i32 };
-        // A closed link ends the exchange anyway, so that its credit no longer matters.
+        // A send error is ignored: a closed link ends the exchange anyway.
         let _ = sender.send(exchange, FrameBody::Credit(grant));
     })))
 }
