--- a/crates/core/src/blocks.rs
+++ b/crates/core/src/blocks.rs
@@ -5,7 +5,8 @@
 //!
 //! Resources are ordered by name, up to [`BLOCK_MAX`] to a block. Neighbouring resources share most
 //! of their content, so a block compresses to a fraction of its size. A lookup decompresses one
-//! block and deserializes one value; a change rewrites one block. Copies share all blocks.
+//! block and deserializes one value; a change rewrites one block. Copies of the set share all
+//! blocks.
 
 use std::rc::Rc;
 
@@ -14,14 +15,14 @@
 use crate::config::StoredResource;
 use crate::packing;
 
-/// Maximum number of resources in one block. Larger blocks would compress only a little better, but
-/// slow down lookups, which scan half a block on average.
+/// Maximum number of resources in one block. Larger blocks would compress only a little better, and
+/// would slow down lookups, which scan half a block on average.
 pub const BLOCK_MAX: usize = 128;
 
 /// `ResourceBlocks` is the set of resources of one kind.
 #[derive(Debug, Clone, Default)]
 pub struct ResourceBlocks {
-    /// Blocks by the name of their first resource.
+    /// Compressed blocks by the name of the first resource in each.
     blocks: OrdMap<Rc<str>, Rc<[u8]>>,
     len: usize,
 }
@@ -113,8 +114,8 @@
         self.put_block(&items);
     }
 
-    /// Removes the block that a name belongs to and returns it decompressed, empty if there are no
-    /// blocks. A name before the first block belongs to that block.
+    /// Removes the block that a name belongs to and returns the decompressed bytes of the block; no
+    /// bytes if there are no blocks. A name before the first block belongs to the first block.
     fn take_block(&mut self, name: &str) -> Vec<u8> {
         let containing = self.blocks.get_prev(name).map(|(first, _)| first.clone());
         let first = containing.or_else(|| self.blocks.keys().next().cloned());
@@ -125,7 +126,7 @@
         self.blocks.remove(&first).map_or(Vec::new(), |block| packing::decompress(&block))
     }
 
-    /// Adds a block of these items; does nothing if there are none.
+    /// Adds a block of these items; does nothing if `items` is empty.
     fn put_block(&mut self, items: &[BlockItem]) {
         if let Some((first, _)) = items.first() {
             let bytes: Vec<u8> = items.iter().flat_map(packing::pack).collect();
@@ -145,7 +146,7 @@
 }
 
 impl BlockBuilder {
-    /// Adds a resource; it replaces an earlier one of the same name.
+    /// Adds a resource, or replaces a resource of the same name that was added before.
     pub fn push(&mut self, name: &str, stored: &StoredResource) {
         if self.last_name.as_ref().is_some_and(|last_name| **last_name >= *name) {
             self.flush();
@@ -169,7 +170,7 @@
         self.pending.clear();
     }
 
-    /// Returns the blocks.
+    /// Returns the set of all added resources.
     pub fn finish(mut self) -> ResourceBlocks {
         self.flush();
         self.built
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -22,28 +22,28 @@
 use crate::slices::{self, WorkSlices};
 use crate::units::FleetRevision;
 
-/// `SharedMap` is a persistent map whose versions share structure: a copy is constant-time, and a
-/// change copies only a few entries. Readers keep the version that they started with.
+/// `SharedMap` is a persistent map whose versions share structure: copying the map takes constant
+/// time, and a change copies only a few entries. Readers keep the version that they started with.
 pub type SharedMap<K, V> = GenericHashMap<K, V, FnvBuildHasher, DefaultSharedPtr>;
 
 /// `ResourceChange` is the effect of a change on one resource.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceChange {
-    /// Name of the kind.
+    /// Name of the resource's kind.
     pub kind: String,
     /// Name of the resource.
     pub name: String,
-    /// Value before, absent when the resource is new.
+    /// Value before the change, absent when the resource is new.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<Value>,
-    /// Value after, absent when the resource is deleted.
+    /// Value after the change, absent when the resource is deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after: Option<Value>,
 }
 
-/// `ChangeRecord` is one accepted change. It is both the update of the configuration and its audit
-/// record, so that neither can exist without the other.
+/// `ChangeRecord` is one accepted change. The record is both the update of the configuration and
+/// the audit record, so that neither can exist without the other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRecord {
@@ -54,10 +54,10 @@
     /// Time of acceptance, in milliseconds since 1970 UTC, by the clock of the daemon that accepted
     /// the change.
     pub at_ms: u64,
-    /// Address that the request came from.
+    /// Address from which the operator's request came.
     pub from: String,
-    /// Token of the writer, by which a writer that lost the store's response finds out whether its
-    /// change was accepted.
+    /// Token of the daemon that wrote the change to the store. By its token, a writer that lost the
+    /// store's response finds out whether the change was accepted.
     pub writer: String,
     /// Effects on the resources.
     pub changes: Vec<ResourceChange>,
@@ -66,9 +66,9 @@
 /// `StoredResource` is a resource with the revision that last changed it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StoredResource {
-    /// Revision of the last change; the resource's entity tag.
+    /// Revision of the last change to the resource; also the resource's entity tag.
     pub revision: FleetRevision,
-    /// The value.
+    /// Value of the resource.
     pub value: ResourceValue,
 }
 
@@ -81,7 +81,8 @@
     keys: KeyTable,
 }
 
-/// `SnapshotResource` is one resource in a snapshot: kind, name, revision, value.
+/// `SnapshotResource` is one resource in a snapshot: the name of its kind, its own name, the
+/// revision that last changed it, and its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotResource(pub String, pub String, pub FleetRevision, pub Value);
 
@@ -116,7 +117,7 @@
         self.kinds[kind as usize].iter()
     }
 
-    /// Applies the change that creates the next revision; any other revision is ignored.
+    /// Applies a change if it creates the next revision, and ignores the change otherwise.
     ///
     /// Returns whether the change was applied.
     pub fn apply(&mut self, record: &ChangeRecord) -> Result<bool, ResourceError> {
@@ -153,7 +154,7 @@
         Ok(true)
     }
 
-    /// Removes the keys of the organisation with this name; does nothing for other kinds.
+    /// Removes the keys of the organisation with this name; does nothing if `kind` is another kind.
     fn remove_keys(&mut self, kind: ResourceKind, name: &str) {
         if kind != ResourceKind::Organisation {
             return;
@@ -165,7 +166,8 @@
         }
     }
 
-    /// Checks that no other organisation owns a key of this one.
+    /// Checks that no other organisation owns a key of the organisation `name`; accepts resources
+    /// of other kinds.
     fn check_keys(&self, name: &str, value: &ResourceValue) -> Result<(), ResourceError> {
         let ResourceValue::Organisation(spec) = value else { return Ok(()) };
         let is_own = |digest| self.keys.find(digest).is_some_and(|owner| *owner.name == *name);
@@ -226,7 +228,7 @@
         Ok(())
     }
 
-    /// Checks that no resource refers to a deleted one.
+    /// Checks that no resource refers to the deleted resource.
     fn check_unreferenced(
         &self,
         deleted: ResourceKind,
@@ -257,7 +259,8 @@
 }
 
 impl ConfigBuilder {
-    /// Validates a resource as a change of this resource alone would be, and adds it.
+    /// Validates a resource by the checks that a change of this resource alone must pass, and adds
+    /// the resource.
     pub fn push(&mut self, resource: &SnapshotResource) -> Result<(), ResourceError> {
         let SnapshotResource(kind, name, revision, value) = resource;
         let kind = ResourceKind::parse(kind)?;
@@ -304,8 +307,8 @@
     Ok(())
 }
 
-/// Packs all services. Upstreams are collected in packed form by service; the configuration lists
-/// them in the order of their names.
+/// Packs all services with their upstreams. The upstreams of each service are packed in the order
+/// of their names, as the configuration lists backend servers in this order.
 async fn pack_services(
     config: &FleetConfig,
     pause: &impl AsyncFn(),
@@ -333,8 +336,8 @@
     packed_services
 }
 
-/// `ActiveConfig` is a configuration laid out for lookups on the request path. Copies share all
-/// data.
+/// `ActiveConfig` is a configuration laid out for lookups on the request path. Copies of an
+/// `ActiveConfig` share all data.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveConfig {
     /// Revision in force.
@@ -358,7 +361,7 @@
 pub struct LimitEntry {
     /// Name of the limit.
     pub name: Rc<str>,
-    /// The rule that its resource declares.
+    /// Rule that the resource of the limit declares.
     pub rule: LimitRule,
 }
 
@@ -382,7 +385,8 @@
         active
     }
 
-    /// Changes the service of this name, if there is one, and returns its name.
+    /// Changes the service with this name by `change`. Returns the name of the service, or `None`
+    /// if there is no such service.
     fn change_service(
         &mut self,
         name: &str,
@@ -402,8 +406,8 @@
         Some(packed.unpack(name))
     }
 
-    /// Takes over the organisations and their keys in the packed form that the configuration keeps.
-    /// The copies share all data with the configuration.
+    /// Copies the organisations and their keys in the packed form in which `config` keeps them. The
+    /// copies share all data with `config`.
     fn share_organisations(&mut self, config: &FleetConfig) {
         self.organisations = config.kinds[ResourceKind::Organisation as usize].clone();
         self.keys = config.keys.clone();
@@ -419,7 +423,7 @@
         self.limit_names.is_empty()
     }
 
-    /// Returns the limits that count the requests of `target`.
+    /// Returns the limits that count the requests of the organisation, route or service `target`.
     pub fn limits_of(&self, scope: LimitScope, target: &str) -> &[Rc<LimitEntry>] {
         self.limits[scope as usize].get(target).map_or(&[], Vec::as_slice)
     }
@@ -438,7 +442,7 @@
         after: &FleetConfig,
         record: &ChangeRecord,
     ) -> Vec<Rc<str>> {
-        let mut touched = Vec::new();
+        let mut affected_services = Vec::new();
         let visit_changed =
             |config: &FleetConfig,
              is_service: bool,
@@ -453,23 +457,25 @@
                     }
                 }
             };
-        // Resources that belong to a service are removed before it and added after it.
-        visit_changed(before, false, &mut |name, value| self.remove(name, value, &mut touched));
+        // Resources that belong to a service are removed before the service and added after it.
+        visit_changed(before, false, &mut |name, value| {
+            self.remove(name, value, &mut affected_services)
+        });
         visit_changed(before, true, &mut |name, value| {
             if after.get(ResourceKind::Service, name).is_none() {
-                self.remove(name, value, &mut touched);
+                self.remove(name, value, &mut affected_services);
             }
         });
         for is_service in [true, false] {
             visit_changed(after, is_service, &mut |name, value| {
-                touched.extend(self.insert(&Rc::from(name), value));
+                affected_services.extend(self.insert(&Rc::from(name), value));
             });
         }
         self.share_organisations(after);
         self.revision = after.revision();
-        touched.sort();
-        touched.dedup();
-        touched
+        affected_services.sort();
+        affected_services.dedup();
+        affected_services
     }
 
     /// Adds or replaces a resource; returns the name of the affected service, if there is one.
@@ -495,7 +501,7 @@
         }
     }
 
-    /// Adds a limit.
+    /// Adds a limit; a limit with the same name must have been removed before.
     pub fn insert_limit(&mut self, name: &Rc<str>, rule: LimitRule) {
         let target = Rc::from(rule.target.as_str());
         let limits = &mut self.limits[rule.scope as usize];
@@ -513,16 +519,16 @@
         self.services.insert(name.clone(), Rc::new(PackedService::new(&entry)));
     }
 
-    fn remove(&mut self, name: &str, value: &ResourceValue, touched: &mut Vec<Rc<str>>) {
+    fn remove(&mut self, name: &str, value: &ResourceValue, affected_services: &mut Vec<Rc<str>>) {
         match value {
             ResourceValue::FailureDomain(_) | ResourceValue::Organisation(_) => {}
             ResourceValue::Service(_) => {
                 if self.services.remove(name).is_some() {
-                    touched.push(Rc::from(name));
+                    affected_services.push(Rc::from(name));
                 }
             }
             ResourceValue::BackendServer(server) => {
-                touched.extend(self.change_service(&server.service, |entry| {
+                affected_services.extend(self.change_service(&server.service, |entry| {
                     entry.upstreams.retain(|upstream| &*upstream.name != name);
                 }));
             }
--- a/crates/core/src/errors.rs
+++ b/crates/core/src/errors.rs
@@ -27,12 +27,12 @@
         /// What the parser reported.
         message: String,
     },
-    /// A resource refers to another one that does not exist.
+    /// A resource refers to another resource that does not exist.
     #[snafu(display("{path}: refers to {target}, which does not exist"))]
     Dangling {
         /// Path of the field that holds the reference.
         path: String,
-        /// The missing resource.
+        /// Path of the missing resource.
         target: String,
     },
     /// The kind of resource is unknown.
@@ -40,7 +40,7 @@
     UnknownKind {
         /// The kind as given.
         kind: String,
-        /// Every known kind.
+        /// Names of all known kinds.
         allowed: String,
     },
 }
@@ -64,7 +64,7 @@
     ResourceError::Dangling { path: path.into(), target: target.into() }
 }
 
-/// `SettingError` says which setting is wrong, what was given, and what is allowed.
+/// `SettingError` says which setting is wrong, which value was given, and which values are allowed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SettingError {
     /// A setting that has no default was not given.
@@ -80,13 +80,13 @@
     BadLine {
         /// Number of the line, from 1.
         number: usize,
-        /// The line.
+        /// Text of the line.
         line: String,
     },
     /// The settings file names a flag that does not exist.
     #[snafu(display("the settings file sets {flag:?}, which is not a known flag"))]
     Unknown {
-        /// Name as given.
+        /// Name of the flag as given.
         flag: String,
     },
     /// The settings file can't be read.
@@ -94,7 +94,7 @@
     Unreadable {
         /// Path of the file.
         path: String,
-        /// What failed.
+        /// Error of the operating system.
         message: String,
     },
     /// A setting holds a value that is not allowed.
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -3,10 +3,11 @@
 
 //! Fingerprints that recognise copies of the same request.
 //!
-//! A copy arrives on another connection, at another daemon, with a request id and a deadline of its
-//! own. It shares with the original what a backend server processes: service, method, target, body,
-//! and the header fields that identify the caller and describe the body. The hash is keyed with the
-//! fleet's secret, so that a caller can't search for a request that collides with another one.
+//! A copy of a request may arrive on another connection and at another daemon, and has its own
+//! request id and deadline. The copy shares with the original all that a backend server processes:
+//! service, method, target, body, and the header fields that identify the caller and describe the
+//! body. The hash is keyed with the fleet's secret, so that a caller can't search for a request
+//! that collides with another one.
 
 use std::fmt;
 
@@ -16,8 +17,8 @@
 /// collide is 1 in 10^21.
 pub const FINGERPRINT_BYTES: usize = 16;
 /// Header fields that are hashed. Ids, deadlines, dates and traces differ between copies and are
-/// left out. A caller that changes a hashed field evades recognition only until the changed request
-/// has a record of its own.
+/// left out. A caller that changes a hashed field evades recognition only until the daemons have a
+/// record of the changed request as well.
 const HASHED_FIELDS: [&str; 5] =
     ["host", "authorization", "cookie", "content-type", "content-encoding"];
 
@@ -52,38 +53,39 @@
     /// Computes the fingerprint of a request, keyed with the fleet's secret.
     pub fn of(secret: &[u8], parts: &RequestParts<'_>) -> Self {
         let mut hasher = PartHasher(Sha256::new());
-        hasher.add(secret);
-        hasher.add(parts.organisation.as_bytes());
-        hasher.add(parts.service.as_bytes());
-        hasher.add(parts.method.as_bytes());
-        hasher.add(parts.target.as_bytes());
+        hasher.add_part(secret);
+        hasher.add_part(parts.organisation.as_bytes());
+        hasher.add_part(parts.service.as_bytes());
+        hasher.add_part(parts.method.as_bytes());
+        hasher.add_part(parts.target.as_bytes());
         for line in
             parts.field_lines.split(|byte| *byte == b'\n').filter(|line| is_hashed_field(line))
         {
-            hasher.add(line.trim_ascii());
+            hasher.add_part(line.trim_ascii());
         }
         // Copies may frame the same body differently, so the declared length counts only for a
         // partial body.
         let length = if parts.is_whole { 0 } else { parts.length };
-        hasher.add(&length.to_be_bytes());
-        hasher.add(parts.body);
+        hasher.add_part(&length.to_be_bytes());
+        hasher.add_part(parts.body);
         let digest = hasher.0.finalize();
         let mut bytes = [0; FINGERPRINT_BYTES];
         bytes.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 
-    /// Decodes a fingerprint that another daemon sent; `None` if it has another length.
+    /// Decodes a fingerprint that another daemon sent; returns `None` if the length is not
+    /// [`FINGERPRINT_BYTES`].
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         bytes.try_into().ok().map(Self)
     }
 
-    /// Returns its bytes.
+    /// Returns the bytes of the fingerprint.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Parses the text form of a fingerprint.
+    /// Parses the text form of a fingerprint: hexadecimal digits, two for each byte.
     pub fn parse(text: &str) -> Option<Self> {
         let is_hex = text.len() == 2 * FINGERPRINT_BYTES && text.is_ascii();
         let mut bytes = [0; FINGERPRINT_BYTES];
@@ -111,7 +113,7 @@
 struct PartHasher(Sha256);
 
 impl PartHasher {
-    fn add(&mut self, part: &[u8]) {
+    fn add_part(&mut self, part: &[u8]) {
         self.0.update((part.len() as u64).to_be_bytes());
         self.0.update(part);
     }
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -6,11 +6,11 @@
 
 use std::fmt;
 
-/// Separator between the name of a backend server and its start time. It can't occur in a query
-/// string, so no backend server can register under a name that contains it.
+/// Separator between the name of a backend server and its start time. A query string can't contain
+/// this character, so no backend server can register under a name with the separator in it.
 const START_SEPARATOR: char = '#';
-/// Radix of the start time after the separator. A high radix keeps the name short, which daemons
-/// send to each other with every request.
+/// Radix of the start time after the separator. A high radix keeps the names of upstreams short,
+/// which daemons send to each other with every request.
 const START_RADIX: u32 = 36;
 
 /// `ServerIncarnation` is one run of a backend server, from its start to its end. Its text form is
@@ -18,7 +18,7 @@
 /// alone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerIncarnation {
-    /// Name of the backend server; it may be the same for several incarnations.
+    /// Name of the backend server, shared by all its incarnations.
     pub server: String,
     /// Unix time of the start in milliseconds, if the backend server reports it.
     pub born: Option<u64>,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the name of the upstream.
+    /// Returns the name of the upstream that stands for this incarnation.
     pub fn upstream(&self) -> String {
         self.to_string()
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Returns the name of the backend server in the name of an upstream.
+/// Returns the name of the backend server that the name of an upstream contains.
 pub fn server_of(upstream: &str) -> &str {
     upstream.split_once(START_SEPARATOR).map_or(upstream, |(server, _)| server)
 }
--- a/crates/core/src/organisations.rs
+++ b/crates/core/src/organisations.rs
@@ -4,8 +4,8 @@
 //! Looks up the organisation that owns a caller's API key.
 //!
 //! Keys are identified by their digests alone, so that no memory, store, log or peer holds a key.
-//! Owners are packed in small shards by the first bytes of the digest: a lookup reads one shard, a
-//! change rewrites one, and copies of the table share all others.
+//! Owners are packed in small shards by the first bytes of the digest. A lookup reads one shard. A
+//! change rewrites one shard, and copies of the table share all other shards.
 
 use std::fmt;
 use std::rc::Rc;
@@ -17,11 +17,11 @@
 use crate::packing;
 use crate::resources::{OrganisationSpec, WorkClass};
 
-/// Bytes of a digest: with 16, finding a second key with the digest of another one is infeasible.
+/// Bytes of a digest: with 16 bytes, finding a key with the digest of another key is infeasible.
 pub const DIGEST_BYTES: usize = 16;
-/// Bytes of a digest that are shown to operators: enough to tell the keys of one organisation
-/// apart.
-const PUBLIC_BYTES: usize = 4;
+/// Bytes of a digest that are shown to operators: enough to distinguish the keys of one
+/// organisation.
+const PUBLIC_DIGEST_BYTES: usize = 4;
 /// Domain separator, so that the digest of a key never equals a digest computed for another
 /// purpose.
 const DIGEST_DOMAIN: &[u8] = b"basaltarch api key\0";
@@ -46,7 +46,7 @@
     /// Returns the prefix of the digest that is shown to operators, so that they can distinguish
     /// keys.
     pub fn public_part(&self) -> String {
-        hex(&self.0[..PUBLIC_BYTES])
+        hex(&self.0[..PUBLIC_DIGEST_BYTES])
     }
 
     fn shard(&self) -> u16 {
@@ -98,7 +98,7 @@
 pub struct KeyOwner {
     /// Name of the organisation.
     pub name: Rc<str>,
-    /// Class of its requests, if it overrides that of the route.
+    /// Class of the organisation's requests, if it overrides the class of the route.
     pub class: Option<WorkClass>,
 }
 
@@ -130,7 +130,7 @@
         None
     }
 
-    /// Assigns a key to an organisation; a previous owner loses it.
+    /// Assigns a key to an organisation; a previous owner loses the key.
     pub fn insert(&mut self, digest: &KeyDigest, owner: &KeyOwner) {
         let mut shard = self.shard_without(digest);
         let record = KeyRecord { digest: digest.0, class: owner.class, name: &owner.name };
@@ -138,7 +138,7 @@
         self.shards.insert(digest.shard(), shard.into());
     }
 
-    /// Assigns all keys of an organisation to it.
+    /// Assigns to the organisation `name` all keys that its resource `spec` lists.
     pub fn insert_all(&mut self, name: &str, spec: &OrganisationSpec) {
         let owner = KeyOwner { name: Rc::from(name), class: spec.criticality };
         spec.keys.iter().for_each(|digest| self.insert(digest, &owner));
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The outcome of an exchange, in the form that all layers of the fleet share.
+//! The outcomes of exchanges that produced no complete response. All layers of the fleet use these
+//! types.
 
 use std::fmt;
 
@@ -23,8 +24,8 @@
     DeadlinePassed,
     /// The backend server is draining, or its daemon is shutting down.
     Draining,
-    /// The upstream's circuit breaker is open and the dispatch was refusable, or the backend server
-    /// crashed or can't be connected to.
+    /// The upstream is ejected or its circuit breaker is open, and another upstream can serve the
+    /// request; or the backend server crashed or can't be connected to.
     Unhealthy,
     /// The backend server could not be connected to.
     ConnectFailed,
@@ -118,7 +119,7 @@
     PeerLost,
     /// The caller disconnected while the request ran.
     CallerGone,
-    /// The same at-most-once request was already started and its response is not kept.
+    /// The same at-most-once request was already started, and the response was not kept.
     AlreadyStarted,
     /// The daemon that accepted the request stopped before the response arrived.
     DaemonStopped,
@@ -159,8 +160,8 @@
     Unknown(UnknownReason),
 }
 
-/// Offset of the wire numbers of unknown outcomes.
-const UNKNOWN_BASE: i16 = 100;
+/// Wire number of the first [`UnknownReason`].
+const UNKNOWN_WIRE_BASE: i16 = 100;
 
 impl FailureOutcome {
     /// Returns the value of the `Basaltarch-Outcome` header.
@@ -179,22 +180,22 @@
         }
     }
 
-    /// Returns the number that encodes this outcome between daemons.
+    /// Returns the number that encodes the outcome in messages between daemons.
     pub fn wire_number(self) -> i16 {
         match self {
             Self::NotRun(reason) => position(&NOT_RUN_REASONS, reason),
-            Self::Unknown(reason) => UNKNOWN_BASE + position(&UNKNOWN_REASONS, reason),
+            Self::Unknown(reason) => UNKNOWN_WIRE_BASE + position(&UNKNOWN_REASONS, reason),
         }
     }
 
     /// Decodes a wire number. A number that only a later version knows decodes as an unknown
-    /// outcome, which is safe, as it does not claim that the request did not run.
+    /// outcome. This is safe, as an unknown outcome does not claim that the request did not run.
     pub fn from_wire(number: i16) -> Self {
         let not_run = usize::try_from(number).ok().and_then(|index| NOT_RUN_REASONS.get(index));
         if let Some(reason) = not_run {
             return Self::NotRun(*reason);
         }
-        let index = usize::try_from(number.saturating_sub(UNKNOWN_BASE)).ok();
+        let index = usize::try_from(number.saturating_sub(UNKNOWN_WIRE_BASE)).ok();
         let reason = index.and_then(|index| UNKNOWN_REASONS.get(index));
         Self::Unknown(reason.copied().unwrap_or(UnknownReason::PeerLost))
     }
--- a/crates/core/src/packing.rs
+++ b/crates/core/src/packing.rs
@@ -3,10 +3,10 @@
 
 //! Compact serialization of values that are kept in memory.
 //!
-//! A daemon is expected to hold a million resources in two years and uses few of them at any
-//! moment. `postcard` writes them without field names, and `lz4_flex` compresses what neighbouring
-//! values have in common. Packed bytes are read only by the process that wrote them, so neither
-//! step can fail.
+//! A daemon is expected to hold a million resources in two years, and uses few of them at any
+//! moment. `postcard` serializes values without field names, and `lz4_flex` compresses what
+//! neighbouring values have in common. Packed bytes are read only by the process that wrote them,
+//! so neither deserializing nor decompressing can fail.
 
 use std::rc::Rc;
 
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -13,11 +13,11 @@
 use crate::errors::{self, ResourceError};
 use crate::organisations::KeyDigest;
 
-/// Maximum length of a resource name in bytes; it keeps table keys and logs short.
+/// Maximum length of a resource name in bytes; the bound keeps table keys and logs short.
 pub const NAME_BYTES_MAX: usize = 128;
-/// Maximum number of slots of one backend server; typical ones have 3 or 4.
+/// Maximum number of slots of one backend server; typical servers have 3 or 4 slots.
 pub const SLOTS_MAX: u32 = 4096;
-/// Maximum number of connections of one backend server; typical ones have 300 to 400.
+/// Maximum number of connections of one backend server; typical servers accept 300 to 400.
 pub const CONNECTIONS_MAX: u32 = 65_536;
 /// Maximum length of the queue of one backend server.
 pub const QUEUE_MAX: u32 = 4096;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the kinds whose resources may refer to one of this kind.
+    /// Returns the kinds whose resources may refer to a resource of this kind.
     pub fn referrers(self) -> &'static [ResourceKind] {
         match self {
             Self::FailureDomain => &[Self::BackendServer],
@@ -103,13 +103,13 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationSpec {
-    /// Human-readable name.
+    /// Human-readable name of the organisation.
     #[serde(default)]
     pub title: String,
-    /// Digests of the API keys that identify its callers.
+    /// Digests of the API keys that identify the organisation's callers.
     #[serde(default)]
     pub keys: Vec<KeyDigest>,
-    /// Class of its requests, if it overrides that of the route.
+    /// Class of the organisation's requests, if it overrides the class of the route.
     #[serde(default)]
     pub criticality: Option<WorkClass>,
 }
@@ -170,17 +170,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
-    /// Service that it is an upstream of.
+    /// Name of the service that the backend server belongs to.
     pub service: String,
-    /// Host that it runs on; the daemon of that host sends it requests.
+    /// Host that the backend server runs on; the daemon of this host sends it requests.
     pub host: String,
-    /// Address that it listens on.
+    /// Address that the backend server listens on.
     pub address: SocketAddr,
-    /// Requests that it processes concurrently.
+    /// Number of requests that the backend server processes concurrently.
     pub slots: u32,
-    /// Maximum number of connections that it accepts.
+    /// Maximum number of connections that the backend server accepts.
     pub connections: u32,
-    /// Failure domain of its host.
+    /// Failure domain of the host.
     pub failure_domain: String,
     /// Whether the backend server accepts requests.
     #[serde(default)]
@@ -191,7 +191,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkMode {
-    /// A request is retried only when it is certain that it did not run.
+    /// A request is retried only when it is certain that the request did not run.
     #[default]
     Plain,
     /// A request may run more than once without harm.
@@ -204,12 +204,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkClass {
-    /// Shed first.
+    /// Requests that are shed first.
     Sheddable,
-    /// Shed after sheddable and before critical requests.
+    /// Requests that are shed after sheddable ones and before critical ones.
     #[default]
     Normal,
-    /// Shed last.
+    /// Requests that are shed last.
     Critical,
 }
 
@@ -221,10 +221,10 @@
     pub host: String,
     /// Prefix of the path, matched on whole segments.
     pub path_prefix: String,
-    /// Methods that the route accepts; all when empty.
+    /// Methods that the route accepts; when the list is empty, the route accepts all methods.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// Service that serves its requests.
+    /// Service that serves the requests of the route, unless `split` is given.
     pub service: String,
     /// Timeout of a request, in milliseconds.
     #[serde(default = "default_timeout")]
@@ -232,18 +232,18 @@
     /// Whether a request may run more than once, which decides when it is retried.
     #[serde(default)]
     pub mode: WorkMode,
-    /// Priority of its requests when load is shed.
+    /// Priority of the route's requests when load is shed.
     #[serde(default)]
     pub criticality: WorkClass,
     /// Services that share the requests by weight; when empty, `service` receives all of them.
     #[serde(default)]
     pub split: Vec<ServiceShare>,
-    /// Maximum number of upstreams to which one request may be dispatched; 0 for the daemon's own
-    /// limit.
+    /// Maximum number of upstreams to which one request may be dispatched; 0 stands for the maximum
+    /// that the daemon's settings give.
     #[serde(default)]
     pub attempts: u32,
     /// Latency objective in milliseconds: time within which a response has its full value to the
-    /// caller; 0 when none was declared.
+    /// caller; 0 when no objective was declared.
     #[serde(default)]
     pub objective_ms: u32,
     /// Whether callers need the API key of an organisation.
@@ -257,7 +257,7 @@
 pub struct ServiceShare {
     /// Name of the service.
     pub service: String,
-    /// Weight of its share among those of the route.
+    /// Weight of this service among the services that share the route's requests.
     pub weight: u32,
 }
 
@@ -283,9 +283,9 @@
 pub struct LimitRule {
     /// Whose requests are counted: an organisation's, a route's or a service's.
     pub scope: LimitScope,
-    /// Name of the organisation, route or service.
+    /// Name of the organisation, route or service whose requests are counted.
     pub target: String,
-    /// Requests per second over the fleet.
+    /// Requests per second that the whole fleet may admit.
     pub rate: f64,
     /// Requests that may arrive in one burst.
     pub burst: f64,
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Returns the route, if it is one.
+    /// Returns the route if the resource is a route.
     pub fn into_route(self) -> Option<Rc<RouteRule>> {
         match self {
             Self::Route(rule) => Some(rule),
@@ -356,7 +356,8 @@
         }
     }
 
-    /// Returns the resources that this one refers to, with the field of each reference.
+    /// Returns the references of this resource to other resources: the field, and the kind and name
+    /// of the resource that the field refers to.
     pub fn references(&self) -> Vec<(&'static str, ResourceKind, &str)> {
         match self {
             Self::FailureDomain(_) | Self::Service(_) | Self::Organisation(_) => Vec::new(),
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -37,13 +37,13 @@
 pub enum RouteMatch {
     /// The matching route.
     Found(Rc<RouteEntry>),
-    /// Routes match the path but not the method; holds the methods that they accept.
+    /// Routes match the path but not the method; holds the methods that these routes accept.
     WrongMethod(Vec<String>),
     /// No route matches.
     Missing,
 }
 
-/// The packed form of one route: all of its resource except the host.
+/// The packed form of one route: all fields of the route's resource except the host.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct RouteRecord<'a> {
     prefix: &'a str,
@@ -90,7 +90,7 @@
             timeout_ms: self.timeout_ms,
             mode: self.mode,
             criticality: self.criticality,
-            split: self.split.iter().map(|share| share_of(*share)).collect(),
+            split: self.split.iter().map(|share| service_share(*share)).collect(),
             attempts: self.attempts,
             objective_ms: self.objective_ms,
             needs_key: self.needs_key,
@@ -138,7 +138,7 @@
             .map(|index| self.record(index))
     }
 
-    /// Returns the index of the first route whose prefix is not less than this one.
+    /// Returns the index of the first route whose prefix is not less than `prefix`.
     fn lower_bound(&self, prefix: &str) -> usize {
         let (mut low, mut high) = (0, self.offsets.len());
         while low < high {
@@ -154,13 +154,13 @@
 }
 
 impl RouteTable {
-    /// Builds a table from routes. The routes of each host are collected in packed form before they
-    /// are sorted.
+    /// Builds a table from routes.
     pub fn build(routes: impl Iterator<Item = (Rc<str>, Rc<RouteRule>)>) -> Self {
         slices::poll_to_completion(Self::build_in_slices(routes, &slices::no_pause))
     }
 
-    /// Builds a table from routes in time slices.
+    /// Builds a table from routes in time slices. The routes of each host are collected in packed
+    /// form before they are sorted.
     pub async fn build_in_slices(
         routes: impl Iterator<Item = (Rc<str>, Rc<RouteRule>)>,
         pause: &impl AsyncFn(),
@@ -226,7 +226,7 @@
         self.len == 0
     }
 
-    /// Finds the route of a request. `host` has no port; `path` has no query.
+    /// Finds the route of a request. `host` must have no port, and `path` no query.
     pub fn find(&self, host: &str, path: &str, method: &str) -> RouteMatch {
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
@@ -236,7 +236,7 @@
         let mut prefix = trim_trailing_slash(path);
         loop {
             for record in routes.with_prefix(prefix) {
-                if accepts(&record.methods, method) {
+                if accepts_method(&record.methods, method) {
                     return RouteMatch::Found(record.entry(host));
                 }
                 allowed.extend(record.methods.iter().map(|method| method.to_string()));
@@ -254,7 +254,7 @@
     }
 }
 
-fn share_of((service, weight): (&str, u32)) -> ServiceShare {
+fn service_share((service, weight): (&str, u32)) -> ServiceShare {
     ServiceShare { service: service.to_owned(), weight }
 }
 
@@ -262,6 +262,6 @@
     path.strip_suffix('/').unwrap_or(path)
 }
 
-fn accepts(methods: &[&str], method: &str) -> bool {
+fn accepts_method(methods: &[&str], method: &str) -> bool {
     methods.is_empty() || methods.contains(&method)
 }
--- a/crates/core/src/services.rs
+++ b/crates/core/src/services.rs
@@ -13,7 +13,7 @@
 pub struct UpstreamEntry {
     /// Name of the backend server.
     pub name: Rc<str>,
-    /// Resource of the upstream.
+    /// Resource of the backend server.
     pub server: Rc<BackendServer>,
 }
 
@@ -44,13 +44,14 @@
         Self::with_upstreams(&entry.spec, &bytes)
     }
 
-    /// Builds a packed service from upstreams that [`pack_upstream`] packed, in the order of their
-    /// names.
+    /// Builds a packed service from `upstreams`: the concatenated results of [`pack_upstream`], in
+    /// the order of the upstreams' names.
     pub fn with_upstreams(spec: &ServiceSpec, upstreams: &[u8]) -> Self {
         Self { spec: spec.clone(), upstreams: packing::compress(upstreams) }
     }
 
-    /// Unpacks the service into an entry with this name: the packed form does not contain the name.
+    /// Unpacks the service. The packed form does not contain the name of the service, so the caller
+    /// passes the name.
     pub fn unpack(&self, name: &Rc<str>) -> ServiceEntry {
         let bytes = packing::decompress(&self.upstreams);
         let packed: Vec<(&str, BackendServer)> = packing::unpack_all(&bytes);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -23,9 +23,9 @@
 /// `SettingLine` is one line of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingLine {
-    /// Name of the flag that it sets, without dashes.
+    /// Name of the flag that the line sets, without dashes.
     pub flag: String,
-    /// The value.
+    /// Value that the line gives the flag.
     pub value: String,
 }
 
@@ -54,7 +54,8 @@
     env::var_os(variable_of(flag)).is_some()
 }
 
-/// Reads an optional setting; the flag takes precedence over the environment variable.
+/// Parses an optional setting from the value of its flag, or else from its environment variable;
+/// `allowed` describes the allowed values in error messages.
 pub fn optional<T: FromStr>(
     flag: &str,
     flag_value: Option<String>,
@@ -76,7 +77,7 @@
     }
 }
 
-/// Reads a setting that has no default.
+/// Parses a setting that has no default, and fails if the setting was not given.
 pub fn required<T: FromStr>(
     flag: &str,
     flag_value: Option<String>,
@@ -86,7 +87,7 @@
         .ok_or_else(|| SettingError::Missing { flag: flag.to_owned(), variable: variable_of(flag) })
 }
 
-/// Reads a setting with a default and checks it with `accept`.
+/// Parses a setting with a default, and fails unless `accept` holds for the value.
 pub fn checked<T: FromStr + ToString>(
     flag: &str,
     flag_value: Option<String>,
--- a/crates/core/src/slices.rs
+++ b/crates/core/src/slices.rs
@@ -13,8 +13,8 @@
 use std::task::{Context, Poll, Waker};
 
 /// Number of resources processed in one slice. Reading one resource takes about 2 µs, so a slice
-/// takes about 1 ms. A request that arrives during a slice waits for its end, and the proxy may
-/// delay a request by 7.7 ms at most.
+/// takes about 1 ms. A request that arrives during a slice waits for the end of the slice, and the
+/// proxy may delay a request by 7.7 ms at most.
 pub const SLICE_RESOURCES: usize = 512;
 
 /// `WorkSlices` counts the steps of a long computation.
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -5,9 +5,9 @@
 //! daemons.
 //!
 //! A snapshot is a sequence of JSON values, compressed with lz4: a head, then one value for each
-//! resource. Writing and reading go resource by resource, so that neither needs more memory than
-//! the configuration itself. Snapshots that are truncated, corrupted or contain anything unknown
-//! are rejected.
+//! resource. Snapshots are written and read resource by resource, so that neither writing nor
+//! reading needs more memory than the configuration itself. Snapshots that are truncated, corrupted
+//! or contain unknown kinds or fields are rejected.
 
 use std::io::{self, BufRead, Write};
 
@@ -57,12 +57,12 @@
     writer.write_all(b"\n")
 }
 
-/// Deserializes a configuration, with every check that a change goes through.
+/// Deserializes a configuration, with every check that a change must pass.
 pub fn from_bytes(bytes: &[u8]) -> Result<FleetConfig, ResourceError> {
     slices::poll_to_completion(read(bytes, &slices::no_pause))
 }
 
-/// Deserializes a configuration in time slices, with every check that a change goes through.
+/// Deserializes a configuration in time slices, with every check that a change must pass.
 pub async fn read(bytes: &[u8], pause: &impl AsyncFn()) -> Result<FleetConfig, ResourceError> {
     let mut slices = WorkSlices::new(pause);
     let mut reader = io::BufReader::new(FrameDecoder::new(bytes));
@@ -84,10 +84,10 @@
     }
 }
 
-/// Path by which errors refer to the snapshot.
+/// Path that errors give for the snapshot, where they give the path of a resource otherwise.
 const SNAPSHOT_PATH: &str = "snapshot";
 
-/// Reads the next value, which is on a line of its own; `line` is a buffer for it.
+/// Reads the next value, which is on a line of its own; `line` is a reused buffer for the line.
 fn read_value<T: DeserializeOwned>(
     reader: &mut impl BufRead,
     line: &mut Vec<u8>,
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -11,7 +11,8 @@
 /// Bytes in a kibibyte.
 pub const KIB: usize = 1024;
 
-/// `FleetRevision` is the number of an accepted configuration; it increases monotonically.
+/// `FleetRevision` is the number of an accepted configuration. Revisions increase by 1 with each
+/// change.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -39,7 +40,7 @@
         .unwrap_or(0)
 }
 
-/// Formats milliseconds since 1970 as an RFC 3339 time in UTC.
+/// Formats milliseconds since 1970-01-01 UTC as an RFC 3339 time in UTC.
 ///
 /// The conversion from days to a civil date follows the proleptic Gregorian calendar.
 pub fn format_utc(millis: u64) -> String {
--- a/crates/decide/src/adaptive_timeout.rs
+++ b/crates/decide/src/adaptive_timeout.rs
@@ -37,8 +37,9 @@
 /// fail with errors.
 const HUNG_TO_LATE_MIN: f64 = 4.0;
 
-/// Requests that must have hung at all servers of a service before requests are bounded also where
-/// slots are free: a slot is free only until a request that hangs has taken it.
+/// Requests that must have hung at all servers of a service before a server with free slots is
+/// given the shorter timeout as well. A free slot may be taken by a request that hangs at any
+/// moment.
 const SERVICE_HUNG_MIN: f64 = 10.0;
 
 /// `SlowRequests` holds decaying counts of requests that ran longer than nearly all healthy ones.
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -20,45 +20,47 @@
 /// Load, as a share of the slots, up to which a request queues at an upstream that is not a
 /// suspect. Above this load, the request may go to an upstream whose circuit breaker is open, where
 /// it may hang. At this load two service rounds are queued.
-const WAIT_LOAD_MAX: f64 = 3.0;
-/// Share of an upstream's queue from which it counts as full for repeatable requests: the last
-/// entries are taken by requests of other ingresses before a request that is sent now arrives.
+const QUEUE_LOAD_MAX: f64 = 3.0;
+/// Share of an upstream's queue from which the queue counts as full for repeatable requests:
+/// requests of other ingresses take the last places before a request that is sent now arrives.
 const QUEUE_SHARE_MAX: f64 = 0.9;
-/// Cost factor of an upstream in another failure domain, as a share of a service time; the round
-/// trip takes 3 ms.
+/// Factor on the cost of an upstream in another failure domain, as the round trip between failure
+/// domains takes 3 ms.
 const REMOTE_WEIGHT: f64 = 1.1;
 /// Load that is assumed of an upstream without a recent report, as a share of its slots.
 const ASSUMED_LOAD: f64 = 0.3;
-/// Lower bound of the ratio of an upstream's service time to its siblings': errors are sent sooner
-/// than real answers and must not attract traffic.
+/// Lower bound of the ratio of an upstream's service time to that of its siblings: an upstream
+/// sends errors sooner than real answers, and its errors must not attract traffic.
 const TIME_RATIO_MIN: f64 = 0.8;
-/// Upper bound of that ratio, so that a slow but healthy upstream still gets its share.
+/// Upper bound of the ratio of service times, so that a slow but healthy upstream still gets
+/// requests.
 const TIME_RATIO_MAX: f64 = 5.0;
 /// Upstreams drawn and compared for one choice (M. Mitzenmacher, "The power of two choices", 2001).
 const DRAWN_UPSTREAMS: usize = 2;
-/// Factor on the cost of a suspect: a suspect must be this many times less loaded than another
-/// upstream to be chosen before it, so that it gets only requests that the others have no room for.
+/// Factor on the cost of a suspect: a suspect is preferred to another upstream only if the other
+/// one is this many times as loaded. So a suspect gets only requests that the others have no room
+/// for.
 const SUSPECT_FACTOR: f64 = 10.0;
 /// Age up to which a report of an open circuit breaker is acted on.
 const OPEN_BREAKER_REPORT_LIFE: Duration = Duration::from_secs(5);
 /// Age up to which a report, or an attempt that outlasted its hedging delay, makes an upstream a
-/// suspect. After that the upstream is tried again.
+/// suspect. An upstream whose evidence is older is tried again.
 const SUSPECT_LIFE: Duration = Duration::from_millis(1500);
-/// Age from which the anomaly score in a report says nothing about a change that all upstreams
-/// share.
-const SCORE_LIFE: Duration = Duration::from_secs(30);
-/// Age up to which a report of ejection holds: an ejected upstream that has sent no other report by
-/// then is tried again.
+/// Age from which a report is left out of the median anomaly score, which shows changes that all
+/// upstreams share.
+const SCORE_REPORT_LIFE: Duration = Duration::from_secs(30);
+/// Age up to which an upstream counts as ejected by its last report. An upstream that has sent no
+/// newer report by that age is tried again.
 const EJECTION_REPORT_LIFE: Duration = Duration::from_secs(90);
 
 /// One choice in this many may go to an upstream without a recent report, so that the ingress can
-/// compare its preferred upstreams with others: in a small service, its own failure domain holds
-/// fewer upstreams than a baseline needs.
+/// compare its preferred upstreams with others: in a small service, the failure domain of the
+/// ingress holds fewer upstreams than a baseline needs.
 const EXPLORE_EVERY: u32 = 10;
 /// Fresh reports that are enough for a comparison.
 const FRESH_REPORTS_WANTED: usize = 4;
 /// Age from which a report is worth renewing by exploration.
-const EXPLORE_AGE: Duration = Duration::from_secs(2);
+const EXPLORE_REPORT_AGE: Duration = Duration::from_secs(2);
 
 /// `LoadView` is what an ingress knows of one upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -67,22 +69,22 @@
     pub slots: u32,
     /// Whether the upstream is in the failure domain of the ingress.
     pub is_local: bool,
-    /// Whether its daemon can be reached.
+    /// Whether the upstream's daemon can be reached.
     pub reachable: bool,
-    /// Whether the link to its daemon is up again after a cut, but no probe has been answered
-    /// since.
+    /// Whether the link to the upstream's daemon is up again after a cut, but no probe has been
+    /// answered since.
     pub proving: bool,
     /// Whether the upstream is draining, whoever reported it.
     pub draining: bool,
-    /// Requests of this ingress that are in flight there.
+    /// Requests of this ingress that are in flight at the upstream.
     pub own_in_flight: u32,
-    /// Requests in its slots and its queue, by the last report.
+    /// Requests in the slots and the queue of the upstream, by the last report.
     pub load: u32,
-    /// Health in the last report.
+    /// Health of the upstream in the last report.
     pub health: Option<HealthReport>,
-    /// When that report arrived.
+    /// When the last report arrived.
     pub reported_at: Duration,
-    /// When the hedging delay of an attempt there last ran out without an answer.
+    /// When the hedging delay of an attempt at the upstream last ran out without an answer.
     pub hedge_due_at: Option<Duration>,
 }
 
@@ -124,8 +126,8 @@
         estimate.max(f64::from(self.own_in_flight) / slots)
     }
 
-    /// Returns how many service rounds are ahead of a new request, by the last report if it is
-    /// fresh.
+    /// Returns how many service rounds a new request would wait for by the last report; zero if the
+    /// report is not fresh.
     pub fn queued_rounds(&self, now: Duration) -> f64 {
         let fresh = now.saturating_sub(self.reported_at) < LOAD_REPORT_LIFE;
         if !fresh {
@@ -134,7 +136,7 @@
         f64::from(self.load) / f64::from(self.slots.max(1))
     }
 
-    /// Returns the service time of the upstream as a multiple of the typical one.
+    /// Returns the upstream's median service time as a multiple of the service's median.
     fn time_ratio(&self, median_ln: f64) -> f64 {
         match &self.health {
             Some(health) if health.samples > 0 => (health.median_ln - median_ln).exp(),
@@ -198,13 +200,14 @@
     /// Whether the request is repeatable, so that it may be the trial of an upstream that is
     /// ejected or whose circuit breaker is open.
     pub repeatable: bool,
-    /// Whether the request is sent as not refusable.
+    /// Whether the upstream must not refuse the request for its ejection.
     pub must_take: bool,
-    /// Whether the chosen upstream will not be able to decline the request. Then an upstream that
-    /// just declined it as full, and is no suspect, is better than one of which nothing is known.
+    /// Whether the chosen upstream will not be able to decline the request. If so, an upstream that
+    /// just declined the request as full, and is no suspect, is preferred to an upstream of which
+    /// nothing is known.
     pub is_last: bool,
-    /// Service rounds for which the request waits in its own failure domain rather than send its
-    /// bytes to another one.
+    /// Service rounds for which the request waits in the failure domain of the ingress rather than
+    /// send its bytes to another domain.
     pub local_wait_rounds: f64,
 }
 
@@ -233,7 +236,8 @@
     /// The upstream is ejected or its circuit breaker is open, and a repeatable request tests
     /// whether it works again.
     Trial,
-    /// Too few upstreams have reported recently for a comparison, and this one has not.
+    /// Too few upstreams have reported recently for a comparison, and the chosen upstream has not
+    /// reported either.
     Explore,
     /// The upstream is in the failure domain of the ingress, not a suspect and not loaded.
     Near,
@@ -242,11 +246,12 @@
     /// The upstream is not a suspect, and the request queues there, as all upstreams that are no
     /// suspects are full.
     Waiting,
-    /// The upstream is a suspect, but has idle slots, and the others would refuse the request.
+    /// The upstream is a suspect, but has idle slots, and all other upstreams would refuse the
+    /// request.
     Idle,
-    /// The upstream is in service, and none is better.
+    /// The upstream is in service, and no upstream meets a better criterion.
     Any,
-    /// None is in service, and the link to this one is up again after a cut.
+    /// No upstream is in service, and the link to the chosen one is up again after a cut.
     Proving,
 }
 
@@ -266,7 +271,7 @@
     }
 }
 
-/// `RivalUpstream` is the upstream that a chosen one was compared with.
+/// `RivalUpstream` is the upstream that the chosen upstream was compared with.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RivalUpstream {
     /// Position of the upstream.
@@ -280,21 +285,22 @@
 pub struct UpstreamChoice {
     /// Position of the upstream.
     pub index: usize,
-    /// Whether the upstream may refuse, since others can serve the request within the floor.
+    /// Whether the upstream may refuse the request, since other upstreams can serve the request
+    /// within the floor.
     pub refusable: bool,
     /// Why the upstream was eligible.
     pub ground: ChoiceGround,
     /// Cost of the upstream by load, service time, distance and whether it is a suspect.
     pub cost: f64,
-    /// The upstream that it was compared with, if another was drawn.
+    /// The upstream that the chosen one was compared with, if two different ones were drawn.
     pub rival: Option<RivalUpstream>,
-    /// Upstreams that were eligible by the same criterion.
+    /// Number of upstreams that met the criterion `ground`.
     pub eligible: usize,
     /// Age of the report behind the cost, if there is one.
     pub report_age: Option<Duration>,
 }
 
-/// `DrawnUpstream` is the upstream of least cost of a few that were drawn.
+/// `DrawnUpstream` is the upstream of least cost among the upstreams that were drawn.
 #[derive(Debug, Clone, Copy)]
 struct DrawnUpstream {
     index: usize,
@@ -323,7 +329,7 @@
 }
 
 /// Age from which the plan is recomputed even without new reports, as old reports expire.
-const PLAN_LIFE: Duration = Duration::from_secs(1);
+const FLOOR_PLAN_LIFE: Duration = Duration::from_secs(1);
 
 impl ServiceView {
     /// Builds the view of a service; the upstreams are sorted by name.
@@ -376,7 +382,7 @@
         &self.plan
     }
 
-    /// Returns how often a plan violated the floor; it must stay 0.
+    /// Returns how often a plan violated the floor. The count must stay 0.
     pub fn violations(&self) -> u64 {
         self.violations
     }
@@ -402,7 +408,8 @@
         }
     }
 
-    /// Records whether an upstream's daemon is reachable, and if not, whether the link is up again.
+    /// Records whether an upstream's daemon is reachable; `proving` says whether the link to an
+    /// unreachable daemon is up again.
     pub fn note_reachable(&mut self, index: usize, reachable: bool, proving: bool) {
         if let Some(view) = self.upstreams.get_mut(index) {
             self.stale |= view.reachable != reachable;
@@ -440,7 +447,7 @@
     /// Computes the median anomaly score with `values` as the buffer.
     fn median_score_in(&self, now: Duration, values: &mut Vec<f64>) -> f64 {
         values.clear();
-        let recent = |view: &&LoadView| now.saturating_sub(view.reported_at) < SCORE_LIFE;
+        let recent = |view: &&LoadView| now.saturating_sub(view.reported_at) < SCORE_REPORT_LIFE;
         let reported = self.upstreams.iter().filter(recent);
         values.extend(reported.filter_map(|view| view.health.map(|health| health.sickness)));
         if values.is_empty() {
@@ -457,7 +464,7 @@
     }
 
     fn refresh(&mut self, now: Duration) {
-        if !self.stale && now.saturating_sub(self.planned_at) < PLAN_LIFE {
+        if !self.stale && now.saturating_sub(self.planned_at) < FLOOR_PLAN_LIFE {
             return;
         }
         let entries: Vec<CapacityEntry> = self
@@ -531,16 +538,18 @@
 
     /// Chooses the best upstream by the first of these criteria that any upstream meets:
     ///
-    /// - it just declined the request as full, can't decline it again, and is not a suspect;
-    /// - it is in the failure domain of the ingress, not a suspect and not loaded;
-    /// - it is in that domain and not a suspect, and the request queues for no more rounds than its
-    ///   bytes are worth;
-    /// - it is not a suspect and has a free slot;
-    /// - it is not a suspect, and the request queues there: it is served sooner behind others at a
-    ///   healthy upstream than at one that hangs;
-    /// - it is a suspect with idle slots, for a repeatable request that would be refused elsewhere;
-    /// - it is in service at all;
-    /// - its link is up again after a cut.
+    /// - the upstream just declined the request as full, can't decline the request again, and is
+    ///   not a suspect;
+    /// - the upstream is in the failure domain of the ingress, not a suspect and not loaded;
+    /// - the upstream is in the failure domain of the ingress and not a suspect, and the request
+    ///   queues for no more service rounds than the request's bytes are worth;
+    /// - the upstream is not a suspect and has a free slot;
+    /// - the upstream is not a suspect, and the request queues: a request is served sooner behind
+    ///   others at a healthy upstream than at one that hangs;
+    /// - the upstream is a suspect with idle slots, and the request is repeatable and would be
+    ///   refused by all other upstreams;
+    /// - the upstream is in service;
+    /// - the link to the upstream's daemon is up again after a cut.
     fn best(
         &self,
         terms: &ChoiceTerms,
@@ -586,7 +595,7 @@
             in_service && !view.is_suspect(terms) && has_room(view)
         };
         let waiting =
-            |index: usize, view: &LoadView| healthy(index, view) && load(view) < WAIT_LOAD_MAX;
+            |index: usize, view: &LoadView| healthy(index, view) && load(view) < QUEUE_LOAD_MAX;
         if let Some(drawn) = self.draw(terms, rng, candidates, waiting) {
             return Some((ChoiceGround::Waiting, drawn));
         }
@@ -628,15 +637,15 @@
         view.reachable && !view.draining && !self.plan.avoided[index]
     }
 
-    /// Draws, in a fraction of the choices, an upstream whose last report is old, so that its
-    /// answer brings a new one.
+    /// Draws, in a fraction of the choices, an upstream whose last report is old, so that the
+    /// answer of the upstream brings a new report.
     fn explore(&mut self, terms: &ChoiceTerms, rng: &mut impl Rng) -> Option<usize> {
         let now = terms.now;
         self.choices = self.choices.wrapping_add(1);
         if !self.choices.is_multiple_of(EXPLORE_EVERY) || self.upstreams.is_empty() {
             return None;
         }
-        let is_fresh = |view: &&LoadView| now.saturating_sub(view.reported_at) < EXPLORE_AGE;
+        let is_fresh = |view: &&LoadView| now.saturating_sub(view.reported_at) < EXPLORE_REPORT_AGE;
         if self.upstreams.iter().filter(is_fresh).count() >= FRESH_REPORTS_WANTED {
             return None;
         }
@@ -645,7 +654,8 @@
         let view = &self.upstreams[oldest];
         // An upstream with an unanswered request has received requests. Its report is old because
         // the answer is missing, so another request would bring no report either.
-        let is_old = view.own_in_flight == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_AGE;
+        let is_old =
+            view.own_in_flight == 0 && now.saturating_sub(view.reported_at) >= EXPLORE_REPORT_AGE;
         let is_ramping = view.health.is_some_and(|health| view.ramp(now, &health) < 1.0);
         let is_candidate = self.in_service(oldest) && !is_ramping && !view.is_suspect(terms);
         (is_old && is_candidate).then_some(oldest)
@@ -675,15 +685,17 @@
         })
     }
 
-    /// Finds the eligible upstream whose last report is the oldest: after an inconclusive trial the
-    /// next one is due at once, and must not keep other upstreams from their trials.
+    /// Finds the eligible upstream whose last report is the oldest. After an inconclusive trial,
+    /// the next trial of the same upstream is due at once, and must not delay those of other
+    /// upstreams.
     fn oldest_report(&self, is_eligible: impl Fn(usize, &LoadView) -> bool) -> Option<usize> {
         let views = self.upstreams.iter().enumerate();
         let eligible = views.filter(|(index, view)| is_eligible(*index, view));
         eligible.min_by_key(|(_, view)| view.reported_at).map(|(index, _)| index)
     }
 
-    /// Returns the anomaly score from which an upstream stands out; its daemon uses the same bound.
+    /// Returns the anomaly score from which an upstream stands out from its siblings. The
+    /// upstream's daemon uses the same bound.
     fn suspect_threshold(&mut self, now: Duration) -> f64 {
         let is_anomalous =
             |view: &LoadView| view.health.is_some_and(|health| health.sickness >= 1.0);
--- a/crates/decide/src/balance/reservations.rs
+++ b/crates/decide/src/balance/reservations.rs
@@ -3,8 +3,8 @@
 
 //! Chooses the upstreams at which a queued request makes its reservations.
 //!
-//! The workload is a service whose slots are all taken for seconds, some of whose servers hang,
-//! with a demand that moves between failure domains.
+//! The workload is a service whose slots are all taken for seconds. Some of its servers hang, and
+//! the demand moves between failure domains.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 
 use crate::balance::{ChoiceGround, ChoiceTerms, ServiceView, UpstreamChoice, DRAWN_UPSTREAMS};
 
-/// Cost of a reservation in another failure domain, in service rounds. Once the slot is offered,
-/// the request and its answer are sent over the network between the failure domains, and a request
-/// that waits there is not served any sooner.
+/// Cost of a reservation in another failure domain, in service rounds. Once a slot is offered, the
+/// request and its answer are sent over the network between the failure domains, and a request that
+/// waits for a remote slot is not served any sooner.
 const REMOTE_WEIGHT_ROUNDS: f64 = 0.5;
 
 /// `ReservationRequest` asks for the upstreams at which a request may make reservations.
@@ -25,21 +25,21 @@
     pub count: usize,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Service rounds for which the request waits in its own failure domain rather than send its
-    /// bytes to another one.
+    /// Service rounds for which the request waits in the failure domain of the ingress rather than
+    /// send its bytes to another domain.
     pub local_wait_rounds: f64,
 }
 
 impl ServiceView {
-    /// Draws the upstreams at which a request may make reservations. Takes a sample, twice as large
-    /// as needed, of the upstreams that are in service and eligible, and returns the cheapest of
-    /// it. The samples of two ingresses differ, so that waiting requests spread over the service
-    /// however old the reports are.
+    /// Draws the upstreams at which a request may make reservations. Takes samples, twice as large
+    /// as needed, of the upstreams that are in service and for which `fits` holds, and returns the
+    /// cheapest of the samples. The samples of two ingresses differ, so that waiting requests
+    /// spread over the service however old the reports are.
     ///
     /// Suspects are drawn only when no other upstream is eligible: a suspect that fails requests at
     /// once has a free slot again at once, and would offer more slots than the healthy upstreams.
-    /// For most suspects, the circuit breaker at their own host opens first, and that host refuses
-    /// the reservations.
+    /// For most suspects, the circuit breaker at the suspect's host opens first, and that host
+    /// refuses the reservations.
     pub fn draw_reservations(
         &mut self,
         now: Duration,
@@ -58,11 +58,11 @@
         let eligible = if healthy.is_empty() { eligible } else { healthy };
         let local: Vec<usize> =
             eligible.iter().copied().filter(|index| self.is_local(*index)).collect();
-        // A sample of all upstreams alone would hold few local ones in a service of many failure
-        // domains.
+        // In a service of many failure domains, a sample of all upstreams would hold few local
+        // ones.
         let mut drawn = sample(&local, count * DRAWN_UPSTREAMS, rng);
-        let of_all = sample(&eligible, count * DRAWN_UPSTREAMS, rng);
-        drawn.extend(of_all.into_iter().filter(|index| !self.is_local(*index)));
+        let drawn_of_all = sample(&eligible, count * DRAWN_UPSTREAMS, rng);
+        drawn.extend(drawn_of_all.into_iter().filter(|index| !self.is_local(*index)));
         let cost = |index: &usize| {
             let view = &self.upstreams[*index];
             let distance =
--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -4,20 +4,20 @@
 //! The baseline of a service: the latencies and failure rates that its upstreams have in common,
 //! collected at an ingress.
 //!
-//! The upstreams' reports give the typical values of a route; they follow a change within a dozen
-//! requests at each upstream. The most recent answers of all upstreams together show a shared
-//! change sooner.
+//! The upstreams' reports give the typical values of a route. The reports follow a change within a
+//! dozen requests at each upstream. The most recent answers of all upstreams together show a change
+//! that the upstreams share sooner.
 
 use std::time::Duration;
 
 use crate::evidence::{self, ServiceBaseline};
 use crate::health::HealthReport;
 
-/// Upstreams whose reports are kept for one route: the median of 15 is stable, and their reports
-/// fit in a kilobyte.
+/// Upstreams whose reports are kept for one route: the median of 15 reports is stable, and 15
+/// reports fit in a kilobyte.
 const REPORTS_MAX: usize = 15;
-/// Fewest requests that a report must be based on.
-const SAMPLES_MIN: u32 = 3;
+/// Fewest requests that a report must be based on to be kept.
+const REPORT_SAMPLES_MIN: u32 = 3;
 
 #[derive(Debug, Clone, Copy)]
 struct KeptReport {
@@ -36,7 +36,7 @@
 impl RouteBaseline {
     /// Records a report of the upstream with this number.
     pub fn note(&mut self, upstream: u32, report: &HealthReport) {
-        if report.samples < SAMPLES_MIN {
+        if report.samples < REPORT_SAMPLES_MIN {
             return;
         }
         let kept_report = KeptReport { upstream, report: *report };
@@ -81,24 +81,24 @@
     }
 }
 
-/// Answers kept of a service: about two per upstream at the sizes of the requirements.
+/// Answers kept of a service: about two for each upstream of a service of the required size.
 const ANSWERS_MAX: usize = 32;
-/// Age from which an answer is no evidence of the current state of its upstream.
+/// Age from which an answer is no evidence of the current state of the upstream that sent it.
 const ANSWER_LIFE: Duration = Duration::from_secs(5);
 /// Fewest answers of other upstreams from which a shared change is detected.
-const OTHERS_MIN: usize = 6;
+const OTHER_ANSWERS_MIN: usize = 6;
 /// Other upstreams that must have failed before failures count as shared, in a large service.
 const FAILED_UPSTREAMS_MIN: usize = 3;
 /// Share of the other upstreams that must have failed before failures count as shared.
 const FAILED_UPSTREAMS_SHARE: f64 = 0.25;
-/// Deviations by which the median answer of the others must be late before the shift counts as
-/// shared; the noise of a median of a few answers stays below it.
+/// Standard deviations above the baseline's median from which the median service time of the other
+/// upstreams' answers counts as a shared change. The noise of a median of a few answers is smaller.
 const SHARED_SHIFT_MIN: f64 = 0.4;
 
-/// Most recent answers of others that must all be late for a shift to count as shared before the
-/// median of [`ANSWERS_MAX`] shows it: four are late by [`SHARED_SHIFT_MIN`] by chance once in 70
-/// times.
-const LATEST_ANSWERS: usize = 4;
+/// Most recent answers of other upstreams that must all be late for a shared change to be detected
+/// before the median of [`ANSWERS_MAX`] answers shows the change. Four answers are all late by
+/// [`SHARED_SHIFT_MIN`] by chance once in 70 times.
+const LATEST_ANSWERS_COMPARED: usize = 4;
 
 #[derive(Debug, Clone, Copy)]
 struct KeptAnswer {
@@ -117,7 +117,7 @@
 }
 
 impl RecentAnswers {
-    /// Records an answer; `took` is the service time, if there is one to compare.
+    /// Records an answer; `took` is the service time, if the answer can be compared by its time.
     pub fn note(
         &mut self,
         upstream: u32,
@@ -139,7 +139,8 @@
         self.oldest = (self.oldest + 1) % ANSWERS_MAX;
     }
 
-    /// Adjusts a baseline by what the upstreams other than `upstream` recently have in common.
+    /// Raises the failure rate and the median service time of a baseline to those of the recent
+    /// answers of the upstreams other than `upstream`, if these answers show a shared change.
     pub fn adjust(&self, upstream: u32, baseline: &mut ServiceBaseline, now: Duration) {
         let recent = |answer: &&KeptAnswer| {
             answer.upstream != upstream && now.saturating_sub(answer.at) < ANSWER_LIFE
@@ -163,7 +164,7 @@
                 timed_count += 1;
             }
         }
-        if count < OTHERS_MIN {
+        if count < OTHER_ANSWERS_MIN {
             return;
         }
         let share = failed_count as f64 / upstream_count as f64;
@@ -173,7 +174,7 @@
             let rate = f64::from(failures) / count as f64;
             baseline.failure_rate = baseline.failure_rate.max(rate);
         }
-        if timed_count < OTHERS_MIN {
+        if timed_count < OTHER_ANSWERS_MIN {
             return;
         }
         let latest = self.latest_shift(upstream, now);
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Returns the smallest deviation of the most recent answers of other upstreams: each of these
-    /// answers is late by at least this deviation.
+    /// Returns the smallest deviation among the most recent answers of upstreams other than
+    /// `upstream`: each of these answers is late by at least the returned deviation.
     fn latest_shift(&self, upstream: u32, now: Duration) -> f64 {
         let (older, newer) = self.answers.split_at(self.oldest);
         let newest_first = older.iter().rev().chain(newer.iter().rev());
@@ -195,7 +196,7 @@
         });
         other_answers
             .filter_map(|answer| answer.deviations)
-            .take(LATEST_ANSWERS)
+            .take(LATEST_ANSWERS_COMPARED)
             .fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -6,16 +6,16 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slots that a window is divided into: the count lags behind the true window by a tenth at the
-/// most.
-const SLOTS: u32 = 10;
+/// Slots that a window is divided into: the window that is counted is longer than the configured
+/// one by a tenth at the most.
+const WINDOW_SLOTS: u32 = 10;
 
 /// `BudgetTerms` says how many retries a service may make in one window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetTerms {
-    /// Share of the window's requests.
+    /// Retries allowed, as a share of the window's requests.
     pub share: f64,
-    /// Retries beyond that share: this daemon's part of what the fleet may make.
+    /// Retries allowed beyond `share`: this daemon's part of the extra retries of the fleet.
     pub extra: f64,
     /// Length of the window.
     pub window: Duration,
@@ -84,9 +84,10 @@
 
     /// Returns the slot of `now`, and removes the slots that are older than the window.
     fn slot_mut(&mut self, now: Duration) -> &mut BudgetSlot {
-        let length = (self.terms.window / SLOTS).max(Duration::from_millis(1));
-        let number = (now.as_nanos() / length.as_nanos()) as u64;
-        while self.slots.front().is_some_and(|slot| slot.number + u64::from(SLOTS) < number) {
+        let slot_length = (self.terms.window / WINDOW_SLOTS).max(Duration::from_millis(1));
+        let number = (now.as_nanos() / slot_length.as_nanos()) as u64;
+        while self.slots.front().is_some_and(|slot| slot.number + u64::from(WINDOW_SLOTS) < number)
+        {
             self.slots.pop_front();
         }
         if self.slots.back().is_none_or(|slot| slot.number < number) {
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -4,10 +4,11 @@
 //! Detects from live requests that an upstream has become worse than its siblings.
 //!
 //! The detector keeps one-sided cumulative sums of log-likelihood ratios (CUSUM; E. S. Page,
-//! "Continuous inspection schemes", Biometrika 1954). Each sum weighs "as the siblings" against one
-//! kind of anomaly. On average, a healthy upstream reaches a sum of `h` at most once in `exp(h)`
-//! requests (G. Lorden, "Procedures for reacting to a change in distribution", 1971), so the
-//! threshold bounds the rate of false ejections.
+//! "Continuous inspection schemes", Biometrika 1954). Each sum compares the hypothesis that the
+//! upstream behaves like its siblings with the hypothesis of one kind of anomaly. On average, a
+//! healthy upstream reaches a sum of `h` at most once in `exp(h)` requests (G. Lorden, "Procedures
+//! for reacting to a change in distribution", 1971), so the threshold bounds the rate of false
+//! ejections.
 
 use std::time::Duration;
 
@@ -25,20 +26,20 @@
 /// Failure rate of an upstream that fails in part, for instance on one route of ten.
 const WEAK_RATE: f64 = 0.12;
 /// Shift of the mean, in deviations, that the sum of service times is designed to detect.
-const SHIFT_DEVIATIONS: f64 = 1.0;
+const DETECTED_SHIFT_DEVIATIONS: f64 = 1.0;
 /// Deviations at which a service time is clipped, so that a single very slow answer is not enough
 /// evidence for an ejection.
-const SHIFT_CLIP: f64 = 2.5;
-/// Shift, in deviations, that the mix of requests alone may cause; only the shift beyond it counts
-/// as evidence.
-const SHIFT_SLACK: f64 = 0.25;
+const SHIFT_CLIP_DEVIATIONS: f64 = 2.5;
+/// Shift, in deviations, that the mix of requests alone may cause. Only the part of a shift beyond
+/// this value counts as evidence.
+const SHIFT_SLACK_DEVIATIONS: f64 = 0.25;
 /// Weight of the evidence of a request that was given up before it was overdue: service times have
 /// heavier tails than the evidence assumes, and with the full weight a healthy upstream was ejected
 /// 0.12 times an hour instead of 0.04 in simulations.
 const GIVEN_UP_WEIGHT: f64 = 0.5;
 /// Upper bound of a sum, in multiples of the threshold, so that the sum falls below the threshold
 /// soon after an upstream has recovered.
-const CAP_THRESHOLDS: f64 = 4.0;
+const SUM_MAX_THRESHOLDS: f64 = 4.0;
 
 /// `EvidenceKind` is the kind of anomaly that a sum detects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -124,8 +125,8 @@
 
     fn note_failure(&mut self, failed: bool, baseline: &ServiceBaseline) {
         let usual = usual_rate(baseline.failure_rate, ASSUMED_FAILURE_RATE, baseline);
-        self.add(EvidenceKind::Failing, log_ratio(failed, usual, strong_rate(usual)));
-        self.add(EvidenceKind::FailingPartly, log_ratio(failed, usual, weak_rate(usual)));
+        self.add_evidence(EvidenceKind::Failing, log_ratio(failed, usual, strong_rate(usual)));
+        self.add_evidence(EvidenceKind::FailingPartly, log_ratio(failed, usual, weak_rate(usual)));
     }
 
     fn note_latency(&mut self, latency: Duration, was_overdue: bool, baseline: &ServiceBaseline) {
@@ -137,9 +138,10 @@
         }
         let spread = baseline.spread.max(SPREAD_MIN);
         let distance = evidence::log_micros(latency) - baseline.median_ln;
-        let deviations = (distance / spread).clamp(-SHIFT_CLIP, SHIFT_CLIP);
-        let step = SHIFT_DEVIATIONS * (deviations - SHIFT_SLACK) - SHIFT_DEVIATIONS.powi(2) / 2.0;
-        self.add(EvidenceKind::Slow, step);
+        let deviations = (distance / spread).clamp(-SHIFT_CLIP_DEVIATIONS, SHIFT_CLIP_DEVIATIONS);
+        let step = DETECTED_SHIFT_DEVIATIONS * (deviations - SHIFT_SLACK_DEVIATIONS)
+            - DETECTED_SHIFT_DEVIATIONS.powi(2) / 2.0;
+        self.add_evidence(EvidenceKind::Slow, step);
     }
 
     /// Records that a request, still running, is overdue.
@@ -149,50 +151,50 @@
         }
     }
 
-    /// Records that a request was given up before it was overdue, with this much evidence of a
-    /// hang.
+    /// Records that a request was given up before it was overdue; `evidence` is the log-likelihood
+    /// ratio of a hang at that moment.
     pub fn note_given_up(&mut self, evidence: f64) {
-        self.add(EvidenceKind::Overdue, evidence * GIVEN_UP_WEIGHT);
+        self.add_evidence(EvidenceKind::Overdue, evidence * GIVEN_UP_WEIGHT);
     }
 
     fn add_overdue(&mut self, overdue: bool, baseline: &ServiceBaseline) {
         let usual = usual_rate(baseline.overdue_rate, ASSUMED_OVERDUE_RATE, baseline);
-        self.add(EvidenceKind::Overdue, log_ratio(overdue, usual, strong_rate(usual)));
-        self.add(EvidenceKind::OverduePartly, log_ratio(overdue, usual, weak_rate(usual)));
+        self.add_evidence(EvidenceKind::Overdue, log_ratio(overdue, usual, strong_rate(usual)));
+        self.add_evidence(EvidenceKind::OverduePartly, log_ratio(overdue, usual, weak_rate(usual)));
     }
 
     /// Withdraws a failure, as the request failed at another upstream as well.
     pub fn withdraw_failure(&mut self, baseline: &ServiceBaseline) {
         let usual = usual_rate(baseline.failure_rate, ASSUMED_FAILURE_RATE, baseline);
-        self.add(EvidenceKind::Failing, -log_ratio(true, usual, strong_rate(usual)));
-        self.add(EvidenceKind::FailingPartly, -log_ratio(true, usual, weak_rate(usual)));
+        self.add_evidence(EvidenceKind::Failing, -log_ratio(true, usual, strong_rate(usual)));
+        self.add_evidence(EvidenceKind::FailingPartly, -log_ratio(true, usual, weak_rate(usual)));
     }
 
-    fn add(&mut self, kind: EvidenceKind, step: f64) {
-        let cap = CAP_THRESHOLDS * self.threshold;
+    fn add_evidence(&mut self, kind: EvidenceKind, step: f64) {
+        let cap = SUM_MAX_THRESHOLDS * self.threshold;
         let sum = &mut self.sums[kind as usize];
         *sum = (*sum + step).clamp(0.0, cap);
     }
 
-    /// Returns the anomaly score: the largest sum in multiples of the threshold. From 1 on, the
-    /// requests alone show an anomaly, whatever the state of the siblings.
+    /// Returns the anomaly score: the largest sum in multiples of the threshold. At a score of 1 or
+    /// more, the requests alone show an anomaly, whatever the state of the siblings.
     pub fn score(&self) -> f64 {
-        self.largest().1 / self.threshold
+        self.largest_sum().1 / self.threshold
     }
 
     /// Returns the kind of evidence behind the anomaly score.
     pub fn reason(&self) -> EvidenceKind {
-        EVIDENCE_KINDS[self.largest().0]
+        EVIDENCE_KINDS[self.largest_sum().0]
     }
 
-    fn largest(&self) -> (usize, f64) {
-        let mut largest = (0, self.sums[0]);
+    fn largest_sum(&self) -> (usize, f64) {
+        let mut largest_sum = (0, self.sums[0]);
         for (index, sum) in self.sums.iter().enumerate() {
-            if *sum > largest.1 {
-                largest = (index, *sum);
+            if *sum > largest_sum.1 {
+                largest_sum = (index, *sum);
             }
         }
-        largest
+        largest_sum
     }
 
     /// Clears the sums, after the upstream has passed its trials.
--- a/crates/decide/src/distance.rs
+++ b/crates/decide/src/distance.rs
@@ -12,13 +12,14 @@
 
 use std::time::Duration;
 
-/// Weight of the last request in the mean: sizes on a route change as callers ask for other things.
-const LAST_WEIGHT: f64 = 0.1;
+/// Weight of the last request in the mean size: sizes on a route change as callers request other
+/// resources.
+const LAST_SIZE_WEIGHT: f64 = 0.1;
 /// Bytes of a megabyte, as the operator counts them.
 const MEGABYTE: f64 = 1e6;
-/// Maximum number of service rounds that the bytes of a request are worth: with more, callers would
-/// wait for a local server although another could serve them at once.
-const ROUNDS_MAX: f64 = 3.0;
+/// Maximum number of service rounds that a request waits to save its bytes: with more, callers
+/// would wait for a local server although a server elsewhere could serve them at once.
+const LOCAL_WAIT_ROUNDS_MAX: f64 = 3.0;
 
 /// `ByteMean` is the moving average of the size of a route's requests, with their answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -31,18 +32,19 @@
     pub fn note(&mut self, bytes: u64) {
         let bytes = bytes as f64;
         self.mean = Some(match self.mean {
-            Some(mean) => mean + LAST_WEIGHT * (bytes - mean),
+            Some(mean) => mean + LAST_SIZE_WEIGHT * (bytes - mean),
             None => bytes,
         });
     }
 
-    /// Returns the service rounds for which a request waits rather than send its bytes to another
-    /// failure domain. A megabyte is worth waiting for `worth`, and a service round takes `usual`.
-    pub fn rounds(&self, worth: Duration, usual: Option<Duration>) -> f64 {
+    /// Returns the number of service rounds for which a request waits rather than send its bytes to
+    /// another failure domain. `wait_per_megabyte` is the waiting time that a saved megabyte is worth, and
+    /// `usual` is the time of a service round.
+    pub fn rounds(&self, wait_per_megabyte: Duration, usual: Option<Duration>) -> f64 {
         let (Some(mean), Some(usual)) = (self.mean, usual.filter(|usual| !usual.is_zero())) else {
             return 0.0;
         };
-        let wait = worth.as_secs_f64() * mean / MEGABYTE;
-        (wait / usual.as_secs_f64()).min(ROUNDS_MAX)
+        let wait = wait_per_megabyte.as_secs_f64() * mean / MEGABYTE;
+        (wait / usual.as_secs_f64()).min(LOCAL_WAIT_ROUNDS_MAX)
     }
 }
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -8,18 +8,18 @@
 use crate::evidence;
 
 /// Weight of a new sample once there are many: an estimate covers about the last dozen requests, so
-/// that a change shared by all upstreams moves the baseline about as fast as it moves a detector.
+/// that a change shared by all upstreams moves the baseline about as fast as a detector.
 const SAMPLE_WEIGHT: f64 = 0.08;
 /// Deviations at which a sample is clipped (Huber's bound).
 const CLIP_DEVIATIONS: f64 = 2.0;
 /// Ratio of the standard deviation to the mean absolute deviation of a normal distribution.
-const MEAN_TO_STANDARD: f64 = 1.2533;
-/// Lower bound of the spread; below it, noise of the system would count as a change.
+const MEAN_TO_STANDARD_DEVIATION: f64 = 1.2533;
+/// Lower bound of the spread: with a smaller spread, noise of the system would count as a change.
 pub const SPREAD_MIN: f64 = 0.15;
 /// Upper bound of the spread: beyond a factor of e², a service has no typical time to compare with.
 pub const SPREAD_MAX: f64 = 2.0;
-/// Spread assumed before there are samples.
-const SPREAD_START: f64 = 0.5;
+/// Spread of the logarithm of service times that is assumed before there are samples.
+const ASSUMED_SPREAD: f64 = 0.5;
 
 /// `LatencyEstimate` estimates the centre and spread of the logarithm of service times.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -31,7 +31,7 @@
 
 impl Default for LatencyEstimate {
     fn default() -> Self {
-        Self { centre: 0.0, spread: SPREAD_START, samples: 0 }
+        Self { centre: 0.0, spread: ASSUMED_SPREAD, samples: 0 }
     }
 }
 
@@ -48,7 +48,7 @@
         let bound = CLIP_DEVIATIONS * self.spread;
         let distance = value - self.centre;
         self.centre += weight * distance.clamp(-bound, bound);
-        let deviation = distance.abs().min(2.0 * bound) * MEAN_TO_STANDARD;
+        let deviation = distance.abs().min(2.0 * bound) * MEAN_TO_STANDARD_DEVIATION;
         self.spread += weight.min(0.2) * (deviation - self.spread);
         self.spread = self.spread.clamp(SPREAD_MIN, SPREAD_MAX);
     }
@@ -71,11 +71,11 @@
 
 /// Weight of a new sample in the slow estimate of a rate: rare events need to be remembered for
 /// many requests.
-const RARE_WEIGHT: f64 = 0.005;
+const SLOW_ESTIMATE_WEIGHT: f64 = 0.005;
 
 /// `RateEstimate` estimates the share of requests for which a condition holds.
 ///
-/// Keeps a fast and a slow estimate and returns the higher one: a rate that has recently risen
+/// The type keeps a fast and a slow estimate and returns the higher one: a rate that recently rose
 /// at all upstreams counts at once, and a rare but regular event is not forgotten between two
 /// occurrences.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -93,7 +93,7 @@
         let start = 1.0 / f64::from(self.samples + 8);
         let value = if is_true { 1.0 } else { 0.0 };
         self.fast += SAMPLE_WEIGHT.max(start) * (value - self.fast);
-        self.slow += RARE_WEIGHT.max(start) * (value - self.slow);
+        self.slow += SLOW_ESTIMATE_WEIGHT.max(start) * (value - self.slow);
     }
 
     /// Returns the share, 0 to 1.
@@ -103,10 +103,10 @@
 }
 
 /// Time constant with which a peak decays.
-const PEAK_LIFE: Duration = Duration::from_secs(5);
+const PEAK_DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// `DecayingPeak` is the decaying maximum of the values that several parties, each of which sees
-/// only a part, recently reported of the same quantity.
+/// `DecayingPeak` is the decaying maximum of recently reported values of one quantity. The values
+/// come from several parties, each of which sees only a part of the requests.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct DecayingPeak {
     height: f64,
@@ -117,7 +117,7 @@
     /// Records a value and returns the peak.
     pub fn note(&mut self, value: f64, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        let decayed = self.height * (-age / PEAK_LIFE.as_secs_f64()).exp();
+        let decayed = self.height * (-age / PEAK_DECAY_TIME.as_secs_f64()).exp();
         self.height = decayed.max(value);
         self.at = now;
         self.height
--- a/crates/decide/src/evidence.rs
+++ b/crates/decide/src/evidence.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Evidence about an upstream from live requests, and the baseline it is compared with.
+//! Evidence about an upstream from live requests, and the baseline that the upstream is compared
+//! with.
 
 use std::time::Duration;
 
@@ -40,7 +41,8 @@
 /// Fewest upstreams whose median is a meaningful baseline.
 pub const BASELINE_UPSTREAMS_MIN: u32 = 3;
 /// Standard deviations above the median from which a request is overdue. A log-normal service time
-/// exceeds it once in 740 requests; heavier tails raise the baseline's overdue rate instead.
+/// exceeds this bound once in 740 requests; heavier tails raise the baseline's overdue rate
+/// instead.
 pub const OVERDUE_DEVIATIONS: f64 = 3.0;
 /// Shortest time after which a request may be overdue: a shorter time would measure the delays of
 /// timers and of the system's scheduler.
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -4,9 +4,9 @@
 //! Keeps ejection from taking a service's capacity below its floor.
 //!
 //! Each ingress decides from its own view. Servers that are down, unreachable or draining already
-//! use up a part of the capacity that the floor allows to be missing; those with the highest
-//! anomaly scores among the others are avoided only while the capacity in service stays at or above
-//! the floor. So ejection takes the capacity in no ingress's view below the floor, and the
+//! use up a part of the capacity that the floor allows to be missing. Of all other servers, those
+//! with the highest anomaly scores are avoided, as long as the capacity in service stays at or
+//! above the floor. So ejection takes the capacity in no ingress's view below the floor, and the
 //! ingresses need no agreement.
 
 /// `CapacityEntry` is what the floor needs to know about one upstream.
@@ -20,7 +20,7 @@
     pub score: f64,
 }
 
-/// `FloorPlan` is which upstreams an ingress avoids, and the capacity that remains.
+/// `FloorPlan` says which upstreams an ingress avoids, and how much capacity stays in service.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct FloorPlan {
     /// Whether each upstream is avoided, in the order of the entries.
--- a/crates/decide/src/freshness.rs
+++ b/crates/decide/src/freshness.rs
@@ -4,19 +4,20 @@
 //! Decides whether a daemon is certain enough of its configuration to refuse a request by it.
 //!
 //! A refusal by the configuration ("there is no such route") is final, and is wrong if a later
-//! configuration is in force elsewhere. A daemon knows the time of the last confirmation that
-//! nothing later had been accepted, and is certain for a moment from then on. The workload is
-//! requests for what a daemon doesn't know: at a daemon that was cut off from updates and doesn't
-//! know what was just added, and from callers who ask for what never existed, in any number.
+//! configuration is in force elsewhere. A daemon receives confirmations that no configuration later
+//! than its own has been accepted, and is certain of its configuration for [`CERTAIN_FOR`] after
+//! each. The workload is requests for routes that a daemon doesn't know. Some arrive at a daemon
+//! that was cut off from updates and misses a route that was just added. Others, in any number, are
+//! for routes that never existed.
 
 use std::time::Duration;
 
 /// Age of the last confirmation up to which a daemon is certain. A configuration must be in force
-/// within two seconds of its acceptance; half of that leaves as much for the request itself, and
-/// bounds the cost of unknown routes to one query a second.
+/// within two seconds of its acceptance. Half of this time leaves the other half for the request
+/// itself, and bounds the cost of unknown routes to one query a second.
 pub const CERTAIN_FOR: Duration = Duration::from_secs(1);
 
-/// `ConfirmationSource` is who confirmed that nothing later was accepted.
+/// `ConfirmationSource` says who confirmed that no later configuration was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfirmationSource {
     /// The platform's store.
@@ -35,7 +36,7 @@
     }
 }
 
-/// `FreshConfirmation` confirms that nothing later than the configuration in force was accepted.
+/// `FreshConfirmation` confirms that no configuration later than the one in force was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshConfirmation {
     /// Moment up to which no configuration later than the one in force had been accepted.
@@ -63,15 +64,15 @@
         }
     }
 
-    /// Records that there is a later configuration which can't be put in force here: no
-    /// confirmation makes this daemon certain until a later one is in force.
+    /// Records that a later configuration was accepted which this daemon can't put in force: no
+    /// confirmation makes the daemon certain until a later configuration is in force.
     pub fn note_outdated(&mut self) {
         self.outdated = true;
         self.confirmation = None;
     }
 
-    /// Records that the latest configuration can be put in force after all, or that another was
-    /// accepted after it.
+    /// Records that the latest configuration can be put in force after all, or that a still later
+    /// one was accepted.
     pub fn note_readable(&mut self) {
         self.outdated = false;
     }
@@ -91,7 +92,8 @@
         self.confirmation.map(|confirmation| now.saturating_sub(confirmation.valid_at))
     }
 
-    /// Says whether a refusal by the configuration would be right.
+    /// Says whether the last confirmation is recent enough to refuse a request by the
+    /// configuration.
     pub fn is_certain(&self, now: Duration) -> bool {
         self.age(now).is_some_and(|age| age <= CERTAIN_FOR)
     }
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -10,12 +10,13 @@
 //! begins to send, the limit is exceeded at most by the number of requests admitted ahead, and this
 //! number stays within the excess that the operator tolerates.
 //!
-//! Ingresses that can't reach the owner ask its backup. Each claims the part of the limit that the
-//! owner last gave it, and the backup counts all claims as one limit, so that callers that come in
-//! bursts share one burst allowance. Once the limit is nearly used up, the owner reserves the parts
-//! of the ingresses that have stopped asking, so that the sum stays within the limit. The workload
-//! is many organisations that each ask at many ingresses rarely, and one that suddenly sends many
-//! times its usual rate.
+//! Ingresses that can't reach the owner send their token requests to the owner's backup. Each
+//! ingress claims the part of the limit that the owner last gave it, and the backup counts all
+//! claims as one limit, so that callers that come in bursts share one burst allowance. Once the
+//! limit is nearly used up, the owner reserves the parts of the ingresses that have stopped sending
+//! token requests, so that the sum stays within the limit. The workload is many organisations, each
+//! of which sends few requests to each of many ingresses, and one organisation that suddenly sends
+//! many times its usual rate.
 
 use std::time::Duration;
 
@@ -23,43 +24,49 @@
 
 use crate::limits::{RateMeter, TokenBucket};
 
-/// Time since its last token request for which an ingress counts as one that may admit requests
-/// ahead. Its allowance to do so, [`crate::limits::AHEAD_LIFE`], has expired by then.
+/// Time for which an ingress is remembered after its last token request. This time is longer than
+/// [`crate::limits::AHEAD_LIFE`], so that an ingress is forgotten only after its allowance to admit
+/// requests before tokens are granted for them has expired.
 const REQUESTER_LIFE: Duration = Duration::from_secs(12);
-/// Share of the burst that must be available for an ingress to admit requests ahead: below it, a
-/// caller that begins to send many times its usual rate is limited exactly.
-const AHEAD_BURST_MIN: f64 = 0.5;
-/// Share of the tolerated excess that all ingresses together may admit ahead.
-const AHEAD_SHARE: f64 = 0.4;
+/// Share of the burst that must be available for ingresses to admit requests before tokens are
+/// granted for them. While less is available, a caller that begins to send many times its usual
+/// rate is limited exactly.
+const AHEAD_BURST_SHARE_MIN: f64 = 0.5;
+/// Share of the tolerated excess that all ingresses together may admit before tokens are granted.
+const AHEAD_EXCESS_SHARE: f64 = 0.4;
 /// Share of the tolerated excess that an owner may grant at once after all daemons were killed: the
 /// tokens granted before are not known, and the grants after two such kills within one window must
 /// not exceed the limit.
-const RESTART_SHARE: f64 = 0.35;
+const RESTART_EXCESS_SHARE: f64 = 0.35;
 /// Share of the burst below which the owner reserves the parts of the ingresses that have stopped
-/// asking.
-const RESERVE_BELOW: f64 = 0.25;
-/// Typical intervals between the token requests of an ingress after which it counts as silent: its
-/// link to the owner may be cut, while it goes on admitting its part.
-const SILENT_INTERVALS: f64 = 1.25;
-/// Lower bound, as a share of the limit, of the demand by which the parts are computed: where there
-/// is little demand, the first ingress to ask must not be given the whole limit as its part.
+/// sending token requests.
+const RESERVE_BURST_SHARE: f64 = 0.25;
+/// Number of typical intervals between the token requests of an ingress after which the ingress
+/// counts as having stopped. The ingress's link to the owner may be cut, while the ingress goes on
+/// admitting its part of the limit.
+const STOPPED_INTERVALS: f64 = 1.25;
+/// Lower bound, as a share of the limit, of the total demand by which the parts of the ingresses
+/// are computed: while there is little demand, the first ingress that sends a token request must
+/// not be given the whole limit as its part.
 const DEMAND_SHARE_MIN: f64 = 0.5;
-/// Time between two counts of the ingresses that ask.
-const COUNT_EVERY: Duration = Duration::from_millis(100);
-/// Requests that a backup grants an ingress at first: the owner may just have granted the burst.
+/// Time between two counts of the ingresses that send token requests.
+const RECOUNT_INTERVAL: Duration = Duration::from_millis(100);
+/// Tokens that a backup adds for the first token request of an ingress. It adds no whole burst, as
+/// the owner may just have granted one.
 const BACKUP_FIRST_GRANT: f64 = 1.0;
-/// Share of the tolerated excess by which the burst is enlarged: of the two errors of a count over
-/// many daemons, refusing a request within its limit is the one that harms a caller.
-const BURST_SHARE: f64 = 0.05;
+/// Share of the tolerated excess by which the burst is enlarged. A count over many daemons errs in
+/// both directions, and refusing a request within its limit harms a caller, while admitting a
+/// request beyond the limit does not.
+const BURST_EXCESS_SHARE: f64 = 0.05;
 
 /// `LimitTolerance` is how far the operator lets admitted requests exceed a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LimitTolerance {
-    /// Length of the window that is counted.
+    /// Length of the window in which admitted requests are counted.
     pub window: Duration,
     /// Share of what the limit allows in a window.
     pub over: f64,
-    /// Further requests in a window beyond that share.
+    /// Requests tolerated in a window in addition to `over`.
     pub extra: f64,
 }
 
@@ -77,8 +84,8 @@
     pub requester: &'a str,
     /// Tokens that the ingress requests, one for each request that it would admit.
     pub wanted: f64,
-    /// Requests that the ingress admitted ahead since its last token request; their tokens are
-    /// taken from the owner's bucket.
+    /// Requests that the ingress admitted without tokens since its last token request; the owner
+    /// takes the tokens of these requests from its bucket.
     pub spent: f64,
 }
 
@@ -103,11 +110,11 @@
     /// Rate of the requests that all ingresses admitted.
     admitted: RateMeter,
     counted_at: Option<Duration>,
-    /// Requests that all ingresses together may admit ahead.
+    /// Requests that all ingresses together may admit before tokens are granted for them.
     ahead_total: u32,
-    /// Requests a second that ingresses may admit by themselves which have sent no token request
-    /// for longer than they usually do.
-    silent_share: f64,
+    /// Sum of the parts, in requests a second, of the ingresses that have stopped sending token
+    /// requests and may admit requests by themselves.
+    stopped_share_sum: f64,
 }
 
 /// `LimitRequester` is what the owner knows of an ingress.
@@ -116,7 +123,7 @@
     asked_at: Duration,
     /// Rate of the requests that the ingress admitted.
     admitted: RateMeter,
-    /// Requests that the ingress may admit ahead.
+    /// Requests that the ingress may admit before tokens are granted for them.
     ahead: u32,
     /// Part of the limit that the owner gave the ingress, or that the ingress claimed from the
     /// backup, in requests a second.
@@ -124,10 +131,11 @@
 }
 
 impl LimitRequester {
-    /// Says whether the ingress has sent no token request for longer than it usually does.
-    fn is_silent(&self, now: Duration) -> bool {
-        let silent_seconds = now.saturating_sub(self.asked_at).as_secs_f64();
-        silent_seconds * self.admitted.per_second(self.asked_at) > SILENT_INTERVALS
+    /// Says whether the time since the ingress's last token request is longer than the typical
+    /// interval between its token requests.
+    fn has_stopped_requesting(&self, now: Duration) -> bool {
+        let seconds_since_request = now.saturating_sub(self.asked_at).as_secs_f64();
+        seconds_since_request * self.admitted.per_second(self.asked_at) > STOPPED_INTERVALS
     }
 }
 
@@ -137,15 +145,16 @@
         Self::with_bucket(TokenBucket::new(rate, burst, now), burst)
     }
 
-    /// Builds the owner of a limit that may have had another owner until `since`. That owner may
-    /// have granted the whole burst, so the bucket fills only from then on.
+    /// Builds the owner of a limit that may have had another owner until `since`. The previous
+    /// owner may have granted the whole burst, so the bucket is empty at `since` and fills from
+    /// then on.
     pub fn with_predecessor(rate: f64, burst: f64, since: Duration) -> Self {
         Self::with_bucket(TokenBucket::empty(rate, burst, since), burst)
     }
 
     /// Builds the owner of a limit after all daemons restarted at `since`. The tokens granted
-    /// before are not known, and after the restart all callers return at once. The tolerated excess
-    /// keeps callers within their usual rate from being refused.
+    /// before the restart are not known, and all callers return at once. A part of the tolerated
+    /// excess is added to the bucket, so that callers within their usual rate are not refused.
     pub fn after_restart(
         rate: f64,
         burst: f64,
@@ -153,7 +162,7 @@
         since: Duration,
     ) -> Self {
         let mut owner = Self::with_predecessor(rate, burst, since);
-        owner.bucket.put(tolerance.excess(rate, burst) * RESTART_SHARE, since);
+        owner.bucket.put(tolerance.excess(rate, burst) * RESTART_EXCESS_SHARE, since);
         owner
     }
 
@@ -165,11 +174,11 @@
             admitted: RateMeter::default(),
             counted_at: None,
             ahead_total: 0,
-            silent_share: 0.0,
+            stopped_share_sum: 0.0,
         }
     }
 
-    /// Answers a token request under the limit in force.
+    /// Answers a token request as the owner of the limit.
     pub fn answer(
         &mut self,
         rate: f64,
@@ -180,16 +189,16 @@
     ) -> TokenGrant {
         let excess = tolerance.excess(rate, burst);
         self.recount_requesters(now);
-        self.burst = burst + excess * BURST_SHARE;
-        let is_short = self.bucket.available(now) < self.burst * RESERVE_BELOW;
-        let reserved = if is_short { self.silent_share } else { 0.0 };
+        self.burst = burst + excess * BURST_EXCESS_SHARE;
+        let is_short = self.bucket.available(now) < self.burst * RESERVE_BURST_SHARE;
+        let reserved = if is_short { self.stopped_share_sum } else { 0.0 };
         self.bucket.set_rate((rate - reserved).max(0.0), self.burst, now);
         self.bucket.pay(request.spent, now);
         let granted = self.bucket.take_up_to(request.wanted.clamp(0.0, self.burst), now);
         let admitted = granted + request.spent;
         self.admitted.note(admitted, now);
-        let ahead_most = excess * AHEAD_SHARE;
-        let has_headroom = self.bucket.available(now) >= self.burst * AHEAD_BURST_MIN;
+        let fleet_ahead_max = excess * AHEAD_EXCESS_SHARE;
+        let has_headroom = self.bucket.available(now) >= self.burst * AHEAD_BURST_SHARE_MIN;
         let requester = self.requesters.entry(request.requester.into()).or_default();
         self.ahead_total -= requester.ahead;
         requester.asked_at = now;
@@ -197,32 +206,32 @@
         requester.share = rate * requester.admitted.per_second(now)
             / self.admitted.per_second(now).max(rate * DEMAND_SHARE_MIN);
         let share = requester.share;
-        let ahead = if has_headroom { self.ahead_allowance(ahead_most) } else { 0 };
+        let ahead = if has_headroom { self.ahead_allowance(fleet_ahead_max) } else { 0 };
         self.note_ahead(request.requester, ahead);
         TokenGrant { granted, share, ahead }
     }
 
-    /// Recounts the ingresses that request tokens, and removes those that have requested none for
-    /// [`REQUESTER_LIFE`]. Recounts once every [`COUNT_EVERY`] rather than at each token request,
-    /// as a limit of a large fleet has thousands of such ingresses.
+    /// Recounts the ingresses that request tokens, and removes the ingresses that have requested no
+    /// tokens for [`REQUESTER_LIFE`]. Recounts once every [`RECOUNT_INTERVAL`] rather than at each token
+    /// request, as thousands of ingresses request tokens of one limit in a large fleet.
     fn recount_requesters(&mut self, now: Duration) {
-        if self.counted_at.is_some_and(|at| now.saturating_sub(at) < COUNT_EVERY) {
+        if self.counted_at.is_some_and(|at| now.saturating_sub(at) < RECOUNT_INTERVAL) {
             return;
         }
         self.counted_at = Some(now);
         self.requesters
             .retain(|_, requester| now.saturating_sub(requester.asked_at) < REQUESTER_LIFE);
         self.ahead_total = self.requesters.values().map(|requester| requester.ahead).sum();
-        let silent_requesters =
-            self.requesters.values().filter(|requester| requester.is_silent(now));
-        self.silent_share = silent_requesters.map(|requester| requester.share).sum();
+        let stopped_requesters =
+            self.requesters.values().filter(|requester| requester.has_stopped_requesting(now));
+        self.stopped_share_sum = stopped_requesters.map(|requester| requester.share).sum();
     }
 
-    /// Returns how many requests one ingress may admit ahead, if all ingresses of the fleet
-    /// together may admit `most`.
-    fn ahead_allowance(&self, most: f64) -> u32 {
-        let equal_part = (most / self.requesters.len() as f64).ceil();
-        (most - f64::from(self.ahead_total)).min(equal_part).max(0.0) as u32
+    /// Returns how many requests one ingress may admit before tokens are granted for them, if all
+    /// ingresses of the fleet together may so admit `fleet_max` requests.
+    fn ahead_allowance(&self, fleet_max: f64) -> u32 {
+        let equal_part = (fleet_max / self.requesters.len() as f64).ceil();
+        (fleet_max - f64::from(self.ahead_total)).min(equal_part).max(0.0) as u32
     }
 
     fn note_ahead(&mut self, requester: &str, ahead: u32) {
@@ -232,7 +241,8 @@
         }
     }
 
-    /// Answers as the backup of the owner, for an ingress that claims this many requests a second.
+    /// Answers a token request as the backup of the owner; `claim` is the rate that the ingress
+    /// claims, in requests a second.
     pub fn answer_as_backup(
         &mut self,
         rate: f64,
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -7,17 +7,16 @@
 //! evidence grows with the age of the request. Each running request adds the log-likelihood ratio
 //! of "half of the requests hang" against "all requests end in their typical service time" at its
 //! age, and each answer adds the ratio of an answer, which is negative. The evidence of several
-//! requests that are each only a little late adds up, so that a hang of an upstream with a few
-//! requests a second is detected within a typical service time or two, before any one request is
-//! late enough by itself.
+//! requests that each run only a little longer than usual adds up. So a hang of an upstream with a
+//! few requests a second is detected within one or two typical service times, before the age of any
+//! single request is enough evidence.
 
 use std::time::Duration;
 
 use crate::evidence;
 
-/// Share of the requests that hang in the state to be detected: the users' servers that hang do so
-/// with half of their requests or more, and the likelihood of a larger share is close to that of a
-/// half.
+/// Share of the requests that hang at a hanging upstream. The users' servers hang with half of
+/// their requests or more, and the likelihood of a larger share is close to that of a half.
 const HANG_SHARE: f64 = 0.5;
 /// Lower bound of the share of healthy requests that run longer than any age, since service times
 /// have heavier tails than the log-normal: limits the evidence of one request to ln(0.5 / 0.01) =
@@ -25,24 +24,24 @@
 const TAIL_SHARE: f64 = 0.01;
 /// Evidence from which an upstream counts as hanging, which opens its circuit breaker.
 const HANG_THRESHOLD: f64 = 2.0;
-/// Average evidence of a healthy running request and a little more, which is subtracted: without
-/// this, a healthy upstream with four requests at a time counted as hanging for a quarter of the
-/// time.
+/// Evidence that is subtracted for each running request, a little more than the average evidence of
+/// a healthy one. Without the subtraction, a healthy upstream with four requests at a time counted
+/// as hanging for a quarter of the time.
 const RUNNING_EVIDENCE_MEAN: f64 = 0.6;
 /// Lower bound of the evidence of ended requests: servers begin to hang within seconds, so a long
 /// history of answers must not delay the detection.
-const EVIDENCE_MIN: f64 = -1.0;
+const ENDED_EVIDENCE_MIN: f64 = -1.0;
 /// Upper bound of the evidence of ended requests.
-const EVIDENCE_MAX: f64 = 4.0;
+const ENDED_EVIDENCE_MAX: f64 = 4.0;
 /// Time constant with which the evidence of ended requests decays.
-const EVIDENCE_LIFE: Duration = Duration::from_secs(3);
+const ENDED_EVIDENCE_LIFE: Duration = Duration::from_secs(3);
 /// Deviations above the typical service time from which a running request is checked: the age of a
 /// younger request is no evidence.
 const FIRST_CHECK_DEVIATIONS: f64 = 0.5;
 /// Time between two checks of a request, as a share of its typical service time.
-const CHECK_SHARE: f64 = 0.25;
+const CHECK_INTERVAL_SHARE: f64 = 0.25;
 /// Shortest time between two checks of a request.
-const CHECK_MIN: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL_MIN: Duration = Duration::from_millis(20);
 
 /// `UsualTime` is the distribution of the service times of a route.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -53,29 +52,29 @@
     pub spread: f64,
 }
 
-/// Share of a route's objective that its median is assumed to be before any request was seen: most
-/// requests are well within their objective.
-const OBJECTIVE_MEDIAN: f64 = 1.0 / 3.0;
-/// Spread that is assumed before any request was seen.
-const OBJECTIVE_SPREAD: f64 = 0.6;
-/// Answers that weigh as much as the assumption.
-const OBJECTIVE_WEIGHT: f64 = 4.0;
+/// Median service time of a route that is assumed before any request was seen, as a share of the
+/// route's objective: most requests are well within their objective.
+const OBJECTIVE_MEDIAN_SHARE: f64 = 1.0 / 3.0;
+/// Spread of the logarithm of service times that is assumed before any request was seen.
+const ASSUMED_SPREAD: f64 = 0.6;
+/// Number of observed answers that weigh as much as the distribution assumed from the objective.
+const OBJECTIVE_WEIGHT_ANSWERS: f64 = 4.0;
 
 impl UsualTime {
     /// Returns the distribution that is assumed of a route with this objective.
     pub fn of_objective(objective: Duration) -> Self {
-        let median = objective.mul_f64(OBJECTIVE_MEDIAN);
-        Self { median_ln: evidence::log_micros(median), spread: OBJECTIVE_SPREAD }
+        let median = objective.mul_f64(OBJECTIVE_MEDIAN_SHARE);
+        Self { median_ln: evidence::log_micros(median), spread: ASSUMED_SPREAD }
     }
 
-    /// Returns the assumed distribution, corrected by this many `answers` whose distribution is
-    /// `seen`.
+    /// Returns the mean of this distribution, which was assumed, and the distribution `seen` of
+    /// observed answers, weighted by the number of `answers`.
     pub fn corrected(&self, seen: &UsualTime, answers: u32) -> Self {
-        let weight = f64::from(answers) / (f64::from(answers) + OBJECTIVE_WEIGHT);
-        let mix = |assumed: f64, seen: f64| assumed + weight * (seen - assumed);
+        let weight = f64::from(answers) / (f64::from(answers) + OBJECTIVE_WEIGHT_ANSWERS);
+        let weighted_mean = |assumed: f64, seen: f64| assumed + weight * (seen - assumed);
         Self {
-            median_ln: mix(self.median_ln, seen.median_ln),
-            spread: mix(self.spread, seen.spread),
+            median_ln: weighted_mean(self.median_ln, seen.median_ln),
+            spread: weighted_mean(self.spread, seen.spread),
         }
     }
 
@@ -130,9 +129,9 @@
         number
     }
 
-    /// Records the end of a request: an answer, or a nested call that the request makes, is
-    /// evidence against a hang, and a request that was given up leaves its evidence of one. Returns
-    /// the evidence that this request adds.
+    /// Records the end of a request. An answer, or a nested call that the request makes, is
+    /// evidence against a hang. A request that was given up adds the evidence of a hang that it had
+    /// at its end. Returns the evidence that the request adds.
     pub fn end(&mut self, number: u64, answered: bool, now: Duration) -> f64 {
         let index = match self.running.iter().position(|request| request.number == number) {
             Some(index) => index,
@@ -141,7 +140,7 @@
         let request = self.running.swap_remove(index);
         let change = if answered { (1.0 - HANG_SHARE).ln() } else { request.evidence(now) };
         self.ended_evidence =
-            (self.decayed_evidence(now) + change).clamp(EVIDENCE_MIN, EVIDENCE_MAX);
+            (self.decayed_evidence(now) + change).clamp(ENDED_EVIDENCE_MIN, ENDED_EVIDENCE_MAX);
         self.ended_at = now;
         change
     }
@@ -149,10 +148,11 @@
     /// Returns the evidence of ended requests, decayed until `now`.
     fn decayed_evidence(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.ended_at).as_secs_f64();
-        self.ended_evidence * (-age / EVIDENCE_LIFE.as_secs_f64()).exp()
+        self.ended_evidence * (-age / ENDED_EVIDENCE_LIFE.as_secs_f64()).exp()
     }
 
-    /// Returns the evidence of a hang: from 0 on, a hang is likelier than before any request.
+    /// Returns the evidence of a hang. If it is positive, a hang is likelier than before any
+    /// request.
     pub fn evidence(&self, now: Duration) -> f64 {
         let beyond_usual = |request: &RunningRequest| request.evidence(now) - RUNNING_EVIDENCE_MEAN;
         let running: f64 = self.running.iter().map(beyond_usual).sum();
@@ -169,8 +169,8 @@
         self.evidence(now) < 0.0
     }
 
-    /// Clears the evidence, since the upstream has passed its trials: requests that have hung since
-    /// before are no new evidence.
+    /// Clears the evidence after the upstream has passed its trials: requests that began to hang
+    /// before the trials are no new evidence.
     pub fn forget(&mut self) {
         self.running.clear();
         self.ended_evidence = 0.0;
@@ -179,10 +179,10 @@
 
 /// Returns the age at which a request is first checked.
 pub fn first_check(usual: &UsualTime) -> Duration {
-    usual.at(FIRST_CHECK_DEVIATIONS).max(CHECK_MIN)
+    usual.at(FIRST_CHECK_DEVIATIONS).max(CHECK_INTERVAL_MIN)
 }
 
 /// Returns the time between two checks of a request.
 pub fn check_interval(usual: &UsualTime) -> Duration {
-    usual.at(0.0).mul_f64(CHECK_SHARE).max(CHECK_MIN)
+    usual.at(0.0).mul_f64(CHECK_INTERVAL_SHARE).max(CHECK_INTERVAL_MIN)
 }
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -16,33 +16,34 @@
 use crate::hang::{HangDetector, UsualTime};
 use crate::recovery::{RecoveryPlan, TrialVerdict, RAMP};
 
-/// Threshold for `detection`: a healthy upstream is ejected at most once in e^9 (8,000) requests of
-/// the worst case that the bound covers; measured rates are far lower.
+/// Ejection threshold of services that prefer `detection`: a healthy upstream is ejected at most
+/// once in e^9 (8,000) requests in the worst case, and measured rates are far lower.
 pub const THRESHOLD_DETECTION: f64 = 9.0;
-/// Threshold for `precision`: at most once in e^14 (1.2 million) requests.
+/// Ejection threshold of services that prefer `precision`: a healthy upstream is ejected at most
+/// once in e^14 (1.2 million) requests.
 pub const THRESHOLD_PRECISION: f64 = 14.0;
-/// Time for which an upstream must stand out before ejection, for `detection`.
-const CONFIRM_DETECTION: Duration = Duration::from_millis(200);
-/// Time for which an upstream must stand out before ejection, for `precision`.
-const CONFIRM_PRECISION: Duration = Duration::from_millis(800);
-/// Factor on the overdue time of a request at a cold upstream: 2.5 overdue times are 11 times the
-/// typical service time at the decision bench's spread, whose slowest cold start is 6 times as
-/// slow; an ingress gives up an attempt after 3 overdue times.
+/// Time for which an upstream must stand out before ejection in services that prefer `detection`.
+const CONFIRM_TIME_DETECTION: Duration = Duration::from_millis(200);
+/// Time for which an upstream must stand out before ejection in services that prefer `precision`.
+const CONFIRM_TIME_PRECISION: Duration = Duration::from_millis(800);
+/// Factor on the overdue time of a request at a cold upstream. In the decision bench, 2.5 overdue
+/// times are 11 times the typical service time, and the slowest cold start is 6 times as slow as
+/// usual. An ingress gives up an attempt after 3 overdue times.
 const COLD_OVERDUE_FACTOR: f64 = 2.5;
-/// Routes of one upstream whose service times are estimated separately; later ones share one
+/// Routes of one upstream whose service times are estimated separately; all later routes share one
 /// estimate.
 const ROUTES_MAX: usize = 64;
 /// Key of the estimate that the routes beyond [`ROUTES_MAX`] share.
-const OTHER_ROUTES: &str = "";
+const OTHER_ROUTES_KEY: &str = "";
 /// Answers of a route from which its typical service time counts as known without siblings.
-const USUAL_SAMPLES_MIN: u32 = 8;
-/// Answers that the report of one sibling counts as, at the least.
-const SIBLING_ANSWERS: u32 = 4;
+const USUAL_TIME_SAMPLES_MIN: u32 = 8;
+/// Number of answers by which the report of one sibling is weighted.
+const ANSWERS_PER_SIBLING_REPORT: u32 = 4;
 /// Multiple of the siblings' median anomaly score that is added to the bound of an upstream's own
 /// score: an anomaly that all upstreams share is not the fault of one server.
-const SIBLING_WEIGHT: f64 = 3.0;
+const SIBLING_SCORE_WEIGHT: f64 = 3.0;
 
-/// Returns the ejection threshold of a preference.
+/// Returns the ejection threshold of a service with this preference.
 pub fn threshold_of(prefer: EjectionPreference) -> f64 {
     match prefer {
         EjectionPreference::Detection => THRESHOLD_DETECTION,
@@ -53,7 +54,7 @@
 /// Returns the anomaly score from which an upstream stands out from siblings with this median
 /// score.
 pub fn score_bound(siblings: f64) -> f64 {
-    1.0 + SIBLING_WEIGHT * siblings
+    1.0 + SIBLING_SCORE_WEIGHT * siblings
 }
 
 /// Returns the time for which an upstream must stand out before it is ejected.
@@ -63,8 +64,8 @@
 /// the trip of the answers to the ingress, and the trip back with the next dispatch.
 fn confirm_time(prefer: EjectionPreference) -> Duration {
     match prefer {
-        EjectionPreference::Detection => CONFIRM_DETECTION,
-        EjectionPreference::Precision => CONFIRM_PRECISION,
+        EjectionPreference::Detection => CONFIRM_TIME_DETECTION,
+        EjectionPreference::Precision => CONFIRM_TIME_PRECISION,
     }
 }
 
@@ -83,7 +84,8 @@
     Admit,
     /// The dispatch is accepted as a trial of an ejected upstream.
     Trial,
-    /// The upstream is ejected or its circuit breaker is open, and another can serve the request.
+    /// The upstream is ejected or its circuit breaker is open, and another upstream can serve the
+    /// request.
     Refuse,
 }
 
@@ -92,15 +94,16 @@
 pub struct DispatchTerms<'a> {
     /// Name of the route.
     pub route: &'a str,
-    /// Whether the ingress can send the request elsewhere within the floor.
+    /// Whether the ingress can send the request to another upstream without taking the service
+    /// below its floor.
     pub refusable: bool,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the ingress can try another upstream if the circuit breaker of this one is open.
-    /// Declining the request takes no capacity out of service, as the last upstream that is tried
-    /// accepts the request.
+    /// Whether the ingress can try another upstream if this upstream's circuit breaker is open.
+    /// An upstream that declines such a request takes no capacity out of service, as the last
+    /// upstream that is tried accepts the request.
     pub passable: bool,
-    /// What the ingress knows of the siblings.
+    /// Baseline of the upstream's siblings, as known to the ingress.
     pub baseline: ServiceBaseline,
 }
 
@@ -109,25 +112,26 @@
 pub struct HealthReport {
     /// Anomaly score in multiples of the ejection threshold.
     pub sickness: f64,
-    /// Whether the upstream is ejected: it gets no requests unless the floor needs it.
+    /// Whether the upstream is ejected: an ejected upstream gets only trials, and requests that
+    /// must be served there to keep to the floor.
     pub ejected: bool,
     /// Natural logarithm of the median service time of the requested route, in µs.
     pub median_ln: f64,
-    /// Spread of that logarithm.
+    /// Standard deviation of the natural logarithm of the service time.
     pub spread: f64,
-    /// Share of failures.
+    /// Share of the upstream's requests that failed.
     pub failure_rate: f64,
     /// Share of overdue requests of the requested route.
     pub overdue_rate: f64,
     /// Requests of the route that the figures are based on.
     pub samples: u32,
-    /// Share of its full load that the upstream should get.
+    /// Share of its full load that the upstream should get during the slow start, 0.1 to 1.
     pub ramp: f64,
     /// Time until a trial may start; zero when the upstream is in service and its circuit breaker
     /// is closed.
     pub trial_in: Duration,
-    /// Whether the circuit breaker is open: non-repeatable requests should go elsewhere until
-    /// repeatable ones succeed.
+    /// Whether the circuit breaker is open: non-repeatable requests should go to other upstreams
+    /// until repeatable ones succeed at this one.
     pub doubtful: bool,
 }
 
@@ -138,21 +142,21 @@
     Ejected {
         /// Evidence that led to the ejection.
         reason: EvidenceKind,
-        /// Anomaly score at that moment.
+        /// Anomaly score at the moment of the ejection.
         sickness: f64,
-        /// Time since the first evidence of this anomaly.
+        /// Time from the first evidence of the anomaly to the ejection.
         after: Duration,
     },
     /// The upstream is in service again.
     Returned {
-        /// How long it was ejected.
+        /// How long the upstream was ejected.
         out: Duration,
     },
     /// The circuit breaker opened after a failure or a hang.
     BreakerOpened,
     /// The circuit breaker closed.
     BreakerClosed {
-        /// How long it was open.
+        /// How long the circuit breaker was open.
         after: Duration,
     },
 }
@@ -187,7 +191,8 @@
 }
 
 impl UpstreamHealth {
-    /// Builds the health of an upstream from `now` on; the load of a `cold` one rises slowly.
+    /// Builds the health of an upstream that is in service from `now`; the load of a `cold`
+    /// upstream rises slowly.
     pub fn new(prefer: EjectionPreference, now: Duration, cold: bool) -> Self {
         Self {
             detector: AnomalyDetector::new(threshold_of(prefer)),
@@ -240,9 +245,9 @@
         terms: &DispatchTerms<'_>,
         now: Duration,
     ) -> (AdmitVerdict, Option<HealthChange>) {
-        self.learn_baseline(terms, now);
+        self.update_baseline(terms, now);
         // The dispatch carries a recent baseline of the siblings.
-        let change = self.judge(now);
+        let change = self.update_ejection(now);
         (self.admit_verdict(terms, now), change)
     }
 
@@ -261,7 +266,7 @@
         }
     }
 
-    fn learn_baseline(&mut self, terms: &DispatchTerms<'_>, now: Duration) {
+    fn update_baseline(&mut self, terms: &DispatchTerms<'_>, now: Duration) {
         if !terms.baseline.is_usable() {
             if terms.baseline.upstreams > 0 {
                 self.route_mut(terms.route).baseline = terms.baseline;
@@ -278,7 +283,7 @@
         let key = if self.routes.contains_key(route) || self.routes.len() < ROUTES_MAX {
             route
         } else {
-            OTHER_ROUTES
+            OTHER_ROUTES_KEY
         };
         if !self.routes.contains_key(key) {
             self.routes.insert(Rc::from(key), RouteStats::default());
@@ -286,9 +291,9 @@
         self.routes.get_mut(key).unwrap_or_else(|| unreachable!("inserted above"))
     }
 
-    /// Returns the last usable baseline of a route.
+    /// Returns the last baseline of a route that a dispatch carried.
     pub fn baseline(&self, route: &str) -> ServiceBaseline {
-        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
+        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES_KEY));
         stats.map(|stats| stats.baseline).unwrap_or_default()
     }
 
@@ -305,10 +310,10 @@
         let baseline = self.baseline(route);
         self.route_mut(route).overdue.note(true);
         self.detector.note_overdue(&baseline);
-        self.judge(now)
+        self.update_ejection(now)
     }
 
-    /// Records the end of a request as evidence.
+    /// Records the evidence that a request gives about the upstream by its end.
     pub fn note(
         &mut self,
         route: &str,
@@ -323,7 +328,7 @@
         } else {
             self.detector.note(evidence, was_overdue, &baseline);
         }
-        self.judge(now)
+        self.update_ejection(now)
     }
 
     fn update_estimates(&mut self, route: &str, evidence: RequestEvidence, was_overdue: bool) {
@@ -381,7 +386,7 @@
         }
     }
 
-    /// Records in the circuit breaker how a request ended; the breaker decides on the next ones.
+    /// Records in the circuit breaker whether and how a request failed.
     pub fn note_end(
         &mut self,
         failure: Option<FailureKind>,
@@ -401,10 +406,12 @@
         }
     }
 
-    /// Returns the typical service time of a route: that of the siblings, if it is known, else the
-    /// one observed here, else one assumed from the objective.
+    /// Returns the typical service time of a route: that of the siblings, if the baseline of the
+    /// siblings is usable. Otherwise the time assumed from the objective is corrected by the
+    /// reports of the few siblings and by the answers of this upstream. Without an objective, the
+    /// time observed at this upstream is returned, if there were enough answers.
     pub fn usual_time(&self, route: &str, objective: Option<Duration>) -> Option<UsualTime> {
-        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
+        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES_KEY));
         let stats = stats.copied().unwrap_or_default();
         if let Some(usual) = stats.baseline.usual_time() {
             return Some(usual);
@@ -414,7 +421,7 @@
         let samples = latency.samples();
         let objective = match objective {
             Some(objective) => objective,
-            None => return (samples >= USUAL_SAMPLES_MIN).then_some(observed),
+            None => return (samples >= USUAL_TIME_SAMPLES_MIN).then_some(observed),
         };
         let siblings = stats.baseline.upstreams;
         if samples == 0 && siblings == 0 {
@@ -424,12 +431,12 @@
         let sibling_usual =
             UsualTime { median_ln: stats.baseline.median_ln, spread: stats.baseline.spread };
         let assumed = UsualTime::of_objective(objective)
-            .corrected(&sibling_usual, siblings * SIBLING_ANSWERS);
+            .corrected(&sibling_usual, siblings * ANSWERS_PER_SIBLING_REPORT);
         Some(assumed.corrected(&observed, samples))
     }
 
-    /// Records that a request with this typical service time was sent to the upstream; returns its
-    /// number.
+    /// Records that a request with this typical service time was sent to the upstream; returns the
+    /// number by which the end of the request is recorded.
     pub fn start_request(&mut self, usual: UsualTime, now: Duration) -> u64 {
         self.hang.start(usual, now)
     }
@@ -445,7 +452,7 @@
         if end == WatchEnd::GivenUp && now >= self.cold_until {
             self.detector.note_given_up(evidence);
         }
-        if let Some(change) = self.judge(now) {
+        if let Some(change) = self.update_ejection(now) {
             return Some(change);
         }
         if !self.breaker.is_open() {
@@ -463,8 +470,8 @@
         None
     }
 
-    /// Forgets the running requests: their age is not evidence, as the host was suspended in the
-    /// meantime.
+    /// Forgets the running requests after the host was suspended: the age of the requests includes
+    /// the suspension and is no evidence of a hang.
     pub fn forget_running(&mut self) {
         self.hang.forget();
     }
@@ -484,7 +491,7 @@
         self.detector.withdraw_failure(&baseline);
     }
 
-    fn judge(&mut self, now: Duration) -> Option<HealthChange> {
+    fn update_ejection(&mut self, now: Duration) -> Option<HealthChange> {
         let sickness = self.detector.score();
         if sickness <= 0.0 {
             self.anomalous_since = None;
@@ -524,16 +531,16 @@
         &self.recovery
     }
 
-    /// Returns the evidence that led to the ejection, or the strongest evidence against the
-    /// upstream so far.
+    /// Returns the kind of evidence that led to the ejection, or else the kind of the strongest
+    /// evidence against the upstream so far.
     pub fn reason(&self) -> Option<EvidenceKind> {
         let has_evidence = self.detector.score() > 0.0;
         self.reason.or_else(|| has_evidence.then(|| self.detector.reason()))
     }
 
-    /// Returns the report for a dispatch of `route`.
+    /// Returns the health report to an ingress that dispatched a request of `route`.
     pub fn report(&self, route: &str, now: Duration) -> HealthReport {
-        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES));
+        let stats = self.routes.get(route).or_else(|| self.routes.get(OTHER_ROUTES_KEY));
         let stats = stats.copied().unwrap_or_default();
         let sickness = self.detector.score();
         HealthReport {
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -13,11 +13,12 @@
 
 use fnv::FnvHasher;
 
-/// Time for which borrowed tokens are valid. Tokens that are not used by then expire, so that an
-/// ingress can't hoard them.
+/// Time for which borrowed tokens are valid. Tokens that are not used within this time expire, so
+/// that an ingress can't hoard them.
 pub const GRANT_LIFE: Duration = Duration::from_millis(1000);
 /// Time for which an ingress may use its allowance to admit requests before the owner grants tokens
-/// for them. It is long enough that callers which send a request every few seconds don't wait.
+/// for them. Callers that send a request every few seconds send the next one within this time, and
+/// so don't wait.
 pub const AHEAD_LIFE: Duration = Duration::from_secs(10);
 /// Time constant over which the rate of requests is measured: long enough for callers that send a
 /// request every few seconds to have a rate.
@@ -26,11 +27,11 @@
 const STANDALONE_BURST: f64 = 2.0;
 /// Fewest tokens requested from the owner at once, so that an ingress with few requests sends at
 /// most one token request for each of them.
-const ASK_MIN: f64 = 1.0;
+const REQUESTED_TOKENS_MIN: f64 = 1.0;
 /// Part of a grant's lifetime for which tokens are requested in advance.
-const ASK_LIFE_SHARE: f64 = 0.25;
+const REQUESTED_LIFE_SHARE: f64 = 0.25;
 
-/// Finds the owner of a limit among `hosts`; all daemons with the same hosts find the same.
+/// Finds the owner of a limit among `hosts`; all daemons with the same hosts find the same owner.
 pub fn owner_of<'a>(limit: &str, hosts: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     hosts.max_by_key(|host| (weight(limit, host), *host))
 }
@@ -45,14 +46,14 @@
     owner_of(limit, hosts.filter(|host| *host != owner))
 }
 
-/// Returns the weight of a host for a limit, the same in all daemons.
+/// Returns the weight of a host for a limit. All daemons compute the same weight.
 pub fn weight(limit: &str, host: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(host.as_bytes());
     hasher.write_u8(0);
     hasher.write(limit.as_bytes());
-    // FNV mixes its last bytes poorly into the high bits; this finalizer (splitmix64) corrects
-    // that.
+    // FNV mixes the last bytes poorly into the high bits of the hash. The finalizer of splitmix64
+    // mixes them well.
     let mut mixed = hasher.finish();
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -74,8 +75,8 @@
         Self { rate, burst, tokens: burst, filled_at: now }
     }
 
-    /// Builds a bucket that was empty at `since` and has been refilled since then: a new owner must
-    /// not grant a second burst.
+    /// Builds a bucket that was empty at `since` and has been refilled from then on, for a new
+    /// owner, which must not grant a second burst.
     pub fn empty(rate: f64, burst: f64, since: Duration) -> Self {
         Self { tokens: 0.0, ..Self::new(rate, burst, since) }
     }
@@ -99,7 +100,7 @@
         self.take_up_to(1.0, now) >= 1.0
     }
 
-    /// Takes at most `wanted` whole tokens and returns how many.
+    /// Takes at most `wanted` whole tokens and returns how many were taken.
     pub fn take_up_to(&mut self, wanted: f64, now: Duration) -> f64 {
         self.fill(now);
         let taken = wanted.min(self.tokens).floor().max(0.0);
@@ -120,13 +121,13 @@
         self.tokens = (self.tokens + tokens).min(self.burst);
     }
 
-    /// Returns the tokens that can be taken; negative while tokens are owed.
+    /// Returns the tokens in the bucket; negative if [`Self::pay`] took more than there were.
     pub fn available(&mut self, now: Duration) -> f64 {
         self.fill(now);
         self.tokens
     }
 
-    /// Returns the time until the next token.
+    /// Returns the time until the bucket holds a whole token.
     pub fn next_in(&self) -> Duration {
         let missing_tokens = (1.0 - self.tokens).max(0.0);
         Duration::from_secs_f64((missing_tokens / self.rate).min(3600.0))
@@ -141,7 +142,7 @@
 }
 
 impl RateMeter {
-    /// Records requests.
+    /// Records that this many requests arrived.
     pub fn note(&mut self, requests: f64, now: Duration) {
         self.count = self.decayed(now) + requests;
         self.noted_at = self.noted_at.max(now);
@@ -166,9 +167,9 @@
     /// The request is admitted before the owner has granted a token for it; the token is requested
     /// from the owner in the meantime.
     PassAhead,
-    /// The request is beyond the limit; the caller may retry after this time.
+    /// The request is beyond the limit; the caller may retry after the given time.
     Refuse(Duration),
-    /// No borrowed token is available; the owner must be asked for this many first.
+    /// No borrowed token is available; the ingress must first request this many from the owner.
     Ask(f64),
 }
 
@@ -203,7 +204,8 @@
     /// Requests that were admitted before a token was granted for them and are not yet reported to
     /// the owner, which takes their tokens from its bucket.
     spent: f64,
-    /// Requests a second that this ingress admits at the most while the owner can't be reached.
+    /// Maximum rate, in requests a second, at which this ingress admits requests while the owner
+    /// can't be reached.
     claim: Option<f64>,
     standalone: Option<TokenBucket>,
 }
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Decides on a request.
+    /// Says whether a request is within the limit, and takes its token if so.
     pub fn admit(&mut self, now: Duration) -> LimitVerdict {
         self.note_demand(now);
         if let Some(bucket) = &mut self.standalone {
@@ -262,10 +264,12 @@
     }
 
     fn wanted(&self) -> f64 {
-        (self.per_second * GRANT_LIFE.as_secs_f64() * ASK_LIFE_SHARE).ceil().max(ASK_MIN)
+        (self.per_second * GRANT_LIFE.as_secs_f64() * REQUESTED_LIFE_SHARE)
+            .ceil()
+            .max(REQUESTED_TOKENS_MIN)
     }
 
-    /// Records a grant of the owner; an empty grant refuses requests for `wait`.
+    /// Records a grant of the owner. After a grant of no token, requests are refused for `wait`.
     pub fn note_grant(&mut self, granted: f64, wait: Duration, now: Duration) {
         self.standalone = None;
         if granted < 1.0 {
@@ -299,8 +303,8 @@
         self.ahead_until = now + AHEAD_LIFE;
     }
 
-    /// Puts back the token of a request that was admitted and then refused for another reason: such
-    /// a request counts towards no limit.
+    /// Puts back the token of a request that was admitted and then refused for another reason, as a
+    /// refused request counts towards no limit.
     pub fn give_back(&mut self, now: Duration) {
         if self.standalone.is_none() {
             let still_valid = if now <= self.valid_until { self.borrowed } else { 0.0 };
@@ -311,9 +315,9 @@
 
     /// Records that the owner can't be reached, and returns the rate, in requests a second, at
     /// which this ingress admits requests until the owner can be reached again. The rate is the
-    /// part that the owner last gave, or an equal part if the owner gave none. The parts follow the
-    /// demand of the callers, so that the callers are still served, and the sum of the parts is the
-    /// limit.
+    /// part of the limit that the owner last gave this ingress, or an equal part if the owner gave
+    /// none. The parts follow the demand of the callers, so that the callers are still served, and
+    /// the sum of the parts is the limit.
     pub fn note_owner_lost(&mut self, rate: f64, daemons: usize) -> f64 {
         let equal_share = rate / daemons.max(1) as f64;
         let claimed_rate = if self.share > 0.0 { self.share } else { equal_share };
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -5,33 +5,35 @@
 //!
 //! The workload is a service that is overloaded for seconds: one kind of request comes in a burst,
 //! or a part of the backend servers hangs. Some callers are then answered late or not at all, and
-//! the scheduling decides which. Nested calls of running requests go first: their parents hold
-//! slots for as long as they wait, and refusing them discards what their parents have done. Next go
-//! requests that can still be answered within their objective, as a late answer is worth less to
-//! its caller however urgent it is; those that can't are not refused, but served when no request
-//! that can meet its objective waits.
+//! the scheduling decides which. Nested calls of running requests go first: the parent request of a
+//! nested call holds a slot until the call ends, and refusing the call discards what the parent has
+//! done. Next go requests that can still be answered within their objective, as a late answer is
+//! worth less to its caller, however urgent the request is. Requests that will miss their objective
+//! are not refused, but served when no request that can meet its objective waits.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use basaltarch_core::resources::WorkClass;
 
-/// One slot in this many goes to the request that has waited longest, whatever its priority: while
-/// urgent requests fill all slots for seconds, no class of requests starves.
+/// One slot in this many goes to the request that has waited longest, whatever its priority, so
+/// that no class of requests starves while urgent requests fill all slots for seconds.
 pub const LONGEST_EVERY: u32 = 5;
 
-/// Slots of a backend server that are reserved for nested calls of running requests, once such
-/// calls had to wait for one. If new requests took all slots, they would hold the slots until the
-/// nested calls that they make had slots themselves: a deadlock until the timeouts.
-const RESERVED_FOR_CALLS: u32 = 1;
+/// Slots of a backend server that are reserved for nested calls of running requests after a nested
+/// call had to wait for a slot. New requests that took all slots would hold them until the nested
+/// calls that they make were served, and these calls would wait for a slot: a deadlock until the
+/// timeouts.
+const CALL_RESERVED_SLOTS: u32 = 1;
 /// Time for which slots stay reserved after a nested call had to wait.
 pub const CALL_RESERVE_TIME: Duration = Duration::from_secs(5);
 
-/// Returns how many of a backend server's slots requests of this kind may fill; `calls_wait` says
-/// whether nested calls recently had to wait there.
+/// Returns how many of a backend server's slots may be filled by nested calls (`is_call`) or by
+/// other requests. `calls_wait` says whether nested calls recently had to wait for a slot of the
+/// server.
 pub fn open_slots(slots: u32, is_call: bool, calls_wait: bool) -> u32 {
-    match !is_call && calls_wait && slots > RESERVED_FOR_CALLS {
-        true => slots - RESERVED_FOR_CALLS,
+    match !is_call && calls_wait && slots > CALL_RESERVED_SLOTS {
+        true => slots - CALL_RESERVED_SLOTS,
         false => slots,
     }
 }
@@ -49,13 +51,14 @@
     pub objective: Option<Duration>,
     /// Typical service time of requests of the same route, if known.
     pub usual: Option<Duration>,
-    /// Time in which most requests of the same route complete, if known: a request that starts with
-    /// less time than this until its objective misses the objective as often as it meets it.
+    /// Time in which most requests of the same route complete, if known. A request that starts with
+    /// less time until its objective misses the objective as often as it meets the objective.
     pub needed_time: Option<Duration>,
 }
 
 impl QueuedRequest {
-    /// Returns the priority among requests that can meet their objectives; the highest goes first.
+    /// Returns the priority among requests that can meet their objectives; the request of the
+    /// highest priority goes first.
     pub fn urgency(&self) -> (bool, WorkClass) {
         (self.is_call, self.class)
     }
@@ -74,9 +77,9 @@
     }
 }
 
-/// Returns the position of the request that gets a slot now, among requests in the order of their
-/// arrival. `grant_count` is the number of slots that were given so far to requests that had
-/// waited.
+/// Returns the position of the request that gets the next free slot; `waiting` lists the requests
+/// in the order of their arrival. `grant_count` is the number of slots that were given so far to
+/// requests that had waited.
 pub fn first(
     waiting: impl Iterator<Item = QueuedRequest>,
     grant_count: u32,
@@ -86,8 +89,8 @@
     let ranks = waiting.enumerate().map(|(index, request)| {
         let in_time = request.meets_objective(now);
         let urgency = if is_oldest_first { None } else { Some(request.urgency()) };
-        // A nested call that misses its objective blocks its parent's slot no less than one that
-        // meets it.
+        // A nested call that misses its objective blocks the slot of its parent request as much as
+        // one that meets its objective.
         let is_first = urgency.is_some_and(|(is_call, _)| is_call);
         ((is_first, in_time, urgency, Reverse(index)), index)
     });
@@ -95,14 +98,16 @@
 }
 
 /// Says whether a request that will miss its objective may wait for one of `slots` slots; `in_time`
-/// is the number of waiting requests that meet theirs. If those fill all slots for a whole round,
-/// the request may not wait, since more of them arrive before it is served. It is refused while its
-/// caller still has time to try elsewhere.
+/// is the number of waiting requests that meet their objectives. If the requests in time fill all
+/// slots for a whole service round, the late request may not wait, since more requests in time
+/// arrive before the late one is served. The late request is then refused while its caller still
+/// has time to try elsewhere.
 pub fn accepts_late(in_time: f64, slots: u32) -> bool {
     in_time < f64::from(slots)
 }
 
-/// Estimates when a request would start that waits behind `before` others for `slots` slots.
+/// Estimates when a request starts that waits for one of `slots` slots behind `before` other
+/// requests, if each request takes `usual`.
 pub fn start_after(before: f64, slots: u32, usual: Duration, now: Duration) -> Duration {
     now + usual.mul_f64((before + 1.0) / f64::from(slots.max(1)))
 }
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -5,18 +5,18 @@
 
 use std::time::Duration;
 
-/// Silence on a link with open exchanges after which the peer is probed: the typical service time
-/// is as long, so that an answer often arrives first.
+/// Time without any frame on a link with open exchanges after which the peer is probed. The typical
+/// service time is as long, so that an answer often makes the probe unnecessary.
 pub const PROBE_AFTER: Duration = Duration::from_millis(150);
 /// Time without any frame after a probe from which a path counts as cut while its round trip is not
-/// known: four times the round trip between far regions (0.3 s). A cut of either direction has the
-/// same effect at this end, and makes the path useless.
+/// known: four times the round trip between far regions (0.3 s). A cut of either direction stops
+/// the frames that this daemon receives, and makes the path useless.
 pub const SILENCE_MAX: Duration = Duration::from_millis(1200);
-/// Lower bound of that time if the path's round trip is known: a host that gets its share of a
-/// processor in slices of tenths of a second sends nothing for as long, and a lost packet is
-/// retransmitted after 200 ms.
+/// Lower bound of the time without any frame after a probe from which a path with a known round
+/// trip counts as cut: a host that gets its share of a processor in slices of tenths of a second
+/// sends nothing for as long, and a lost packet is retransmitted after 200 ms.
 pub const SILENCE_MIN: Duration = Duration::from_millis(350);
-/// Round trips without any frame from which a path counts as cut.
+/// Time without any frame after a probe, in round trips, from which a path counts as cut.
 const SILENCE_ROUNDS: u32 = 4;
 /// Maximum number of consecutive answers that are required before a flapping path is used again.
 const ANSWERS_NEEDED_MAX: u32 = 32;
@@ -30,8 +30,8 @@
     Up,
     /// The peer does not answer.
     Cut,
-    /// The peer answers again, but the path was cut recently and too few probes were answered
-    /// since.
+    /// The peer answers again, but the path was cut recently, and the peer has answered too few
+    /// probes since the cut.
     Proving,
 }
 
@@ -44,7 +44,8 @@
     answers_needed: u32,
     up_since: Duration,
     was_cut: bool,
-    /// Whether an attempt over the path outlasted its hedging delay and no frame arrived since.
+    /// Whether an attempt over the path outlasted its hedging delay and no frame has arrived since
+    /// that moment.
     was_late: bool,
     /// Longest of the recent round trips, if one was measured.
     round_trip: Option<Duration>,
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Says whether the peer should be probed, and records the probe if so.
+    /// Says whether the peer should be probed now, and records the probe if so; `in_use` says
+    /// whether the link has open exchanges.
     pub fn probe(&mut self, now: Duration, in_use: bool) -> bool {
         let has_no_recent_frame = now.saturating_sub(self.received_at) >= PROBE_AFTER;
         let should_probe = self.was_cut || ((in_use || self.was_late) && has_no_recent_frame);
@@ -77,8 +79,8 @@
         should_probe && self.is_cut(now)
     }
 
-    /// Records that an attempt over the path outlasted its hedging delay. The attempt may be over
-    /// long before a probe would be sent, as its hedge was answered.
+    /// Records that an attempt over the path outlasted its hedging delay. The record makes a probe
+    /// due even if the attempt ends before [`PROBE_AFTER`], as its hedge was answered.
     pub fn note_late(&mut self) {
         self.was_late = true;
     }
@@ -93,7 +95,7 @@
 
     /// Records a round trip to the peer.
     pub fn note_round_trip(&mut self, took: Duration) {
-        // A longer round trip counts at once, shorter ones gradually.
+        // A longer round trip raises the value at once, shorter ones lower it gradually.
         let recent_longest = self.round_trip.unwrap_or(took);
         self.round_trip = Some(took.max(recent_longest - recent_longest / 8));
     }
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Records that the host was suspended: until the peer answers, the path is not known to work,
-    /// and a probe from before the suspension measures nothing.
+    /// Records that this daemon's host was suspended. The path is not known to work until the peer
+    /// answers, and the answer to a probe from before the suspension measures no round trip.
     pub fn note_resumed(&mut self, now: Duration) {
         self.probed_at = None;
         self.note_cut(now);
--- a/crates/decide/src/poison.rs
+++ b/crates/decide/src/poison.rs
@@ -3,26 +3,27 @@
 
 //! Poison requests: those that fail at whichever upstream runs them.
 //!
-//! If a request fails at one upstream after another, this is evidence against the request. The
+//! A request that fails at one upstream after another is probably the cause of its failures. The
 //! ingress that saw the failures marks later dispatches of the same request, so that their failures
-//! are not evidence against upstreams. This also holds where no retry can show that the request is
-//! the cause, as the retry budget is used up or the request is not repeatable. Failures that
-//! counted before the request was known to be poison are withdrawn.
+//! are not evidence against upstreams. Dispatches are also marked where no retry can show that the
+//! request is the cause, as the retry budget is used up or the request is not repeatable. Failures
+//! that counted before the request was known to be poison are withdrawn.
 
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
 use fnv::FnvHasher;
 
-/// Requests remembered for one service: poison requests are rare, and one that is evicted is
-/// detected again from two failures.
+/// Maximum number of requests remembered for one service: poison requests are rare, and a poison
+/// request that is evicted is detected again from two failures.
 pub const POISON_MAX: usize = 32;
-/// Distinct upstreams at which a request must have failed before its failures are no evidence.
+/// Distinct upstreams at which a request must have failed before its failures are no evidence
+/// against upstreams.
 /// The failure of a retry at a second upstream therefore also withdraws the first failure.
 const NO_EVIDENCE_UPSTREAMS: usize = 2;
 /// Distinct upstreams at which a request must have failed before a retry only wastes the retry
-/// budget: two that fail at once are seen in practice, a third makes the request the likelier
-/// cause.
+/// budget. Two upstreams that fail at the same time are seen in practice. After a failure at a
+/// third one, the request is the likelier cause.
 const NO_RETRY_UPSTREAMS: usize = 3;
 /// Time after its last failure for which a request is remembered; a caller that repeats a poison
 /// request by itself does so within seconds.
@@ -98,12 +99,13 @@
 }
 
 impl<U: Clone + PartialEq> PoisonTable<U> {
-    /// Says whether the table is empty, so that no hash need be computed.
+    /// Says whether the table is empty: if it is, callers need not compute the hash of a request.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Drops expired requests, so that no hashes are computed long after the last failure.
+    /// Drops the requests whose last failure is older than [`POISON_LIFE`], so that callers compute
+    /// no hashes long after the last failure.
     pub fn forget_old(&mut self, now: Duration) {
         self.requests.retain(|each| now.saturating_sub(each.at) < POISON_LIFE);
     }
@@ -113,8 +115,9 @@
         self.requests.len()
     }
 
-    /// Records that a request failed at an upstream, and whether that `counted` as evidence there;
-    /// returns the failures to withdraw, now that the request is known to fail at any upstream.
+    /// Records that a request failed at an upstream; `counted` says whether the failure counted as
+    /// evidence against the upstream. Returns the failures to withdraw, if the request is now known
+    /// to fail at any upstream.
     pub fn note_failure(
         &mut self,
         request: RequestHash,
@@ -135,7 +138,7 @@
         Vec::new()
     }
 
-    /// Records that one failure at an upstream was already withdrawn.
+    /// Records that one failure of the request at an upstream was already withdrawn.
     pub fn note_withdrawn(&mut self, request: RequestHash, upstream: &U) {
         let same_request = self.requests.iter_mut().filter(|each| each.request == request);
         let failures = same_request.flat_map(|each| each.failures.iter_mut());
@@ -144,7 +147,8 @@
         }
     }
 
-    /// Evicts the request that failed at the fewest upstreams; of several, the oldest.
+    /// Evicts the request that failed at the fewest upstreams; of several such requests, the one
+    /// whose last failure is the oldest.
     fn evict_least_failed(&mut self) {
         let requests = self.requests.iter().enumerate();
         let least_failed = requests.min_by_key(|(_, each)| (each.failures.len(), each.at));
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Records that a request succeeded: it did not cause its failures.
+    /// Forgets the failures of a request that succeeded, as the request did not cause them.
     pub fn note_success(&mut self, request: RequestHash) {
         self.requests.retain(|each| each.request != request);
     }
--- a/crates/decide/src/probing.rs
+++ b/crates/decide/src/probing.rs
@@ -30,7 +30,7 @@
 /// where all are full, a probe finds nothing, and costs processor time and one of the choices that
 /// a request has.
 const FOUND_SHARE_MIN: f64 = 0.5;
-/// Weight of the last probe in that share.
+/// Weight of the last probe in the share of probes that found an upstream.
 const FOUND_WEIGHT: f64 = 1.0 / 16.0;
 /// Of the requests that would not probe, one in this many does, to find out whether probing pays
 /// again.
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-/// First hold-off before a trial: a restart or a short pause of a backend server is over by then.
+/// First hold-off before a trial: a restart or a short pause of a backend server takes less time.
 pub const HOLD_OFF_MIN: Duration = Duration::from_secs(1);
 /// Longest hold-off: a server that has recovered is tried at least this often.
 pub const HOLD_OFF_MAX: Duration = Duration::from_secs(6);
@@ -16,24 +16,24 @@
 pub const RAMP: Duration = Duration::from_secs(10);
 /// Share of its full load that an upstream gets at the beginning of the slow start.
 pub const RAMP_START: f64 = 0.1;
-/// Number of hold-offs after which any request may be a trial, if no repeatable request arrived
-/// until then.
+/// Time after an ejection, as a multiple of the hold-off, from which a non-repeatable request may
+/// be a trial as well, if no repeatable request has arrived.
 const HOLD_OFFS_BEFORE_ANY_TRIAL: u32 = 4;
 /// Time in service, as a multiple of the hold-off, after which a previous ejection no longer
 /// lengthens the next.
-const FORGET_HOLD_OFFS: u32 = 10;
+const FORGET_AFTER_HOLD_OFFS: u32 = 10;
 
 /// `RecoveryState` says whether an upstream is in service or ejected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RecoveryState {
     /// The upstream is in service.
     Serving {
-        /// Start of the state.
+        /// When the upstream came into service.
         since: Duration,
     },
     /// The upstream is ejected and gets only trials.
     Ejected {
-        /// Start of the state.
+        /// When the upstream was ejected.
         since: Duration,
         /// Next time at which a trial may start.
         trial_at: Duration,
@@ -55,8 +55,8 @@
 }
 
 impl RecoveryPlan {
-    /// Builds the plan of an upstream that is in service from `now`, with a slow start if it is
-    /// `cold`.
+    /// Builds the plan of an upstream that is in service from `now`; a `cold` upstream begins with
+    /// a slow start.
     pub fn new(now: Duration, cold: bool) -> Self {
         Self {
             state: RecoveryState::Serving { since: now },
@@ -92,7 +92,7 @@
     pub fn eject(&mut self, now: Duration) {
         if let RecoveryState::Serving { since } = self.state {
             let in_service_for = now.saturating_sub(since);
-            let is_forgotten = in_service_for > self.hold_off * FORGET_HOLD_OFFS;
+            let is_forgotten = in_service_for > self.hold_off * FORGET_AFTER_HOLD_OFFS;
             if self.ejections > 0 && !is_forgotten {
                 self.hold_off = (self.hold_off * 2).min(HOLD_OFF_MAX);
             } else {
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Starts a trial if one is due and says whether it did.
+    /// Starts a trial if one is due; says whether a trial was started.
     pub fn start_trial(&mut self, now: Duration, repeatable: bool) -> bool {
-        let extra_wait = self.hold_off * (HOLD_OFFS_BEFORE_ANY_TRIAL - 1);
+        let non_repeatable_delay = self.hold_off * (HOLD_OFFS_BEFORE_ANY_TRIAL - 1);
         match &mut self.state {
             RecoveryState::Ejected { trial_at, running, .. } if !*running => {
-                let due = if repeatable { *trial_at } else { *trial_at + extra_wait };
+                let due = if repeatable { *trial_at } else { *trial_at + non_repeatable_delay };
                 *running = now >= due;
                 *running
             }
@@ -157,7 +157,7 @@
         true
     }
 
-    /// Restarts the slow start.
+    /// Begins a new slow start at `now`.
     pub fn ramp_from(&mut self, now: Duration) {
         self.ramp_from = Some(now);
     }
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -7,15 +7,15 @@
 //! that crashes each server within milliseconds, while good requests run beside it and fail in the
 //! crash, popular ones at every server at once.
 //!
-//! A crashing server does not show which request caused the crash, so every request that ran there
-//! is suspected. Two rules distinguish the request that caused it. A crash raises by one the crash
-//! count that was known when the run began. So only a chain of crashes leads to refusal, in which
-//! each run was started although the crash before it was known: a rack that loses power under a
-//! popular request counts as one crash. And one successful run at any server begins a new round, in
-//! which the crash count starts from 0.
+//! A crashing server does not show which request caused the crash, so every request that ran at the
+//! server is suspected. Two rules find the request that causes crashes. First, a crash sets the
+//! crash count of a request to one more than the count that was known when the run began. So only a
+//! chain of crashes leads to refusal, in which each run began after the previous crash was known: a
+//! rack that loses power while it runs a popular request counts as one crash. Second, a successful
+//! run at any server begins a new round, in which the crash count starts from 0.
 //!
-//! A tally is compared by its round first and its crashes second, and only rises, so that daemons
-//! that exchange notices converge.
+//! Tallies are compared by their rounds first and their crashes second. The tally of a request only
+//! rises, so that the tables of daemons that exchange notices converge.
 
 use std::collections::hash_map::Entry;
 use std::hash::{Hash, Hasher};
@@ -25,30 +25,33 @@
 use basaltarch_core::fingerprint::RequestFingerprint;
 use fnv::{FnvHashMap, FnvHasher};
 
-/// Crashes in a chain from which a request is refused everywhere: two servers that crash one after
-/// the other for unrelated reasons are seen in practice, a third makes the request the cause.
+/// Crashes in a chain from which a request is refused everywhere. Two servers that crash one after
+/// the other for unrelated reasons are seen in practice. After a third crash, the request is taken
+/// for the cause.
 pub const REFUSED_CRASHES: u32 = 3;
-/// Crashes in a chain from which a daemon does not retry a request by itself. Then only the caller
-/// can send the next copy, and by the time that copy arrives, the notice of a successful run
-/// elsewhere may have arrived too.
+/// Crashes in a chain from which a daemon does not retry a request by itself, so that only the
+/// caller can send the next copy. By the time that the copy arrives, the notice of a successful run
+/// at another host may have arrived too.
 const NO_RETRY_CRASHES: u32 = 2;
-/// Time for which a request is remembered after its last copy: callers that send it again by a
-/// schedule do so within minutes, and a forgotten request crashes three servers again.
+/// Time for which a request is remembered after its last copy. Callers that send a request again on
+/// a schedule do so within minutes, and a forgotten request crashes three servers again.
 pub const SUSPECT_LIFE: Duration = Duration::from_secs(600);
-/// Time between two trials of a refused request in the whole fleet: a service that was fixed serves
-/// the request again within this time, and a service that wasn't loses one server to each trial.
+/// Time between two trials of a refused request in the whole fleet. A service that was fixed serves
+/// the request again within this time, and a service that was not fixed loses one server to each
+/// trial.
 pub const TRIAL_EVERY: Duration = Duration::from_secs(120);
-/// Requests remembered: a crash adds one for each slot of a server. A hundred servers that crash at
-/// once fit, in about 100 KB.
+/// Maximum number of requests remembered. A crash adds one for each slot of a server, so that the
+/// requests of a hundred servers that crash at once fit. The records take about 100 KB.
 pub const SUSPECTS_MAX: usize = 512;
 
-/// Daemons that are notified by a daemon that saw an event itself, unless all must learn of it at
-/// once. Also the daemons to which the others forward that a request is refused.
+/// Number of daemons that are notified by a daemon that saw a crash or a successful run itself,
+/// unless all daemons must be notified at once. Also the number of daemons to which a notified
+/// daemon forwards the notice that a request is refused.
 const NOTIFIED_DAEMONS: usize = 8;
-/// Daemons to which others forward less urgent notices: the first daemon notified all daemons that
-/// it is linked to, so that few have not received the notice. In 18 runs with 350 daemons and 2 in
-/// 100 notices lost, all daemons knew of a refused request within 40 ms, and once after 1.4 s by a
-/// heartbeat.
+/// Number of daemons to which a notified daemon forwards other notices. The daemon that saw the
+/// crash notified all daemons that it is linked to, so that few have not received the notice. In 18
+/// runs with 350 daemons and 2 in 100 notices lost, all daemons knew of a refused request within
+/// 40 ms, except in one run, in which a heartbeat informed the last one after 1.4 s.
 const FORWARDED_DAEMONS: usize = 3;
 
 /// `CrashTally` counts the crashes of servers that ran a request; of two tallies of the same
@@ -67,7 +70,7 @@
         self.crashes >= REFUSED_CRASHES
     }
 
-    /// Says whether a daemon may retry the request by itself.
+    /// Says whether a daemon may retry the request without a new copy from the caller.
     pub fn allows_retry(self) -> bool {
         self.crashes < NO_RETRY_CRASHES
     }
@@ -110,10 +113,11 @@
 }
 
 impl SuspectNotice {
-    /// Returns how many daemons are notified by one that saw the event itself; `before` is the
-    /// tally before the event. A successful run of a popular request is seen by many daemons at the
-    /// same moment, so each notifies few. If the request crashed a server, or the next crash would
-    /// have had it refused, all daemons are notified.
+    /// Returns how many daemons are notified by a daemon that saw a crash or a successful run
+    /// itself; `before` is the tally before this event. Many daemons see successful runs of a
+    /// popular request at the same moment, so each notifies few others. All daemons are notified
+    /// after a crash, and after a successful run of a request that the next crash would have had
+    /// refused.
     pub fn notify_count(&self, before: CrashTally) -> usize {
         match self.tally.crashes > 0 || !before.allows_retry() {
             true => usize::MAX,
@@ -131,7 +135,7 @@
 }
 
 impl SuspectRecord {
-    fn is_old(&self, now: Duration) -> bool {
+    fn is_expired(&self, now: Duration) -> bool {
         now.saturating_sub(self.seen_at) >= SUSPECT_LIFE
     }
 
@@ -157,7 +161,7 @@
 }
 
 impl SuspectTable {
-    /// Says whether the table is empty, so that no fingerprint need be computed.
+    /// Says whether the table is empty: if it is, callers need not compute fingerprints.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -188,8 +192,8 @@
         self.apply_notice(&notice, now).then_some(tally)
     }
 
-    /// Records that a request ran successfully. Returns the tally of the new round, if any crash
-    /// was counted in the round before.
+    /// Records that a request ran successfully. Returns the tally of the new round, if a crash was
+    /// counted in the previous round.
     pub fn note_success(
         &mut self,
         fingerprint: &RequestFingerprint,
@@ -231,9 +235,9 @@
         true
     }
 
-    /// Returns the answer to a daemon that has not been notified of a successful run, so that its
-    /// notice still counts the crashes before that run. Returns `None` if the crashes in the notice
-    /// still allow a retry: the request is then not about to be refused.
+    /// Returns the notice by which to answer a daemon that has not learnt of a successful run, so
+    /// that its own notice still counts the crashes before that run. Returns `None` if the crashes
+    /// in the daemon's notice allow a retry, as the request is then not about to be refused.
     pub fn answer(&self, notice: &SuspectNotice, now: Duration) -> Option<SuspectNotice> {
         let record = self.records.get(&notice.fingerprint)?;
         let is_outdated = record.tally.round > notice.tally.round;
@@ -241,8 +245,8 @@
             .then(|| record.notice(notice.fingerprint, now))
     }
 
-    /// Says what is done with a copy that arrived; `makes_trials` says whether this daemon is the
-    /// one of the fleet that makes the trials of the request.
+    /// Says what is done with a copy of a request that arrived; `makes_trials` says whether this
+    /// daemon is the one in the fleet that makes the trials of the request.
     pub fn judge(
         &mut self,
         fingerprint: &RequestFingerprint,
@@ -267,20 +271,22 @@
 
     /// Drops the requests of which no copy arrived within [`SUSPECT_LIFE`].
     pub fn forget_old(&mut self, now: Duration) {
-        self.records.retain(|_, record| !record.is_old(now));
+        self.records.retain(|_, record| !record.is_expired(now));
     }
 
-    /// Evicts records while there are too many: first those of which no copy arrives any more, then
-    /// those with the fewest crashes, the oldest of them. A caller who crashes servers with many
-    /// different requests makes the fleet forget suspects, never refused requests.
+    /// Evicts records if there are more than [`SUSPECTS_MAX`]: first those of requests of which no
+    /// copy has arrived within [`SUSPECT_LIFE`], then those with the fewest crashes, and of these
+    /// the ones whose last copy is the oldest. So a caller who crashes servers with many different
+    /// requests makes the fleet forget suspects, never refused requests.
     fn evict(&mut self, now: Duration) {
         if self.records.len() <= SUSPECTS_MAX {
             return;
         }
         self.forget_old(now);
         while self.records.len() > SUSPECTS_MAX {
-            let least = self.records.iter().min_by_key(|(_, record)| record.retention_key());
-            match least.map(|(fingerprint, _)| *fingerprint) {
+            let least_retained =
+                self.records.iter().min_by_key(|(_, record)| record.retention_key());
+            match least_retained.map(|(fingerprint, _)| *fingerprint) {
                 Some(fingerprint) => drop(self.records.remove(&fingerprint)),
                 None => return,
             }
@@ -289,14 +295,14 @@
 
     /// Returns all records as notices to another daemon.
     pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
-        let recent_records = self.records.iter().filter(|(_, record)| !record.is_old(now));
+        let recent_records = self.records.iter().filter(|(_, record)| !record.is_expired(now));
         recent_records.map(|(fingerprint, record)| record.notice(*fingerprint, now)).collect()
     }
 
-    /// Returns a digest by which two daemons see whether their tables are the same; 0 for an empty
-    /// one.
+    /// Returns a digest by which two daemons see whether their tables are the same. The digest of
+    /// an empty table is 0.
     pub fn digest(&self, now: Duration) -> u64 {
-        let recent_records = self.records.iter().filter(|(_, record)| !record.is_old(now));
+        let recent_records = self.records.iter().filter(|(_, record)| !record.is_expired(now));
         recent_records.fold(0, |sum: u64, (fingerprint, record)| {
             let mut hasher = FnvHasher::default();
             (fingerprint, record.tally).hash(&mut hasher);
--- a/crates/waiting/src/reservations.rs
+++ b/crates/waiting/src/reservations.rs
@@ -32,13 +32,13 @@
     }
 }
 
-/// `ReservationReply` is the answer of the host to a reservation, with its reason `R` for a
+/// `ReservationReply` is the answer of a host to a reservation. `R` is the type of the reason for a
 /// refusal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReservationReply<R> {
     /// The host offers a slot: a free one, or the next that becomes free.
     SlotOffered,
-    /// The reservation is over.
+    /// The host refused or ended the reservation.
     Refused(R),
 }
 
@@ -48,7 +48,7 @@
 pub struct HeldReservation<P> {
     /// Position of the backend server among the upstreams of its service.
     pub index: usize,
-    /// Handle that keeps the reservation.
+    /// Handle whose drop releases the reservation.
     pub handle: P,
 }
 
@@ -67,12 +67,12 @@
         Self { plan, held: Vec::new(), wanted: plan.initial, tries_left: plan.tries }
     }
 
-    /// Returns the number of reservations to ask for now.
+    /// Returns the number of further reservations for which hosts should be asked now.
     pub fn missing(&self) -> usize {
         self.wanted.saturating_sub(self.held.len()).min(self.tries_left)
     }
 
-    /// Says whether no reservation is held.
+    /// Says whether the set holds no reservation.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -4,9 +4,10 @@
 //! The slots of one backend server and the queue of requests that wait for them.
 //!
 //! Slots are counted exactly. A request that can't be served in time is refused at once rather than
-//! near its deadline. A request waits in one of two ways. Either it was sent here and is queued, so
-//! that it is lost if this daemon fails. Or it stays at its ingress and holds reservations here and
-//! at other hosts, so that the failure of one of these hosts costs it nothing.
+//! near its deadline. A request waits in one of two ways. Either the request was sent to this
+//! daemon and is queued, so that the request is lost if this daemon fails. Or the request stays at
+//! its ingress and holds reservations at this and other daemons, so that the failure of one of them
+//! costs the request nothing.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -21,18 +22,19 @@
 use basaltarch_decide::progress::ProgressTerms;
 
 /// Share of the time until its deadline for which a queued request may wait for a slot. A request
-/// that has waited for longer seldom completes in time, and a caller that is refused by then can
-/// still try elsewhere.
+/// that has waited for longer seldom completes in time, and a caller that is refused at this moment
+/// can still try elsewhere.
 const WAIT_SHARE_MAX: f64 = 0.45;
-/// Reservations that can be held at once for each slot. A request holds several and uses one, so
-/// that the limit corresponds to the time that callers usually wait. Each reservation costs the
-/// daemon about two kilobytes.
+/// Maximum number of reservations held at once for each slot. A request holds several reservations
+/// and uses one, so that the maximum corresponds to the time that callers usually wait. Each
+/// reservation costs the daemon about two kilobytes.
 const RESERVATIONS_PER_SLOT: u32 = 8;
-/// Slots offered to reservations beyond those that are free. The request arrives while the next
-/// slot becomes free, which would otherwise stay idle for a round trip.
-const OFFERS_AHEAD: u32 = 1;
-/// Weight of a reservation in the length of the queue, where a queued request counts as one: the
-/// other requests that hold reservations here are served elsewhere.
+/// Number of slots that are offered to reservations although they are not free yet. The request
+/// arrives while the next slot becomes free. Without such an offer, the slot would stay idle for a
+/// round trip.
+const OFFERS_BEYOND_FREE: u32 = 1;
+/// Weight of a reservation in the length of the queue, where a queued request counts as one:
+/// some of the requests that hold a reservation at this daemon are served elsewhere.
 const RESERVATION_WEIGHT: f64 = 0.5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,14 +44,15 @@
     Refused(NotRunReason),
 }
 
-/// `WaitKind` is how a request waits.
+/// `WaitKind` says in which way a request waits for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WaitKind {
-    /// The request was sent here and is queued.
+    /// The request was sent to this daemon and is queued.
     Queued,
-    /// A reservation; its request is still at the ingress and may hold reservations elsewhere too.
+    /// The request is still at the ingress, holds a reservation at this daemon, and may hold
+    /// reservations at other daemons.
     Reservation,
-    /// The request was sent here after its reservation had been offered a slot.
+    /// The request was sent to this daemon after its reservation had been offered a slot.
     Offered,
 }
 
@@ -74,7 +77,7 @@
     clock: DaemonClock,
     slots: Cell<u32>,
     used: Cell<u32>,
-    /// Offers whose request has no slot yet.
+    /// Number of offers whose request has no slot yet.
     offered: Cell<u32>,
     /// When a nested call last had to wait.
     call_queued_at: Cell<Option<Duration>>,
@@ -97,7 +100,7 @@
     /// Whether the ingress can ask another upstream.
     pub passable: bool,
     /// Whether the request is not repeatable and should, if possible, go to a server that recently
-    /// completed one.
+    /// completed a request.
     pub needs_recent_progress: bool,
 }
 
@@ -130,8 +133,8 @@
         self.completed_at.set(Some(self.clock.now()));
     }
 
-    /// Says whether a request should go elsewhere for now, as no recent completion shows that the
-    /// backend server doesn't hang.
+    /// Says whether a request should go to another server for now, as no recent completion shows
+    /// that this backend server doesn't hang.
     fn lacks_recent_progress(&self, request: &SlotRequest, now: Duration) -> bool {
         let terms = ProgressTerms {
             running: self.used.get() + self.offered.get(),
@@ -141,19 +144,20 @@
         request.needs_recent_progress && terms.is_unproven()
     }
 
-    /// Says whether a request may get a slot, or a reservation be offered one, now.
+    /// Says whether a request may get a slot now, or a reservation may be offered a slot now.
     fn may_start(&self, kind: WaitKind, request: &SlotRequest, now: Duration) -> bool {
         let queued = &request.scheduling;
         let queued_at = self.call_queued_at.get();
         let calls_wait =
             queued_at.is_some_and(|at| now.saturating_sub(at) < order::CALL_RESERVE_TIME);
-        let open = order::open_slots(self.slots.get(), queued.is_call, calls_wait);
-        let taken = self.used.get() + self.offered.get();
+        let slots_for_kind = order::open_slots(self.slots.get(), queued.is_call, calls_wait);
+        let taken_slots = self.used.get() + self.offered.get();
         match kind {
             WaitKind::Offered => !self.is_full(),
-            WaitKind::Queued => taken < open,
+            WaitKind::Queued => taken_slots < slots_for_kind,
             WaitKind::Reservation => {
-                taken < open + OFFERS_AHEAD && !self.lacks_recent_progress(request, now)
+                taken_slots < slots_for_kind + OFFERS_BEYOND_FREE
+                    && !self.lacks_recent_progress(request, now)
             }
         }
     }
@@ -173,11 +177,11 @@
         self.used.get() >= self.slots.get()
     }
 
-    /// Returns the number of waiting requests, with reservations weighted by how likely they are to
-    /// be used.
+    /// Returns the length of the queue: the number of waiting requests, with reservations weighted
+    /// by the probability that they are used.
     pub fn queued(&self) -> u32 {
         let waiting = self.waiting.borrow();
-        weight_of(waiting.iter()).ceil() as u32
+        queue_length(waiting.iter()).ceil() as u32
     }
 
     /// Says whether a request of this class would get a slot or be queued.
@@ -189,15 +193,15 @@
             || queued_requests.any(|waiter| waiter.request.scheduling.class < class)
     }
 
-    /// Acquires a slot, waiting for one if the queue has room.
+    /// Acquires a slot. If no slot is free and the queue has room, waits for one.
     pub async fn acquire(self: &Rc<Self>, request: SlotRequest) -> Result<SlotGuard, NotRunReason> {
         if request.passable && self.lacks_recent_progress(&request, self.clock.now()) {
             return Err(NotRunReason::Unproven);
         }
         if !self.is_free_for(WaitKind::Queued, &request) {
             if request.passable {
-                // Another server may have a free slot; once the request is queued here, no other
-                // can take it.
+                // Another server may have a free slot, and could not take the request any more once
+                // the request is queued here.
                 return Err(NotRunReason::QueueFull);
             }
             self.wait(WaitKind::Queued, request).await?;
@@ -261,8 +265,9 @@
         Ok(())
     }
 
-    /// Returns how long a request may wait. The holder of a reservation releases the reservation by
-    /// itself when the request is sent to another host.
+    /// Returns how long a request may wait. A reservation may last until the request could no
+    /// longer complete in time: its holder releases the reservation when the request is sent
+    /// elsewhere.
     fn longest_wait(&self, kind: WaitKind, request: &SlotRequest) -> Duration {
         let time_left = request.scheduling.deadline.saturating_sub(self.clock.now());
         match kind {
@@ -289,13 +294,13 @@
         let waiting = self.waiting.borrow();
         let is_ahead =
             |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.urgency() >= queued.urgency();
-        let ahead = weight_of(waiting.iter().filter(is_ahead));
+        let ahead = queue_length(waiting.iter().filter(is_ahead));
         let start = order::start_after(ahead, self.slots.get(), usual, now);
         if start > queued.deadline {
             return Err(NotRunReason::DeadlinePassed);
         }
-        // Another server may still let the request meet its objective. If it misses its objective
-        // anyway, it must not make others miss theirs.
+        // Another server may still serve the request within its objective. A request that misses
+        // its objective everywhere must not make other requests miss theirs.
         let misses_objective = !queued.meets_objective(start);
         let declines = request.passable && kind == WaitKind::Queued;
         if misses_objective && (declines || !order::accepts_late(ahead, self.slots.get())) {
@@ -317,14 +322,14 @@
         };
         let is_same_kind = |waiter: &Rc<QueueWaiter>| waiter.kind == kind;
         if waiting.iter().filter(|waiter| is_same_kind(waiter)).count() >= limit as usize {
-            let lowest = waiting
+            let lowest_class = waiting
                 .iter()
                 .enumerate()
                 .rev()
                 .filter(|(_, waiter)| is_same_kind(waiter))
                 .min_by_key(|(_, waiter)| waiter.request.scheduling.class)
                 .map(|(index, waiter)| (index, waiter.request.scheduling.class));
-            match lowest {
+            match lowest_class {
                 Some((index, class)) if class < request.scheduling.class => {
                     let evicted = waiting.remove(index);
                     evicted.resolve(WaitState::Refused(NotRunReason::QueueFull));
@@ -361,14 +366,14 @@
         self.refuse_where(NotRunReason::Unhealthy, is_refused);
     }
 
-    /// Refuses all reservations, and all requests that arrived after an offer and have no slot yet:
-    /// none of them has run, so that they lose nothing by going elsewhere.
+    /// Refuses all reservations, and all requests that arrived after an offer and have no slot yet.
+    /// None of these requests has run, so that the requests lose nothing by going elsewhere.
     pub fn refuse_reservations(&self, reason: NotRunReason) {
         self.refuse_where(reason, |waiter| waiter.kind != WaitKind::Queued);
     }
 
-    /// Refuses all waiting requests whose deadline is too late for a daemon that is stopping, and
-    /// all reservations, whose holders lose nothing by going elsewhere.
+    /// Refuses the waiting requests for whose deadline `is_late` holds, as this daemon may stop
+    /// before the deadline, and all reservations, whose holders lose nothing by going elsewhere.
     pub fn refuse_late(&self, is_late: impl Fn(Duration) -> bool) {
         let is_refused = |waiter: &QueueWaiter| {
             waiter.kind == WaitKind::Reservation || is_late(waiter.request.scheduling.deadline)
@@ -426,14 +431,16 @@
             return None;
         }
         refuse_unservable(&mut waiting, self.slots.get(), now);
-        // A request that arrived after an offer has already waited, as a reservation.
+        // A request that arrived after an offer goes first, as it has already waited as a
+        // reservation.
         let is_offered = |waiter: &&Rc<QueueWaiter>| waiter.kind == WaitKind::Offered;
         if let Some(position) = waiting.iter().position(|waiter| is_offered(&waiter)) {
             if !self.is_full() {
                 return Some(waiting.remove(position));
             }
         }
-        // Without reservations only the class and then the order of arrival decide.
+        // Without reservations, only the class and then the order of arrival decide: no slot goes
+        // to the request that has waited longest whatever its class.
         let grant_count = match waiting.iter().any(|waiter| waiter.kind == WaitKind::Reservation) {
             true => self.grant_count.replace(self.grant_count.get().wrapping_add(1)),
             false => 0,
@@ -450,35 +457,39 @@
     }
 }
 
-/// Refuses three kinds of requests. The first can no longer complete by their deadline. The second
-/// are queued and miss their objective while other requests wait that can still meet theirs:
-/// serving the late requests would make the others late too. The third hold reservations, miss
-/// their objective, and would wait too long behind requests that meet theirs.
+/// Refuses three kinds of waiting requests:
+///
+/// - requests that can no longer complete by their deadline;
+/// - queued requests that miss their objective while other waiting requests can still meet theirs,
+///   as serving the late requests would make the other ones late too;
+/// - requests that hold reservations, miss their objective, and would wait too long behind requests
+///   that meet theirs.
 fn refuse_unservable(waiting: &mut Vec<Rc<QueueWaiter>>, slots: u32, now: Duration) {
     let meets_objective =
         |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.meets_objective(now);
-    let in_time = weight_of(waiting.iter().filter(meets_objective));
+    let in_time = queue_length(waiting.iter().filter(meets_objective));
     let accepts_late = order::accepts_late(in_time, slots);
     waiting.retain(|waiter| {
         let queued = &waiter.request.scheduling;
-        let expired = !queued.meets_deadline(now);
+        let is_expired = !queued.meets_deadline(now);
         let is_kept = match waiter.kind {
             WaitKind::Queued => in_time == 0.0,
             WaitKind::Reservation => accepts_late || queued.is_call,
             WaitKind::Offered => true,
         };
         let is_late = !is_kept && !queued.meets_objective(now);
-        if expired {
+        if is_expired {
             waiter.resolve(WaitState::Refused(NotRunReason::DeadlinePassed));
         } else if is_late {
             waiter.resolve(WaitState::Refused(NotRunReason::QueueFull));
         }
-        !expired && !is_late
+        !is_expired && !is_late
     });
 }
 
-/// Returns the length of the queue, with reservations weighted by how likely they are to be used.
-fn weight_of<'a>(waiting: impl Iterator<Item = &'a Rc<QueueWaiter>>) -> f64 {
+/// Returns the number of waiting requests, with each reservation counted as
+/// [`RESERVATION_WEIGHT`].
+fn queue_length<'a>(waiting: impl Iterator<Item = &'a Rc<QueueWaiter>>) -> f64 {
     let weight = |waiter: &Rc<QueueWaiter>| match waiter.kind {
         WaitKind::Reservation => RESERVATION_WEIGHT,
         WaitKind::Queued | WaitKind::Offered => 1.0,
@@ -486,7 +497,7 @@
     waiting.map(weight).sum()
 }
 
-/// `WaitGuard` removes a waiter from the queue when it stops waiting.
+/// `WaitGuard` removes a waiter from the queue when the wait ends or is cancelled.
 struct WaitGuard<'a> {
     queue: &'a Rc<SlotQueue>,
     waiter: &'a Rc<QueueWaiter>,
@@ -497,8 +508,8 @@
         let mut waiting = self.queue.waiting.borrow_mut();
         waiting.retain(|waiter| !Rc::ptr_eq(waiter, self.waiter));
         drop(waiting);
-        // A slot or offer that was granted but not yet received has no guard of its own, so it
-        // would never be released.
+        // A slot or offer that was granted to the waiter but not yet returned to the caller has no
+        // guard of its own, so that it must be released by this one.
         if self.waiter.state.get() == WaitState::Granted {
             match self.waiter.kind {
                 WaitKind::Reservation => self.queue.end_offer(),
@@ -515,7 +526,7 @@
 }
 
 impl OfferGuard {
-    /// Acquires the slot for the request once it has arrived. The request gets the next free slot
+    /// Acquires the offered slot once the request has arrived. The request gets the next free slot
     /// before all other requests.
     pub async fn start(self, request: SlotRequest) -> Result<SlotGuard, NotRunReason> {
         if self.queue.is_full() {
