--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -153,8 +153,8 @@
     }
 
     /// Returns the time since the last frame from the daemon.
-    pub fn silent_for(&self, now: Duration) -> Duration {
-        self.health.borrow().silent_for(now)
+    pub fn time_since_frame(&self, now: Duration) -> Duration {
+        self.health.borrow().time_since_frame(now)
     }
 
     /// Returns the link, if there is one.
@@ -248,8 +248,8 @@
 
     /// Records that an attempt outlasted its hedging delay or that a load probe was not answered in
     /// time.
-    pub fn note_late(&self) {
-        self.health.borrow_mut().note_late();
+    pub fn note_hedge_due(&self) {
+        self.health.borrow_mut().note_hedge_due();
     }
 
     /// Records that the daemon answered a probe.
--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -244,7 +244,7 @@
         let change = if job.trial {
             health.note_trial(route, evidence, self.now)
         } else {
-            health.note(route, evidence, job.overdue, self.now)
+            health.note_evidence(route, evidence, job.overdue, self.now)
         };
         let failure = match job.end {
             JobEnd::Good => None,
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -99,7 +99,7 @@
         }
         request.excluded.push(sent.upstream);
         request.slow_attempts.push(sent);
-        ingress.view.note_late(sent.upstream, self.now);
+        ingress.view.note_hedge_due(sent.upstream, self.now);
         self.dispatch(sent.request);
     }
 
--- a/crates/daemon/src/announce.rs
+++ b/crates/daemon/src/announce.rs
@@ -62,7 +62,7 @@
     count: usize,
 ) {
     let now = state.now();
-    let silence = path.silent_for(now);
+    let silence = path.time_since_frame(now);
     let is_unresponsive = silence >= now.saturating_sub(announced_at);
     metrics::REVISION_REANNOUNCED.add_one();
     fleet::ToldAgain {
--- a/crates/daemon/src/host/upstream.rs
+++ b/crates/daemon/src/host/upstream.rs
@@ -148,7 +148,7 @@
         let change = if result.is_trial {
             health.note_trial(route, result.evidence, now)
         } else {
-            health.note(route, result.evidence, result.was_overdue, now)
+            health.note_evidence(route, result.evidence, result.was_overdue, now)
         };
         if matches!(result.evidence, RequestEvidence::Answered(_)) {
             self.last_success_at.set(now);
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -94,7 +94,7 @@
     let mut states = state.limits.states.borrow_mut();
     for entry in subject.limits(active) {
         if let Some(known) = states.get_mut(&entry.name) {
-            known.limiter.give_back(now);
+            known.limiter.return_token(now);
         }
     }
 }
@@ -284,7 +284,7 @@
         }
         None => {
             known.owner_lost_until = Some(now + OWNER_RETRY_INTERVAL);
-            known.limiter.note_unpaid(spent);
+            known.limiter.restore_spent(spent);
         }
     });
     answer.is_some()
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -143,7 +143,7 @@
     let in_flight = link.exchange_count() as u64;
     link.end();
     metrics::LINKS.add(-1);
-    let silent_ms = path.silent_for(state.now()).as_millis() as u64;
+    let silent_ms = path.time_since_frame(state.now()).as_millis() as u64;
     fleet::PeerLost { host: &path.host, error: &error.to_string(), in_flight, silent_ms }.log();
 }
 
@@ -283,7 +283,7 @@
     }
     let host = &*path.host;
     if is_unresponsive {
-        let silent_ms = path.silent_for(now).as_millis() as u64;
+        let silent_ms = path.time_since_frame(now).as_millis() as u64;
         fleet::PeerSilent { host, silent_ms, in_flight: in_flight as u64 }.log();
     } else {
         fleet::PeerHeard { host }.log();
@@ -303,9 +303,9 @@
     log_silence(path, link.exchange_count(), now);
     let idle = !in_use && now.saturating_sub(path.used_at()) > IDLE_TIME_MAX;
     let is_cut = path.state(now) == PathState::Cut;
-    if idle || is_cut && path.silent_for(now) > CUT_TIME_MAX {
+    if idle || is_cut && path.time_since_frame(now) > CUT_TIME_MAX {
         link.sender().close();
-    } else if is_cut && path.silent_for(now) > RENEW_AFTER {
+    } else if is_cut && path.time_since_frame(now) > RENEW_AFTER {
         start_dial(state, path);
     }
 }
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -307,9 +307,9 @@
     }
 
     /// Records that an attempt at an upstream takes longer than its hedging delay.
-    pub fn note_late(&self, index: usize, now: Duration) {
-        self.paths[index].note_late();
-        self.view.borrow_mut().note_late(index, now);
+    pub fn note_hedge_due(&self, index: usize, now: Duration) {
+        self.paths[index].note_hedge_due();
+        self.view.borrow_mut().note_hedge_due(index, now);
     }
 
     /// Returns the baseline of a route to send along with a dispatch to an upstream.
--- a/crates/decide/benches/cost.rs
+++ b/crates/decide/benches/cost.rs
@@ -135,7 +135,12 @@
     bencher.bench_local(|| {
         now += REQUEST_INTERVAL;
         health.admit(&terms, now);
-        health.note("puzzle", RequestEvidence::Answered(Duration::from_millis(20)), false, now);
+        health.note_evidence(
+            "puzzle",
+            RequestEvidence::Answered(Duration::from_millis(20)),
+            false,
+            now,
+        );
         health.report("puzzle", now)
     });
 }
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -426,7 +426,7 @@
     }
 
     /// Records that an attempt at an upstream outlasted its hedging delay.
-    pub fn note_late(&mut self, index: usize, now: Duration) {
+    pub fn note_hedge_due(&mut self, index: usize, now: Duration) {
         if let Some(view) = self.upstreams.get_mut(index) {
             view.hedge_due_at = Some(now);
         }
@@ -527,7 +527,7 @@
         let view = &self.upstreams[index];
         UpstreamChoice {
             index,
-            refusable: self.plan.can_spare(view.slots),
+            refusable: self.plan.allows_removal(view.slots),
             ground,
             cost: view.load_share(now),
             rival: None,
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -55,7 +55,7 @@
         .collect();
     anomalous.sort_by(|left, right| entries[*right].score.total_cmp(&entries[*left].score));
     for index in anomalous {
-        if plan.can_spare(entries[index].slots) {
+        if plan.allows_removal(entries[index].slots) {
             plan.avoided[index] = true;
             plan.in_service -= entries[index].slots;
         }
@@ -65,7 +65,7 @@
 
 impl FloorPlan {
     /// Says whether this many slots can be taken out of service.
-    pub fn can_spare(&self, slots: u32) -> bool {
+    pub fn allows_removal(&self, slots: u32) -> bool {
         self.in_service >= self.floor.saturating_add(slots)
     }
 
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -314,7 +314,7 @@
     }
 
     /// Records the evidence that a request gives about the upstream by its end.
-    pub fn note(
+    pub fn note_evidence(
         &mut self,
         route: &str,
         evidence: RequestEvidence,
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -289,7 +289,7 @@
 
     /// Records that the count from [`Self::take_spent`] may not have reached the owner: the next
     /// token request includes it again.
-    pub fn note_unpaid(&mut self, spent: f64) {
+    pub fn restore_spent(&mut self, spent: f64) {
         self.spent += spent;
     }
 
@@ -305,7 +305,7 @@
 
     /// Puts back the token of a request that was admitted and then refused for another reason, as a
     /// refused request counts towards no limit.
-    pub fn give_back(&mut self, now: Duration) {
+    pub fn return_token(&mut self, now: Duration) {
         if self.standalone.is_none() {
             let still_valid = if now <= self.valid_until { self.borrowed } else { 0.0 };
             self.borrowed = still_valid + 1.0;
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -108,6 +108,6 @@
 
 /// Estimates when a request starts that waits for one of `slots` slots behind `before` other
 /// requests, if each request takes `usual`.
-pub fn start_after(before: f64, slots: u32, usual: Duration, now: Duration) -> Duration {
+pub fn estimate_start(before: f64, slots: u32, usual: Duration, now: Duration) -> Duration {
     now + usual.mul_f64((before + 1.0) / f64::from(slots.max(1)))
 }
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -81,7 +81,7 @@
 
     /// Records that an attempt over the path outlasted its hedging delay. The record makes a probe
     /// due even if the attempt ends before [`PROBE_AFTER`], as its hedge was answered.
-    pub fn note_late(&mut self) {
+    pub fn note_hedge_due(&mut self) {
         self.was_late = true;
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Returns the time since the last frame from the peer.
-    pub fn silent_for(&self, now: Duration) -> Duration {
+    pub fn time_since_frame(&self, now: Duration) -> Duration {
         now.saturating_sub(self.received_at)
     }
 
--- a/crates/decide/tests/floor.rs
+++ b/crates/decide/tests/floor.rs
@@ -199,7 +199,7 @@
     prop_assert!(!excluded.contains(&choice.index));
     prop_assert!(!(must_take && choice.refusable));
     if choice.refusable && !avoided {
-        prop_assert!(view.plan().can_spare(chosen.slots));
+        prop_assert!(view.plan().allows_removal(chosen.slots));
     }
     Ok(())
 }
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -166,7 +166,7 @@
     let mut limiter = LocalLimiter::new(now);
     limiter.note_grant(1.0, GRANT_LIFE, now);
     assert_eq!(limiter.admit(now), LimitVerdict::Pass);
-    limiter.give_back(now);
+    limiter.return_token(now);
     assert_eq!(limiter.admit(now), LimitVerdict::Pass);
     assert!(matches!(limiter.admit(now), LimitVerdict::Ask(_)));
 }
@@ -178,7 +178,7 @@
     limiter.note_owner(2, 1.0, now);
     assert_eq!(limiter.admit(now), LimitVerdict::PassAhead);
     let spent = limiter.take_spent();
-    limiter.note_unpaid(spent);
+    limiter.restore_spent(spent);
     limiter
         .start_standalone(StandaloneTerms { rate: 1.0, burst: 1.0, daemons: 10, since: None }, now);
     limiter.note_owner(0, 1.0, now);
--- a/crates/decide/tests/hang.rs
+++ b/crates/decide/tests/hang.rs
@@ -126,7 +126,7 @@
     for number in 0..2 {
         let (sent, now) = (at + millis(1000 + number), at + millis(1200 + number));
         let took = now - sent;
-        health.note("r", RequestEvidence::Answered(took), false, now);
+        health.note_evidence("r", RequestEvidence::Answered(took), false, now);
         health.note_end(None, sent, now);
     }
     let verdict = health.admit(&terms("r", false), at + millis(1300)).0;
@@ -177,14 +177,19 @@
 #[test]
 fn verify_the_objective_replaces_the_usual_time_until_answers_are_known() {
     let mut health = UpstreamHealth::new(EjectionPreference::Precision, millis(0), false);
-    health.note("r", RequestEvidence::Answered(millis(10)), false, millis(10));
+    health.note_evidence("r", RequestEvidence::Answered(millis(10)), false, millis(10));
     let median = |health: &UpstreamHealth| {
         health.usual_time("r", Some(millis(900))).expect("assumed").at(0.0)
     };
     let first = median(&health);
     assert!(first > millis(100) && first <= millis(300), "{first:?}: a third of the objective");
     for number in 0..100 {
-        health.note("r", RequestEvidence::Answered(millis(10)), false, millis(20 + number));
+        health.note_evidence(
+            "r",
+            RequestEvidence::Answered(millis(10)),
+            false,
+            millis(20 + number),
+        );
     }
     assert!(median(&health) < millis(15), "{:?}: the measured time", median(&health));
 }
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -58,7 +58,7 @@
         self.note_change(change);
         let change = match verdict {
             AdmitVerdict::Refuse => return false,
-            AdmitVerdict::Admit => self.health.note(ROUTE, evidence, false, self.now),
+            AdmitVerdict::Admit => self.health.note_evidence(ROUTE, evidence, false, self.now),
             AdmitVerdict::Trial => self.health.note_trial(ROUTE, evidence, self.now),
         };
         self.note_change(change);
--- a/crates/decide/tests/ingress.rs
+++ b/crates/decide/tests/ingress.rs
@@ -231,7 +231,7 @@
     for index in 0..4 {
         view.note_report(index, 1, healthy(20.0), millis(5));
     }
-    view.note_late(0, millis(8));
+    view.note_hedge_due(0, millis(8));
     assert!(shares(&mut view, 300)[0] < 40, "no report arrives");
     assert!(view.plan().avoided.iter().all(|avoided| !avoided), "it stays in service");
     view.note_report(0, 1, healthy(20.0), millis(9));
@@ -496,7 +496,7 @@
 fn verify_a_path_is_probed_after_a_late_attempt() {
     let mut path = PathHealth::new(millis(0));
     assert!(!path.probe(millis(400), false), "an idle path is not probed");
-    path.note_late();
+    path.note_hedge_due();
     assert!(path.probe(millis(400), false));
     path.note_frame(millis(410));
     assert!(!path.probe(millis(900), false), "a frame has arrived since");
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -295,7 +295,7 @@
         let is_ahead =
             |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.urgency() >= queued.urgency();
         let ahead = queue_length(waiting.iter().filter(is_ahead));
-        let start = order::start_after(ahead, self.slots.get(), usual, now);
+        let start = order::estimate_start(ahead, self.slots.get(), usual, now);
         if start > queued.deadline {
             return Err(NotRunReason::DeadlinePassed);
         }
