--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -26,7 +26,7 @@
 const QUEUE_SHARE_MAX: f64 = 0.9;
 /// Factor on the cost of an upstream in another failure domain, as the round trip between failure
 /// domains takes 3 ms.
-const REMOTE_WEIGHT: f64 = 1.1;
+const REMOTE_COST_FACTOR: f64 = 1.1;
 /// Load that is assumed of an upstream without a recent report, as a share of its slots.
 const ASSUMED_LOAD: f64 = 0.3;
 /// Lower bound of the ratio of an upstream's service time to that of its siblings: an upstream
@@ -40,7 +40,7 @@
 /// Factor on the cost of a suspect: a suspect is preferred to another upstream only if the other
 /// one is this many times as loaded. So a suspect gets only requests that the others have no room
 /// for.
-const SUSPECT_FACTOR: f64 = 10.0;
+const SUSPECT_COST_FACTOR: f64 = 10.0;
 /// Age up to which a report of an open circuit breaker is acted on.
 const OPEN_BREAKER_REPORT_LIFE: Duration = Duration::from_secs(5);
 /// Age up to which a report, or an attempt that outlasted its hedging delay, makes an upstream a
@@ -145,8 +145,8 @@
     }
 
     fn cost(&self, terms: &ChoiceTerms, median_ln: f64) -> f64 {
-        let suspicion = if self.is_suspect(terms) { SUSPECT_FACTOR } else { 1.0 };
-        self.load_cost(terms.now, median_ln) * suspicion
+        let suspect_factor = if self.is_suspect(terms) { SUSPECT_COST_FACTOR } else { 1.0 };
+        self.load_cost(terms.now, median_ln) * suspect_factor
     }
 
     /// Returns the cost by load, service time and distance alone, without the factor for suspects.
@@ -157,7 +157,7 @@
             None => return busy,
         };
         let time = self.time_ratio(median_ln).clamp(TIME_RATIO_MIN, TIME_RATIO_MAX);
-        let distance = if self.is_local { 1.0 } else { REMOTE_WEIGHT };
+        let distance = if self.is_local { 1.0 } else { REMOTE_COST_FACTOR };
         busy * time * distance / self.ramp(now, health)
     }
 
@@ -185,7 +185,7 @@
     fn ramp(&self, now: Duration, health: &HealthReport) -> f64 {
         // The ramp advances between reports.
         let age = now.saturating_sub(self.reported_at).as_secs_f64();
-        (health.ramp + age / crate::recovery::RAMP.as_secs_f64()).min(1.0)
+        (health.ramp + age / crate::recovery::RAMP_TIME.as_secs_f64()).min(1.0)
     }
 }
 
@@ -318,7 +318,7 @@
     upstreams: Vec<LoadView>,
     plan: FloorPlan,
     median_ln: f64,
-    stale: bool,
+    is_plan_stale: bool,
     planned_at: Duration,
     violations: u64,
     choices: u32,
@@ -340,7 +340,7 @@
             upstreams,
             plan: FloorPlan::default(),
             median_ln: 0.0,
-            stale: true,
+            is_plan_stale: true,
             planned_at: Duration::ZERO,
             violations: 0,
             choices: 0,
@@ -394,7 +394,7 @@
             None => return,
         };
         let was_ejected = view.health.is_some_and(|health| health.ejected);
-        self.stale |= was_ejected || health.ejected;
+        self.is_plan_stale |= was_ejected || health.ejected;
         view.load = load;
         view.health = Some(health);
         view.reported_at = now;
@@ -403,7 +403,7 @@
     /// Records whether an upstream is draining.
     pub fn note_draining(&mut self, index: usize, draining: bool) {
         if let Some(view) = self.upstreams.get_mut(index) {
-            self.stale |= view.draining != draining;
+            self.is_plan_stale |= view.draining != draining;
             view.draining = draining;
         }
     }
@@ -412,7 +412,7 @@
     /// unreachable daemon is up again.
     pub fn note_reachable(&mut self, index: usize, reachable: bool, proving: bool) {
         if let Some(view) = self.upstreams.get_mut(index) {
-            self.stale |= view.reachable != reachable;
+            self.is_plan_stale |= view.reachable != reachable;
             view.reachable = reachable;
             view.proving = proving && !reachable;
         }
@@ -464,7 +464,7 @@
     }
 
     fn refresh(&mut self, now: Duration) {
-        if !self.stale && now.saturating_sub(self.planned_at) < FLOOR_PLAN_LIFE {
+        if !self.is_plan_stale && now.saturating_sub(self.planned_at) < FLOOR_PLAN_LIFE {
             return;
         }
         let entries: Vec<CapacityEntry> = self
@@ -478,7 +478,7 @@
             .collect();
         self.plan = floor::plan(self.floor, &entries);
         self.violations += u64::from(!self.plan.holds());
-        self.stale = false;
+        self.is_plan_stale = false;
         self.planned_at = now;
     }
 
@@ -562,63 +562,66 @@
         let may_send = |index: usize| self.in_service(index) && request.may_choose(index);
         let is_eligible =
             |index: usize, view: &LoadView| may_send(index) && !view.is_suspect(terms);
-        let known_full = |index: usize, view: &LoadView| {
+        let is_known_full = |index: usize, view: &LoadView| {
             let is_known = request.is_last && request.full.contains(&index);
             is_known && self.in_service(index) && !view.is_suspect(terms) && has_room(view)
         };
-        if let Some(drawn) = self.draw(terms, rng, candidates, known_full) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, is_known_full) {
             return Some((ChoiceGround::Waiting, drawn));
         }
-        let local = |index: usize, view: &LoadView| {
+        let is_near = |index: usize, view: &LoadView| {
             view.is_local && is_eligible(index, view) && load(view) < LOCAL_LOAD_MAX
         };
-        if let Some(drawn) = self.draw(terms, rng, candidates, local) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, is_near) {
             return Some((ChoiceGround::Near, drawn));
         }
-        let local_waiting = |index: usize, view: &LoadView| {
+        let is_local_queue = |index: usize, view: &LoadView| {
             let is_healthy = view.is_local && !view.is_suspect(terms) && has_room(view);
             let in_service = self.in_service(index) && !request.excluded.contains(&index);
             is_healthy && in_service && load(view) < 1.0 + request.local_wait_rounds
         };
         let waits_locally = request.local_wait_rounds > 0.0;
         if let Some(drawn) =
-            waits_locally.then(|| self.draw(terms, rng, candidates, local_waiting)).flatten()
+            waits_locally.then(|| self.draw(terms, rng, candidates, is_local_queue)).flatten()
         {
             return Some((ChoiceGround::Waiting, drawn));
         }
-        let free = |index: usize, view: &LoadView| is_eligible(index, view) && load(view) < 1.0;
-        if let Some(drawn) = self.draw(terms, rng, candidates, free) {
+        let has_free_slot =
+            |index: usize, view: &LoadView| is_eligible(index, view) && load(view) < 1.0;
+        if let Some(drawn) = self.draw(terms, rng, candidates, has_free_slot) {
             return Some((ChoiceGround::Sound, drawn));
         }
-        let healthy = |index: usize, view: &LoadView| {
+        let is_healthy_in_service = |index: usize, view: &LoadView| {
             let in_service = self.in_service(index) && !request.excluded.contains(&index);
             in_service && !view.is_suspect(terms) && has_room(view)
         };
-        let waiting =
-            |index: usize, view: &LoadView| healthy(index, view) && load(view) < QUEUE_LOAD_MAX;
-        if let Some(drawn) = self.draw(terms, rng, candidates, waiting) {
+        let may_queue = |index: usize, view: &LoadView| {
+            is_healthy_in_service(index, view) && load(view) < QUEUE_LOAD_MAX
+        };
+        if let Some(drawn) = self.draw(terms, rng, candidates, may_queue) {
             return Some((ChoiceGround::Waiting, drawn));
         }
         let views = || self.upstreams.iter().enumerate();
-        let is_refused = terms.repeatable && !views().any(|(index, view)| healthy(index, view));
-        let idle =
+        let is_refused =
+            terms.repeatable && !views().any(|(index, view)| is_healthy_in_service(index, view));
+        let has_idle_slot =
             |index: usize, view: &LoadView| is_refused && may_send(index) && load(view) < 1.0;
-        if let Some(drawn) = self.draw(terms, rng, candidates, idle) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, has_idle_slot) {
             return Some((ChoiceGround::Idle, drawn));
         }
-        let any = |index: usize, _: &LoadView| {
+        let is_in_service = |index: usize, _: &LoadView| {
             self.in_service(index) && !request.excluded.contains(&index)
         };
-        if let Some(drawn) = self.draw(terms, rng, candidates, any) {
+        if let Some(drawn) = self.draw(terms, rng, candidates, is_in_service) {
             return Some((ChoiceGround::Any, drawn));
         }
-        let proving = |index: usize, view: &LoadView| {
+        let is_proving = |index: usize, view: &LoadView| {
             view.proving
                 && !view.draining
                 && !self.plan.avoided[index]
                 && !request.excluded.contains(&index)
         };
-        let drawn = self.draw(terms, rng, candidates, proving)?;
+        let drawn = self.draw(terms, rng, candidates, is_proving)?;
         Some((ChoiceGround::Proving, drawn))
     }
 
--- a/crates/decide/src/baseline.rs
+++ b/crates/decide/src/baseline.rs
@@ -49,10 +49,10 @@
                 self.oldest = (self.oldest + 1) % REPORTS_MAX;
             }
         }
-        self.refresh();
+        self.recompute_medians();
     }
 
-    fn refresh(&mut self) {
+    fn recompute_medians(&mut self) {
         self.current = ServiceBaseline {
             median_ln: self.median(|report| report.median_ln),
             spread: self.median(|report| report.spread),
@@ -145,19 +145,19 @@
         let recent = |answer: &&KeptAnswer| {
             answer.upstream != upstream && now.saturating_sub(answer.at) < ANSWER_LIFE
         };
-        let other_answers = self.answers.iter().filter(recent);
+        let answers_of_others = self.answers.iter().filter(recent);
         let (mut count, mut failures) = (0, 0);
         let mut deviations = [0.0; ANSWERS_MAX];
         let mut timed_count = 0;
         let mut upstreams = [0; ANSWERS_MAX];
         let mut failed_upstreams = [0; ANSWERS_MAX];
         let (mut upstream_count, mut failed_count) = (0, 0);
-        for answer in other_answers {
+        for answer in answers_of_others {
             count += 1;
-            add_once(&mut upstreams, &mut upstream_count, answer.upstream);
+            push_distinct(&mut upstreams, &mut upstream_count, answer.upstream);
             if answer.failed {
                 failures += 1;
-                add_once(&mut failed_upstreams, &mut failed_count, answer.upstream);
+                push_distinct(&mut failed_upstreams, &mut failed_count, answer.upstream);
             }
             if let Some(value) = answer.deviations {
                 deviations[timed_count] = value;
@@ -191,17 +191,17 @@
     fn latest_shift(&self, upstream: u32, now: Duration) -> f64 {
         let (older, newer) = self.answers.split_at(self.oldest);
         let newest_first = older.iter().rev().chain(newer.iter().rev());
-        let other_answers = newest_first.filter(|answer| {
+        let answers_of_others = newest_first.filter(|answer| {
             answer.upstream != upstream && now.saturating_sub(answer.at) < ANSWER_LIFE
         });
-        other_answers
+        answers_of_others
             .filter_map(|answer| answer.deviations)
             .take(LATEST_ANSWERS_COMPARED)
             .fold(f64::INFINITY, f64::min)
     }
 }
 
-fn add_once(list: &mut [u32], len: &mut usize, value: u32) {
+fn push_distinct(list: &mut [u32], len: &mut usize, value: u32) {
     if !list[..*len].contains(&value) {
         list[*len] = value;
         *len += 1;
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -193,7 +193,7 @@
         let is_short = self.bucket.available(now) < self.burst * RESERVE_BURST_SHARE;
         let reserved = if is_short { self.stopped_share_sum } else { 0.0 };
         self.bucket.set_rate((rate - reserved).max(0.0), self.burst, now);
-        self.bucket.pay(request.spent, now);
+        self.bucket.take_owed(request.spent, now);
         let granted = self.bucket.take_up_to(request.wanted.clamp(0.0, self.burst), now);
         let admitted = granted + request.spent;
         self.admitted.note(admitted, now);
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -14,7 +14,7 @@
 use crate::estimates::{DecayingPeak, LatencyEstimate, RateEstimate};
 use crate::evidence::{self, RequestEvidence, ServiceBaseline, OVERDUE_DEVIATIONS};
 use crate::hang::{HangDetector, UsualTime};
-use crate::recovery::{RecoveryPlan, TrialVerdict, RAMP};
+use crate::recovery::{RecoveryPlan, TrialVerdict, RAMP_TIME};
 
 /// Ejection threshold of services that prefer `detection`: a healthy upstream is ejected at most
 /// once in e^9 (8,000) requests in the worst case, and measured rates are far lower.
@@ -203,7 +203,7 @@
             peak_failure_rate: DecayingPeak::default(),
             anomalous_since: None,
             reason: None,
-            cold_until: if cold { now + RAMP } else { Duration::ZERO },
+            cold_until: if cold { now + RAMP_TIME } else { Duration::ZERO },
             stands_out_since: None,
             confirm_for: confirm_time(prefer),
             breaker: FailureBreaker::default(),
@@ -220,7 +220,7 @@
     /// slow answers are not evidence against the server.
     pub fn note_restart(&mut self, now: Duration) {
         self.recovery.ramp_from(now);
-        self.cold_until = now + RAMP;
+        self.cold_until = now + RAMP_TIME;
     }
 
     /// Changes whether the service prefers detection or precision.
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -110,7 +110,7 @@
 
     /// Takes tokens that were used before they were granted. This may make the bucket negative, by
     /// at most its capacity (the burst).
-    pub fn pay(&mut self, spent: f64, now: Duration) {
+    pub fn take_owed(&mut self, spent: f64, now: Duration) {
         self.fill(now);
         self.tokens = (self.tokens - spent.max(0.0)).max(-self.burst);
     }
@@ -121,7 +121,7 @@
         self.tokens = (self.tokens + tokens).min(self.burst);
     }
 
-    /// Returns the tokens in the bucket; negative if [`Self::pay`] took more than there were.
+    /// Returns the tokens in the bucket; negative if [`Self::take_owed`] took more than there were.
     pub fn available(&mut self, now: Duration) -> f64 {
         self.fill(now);
         self.tokens
@@ -231,7 +231,7 @@
 
     /// Says whether a request is within the limit, and takes its token if so.
     pub fn admit(&mut self, now: Duration) -> LimitVerdict {
-        self.note_demand(now);
+        self.count_request(now);
         if let Some(bucket) = &mut self.standalone {
             if bucket.take(now) {
                 return LimitVerdict::Pass;
@@ -253,7 +253,7 @@
         LimitVerdict::Ask(self.wanted())
     }
 
-    fn note_demand(&mut self, now: Duration) {
+    fn count_request(&mut self, now: Duration) {
         self.used += 1.0;
         let elapsed = now.saturating_sub(self.used_since);
         if elapsed >= GRANT_LIFE {
@@ -276,8 +276,8 @@
             self.refused_until = now + wait;
             return;
         }
-        let still_valid = if now <= self.valid_until { self.borrowed } else { 0.0 };
-        self.borrowed = still_valid + granted;
+        let valid_tokens = if now <= self.valid_until { self.borrowed } else { 0.0 };
+        self.borrowed = valid_tokens + granted;
         self.valid_until = now + GRANT_LIFE;
     }
 
@@ -307,8 +307,8 @@
     /// refused request counts towards no limit.
     pub fn return_token(&mut self, now: Duration) {
         if self.standalone.is_none() {
-            let still_valid = if now <= self.valid_until { self.borrowed } else { 0.0 };
-            self.borrowed = still_valid + 1.0;
+            let valid_tokens = if now <= self.valid_until { self.borrowed } else { 0.0 };
+            self.borrowed = valid_tokens + 1.0;
             self.valid_until = now + GRANT_LIFE;
         }
     }
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -29,10 +29,10 @@
 pub const CALL_RESERVE_TIME: Duration = Duration::from_secs(5);
 
 /// Returns how many of a backend server's slots may be filled by nested calls (`is_call`) or by
-/// other requests. `calls_wait` says whether nested calls recently had to wait for a slot of the
+/// other requests. `nested_calls_waited` says whether nested calls recently had to wait for a slot of the
 /// server.
-pub fn open_slots(slots: u32, is_call: bool, calls_wait: bool) -> u32 {
-    match !is_call && calls_wait && slots > CALL_RESERVED_SLOTS {
+pub fn open_slots(slots: u32, is_call: bool, nested_calls_waited: bool) -> u32 {
+    match !is_call && nested_calls_waited && slots > CALL_RESERVED_SLOTS {
         true => slots - CALL_RESERVED_SLOTS,
         false => slots,
     }
@@ -86,7 +86,7 @@
     now: Duration,
 ) -> Option<usize> {
     let is_oldest_first = grant_count % LONGEST_EVERY == LONGEST_EVERY - 1;
-    let ranks = waiting.enumerate().map(|(index, request)| {
+    let ranked_requests = waiting.enumerate().map(|(index, request)| {
         let in_time = request.meets_objective(now);
         let urgency = if is_oldest_first { None } else { Some(request.urgency()) };
         // A nested call that misses its objective blocks the slot of its parent request as much as
@@ -94,7 +94,7 @@
         let is_first = urgency.is_some_and(|(is_call, _)| is_call);
         ((is_first, in_time, urgency, Reverse(index)), index)
     });
-    ranks.max().map(|(_, index)| index)
+    ranked_requests.max().map(|(_, index)| index)
 }
 
 /// Says whether a request that will miss its objective may wait for one of `slots` slots; `in_time`
@@ -106,8 +106,13 @@
     in_time < f64::from(slots)
 }
 
-/// Estimates when a request starts that waits for one of `slots` slots behind `before` other
+/// Estimates when a request starts that waits for one of `slots` slots behind `requests_before` other
 /// requests, if each request takes `usual`.
-pub fn estimate_start(before: f64, slots: u32, usual: Duration, now: Duration) -> Duration {
-    now + usual.mul_f64((before + 1.0) / f64::from(slots.max(1)))
+pub fn estimate_start(
+    requests_before: f64,
+    slots: u32,
+    usual: Duration,
+    now: Duration,
+) -> Duration {
+    now + usual.mul_f64((requests_before + 1.0) / f64::from(slots.max(1)))
 }
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -40,13 +40,13 @@
 pub struct PathHealth {
     received_at: Duration,
     probed_at: Option<Duration>,
-    answers: u32,
-    answers_needed: u32,
+    probe_answers: u32,
+    probe_answers_needed: u32,
     up_since: Duration,
     was_cut: bool,
     /// Whether an attempt over the path outlasted its hedging delay and no frame has arrived since
     /// that moment.
-    was_late: bool,
+    outlasted_hedge_delay: bool,
     /// Longest of the recent round trips, if one was measured.
     round_trip: Option<Duration>,
 }
@@ -57,11 +57,11 @@
         Self {
             received_at: now,
             probed_at: None,
-            answers: 0,
-            answers_needed: 0,
+            probe_answers: 0,
+            probe_answers_needed: 0,
             up_since: now,
             was_cut: false,
-            was_late: false,
+            outlasted_hedge_delay: false,
             round_trip: None,
         }
     }
@@ -70,7 +70,8 @@
     /// whether the link has open exchanges.
     pub fn probe(&mut self, now: Duration, in_use: bool) -> bool {
         let has_no_recent_frame = now.saturating_sub(self.received_at) >= PROBE_AFTER;
-        let should_probe = self.was_cut || ((in_use || self.was_late) && has_no_recent_frame);
+        let should_probe =
+            self.was_cut || ((in_use || self.outlasted_hedge_delay) && has_no_recent_frame);
         if should_probe && self.probed_at.is_none() {
             self.probed_at = Some(now);
             return true;
@@ -82,13 +83,13 @@
     /// Records that an attempt over the path outlasted its hedging delay. The record makes a probe
     /// due even if the attempt ends before [`PROBE_AFTER`], as its hedge was answered.
     pub fn note_hedge_due(&mut self) {
-        self.was_late = true;
+        self.outlasted_hedge_delay = true;
     }
 
     /// Records that a frame arrived from the peer.
     pub fn note_frame(&mut self, now: Duration) {
-        self.refresh(now);
-        self.was_late = false;
+        self.expire_path(now);
+        self.outlasted_hedge_delay = false;
         self.received_at = now;
         self.probed_at = None;
     }
@@ -96,8 +97,8 @@
     /// Records a round trip to the peer.
     pub fn note_round_trip(&mut self, took: Duration) {
         // A longer round trip raises the value at once, shorter ones lower it gradually.
-        let recent_longest = self.round_trip.unwrap_or(took);
-        self.round_trip = Some(took.max(recent_longest - recent_longest / 8));
+        let longest_recent = self.round_trip.unwrap_or(took);
+        self.round_trip = Some(took.max(longest_recent - longest_recent / 8));
     }
 
     /// Returns the longest of the recent round trips, if one was measured.
@@ -114,8 +115,8 @@
         if !self.was_cut {
             return;
         }
-        self.answers += 1;
-        if self.answers >= self.answers_needed {
+        self.probe_answers += 1;
+        if self.probe_answers >= self.probe_answers_needed {
             self.was_cut = false;
             self.up_since = now;
         }
@@ -145,7 +146,7 @@
         }
     }
 
-    fn refresh(&mut self, now: Duration) {
+    fn expire_path(&mut self, now: Duration) {
         if self.is_cut(now) {
             self.note_cut(now);
         }
@@ -154,14 +155,14 @@
     fn note_cut(&mut self, now: Duration) {
         if !self.was_cut {
             let is_forgotten = now.saturating_sub(self.up_since) > FORGET_AFTER;
-            self.answers_needed = if is_forgotten || self.answers_needed == 0 {
+            self.probe_answers_needed = if is_forgotten || self.probe_answers_needed == 0 {
                 1
             } else {
-                (self.answers_needed * 2).min(ANSWERS_NEEDED_MAX)
+                (self.probe_answers_needed * 2).min(ANSWERS_NEEDED_MAX)
             };
         }
         self.was_cut = true;
-        self.answers = 0;
+        self.probe_answers = 0;
     }
 
     /// Returns the time since the last frame from the peer.
@@ -171,7 +172,7 @@
 
     /// Returns the state of the path at `now`.
     pub fn state(&mut self, now: Duration) -> PathState {
-        self.refresh(now);
+        self.expire_path(now);
         if self.is_cut(now) {
             PathState::Cut
         } else if self.was_cut {
--- a/crates/decide/src/recovery.rs
+++ b/crates/decide/src/recovery.rs
@@ -13,9 +13,9 @@
 pub const TRIALS_NEEDED: u32 = 3;
 /// Time of the slow start, in which the load of an upstream that returned or started rises to its
 /// full share.
-pub const RAMP: Duration = Duration::from_secs(10);
+pub const RAMP_TIME: Duration = Duration::from_secs(10);
 /// Share of its full load that an upstream gets at the beginning of the slow start.
-pub const RAMP_START: f64 = 0.1;
+pub const RAMP_START_SHARE: f64 = 0.1;
 /// Time after an ejection, as a multiple of the hold-off, from which a non-repeatable request may
 /// be a trial as well, if no repeatable request has arrived.
 const HOLD_OFFS_BEFORE_ANY_TRIAL: u32 = 4;
@@ -168,8 +168,8 @@
             Some(start) => start,
             None => return 1.0,
         };
-        let elapsed_share = now.saturating_sub(start).as_secs_f64() / RAMP.as_secs_f64();
-        (RAMP_START + (1.0 - RAMP_START) * elapsed_share).clamp(RAMP_START, 1.0)
+        let elapsed_share = now.saturating_sub(start).as_secs_f64() / RAMP_TIME.as_secs_f64();
+        (RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * elapsed_share).clamp(RAMP_START_SHARE, 1.0)
     }
 }
 
--- a/crates/decide/src/suspects.rs
+++ b/crates/decide/src/suspects.rs
@@ -107,7 +107,7 @@
 struct SuspectRecord {
     tally: CrashTally,
     /// When the tally last rose, or the last trial began.
-    risen_at: Duration,
+    changed_at: Duration,
     seen_at: Duration,
     upstream: Rc<str>,
 }
@@ -149,7 +149,7 @@
     }
 
     /// Returns the key by which records are kept: the crashes, then the time of the last copy.
-    fn retention_key(&self) -> (u32, Duration) {
+    fn eviction_order(&self) -> (u32, Duration) {
         (self.tally.crashes, self.seen_at)
     }
 }
@@ -204,7 +204,7 @@
             return None;
         }
         record.tally = CrashTally { round: record.tally.round + 1, crashes: 0 };
-        record.risen_at = now;
+        record.changed_at = now;
         record.seen_at = now;
         Some(record.tally)
     }
@@ -223,12 +223,12 @@
                     return false;
                 }
                 record.tally = notice.tally;
-                record.risen_at = now;
+                record.changed_at = now;
                 record.upstream = notice.upstream.clone();
             }
             Entry::Vacant(entry) => {
                 let (tally, upstream) = (notice.tally, notice.upstream.clone());
-                entry.insert(SuspectRecord { tally, risen_at: now, seen_at, upstream });
+                entry.insert(SuspectRecord { tally, changed_at: now, seen_at, upstream });
             }
         }
         self.evict(now);
@@ -261,9 +261,9 @@
         if !record.tally.is_refused() {
             return CopyVerdict::Serve;
         }
-        let until_trial = (record.risen_at + TRIAL_EVERY).saturating_sub(now);
+        let until_trial = (record.changed_at + TRIAL_EVERY).saturating_sub(now);
         if until_trial.is_zero() && makes_trials() {
-            record.risen_at = now;
+            record.changed_at = now;
             return CopyVerdict::Trial;
         }
         CopyVerdict::Refuse { retry_after: until_trial }
@@ -285,7 +285,7 @@
         self.forget_old(now);
         while self.records.len() > SUSPECTS_MAX {
             let least_retained =
-                self.records.iter().min_by_key(|(_, record)| record.retention_key());
+                self.records.iter().min_by_key(|(_, record)| record.eviction_order());
             match least_retained.map(|(fingerprint, _)| *fingerprint) {
                 Some(fingerprint) => drop(self.records.remove(&fingerprint)),
                 None => return,
--- a/crates/waiting/src/slots.rs
+++ b/crates/waiting/src/slots.rs
@@ -64,7 +64,7 @@
 }
 
 impl QueueWaiter {
-    fn resolve(&self, state: WaitState) {
+    fn end_wait(&self, state: WaitState) {
         self.state.set(state);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
@@ -147,10 +147,11 @@
     /// Says whether a request may get a slot now, or a reservation may be offered a slot now.
     fn may_start(&self, kind: WaitKind, request: &SlotRequest, now: Duration) -> bool {
         let queued = &request.scheduling;
-        let queued_at = self.call_queued_at.get();
-        let calls_wait =
-            queued_at.is_some_and(|at| now.saturating_sub(at) < order::CALL_RESERVE_TIME);
-        let slots_for_kind = order::open_slots(self.slots.get(), queued.is_call, calls_wait);
+        let nested_call_queued_at = self.call_queued_at.get();
+        let nested_calls_waited = nested_call_queued_at
+            .is_some_and(|at| now.saturating_sub(at) < order::CALL_RESERVE_TIME);
+        let slots_for_kind =
+            order::open_slots(self.slots.get(), queued.is_call, nested_calls_waited);
         let taken_slots = self.used.get() + self.offered.get();
         match kind {
             WaitKind::Offered => !self.is_full(),
@@ -254,8 +255,8 @@
             *waiter.waker.borrow_mut() = Some(context.waker().clone());
             Poll::Pending
         });
-        let longest = self.longest_wait(kind, &request);
-        let result = match monoio::time::timeout(longest, result).await {
+        let max_wait = self.longest_wait(kind, &request);
+        let result = match monoio::time::timeout(max_wait, result).await {
             Ok(result) => result,
             Err(_) => Err(NotRunReason::DeadlinePassed),
         };
@@ -292,10 +293,10 @@
             None => return Ok(()),
         };
         let waiting = self.waiting.borrow();
-        let is_ahead =
+        let is_served_before =
             |waiter: &&Rc<QueueWaiter>| waiter.request.scheduling.urgency() >= queued.urgency();
-        let ahead = queue_length(waiting.iter().filter(is_ahead));
-        let start = order::estimate_start(ahead, self.slots.get(), usual, now);
+        let queue_length_ahead = queue_length(waiting.iter().filter(is_served_before));
+        let start = order::estimate_start(queue_length_ahead, self.slots.get(), usual, now);
         if start > queued.deadline {
             return Err(NotRunReason::DeadlinePassed);
         }
@@ -303,7 +304,9 @@
         // its objective everywhere must not make other requests miss theirs.
         let misses_objective = !queued.meets_objective(start);
         let declines = request.passable && kind == WaitKind::Queued;
-        if misses_objective && (declines || !order::accepts_late(ahead, self.slots.get())) {
+        if misses_objective
+            && (declines || !order::accepts_late(queue_length_ahead, self.slots.get()))
+        {
             return Err(NotRunReason::QueueFull);
         }
         Ok(())
@@ -332,7 +335,7 @@
             match lowest_class {
                 Some((index, class)) if class < request.scheduling.class => {
                     let evicted = waiting.remove(index);
-                    evicted.resolve(WaitState::Refused(NotRunReason::QueueFull));
+                    evicted.end_wait(WaitState::Refused(NotRunReason::QueueFull));
                 }
                 _ => return Err(NotRunReason::QueueFull),
             }
@@ -392,7 +395,7 @@
         self.waiting.borrow_mut().retain(|waiter| {
             let refused = is_refused(waiter);
             if refused {
-                waiter.resolve(WaitState::Refused(reason));
+                waiter.end_wait(WaitState::Refused(reason));
             }
             !refused
         });
@@ -401,7 +404,7 @@
     /// Refuses all waiting requests and reservations.
     pub fn refuse_all(&self, reason: NotRunReason) {
         for waiter in self.waiting.borrow_mut().drain(..) {
-            waiter.resolve(WaitState::Refused(reason));
+            waiter.end_wait(WaitState::Refused(reason));
         }
     }
 
@@ -419,15 +422,15 @@
     /// order of [`order::first`].
     fn grant_free_slots(&self) {
         let now = self.clock.now();
-        while let Some(waiter) = self.take_next(now) {
+        while let Some(waiter) = self.take_next_waiter(now) {
             self.count_grant(waiter.kind);
-            waiter.resolve(WaitState::Granted);
+            waiter.end_wait(WaitState::Granted);
         }
     }
 
-    fn take_next(&self, now: Duration) -> Option<Rc<QueueWaiter>> {
+    fn take_next_waiter(&self, now: Duration) -> Option<Rc<QueueWaiter>> {
         let mut waiting = self.waiting.borrow_mut();
-        if !waiting.iter().any(|waiter| self.may_be_next(waiter, now)) {
+        if !waiting.iter().any(|waiter| self.may_start_waiter(waiter, now)) {
             return None;
         }
         refuse_unservable(&mut waiting, self.slots.get(), now);
@@ -445,14 +448,14 @@
             true => self.grant_count.replace(self.grant_count.get().wrapping_add(1)),
             false => 0,
         };
-        let next = waiting.iter().enumerate().filter(|(_, each)| self.may_be_next(each, now));
+        let next = waiting.iter().enumerate().filter(|(_, each)| self.may_start_waiter(each, now));
         let positions: Vec<usize> = next.clone().map(|(position, _)| position).collect();
         let first =
             order::first(next.map(|(_, waiter)| waiter.request.scheduling), grant_count, now)?;
         Some(waiting.remove(positions[first]))
     }
 
-    fn may_be_next(&self, waiter: &QueueWaiter, now: Duration) -> bool {
+    fn may_start_waiter(&self, waiter: &QueueWaiter, now: Duration) -> bool {
         self.may_start(waiter.kind, &waiter.request, now)
     }
 }
@@ -479,9 +482,9 @@
         };
         let is_late = !is_kept && !queued.meets_objective(now);
         if is_expired {
-            waiter.resolve(WaitState::Refused(NotRunReason::DeadlinePassed));
+            waiter.end_wait(WaitState::Refused(NotRunReason::DeadlinePassed));
         } else if is_late {
-            waiter.resolve(WaitState::Refused(NotRunReason::QueueFull));
+            waiter.end_wait(WaitState::Refused(NotRunReason::QueueFull));
         }
         !is_expired && !is_late
     });
