--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -44,8 +44,8 @@
     pub body: &'a [u8],
     /// Whether `body` is the complete body.
     pub is_whole: bool,
-    /// Declared length of the body, negative if none was declared. It distinguishes long bodies
-    /// with the same beginning.
+    /// Declared length of the body, negative if none was declared. The length distinguishes long
+    /// bodies with the same beginning.
     pub length: i64,
 }
 
--- a/crates/core/src/incarnation.rs
+++ b/crates/core/src/incarnation.rs
@@ -13,9 +13,9 @@
 /// which daemons send to each other with every request.
 const START_RADIX: u32 = 36;
 
-/// `ServerIncarnation` is one run of a backend server, from its start to its end. Its text form is
-/// the name of an upstream, so all state that is keyed by that name belongs to this incarnation
-/// alone.
+/// `ServerIncarnation` is one run of a backend server, from its start to its end. The text form of
+/// an incarnation is the name of an upstream, so that all state under this name belongs to one
+/// incarnation alone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerIncarnation {
     /// Name of the backend server, shared by all its incarnations.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,7 +4,7 @@
 //! Types that every basaltarch crate builds on.
 //!
 //! This crate holds the resources that operators declare, the configuration built from them, the
-//! outcome of an exchange, units and settings. It does no input or output.
+//! outcome of an exchange, units and settings. The crate does no input or output.
 
 pub mod blocks;
 pub mod config;
--- a/crates/core/src/resources.rs
+++ b/crates/core/src/resources.rs
@@ -229,7 +229,7 @@
     /// Timeout of a request, in milliseconds.
     #[serde(default = "default_timeout")]
     pub timeout_ms: u64,
-    /// Whether a request may run more than once, which decides when it is retried.
+    /// Whether a request may run more than once. The mode decides when a request is retried.
     #[serde(default)]
     pub mode: WorkMode,
     /// Priority of the route's requests when load is shed.
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -18,8 +18,8 @@
 /// Load, as a share of the slots, from which upstreams in other failure domains are considered too.
 const LOCAL_LOAD_MAX: f64 = 0.95;
 /// Load, as a share of the slots, up to which a request queues at an upstream that is not a
-/// suspect. Above this load, the request may go to an upstream whose circuit breaker is open, where
-/// it may hang. At this load two service rounds are queued.
+/// suspect. Above this load, the request may go to an upstream whose circuit breaker is open, and
+/// may hang. At a load of 3, two service rounds are queued.
 const QUEUE_LOAD_MAX: f64 = 3.0;
 /// Share of an upstream's queue from which the queue counts as full for repeatable requests:
 /// requests of other ingresses take the last places before a request that is sent now arrives.
@@ -74,7 +74,8 @@
     /// Whether the link to the upstream's daemon is up again after a cut, but no probe has been
     /// answered since.
     pub proving: bool,
-    /// Whether the upstream is draining, whoever reported it.
+    /// Whether the upstream is draining, by the configuration or by what its daemon or host
+    /// reported.
     pub draining: bool,
     /// Requests of this ingress that are in flight at the upstream.
     pub own_in_flight: u32,
@@ -161,13 +162,17 @@
         busy * time * distance / self.ramp(now, health)
     }
 
-    /// Says whether the upstream is a suspect. This has one of three reasons: a recent report puts
-    /// its anomaly score at the threshold without an ejection, as an upstream must stand out for a
-    /// while before it is ejected; its circuit breaker is open; or an attempt there outlasted its
-    /// hedging delay and no report has arrived since.
+    /// Says whether the upstream is a suspect, for one of three reasons:
     ///
-    /// While a suspect is avoided, its failures cost neither callers nor the retry budget anything
-    /// until its daemon has decided whether to eject it. It takes no capacity out of service.
+    /// - by a recent report, the anomaly score of the upstream is at the threshold or above: the
+    ///   upstream is ejected only after it has stood out for a while;
+    /// - by a recent report, the circuit breaker of the upstream is open;
+    /// - an attempt at the upstream outlasted its hedging delay, and no report of the upstream has
+    ///   arrived after that.
+    ///
+    /// Until the daemon of a suspect has decided whether to eject the suspect, callers and the
+    /// retry budget are spared its failures. A suspect stays in service, so that no capacity is
+    /// lost.
     fn is_suspect(&self, terms: &ChoiceTerms) -> bool {
         let ChoiceTerms { now, suspect_threshold: threshold, repeatable } = *terms;
         let is_unresponsive = self
@@ -192,10 +197,10 @@
 /// `ChoiceRequest` holds what the choice of an upstream needs to know about a request.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ChoiceRequest<'a> {
-    /// Upstreams that must not be chosen: the request was already sent there, or their daemons
-    /// declined it because their circuit breakers are open.
+    /// Upstreams that must not be chosen: the request was already sent to them, or their daemons
+    /// declined the request because the circuit breakers are open.
     pub excluded: &'a [usize],
-    /// Upstreams that just declined the request as full: chosen only to queue there.
+    /// Upstreams that just declined the request as full: they are chosen only to queue the request.
     pub full: &'a [usize],
     /// Whether the request is repeatable, so that it may be the trial of an upstream that is
     /// ejected or whose circuit breaker is open.
@@ -221,7 +226,7 @@
     }
 }
 
-/// `ChoiceTerms` holds what is the same for all upstreams in one choice.
+/// `ChoiceTerms` holds the inputs of one choice that do not depend on the upstream.
 #[derive(Debug, Clone, Copy)]
 struct ChoiceTerms {
     now: Duration,
@@ -243,8 +248,8 @@
     Near,
     /// The upstream is not a suspect and has a free slot.
     Sound,
-    /// The upstream is not a suspect, and the request queues there, as all upstreams that are no
-    /// suspects are full.
+    /// The upstream is not a suspect, and the request queues at the upstream, as all upstreams that
+    /// are no suspects are full.
     Waiting,
     /// The upstream is a suspect, but has idle slots, and all other upstreams would refuse the
     /// request.
@@ -628,8 +633,8 @@
     /// Says whether a request would find room in an upstream's queue. A refused request is lost for
     /// certain, so a repeatable one goes to a suspect with idle slots, which serves a part of its
     /// requests, rather than to an upstream without room. On days of a full service whose servers
-    /// hang one after another, with attempts bounded by the adaptive timeout, this raises the worth
-    /// of the answers to their callers by 0.024 in the mean of ten runs.
+    /// hang one after another, with attempts bounded by the adaptive timeout, this
+    /// rule raises the worth of the answers to their callers by 0.024 in the mean of ten runs.
     fn has_queue_room(&self, view: &LoadView, now: Duration) -> bool {
         let queue_rounds = f64::from(self.queue) / f64::from(view.slots.max(1));
         view.load_share(now) < 1.0 + QUEUE_SHARE_MAX * queue_rounds
@@ -665,8 +670,8 @@
     }
 
     /// Finds an upstream in the failure domain of the ingress whose circuit breaker is open and
-    /// whose trial is due. An upstream that works again must not wait long for a request that
-    /// happens to test it, or too few upstreams of a service would get requests.
+    /// whose trial is due. An upstream that works again must not wait long for a trial, or too
+    /// few upstreams of a service would get requests.
     fn due_breaker_trial(&self, now: Duration) -> Option<usize> {
         self.oldest_report(|index, view| {
             let age = now.saturating_sub(view.reported_at);
--- a/crates/decide/src/detector.rs
+++ b/crates/decide/src/detector.rs
@@ -96,8 +96,8 @@
         self.threshold = threshold;
     }
 
-    /// Records the end of a request. `was_overdue` says that [`Self::note_overdue`] was already
-    /// called for it.
+    /// Records the end of a request. `was_overdue` says whether [`Self::note_overdue`] was already
+    /// called for the request.
     pub fn note(
         &mut self,
         evidence: RequestEvidence,
--- a/crates/decide/src/distance.rs
+++ b/crates/decide/src/distance.rs
@@ -38,8 +38,8 @@
     }
 
     /// Returns the number of service rounds for which a request waits rather than send its bytes to
-    /// another failure domain. `wait_per_megabyte` is the waiting time that a saved megabyte is worth, and
-    /// `usual` is the time of a service round.
+    /// another failure domain. `wait_per_megabyte` is the waiting time that a saved megabyte is
+    /// worth, and `usual` is the time of a service round.
     pub fn rounds(&self, wait_per_megabyte: Duration, usual: Option<Duration>) -> f64 {
         let (Some(mean), Some(usual)) = (self.mean, usual.filter(|usual| !usual.is_zero())) else {
             return 0.0;
--- a/crates/decide/src/floor.rs
+++ b/crates/decide/src/floor.rs
@@ -64,7 +64,7 @@
 }
 
 impl FloorPlan {
-    /// Says whether this many slots can be taken out of service.
+    /// Says whether the floor holds if this many more slots are taken out of service.
     pub fn allows_removal(&self, slots: u32) -> bool {
         self.in_service >= self.floor.saturating_add(slots)
     }
--- a/crates/decide/src/grants.rs
+++ b/crates/decide/src/grants.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Token grants of a rate limit: what its owner grants to the ingresses that ask.
+//! Token grants of a rate limit: how many tokens the owner of the limit grants to each ingress.
 //!
 //! An ingress that asks the owner before it admits a request makes each request wait for the
 //! answer. So while a limit is far from used up, the owner lets each ingress admit some requests
@@ -35,8 +35,8 @@
 /// Share of the tolerated excess that all ingresses together may admit before tokens are granted.
 const AHEAD_EXCESS_SHARE: f64 = 0.4;
 /// Share of the tolerated excess that an owner may grant at once after all daemons were killed: the
-/// tokens granted before are not known, and the grants after two such kills within one window must
-/// not exceed the limit.
+/// tokens granted before the kill are not known, and the grants after two such kills within one
+/// window must not exceed the limit.
 const RESTART_EXCESS_SHARE: f64 = 0.35;
 /// Share of the burst below which the owner reserves the parts of the ingresses that have stopped
 /// sending token requests.
@@ -51,8 +51,8 @@
 const DEMAND_SHARE_MIN: f64 = 0.5;
 /// Time between two counts of the ingresses that send token requests.
 const RECOUNT_INTERVAL: Duration = Duration::from_millis(100);
-/// Tokens that a backup adds for the first token request of an ingress. It adds no whole burst, as
-/// the owner may just have granted one.
+/// Tokens that a backup adds for the first token request of an ingress. The backup adds no whole
+/// burst, as the owner may just have granted a burst.
 const BACKUP_FIRST_GRANT: f64 = 1.0;
 /// Share of the tolerated excess by which the burst is enlarged. A count over many daemons errs in
 /// both directions, and refusing a request within its limit harms a caller, while admitting a
@@ -212,8 +212,8 @@
     }
 
     /// Recounts the ingresses that request tokens, and removes the ingresses that have requested no
-    /// tokens for [`REQUESTER_LIFE`]. Recounts once every [`RECOUNT_INTERVAL`] rather than at each token
-    /// request, as thousands of ingresses request tokens of one limit in a large fleet.
+    /// tokens for [`REQUESTER_LIFE`]. Recounts once every [`RECOUNT_INTERVAL`] rather than at each
+    /// token request, as thousands of ingresses request tokens of one limit in a large fleet.
     fn recount_requesters(&mut self, now: Duration) {
         if self.counted_at.is_some_and(|at| now.saturating_sub(at) < RECOUNT_INTERVAL) {
             return;
--- a/crates/decide/src/hang.rs
+++ b/crates/decide/src/hang.rs
@@ -3,10 +3,10 @@
 
 //! Detection of an upstream that accepts requests and does not answer.
 //!
-//! A request that hangs ends in no event; the only evidence is that it still runs, and this
-//! evidence grows with the age of the request. Each running request adds the log-likelihood ratio
-//! of "half of the requests hang" against "all requests end in their typical service time" at its
-//! age, and each answer adds the ratio of an answer, which is negative. The evidence of several
+//! A request that hangs ends in no event. The only evidence is that the request still runs, and
+//! this evidence grows with the age of the request. Each running request adds the log-likelihood
+//! ratio of "half of the requests hang" against "all requests end in their typical service time" at
+//! its age, and each answer adds the ratio of an answer, which is negative. The evidence of several
 //! requests that each run only a little longer than usual adds up. So a hang of an upstream with a
 //! few requests a second is detected within one or two typical service times, before the age of any
 //! single request is enough evidence.
@@ -151,7 +151,7 @@
         self.ended_evidence * (-age / ENDED_EVIDENCE_LIFE.as_secs_f64()).exp()
     }
 
-    /// Returns the evidence of a hang. If it is positive, a hang is likelier than before any
+    /// Returns the evidence of a hang: from a value of 0 on, a hang is likelier than before any
     /// request.
     pub fn evidence(&self, now: Duration) -> f64 {
         let beyond_usual = |request: &RunningRequest| request.evidence(now) - RUNNING_EVIDENCE_MEAN;
--- a/crates/decide/src/limits.rs
+++ b/crates/decide/src/limits.rs
@@ -95,7 +95,7 @@
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Takes one token, if there is one.
+    /// Takes one token from the bucket; says whether there was one.
     pub fn take(&mut self, now: Duration) -> bool {
         self.take_up_to(1.0, now) >= 1.0
     }
@@ -108,8 +108,8 @@
         taken
     }
 
-    /// Takes tokens that were used before they were granted. This may make the bucket negative, by
-    /// at most its capacity (the burst).
+    /// Takes tokens that were used before they were granted. The bucket may become negative,
+    /// by at most its capacity (the burst).
     pub fn take_owed(&mut self, spent: f64, now: Duration) {
         self.fill(now);
         self.tokens = (self.tokens - spent.max(0.0)).max(-self.burst);
--- a/crates/decide/src/order.rs
+++ b/crates/decide/src/order.rs
@@ -29,8 +29,8 @@
 pub const CALL_RESERVE_TIME: Duration = Duration::from_secs(5);
 
 /// Returns how many of a backend server's slots may be filled by nested calls (`is_call`) or by
-/// other requests. `nested_calls_waited` says whether nested calls recently had to wait for a slot of the
-/// server.
+/// other requests. `nested_calls_waited` says whether nested calls recently had to wait for a slot
+/// of the server.
 pub fn open_slots(slots: u32, is_call: bool, nested_calls_waited: bool) -> u32 {
     match !is_call && nested_calls_waited && slots > CALL_RESERVED_SLOTS {
         true => slots - CALL_RESERVED_SLOTS,
@@ -106,8 +106,8 @@
     in_time < f64::from(slots)
 }
 
-/// Estimates when a request starts that waits for one of `slots` slots behind `requests_before` other
-/// requests, if each request takes `usual`.
+/// Estimates when a request starts that waits for one of `slots` slots behind `requests_before`
+/// other requests, if each request takes `usual`.
 pub fn estimate_start(
     requests_before: f64,
     slots: u32,
--- a/crates/decide/src/stop.rs
+++ b/crates/decide/src/stop.rs
@@ -3,13 +3,13 @@
 
 //! The phases of a graceful shutdown: what is still accepted, and when the process may end.
 //!
-//! The workload is callers who go on sending for as long as the daemon runs. They learn late that
-//! the daemon is stopping, and where most of a failure domain stops at once, they are not directed
-//! elsewhere: one in 15 of the requests that stopping daemons accepted came later than half of the
-//! drain time (66 of 959, logs of 62 stops in series). So a stop has two steps. The daemon first
-//! closes, and accepts no more requests from then on. The process ends later, when all accepted
-//! requests have ended, so that no request can be accepted between the end of the last request and
-//! the end of the process.
+//! The workload is callers who go on sending for as long as the daemon runs. These callers learn
+//! late that the daemon is stopping, and where most of a failure domain stops at once, they are not
+//! directed elsewhere: one in 15 of the requests that stopping daemons accepted came later than
+//! half of the drain time (66 of 959, logs of 62 stops in series). So a stop has two steps. The
+//! daemon first closes, and accepts no more requests from then on. The process ends later, when all
+//! accepted requests have ended, so that no request can be accepted between the end of the last
+//! request and the end of the process.
 //!
 //! Until the callers have learnt of the stop, the backend servers on the daemon's host go on
 //! serving, as the servers are not stopping. Otherwise a third of a fleet's capacity would be idle
--- a/crates/decide/tests/grants.rs
+++ b/crates/decide/tests/grants.rs
@@ -198,8 +198,8 @@
     assert_eq!((grant.granted, grant.ahead), (1.0, 0));
 }
 
-/// `OwnerlessPartition` is a partition: ingresses that can't reach the owner, and the backup owner that
-/// grants tokens to them.
+/// `OwnerlessPartition` is a partition: ingresses that can't reach the owner, and the backup owner
+/// that grants tokens to them.
 struct OwnerlessPartition {
     backup: LimitOwner,
     limiters: Vec<LocalLimiter>,
