--- a/crates/bench/src/decisions/hosts.rs
+++ b/crates/bench/src/decisions/hosts.rs
@@ -251,7 +251,7 @@
         let change = if job.is_trial {
             health.note_trial(route, evidence, self.now)
         } else {
-            health.note(route, evidence, job.is_overdue, self.now)
+            health.note_evidence(route, evidence, job.is_overdue, self.now)
         };
         let failure = match job.end {
             JobEnd::Good => None,
--- a/crates/bench/src/decisions/ingresses.rs
+++ b/crates/bench/src/decisions/ingresses.rs
@@ -109,7 +109,7 @@
         }
         request.excluded.push(attempt.upstream);
         request.slow_attempts.push(attempt);
-        ingress.view.note_late(attempt.upstream, self.now);
+        ingress.view.note_hedge_due(attempt.upstream, self.now);
         self.dispatch(attempt.request);
     }
 
--- a/crates/decide/src/path.rs
+++ b/crates/decide/src/path.rs
@@ -5,18 +5,18 @@
 
 use std::time::Duration;
 
-/// Silence on a link with open exchanges after which the peer is probed: the typical service time
-/// is as long, so that an answer often arrives first.
+/// Time without any frame on a link with open exchanges after which the peer is probed. The typical
+/// service time is as long, so that an answer often makes the probe unnecessary.
 pub const PROBE_AFTER: Duration = Duration::from_millis(150);
 /// Time without any frame after a probe from which a path counts as cut while its round trip is not
-/// known: four times the round trip between far regions (0.3 s). A cut of either direction has the
-/// same effect at this end, and makes the path useless.
+/// known: four times the round trip between far regions (0.3 s). A cut of either direction stops
+/// the frames that this daemon receives, and makes the path useless.
 pub const SILENCE_MAX: Duration = Duration::from_millis(1200);
-/// Lower bound of that time if the path's round trip is known: a host that gets its share of a
-/// processor in slices of tenths of a second sends nothing for as long, and a lost packet is
-/// retransmitted after 200 ms.
+/// Lower bound of the time without any frame after a probe from which a path with a known round
+/// trip counts as cut: a host that gets its share of a processor in slices of tenths of a second
+/// sends nothing for as long, and a lost packet is retransmitted after 200 ms.
 pub const SILENCE_MIN: Duration = Duration::from_millis(350);
-/// Round trips without any frame from which a path counts as cut.
+/// Time without any frame after a probe, in round trips, from which a path counts as cut.
 const SILENCE_ROUNDS: u32 = 4;
 /// Maximum number of consecutive answers that are required before a flapping path is used again.
 const ANSWERS_NEEDED_MAX: u32 = 32;
@@ -30,8 +30,8 @@
     Up,
     /// The peer does not answer.
     Cut,
-    /// The peer answers again, but the path was cut recently and too few probes were answered
-    /// since.
+    /// The peer answers again, but the path was cut recently, and the peer has answered too few
+    /// probes since the cut.
     Proving,
 }
 
@@ -40,12 +40,13 @@
 pub struct PathHealth {
     received_at: Duration,
     probed_at: Option<Duration>,
-    answers: u32,
-    answers_needed: u32,
+    probe_answers: u32,
+    probe_answers_needed: u32,
     up_since: Duration,
     was_cut: bool,
-    /// Whether an attempt over the path outlasted its hedging delay and no frame arrived since.
-    was_late: bool,
+    /// Whether an attempt over the path outlasted its hedging delay and no frame has arrived since
+    /// that moment.
+    outlasted_hedge_delay: bool,
     /// Longest of the recent round trips, if one was measured.
     round_trip: Option<Duration>,
 }
@@ -56,19 +57,21 @@
         Self {
             received_at: now,
             probed_at: None,
-            answers: 0,
-            answers_needed: 0,
+            probe_answers: 0,
+            probe_answers_needed: 0,
             up_since: now,
             was_cut: false,
-            was_late: false,
+            outlasted_hedge_delay: false,
             round_trip: None,
         }
     }
 
-    /// Says whether the peer should be probed, and records the probe if so.
+    /// Says whether the peer should be probed now, and records the probe if so; `in_use` says
+    /// whether the link has open exchanges.
     pub fn probe(&mut self, now: Duration, in_use: bool) -> bool {
         let has_no_recent_frame = now.saturating_sub(self.received_at) >= PROBE_AFTER;
-        let should_probe = self.was_cut || ((in_use || self.was_late) && has_no_recent_frame);
+        let should_probe =
+            self.was_cut || ((in_use || self.outlasted_hedge_delay) && has_no_recent_frame);
         if should_probe && self.probed_at.is_none() {
             self.probed_at = Some(now);
             return true;
@@ -77,25 +80,25 @@
         should_probe && self.is_cut(now)
     }
 
-    /// Records that an attempt over the path outlasted its hedging delay. The attempt may be over
-    /// long before a probe would be sent, as its hedge was answered.
-    pub fn note_late(&mut self) {
-        self.was_late = true;
+    /// Records that an attempt over the path outlasted its hedging delay. The record makes a probe
+    /// due even if the attempt ends before [`PROBE_AFTER`], as its hedge was answered.
+    pub fn note_hedge_due(&mut self) {
+        self.outlasted_hedge_delay = true;
     }
 
     /// Records that a frame arrived from the peer.
     pub fn note_frame(&mut self, now: Duration) {
-        self.refresh(now);
-        self.was_late = false;
+        self.expire_path(now);
+        self.outlasted_hedge_delay = false;
         self.received_at = now;
         self.probed_at = None;
     }
 
     /// Records a round trip to the peer.
     pub fn note_round_trip(&mut self, took: Duration) {
-        // A longer round trip counts at once, shorter ones gradually.
-        let recent_longest = self.round_trip.unwrap_or(took);
-        self.round_trip = Some(took.max(recent_longest - recent_longest / 8));
+        // A longer round trip raises the value at once, shorter ones lower it gradually.
+        let longest_recent = self.round_trip.unwrap_or(took);
+        self.round_trip = Some(took.max(longest_recent - longest_recent / 8));
     }
 
     /// Returns the longest of the recent round trips, if one was measured.
@@ -112,15 +115,15 @@
         if !self.was_cut {
             return;
         }
-        self.answers += 1;
-        if self.answers >= self.answers_needed {
+        self.probe_answers += 1;
+        if self.probe_answers >= self.probe_answers_needed {
             self.was_cut = false;
             self.up_since = now;
         }
     }
 
-    /// Records that the host was suspended: until the peer answers, the path is not known to work,
-    /// and a probe from before the suspension measures nothing.
+    /// Records that this daemon's host was suspended. The path is not known to work until the peer
+    /// answers, and the answer to a probe from before the suspension measures no round trip.
     pub fn note_resumed(&mut self, now: Duration) {
         self.probed_at = None;
         self.note_cut(now);
@@ -143,7 +146,7 @@
         }
     }
 
-    fn refresh(&mut self, now: Duration) {
+    fn expire_path(&mut self, now: Duration) {
         if self.is_cut(now) {
             self.note_cut(now);
         }
@@ -152,24 +155,24 @@
     fn note_cut(&mut self, now: Duration) {
         if !self.was_cut {
             let is_forgotten = now.saturating_sub(self.up_since) > FORGET_AFTER;
-            self.answers_needed = if is_forgotten || self.answers_needed == 0 {
+            self.probe_answers_needed = if is_forgotten || self.probe_answers_needed == 0 {
                 1
             } else {
-                (self.answers_needed * 2).min(ANSWERS_NEEDED_MAX)
+                (self.probe_answers_needed * 2).min(ANSWERS_NEEDED_MAX)
             };
         }
         self.was_cut = true;
-        self.answers = 0;
+        self.probe_answers = 0;
     }
 
     /// Returns the time since the last frame from the peer.
-    pub fn silent_for(&self, now: Duration) -> Duration {
+    pub fn time_since_frame(&self, now: Duration) -> Duration {
         now.saturating_sub(self.received_at)
     }
 
     /// Returns the state of the path at `now`.
     pub fn state(&mut self, now: Duration) -> PathState {
-        self.refresh(now);
+        self.expire_path(now);
         if self.is_cut(now) {
             PathState::Cut
         } else if self.was_cut {
