--- a/crates/ctl/src/api.rs
+++ b/crates/ctl/src/api.rs
@@ -18,8 +18,8 @@
 
 use crate::errors::CommandError;
 
-/// Timeout of one call. A daemon needs less time to report the outcome of a change, or that the
-/// outcome is unknown.
+/// Timeout of one call. A daemon needs less time than this to report the outcome of a change, or to
+/// report that the outcome is unknown.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest time without data on a watch: three times the interval at which a daemon sends
 /// bookmarks, the lines that keep an idle watch alive.
@@ -39,8 +39,8 @@
         Self { address, token, actor, client: HttpClient::new(address, CALL_TIMEOUT) }
     }
 
-    /// Builds the client of another daemon with the same token and actor.
-    pub fn at(&self, address: SocketAddr) -> Self {
+    /// Builds the client of the daemon at `address` with the token and actor of this client.
+    pub fn with_address(&self, address: SocketAddr) -> Self {
         Self::new(address, self.token.clone(), self.actor.clone())
     }
 
@@ -57,7 +57,7 @@
         headers
     }
 
-    fn unreachable(&self, source: HttpError) -> CommandError {
+    fn unreachable_error(&self, source: HttpError) -> CommandError {
         CommandError::Unreachable { address: self.address.to_string(), source }
     }
 
@@ -77,7 +77,7 @@
         }
         let body = body.map_or(Bytes::new(), |body| Bytes::from(body.to_string()));
         let calling = self.client.call(method, target, headers, body);
-        let reply = calling.await.map_err(|source| self.unreachable(source))?;
+        let reply = calling.await.map_err(|source| self.unreachable_error(source))?;
         let value: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
         if reply.status.is_success() {
             return Ok(value);
@@ -100,11 +100,11 @@
         mut on_line: impl FnMut(&Value),
     ) -> Result<(), CommandError> {
         let lines = self.read_lines(target, &mut on_line);
-        lines.await.map_err(|source| self.unreachable(source))?
+        lines.await.map_err(|source| self.unreachable_error(source))?
     }
 
-    /// Reads the lines of a watch. The inner error is a refusal by the daemon, the outer one a
-    /// failed connection.
+    /// Reads the lines of a watch. The inner error is a refusal by the daemon, and the outer error
+    /// is a failed connection.
     async fn read_lines(
         &self,
         target: &str,
@@ -116,22 +116,22 @@
         let framing = framing::of_response(&head, &Method::GET)?;
         let limits = BodyLimits { idle: WATCH_IDLE_TIMEOUT, ..BodyLimits::default() };
         let mut body = BodyReader::new(framing, limits);
-        let mut text = BytesMut::new();
+        let mut buffer = BytesMut::new();
         while let Some(chunk) = body.next(&mut stream.reader).await? {
-            text.extend_from_slice(&chunk);
+            buffer.extend_from_slice(&chunk);
             while head.status.is_success() {
-                let end = match text.iter().position(|byte| *byte == b'\n') {
+                let end = match buffer.iter().position(|byte| *byte == b'\n') {
                     Some(end) => end,
                     None => break,
                 };
-                let line = text.split_to(end + 1);
+                let line = buffer.split_to(end + 1);
                 on_line(&serde_json::from_slice(&line).unwrap_or(Value::Null));
             }
         }
         if head.status.is_success() {
             return Ok(Ok(()));
         }
-        let value = serde_json::from_slice(&text).unwrap_or(Value::Null);
+        let value = serde_json::from_slice(&buffer).unwrap_or(Value::Null);
         Ok(Err(CommandError::Refused {
             status: head.status.as_u16(),
             message: refusal_text(head.status.as_u16(), &value),
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -14,8 +14,9 @@
 use crate::errors::CommandError;
 use crate::tables;
 
-/// Interval at which the daemons are polled for the revision that they have in force.
-const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which `apply` with `wait` queries the status of all daemons, until every live daemon
+/// has the new revision in force.
+const REVISION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// `OutputForm` is how results are printed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,8 +56,8 @@
     Ok(changes)
 }
 
-/// Applies a file in one transaction. With `wait`, returns once all live daemons have the new
-/// revision in force, and fails if that takes longer.
+/// Applies a file of resources in one transaction. With `wait`, the command returns once all live
+/// daemons have the new revision in force, and fails if this takes longer than `wait`.
 pub async fn apply(
     api: &AdminApi,
     path: &str,
@@ -90,7 +91,7 @@
             .iter()
             .filter(|member| member["state"] == "live")
             .filter(|member| member["revision"].as_u64().unwrap_or(0) < revision)
-            .map(|member| tables::cell(&member["host"]))
+            .map(|member| tables::cell_text(&member["host"]))
             .collect();
         if lagging.is_empty() {
             return Ok(());
@@ -99,11 +100,11 @@
             let hosts = lagging.join(", ");
             return Err(CommandError::Lagging { revision, hosts });
         }
-        monoio::time::sleep(WAIT_POLL_INTERVAL).await;
+        monoio::time::sleep(REVISION_POLL_INTERVAL).await;
     }
 }
 
-/// Shows what applying a file would change.
+/// Shows which resources an `apply` of the file would change, and how.
 pub async fn diff(api: &AdminApi, path: &str, form: OutputForm) -> Result<(), CommandError> {
     let body = json!({"changes": read_changes(path)?, "dry_run": true});
     let reply = api.call(Method::POST, "/v1/apply", Some(&body), None).await?;
@@ -113,7 +114,7 @@
     }
     let changes = reply["changes"].as_array().cloned().unwrap_or_default();
     for change in &changes {
-        println!("{}/{}", tables::cell(&change["kind"]), tables::cell(&change["name"]));
+        println!("{}/{}", tables::cell_text(&change["kind"]), tables::cell_text(&change["name"]));
         print_difference(&change["before"], &change["after"]);
     }
     println!("{} resources would change", changes.len());
@@ -136,7 +137,7 @@
     }
 }
 
-/// Shows the resources of a kind, or one of them.
+/// Shows all resources of a kind or, with `name`, one resource of the kind.
 pub async fn get(
     api: &AdminApi,
     kind: &str,
@@ -156,32 +157,34 @@
     let resources = reply["resources"].as_array().cloned().unwrap_or_default();
     let rows: Vec<Vec<String>> = resources
         .iter()
-        .map(|resource| tables::cells(resource, &["name", "revision", "value"]))
+        .map(|resource| tables::cell_texts(resource, &["name", "revision", "value"]))
         .collect();
     tables::print(&["NAME", "REVISION", "VALUE"], &rows);
     Ok(())
 }
 
-/// Deletes a resource; with `at`, only if the resource has that revision.
+/// Deletes a resource. With `expected_revision`, the resource is deleted only if it has that
+/// revision.
 pub async fn delete(
     api: &AdminApi,
     kind: &str,
     name: &str,
-    at: Option<u64>,
+    expected_revision: Option<u64>,
 ) -> Result<(), CommandError> {
     let target = format!("/v1/{kind}/{name}");
-    let precondition = precondition_of(at);
+    let precondition = precondition_of(expected_revision);
     let reply = api.call(Method::DELETE, &target, None, Some(precondition)).await?;
     println!("revision {}: deleted", reply["revision"]);
     Ok(())
 }
 
-fn precondition_of(at: Option<u64>) -> (HeaderName, String) {
-    let value = at.map_or("*".to_owned(), |revision| format!("\"{revision}\""));
+fn precondition_of(expected_revision: Option<u64>) -> (HeaderName, String) {
+    let value = expected_revision.map_or("*".to_owned(), |revision| format!("\"{revision}\""));
     (header::IF_MATCH, value)
 }
 
-/// Watches changes until the watch ends.
+/// Prints the accepted changes after revision `after` as they arrive, until the daemon ends the
+/// watch.
 pub async fn watch(api: &AdminApi, kind: Option<&str>, after: u64) -> Result<(), CommandError> {
     let target = match kind {
         Some(kind) => format!("/v1/{kind}?watch={after}"),
@@ -212,16 +215,16 @@
     form: OutputForm,
 ) -> Result<(), CommandError> {
     let mut target = "/v1/audit?after=0".to_owned();
-    let mut add = |name: &str, value: Option<String>| {
+    let mut add_parameter = |name: &str, value: Option<String>| {
         if let Some(value) = value {
             target.push_str(&format!("&{name}={value}"));
         }
     };
-    add("kind", query.kind.clone());
-    add("name", query.name.clone());
-    add("actor", query.actor.clone());
-    add("since_ms", query.since_ms.map(|millis| millis.to_string()));
-    add("until_ms", query.until_ms.map(|millis| millis.to_string()));
+    add_parameter("kind", query.kind.clone());
+    add_parameter("name", query.name.clone());
+    add_parameter("actor", query.actor.clone());
+    add_parameter("since_ms", query.since_ms.map(|millis| millis.to_string()));
+    add_parameter("until_ms", query.until_ms.map(|millis| millis.to_string()));
     let reply = api.get(&target).await?;
     if form == OutputForm::Json {
         println!("{reply}");
@@ -230,21 +233,22 @@
     let mut rows = Vec::new();
     for record in reply["records"].as_array().into_iter().flatten() {
         for change in record["changes"].as_array().into_iter().flatten() {
-            let mut row = tables::cells(record, &["revision", "at", "actor", "from"]);
+            let mut row = tables::cell_texts(record, &["revision", "at", "actor", "from"]);
             let action = match (change["before"].is_null(), change["after"].is_null()) {
                 (true, _) => "made",
                 (_, true) => "deleted",
                 _ => "changed",
             };
             row.push(action.to_owned());
-            let (kind, name) = (tables::cell(&change["kind"]), tables::cell(&change["name"]));
+            let (kind, name) =
+                (tables::cell_text(&change["kind"]), tables::cell_text(&change["name"]));
             row.push(format!("{kind}/{name}"));
             rows.push(row);
         }
     }
     tables::print(&["REVISION", "AT", "ACTOR", "FROM", "WHAT", "RESOURCE"], &rows);
     if reply["source"] != "store" {
-        println!("source: {}", tables::cell(&reply["source"]));
+        println!("source: {}", tables::cell_text(&reply["source"]));
     }
     Ok(())
 }
@@ -259,7 +263,7 @@
     let fields = ["host", "failure_domain", "state", "revision", "heard_ms_ago", "admin_address"];
     let members = reply["members"].as_array().cloned().unwrap_or_default();
     let rows: Vec<Vec<String>> =
-        members.iter().map(|member| tables::cells(member, &fields)).collect();
+        members.iter().map(|member| tables::cell_texts(member, &fields)).collect();
     tables::print(&["HOST", "DOMAIN", "STATE", "REVISION", "HEARD MS AGO", "ADMIN"], &rows);
     Ok(())
 }
@@ -283,10 +287,10 @@
     let mut rows = Vec::new();
     for service in reply["services"].as_array().into_iter().flatten() {
         for upstream in service["upstreams"].as_array().into_iter().flatten() {
-            let mut row = tables::cells(service, &["service"]);
-            row.extend(tables::cells(upstream, &["upstream", "host", "state"]));
+            let mut row = tables::cell_texts(service, &["service"]);
+            row.extend(tables::cell_texts(upstream, &["upstream", "host", "state"]));
             let fields = ["ejected", "score", "evidence", "since_ms_ago", "in_flight", "queued"];
-            row.extend(tables::cells(&upstream["here"], &fields));
+            row.extend(tables::cell_texts(&upstream["here"], &fields));
             rows.push(row);
         }
     }
@@ -306,7 +310,7 @@
     Ok(())
 }
 
-/// Queries each live daemon for its view of the backend servers on its own host, and puts these
+/// Queries each live daemon for its view of the backend servers on its own host, and merges the
 /// views into the reply.
 async fn merge_host_views(
     api: &AdminApi,
@@ -330,8 +334,8 @@
             Some(address) if member["state"] != "suspect" => address,
             _ => continue,
         };
-        if let Ok(reply) = api.at(address).get(target).await {
-            replies.push((tables::cell(&member["host"]), reply));
+        if let Ok(reply) = api.with_address(address).get(target).await {
+            replies.push((tables::cell_text(&member["host"]), reply));
         }
     }
     Ok(replies)
@@ -349,18 +353,18 @@
     let mut rows = Vec::new();
     for (host, reply) in &replies {
         let outcomes = &reply["outcomes"];
-        let mut add = |outcome: &str, reason: &str, count: &Value| {
-            let row = [host.as_str(), outcome, reason, &tables::cell(count)];
+        let mut add_row = |outcome: &str, reason: &str, count: &Value| {
+            let row = [host.as_str(), outcome, reason, &tables::cell_text(count)];
             rows.push(row.map(str::to_owned).to_vec());
         };
-        add("complete", "-", &outcomes["complete"]);
+        add_row("complete", "-", &outcomes["complete"]);
         for outcome in ["not_run", "unknown"] {
             for (reason, count) in outcomes[outcome].as_object().into_iter().flatten() {
-                add(&outcome.replace('_', "-"), reason, count);
+                add_row(&outcome.replace('_', "-"), reason, count);
             }
         }
-        add("(retries)", "-", &outcomes["retries"]);
-        add("(retries denied)", "-", &outcomes["retries_denied"]);
+        add_row("(retries)", "-", &outcomes["retries"]);
+        add_row("(retries denied)", "-", &outcomes["retries_denied"]);
     }
     tables::print(&["HOST", "OUTCOME", "REASON", "COUNT"], &rows);
     Ok(())
@@ -374,7 +378,7 @@
         return Ok(());
     }
     let fields = ["fingerprint", "refused", "crashes", "good_runs", "upstream", "seen_ms_ago"];
-    let row = |suspect: &Value| fields.map(|field| tables::cell(&suspect[field])).to_vec();
+    let row = |suspect: &Value| fields.map(|field| tables::cell_text(&suspect[field])).to_vec();
     let rows: Vec<Vec<String>> =
         reply["suspects"].as_array().into_iter().flatten().map(row).collect();
     let titles = ["FINGERPRINT", "REFUSED", "CRASHES", "GOOD RUNS", "LAST SERVER", "SEEN MS AGO"];
@@ -382,16 +386,16 @@
     Ok(())
 }
 
-/// Makes the whole fleet admit a request again.
-pub async fn lift(api: &AdminApi, fingerprint: &str) -> Result<(), CommandError> {
+/// Makes the whole fleet admit a request again that is refused because it crashed backend servers.
+pub async fn lift_refusal(api: &AdminApi, fingerprint: &str) -> Result<(), CommandError> {
     let reply =
         api.call(Method::DELETE, &format!("/v1/suspects/{fingerprint}"), None, None).await?;
-    println!("lifted {}", tables::cell(&reply["lifted"]));
+    println!("lifted {}", tables::cell_text(&reply["lifted"]));
     Ok(())
 }
 
-/// Replaces the `here` entry of each upstream in the reply by the `here` entry in a daemon's view,
-/// if the view has one for this upstream.
+/// Replaces the `here` entry of each upstream in the reply by the `here` entry of the same upstream
+/// in a daemon's view, if the view has such an entry.
 fn merge_host_view(reply: &mut Value, view: &Value) {
     let services = reply["services"].as_array_mut().into_iter().flatten();
     for (service, service_view) in services.zip(view["services"].as_array().into_iter().flatten()) {
@@ -409,7 +413,7 @@
 /// Drains the daemon that the client is connected to.
 pub async fn drain_daemon(api: &AdminApi) -> Result<(), CommandError> {
     let reply = api.call(Method::POST, "/v1/drain", None, None).await?;
-    println!("draining {}", tables::cell(&reply["draining"]));
+    println!("draining {}", tables::cell_text(&reply["draining"]));
     Ok(())
 }
 
@@ -429,6 +433,6 @@
     value["state"] = json!(if active { "active" } else { "draining" });
     let precondition = precondition_of(current["revision"].as_u64());
     let reply = api.call(Method::PUT, &target, Some(&value), Some(precondition)).await?;
-    println!("revision {}: {name} is {}", reply["revision"], tables::cell(&value["state"]));
+    println!("revision {}: {name} is {}", reply["revision"], tables::cell_text(&value["state"]));
     Ok(())
 }
--- a/crates/ctl/src/errors.rs
+++ b/crates/ctl/src/errors.rs
@@ -15,7 +15,7 @@
     /// A setting is invalid.
     #[snafu(display("{source}"))]
     Setting {
-        /// What is wrong.
+        /// Why the setting is invalid.
         source: SettingError,
     },
     /// A file can't be used.
@@ -23,7 +23,7 @@
     BadFile {
         /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// Why the file can't be used.
         message: String,
     },
     /// No line of the logs carries the id of the request.
@@ -37,21 +37,21 @@
     Unreachable {
         /// Address of the daemon.
         address: String,
-        /// What failed.
+        /// Why the call failed.
         source: HttpError,
     },
     /// The daemon refused the call.
     #[snafu(display("{message}"))]
     Refused {
-        /// HTTP status.
+        /// HTTP status of the refusal.
         status: u16,
-        /// Text of the refusal.
+        /// Reason that the daemon gave.
         message: String,
     },
-    /// Some daemons did not adopt the revision in time.
+    /// Some daemons did not put a revision in force within the time allowed.
     #[snafu(display("revision {revision} is not in force on: {hosts}"))]
     Lagging {
-        /// The revision.
+        /// Revision that the daemons should have in force.
         revision: u64,
         /// Hosts whose daemons have an earlier revision.
         hosts: String,
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -11,12 +11,12 @@
 use crate::lines::{self, LogLine};
 use crate::tables;
 
-/// Lines about the upstreams of a request are shown from this many seconds before the request: an
-/// ejected upstream gets a trial request after at most six seconds.
-const LEAD_TIME_S: f64 = 10.0;
+/// Time in seconds before the first line of a request from which lines about its upstreams are
+/// shown: an ejected upstream gets a trial request after at most six seconds.
+const UPSTREAM_LEAD_TIME_S: f64 = 10.0;
 /// Events by which a request is suspected of crashing backend servers, or cleared of that
-/// suspicion. They are matched by fingerprint, as any copy of the request may have raised the
-/// suspicion.
+/// suspicion. These events are matched by fingerprint, as any copy of the request may have raised
+/// the suspicion.
 const CRASH_EVENTS: [&str; 2] = ["request suspected", "request cleared"];
 /// Fields that every line has, or that are shown in a column of their own.
 const COMMON_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
@@ -31,7 +31,7 @@
     pub unreadable: usize,
 }
 
-/// Reads the files and collects the lines about a request.
+/// Reads the log files and collects the lines about a request.
 pub fn gather(request: &str, paths: &[String]) -> Result<RequestHistory, CommandError> {
     let mut history = RequestHistory::default();
     let mut upstream_lines = Vec::new();
@@ -49,14 +49,14 @@
     let upstreams: BTreeSet<String> =
         history.lines.iter().map(|line| line.text("upstream").to_owned()).collect();
     let times_s: Vec<f64> = history.lines.iter().filter_map(LogLine::seconds).collect();
-    let first = times_s.iter().copied().fold(f64::INFINITY, f64::min);
-    let last = times_s.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    let first_s = times_s.iter().copied().fold(f64::INFINITY, f64::min);
+    let last_s = times_s.iter().copied().fold(f64::NEG_INFINITY, f64::max);
     history.lines.extend(upstream_lines.into_iter().filter(|line| {
-        let is_near = |at: f64| at >= first - LEAD_TIME_S && at <= last;
+        let is_near = |at: f64| at >= first_s - UPSTREAM_LEAD_TIME_S && at <= last_s;
         upstreams.contains(line.text("upstream")) && line.seconds().is_some_and(is_near)
     }));
-    // All copies of a request share its fingerprint, and are refused because of the crashes that
-    // any of them caused.
+    // All copies of a request share one fingerprint, and a crash by any copy counts against all
+    // copies.
     let fingerprints: BTreeSet<String> =
         history.lines.iter().map(|line| line.text("fingerprint").to_owned()).collect();
     let is_about_copies = |line: &LogLine| fingerprints.contains(line.text("fingerprint"));
@@ -71,7 +71,7 @@
         let clock = line.text("timestamp").split_once('T').map_or("", |(_, clock)| clock);
         let pairs = line.fields.iter().filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()));
         let pairs: Vec<String> =
-            pairs.map(|(name, value)| format!("{name}={}", tables::cell(value))).collect();
+            pairs.map(|(name, value)| format!("{name}={}", tables::cell_text(value))).collect();
         let event = line.text("message").to_owned();
         vec![clock.trim_end_matches('Z').to_owned(), line.source.clone(), event, pairs.join(" ")]
     };
@@ -85,39 +85,48 @@
 
 /// Returns a sentence that says how the request ended.
 pub fn conclusion(request: &str, history: &RequestHistory) -> String {
-    let of_request = |line: &&LogLine| line.text("request") == request;
-    let last = |event: &str| {
-        history.lines.iter().filter(of_request).rfind(|line| line.text("message") == event)
+    let is_of_request = |line: &&LogLine| line.text("request") == request;
+    let last_line = |event: &str| {
+        history.lines.iter().filter(is_of_request).rfind(|line| line.text("message") == event)
     };
-    let value = |line: &LogLine, field: &str| tables::cell(&line.fields[field]);
-    if let Some(line) = last("request failed") {
+    let field_text = |line: &LogLine, field: &str| tables::cell_text(&line.fields[field]);
+    if let Some(line) = last_line("request failed") {
         return format!(
             "request {request} failed as {} ({}) with status {} after {} attempts and {} ms",
-            value(line, "outcome"),
-            value(line, "reason"),
-            value(line, "status"),
-            value(line, "attempts"),
-            value(line, "at_ms")
+            field_text(line, "outcome"),
+            field_text(line, "reason"),
+            field_text(line, "status"),
+            field_text(line, "attempts"),
+            field_text(line, "at_ms")
         );
     }
-    if let Some(line) = last("request rejected") {
+    if let Some(line) = last_line("request rejected") {
         return format!(
             "request {request} was rejected ({}) with status {}: {}",
-            value(line, "reason"),
-            value(line, "status"),
-            value(line, "cause")
+            field_text(line, "reason"),
+            field_text(line, "status"),
+            field_text(line, "cause")
         );
     }
-    if let Some(line) = last("answer cut short") {
-        return format!("the answer to request {request} was cut short: {}", value(line, "error"));
+    if let Some(line) = last_line("answer cut short") {
+        return format!(
+            "the answer to request {request} was cut short: {}",
+            field_text(line, "error")
+        );
     }
-    if let Some(line) = last("caller gone") {
-        return format!("the caller of request {request} left after {} ms", value(line, "at_ms"));
+    if let Some(line) = last_line("caller gone") {
+        return format!(
+            "the caller of request {request} left after {} ms",
+            field_text(line, "at_ms")
+        );
     }
-    if let Some(line) = last("request answered") {
-        let late = if line.fields.get("late") == Some(&Value::Bool(true)) { ", late" } else { "" };
-        let (status, at) = (value(line, "status"), value(line, "at_ms"));
-        return format!("request {request} got the server's answer {status} after {at} ms{late}");
+    if let Some(line) = last_line("request answered") {
+        let late_note =
+            if line.fields.get("late") == Some(&Value::Bool(true)) { ", late" } else { "" };
+        let (status, at) = (field_text(line, "status"), field_text(line, "at_ms"));
+        return format!(
+            "request {request} got the server's answer {status} after {at} ms{late_note}"
+        );
     }
     format!("the logs do not tell how request {request} ended")
 }
--- a/crates/ctl/src/keys.rs
+++ b/crates/ctl/src/keys.rs
@@ -7,15 +7,15 @@
 use basaltarch_core::organisations::KeyDigest;
 use serde_json::{json, Value};
 
-/// Random bytes of a key: enough that no key is found by guessing.
+/// Number of random bytes in a key. With 20 bytes, no key can be found by guessing.
 const KEY_BYTES: usize = 20;
 
 /// `GeneratedKey` is a newly generated key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GeneratedKey {
-    /// The key, for the caller.
+    /// Text of the key, for the caller.
     pub key: String,
-    /// Its digest, for the organisation's resource.
+    /// Digest of the key, for the resource of the organisation.
     pub digest: KeyDigest,
 }
 
--- a/crates/ctl/src/lines.rs
+++ b/crates/ctl/src/lines.rs
@@ -3,9 +3,9 @@
 
 //! Reads lines from the logs of many hosts.
 //!
-//! A line is used if it contains a JSON object; the text before the object, such as the prefix that
-//! a log collector adds, is kept as the source. Lines without an object are skipped, and the caller
-//! counts them.
+//! A line is used if it contains a JSON object. The text before the object, such as the prefix that
+//! a log collector adds, becomes part of the source of the line. Lines without a JSON object are
+//! reported to the caller, which counts them.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -19,9 +19,9 @@
 /// `LogLine` is one line of a log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// Name of the file, and the text before the object.
+    /// Name of the file, and the text that precedes the JSON object in the line.
     pub source: String,
-    /// The object.
+    /// Fields of the JSON object.
     pub fields: Map<String, Value>,
 }
 
@@ -31,7 +31,7 @@
         self.fields.get(field).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// Returns the value of a field that holds an unsigned integer.
+    /// Returns the value of a field; `None` if the field is absent or not an unsigned integer.
     pub fn number(&self, field: &str) -> Option<u64> {
         self.fields.get(field).and_then(Value::as_u64)
     }
--- a/crates/ctl/src/losses/cause.rs
+++ b/crates/ctl/src/losses/cause.rs
@@ -1,14 +1,14 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Finds out why a request was lost.
+//! Determines why a request was lost.
 
 use std::fmt;
 
 use crate::losses::record::{RequestEnd, RequestRecord};
 use crate::losses::ParsedLogs;
 
-/// Status by which a backend server reports that the time for the request ran out.
+/// Status by which a backend server reports that the deadline of the request passed.
 const TIMEOUT_STATUS: u64 = 504;
 
 /// `LossCause` is why a caller got no successful response.
@@ -31,11 +31,11 @@
     /// A nested call, which a backend server sent while it served the request, was lost for the
     /// inner cause.
     NestedCallLost(Box<LossCause>),
-    /// The backend server answered with an error of its own.
+    /// The backend server answered with an error status that no lost nested call explains.
     ServerError,
     /// The connection to the backend server or to its host broke.
     Broken(String),
-    /// The caller disconnected before a response.
+    /// The caller disconnected before it received a response.
     CallerGone,
     /// The connection ended before the response to the caller was complete.
     CutShort,
@@ -65,22 +65,25 @@
 
 /// Returns why a request was lost, or `None` if its caller got a status below 500. `calls` are the
 /// nested calls of the request.
-pub fn of(
+pub fn determine_cause(
     logs: &ParsedLogs,
     record: &RequestRecord,
     calls: &[&RequestRecord],
 ) -> Option<LossCause> {
     let cause = match &record.end {
         Some(RequestEnd::Answered { status, .. }) if *status < 500 => return None,
-        Some(RequestEnd::Answered { status, .. }) => of_server_error(logs, *status, calls),
+        Some(RequestEnd::Answered { status, .. }) => server_error_cause(logs, *status, calls),
         Some(RequestEnd::Rejected { status, .. }) if *status < 500 => return None,
         Some(RequestEnd::Rejected { reason, .. }) => LossCause::Rejected(reason.clone()),
         Some(RequestEnd::Failed { not_run: true, reason }) => {
-            let end = record.first.unwrap_or(0.0) + record.held_ms.unwrap_or(0) as f64 / 1000.0;
+            let end =
+                record.first_line_at.unwrap_or(0.0) + record.held_ms.unwrap_or(0) as f64 / 1000.0;
             let free_slot = logs.histories.has_free_slot(&record.service, end);
             LossCause::Refused { reason: reason.clone(), free_slot }
         }
-        Some(RequestEnd::Failed { reason, .. }) if reason == "timed-out" => of_timeout(logs, calls),
+        Some(RequestEnd::Failed { reason, .. }) if reason == "timed-out" => {
+            timeout_cause(logs, calls)
+        }
         Some(RequestEnd::Failed { reason, .. }) => LossCause::Broken(reason.clone()),
         Some(RequestEnd::CallerGone) => LossCause::CallerGone,
         Some(RequestEnd::CutShort) => LossCause::CutShort,
@@ -90,7 +93,7 @@
 }
 
 /// Returns the cause of a loss where the backend server answered with an error status.
-fn of_server_error(logs: &ParsedLogs, status: u64, calls: &[&RequestRecord]) -> LossCause {
+fn server_error_cause(logs: &ParsedLogs, status: u64, calls: &[&RequestRecord]) -> LossCause {
     match lost_nested_call(logs, calls) {
         Some(cause) => cause,
         None if status == TIMEOUT_STATUS => LossCause::Hung { made_call: !calls.is_empty() },
@@ -98,7 +101,7 @@
     }
 }
 
-fn of_timeout(logs: &ParsedLogs, calls: &[&RequestRecord]) -> LossCause {
+fn timeout_cause(logs: &ParsedLogs, calls: &[&RequestRecord]) -> LossCause {
     lost_nested_call(logs, calls).unwrap_or(LossCause::Hung { made_call: !calls.is_empty() })
 }
 
@@ -107,7 +110,7 @@
 /// the backend server that serves the request, which stopped waiting for the call at its own
 /// deadline.
 fn lost_nested_call(logs: &ParsedLogs, calls: &[&RequestRecord]) -> Option<LossCause> {
-    let causes = calls.iter().filter_map(|call| of(logs, call, &[]));
+    let causes = calls.iter().filter_map(|call| determine_cause(logs, call, &[]));
     let cause = causes.min()?;
     let cause = match cause {
         LossCause::CallerGone => LossCause::Hung { made_call: false },
--- a/crates/ctl/src/losses/mod.rs
+++ b/crates/ctl/src/losses/mod.rs
@@ -39,7 +39,7 @@
     pub not_logged: u64,
 }
 
-/// Reads the files and counts the losses; fails if a file can't be read.
+/// Reads the log files and counts the lost requests. Fails if a file can't be read.
 pub fn count(paths: &[String]) -> Result<LossTally, CommandError> {
     let mut logs = ParsedLogs::default();
     for path in paths {
@@ -49,7 +49,7 @@
         })?;
     }
     logs.histories.sort();
-    Ok(tally::of(&logs))
+    Ok(tally::count_losses(&logs))
 }
 
 impl ParsedLogs {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns the id of the request during which a backend server sent the nested call with this id.
-/// A backend server that forwards the id of a request appends a dot and a suffix to it.
+/// Returns the id of the request during which a backend server sent the nested call `id`. A backend
+/// server builds the id of a nested call from the id of the request, a dot and a suffix.
 pub fn parent_of(id: &str) -> Option<&str> {
     id.rsplit_once('.').map(|(parent, _)| parent)
 }
--- a/crates/ctl/src/losses/record.rs
+++ b/crates/ctl/src/losses/record.rs
@@ -35,7 +35,7 @@
     CutShort,
 }
 
-/// `AttemptRecord` is what is known about the attempts at one backend server.
+/// `AttemptRecord` is what the logs show about the attempts of one request at one backend server.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AttemptRecord {
     /// The backend server.
@@ -44,22 +44,22 @@
     pub started: Option<f64>,
     /// Time that the request waited for a slot, in milliseconds.
     pub waited_ms: u64,
-    /// How the attempt failed, if it did.
+    /// Fault of the last failed attempt; `None` if no attempt failed.
     pub fault: Option<String>,
 }
 
-/// `RequestRecord` is what is known about one request.
+/// `RequestRecord` is what the logs show about one request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RequestRecord {
-    /// Route that the request matched; empty if that is not known.
+    /// Route that the request matched; empty if the logs do not show the route.
     pub route: String,
     /// Service to which the request was sent.
     pub service: String,
-    /// When the request's first line was logged, as [`LogLine::seconds`].
-    pub first: Option<f64>,
+    /// When the first line about the request was logged, as [`LogLine::seconds`].
+    pub first_line_at: Option<f64>,
     /// Whether an ingress received the request.
     pub received: bool,
-    /// How the request ended, if the logs show that.
+    /// How the request ended, if the logs show its end.
     pub end: Option<RequestEnd>,
     /// Time from the receipt of the request to its end, in milliseconds.
     pub held_ms: Option<u64>,
@@ -77,7 +77,7 @@
     /// Adds a line of the request.
     pub fn add_line(&mut self, line: &LogLine) {
         let at = line.seconds();
-        self.first = match (self.first, at) {
+        self.first_line_at = match (self.first_line_at, at) {
             (Some(first), Some(at)) => Some(first.min(at)),
             (first, at) => first.or(at),
         };
--- a/crates/ctl/src/losses/server_health.rs
+++ b/crates/ctl/src/losses/server_health.rs
@@ -7,12 +7,12 @@
 
 use crate::lines::LogLine;
 
-/// Largest number of health changes, 16 bytes each, and of load reports, 24 bytes each, that are
-/// kept for one backend server.
-const CHANGES_MAX: usize = 100_000;
-/// Age in seconds from which a line about a server's slots no longer shows its present load: at the
-/// users' request rates, a service is called several times in that period.
-const LOAD_MAX_AGE_S: f64 = 1.0;
+/// Largest number of health changes (16 bytes each) that are kept for one backend server, and
+/// largest number of load reports (24 bytes each).
+const ENTRIES_PER_SERVER_MAX: usize = 100_000;
+/// Age in seconds from which a load report no longer shows the present load of a server: at the
+/// users' request rates, a service is called several times a second.
+const LOAD_REPORT_AGE_MAX_S: f64 = 1.0;
 
 /// `ServerHealth` is the state of a backend server in the view of its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -49,7 +49,7 @@
     service: String,
     /// Changes of the health, each with its time as [`LogLine::seconds`].
     health: Vec<(f64, ServerHealth)>,
-    /// Load reports, each with its time.
+    /// Load reports, each with its time as [`LogLine::seconds`].
     loads: Vec<(f64, ServerLoad)>,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl ServerHistories {
-    /// Adds a line, if it is about a backend server.
+    /// Adds the health change or load report in a line, if the line is about a backend server.
     pub fn add_line(&mut self, line: &LogLine) {
         let (name, at) = (line.text("upstream"), line.seconds());
         let at = match at {
@@ -84,15 +84,16 @@
         if !line.text("service").is_empty() {
             line.text("service").clone_into(&mut history.service);
         }
-        if let Some(health) = health.filter(|_| history.health.len() < CHANGES_MAX) {
+        if let Some(health) = health.filter(|_| history.health.len() < ENTRIES_PER_SERVER_MAX) {
             history.health.push((at, health));
         }
-        if let Some(load) = load.filter(|_| history.loads.len() < CHANGES_MAX) {
+        if let Some(load) = load.filter(|_| history.loads.len() < ENTRIES_PER_SERVER_MAX) {
             history.loads.push((at, load));
         }
     }
 
-    /// Sorts the entries by time, as the lines of several files are read in any order.
+    /// Sorts the health changes and load reports of each server by time. The lines of several
+    /// files are not added in the order of their times.
     pub fn sort(&mut self) {
         for history in self.servers.values_mut() {
             history.health.sort_by(|left, right| left.0.total_cmp(&right.0));
@@ -100,26 +101,29 @@
         }
     }
 
-    /// Returns the health of a server at a moment; healthy if the logs show no earlier change.
+    /// Returns the health of a server at a moment. A server without an earlier health change in the
+    /// logs counts as healthy.
     pub fn health_at(&self, server: &str, at: f64) -> ServerHealth {
         let history = self.servers.get(server);
-        let latest = history.and_then(|history| latest_at(&history.health, at));
+        let latest = history.and_then(|history| latest_entry_at(&history.health, at));
         latest.map_or(ServerHealth::Healthy, |(_, health)| health)
     }
 
     /// Returns whether a healthy server of a service had a free slot at a moment.
     pub fn has_free_slot(&self, service: &str, at: f64) -> bool {
-        let of_service = self.servers.iter().filter(|(_, history)| history.service == service);
-        of_service.into_iter().any(|(name, history)| {
-            let load = latest_at(&history.loads, at).filter(|(seen, _)| at - seen < LOAD_MAX_AGE_S);
+        let service_histories =
+            self.servers.iter().filter(|(_, history)| history.service == service);
+        service_histories.into_iter().any(|(name, history)| {
+            let load = latest_entry_at(&history.loads, at)
+                .filter(|(reported_at, _)| at - reported_at < LOAD_REPORT_AGE_MAX_S);
             let is_free = load.is_some_and(|(_, load)| load.in_flight < load.slots);
             is_free && self.health_at(name, at) == ServerHealth::Healthy
         })
     }
 }
 
-/// Returns the last entry not later than `at`.
-fn latest_at<T: Copy>(entries: &[(f64, T)], at: f64) -> Option<(f64, T)> {
-    let count = entries.partition_point(|(seen, _)| *seen <= at);
-    count.checked_sub(1).map(|index| entries[index])
+/// Returns the last of the entries, which are sorted by time, that is not later than `at`.
+fn latest_entry_at<T: Copy>(entries: &[(f64, T)], at: f64) -> Option<(f64, T)> {
+    let earlier_count = entries.partition_point(|(entry_at, _)| *entry_at <= at);
+    earlier_count.checked_sub(1).map(|index| entries[index])
 }
--- a/crates/ctl/src/losses/tally.rs
+++ b/crates/ctl/src/losses/tally.rs
@@ -14,8 +14,8 @@
 use crate::losses::{self, ParsedLogs};
 use crate::tables;
 
-/// Maximum number of servers that are listed. The servers with the most losses are listed.
-const SERVERS_SHOWN: usize = 20;
+/// Maximum number of servers that are printed, those with the most lost requests first.
+const SERVERS_SHOWN_MAX: usize = 20;
 
 /// `RouteTally` counts the requests of one route.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -33,14 +33,15 @@
 /// `CauseTally` sums up the requests that were lost for one cause.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CauseTally {
-    /// Number of requests.
+    /// Number of requests lost for the cause.
     pub count: u64,
     /// Time from receipt to end of each request, in milliseconds, in ascending order.
     pub held_ms: Vec<u64>,
-    /// Total number of attempts of these requests.
+    /// Total number of attempts of all requests lost for the cause.
     pub attempts: u64,
-    /// Number of requests by the health of the server that determined the end. It is the health at
-    /// the time when the request was last sent, or at its first line if it was never sent.
+    /// Number of requests by the health of the server that determined how the request ended. The
+    /// health is that at the time when the request was last sent to a server. For a request that
+    /// was never sent, the health is that at the time of the first line about the request.
     pub health: BTreeMap<ServerHealth, u64>,
 }
 
@@ -58,7 +59,7 @@
     /// Callers' lost requests by the second of their first line, counted from the first line of the
     /// logs.
     pub seconds: BTreeMap<u64, u64>,
-    /// Lines that could not be read.
+    /// Lines that contain no complete JSON object.
     pub unreadable: usize,
     /// Lines of requests beyond [`losses::REQUESTS_MAX`].
     pub passed_over: usize,
@@ -67,20 +68,20 @@
 }
 
 /// Counts the requests of the parsed logs.
-pub fn of(logs: &ParsedLogs) -> LossTally {
+pub fn count_losses(logs: &ParsedLogs) -> LossTally {
     let mut tally = LossTally {
         unreadable: logs.unreadable,
         passed_over: logs.passed_over,
         not_logged: logs.not_logged,
         ..LossTally::default()
     };
-    let log_start = logs.requests.values().filter_map(|record| record.first);
+    let log_start = logs.requests.values().filter_map(|record| record.first_line_at);
     let log_start = log_start.fold(f64::INFINITY, f64::min);
     for (id, record) in &logs.requests {
         let is_call =
             losses::parent_of(id).is_some_and(|parent| logs.requests.contains_key(parent));
-        let calls = calls_of(logs, id);
-        let cause = cause::of(logs, record, &calls);
+        let calls = nested_calls_of(logs, id);
+        let cause = cause::determine_cause(logs, record, &calls);
         let routes = if is_call { &mut tally.calls } else { &mut tally.routes };
         routes.entry(record.route.clone()).or_default().add_request(record, cause.as_ref());
         if let (false, Some(cause)) = (is_call, cause) {
@@ -93,11 +94,15 @@
     tally
 }
 
-/// Returns the nested calls of a request, whose ids begin with its id and a dot.
-fn calls_of<'a>(logs: &'a ParsedLogs, id: &str) -> Vec<&'a RequestRecord> {
+/// Returns the nested calls of a request. The id of a nested call begins with the id of the request
+/// and a dot.
+fn nested_calls_of<'a>(logs: &'a ParsedLogs, id: &str) -> Vec<&'a RequestRecord> {
     let prefix = format!("{id}.");
-    let from_prefix = logs.requests.range(prefix.clone()..);
-    from_prefix.take_while(|(id, _)| id.starts_with(&prefix)).map(|(_, record)| record).collect()
+    let records_from_prefix = logs.requests.range(prefix.clone()..);
+    records_from_prefix
+        .take_while(|(id, _)| id.starts_with(&prefix))
+        .map(|(_, record)| record)
+        .collect()
 }
 
 impl RouteTally {
@@ -124,12 +129,13 @@
         tally.attempts += record.attempts;
         tally.held_ms.extend(record.held_ms);
         let server = record.last_server();
-        let at = record.dispatched.last().and_then(|attempt| attempt.started).or(record.first);
+        let at =
+            record.dispatched.last().and_then(|attempt| attempt.started).or(record.first_line_at);
         if let (Some(at), false) = (at, server.is_empty()) {
             *tally.health.entry(logs.histories.health_at(server, at)).or_default() += 1;
             *self.servers.entry(server.to_owned()).or_default() += 1;
         }
-        if let Some(first) = record.first {
+        if let Some(first) = record.first_line_at {
             *self.seconds.entry((first - log_start).max(0.0) as u64).or_default() += 1;
         }
     }
@@ -173,7 +179,7 @@
         println!();
         let mut servers: Vec<_> = self.servers.iter().collect();
         servers.sort_by_key(|(_, count)| Reverse(**count));
-        let rows = servers.into_iter().take(SERVERS_SHOWN);
+        let rows = servers.into_iter().take(SERVERS_SHOWN_MAX);
         let rows: Vec<_> =
             rows.map(|(name, count)| vec![name.clone(), count.to_string()]).collect();
         tables::print(&["SERVER", "LOST"], &rows);
@@ -187,8 +193,8 @@
             (self.passed_over as u64, "lines of further requests were passed over"),
             (self.not_logged, "requests were left out of the logs by their hosts"),
         ];
-        for (count, what) in left_out.into_iter().filter(|(count, _)| *count > 0) {
-            println!("\n{count} {what}");
+        for (count, description) in left_out.into_iter().filter(|(count, _)| *count > 0) {
+            println!("\n{count} {description}");
         }
     }
 
@@ -248,8 +254,9 @@
     tables::print(&[title, "ASKED", "SERVED", "LATE", "LOST", "CAUSES"], &rows);
 }
 
-/// Returns the quantile `share` of values in ascending order; 0 if there are none.
+/// Returns the quantile `share`, from 0 to 1, of values in ascending order; 0 if there are no
+/// values.
 fn quantile(values: &[u64], share: f64) -> u64 {
-    let last = values.len().saturating_sub(1);
-    values.get((last as f64 * share).round() as usize).copied().unwrap_or(0)
+    let last_index = values.len().saturating_sub(1);
+    values.get((last_index as f64 * share).round() as usize).copied().unwrap_or(0)
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -155,7 +155,7 @@
     CommandError::Setting { source }
 }
 
-fn output_form(given: Option<String>) -> Result<OutputForm, CommandError> {
+fn parse_output_form(given: Option<String>) -> Result<OutputForm, CommandError> {
     let allowed = "table, json";
     let accept = |form: &String| form == "table" || form == "json";
     let form = settings::checked("output", given, "table".to_owned(), allowed, accept);
@@ -203,13 +203,13 @@
 
 async fn run(flags: flags::Basaltctl) -> Result<(), CommandError> {
     if let flags::BasaltctlCmd::Explain(explain) = &flags.subcommand {
-        return print_explanation(explain, output_form(flags.output)?);
+        return print_explanation(explain, parse_output_form(flags.output)?);
     }
     if let flags::BasaltctlCmd::Losses(losses) = &flags.subcommand {
-        return print_losses(losses, output_form(flags.output)?);
+        return print_losses(losses, parse_output_form(flags.output)?);
     }
     if let flags::BasaltctlCmd::Key(_) = &flags.subcommand {
-        print_new_key(output_form(flags.output)?);
+        print_new_key(parse_output_form(flags.output)?);
         return Ok(());
     }
     let address: SocketAddr =
@@ -218,7 +218,7 @@
         settings::optional("admin-token", flags.token, "a token").map_err(setting_error)?;
     let actor: Option<String> =
         settings::optional("actor", flags.actor, "a name").map_err(setting_error)?;
-    let form = output_form(flags.output)?;
+    let form = parse_output_form(flags.output)?;
     let actor = actor.unwrap_or("operator".to_owned());
     let api = AdminApi::new(address, token.unwrap_or_default(), actor);
     match flags.subcommand {
@@ -251,7 +251,7 @@
         flags::BasaltctlCmd::Status(_) => commands::status(&api, form).await,
         flags::BasaltctlCmd::Outcomes(_) => commands::outcomes(&api, form).await,
         flags::BasaltctlCmd::Suspects(_) => commands::suspects(&api, form).await,
-        flags::BasaltctlCmd::Lift(flags) => commands::lift(&api, &flags.fingerprint).await,
+        flags::BasaltctlCmd::Lift(flags) => commands::lift_refusal(&api, &flags.fingerprint).await,
         flags::BasaltctlCmd::Health(flags) => {
             commands::health(&api, flags.service.as_deref(), form).await
         }
--- a/crates/ctl/src/tables.rs
+++ b/crates/ctl/src/tables.rs
@@ -28,8 +28,8 @@
     println!("{}", line.trim_end());
 }
 
-/// Returns the text of a JSON value in a cell.
-pub fn cell(value: &Value) -> String {
+/// Returns the text that a table cell shows for a JSON value.
+pub fn cell_text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) => text.clone(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns the cells of the named fields of an object.
-pub fn cells(value: &Value, fields: &[&str]) -> Vec<String> {
-    fields.iter().map(|field| cell(&value[*field])).collect()
+/// Returns the texts that table cells show for the named fields of a JSON object.
+pub fn cell_texts(value: &Value, fields: &[&str]) -> Vec<String> {
+    fields.iter().map(|field| cell_text(&value[*field])).collect()
 }
--- a/crates/events/src/catalogue.rs
+++ b/crates/events/src/catalogue.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! How events are declared, and the list of all of them.
+//! The macro that declares events, and the list of all events.
 
 use crate::{fleet, process, requests, servers};
 
@@ -10,20 +10,20 @@
 pub struct FieldEntry {
     /// Name of the field in the line.
     pub name: &'static str,
-    /// What its value means.
+    /// Meaning of the value of the field.
     pub help: &'static str,
 }
 
 /// `EventEntry` describes one event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventEntry {
-    /// Name, which is the message of the line.
+    /// Name of the event, which is the message of the line.
     pub name: &'static str,
     /// Level of the line.
     pub level: &'static str,
-    /// When it is logged.
+    /// When the event is logged.
     pub help: &'static str,
-    /// Its fields.
+    /// Fields of the event.
     pub fields: &'static [FieldEntry],
 }
 
@@ -32,8 +32,8 @@
     [requests::EVENTS, servers::EVENTS, fleet::EVENTS, process::EVENTS].into_iter().flatten()
 }
 
-/// Declares events: for each its help, name, level, type and fields. Each type gets a method `log`,
-/// and the module gets a constant `EVENTS` that lists its events.
+/// Declares events: the help text, name, level, type and fields of each event. Each type gets a
+/// method `log`, and the module gets a constant `EVENTS` that lists the events of the module.
 macro_rules! log_events {
     ($(
         $(#[doc = $help:literal])+
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -3,10 +3,10 @@
 
 //! The events that the daemon logs.
 //!
-//! Every line of the log is one event of this crate: its message is the event's name, and its
-//! fields are those of the event's type. So names, fields and units are defined in one place;
-//! docs/REFERENCE.md lists them, and a test compares the two. Times in fields are in milliseconds,
-//! as their names say by `_ms`.
+//! Every line of the log is one event of this crate: the message of the line is the name of the
+//! event, and the fields of the line are those of the event's type. So names, fields and units are
+//! defined in one place. docs/REFERENCE.md lists all events, and a test compares the list with this
+//! crate. Fields whose names end in `_ms` are times in milliseconds.
 
 #![forbid(unsafe_code)]
 
--- a/crates/events/src/requests.rs
+++ b/crates/events/src/requests.rs
@@ -1,11 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Events that concern one request of a caller. All of them carry its id.
+//! Events that concern one request of a caller. Each event carries the id of the request.
 //!
-//! `at_ms` is the time since the ingress received the request. The lines of a request that is not
-//! logged from its start are written together at its end, if it failed; their `at_ms` says when
-//! each step happened.
+//! `at_ms` is the time since the ingress received the request. A request that is not logged from
+//! its start is logged only if it fails: all lines of the request are written together at its end,
+//! and the `at_ms` of each line says when the step happened.
 
 use crate::catalogue::log_events;
 
--- a/crates/events/tests/reference.rs
+++ b/crates/events/tests/reference.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! docs/REFERENCE.md must list every event with its fields. It goes stale when an event changes
-//! without it, or when the daemon logs a line that is not an event.
+//! docs/REFERENCE.md must list every event with its fields. The page becomes stale if an event
+//! changes and the page does not, or if the daemon logs a line that is not an event.
 
 use std::collections::BTreeSet;
 use std::fs;
--- a/crates/standin/tests/reference.rs
+++ b/crates/standin/tests/reference.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! docs/REFERENCE.md must contain the help text word for word; it goes stale when flags or their
-//! help change without it.
+//! The help text must stand word for word in docs/REFERENCE.md. The page becomes stale if a flag or
+//! its help text changes and the page does not.
 
 use std::fs;
 use std::process::Command;
