--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -5,11 +5,13 @@
 //! suspended.
 //!
 //! Deadlines, leases and knowledge about peers must not stay valid for longer because the host was
-//! suspended, so they are measured with the system's boot-time clock. Timers don't advance during a
-//! suspend and fire late: code that waits for a point in time awaits
+//! suspended. They are therefore measured with the system's boot-time clock.
+//!
+//! Timers don't advance during a suspend and fire late: code that waits for a point in time awaits
 //! [`DaemonClock::passed_after_resume`] beside the timer. Durations, such as the response time of a
-//! server, are measured with [`std::time::Instant`], which doesn't advance during a suspend, and
-//! are discarded if the host was suspended while they ran ([`DaemonClock::suspended_since`]).
+//! server, are measured with [`std::time::Instant`], which doesn't advance during a suspend. A
+//! duration is discarded if the host was suspended during the measurement
+//! ([`DaemonClock::suspended_since`]).
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,7 +26,7 @@
 /// Shortest difference between the boot-time clock and the steady clock that counts as a suspend:
 /// the two clocks are read in succession, and the daemon may be delayed in between. A shorter
 /// suspend is treated like any other delay.
-const SUSPEND_MIN: Duration = Duration::from_millis(50);
+const DETECTED_SUSPEND_MIN: Duration = Duration::from_millis(50);
 
 /// `ClockError` is the reason why the clock could not be started.
 #[derive(Debug, Snafu)]
@@ -39,20 +41,22 @@
 
 #[derive(Debug)]
 struct ClockState {
-    /// Reading of the boot-time clock at the start.
-    booted: Duration,
-    /// Reading of the steady clock, which stops during a suspend, at the start.
-    steady: Instant,
-    /// Suspended time that a test simulates.
+    /// Reading of the boot-time clock when the daemon's clock was started.
+    start_boot_time: Duration,
+    /// Reading of the steady clock, which stops during a suspend, when the daemon's clock was
+    /// started.
+    start_instant: Instant,
+    /// Total length of the suspends that a test simulated.
     simulated_suspend: Cell<Duration>,
-    /// Detected suspended time since the start.
+    /// Total length of all suspends since the start of the clock, as of the last detected suspend.
     suspended: Cell<Duration>,
-    /// Latest time that was returned.
+    /// Latest time that the clock returned.
     latest: Cell<Duration>,
-    /// When the last suspend was detected.
+    /// Time of this clock at which the last suspend was detected.
     resumed_at: Cell<Option<Duration>>,
-    /// Length of the last suspend.
+    /// Length of the last detected suspend.
     last_suspend: Cell<Duration>,
+    /// Raised when a suspend is detected.
     resumed: RisingSignal,
 }
 
@@ -70,13 +74,13 @@
 impl DaemonClock {
     /// Starts the clock. Fails if the system has no boot-time clock.
     pub fn try_new() -> Result<Self, ClockError> {
-        // The steady clock is read first, in the opposite order to `now`: a delay between the two
-        // reads must not be mistaken for a suspend.
-        let steady = Instant::now();
-        let booted = boot_time().context(UnreadableSnafu)?;
+        // The steady clock is read before the boot-time clock, in the opposite order to `now`: a
+        // delay between the two reads must not be mistaken for a suspend.
+        let start_instant = Instant::now();
+        let start_boot_time = boot_time().context(UnreadableSnafu)?;
         let state = ClockState {
-            booted,
-            steady,
+            start_boot_time,
+            start_instant,
             simulated_suspend: Cell::default(),
             suspended: Cell::default(),
             latest: Cell::default(),
@@ -87,17 +91,20 @@
         Ok(Self { state: Rc::new(state) })
     }
 
-    /// Returns the time since the start. The first call after a suspend detects the suspend.
+    /// Returns the time since the start of the clock. The first call after a suspend detects the
+    /// suspend.
     pub fn now(&self) -> Duration {
         let state = &self.state;
-        // The boot-time clock is read first: a delay between the two reads can only hide a suspend.
-        let booted = boot_time().unwrap_or(state.booted + state.latest.get());
-        let steady = state.steady.elapsed();
-        let since_start = booted.saturating_sub(state.booted) + state.simulated_suspend.get();
+        // The boot-time clock is read before the steady clock: a delay between the two reads can
+        // then only hide a suspend, not simulate one.
+        let boot_reading = boot_time().unwrap_or(state.start_boot_time + state.latest.get());
+        let steady_time = state.start_instant.elapsed();
+        let since_start =
+            boot_reading.saturating_sub(state.start_boot_time) + state.simulated_suspend.get();
         let now = since_start.max(state.latest.get());
         state.latest.set(now);
-        let suspended = now.saturating_sub(steady);
-        if suspended > state.suspended.get() + SUSPEND_MIN {
+        let suspended = now.saturating_sub(steady_time);
+        if suspended > state.suspended.get() + DETECTED_SUSPEND_MIN {
             state.last_suspend.set(suspended - state.suspended.replace(suspended));
             state.resumed_at.set(Some(now));
             state.resumed.raise();
@@ -134,7 +141,7 @@
         }
     }
 
-    /// Advances the clock as if the host had been suspended, for tests.
+    /// Advances the clock as if the host had been suspended for `length`. For tests.
     pub fn add_suspend(&self, length: Duration) {
         self.state.simulated_suspend.set(self.state.simulated_suspend.get() + length);
     }
--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -15,11 +15,11 @@
 use crate::metrics;
 use crate::signal::RisingSignal;
 
-/// Number of changes kept for watches and for peers that lag behind: the changes of several hours
-/// at 7,200 changes a day.
+/// Number of the latest changes that are kept for watches and for peers with an older revision: the
+/// changes of several hours at 7,200 changes a day.
 pub const RECORDS_KEPT: usize = 1024;
 
-/// `TouchedServices` are the services that changes affected.
+/// `TouchedServices` are the services that changes of the configuration affected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TouchedServices {
     /// Every service may have changed.
@@ -35,22 +35,25 @@
 }
 
 impl TouchedServices {
-    fn add(&mut self, more: TouchedServices) {
-        match (&mut *self, more) {
-            (Self::Some(touched), Self::Some(more)) => touched.extend(more),
+    fn add(&mut self, added: TouchedServices) {
+        match (&mut *self, added) {
+            (Self::Some(touched), Self::Some(added)) => touched.extend(added),
             _ => *self = Self::All,
         }
     }
 }
 
-/// `ConfigCell` holds the configuration in force.
+/// `ConfigCell` holds the configuration in force, its layout and its latest changes.
 #[derive(Debug, Default)]
 pub struct ConfigCell {
     fleet: RefCell<FleetConfig>,
     active: RefCell<Rc<ActiveConfig>>,
+    /// The latest changes, at most [`RECORDS_KEPT`], oldest first.
     records: RefCell<VecDeque<Rc<ChangeRecord>>>,
-    since: Cell<Duration>,
+    /// Time at which the revision in force was applied.
+    in_force_since: Cell<Duration>,
     loaded: Cell<bool>,
+    /// Services that changes affected since the last call of [`Self::take_touched`].
     touched: RefCell<TouchedServices>,
     changed: RisingSignal,
 }
@@ -69,7 +72,7 @@
 
     /// Returns the time at which the revision in force was applied.
     pub fn since(&self) -> Duration {
-        self.since.get()
+        self.in_force_since.get()
     }
 
     /// Calls `read` with the whole configuration.
@@ -82,23 +85,23 @@
         self.loaded.get()
     }
 
-    /// Records that the store or a peer has no later configuration than this daemon.
+    /// Marks the configuration of this daemon as loaded: the store or a peer has no later one.
     pub fn mark_loaded(&self) {
         if !self.loaded.replace(true) {
             self.changed.raise();
         }
     }
 
-    /// Returns the signal that is raised with each change.
+    /// Returns the signal that is raised with each change of the configuration.
     pub fn changed(&self) -> &RisingSignal {
         &self.changed
     }
 
-    /// Applies the changes that directly follow the current revision and skips older ones.
+    /// Applies the changes that directly follow the current revision, and skips older changes.
     ///
     /// Returns the number of changes that were applied.
     pub fn apply(&self, records: &[ChangeRecord], now: Duration) -> usize {
-        let mut applied = 0;
+        let mut applied_count = 0;
         for record in records {
             if record.revision <= self.revision() {
                 metrics::OLD_REVISIONS.add_one();
@@ -111,7 +114,7 @@
                 Ok(true) => {
                     self.update_layout(&before, record);
                     self.keep_record(record.clone());
-                    applied += 1;
+                    applied_count += 1;
                 }
                 Ok(false) => break,
                 Err(error) => {
@@ -121,14 +124,14 @@
                 }
             }
         }
-        if applied > 0 {
+        if applied_count > 0 {
             self.put_in_force(now);
         }
-        applied
+        applied_count
     }
 
-    /// Updates a copy of the layout, which shares all unchanged data; requests in flight keep the
-    /// version that they started with.
+    /// Replaces the layout by an updated copy, which shares all unchanged data with the former
+    /// layout. Requests in flight keep the layout that they started with.
     fn update_layout(&self, before: &FleetConfig, record: &ChangeRecord) {
         let mut next = ActiveConfig::clone(&self.active.borrow());
         let services = next.update(before, &self.fleet.borrow(), record);
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Adopts a whole configuration if it is later than the one in force; `next` is its layout.
-    /// Returns whether it was adopted.
+    /// Adopts a whole configuration, whose layout is `next`, if its revision is later than the
+    /// revision in force. Returns whether the configuration was adopted.
     pub fn adopt(&self, config: FleetConfig, mut next: ActiveConfig, now: Duration) -> bool {
         if self.is_loaded() && config.revision() <= self.revision() {
             metrics::OLD_REVISIONS.add_one();
@@ -190,7 +193,7 @@
     fn put_in_force(&self, now: Duration) {
         let revision = self.revision();
         let before = metrics::REVISION.get().max(0) as u64;
-        self.since.set(now);
+        self.in_force_since.set(now);
         self.loaded.set(true);
         metrics::REVISION.set(revision.0 as i64);
         fleet::ConfigInForce { revision: revision.0, before }.log();
@@ -215,9 +218,9 @@
 /// Reuses the entries of services that did not change, so that the ingress keeps the state that it
 /// learnt about these services.
 fn keep_unchanged(old: &ActiveConfig, next: &mut ActiveConfig) {
-    for (name, known) in &old.services {
-        if next.services.get(name).is_some_and(|entry| entry == known) {
-            next.services.insert(name.clone(), known.clone());
+    for (name, old_entry) in &old.services {
+        if next.services.get(name).is_some_and(|entry| entry == old_entry) {
+            next.services.insert(name.clone(), old_entry.clone());
         }
     }
 }
--- a/crates/base/src/metrics.rs
+++ b/crates/base/src/metrics.rs
@@ -45,7 +45,7 @@
 pub static SURPLUS_ANSWERS: CounterCell = CounterCell::new();
 /// Requests refused by the host role.
 pub static HOST_REFUSED: CounterCell = CounterCell::new();
-/// Ejections by reason.
+/// Ejections of upstreams, by the kind of evidence.
 pub static EJECTIONS: [CounterCell; EVIDENCE_KINDS.len()] =
     [const { CounterCell::new() }; EVIDENCE_KINDS.len()];
 /// Circuit breakers of upstreams that a failure opened.
@@ -78,21 +78,21 @@
 pub static OFFERS_UNANSWERED: CounterCell = CounterCell::new();
 /// Requests that wait at this ingress for a slot offer.
 pub static WAITING_REQUESTS: GaugeCell = GaugeCell::new();
-/// Waiting times of requests at their ingress.
+/// Times for which requests waited at their ingress for a slot offer.
 pub static RESERVATION_WAIT_SECONDS: HistogramCell = HistogramCell::new();
-/// Revision in force.
+/// Revision of the configuration in force.
 pub static REVISION: GaugeCell = GaugeCell::new();
-/// Older revisions that were rejected.
+/// Revisions that were rejected because they were not later than the revision in force.
 pub static OLD_REVISIONS: CounterCell = CounterCell::new();
 /// Repeated announcements of the revision to a neighbour.
 pub static REVISION_REANNOUNCED: CounterCell = CounterCell::new();
-/// Checks whether the configuration is the newest.
+/// Checks whether the configuration in force is the newest.
 pub static FRESHNESS_CHECKS: CounterCell = CounterCell::new();
-/// Checks at the store whether the configuration is the newest.
+/// Checks at the store whether the configuration in force is the newest.
 pub static STORE_FRESHNESS_CHECKS: CounterCell = CounterCell::new();
 /// Rows of the store that could not be read.
 pub static ROWS_UNREADABLE: CounterCell = CounterCell::new();
-/// Known live members.
+/// Live daemons that this daemon knows.
 pub static MEMBERS: GaugeCell = GaugeCell::new();
 /// Services for which this ingress holds state from requests.
 pub static SERVICES: GaugeCell = GaugeCell::new();
@@ -104,21 +104,21 @@
 pub static PEER_BYTES_RECEIVED: CounterCell = CounterCell::new();
 /// Calls to the platform that failed.
 pub static STORE_FAILURES: CounterCell = CounterCell::new();
-/// Requests in flight from callers.
+/// Requests of callers that are in flight.
 pub static IN_FLIGHT: GaugeCell = GaugeCell::new();
-/// Callers' connections.
+/// Open connections of callers.
 pub static CALLER_CONNECTIONS: GaugeCell = GaugeCell::new();
 
 /// Requests that were not logged from their start, because of the rate limit in the settings.
 pub static REQUESTS_NOT_LOGGED: CounterCell = CounterCell::new();
 /// Failed requests that were not logged, because of the separate rate limit for failures.
 pub static FAILURES_NOT_LOGGED: CounterCell = CounterCell::new();
-/// Log lines that were dropped.
+/// Log lines that were dropped because the queue to the log writer was full.
 pub static LINES_DROPPED: CounterCell = CounterCell::new();
 
 /// Times from the receipt of a request to its end, by route, service and outcome.
 pub static REQUEST_SECONDS: HistogramCell = HistogramCell::new();
-/// Times that requests waited for a slot.
+/// Times for which requests waited for a slot of a backend server, at the host of the server.
 pub static SLOT_WAIT_SECONDS: HistogramCell = HistogramCell::new();
 /// Times from sending a request to a backend server until the end of the attempt, by result.
 pub static ATTEMPT_SECONDS: HistogramCell = HistogramCell::new();
@@ -129,7 +129,7 @@
 pub static SLOTS: GaugeCell = GaugeCell::new();
 /// Slots in use at the backend servers of this host.
 pub static SLOTS_USED: GaugeCell = GaugeCell::new();
-/// Requests that wait for a slot.
+/// Requests that wait for a slot of the backend servers of this host.
 pub static QUEUED: GaugeCell = GaugeCell::new();
 /// Age of the configuration in force, in seconds.
 pub static REVISION_AGE: GaugeCell = GaugeCell::new();
@@ -157,12 +157,12 @@
 }
 
 impl RouteLabels {
-    /// Records how long a request took.
-    pub fn record(&self, route: &Rc<str>, service: &str, outcome: &str, took: Duration) {
+    /// Records the time from the receipt of a request to its end.
+    pub fn record(&self, route: &Rc<str>, service: &str, outcome: &str, duration: Duration) {
         let (route, service) =
             if self.has_label(route) { (&**route, service) } else { (OTHER_LABEL, OTHER_LABEL) };
         let labels = [("route", route), ("service", service), ("outcome", outcome)];
-        REQUEST_SECONDS.record_as(took, labels);
+        REQUEST_SECONDS.record_as(duration, labels);
     }
 
     /// Returns whether a route has a label of its own: the first [`ROUTES_LABELLED_MAX`] routes get
@@ -189,11 +189,11 @@
 }
 
 fn not_run_index(reason: NotRunReason) -> usize {
-    NOT_RUN_REASONS.iter().position(|each| *each == reason).unwrap_or(0)
+    NOT_RUN_REASONS.iter().position(|listed| *listed == reason).unwrap_or(0)
 }
 
 fn unknown_index(reason: UnknownReason) -> usize {
-    UNKNOWN_REASONS.iter().position(|each| *each == reason).unwrap_or(0)
+    UNKNOWN_REASONS.iter().position(|listed| *listed == reason).unwrap_or(0)
 }
 
 fn counter(name: &'static str, help: &'static str, cell: &'static CounterCell) -> MetricEntry {
--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -15,16 +15,16 @@
 
 use crate::signal::RisingSignal;
 
-/// Initial back-off after a link could not be established.
-const BACK_OFF_MIN: Duration = Duration::from_millis(100);
-/// Maximum back-off: a host that comes back is dialled at least this often.
-const BACK_OFF_MAX: Duration = Duration::from_secs(5);
-/// Longest time for which requests may wait for a link that is being established: a connection and
-/// a handshake within a region take four one-way trips of a few milliseconds.
+/// Back-off after the first dial that failed to establish a link.
+const DIAL_BACK_OFF_MIN: Duration = Duration::from_millis(100);
+/// Longest back-off between two dials: a returning host is dialled after at most this time.
+const DIAL_BACK_OFF_MAX: Duration = Duration::from_secs(5);
+/// Longest time for which requests may wait for a link that is being established. Within a region,
+/// the connection and the handshake take four one-way trips of a few milliseconds.
 const DIAL_WAIT_MAX: Duration = Duration::from_millis(100);
 
-/// Back-off from which a daemon without a link counts as lost: two dials in a row have failed when
-/// the back-off is this long.
+/// Length of the back-off from which a daemon without a link counts as lost. The back-off reaches
+/// this length after two failed dials in a row.
 const LOST_BACK_OFF: Duration = Duration::from_millis(400);
 /// Time without an answer to a dial after which a daemon counts as lost.
 const DIAL_LOST_AFTER: Duration = Duration::from_secs(1);
@@ -40,15 +40,16 @@
     health: RefCell<PathHealth>,
     dialling: Cell<bool>,
     /// Number of the last dial.
-    dial: Cell<u64>,
-    /// Number of the dial that established the link.
+    last_dial: Cell<u64>,
+    /// Number of the dial that established the last link.
     linked_dial: Cell<u64>,
     dialled_at: Cell<Duration>,
     changed: RisingSignal,
     back_off: Cell<Duration>,
     retry_at: Cell<Duration>,
     leaving: Cell<bool>,
-    silent: Cell<bool>,
+    /// Whether the link is black-holed.
+    is_black_holed: Cell<bool>,
     used_at: Cell<Duration>,
 }
 
@@ -61,14 +62,14 @@
             link: RefCell::default(),
             health: RefCell::new(PathHealth::new(Duration::ZERO)),
             dialling: Cell::new(false),
-            dial: Cell::new(0),
+            last_dial: Cell::new(0),
             linked_dial: Cell::new(0),
             dialled_at: Cell::new(Duration::ZERO),
             changed: RisingSignal::default(),
-            back_off: Cell::new(BACK_OFF_MIN),
+            back_off: Cell::new(DIAL_BACK_OFF_MIN),
             retry_at: Cell::new(Duration::ZERO),
             leaving: Cell::new(false),
-            silent: Cell::new(false),
+            is_black_holed: Cell::new(false),
             used_at: Cell::new(Duration::ZERO),
         }
     }
@@ -86,7 +87,7 @@
         }
         self.address.set(Some(address));
         self.retry_at.set(Duration::ZERO);
-        self.back_off.set(BACK_OFF_MIN);
+        self.back_off.set(DIAL_BACK_OFF_MIN);
         if let Some(link) = self.link.borrow_mut().take() {
             link.end();
         }
@@ -103,10 +104,10 @@
         self.leaving.get()
     }
 
-    /// Records whether the link is black-holed: no frame arrives over it although the peer should
-    /// send some. Returns the previous value.
-    pub fn note_silence(&self, is_silent: bool) -> bool {
-        self.silent.replace(is_silent)
+    /// Records whether the link is black-holed: no frame arrives over the link although the peer
+    /// should send frames. Returns the previous value.
+    pub fn note_silence(&self, is_black_holed: bool) -> bool {
+        self.is_black_holed.replace(is_black_holed)
     }
 
     /// Returns the back-off before the next dial.
@@ -126,19 +127,19 @@
             return self.state(now) == PathState::Up;
         }
         if self.dialling.get() {
-            // A daemon that does not answer the dial within this time may have stopped; the path to
-            // a distant daemon becomes usable once its link is established.
+            // A daemon that does not answer the dial within `DIAL_WAIT_MAX` may have stopped. The
+            // path to a distant daemon becomes usable once its link is established.
             return now.saturating_sub(self.dialled_at.get()) < DIAL_WAIT_MAX;
         }
         now >= self.retry_at.get()
     }
 
-    /// Returns whether dials to the daemon have failed, so that it may have stopped for good
-    /// although its host is still listed.
+    /// Returns whether the daemon counts as lost: dials to the daemon have failed, so that it may
+    /// have stopped for good although its host is still listed.
     pub fn is_lost(&self, now: Duration) -> bool {
-        let is_waiting =
+        let is_unanswered =
             self.dialling.get() && now.saturating_sub(self.dialled_at.get()) >= DIAL_LOST_AFTER;
-        self.link.borrow().is_none() && (is_waiting || self.back_off.get() >= LOST_BACK_OFF)
+        self.link.borrow().is_none() && (is_unanswered || self.back_off.get() >= LOST_BACK_OFF)
     }
 
     /// Returns whether the daemon is linked again after its link broke, and has not yet answered
@@ -157,7 +158,7 @@
         self.health.borrow().silent_for(now)
     }
 
-    /// Returns the link, if there is one.
+    /// Returns the link to the daemon, if one is established.
     pub fn link(&self) -> Option<Rc<DialledLink>> {
         self.link.borrow().clone()
     }
@@ -172,16 +173,16 @@
         self.used_at.get()
     }
 
-    /// Starts a dial unless one is in progress or the back-off is not over; returns the number of
-    /// the dial if the caller is to make it.
+    /// Starts a dial and returns its number, by which the caller reports the result. Returns `None`
+    /// if another dial is in progress or the back-off is not over.
     pub fn start_dial(&self, now: Duration) -> Option<u64> {
         if self.dialling.get() || now < self.retry_at.get() {
             return None;
         }
         self.dialling.set(true);
         self.dialled_at.set(now);
-        self.dial.set(self.dial.get() + 1);
-        Some(self.dial.get())
+        self.last_dial.set(self.last_dial.get() + 1);
+        Some(self.last_dial.get())
     }
 
     /// Returns whether a dial is in progress.
@@ -189,12 +190,13 @@
         self.dialling.get()
     }
 
-    /// Waits until the state of the link changes after the change count `seen`.
+    /// Waits until the change count exceeds `seen`, that is, until a dial ends, the link ends or
+    /// the address changes.
     pub async fn wait_change(&self, seen: u64) {
         self.changed.above(seen).await;
     }
 
-    /// Returns the change count, for [`Self::wait_change`].
+    /// Returns the change count, which [`Self::wait_change`] takes as `seen`.
     pub fn change_count(&self) -> u64 {
         self.changed.get()
     }
@@ -208,7 +210,7 @@
     ) -> Option<Rc<DialledLink>> {
         self.dialling.set(false);
         self.linked_dial.set(dial);
-        self.back_off.set(BACK_OFF_MIN);
+        self.back_off.set(DIAL_BACK_OFF_MIN);
         let former = self.link.borrow_mut().replace(link);
         self.health.borrow_mut().note_frame(now);
         self.changed.raise();
@@ -218,20 +220,20 @@
     /// Records that the link of a dial ended or could not be established; the back-off before the
     /// next dial grows exponentially. The end of a link that was already replaced has no effect.
     pub fn note_unlinked(&self, dial: u64, now: Duration) {
-        let is_last = self.dial.get() == dial;
-        if is_last {
+        let is_last_dial = self.last_dial.get() == dial;
+        if is_last_dial {
             self.dialling.set(false);
         }
         if self.linked_dial.get() == dial {
             self.link.borrow_mut().take();
             self.health.borrow_mut().note_broken(now);
-        } else if !is_last {
+        } else if !is_last_dial {
             return;
         }
         let back_off = self.back_off.get();
         let jitter = rand::rng().random_range(0.5..=1.0);
         self.retry_at.set(now + back_off.mul_f64(jitter));
-        self.back_off.set((back_off * 2).min(BACK_OFF_MAX));
+        self.back_off.set((back_off * 2).min(DIAL_BACK_OFF_MAX));
         self.changed.raise();
     }
 
@@ -258,8 +260,8 @@
     }
 
     /// Records the round-trip time of an answer from the daemon.
-    pub fn note_round_trip(&self, took: Duration) {
-        self.health.borrow_mut().note_round_trip(took);
+    pub fn note_round_trip(&self, round_trip: Duration) {
+        self.health.borrow_mut().note_round_trip(round_trip);
     }
 
     /// Returns the longest of the last few round-trip times, if any was measured.
@@ -267,7 +269,7 @@
         self.health.borrow().round_trip()
     }
 
-    /// Returns whether the daemon should be probed now.
+    /// Returns whether the daemon should be probed now; `in_use` says whether the path is in use.
     pub fn is_probe_due(&self, now: Duration, in_use: bool) -> bool {
         self.health.borrow_mut().probe(now, in_use)
     }
--- a/crates/base/src/signal.rs
+++ b/crates/base/src/signal.rs
@@ -12,12 +12,12 @@
 /// `RisingSignal` is a counter that wakes every task waiting for it to rise.
 #[derive(Debug, Default)]
 pub struct RisingSignal {
-    value: Cell<u64>,
-    next_waiter: Cell<u64>,
+    count: Cell<u64>,
+    next_waiter_id: Cell<u64>,
     waiters: RefCell<FnvHashMap<u64, Waker>>,
 }
 
-/// Deregisters a waiter when its future completes or is dropped.
+/// `WaiterGuard` deregisters a waiting task when the future of the task completes or is dropped.
 struct WaiterGuard<'a> {
     signal: &'a RisingSignal,
     id: u64,
@@ -30,28 +30,28 @@
 }
 
 impl RisingSignal {
-    /// Returns the count.
+    /// Returns how often the signal has been raised.
     pub fn get(&self) -> u64 {
-        self.value.get()
+        self.count.get()
     }
 
     /// Increments the count and wakes all waiters.
     pub fn raise(&self) {
-        self.value.set(self.value.get() + 1);
+        self.count.set(self.count.get() + 1);
         let waiters = std::mem::take(&mut *self.waiters.borrow_mut());
         for waker in waiters.into_values() {
             waker.wake();
         }
     }
 
-    /// Waits until the count exceeds `seen` and returns it.
+    /// Waits until the count exceeds `seen`, and returns the new count.
     pub async fn above(&self, seen: u64) -> u64 {
-        let id = self.next_waiter.get();
-        self.next_waiter.set(id + 1);
+        let id = self.next_waiter_id.get();
+        self.next_waiter_id.set(id + 1);
         let guard = WaiterGuard { signal: self, id };
         poll_fn(|context| {
-            if guard.signal.value.get() > seen {
-                return Poll::Ready(guard.signal.value.get());
+            if guard.signal.count.get() > seen {
+                return Poll::Ready(guard.signal.count.get());
             }
             let waker = context.waker().clone();
             guard.signal.waiters.borrow_mut().insert(id, waker);
@@ -67,6 +67,6 @@
 
     /// Returns whether the signal has been raised at least once.
     pub fn is_raised(&self) -> bool {
-        self.value.get() > 0
+        self.count.get() > 0
     }
 }
--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The clock advances while the host is suspended, so that nothing stays valid for longer because
-//! of a suspend.
+//! The clock must include the time for which the host is suspended. Otherwise deadlines, leases and
+//! knowledge about peers would stay valid for longer because of a suspend.
 
 use std::time::Duration;
 
@@ -36,21 +36,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(32), ..ProptestConfig::default() })]
 
-    /// For any sequence of suspends, validity up to a point in time ends once that much real time
-    /// has passed.
+    /// For any sequence of suspends, the clock reaches the end of a validity period as soon as the
+    /// suspends alone have lasted that long.
     #[test]
     fn verify_no_validity_is_extended_by_a_suspend(
         suspends in prop::collection::vec(0_u64..20_000, 1..20),
         valid_ms in 1_u64..100_000,
     ) {
         let clock = DaemonClock::try_new().expect("a clock");
-        let until = clock.now() + Duration::from_millis(valid_ms);
-        let mut passed = 0;
-        for suspend in suspends {
-            clock.add_suspend(Duration::from_millis(suspend));
-            passed += suspend;
+        let valid_until = clock.now() + Duration::from_millis(valid_ms);
+        let mut suspended_ms = 0;
+        for suspend_ms in suspends {
+            clock.add_suspend(Duration::from_millis(suspend_ms));
+            suspended_ms += suspend_ms;
             let now = clock.now();
-            prop_assert!(passed < valid_ms || now >= until);
+            prop_assert!(suspended_ms < valid_ms || now >= valid_until);
         }
     }
 }
--- a/crates/standin/src/backend/control.rs
+++ b/crates/standin/src/backend/control.rs
@@ -14,9 +14,10 @@
 
 use crate::backend::{BackendRuns, BackendStandin};
 
-/// Path of the faults: `GET` them or `PUT` new ones.
+/// Path of the faults: `GET` reads the faults in force, `PUT` sets new faults.
 pub const FAULTS_PATH: &str = "/__control/faults";
-/// Path of the counters of received and run requests: `GET` them or `DELETE` to reset them.
+/// Path of the counters of received and run requests: `GET` reads the counters, `DELETE` resets
+/// them.
 pub const RUNS_PATH: &str = "/__control/runs";
 
 /// Reads the body of a control request and answers it.
--- a/crates/standin/src/backend/execution.rs
+++ b/crates/standin/src/backend/execution.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Simulates the execution of a request: waits for its service time, and cancels the request if the
-//! client closes the connection.
+//! Simulates the execution of a request: waits for the service time of the request, and cancels the
+//! request if the client closes the connection.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::backend::runs;
 use crate::backend::{BackendFaults, BackendStandin};
 
-/// Waits for the service time; returns whether the client is still connected.
+/// Waits for the service time of a request. Returns whether the client is still connected.
 pub async fn run(
     stream: &mut HttpStream,
     standin: &BackendStandin,
@@ -26,8 +26,8 @@
         monoio::time::sleep(Duration::from_millis(faults.crash_after_ms)).await;
         standin.runs.borrow_mut().crashes += 1;
         standin.crash.raise();
-        // This future never completes: the crash closes all connections, including that of this
-        // request, and drops the future.
+        // This future never completes: the crash closes all connections, including the connection
+        // of this request, and drops the future.
         return future::pending().await;
     }
     let mut work_time = standin.service_time(faults);
@@ -37,15 +37,15 @@
     if faults.quick_errors || work_time.is_zero() {
         return true;
     }
-    let running = standin.in_flight.get() + 1;
-    standin.in_flight.set(running);
-    runs::record_concurrency(standin, running);
+    let running_count = standin.in_flight.get() + 1;
+    standin.in_flight.set(running_count);
+    runs::record_concurrency(standin, running_count);
     let sleep = std::pin::pin!(monoio::time::sleep(work_time));
     let disconnected = std::pin::pin!(stream.reader.fill(1));
-    let connected = matches!(future::select(sleep, disconnected).await, Either::Left(_));
+    let is_connected = matches!(future::select(sleep, disconnected).await, Either::Left(_));
     standin.in_flight.set(standin.in_flight.get() - 1);
-    if !connected {
+    if !is_connected {
         standin.runs.borrow_mut().cancelled += 1;
     }
-    connected
+    is_connected
 }
--- a/crates/standin/src/backend/faults.rs
+++ b/crates/standin/src/backend/faults.rs
@@ -12,7 +12,7 @@
     /// Connections are not dropped.
     #[default]
     Nowhere,
-    /// After the head of the request, before its body.
+    /// After the head of the request was read, before the body of the request is read.
     AfterRequestHead,
     /// After the whole request was read and run.
     AfterRun,
@@ -22,15 +22,15 @@
     InAnswerBody,
 }
 
-/// `BackendFaults` are the faults in force.
+/// `BackendFaults` are the faults in force at a simulated backend server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendFaults {
-    /// Share of requests answered with status 500, 0 to 1.
+    /// Share of requests that are answered with status 500, from 0 to 1.
     pub error_rate: f64,
     /// Prefix of the paths to which `error_rate` applies; empty for all paths.
     pub error_prefix: String,
-    /// Share of requests whose service time is multiplied by `slow_factor`, 0 to 1.
+    /// Share of requests whose service time is multiplied by `slow_factor`, from 0 to 1.
     pub slow_rate: f64,
     /// Factor by which the service time of slow requests is multiplied.
     pub slow_factor: f64,
@@ -48,7 +48,7 @@
     pub surplus: bool,
     /// Each response is sent twice.
     pub twice: bool,
-    /// Responses lack the header field that shows that a backend server made them.
+    /// Responses lack the header field that marks a response as made by a backend server.
     pub unstamped: bool,
     /// Responses claim a content encoding that the request did not accept.
     pub encoded: bool,
--- a/crates/standin/src/backend/mod.rs
+++ b/crates/standin/src/backend/mod.rs
@@ -3,8 +3,8 @@
 
 //! A simulated backend server with injected gray failures.
 //!
-//! It counts the requests that it ran by their `x-request-id`, so that tests can compare the
-//! responses that callers got with what the server did.
+//! The server counts the requests that it ran by their `x-request-id`. Tests compare these counts
+//! with the responses that callers got.
 //!
 //! `serving` handles a request from its head to its end, `execution` spends its service time,
 //! `reply` builds its response and `sending` writes it, complete or truncated. `faults` are the
@@ -40,7 +40,7 @@
 pub use runs::BackendRuns;
 pub use serving::serve;
 
-/// Default header field that identifies a request, by which runs are counted.
+/// Default name of the header field that identifies a request. Runs are counted by its value.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
 /// `BackendStandin` is the state of a simulated backend server.
@@ -89,7 +89,7 @@
         Duration::from_secs_f64(median * factor * slowdown)
     }
 
-    fn fails(&self, faults: &BackendFaults, path: &str) -> bool {
+    fn draws_error(&self, faults: &BackendFaults, path: &str) -> bool {
         path.starts_with(&faults.error_prefix)
             && self.rng.borrow_mut().random_bool(faults.error_rate.clamp(0.0, 1.0))
     }
--- a/crates/standin/src/backend/options.rs
+++ b/crates/standin/src/backend/options.rs
@@ -12,12 +12,12 @@
 pub struct BackendOptions {
     /// Median service time.
     pub service_time: Duration,
-    /// Standard deviation of the logarithm of the service time, which is log-normal.
+    /// Standard deviation of the logarithm of the service time. Service times are log-normal.
     pub spread: f64,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// Value of the `x-served-by` header field, and the incarnation that daemons may address
-    /// requests to.
+    /// Value of the `x-served-by` header field. The name is also the incarnation to which daemons
+    /// may address requests.
     pub name: String,
     /// Names of the header fields that the server reads and sends.
     pub fields: ExchangeFields,
--- a/crates/standin/src/backend/probe.rs
+++ b/crates/standin/src/backend/probe.rs
@@ -12,11 +12,11 @@
 use crate::backend::{reply, sending};
 use crate::backend::{BackendFaults, BackendStandin};
 
-/// Path of the health endpoint, which reports `health_status` of the faults, not the state of the
-/// server.
+/// Path of the health endpoint. The response has the status `health_status` of the faults, whatever
+/// the state of the server.
 pub const HEALTH_PATH: &str = "/health";
-/// Path of the load endpoint, which reports `claimed_load` of the faults, not the requests in
-/// flight.
+/// Path of the load endpoint. The response reports `claimed_load` of the faults, whatever the
+/// number of requests in flight.
 pub const LOAD_PATH: &str = "/load";
 
 /// Answers a request to the health or load endpoint.
--- a/crates/standin/src/backend/reply.rs
+++ b/crates/standin/src/backend/reply.rs
@@ -27,7 +27,7 @@
     writer::flush(&mut stream.writer, &mut buffer).await
 }
 
-/// Answers a request that was run.
+/// Sends the response to a request that was run. `body` is the body of the request.
 pub async fn answer(
     stream: &mut HttpStream,
     standin: &BackendStandin,
@@ -36,8 +36,8 @@
     body: Bytes,
 ) -> Result<(), HttpError> {
     let path = head.uri.path();
-    let is_failure = standin.fails(faults, path);
-    let status = match (is_failure, StatusCode::from_u16(faults.status)) {
+    let is_error = standin.draws_error(faults, path);
+    let status = match (is_error, StatusCode::from_u16(faults.status)) {
         (true, _) => StatusCode::INTERNAL_SERVER_ERROR,
         (false, Ok(status)) => status,
         (false, Err(_)) => requested_status(path),
@@ -96,10 +96,10 @@
     headers
 }
 
-/// Returns the status that a path `/status/CODE` requests, or 200 for any other path.
+/// Returns the status CODE for a path `/status/CODE`, and 200 for any other path.
 fn requested_status(path: &str) -> StatusCode {
-    let wanted = path.strip_prefix("/status/").and_then(|text| text.parse::<u16>().ok());
-    wanted.and_then(|code| StatusCode::from_u16(code).ok()).unwrap_or(StatusCode::OK)
+    let requested_code = path.strip_prefix("/status/").and_then(|text| text.parse::<u16>().ok());
+    requested_code.and_then(|code| StatusCode::from_u16(code).ok()).unwrap_or(StatusCode::OK)
 }
 
 fn response_text(standin: &BackendStandin, head: &request::Parts, status: StatusCode) -> Bytes {
@@ -107,7 +107,7 @@
     Bytes::from(format!("{} {} {} {id}\n", standin.options.name, status.as_u16(), head.uri.path()))
 }
 
-/// Sets a header field; a value that is not valid in a header field is left out.
+/// Sets a header field. A value that is not valid in a header field is not set.
 pub fn put(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
--- a/crates/standin/src/backend/runs.rs
+++ b/crates/standin/src/backend/runs.rs
@@ -10,32 +10,33 @@
 
 use crate::backend::BackendStandin;
 
-/// `BackendRuns` are the counters of the server.
+/// `BackendRuns` are the counters of a simulated backend server.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BackendRuns {
-    /// Requests run.
+    /// Number of requests run.
     pub total: u64,
-    /// Requests run, by `x-request-id`.
+    /// Number of times that each request was run, by the `x-request-id` of the request.
     pub by_id: FnvHashMap<String, u64>,
     /// Largest number of requests that ran concurrently.
     pub most_at_once: u64,
-    /// Requests whose client closed the connection while they ran.
+    /// Number of requests that were cancelled because the client closed the connection.
     pub cancelled: u64,
-    /// Body bytes received.
+    /// Number of bytes received in request bodies.
     pub body_bytes: u64,
-    /// Connections accepted.
+    /// Number of connections accepted.
     pub connections: u64,
-    /// Requests received, run or not.
+    /// Number of requests received, whether or not they were run.
     pub received: u64,
-    /// Requests to the health and load endpoints.
+    /// Number of requests to the health and load endpoints.
     pub probes: u64,
-    /// Times that the server crashed.
+    /// Number of crashes of the server.
     pub crashes: u64,
-    /// Requests run, by the organisation that the request names.
+    /// Number of requests run, by the organisation that the request names.
     pub by_organisation: FnvHashMap<String, u64>,
-    /// Requests received with a caller's API key, which must not be forwarded to a backend server.
+    /// Number of requests received with a caller's API key. Daemons must not forward such a key to
+    /// a backend server.
     pub keys: u64,
-    /// Head of the last request, as text.
+    /// Head of the last request received, as text.
     pub last_head: String,
 }
 
--- a/crates/standin/src/backend/sending.rs
+++ b/crates/standin/src/backend/sending.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Writes responses, and truncates them as the faults in force demand.
+//! Writes responses. A response is truncated if the faults in force demand a truncated response.
 
 use basaltarch_http::connection::HttpStream;
 use basaltarch_http::errors::HttpError;
@@ -12,8 +12,8 @@
 
 use crate::backend::{BackendFaults, BreakPoint};
 
-/// Bytes of a generated body that are sent at once.
-const CHUNK_BYTES: usize = 32 * 1024;
+/// Size in bytes of the pieces in which a generated body is sent.
+const PIECE_BYTES: usize = 32 * 1024;
 
 /// Sends a response whose body is in memory.
 pub async fn send_buffered(
@@ -25,15 +25,15 @@
     faults: &BackendFaults,
 ) -> Result<(), HttpError> {
     let framing = BodyFraming::Length(body.len() as u64);
-    let bodiless = framing::never_has_body(status);
-    let framing = if bodiless { BodyFraming::Empty } else { framing };
+    let is_bodiless = framing::never_has_body(status);
+    let framing = if is_bodiless { BodyFraming::Empty } else { framing };
     let mut buffer = BytesMut::new();
     writer::put_response_head(&mut buffer, status, headers, framing, false);
     if faults.break_at == BreakPoint::InAnswerHead {
         buffer.truncate(buffer.len() / 2);
         return writer::flush(&mut stream.writer, &mut buffer).await;
     }
-    let mut body = if bodiless || method == Method::HEAD { Bytes::new() } else { body };
+    let mut body = if is_bodiless || method == Method::HEAD { Bytes::new() } else { body };
     if faults.break_at == BreakPoint::InAnswerBody {
         body.truncate(body.len() / 2);
     }
@@ -51,14 +51,14 @@
     let mut buffer = BytesMut::new();
     writer::put_response_head(&mut buffer, StatusCode::OK, headers, framing, false);
     writer::flush(&mut stream.writer, &mut buffer).await?;
-    let chunk = Bytes::from(vec![b'x'; CHUNK_BYTES]);
+    let chunk = Bytes::from(vec![b'x'; PIECE_BYTES]);
     let sent_length = match faults.break_at {
         BreakPoint::InAnswerBody => length / 2,
         _ => length,
     };
     let mut unsent = sent_length;
     while unsent > 0 {
-        let count = unsent.min(CHUNK_BYTES as u64);
+        let count = unsent.min(PIECE_BYTES as u64);
         let piece = chunk.slice(..count as usize);
         writer::send_piece(&mut stream.writer, &mut buffer, framing, piece, false).await?;
         unsent -= count;
--- a/crates/standin/src/backend/serving.rs
+++ b/crates/standin/src/backend/serving.rs
@@ -21,16 +21,16 @@
 use crate::backend::{control, execution, probe, reply, runs};
 use crate::backend::{BackendStandin, BreakPoint, HEALTH_PATH, LOAD_PATH};
 
-/// Serves a simulated backend server for ever. After a crash it listens again once `down_ms` have
-/// passed.
+/// Serves a simulated backend server for ever. After a crash, the server listens again once the
+/// time `down_ms` of the faults has passed.
 pub async fn serve(listener: TcpListener, standin: Rc<BackendStandin>, connections: usize) {
     let address = listener.local_addr();
     let mut listener = Ok(listener);
-    while let (Ok(address), Ok(open)) = (&address, listener) {
-        serve_until_crash(open, &standin, connections).await;
+    while let (Ok(address), Ok(open_listener)) = (&address, listener) {
+        serve_until_crash(open_listener, &standin, connections).await;
         standin.down.raise();
-        let down = Duration::from_millis(standin.faults.borrow().down_ms);
-        monoio::time::sleep(down).await;
+        let down_time = Duration::from_millis(standin.faults.borrow().down_ms);
+        monoio::time::sleep(down_time).await;
         listener = connection::bind(*address);
     }
 }
@@ -42,22 +42,27 @@
 ) {
     let crashed = std::pin::pin!(standin.crash.after(standin.crash.count()));
     let standin = standin.clone();
-    let serve = move |stream, _: SocketAddr| {
+    let serve_stream = move |stream, _: SocketAddr| {
         let standin = standin.clone();
-        // The count is read when the connection is accepted, as the task of the connection may
-        // first run after the listener has closed.
-        let seen = standin.down.count();
+        // The count of the signal is read when the connection is accepted, as the task of the
+        // connection may first run after the listener has closed.
+        let seen_downs = standin.down.count();
         async move {
             standin.runs.borrow_mut().connections += 1;
-            let down = std::pin::pin!(standin.down.after(seen));
+            let down = std::pin::pin!(standin.down.after(seen_downs));
             // The connection ends with its first error, which the client sees as a closed
             // connection.
             let serving = std::pin::pin!(serve_connection(stream, &standin));
             future::select(serving, down).await;
         }
     };
-    let count = ConnectionCount::default();
-    let accepting = std::pin::pin!(connection::accept_all(listener, connections, count, serve));
+    let connection_count = ConnectionCount::default();
+    let accepting = std::pin::pin!(connection::accept_all(
+        listener,
+        connections,
+        connection_count,
+        serve_stream
+    ));
     future::select(accepting, crashed).await;
 }
 
@@ -115,12 +120,12 @@
     head: &request::Parts,
     framing: BodyFraming,
 ) -> Result<Bytes, HttpError> {
-    let keeps_body = head.uri.path() == "/echo";
+    let is_echoed = head.uri.path() == "/echo";
     let mut reader = BodyReader::new(framing, BodyLimits::default());
     let mut body = BytesMut::new();
     while let Some(chunk) = reader.next(&mut stream.reader).await? {
         standin.runs.borrow_mut().body_bytes += chunk.len() as u64;
-        if keeps_body {
+        if is_echoed {
             body.extend_from_slice(&chunk);
         }
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -68,9 +68,9 @@
 }
 
 const ADDRESS_ALLOWED: &str = "an address such as 127.0.0.1:8080";
-/// Exit status when a control request failed, or the runtime or listener did not start.
+/// Exit status if a control request failed, or if the runtime or listener could not be started.
 const EXIT_FAILED: i32 = 1;
-const CONTROL_TIMEOUT: Duration = Duration::from_secs(10);
+const CONTROL_CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn main() {
     let flags = flags::BasaltarchStandin::from_env_or_exit();
@@ -114,11 +114,12 @@
 
 fn run_platform(flags: flags::Platform) -> Result<(), SettingError> {
     let address = listen_address(flags.listen)?;
-    let second = settings::optional("listen-second", flags.listen_second, ADDRESS_ALLOWED)?;
+    let second_address = settings::optional("listen-second", flags.listen_second, ADDRESS_ALLOWED)?;
     exit_on_error(runtime::run(async move {
         let standin = Rc::new(PlatformStandin::default());
-        if let Some(second) = second {
-            let serving = platform::serve(listen(second), standin.clone(), HostGroup::Second);
+        if let Some(second_address) = second_address {
+            let serving =
+                platform::serve(listen(second_address), standin.clone(), HostGroup::Second);
             monoio::spawn(serving);
         }
         platform::serve(listen(address), standin, HostGroup::First).await;
@@ -159,7 +160,7 @@
     let body = Bytes::from(flags.body.unwrap_or_default());
     let path = flags.path;
     let call = async move {
-        let client = HttpClient::new(address, CONTROL_TIMEOUT);
+        let client = HttpClient::new(address, CONTROL_CALL_TIMEOUT);
         client.call(method, &path, HeaderMap::new(), body).await
     };
     match runtime::run(call) {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -20,25 +20,26 @@
 
 use crate::table::PlatformTable;
 
-/// Path of the faults: `GET` them or `PUT` new ones.
+/// Path of the faults: `GET` reads the faults in force, `PUT` sets new faults.
 pub const FAULTS_PATH: &str = "/control/faults";
-/// Path of a row, followed by the table, a slash and the key: `PUT` writes the body as its value,
-/// bypassing all faults and rules, as the operator does; `DELETE` removes it. `PATCH` stores the
-/// body without encoding it as a value, so that readers may be unable to decode it.
+/// Prefix of the path of a row; the table, a slash and the key follow. `PUT` writes the body as the
+/// value of the row, bypassing all faults and rules, as the operator does. `DELETE` removes the
+/// row. `PATCH` stores the body without encoding it as a value, so that readers may be unable to
+/// decode the row.
 pub const ROWS_CONTROL_PATH: &str = "/control/rows/";
-/// Path of the copy of all rows: `PUT` takes a copy, `DELETE` restores the rows from it and begins
-/// the next era.
+/// Path of the copy of all rows: `PUT` takes a copy, `DELETE` restores the rows from the copy and
+/// begins the next era.
 pub const COPY_PATH: &str = "/control/copy";
-/// Path of the counters: `GET`.
+/// Path of the counters of calls, for `GET`.
 pub const COUNTERS_PATH: &str = "/control/counters";
 /// Connections served at once, enough for the clients of a few hundred daemons.
 const CONNECTIONS_MAX: usize = 4096;
-/// Interval at which a waiting feed request checks for changes.
+/// Interval at which the handler of a feed request checks for changes.
 const FEED_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Time after which a call that `silent` leaves unanswered is dropped, longer than the time-out of
-/// any client.
+/// Time after which the connection of a call is closed that the fault `silent` leaves unanswered.
+/// The time is longer than the time-out of any client.
 const SILENT_HOLD_TIME: Duration = Duration::from_secs(60);
-/// Largest request body: a configuration of the size expected in two years, as one object.
+/// Largest request body, 512 MiB: a configuration of the size expected in two years, as one object.
 const BODY_BYTES_MAX: u64 = 512 << 20;
 
 /// `PlatformFaults` are the faults in force.
@@ -53,7 +54,7 @@
     pub busy: bool,
     /// Every call is refused with status 429, as if there were too many calls, and has no effect.
     pub many: bool,
-    /// `down`, `silent`, `busy` and `many` affect only hosts of the second group; those of the
+    /// `down`, `silent`, `busy` and `many` affect only hosts of the second group; hosts of the
     /// first group are served.
     pub second_group_only: bool,
     /// Delay of each call, in milliseconds.
@@ -87,9 +88,9 @@
 /// `PlatformCounters` count the calls to the simulated platform.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlatformCounters {
-    /// Transactions requested.
+    /// Number of transactions requested.
     pub transactions: u64,
-    /// All other calls: reads, feeds and objects.
+    /// Number of all other calls: reads of rows, feed requests and requests for objects.
     pub reads: u64,
 }
 
@@ -99,11 +100,11 @@
     objects: RefCell<FnvHashMap<String, Bytes>>,
     faults: RefCell<PlatformFaults>,
     counters: Cell<PlatformCounters>,
-    /// Second since the start in which calls are counted, and the number of calls in it.
+    /// Second since the start in which calls are counted, and the number of calls in this second.
     rate_window: Cell<(u64, u64)>,
     /// Number of restores from a copy; sent with every response.
     era: Cell<u64>,
-    started: Instant,
+    started_at: Instant,
 }
 
 impl Default for PlatformStandin {
@@ -115,7 +116,7 @@
             counters: Cell::default(),
             rate_window: Cell::default(),
             era: Cell::default(),
-            started: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 }
@@ -132,14 +133,14 @@
 
 impl PlatformStandin {
     async fn handle(self: &Rc<Self>, request: ServerRequest, group: HostGroup) -> ServerReply {
-        let mut reply = self.reply(request, group).await;
+        let mut reply = self.reply_to(request, group).await;
         reply.headers.insert(headers::STORE_ERA, HeaderValue::from(self.era.get()));
         reply
     }
 
-    async fn reply(self: &Rc<Self>, request: ServerRequest, group: HostGroup) -> ServerReply {
+    async fn reply_to(self: &Rc<Self>, request: ServerRequest, group: HostGroup) -> ServerReply {
         if request.path().starts_with("/control/") {
-            return self.control(&request);
+            return self.handle_control(&request);
         }
         let faults = self.faults.borrow().clone();
         if faults.delay_ms > 0 {
@@ -151,17 +152,17 @@
         if self.is_over_rate(faults.calls_per_second_max) {
             return ServerReply::empty(StatusCode::TOO_MANY_REQUESTS);
         }
-        self.count(request.path());
+        self.count_call(request.path());
         match (request.head.method.as_str(), request.path()) {
-            ("POST", rows::TRANSACT_PATH) => self.transact(&request),
-            ("GET", rows::READ_PATH) => self.read(&request),
-            ("GET", rows::FEED_PATH) => self.feed(&request, group).await,
-            _ => self.object(&request),
+            ("POST", rows::TRANSACT_PATH) => self.handle_transaction(&request),
+            ("GET", rows::READ_PATH) => self.handle_read(&request),
+            ("GET", rows::FEED_PATH) => self.handle_feed(&request, group).await,
+            _ => self.handle_object(&request),
         }
     }
 
-    /// Returns the reply of an outage that affects the caller's group, if there is one. With
-    /// `silent` set, it returns only after [`SILENT_HOLD_TIME`].
+    /// Returns the reply of an outage that affects the caller's group, if there is an outage. If
+    /// the fault `silent` is set, the function returns only after [`SILENT_HOLD_TIME`].
     async fn outage_reply(&self, group: HostGroup) -> Option<ServerReply> {
         let faults = self.faults.borrow().clone();
         if faults.second_group_only && group == HostGroup::First {
@@ -169,10 +170,10 @@
         }
         if faults.silent {
             monoio::time::sleep(SILENT_HOLD_TIME).await;
-            return Some(hang_up());
+            return Some(hang_up_reply());
         }
         if faults.down {
-            return Some(hang_up());
+            return Some(hang_up_reply());
         }
         if faults.busy {
             return Some(ServerReply::empty(StatusCode::SERVICE_UNAVAILABLE));
@@ -181,14 +182,14 @@
     }
 
     fn is_over_rate(&self, rate_max: u64) -> bool {
-        let second = self.started.elapsed().as_secs();
-        let (last_second, count) = self.rate_window.get();
-        let count = if last_second == second { count + 1 } else { 1 };
+        let second = self.started_at.elapsed().as_secs();
+        let (last_second, last_count) = self.rate_window.get();
+        let count = if last_second == second { last_count + 1 } else { 1 };
         self.rate_window.set((second, count));
         rate_max > 0 && count > rate_max
     }
 
-    fn count(&self, path: &str) {
+    fn count_call(&self, path: &str) {
         let mut counters = self.counters.get();
         if path == rows::TRANSACT_PATH {
             counters.transactions += 1;
@@ -198,7 +199,7 @@
         self.counters.set(counters);
     }
 
-    fn transact(self: &Rc<Self>, request: &ServerRequest) -> ServerReply {
+    fn handle_transaction(self: &Rc<Self>, request: &ServerRequest) -> ServerReply {
         let body = match serde_json::from_slice::<TransactBody>(&request.body) {
             Ok(body) => body,
             Err(error) => return ServerReply::text(StatusCode::BAD_REQUEST, error.to_string()),
@@ -210,16 +211,16 @@
         if body.put.iter().chain(&body.remove).any(|entry| entry.table == rows::OPERATOR_TABLE) {
             return ServerReply::empty(StatusCode::FORBIDDEN);
         }
-        if take_one(&mut self.faults.borrow_mut().lose_writes) {
-            return hang_up();
+        if consume_fault(&mut self.faults.borrow_mut().lose_writes) {
+            return hang_up_reply();
         }
-        if take_one(&mut self.faults.borrow_mut().late_writes) {
+        if consume_fault(&mut self.faults.borrow_mut().late_writes) {
             self.write_late(body);
-            return hang_up();
+            return hang_up_reply();
         }
         let result = self.table.borrow_mut().transact(&body);
-        if take_one(&mut self.faults.borrow_mut().lose_write_answers) {
-            return hang_up();
+        if consume_fault(&mut self.faults.borrow_mut().lose_write_answers) {
+            return hang_up_reply();
         }
         match result {
             Ok(page) => ServerReply::json(StatusCode::OK, &page),
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Runs a transaction after `late_by_ms`.
+    /// Runs a transaction after the delay `late_by_ms`, with no response to the client.
     fn write_late(self: &Rc<Self>, body: TransactBody) {
         let delay = Duration::from_millis(self.faults.borrow().late_by_ms);
         let standin = self.clone();
@@ -238,7 +239,7 @@
         });
     }
 
-    fn read(&self, request: &ServerRequest) -> ServerReply {
+    fn handle_read(&self, request: &ServerRequest) -> ServerReply {
         let age = Duration::from_millis(self.faults.borrow().reads_from_past_ms);
         let limit = query_text(request, "limit").parse().unwrap_or(rows::PAGE_ROWS_MAX);
         let page = self.table.borrow().read(
@@ -251,17 +252,17 @@
         ServerReply::json(StatusCode::OK, &page)
     }
 
-    async fn feed(&self, request: &ServerRequest, group: HostGroup) -> ServerReply {
+    async fn handle_feed(&self, request: &ServerRequest, group: HostGroup) -> ServerReply {
         let table = query_text(request, "table");
         let after = query_text(request, "after").parse().unwrap_or(0);
         let wait = Duration::from_millis(query_text(request, "waitMs").parse().unwrap_or(0));
-        let begin = Instant::now();
+        let wait_start = Instant::now();
         loop {
             let page: PageBody = match self.table.borrow().changes(&table, after) {
                 Some(page) => page,
                 None => return ServerReply::empty(StatusCode::GONE),
             };
-            if !page.rows.is_empty() || begin.elapsed() >= wait {
+            if !page.rows.is_empty() || wait_start.elapsed() >= wait {
                 return ServerReply::json(StatusCode::OK, &page);
             }
             monoio::time::sleep(FEED_POLL_INTERVAL).await;
@@ -271,7 +272,7 @@
         }
     }
 
-    fn object(&self, request: &ServerRequest) -> ServerReply {
+    fn handle_object(&self, request: &ServerRequest) -> ServerReply {
         let method = &request.head.method;
         let prefix = if method == Method::PUT { objects::PUT_PATH } else { objects::GET_PATH };
         let name = match request.path().strip_prefix(prefix) {
@@ -296,7 +297,7 @@
         }
     }
 
-    fn control(&self, request: &ServerRequest) -> ServerReply {
+    fn handle_control(&self, request: &ServerRequest) -> ServerReply {
         let method = &request.head.method;
         let path = request.path();
         if let Some(row_path) = path.strip_prefix(ROWS_CONTROL_PATH) {
@@ -337,7 +338,7 @@
 
     fn change_row(&self, method: &Method, row_path: &str, value: &[u8]) -> ServerReply {
         let (table, key) = match row_path.split_once('/') {
-            Some(row_path) => row_path,
+            Some(table_and_key) => table_and_key,
             None => return ServerReply::empty(StatusCode::NOT_FOUND),
         };
         let entry = rows::RowEntry {
@@ -361,21 +362,22 @@
     }
 }
 
-/// Returns a query parameter as text, empty when it is missing.
+/// Returns the decoded value of a query parameter; empty if the parameter is missing.
 fn query_text(request: &ServerRequest, name: &str) -> String {
     let value = request.query(name).unwrap_or_default();
     percent_decode_str(value).decode_utf8_lossy().into_owned()
 }
 
-/// Decrements the number of upcoming faults of a kind; returns whether it was above zero.
-fn take_one(count: &mut u64) -> bool {
+/// Decrements the number of upcoming faults of a kind. Returns whether the number was above zero,
+/// that is, whether the fault applies now.
+fn consume_fault(count: &mut u64) -> bool {
     let is_due = *count > 0;
     *count = count.saturating_sub(1);
     is_due
 }
 
 /// Returns a reply that closes the connection without a response.
-fn hang_up() -> ServerReply {
+fn hang_up_reply() -> ServerReply {
     let mut reply = ServerReply::empty(StatusCode::SERVICE_UNAVAILABLE);
     reply.hang_up = true;
     reply
--- a/crates/standin/src/table.rs
+++ b/crates/standin/src/table.rs
@@ -8,7 +8,7 @@
 
 use basaltarch_platform::rows::{PageBody, RowEntry, TransactBody};
 
-/// Number of snapshots kept for reads of an older state.
+/// Largest number of snapshots that are kept for reads of an older state.
 const SNAPSHOTS_MAX: usize = 64;
 
 /// `RowKey` orders rows by table, part and key.
@@ -19,8 +19,8 @@
     key: String,
 }
 
-/// `VersionedRow` is a row with the version of the transaction that wrote it; a removed row has no
-/// value.
+/// `VersionedRow` is a row with the version of the transaction that last wrote or removed the row.
+/// A removed row has no value.
 #[derive(Debug, Clone, PartialEq)]
 struct VersionedRow {
     version: u64,
@@ -33,11 +33,12 @@
 #[derive(Debug, Default)]
 pub struct PlatformTable {
     rows: TableRows,
+    /// Version of the last transaction.
     version: u64,
     /// Version before which the history of changes was discarded.
     history_start: u64,
     snapshots: VecDeque<(Instant, TableRows)>,
-    keep_snapshots: bool,
+    keeps_snapshots: bool,
     copy: TableCopy,
 }
 
@@ -50,11 +51,11 @@
 }
 
 impl RowKey {
-    fn of(entry: &RowEntry) -> Self {
+    fn of_entry(entry: &RowEntry) -> Self {
         Self { table: entry.table.clone(), part: entry.part.clone(), key: entry.key.clone() }
     }
 
-    fn entry(&self, row: &VersionedRow) -> RowEntry {
+    fn to_entry(&self, row: &VersionedRow) -> RowEntry {
         RowEntry {
             table: self.table.clone(),
             part: self.part.clone(),
@@ -69,10 +70,10 @@
 impl PlatformTable {
     /// Starts to keep a snapshot per transaction, for reads of an older state.
     pub fn keep_snapshots(&mut self) {
-        if !self.keep_snapshots {
+        if !self.keeps_snapshots {
             self.snapshots.push_back((Instant::now(), self.rows.clone()));
         }
-        self.keep_snapshots = true;
+        self.keeps_snapshots = true;
     }
 
     /// Returns the version of the last transaction.
@@ -86,8 +87,8 @@
         self.copy = TableCopy { rows: self.rows.clone(), version, history_start };
     }
 
-    /// Restores the table from its copy: later writes are lost, and their versions are assigned
-    /// again.
+    /// Restores the table from its copy. Writes after the copy are lost, and the versions of their
+    /// transactions are assigned again.
     pub fn restore(&mut self) {
         let TableCopy { rows, version, history_start } = self.copy.clone();
         self.rows = rows;
@@ -104,11 +105,11 @@
         self.rows.retain(|_, row| row.value.is_some());
     }
 
-    /// Runs a transaction and returns its version. If some rows are not as expected, it writes
-    /// nothing and returns their current state as the error.
+    /// Runs a transaction and returns its version. If some rows are not as expected, the
+    /// transaction writes nothing, and the error holds the current state of these rows.
     pub fn transact(&mut self, body: &TransactBody) -> Result<PageBody, PageBody> {
         let current_row = |entry: &RowEntry| {
-            let row = self.rows.get(&RowKey::of(entry)).filter(|row| row.value.is_some());
+            let row = self.rows.get(&RowKey::of_entry(entry)).filter(|row| row.value.is_some());
             row.cloned()
         };
         let mut conflicts = Vec::new();
@@ -117,7 +118,7 @@
             let version = row.as_ref().map_or(0, |row| row.version);
             if entry.ver.unwrap_or(0) != version {
                 let absent_row = VersionedRow { version: 0, value: None };
-                conflicts.push(RowKey::of(entry).entry(&row.unwrap_or(absent_row)));
+                conflicts.push(RowKey::of_entry(entry).to_entry(&row.unwrap_or(absent_row)));
             }
         }
         if !conflicts.is_empty() {
@@ -127,12 +128,12 @@
         let version = self.version;
         for entry in &body.put {
             let value = entry.value.clone().or(Some(String::new()));
-            self.rows.insert(RowKey::of(entry), VersionedRow { version, value });
+            self.rows.insert(RowKey::of_entry(entry), VersionedRow { version, value });
         }
         for entry in &body.remove {
-            self.rows.insert(RowKey::of(entry), VersionedRow { version, value: None });
+            self.rows.insert(RowKey::of_entry(entry), VersionedRow { version, value: None });
         }
-        if self.keep_snapshots {
+        if self.keeps_snapshots {
             self.snapshots.push_back((Instant::now(), self.rows.clone()));
             if self.snapshots.len() > SNAPSHOTS_MAX {
                 self.snapshots.pop_front();
@@ -141,18 +142,19 @@
         Ok(PageBody { ver: version, ..PageBody::default() })
     }
 
-    /// Returns the rows as they were `age` ago, or the oldest snapshot if none is that old.
+    /// Returns the rows as they were `age` ago, or the oldest snapshot if no snapshot is that old.
     fn rows_at(&self, age: Duration) -> &TableRows {
-        if age.is_zero() || !self.keep_snapshots {
+        if age.is_zero() || !self.keeps_snapshots {
             return &self.rows;
         }
         let moment = Instant::now().checked_sub(age);
-        let is_old_enough = |at: &Instant| moment.is_some_and(|moment| *at <= moment);
-        let state = self.snapshots.iter().rev().find(|(at, _)| is_old_enough(at));
-        state.or(self.snapshots.front()).map_or(&self.rows, |(_, rows)| rows)
+        let is_old_enough = |taken_at: &Instant| moment.is_some_and(|moment| *taken_at <= moment);
+        let snapshot = self.snapshots.iter().rev().find(|(taken_at, _)| is_old_enough(taken_at));
+        snapshot.or(self.snapshots.front()).map_or(&self.rows, |(_, rows)| rows)
     }
 
-    /// Reads the rows of a partition from a key on, as they were `age` ago.
+    /// Reads at most `limit` rows of a partition, starting at the key `from`, as they were `age`
+    /// ago.
     pub fn read(
         &self,
         table: &str,
@@ -165,7 +167,7 @@
         let matching = self.rows_at(age).range(from..);
         let matching = matching.take_while(|(key, _)| key.table == table && key.part == part);
         let mut matching = matching.filter(|(_, row)| row.value.is_some());
-        let rows = matching.by_ref().take(limit).map(|(key, row)| key.entry(row)).collect();
+        let rows = matching.by_ref().take(limit).map(|(key, row)| key.to_entry(row)).collect();
         PageBody { rows, more: matching.next().is_some(), ver: self.version, ..PageBody::default() }
     }
 
@@ -175,9 +177,9 @@
         if after < self.history_start || after > self.version {
             return None;
         }
-        let of_table = self.rows.iter().filter(|(key, _)| key.table == table);
-        let changed = of_table.filter(|(_, row)| row.version > after);
-        let mut rows: Vec<RowEntry> = changed.map(|(key, row)| key.entry(row)).collect();
+        let table_rows = self.rows.iter().filter(|(key, _)| key.table == table);
+        let changed_rows = table_rows.filter(|(_, row)| row.version > after);
+        let mut rows: Vec<RowEntry> = changed_rows.map(|(key, row)| key.to_entry(row)).collect();
         rows.sort_by_key(|row| row.ver);
         Some(PageBody { rows, ver: self.version, ..PageBody::default() })
     }
--- a/crates/telemetry/src/errors.rs
+++ b/crates/telemetry/src/errors.rs
@@ -14,19 +14,19 @@
     /// The runtime could not be built.
     #[snafu(display("the runtime can't be built: {source}"))]
     Runtime {
-        /// What the system reported.
+        /// What the operating system reported.
         source: io::Error,
     },
-    /// Signals can't be received.
+    /// The process can't subscribe to signals.
     #[snafu(display("signals can't be received: {source}"))]
     Signals {
-        /// What the system reported.
+        /// What the operating system reported.
         source: io::Error,
     },
     /// The metrics can't be set up.
     #[snafu(display("the metrics can't be set up: {message}"))]
     Metrics {
-        /// What the library reported.
+        /// What the metrics library reported.
         message: String,
     },
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Logs, metrics, the runtime and signals of every basaltarch process.
+//! The logs, metrics, async runtime and signals that every basaltarch process uses.
 
 pub mod errors;
 pub mod logs;
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -4,7 +4,7 @@
 //! Logs as JSON lines on standard output.
 //!
 //! Lines pass through a bounded queue to a thread that writes them, so that a slow reader of
-//! standard output blocks nothing. Lines that find the queue full are dropped and counted.
+//! standard output blocks no other thread. A line is dropped and counted if the queue is full.
 
 use std::io;
 use std::sync::OnceLock;
@@ -12,10 +12,10 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
 
-/// Capacity of the queue in lines: at about 300 bytes each, 1.2 MB.
-const LINES_MAX: usize = 4096;
+/// Capacity of the queue in lines. A full queue takes 1.2 MB, at about 300 bytes a line.
+const QUEUED_LINES_MAX: usize = 4096;
 
-static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
+static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
 /// `LogGuard` is the guard of the writing thread: dropping it flushes the queued lines, for at most
 /// about a second.
@@ -29,7 +29,7 @@
 #[must_use = "queued lines are lost once the guard is dropped"]
 pub fn start(filter: &str) -> LogGuard {
     let filter = EnvFilter::try_new(filter).unwrap_or_else(|_| EnvFilter::new("info"));
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES_MAX);
+    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(QUEUED_LINES_MAX);
     let (writer, worker) = builder.thread_name("log").finish(io::stdout());
     let dropped = writer.error_counter();
     let started = tracing_subscriber::fmt()
@@ -43,16 +43,16 @@
     if started.is_err() {
         return LogGuard { _worker: None };
     }
-    let _ = DROPPED.set(dropped);
+    let _ = DROPPED_LINES.set(dropped);
     LogGuard { _worker: Some(worker) }
 }
 
-/// Returns the number of lines dropped since the start.
+/// Returns the number of lines dropped since the start of the process.
 pub fn dropped_lines() -> u64 {
-    DROPPED.get().map_or(0, |counter| counter.dropped_lines() as u64)
+    DROPPED_LINES.get().map_or(0, |counter| counter.dropped_lines() as u64)
 }
 
-/// Returns whether `filter` can be parsed.
+/// Returns whether [`start`] can parse `filter`.
 pub fn is_valid(filter: &str) -> bool {
     EnvFilter::try_new(filter).is_ok()
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -3,8 +3,8 @@
 
 //! Metrics through OpenTelemetry, exposed in the Prometheus text format on the admin address.
 //!
-//! The request path only updates atomic integers, which OpenTelemetry reads when the metrics are
-//! scraped.
+//! For counters and gauges, the request path only updates atomic integers. OpenTelemetry reads
+//! these when the metrics are scraped.
 
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -69,8 +69,8 @@
     }
 }
 
-/// `HistogramCell` is a distribution of durations in seconds. Each value is recorded at once, which
-/// takes about 100 ns.
+/// `HistogramCell` is a distribution of durations in seconds. Each value is passed to OpenTelemetry
+/// immediately, which takes about 100 ns.
 #[derive(Debug, Default)]
 pub struct HistogramCell(OnceLock<Histogram<f64>>);
 
@@ -86,16 +86,16 @@
     }
 
     /// Records a duration. A duration that is recorded before [`start`] is discarded.
-    pub fn record(&self, time: Duration) {
-        self.record_as(time, []);
+    pub fn record(&self, duration: Duration) {
+        self.record_as(duration, []);
     }
 
     /// Records a duration with labels. Labels must have few values, as each combination of values
     /// is kept for the life of the process.
-    pub fn record_as<const N: usize>(&self, time: Duration, labels: [(&'static str, &str); N]) {
+    pub fn record_as<const N: usize>(&self, duration: Duration, labels: [(&'static str, &str); N]) {
         if let Some(histogram) = self.0.get() {
             let labels = labels.map(|(name, value)| KeyValue::new(name, value.to_owned()));
-            histogram.record(time.as_secs_f64(), &labels);
+            histogram.record(duration.as_secs_f64(), &labels);
         }
     }
 }
@@ -118,15 +118,15 @@
     pub name: &'static str,
     /// Help text.
     pub help: &'static str,
-    /// Name and value of the label.
+    /// Name and value of the label, if the metric has one.
     pub label: Option<(&'static str, &'static str)>,
-    /// Where the value comes from.
+    /// Cell that holds the value.
     pub source: MetricSource,
 }
 
 static REGISTRY: OnceLock<(Registry, SdkMeterProvider)> = OnceLock::new();
 
-/// Registers the metrics of this process; a second call does nothing.
+/// Registers the metrics of this process. A second call does nothing.
 pub fn start(entries: &[MetricEntry]) -> Result<(), StartError> {
     if REGISTRY.get().is_some() {
         return Ok(());
@@ -161,7 +161,7 @@
                 .with_callback(move |observer| {
                     for entry in &entries {
                         if let MetricSource::Counter(cell) = entry.source {
-                            observer.observe(cell.get(), &labels(entry));
+                            observer.observe(cell.get(), &entry_labels(entry));
                         }
                     }
                 })
@@ -180,7 +180,7 @@
                 .with_callback(move |observer| {
                     for entry in &entries {
                         if let MetricSource::Gauge(cell) = entry.source {
-                            observer.observe(cell.get(), &labels(entry));
+                            observer.observe(cell.get(), &entry_labels(entry));
                         }
                     }
                 })
@@ -189,7 +189,7 @@
     }
 }
 
-fn labels(entry: &MetricEntry) -> Vec<KeyValue> {
+fn entry_labels(entry: &MetricEntry) -> Vec<KeyValue> {
     entry.label.iter().map(|(key, value)| KeyValue::new(*key, *value)).collect()
 }
 
--- a/crates/telemetry/src/signals.rs
+++ b/crates/telemetry/src/signals.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Signals as bytes on a socket pair, which the runtime awaits like any other input.
+//! Receives signals as bytes on a socket pair, which the runtime awaits like any other input.
 
 use std::os::unix::net::UnixStream as StdUnixStream;
 
@@ -34,11 +34,11 @@
         Self::new(&[SIGHUP])
     }
 
-    fn new(wanted: &[i32]) -> Result<Self, StartError> {
+    fn new(signals: &[i32]) -> Result<Self, StartError> {
         let signals_error = |source| StartError::Signals { source };
         let (receiver, sender) = StdUnixStream::pair().map_err(signals_error)?;
         receiver.set_nonblocking(true).map_err(signals_error)?;
-        for signal in wanted {
+        for signal in signals {
             let writer = sender.try_clone().map_err(signals_error)?;
             pipe::register(*signal, writer).map_err(signals_error)?;
         }
@@ -46,7 +46,7 @@
         Ok(Self { receiver })
     }
 
-    /// Waits for the next signal.
+    /// Waits for the next of the subscribed signals.
     pub async fn next(&mut self) {
         let (_, _) = self.receiver.read(vec![0; 1]).await;
     }
