--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -85,7 +85,8 @@
         self.loaded.get()
     }
 
-    /// Marks the configuration of this daemon as loaded: the store or a peer has no later one.
+    /// Marks the configuration of this daemon as loaded, because the store or a peer has no later
+    /// configuration.
     pub fn mark_loaded(&self) {
         if !self.loaded.replace(true) {
             self.changed.raise();
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Adopts a whole configuration, whose layout is `next`, if its revision is later than the
-    /// revision in force. Returns whether the configuration was adopted.
+    /// Adopts the whole configuration `config`, whose layout is `next`, if `config` is later than the
+    /// configuration in force or if none was loaded yet. Returns whether `config` was adopted.
     pub fn adopt(&self, config: FleetConfig, mut next: ActiveConfig, now: Duration) -> bool {
         if self.is_loaded() && config.revision() <= self.revision() {
             metrics::OLD_REVISIONS.add_one();
--- a/crates/base/src/peers.rs
+++ b/crates/base/src/peers.rs
@@ -43,12 +43,14 @@
     last_dial: Cell<u64>,
     /// Number of the dial that established the last link.
     linked_dial: Cell<u64>,
+    /// Time of the last dial.
     dialled_at: Cell<Duration>,
     changed: RisingSignal,
     back_off: Cell<Duration>,
+    /// Earliest time of the next dial.
     retry_at: Cell<Duration>,
     leaving: Cell<bool>,
-    /// Whether the link is black-holed.
+    /// Whether no frame arrives over the link although the peer should send frames.
     is_black_holed: Cell<bool>,
     used_at: Cell<Duration>,
 }
@@ -142,8 +144,8 @@
         self.link.borrow().is_none() && (is_unanswered || self.back_off.get() >= LOST_BACK_OFF)
     }
 
-    /// Returns whether the daemon is linked again after its link broke, and has not yet answered
-    /// enough probes.
+    /// Returns whether the daemon is linked again after its link broke, but has not yet answered
+    /// enough probes for the path to count as up.
     pub fn is_proving(&self, now: Duration) -> bool {
         self.link.borrow().is_some() && self.state(now) == PathState::Proving
     }
@@ -163,7 +165,7 @@
         self.link.borrow().clone()
     }
 
-    /// Records that the path is used.
+    /// Records that the path was used at the time `now`.
     pub fn note_used(&self, now: Duration) {
         self.used_at.set(now);
     }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -27,7 +27,7 @@
     /// Lines of the request, and lines about changes in the health of its upstreams, in order of
     /// time.
     pub lines: Vec<LogLine>,
-    /// Lines that contain no complete JSON object.
+    /// Number of lines that contain no complete JSON object.
     pub unreadable: usize,
 }
 
--- a/crates/ctl/src/losses/mod.rs
+++ b/crates/ctl/src/losses/mod.rs
@@ -20,8 +20,8 @@
 use crate::losses::server_health::ServerHistories;
 use crate::losses::tally::LossTally;
 
-/// Largest number of requests that are kept, about 300 bytes each; the lines of further requests
-/// are only counted.
+/// Largest number of requests whose records are kept, at about 300 bytes a record. The lines of
+/// further requests are only counted.
 pub const REQUESTS_MAX: usize = 1_000_000;
 
 /// `ParsedLogs` is what the logs contain about all requests.
@@ -31,11 +31,11 @@
     pub requests: BTreeMap<String, RequestRecord>,
     /// Health and load of the backend servers over time.
     pub histories: ServerHistories,
-    /// Lines that contain no complete JSON object.
+    /// Number of lines that contain no complete JSON object.
     pub unreadable: usize,
-    /// Lines of requests beyond [`REQUESTS_MAX`].
+    /// Number of lines that were skipped because they are about requests beyond [`REQUESTS_MAX`].
     pub passed_over: usize,
-    /// Requests that the hosts did not log.
+    /// Number of requests that the hosts did not log, as the hosts report.
     pub not_logged: u64,
 }
 
--- a/crates/ctl/src/losses/tally.rs
+++ b/crates/ctl/src/losses/tally.rs
@@ -20,7 +20,7 @@
 /// `RouteTally` counts the requests of one route.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RouteTally {
-    /// Requests that an ingress received.
+    /// Number of requests that an ingress received.
     pub asked: u64,
     /// Number of the requests that got a successful response.
     pub served: u64,
@@ -59,11 +59,12 @@
     /// Callers' lost requests by the second of their first line, counted from the first line of the
     /// logs.
     pub seconds: BTreeMap<u64, u64>,
-    /// Lines that contain no complete JSON object.
+    /// Number of lines that contain no complete JSON object.
     pub unreadable: usize,
-    /// Lines of requests beyond [`losses::REQUESTS_MAX`].
+    /// Number of lines that were skipped because they are about requests beyond
+    /// [`losses::REQUESTS_MAX`].
     pub passed_over: usize,
-    /// Requests that the hosts did not log.
+    /// Number of requests that the hosts did not log, as the hosts report.
     pub not_logged: u64,
 }
 
