--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Adopts the whole configuration `config`, whose layout is `next`, if `config` is later than the
+    /// Adopts a whole configuration `config`, whose layout is `next`, if `config` is later than the
     /// configuration in force or if none was loaded yet. Returns whether `config` was adopted.
     pub fn adopt(&self, config: FleetConfig, mut next: ActiveConfig, now: Duration) -> bool {
         if self.is_loaded() && config.revision() <= self.revision() {
--- a/crates/events/src/process.rs
+++ b/crates/events/src/process.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Events of the process itself and of what it depends on.
+//! Events of the daemon process itself, and of the systems that the process depends on.
 
 use crate::catalogue::log_events;
 
