--- a/crates/ctl/src/losses/mod.rs
+++ b/crates/ctl/src/losses/mod.rs
@@ -20,8 +20,8 @@
 use crate::losses::server_health::ServerHistories;
 use crate::losses::tally::LossTally;
 
-/// Largest number of requests that are kept, about 300 bytes each; the lines of further requests
-/// are only counted.
+/// Largest number of requests whose records are kept, at about 300 bytes a record. The lines of
+/// further requests are only counted.
 pub const REQUESTS_MAX: usize = 1_000_000;
 
 /// `ParsedLogs` is what the logs contain about all requests.
@@ -31,15 +31,15 @@
     pub requests: BTreeMap<String, RequestRecord>,
     /// Health and load of the backend servers over time.
     pub histories: ServerHistories,
-    /// Lines that contain no complete JSON object.
+    /// Number of lines that contain no complete JSON object.
     pub unreadable: usize,
-    /// Lines of requests beyond [`REQUESTS_MAX`].
+    /// Number of lines that were skipped because they are about requests beyond [`REQUESTS_MAX`].
     pub passed_over: usize,
-    /// Requests that the hosts did not log.
+    /// Number of requests that the hosts did not log, as the hosts report.
     pub not_logged: u64,
 }
 
-/// Reads the files and counts the losses; fails if a file can't be read.
+/// Reads the log files and counts the lost requests. Fails if a file can't be read.
 pub fn count(paths: &[String]) -> Result<LossTally, CommandError> {
     let mut logs = ParsedLogs::default();
     for path in paths {
@@ -49,7 +49,7 @@
         })?;
     }
     logs.histories.sort();
-    Ok(tally::of(&logs))
+    Ok(tally::count_losses(&logs))
 }
 
 impl ParsedLogs {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns the id of the request during which a backend server sent the nested call with this id.
-/// A backend server that forwards the id of a request appends a dot and a suffix to it.
+/// Returns the id of the request during which a backend server sent the nested call `id`. A backend
+/// server builds the id of a nested call from the id of the request, a dot and a suffix.
 pub fn parent_of(id: &str) -> Option<&str> {
     id.rsplit_once('.').map(|(parent, _)| parent)
 }
