--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -4,9 +4,9 @@
 //! Keeps the configuration in sync: bounded polling of the store, and gossip of changes between
 //! peers.
 //!
-//! Revisions only increase. A daemon that learns of changes forwards them to its neighbours.
-//! Heartbeats carry revisions, so that a daemon that missed a change pulls it. Polling covers the
-//! case that both forwarding and heartbeats fail.
+//! Revisions only increase. A daemon that learns of changes forwards the changes to its neighbours.
+//! Heartbeats carry revisions, so that a daemon that missed a change pulls the change. If both
+//! forwarding and heartbeats fail, polling still finds the change.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -36,11 +36,12 @@
 const PART_BYTES: usize = 64 * units::KIB;
 /// Maximum number of bytes queued on a link while a snapshot is sent.
 const SNAPSHOT_BUFFER_MAX: u64 = 1024 * 1024;
-/// Time between checks whether the receiver of a snapshot has read enough of it for more parts.
+/// Time between checks whether the receiver of a snapshot has read enough bytes to be sent the next
+/// part.
 const SNAPSHOT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Pause between two slices of a long task. It is at least as long as a slice, so that requests get
-/// half of the thread's time; timers have no finer resolution.
+/// Pause between two slices of a long task. The pause is at least as long as a slice, so that
+/// requests get half of the thread's time. Timers have no finer resolution than this pause.
 const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
 /// Polls the store for ever, no more often than this daemon's share of the store reads that the
@@ -77,7 +78,7 @@
         catch_up(state, revision).await?;
     } else if revision < state.config.revision() {
         // The answer was stale. The store had accepted the later configuration that is in force at
-        // this daemon, so it stays in force.
+        // this daemon, so the later configuration stays in force.
         metrics::OLD_REVISIONS.add_one();
     }
     state.config.mark_loaded();
@@ -190,8 +191,8 @@
     }
 }
 
-/// Compares the revision of a peer with that of this daemon: sends the peer the changes that it
-/// lacks, or asks it for the changes that this daemon lacks.
+/// Compares the revision of a peer with that of this daemon: sends the changes that the peer lacks,
+/// or asks the peer for the changes that this daemon lacks.
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let ours = state.config.revision();
     if state.options.source == ConfigSource::Document {
@@ -207,8 +208,8 @@
     }
 }
 
-/// Answers a peer that pulls changes: with the changes, or with a snapshot if they are no longer
-/// cached.
+/// Answers a peer that pulls changes: with the changes, or with a snapshot if the changes are no
+/// longer cached.
 pub fn answer_pull(state: &Rc<DaemonState>, sender: &FrameSender, pull: ChangePull) {
     let after = FleetRevision(pull.after.max(0) as u64);
     if !state.config.is_loaded() {
@@ -271,7 +272,7 @@
     }
 }
 
-/// Applies changes, or a part of a snapshot, from a peer.
+/// Applies the changes, or the part of a snapshot, that a peer sent.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: ChangeNews) {
     if let Some(bytes) = news.snapshot_part {
         let (transfer, index) = (news.telling.unwrap_or(0), news.place.unwrap_or(0));
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -66,8 +66,8 @@
     let revision = FleetRevision(note.revision.max(0) as u64);
     state.members.note_heartbeat(state, peer, revision);
     state.members.note_entries(state, &note.members);
-    // The record is sent before the reply, which may prompt the peer to ask for everything that
-    // this daemon knows.
+    // The peer's previous record is sent before the reply, as the reply may prompt the peer to ask
+    // for everything that this daemon knows.
     roster::send_previous_record(state, sender, peer);
     if note.reply {
         freshness::note_answer(state, &note);
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The operator's document as the source of the configuration.
+//! Adopts the operator's document, where this document is the source of the configuration.
 //!
-//! The document is adopted as a whole, and only if its version is higher than that of the one in
-//! force. The upstreams of its services are the registered backend servers, which the rows of the
+//! A document is adopted as a whole, and only if its version is higher than that of the document in
+//! force. The upstreams of a service are the registered backend servers, which the rows of the
 //! hosts list.
 
 use std::cell::{Cell, RefCell};
@@ -39,9 +39,9 @@
 use crate::roster::{self, RelayedRecord};
 use crate::state::DaemonState;
 
-/// Longest wait of a long poll of the operator's table. It is long because every daemon makes such
-/// calls and the store charges for each, whether or not anything changed. The store waits no longer
-/// than 30 s.
+/// Longest wait of a long poll of the operator's table. The wait is long because every daemon polls
+/// this table, and the store charges for each call whether or not the table changed. The store
+/// itself waits no longer than 30 s.
 const WAIT_MAX: Duration = Duration::from_secs(28);
 /// How the operator's table is followed. A failed call costs as much as a successful one. After an
 /// outage, the first daemon that reads a change announces it to the other daemons, so that retries
@@ -52,8 +52,9 @@
     failure_pause_max: Duration::from_millis(1500),
     wait_max: WAIT_MAX,
 };
-/// Time for which a daemon waits for the store to deliver a document that a peer already has: the
-/// feed takes milliseconds, and a whole document is large.
+/// Time for which a daemon waits for the store to deliver a document that a peer already has,
+/// before the daemon pulls the document from the peer. The store delivers a change within
+/// milliseconds, and a whole document is large.
 const STORE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for which a daemon waits for a document that it pulls from a peer before it may ask another
@@ -68,10 +69,9 @@
 pub struct DocumentCell {
     held: RefCell<Option<Rc<ConfigDocument>>>,
     pulling: Cell<bool>,
-    /// Position up to which the operator's table was read, if it was.
+    /// Position up to which the operator's table was read, `None` before the first read.
     position: Cell<Option<TablePosition>>,
-    /// Raised when a peer has a later document, which the pending call to the store has not
-    /// returned.
+    /// Raised when a peer has a later document that the pending call to the store has not returned.
     stale_call: RisingSignal,
 }
 
@@ -102,8 +102,8 @@
 }
 
 /// Waits for the next changes from the store. Abandons the call if a peer turns out to have a later
-/// document, which the call has not returned: the connection of the call may be black-holed, and
-/// the call would then hang for up to 8.7 s.
+/// document that the call has not returned: a call on a black-holed connection would hang for up to
+/// 8.7 s.
 async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedUpdate> {
     let began = state.now();
     let became_stale = state.document.stale_call.above(state.document.stale_call.get());
@@ -149,9 +149,9 @@
 /// `DocumentOutcome` is what became of a received document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DocumentOutcome {
-    /// The document is in force, or was already.
+    /// The document has been put in force, or was already in force.
     InForce,
-    /// The document is older than the one in force and was ignored.
+    /// The document is older than the document in force, and was ignored.
     Outdated,
     /// The document can't be read.
     Unreadable,
@@ -170,7 +170,8 @@
     }
 }
 
-/// Reads the document that the store holds and adopts it if it is later than the one in force.
+/// Reads the document that the store holds, and adopts a document that is later than the one in
+/// force.
 fn read_document(state: &Rc<DaemonState>, bytes: &[u8]) -> DocumentOutcome {
     match document::read(bytes) {
         Ok(document) => {
@@ -186,7 +187,7 @@
     }
 }
 
-/// Adopts a document if it is later than the one in force.
+/// Adopts a document that is later than the document in force.
 fn adopt_document(
     state: &Rc<DaemonState>,
     document: ConfigDocument,
@@ -207,7 +208,7 @@
     DocumentOutcome::InForce
 }
 
-/// Ignores a document that is no later than the one in force.
+/// Ignores a document that is no later than the document in force.
 fn skip_document(state: &DaemonState, revision: FleetRevision, from: &str) -> DocumentOutcome {
     if revision == state.config.revision() {
         return DocumentOutcome::InForce;
@@ -302,8 +303,8 @@
     state.host.configure(state, &active, &TouchedServices::All);
 }
 
-/// Returns the configuration in force as resources. It is built for each call, as only operators
-/// ask for it.
+/// Returns the configuration in force as resources. The resources are built for each call, as only
+/// operators request them.
 pub fn resources(state: &DaemonState) -> FleetConfig {
     let revision = state.config.revision();
     let mut builder = ConfigBuilder::default();
@@ -342,8 +343,8 @@
     })
 }
 
-/// Pulls the document of a peer that has a later revision in force. It is pulled at once if this
-/// daemon has no document in force, or else if the store has not delivered the document within
+/// Pulls the document of a peer that has a later revision in force. A daemon without a document in
+/// force pulls at once. Any other daemon pulls if the store has not delivered the document within
 /// [`STORE_TIMEOUT`].
 pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
     let is_behind = move |state: &DaemonState| theirs > state.config.revision();
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Follows a table of the platform's store: reads all of it once, then each change.
+//! Follows a table of the platform's store: reads the whole table once, and then each change.
 
 use std::time::Duration;
 
@@ -13,13 +13,14 @@
 
 use crate::state::DaemonState;
 
-/// Longest wait of a call, per daemon of the fleet. A call on a black-holed connection hangs until
-/// its wait is over, and the first daemon whose call ends informs the other daemons. The wait in a
-/// small fleet is therefore bounded so that, over all its daemons, calls end as often as in a fleet
-/// of twelve daemons, that is, one every half second.
+/// Longest wait of a long poll for each daemon of the fleet. A call on a black-holed connection
+/// hangs until its wait is over, and the first daemon whose call ends informs the other daemons.
+/// The wait is therefore proportional to the number of daemons in a small fleet: over all daemons,
+/// calls then end as often as in a fleet of twelve daemons, about one every half second.
 const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
-/// Returns the longest wait of a call in a fleet of `members` daemons, but no more than `most`.
+/// Returns the longest wait of a long poll in a fleet of `members` daemons, but no more than
+/// `most`.
 fn longest_wait(members: usize, most: Duration) -> Duration {
     let wait = WAIT_PER_DAEMON.saturating_mul(members as u32);
     wait.min(most)
@@ -28,24 +29,24 @@
 /// `FeedPlan` says which table is followed and how often the store is called.
 #[derive(Debug, Clone, Copy)]
 pub struct FeedPlan {
-    /// The table.
+    /// Name of the followed table.
     pub table: &'static str,
     /// Pause after a call that brought changes, so that changes close together are read together.
     pub batch_pause: Duration,
     /// Longest pause after consecutive failed calls.
     pub failure_pause_max: Duration,
-    /// Longest wait of a call.
+    /// Longest time for which a call waits at the store for a change.
     pub wait_max: Duration,
 }
 
-/// `FeedUpdate` is the result of one call.
+/// `FeedUpdate` is the result of one call to the store.
 #[derive(Debug)]
 pub enum FeedUpdate {
     /// Every row of the table, all read at the same time.
     Whole(RowsPage),
     /// Rows that changed or were removed, oldest first; none if the wait ended without a change.
     Changes(RowsPage),
-    /// The call failed, and the pause after it is over.
+    /// The call failed, and the pause after the failed call is over.
     Failed,
 }
 
@@ -133,9 +134,9 @@
         let wait = platform::draw_wait(longest_wait(state.members.count(), self.plan.wait_max));
         match state.platform.follow(self.plan.table, position, wait).await? {
             FeedReply::Changes(page, position) => {
-                // An answer may have been delayed on its way, so it includes all changes only up to
-                // the start of the call. An answer without changes was sent no sooner than the end
-                // of its wait.
+                // An answer may have been delayed on its way, so that all changes are included only
+                // up to the start of the call. An answer without changes was sent no sooner than
+                // the end of the call's wait.
                 let has_waited_fully = page.rows.is_empty() && state.now() >= began + wait;
                 self.as_of = if has_waited_fully { began + wait } else { began };
                 self.position = Some(position);
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -31,18 +31,19 @@
 use crate::rows;
 use crate::state::DaemonState;
 
-/// Longest wait for a confirmation. The store answers within a few milliseconds when it is healthy,
-/// and so does a peer; a request for a route that was just added is still served well within the
-/// timeout of most requests.
+/// Longest wait for a confirmation. A healthy store or peer answers within a few milliseconds. A
+/// request for a route that was just added is still served well within the timeout of most
+/// requests.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for the daemons that read the store for the failure domain. The store answers them
-/// within a few milliseconds, and a request for an unknown route waits for them up to this time.
+/// Longest wait for the answers of the daemons that read the store for the failure domain. These
+/// daemons get the store's answer within a few milliseconds. A request for an unknown route waits
+/// up to this time.
 const READER_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after a query without a confirmation within which no other query is made. Requests that
-/// need a confirmation are refused at once.
+/// Time for which no other query is made after a query without a confirmation. Requests that need a
+/// confirmation within this time are refused at once.
 const QUERY_PAUSE: Duration = Duration::from_millis(500);
-/// Number of peers that are queried along with the store: one may be unresponsive, and another may
-/// not have the newest configuration.
+/// Number of peers that are queried along with the store. There are three because one peer may be
+/// unresponsive, and another may not have the newest configuration.
 const QUERIED_PEERS: usize = 3;
 
 /// `FreshnessTracker` is how recently the configuration of this daemon was confirmed as the newest.
@@ -52,7 +53,7 @@
     /// Raised at each confirmation, and at the end of a query.
     confirmed: RisingSignal,
     is_querying: Cell<bool>,
-    /// Time until which no query is made, because the last one brought no confirmation.
+    /// Time until which no query is made, because the last query brought no confirmation.
     paused_until: Cell<Duration>,
 }
 
@@ -100,7 +101,8 @@
     true
 }
 
-/// Starts a query in a task of its own, unless the last one failed a moment ago.
+/// Starts a query in a task of its own, unless the last query failed a moment ago. Says whether the
+/// query was started.
 fn start_query(state: &Rc<DaemonState>) -> bool {
     let tracker = &state.freshness;
     if state.now() < tracker.paused_until.get() {
@@ -124,8 +126,9 @@
     state.freshness.confirmed.raise();
 }
 
-/// Queries the daemons that read the store for the failure domain, and says whether they confirmed.
-/// The calls to the store thus grow with the number of failure domains and not of daemons.
+/// Queries the daemons that read the store for the failure domain, and says whether any of them
+/// confirmed the configuration. The number of calls to the store thus grows with the number of
+/// failure domains, and not with the number of daemons.
 async fn query_readers(state: &Rc<DaemonState>) -> bool {
     let readers = rows::readers(state);
     if readers.contains(&state.options.host) {
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which daemon counts a limit for the whole fleet, and this daemon's replies as the owner or the
-//! backup owner of limits.
+//! Determines which daemon counts a limit for the whole fleet, and answers peers as the owner or
+//! the backup owner of limits.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -29,16 +29,17 @@
 /// has been unresponsive for seconds.
 const ELIGIBLE_TTL: Duration = Duration::from_millis(200);
 
-/// Minimum age of an owner, if any daemon is that old. Some daemons know a new daemon sooner than
-/// others do, and two owners at once would grant a limit twice.
+/// Minimum time since the start of a daemon that owns limits, if any daemon has run for this time.
+/// Some daemons know a new daemon sooner than others do, and two owners at once would grant a limit
+/// twice.
 const OWNER_AGE_MIN: Duration = Duration::from_secs(15);
 
 /// `OwnerAssignment` is the owner of a limit and its backup.
 #[derive(Debug, Clone, Default)]
 pub struct OwnerAssignment {
-    /// Host that counts the limit.
+    /// Host whose daemon counts the limit.
     pub owner: Option<Rc<str>>,
-    /// Host that counts the limit for ingresses that can't reach the owner.
+    /// Host whose daemon counts the limit for ingresses that can't reach the owner.
     pub backup: Option<Rc<str>>,
     /// Generation of the eligible hosts among which the owners were chosen.
     generation: u64,
@@ -120,9 +121,9 @@
         self.assignment(state, limit).owner.as_deref() == Some(&*state.options.host)
     }
 
-    /// Answers as the owner of a limit, or as its backup if the request carries a claim. Returns
-    /// `None` if another daemon is the owner, because two owners would together grant twice the
-    /// limit. The requester then asks the backup.
+    /// Answers as the owner of a limit, or as the backup owner if the request carries a claim.
+    /// Returns `None` if another daemon is the owner, because two owners would together grant twice
+    /// the limit. A requester without an answer asks the backup owner.
     pub fn answer(
         &self,
         state: &DaemonState,
@@ -172,7 +173,7 @@
     Settled,
 }
 
-/// Returns how the daemon started. An earlier start of a daemon shows in the row of its host.
+/// Returns how this daemon started. The row of its host shows whether it had started before.
 pub fn fleet_start(state: &DaemonState) -> FleetStart {
     if state.now() >= FIRST_START_WINDOW {
         return FleetStart::Settled;
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -26,23 +26,25 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Longest wait for a grant of the owner along an established link. Two round trips between failure
-/// domains take 6 ms; an owner that takes longer than this timeout is treated as unreachable. The
-/// time to establish the link is not included, as it is longer right after a start.
+/// Longest wait for the owner's grant on an established link. Two round trips between failure
+/// domains take 6 ms. An owner that does not answer within this timeout is treated as unreachable.
+/// The timeout does not include the time to establish the link, which is longer right after a
+/// start.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which an ingress that can't reach the owner of a limit sends it no requests for tokens,
-/// before it tries the owner again.
+/// Time for which an ingress that can't reach the owner of a limit sends the owner no requests for
+/// tokens.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// `LimitState` is what this ingress knows of one limit.
 struct LimitState {
     limiter: LocalLimiter,
-    /// Raised when the token request in progress has ended, `None` if there is none.
+    /// Raised when the token request in progress has ended, `None` if no token request is in
+    /// progress.
     pending_request: Option<Rc<RisingSignal>>,
     /// Time from which the owner is asked again, while neither the owner nor its backup can be
     /// reached.
     retry_owner_at: Duration,
-    /// Time until which the owner is not asked again, because it could not be reached.
+    /// Time until which the owner is not asked again, because the owner could not be reached.
     owner_lost_until: Option<Duration>,
     /// The daemons that count the limit.
     assignment: OwnerAssignment,
@@ -70,7 +72,7 @@
     pub service: &'a str,
 }
 
-/// Admits a request, or returns after what time the caller may retry.
+/// Admits a request, or returns the refusal, which says after what time the caller may retry.
 pub async fn admit(
     state: &Rc<DaemonState>,
     active: &ActiveConfig,
@@ -136,8 +138,8 @@
 }
 
 async fn admit_one(state: &Rc<DaemonState>, entry: &LimitEntry) -> Result<(), LimitRefusal> {
-    // Other requests that wait for the same grant may use it up first, so up to three requests for
-    // tokens are made.
+    // Other requests that wait for the same grant may use up its tokens first, so the owner is
+    // asked up to three times.
     for _ in 0..3 {
         if state.limits.should_retry_owner(entry, state.now()) {
             start_token_request(state, entry, 0.0);
@@ -169,7 +171,7 @@
         known.limiter.admit(now)
     }
 
-    /// Calls `change` with the state of a limit, if it has one.
+    /// Calls `change` with the state of a limit, if this ingress has a state for the limit.
     fn with_limit<T>(
         &self,
         entry: &LimitEntry,
@@ -196,7 +198,7 @@
         Some(known.assignment.clone())
     }
 
-    /// Passes a reply of the owner to the request for tokens that it belongs to.
+    /// Passes a reply of the owner to the token request that the reply answers.
     pub fn handle_reply(&self, reply: &GrantReply) {
         if let Some(waiter) = self.pending_replies.borrow_mut().remove(&reply.sequence) {
             let ahead = reply.ahead.unwrap_or(0).max(0) as u32;
@@ -206,13 +208,14 @@
     }
 }
 
-/// Asks the owner for tokens. Requests that arrive before its reply wait for the same reply.
+/// Asks the owner for tokens. Requests that arrive before the owner's reply wait for the same
+/// reply.
 async fn request_tokens(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
     start_token_request(state, entry, wanted).raised().await;
 }
 
-/// Asks the owner for tokens, and reports the requests that were admitted before their tokens were
-/// granted, unless a token request is pending. Returns the signal that is raised once the token
+/// Asks the owner for tokens, and reports the tokens that were used before they were granted.
+/// Does nothing if a token request is pending. Returns the signal that is raised once the token
 /// request has ended.
 fn start_token_request(
     state: &Rc<DaemonState>,
@@ -253,8 +256,8 @@
     let lost_until = state.limits.with_limit(entry, |known| known.owner_lost_until).flatten();
     match lost_until {
         Some(until) if state.now() < until => {}
-        // The owner is asked in a task of its own: it may still be unreachable, and must not delay
-        // the requests that wait.
+        // The owner is asked in a task of its own: the owner may still be unreachable, and the
+        // requests that wait must not be delayed.
         Some(_) => {
             let (state, entry) = (state.clone(), entry.clone());
             monoio::spawn(async move { request_from_owner(&state, &entry, 0.0).await });
@@ -265,8 +268,8 @@
     request_from_backup(state, entry, wanted).await;
 }
 
-/// Asks the owner for tokens, and reports the requests that were admitted before their tokens were
-/// granted. Says whether the owner replied.
+/// Asks the owner for tokens, and reports the tokens that were used before they were granted. Says
+/// whether the owner replied.
 async fn request_from_owner(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) -> bool {
     let spent = state.limits.with_limit(entry, |known| known.limiter.take_spent()).unwrap_or(0.0);
     let owner = state.limits.assignment(state, entry).and_then(|assignment| assignment.owner);
@@ -323,9 +326,9 @@
     });
 }
 
-/// Reports to the owner what this daemon granted as the backup owner. If only some daemons can't
-/// reach the owner, the owner's count then covers all grants. An owner that has left the fleet is
-/// not notified, as its successor starts with a new count.
+/// Reports to the owner the tokens that this daemon granted as the backup owner. If only some
+/// daemons can't reach the owner, the owner's count thus covers the grants to all daemons. An owner
+/// that has left the fleet is not notified, as its successor starts with a new count.
 pub fn charge_owner(state: &Rc<DaemonState>, limit: &str, granted: f64) {
     let active = state.config.active();
     let Some(entry) = active.limit(limit).cloned().filter(|_| granted > 0.0) else { return };
@@ -361,7 +364,8 @@
     claim: Option<f64>,
 }
 
-/// Asks one daemon for tokens. Returns `None` if it can't be reached.
+/// Asks one daemon for tokens. Returns `None` if that daemon can't be reached or does not
+/// answer.
 async fn request_from(
     state: &Rc<DaemonState>,
     host: &str,
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -31,20 +31,22 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time that a request waits for a link to be established.
 ///
-/// Dialling continues in the background, so that a later request finds a link to a distant daemon.
+/// Dialling continues in the background after this time, so that a later request finds a link to a
+/// distant daemon.
 const LINK_WAIT_MAX: Duration = Duration::from_millis(500);
 /// Time between checks of the links.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without use after which a link is closed.
 const IDLE_TIME_MAX: Duration = Duration::from_secs(120);
-/// Time for which a path may be cut before its link is closed and established again.
+/// Time without a received frame after which the link of a cut path is closed, so that a new link
+/// can be established. Also the longest time that a replaced link waits for its last requests.
 const CUT_TIME_MAX: Duration = Duration::from_secs(10);
 /// Time without a received frame after which a second link is dialled along a cut path, beside the
 /// first link: a connection may be black-holed for good while new connections work. Requests in
 /// flight on the first link continue.
 const RENEW_AFTER: Duration = Duration::from_secs(1);
-/// Maximum number of accepted links: every other daemon at the fleet size expected in two years,
-/// and room for restarts.
+/// Maximum number of accepted links: one link from every other daemon at the fleet size expected in
+/// two years, and some more for daemons that restart.
 const LINKS_MAX: usize = 8192;
 
 type LinkReader = FrameReader<OwnedReadHalf<TcpStream>>;
@@ -96,9 +98,9 @@
     true
 }
 
-/// Dials a second link beside a link that may be black-holed, and waits for the new link no longer
-/// than a request would. Requests in flight stay on the old link, as it may recover; new requests
-/// use the new link.
+/// Dials a second link beside a link that may be black-holed, and waits for the second link up to
+/// [`LINK_WAIT_MAX`]. Requests in flight stay on the first link, as that link may recover. New
+/// requests use the second link.
 pub async fn renew(state: &Rc<DaemonState>, path: &Rc<PeerPath>) {
     let seen = path.change_count();
     if start_dial(state, path) || path.is_dialling() {
@@ -116,7 +118,7 @@
     link.sender().close();
 }
 
-/// Dials a link and runs it until it ends.
+/// Dials a link, and runs the link until its connection ends.
 async fn run_dialled(state: &Rc<DaemonState>, path: &Rc<PeerPath>, dial_number: u64) {
     let (mut reader, writer, link) = match dial(state, path).await {
         Ok(parts) => parts,
@@ -208,9 +210,10 @@
     }
 }
 
-/// Says whether a link crosses failure domains, on which both sides agree. Frames are compressed on
-/// such a link, as traffic between failure domains is expensive. Within a failure domain, the
-/// processor time for compression would cost more.
+/// Says whether a link crosses failure domains. Both sides of a link come to the same result.
+/// Frames are compressed on a link that crosses failure domains, as traffic between failure domains
+/// is expensive. Within a failure domain, the processor time for compression would cost more than
+/// the traffic.
 fn crosses_domains(state: &DaemonState, peer: &PeerIdentity) -> bool {
     state.options.failure_domain != peer.failure_domain
 }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -5,7 +5,8 @@
 //!
 //! The view is seeded by the rows of the hosts and kept up to date by gossip, in heartbeats between
 //! a few peers. The views of two daemons may always differ, so no guarantee of the fleet depends on
-//! these views. Information about a later incarnation of a daemon takes precedence.
+//! these views. If reports name different incarnations of a daemon, the report of the later
+//! incarnation is used.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,18 +31,20 @@
 
 /// Time between attempts to contact the seeds while no other daemon is known.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum number of members in one heartbeat: the resulting 64 entries a second keep the view
-/// fresh within the suspect time.
+/// Maximum number of members in one heartbeat. With this maximum, 64 entries a second are
+/// exchanged, so that each member's entry is renewed within the suspect time.
 const ENTRIES_MAX: usize = 8;
-/// Heartbeat intervals after which a member without a known heartbeat is suspect, in a small fleet.
+/// Number of heartbeat intervals without a heartbeat after which a member of a small fleet is
+/// suspect.
 const SUSPECT_HEARTBEATS: u32 = 12;
 /// Number of members whose entries one round of heartbeats renews. For each such number of members
 /// in the fleet, the suspect time grows by one heartbeat interval.
 const MEMBERS_RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
-/// Numbers of the states in the peer protocol.
+/// Number of a live member's state in the peer protocol.
 const STATE_LIVE: i8 = 0;
+/// Number of a leaving member's state in the peer protocol.
 const STATE_LEAVING: i8 = 1;
 
 /// `MemberState` is the assumed state of a member.
@@ -56,7 +59,7 @@
 }
 
 impl MemberState {
-    /// Returns the name in the operators' tables.
+    /// Returns the name of the state in the operators' tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Live => "live",
@@ -69,21 +72,22 @@
 /// `MemberView` is what is known of one member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberView {
-    /// Failure domain of its host.
+    /// Failure domain of the member's host.
     pub failure_domain: String,
-    /// Address at which it accepts links.
+    /// Address at which the member accepts links.
     pub peer_address: String,
-    /// Address of its admin API.
+    /// Address of the member's admin API.
     pub admin_address: String,
-    /// Number of its incarnation; a later start has a higher number.
+    /// Number of the member's incarnation; a later start has a higher number.
     pub incarnation: i64,
-    /// Time of its latest known heartbeat, received directly or reported by another member.
+    /// Time of the member's latest known heartbeat, which this daemon received directly or another
+    /// member reported.
     pub last_heartbeat_at: Duration,
-    /// Whether it announced that it is leaving, in this incarnation.
+    /// Whether the member announced, in this incarnation, that it is leaving.
     pub leaving: bool,
-    /// Whether it has a row in the platform's store.
+    /// Whether the member has a row in the platform's store.
     pub listed: bool,
-    /// Revision that it has in force.
+    /// Latest revision of the configuration that the member is known to have in force.
     pub revision: FleetRevision,
 }
 
@@ -171,8 +175,8 @@
         self.members.borrow().get(host).map_or(0, |view| view.incarnation)
     }
 
-    /// Records the row of a host. A row does not count as a heartbeat, unless it is of a later
-    /// incarnation.
+    /// Records the row of a host. A row counts as a heartbeat only if it is of a later incarnation
+    /// than the known one.
     pub fn note_record(&self, state: &DaemonState, host: &str, record: &HostRecord) {
         if host == state.options.host {
             return;
@@ -248,7 +252,7 @@
         self.members.borrow_mut().entry(peer.host).or_insert(view);
     }
 
-    /// Records a heartbeat that came from the peer itself.
+    /// Records a heartbeat that a peer sent to this daemon directly.
     pub fn note_heartbeat(
         &self,
         state: &DaemonState,
@@ -285,8 +289,9 @@
         }
     }
 
-    /// Returns the entries to send to a peer: this daemon's own, and a random sample of those that
-    /// are not in `reported`, which the peer has just sent.
+    /// Returns the entries to send to a peer: this daemon's own entry, and a random sample of the
+    /// other members' entries. Members in `reported` are left out, as the peer has just sent their
+    /// entries.
     pub fn sample_entries(
         &self,
         state: &DaemonState,
@@ -314,7 +319,7 @@
         neighbours::choose(&state.options.host, hosts, round)
     }
 
-    /// Returns the latest revision that a member is known to have.
+    /// Returns the latest revision of the configuration that a member is known to have in force.
     pub fn revision_of(&self, host: &str) -> FleetRevision {
         self.members.borrow().get(host).map_or(FleetRevision(0), |view| view.revision)
     }
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -8,8 +8,8 @@
 use basaltarch_core::units;
 use fnv::FnvHashMap;
 
-/// Largest snapshot accepted from a peer, in bytes; at the fleet size expected in two years it
-/// takes about 10 MB.
+/// Largest snapshot accepted from a peer, in bytes. At the fleet size expected in two years, a
+/// snapshot takes about 10 MB.
 const SNAPSHOT_MAX: usize = 256 << 20;
 
 /// `SnapshotParts` holds the parts of snapshots that are being received, keyed by the host of the
@@ -51,9 +51,9 @@
         number
     }
 
-    /// Adds a part, and returns the whole snapshot if it was the last part. A part that does not
-    /// follow the last received part is dropped: its transfer broke off or was replaced by a later
-    /// transfer.
+    /// Adds a part, and returns the whole snapshot after the last part. A part that does not follow
+    /// the previously received part is dropped: the transfer of the part broke off or was replaced
+    /// by a later transfer.
     pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
         if part.index == 0 {
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -3,8 +3,8 @@
 
 //! Registers the backend servers on this host, and answers whether the daemon is ready.
 //!
-//! An acknowledgement means that what the server reported is in force at this daemon. As only this
-//! daemon sends requests to the backend servers of its host, no other daemon has to be asked.
+//! An acknowledged report of a backend server is in force at this daemon. As only this daemon sends
+//! requests to the backend servers of its host, no other daemon has to be asked.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -34,19 +34,19 @@
 const CONNECTIONS_MAX: usize = 64;
 /// Largest heartbeat, in bytes.
 const BODY_BYTES_MAX: u64 = 16 * 1024;
-/// Timeout of a health check, which may wait for a slot of the server. After a failed check, the
-/// server's next heartbeat comes soon.
+/// Timeout of a health check, which may wait for a slot of the server. A server whose check fails
+/// is registered by its next heartbeat.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Maximum number of ended incarnations of backend servers that are remembered, to recognise
-/// heartbeats that arrive after their end.
+/// heartbeats that arrive after the end of their incarnation.
 const ENDED_MAX: usize = 64;
-/// Maximum number of backend servers whose incarnations are tracked: a host has few backend
-/// servers, and a client that names more of them is no backend server of this host.
+/// Maximum number of backend servers whose incarnations are tracked. A host has few backend
+/// servers, so a client that reports more names than this is no backend server of the host.
 const TRACKERS_MAX: usize = 256;
 
-/// `RegistrationTable` is what this daemon knows of the backend servers on its host, apart from
-/// what it publishes. Everything but `trackers` is keyed by the name of the upstream, which is
-/// specific to one incarnation.
+/// `RegistrationTable` is what this daemon knows of the backend servers on its host, apart from the
+/// published record of the host. All fields but `trackers` are keyed by the name of the upstream,
+/// which is specific to one incarnation.
 #[derive(Debug, Default)]
 pub struct RegistrationTable {
     /// Incarnations of each backend server, by the server's own name.
@@ -65,7 +65,7 @@
         self.cold_until.borrow().get(upstream).is_some_and(|until| *until > now)
     }
 
-    /// Classifies a heartbeat, and records it.
+    /// Classifies a heartbeat, and records the heartbeat's incarnation and sequence number.
     fn judge(&self, heartbeat: &ServerHeartbeat, now: Duration) -> IncarnationVerdict {
         let ServerIncarnation { server, born } = &heartbeat.incarnation;
         let claim = IncarnationClaim { born: *born, sequence: heartbeat.sequence };
@@ -80,7 +80,8 @@
         verdict
     }
 
-    /// Says whether a heartbeat is later than the earlier ones of its incarnation, and records it.
+    /// Says whether a heartbeat is no earlier than the other heartbeats of its incarnation, and
+    /// records its sequence number.
     fn is_newer(&self, heartbeat: &ServerHeartbeat) -> bool {
         let upstream = heartbeat.incarnation.upstream();
         if self.ended_upstreams.borrow().contains(&upstream) {
@@ -133,7 +134,7 @@
 
 fn answer_server(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     // An acknowledged change must also reach the next incarnation of this daemon, through the
-    // store. This daemon no longer waits for writes to the store, so it refuses the change, and the
+    // store. As this daemon no longer waits for writes to the store, it refuses the call, and the
     // backend server retries.
     if state.stop.is_over(state.now()) {
         return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon is shutting down");
@@ -170,9 +171,9 @@
     ServerReply::whole(StatusCode::OK, "application/json", body)
 }
 
-/// Returns why a heartbeat is refused, because its sender may not be a backend server of this host.
-/// Either its service or its address differs from those registered for the same
-/// incarnation, or the incarnation is not registered and its service is not configured.
+/// Returns why a heartbeat is refused, if its sender may not be a backend server of this host. A
+/// heartbeat is refused if its service or address differs from those registered for the same
+/// incarnation, or if its incarnation is not registered and its service is not configured.
 fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
     let servers = state.roster.own_servers();
@@ -189,7 +190,7 @@
     (!is_configured).then_some("the service is not in the configuration")
 }
 
-/// Handles a heartbeat, and returns how it was classified.
+/// Handles a heartbeat, and returns the classification of the heartbeat.
 fn note_heartbeat(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) -> IncarnationVerdict {
     let verdict = state.registrations.judge(heartbeat, state.now());
     match verdict {
@@ -252,8 +253,8 @@
     roster::set_own_servers(state, servers);
 }
 
-/// Records that an incarnation of a backend server has ended, by its deregistration or because
-/// another server answers in its place.
+/// Records that an incarnation of a backend server has ended, because the server deregistered or
+/// another server answers at its address.
 pub fn note_ended(state: &Rc<DaemonState>, name: &str) {
     state.registrations.note_ended(name);
     let mut servers = state.roster.own_servers();
@@ -305,7 +306,8 @@
     }
 }
 
-/// Checks the health of a backend server. Says whether it is healthy and still has its name.
+/// Checks the health of a backend server. Says whether the server at the recorded address is
+/// healthy and answers with the recorded name.
 async fn answers_as(state: &Rc<DaemonState>, server: &ServerRecord) -> bool {
     let path = match health_path(state, &server.service).await {
         Some(path) => path,
@@ -327,7 +329,7 @@
     }
 }
 
-/// Returns the path of a service's health check, once there is a document.
+/// Waits until a document is in force, and returns the path of a service's health check.
 async fn health_path(state: &Rc<DaemonState>, service: &str) -> Option<String> {
     let mut seen = state.config.changed().get();
     while state.document.get().is_none() {
@@ -338,8 +340,9 @@
     Some(declaration.health_path.clone())
 }
 
-/// Registers a recovered backend server, unless it or a server that replaced it is registered, it
-/// has left, or the latest recovered record does not list it as in use.
+/// Registers a recovered backend server. A server is not registered if the server itself or its
+/// replacement is registered already, if the server has left, or if the latest recovered record
+/// does not list the server as in use.
 fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
     // If a heartbeat of the server or of its replacement has arrived since recovery started, that
--- a/crates/daemon/src/resume.rs
+++ b/crates/daemon/src/resume.rs
@@ -5,8 +5,8 @@
 //!
 //! Time limits are measured by a clock that also runs during a suspend, so deadlines, grants,
 //! budgets and the reports of other daemons have expired without further action. This module does
-//! the rest: a path is not considered usable before a frame is received on it, a response time that
-//! spans the suspend is not counted against a server, and the peers are informed.
+//! the rest: a path is not considered usable before a frame is received on that path, a response
+//! time that spans the suspend is not counted against a server, and the peers are informed.
 
 use std::rc::Rc;
 
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -12,12 +12,13 @@
 
 use crate::state::DaemonState;
 
-/// Minimum time between two rounds of one daemon.
+/// Minimum time between two rounds of one daemon, each of which sweeps a part of the ledger.
 const ROUND_MIN: Duration = Duration::from_secs(30);
-/// Time between two rounds for each daemon of the fleet: 20 rounds a second in the whole fleet, a
-/// tenth of the fleet's reads.
+/// Factor of the time between two rounds of one daemon, which is multiplied by the number of
+/// daemons. It allows 20 rounds a second in the whole fleet, which take a tenth of the fleet's
+/// store reads.
 const ROUND_PER_DAEMON: Duration = Duration::from_millis(50);
-/// Time to the first round, short so that rows soon carry an epoch.
+/// Time from the start to the first round, which is short so that rows soon carry an epoch.
 const ROUND_FIRST: Duration = Duration::from_millis(500);
 
 /// Sweeps the ledger for ever.
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -37,7 +37,7 @@
 use crate::state::DaemonState;
 use crate::suspects::{self, RefusedRecord};
 
-/// Table of the rows.
+/// Name of the store's table with one row for each host.
 pub const HOSTS_TABLE: &str = "hosts";
 /// Longest pause after consecutive failed calls to the store: changes that were made during an
 /// outage of the store must be known within about two seconds of the end of the outage.
@@ -49,10 +49,10 @@
 /// write takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends
 /// 300 ms later.
 const NOTIFY_AFTER: Duration = Duration::from_millis(200);
-/// Shortest time between checks for rows of hosts that are gone.
+/// Shortest time between two checks for rows of hosts whose daemon no longer sends heartbeats.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// Longest time between these checks as a multiple of [`SWEEP_INTERVAL`], so that not all daemons
-/// check at once.
+/// Longest time between two checks, as a multiple of [`SWEEP_INTERVAL`]. The time is random, so
+/// that not all daemons check at once.
 const SWEEP_JITTER_FACTOR: f64 = 1.5;
 
 /// `HostRecord` is what a host's daemon publishes about itself and the backend servers on its host.
@@ -88,13 +88,13 @@
 pub struct ServerRecord {
     /// Name of this incarnation of the backend server.
     pub name: String,
-    /// Service that it is an upstream of.
+    /// Service that the backend server is an upstream of.
     pub service: String,
-    /// Address that it listens on.
+    /// Address that the backend server listens on.
     pub address: SocketAddr,
-    /// Requests that it handles at once.
+    /// Number of requests that the backend server handles at once.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the backend server is leaving.
     pub draining: bool,
 }
 
@@ -103,7 +103,7 @@
 pub struct RelayedRecord {
     /// Name of the host.
     pub host: String,
-    /// Its record.
+    /// Record of the host.
     pub record: HostRecord,
 }
 
@@ -150,7 +150,7 @@
     own_servers: RefCell<Vec<ServerRecord>>,
     own_changes: Cell<u64>,
     own_version: Cell<u64>,
-    /// This daemon's own row as the store holds it, `None` if that is not known.
+    /// This daemon's own row as the store holds it, `None` if the stored row is not known.
     written: RefCell<Option<HostRecord>>,
     /// Whether a backend server left while this daemon's row in the store may still list it.
     has_unwritten: Cell<bool>,
@@ -239,7 +239,7 @@
         written.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
     }
 
-    /// Records which row of this daemon the store holds, `None` if that is not known.
+    /// Records which row of this daemon the store holds, `None` if the stored row is not known.
     fn note_written(&self, record: Option<HostRecord>) {
         *self.written.borrow_mut() = record;
         if self.is_row_current() {
@@ -287,8 +287,8 @@
     }
 }
 
-/// Sets the backend servers that are registered with this daemon. They are in force at this daemon
-/// on return; the other daemons read them from the store.
+/// Sets the backend servers that are registered with this daemon. On return, the new list is in
+/// force at this daemon; the other daemons read the list from the store.
 pub fn set_own_servers(state: &Rc<DaemonState>, servers: Vec<ServerRecord>) {
     if *state.roster.own_servers.borrow() == servers {
         return;
@@ -305,8 +305,9 @@
     state.roster.touch();
 }
 
-/// Records that a backend server of this host has left, which is acknowledged to the server. If the
-/// store does not accept the changed row soon, the peers are notified.
+/// Records that a backend server of this host has left. The departure is acknowledged to the server
+/// before the store has the changed row, so the peers are notified if the store does not accept the
+/// row within [`NOTIFY_AFTER`].
 pub fn note_departure(state: &Rc<DaemonState>) {
     if state.roster.is_row_current() {
         return;
@@ -361,8 +362,9 @@
             fleet::EarlierStart { host, incarnation, latest }.log();
             return;
         }
-        // The known record is later: it came directly from its daemon, or it is this daemon's own
-        // and changed while `record` was being written.
+        // The known record is later than `record`. Either the host's daemon sent the known record
+        // directly, or the known record is this daemon's own and changed while `record` was being
+        // written.
         if known.as_ref().is_some_and(|known| known.order() > record.order()) {
             return;
         }
@@ -394,7 +396,7 @@
     document::put_services_in_force(state, &touched_services);
 }
 
-/// Logs the new record of a host, or that the host is gone.
+/// Logs the new record of a host, or that the host has no record any more.
 fn log_record(host: &str, record: Option<&HostRecord>) {
     let record = match record {
         Some(record) => record,
@@ -429,7 +431,7 @@
     }
 }
 
-/// Applies the whole table: adopts its rows, and removes the hosts that have no row in it.
+/// Applies the whole table: adopts its rows, and removes the hosts that have no row in the table.
 pub fn apply_table(state: &Rc<DaemonState>, page: &RowsPage) {
     for row in &page.rows {
         apply_row(state, row);
@@ -461,7 +463,7 @@
     if row.key != state.options.host {
         return update_record(state, &row.key, Some(record));
     }
-    // This row is outdated if the answer to a later write of this daemon came before it.
+    // The row is outdated if the store has answered a later write of this daemon in the meantime.
     if row.version > state.roster.own_version.get() {
         state.roster.own_version.set(row.version);
         state.roster.note_written(Some(record.clone()));
@@ -474,9 +476,9 @@
     state.roster.touch();
 }
 
-/// Handles a row that can't be read because some other writer wrote it. The known record of its
-/// host stays, since the daemon of that host will write the row again. If it is this daemon's row,
-/// that write is scheduled.
+/// Handles a row that can't be read because a program other than a daemon wrote the row. The known
+/// record of the host stays, since the daemon of that host will write the row again. If the row is
+/// this daemon's own, a write is scheduled.
 fn note_unreadable(state: &DaemonState, row: &StoredRow) {
     if row.key == state.options.host {
         state.roster.own_version.set(row.version);
@@ -485,7 +487,7 @@
     }
 }
 
-/// Reads the record in the row of a host. Backend servers in it that can't be read are left out.
+/// Reads the record in the row of a host. Backend servers that can't be read are left out.
 pub fn read_record(host: &str, bytes: &[u8]) -> Result<HostRecord, serde_json::Error> {
     let mut value: Value = serde_json::from_slice(bytes)?;
     let servers = take_list(&mut value, "servers");
@@ -594,8 +596,8 @@
             update_record(state, &state.options.host, Some(record.clone()));
             Ok(())
         }
-        // The row that the store holds instead is recorded, for example that of an earlier
-        // incarnation. The next attempt replaces that row.
+        // The store holds another row, for example the row of an earlier incarnation. This stored
+        // row is recorded, and the next attempt replaces it.
         Err(StoreError::Conflict { rows }) => {
             for row in rows {
                 state.roster.own_version.set(row.version);
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -32,9 +32,9 @@
 use crate::roster::{self, RelayedRecord, FAILED_CALL_PAUSE_MAX, HOSTS_TABLE};
 use crate::state::DaemonState;
 
-/// How the feed is followed. Changes in quick succession, as when a fleet starts, are read in one
-/// call. No request waits for a change, since the daemon of a host refuses requests that its server
-/// must not get.
+/// How the feed of the table of hosts is followed. Changes in quick succession, as when a fleet
+/// starts, are read in one call. The pause before that call delays no request: a daemon refuses
+/// requests that the backend server on its own host must not get.
 const HOSTS_FEED_PLAN: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
@@ -43,29 +43,28 @@
     // soon on a black-holed connection.
     wait_max: FEED_WAIT,
 };
-/// Daemons of a failure domain that follow the feed: one may be unreachable before this is
-/// detected.
+/// Number of daemons of a failure domain that follow the feed. There are two because a daemon may
+/// be unreachable for a while before the other daemons detect this.
 const READERS_PER_DOMAIN: usize = 2;
 /// The key of the rendezvous hashing by which the readers are chosen.
 const READERS_KEY: &str = "rows of hosts";
-/// Time between requests for changes, which renew the subscription.
+/// Time between two requests for changes to a reader. Each request renews the subscription.
 const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a message after which a reader is avoided, and after which a daemon that has
-/// received nothing from any reader reads the store. It allows for two lost requests, and a new
-/// backend server should get requests within four seconds.
+/// received nothing from any reader reads the store. The time allows for two lost requests. It is
+/// not longer because a new backend server should get requests within four seconds.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2500);
-/// Time for which an unresponsive reader is not chosen. After it the reader may have recovered.
+/// Time for which an unresponsive reader is not chosen. Later, the reader may have recovered.
 const AVOID_TIME: Duration = Duration::from_secs(20);
-/// Maximum number of removed rows that are remembered: as many as the hosts that are removed in an
-/// hour of a large fleet.
+/// Maximum number of removed rows that are remembered: as many as a large fleet removes in an hour.
 const REMOVED_MAX: usize = 512;
-/// Version of the changes that carry a relayed record, which a daemon sends directly, bypassing the
-/// store. The versions of the table are higher.
+/// Version of a message that carries a relayed record. A daemon sends a relayed record directly to
+/// its peers, bypassing the store. All versions of the table are higher than this number.
 const RELAYED_VERSION: i64 = 0;
-/// Time for which changes are sent to a daemon after its request.
+/// Time for which a reader sends changes to another daemon after that daemon's last request.
 const SUBSCRIPTION_TTL: Duration = Duration::from_millis(3500);
 
-/// `RowsRelay` is this daemon's part in reading the rows and relaying them.
+/// `RowsRelay` is this daemon's part in reading the rows of the hosts and relaying their changes.
 #[derive(Default)]
 pub struct RowsRelay {
     /// Version of the table of hosts up to which this daemon has applied the changes.
@@ -89,9 +88,9 @@
 /// `RowsReader` is a daemon that changes were requested from.
 struct RowsReader {
     host: String,
-    /// When it last sent changes, or was first asked for them.
+    /// When the reader last sent changes, or was first asked for changes.
     last_message_at: Duration,
-    /// Time until which it is avoided because it was unresponsive.
+    /// Time until which the reader is not chosen because it was unresponsive.
     avoided_until: Duration,
 }
 
@@ -120,8 +119,8 @@
         readers.iter().any(|reader| reader.host == host && reader.avoided_until > now)
     }
 
-    /// Records that a reader is asked for changes, and avoids it if it has been unresponsive for
-    /// too long.
+    /// Records that a reader is asked for changes, and avoids a reader that has been unresponsive
+    /// for longer than [`UNRESPONSIVE_AFTER`].
     fn note_request(&self, host: &str, now: Duration) {
         let mut readers = self.readers.borrow_mut();
         match readers.iter_mut().find(|reader| reader.host == host) {
@@ -144,8 +143,8 @@
         }
     }
 
-    /// Records that a daemon sent changes. Says whether it is a reader that this daemon asked for
-    /// them.
+    /// Records that a daemon sent changes. Says whether the sender is a reader that this daemon
+    /// asked for changes.
     fn note_sender(&self, host: &str, now: Duration) -> bool {
         let mut readers = self.readers.borrow_mut();
         let reader = readers.iter_mut().find(|reader| reader.host == host);
@@ -158,8 +157,8 @@
         false
     }
 
-    /// Stores the current state of a row. The note that a row was removed is kept until there are
-    /// more than [`REMOVED_MAX`] of them.
+    /// Stores the current state of a row. If more than [`REMOVED_MAX`] removed rows are stored, the
+    /// row that was removed first is forgotten.
     fn store_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
@@ -174,8 +173,8 @@
         }
     }
 
-    /// Stores the whole table. A known row that is not in it was removed by the version of the
-    /// table.
+    /// Stores the whole table. A stored row that is missing from the table is recorded as removed
+    /// at the version of the table.
     fn store_table(&self, page: &RowsPage) {
         let version = page.version as i64;
         let is_missing = |note: &&RowNote| {
@@ -189,7 +188,7 @@
         page.rows.iter().filter_map(row_note).for_each(|note| self.store_note(note));
     }
 
-    /// Returns the changes after a version.
+    /// Returns the changes after the version `after` of the table.
     fn changes_after(&self, after: i64) -> RowsNews {
         let version = self.version.get() as i64;
         let forgotten = after > 0 && after < self.forgotten_to.get();
@@ -229,7 +228,7 @@
     readers
 }
 
-/// Keeps the rows up to date for ever: from the store, or from the readers.
+/// Keeps the rows up to date for ever, with changes from the store or from the readers.
 pub async fn follow(state: Rc<DaemonState>) {
     let mut reader = FeedReader::new(HOSTS_FEED_PLAN);
     loop {
@@ -293,8 +292,8 @@
     }
 }
 
-/// Asks the readers of this daemon's failure domain for changes, for ever. A reader that gets no
-/// answer from the store asks the other reader.
+/// Asks the readers of this daemon's failure domain for changes, for ever. If this daemon is itself
+/// a reader and gets no answer from the store, it asks the other reader.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(RENEW_INTERVAL).await;
@@ -349,7 +348,8 @@
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
-/// Applies changes that a peer sent, unless this daemon has them already or lacks earlier changes.
+/// Applies changes that a peer sent, unless this daemon has applied the same changes already or
+/// lacks earlier changes.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: RowsNews) {
     if news.version == RELAYED_VERSION && !news.rows.is_empty() {
         let relayed = news.rows.iter().filter_map(|note| relayed_record(peer, note));
@@ -376,7 +376,8 @@
 }
 
 /// Sends a peer a host's record directly, bypassing the store. A daemon of a release without
-/// relayed records ignores it, as its version is lower than any version of the table.
+/// relayed records ignores the message, as the message's version is lower than any version of the
+/// table.
 pub fn send_relayed(sender: &FrameSender, relayed: &RelayedRecord) {
     // The record holds texts and numbers only, so that its serialization can't fail.
     let value = serde_json::to_vec(&relayed.record).ok();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -39,10 +39,10 @@
 
 /// `StopRequests` is where requests to stop a daemon come from.
 pub enum StopRequests {
-    /// Signals of the system: SIGTERM drains, however often it comes. SIGINT does too, but ends the
-    /// daemon at once if it is stopping already.
+    /// Signals of the system. SIGTERM drains the daemon, even if the signal comes repeatedly.
+    /// SIGINT drains a running daemon, and ends a daemon at once that is stopping already.
     Signals,
-    /// Only the admin API and [`stop::StopState::asked`]; signals of the system are not handled.
+    /// The admin API and [`stop::StopState::asked`]. Signals of the system are not handled.
     Api,
 }
 
@@ -62,7 +62,7 @@
     Ok((listener, address))
 }
 
-/// Listens on an address if there is one, and replaces it by the address as bound.
+/// Listens on the address, if one is set, and replaces `address` by the address as bound.
 fn listen_optional(address: &mut Option<SocketAddr>) -> Result<Option<TcpListener>, DaemonError> {
     match address {
         Some(wanted) => {
@@ -86,7 +86,7 @@
     Ok(DaemonListeners { callers, peers, admin, ready, registration })
 }
 
-/// Runs a daemon to its end; `on_start` gets its state once it listens.
+/// Runs a daemon to its end. `on_start` is called with the daemon's state once the daemon listens.
 pub async fn run(
     mut options: DaemonOptions,
     stops: StopRequests,
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -33,11 +33,11 @@
 /// Time for which a report that an upstream is draining counts without being renewed.
 const DRAIN_REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// Share of the configured retry budget that daemons spend; the rest covers retries that are
-/// counted too early or not at all. A retry reaches a server a little after it is counted, possibly
-/// in another window. A retry that a server refuses unexpectedly was received as well, although no
-/// daemon charges it to the budget. With 0.85, a service received 217 retries in a window that
-/// allowed 198.
+/// Share of the configured retry budget that daemons use. The remaining share allows for retries
+/// that are counted too early or not at all. A retry reaches a server a little after the retry is
+/// counted, possibly in another window. A server also receives retries that it then refuses
+/// unexpectedly, and no daemon charges these retries to the budget. With a share of 0.85, a service
+/// received 217 retries in a window that allowed 198.
 const RETRY_BUDGET_FRACTION: f64 = 0.7;
 /// Maximum number of routes with a weighted split whose state is kept. Beyond this number the
 /// states of all routes are dropped, so that the states of removed routes do not accumulate.
@@ -51,7 +51,7 @@
     paths: Vec<Rc<PeerPath>>,
     draining_until: Vec<Cell<Duration>>,
     view: RefCell<ServiceView>,
-    /// Slow requests that each upstream last reported, and the time of that report.
+    /// Slow requests that each upstream last reported, with the time of the report.
     slow_requests: RefCell<Vec<(SlowRequests, Duration)>>,
     baselines: RefCell<FnvHashMap<Rc<str>, RouteBaseline>>,
     /// Mean size of a request and its response, by route.
@@ -202,9 +202,9 @@
         &self.paths[index]
     }
 
-    /// Updates the view of the upstream on this host while it is ejected or its circuit breaker is
-    /// open. This daemon knows without a response when the next trial is due. Other daemons learn
-    /// this from reports, which are rare for such an upstream.
+    /// Updates the view of the upstream on this host while the upstream is ejected or its circuit
+    /// breaker is open. This daemon knows without a response when the next trial is due. Other
+    /// daemons learn the time of the trial from reports, which are rare for an ejected upstream.
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
@@ -252,8 +252,8 @@
         self.view.borrow_mut().draw_reservations(now, request, fits, &mut rand::rng())
     }
 
-    /// Returns how many service rounds a new request would wait at an upstream by its last report.
-    /// In one service round, the upstream serves as many requests as it has slots.
+    /// Returns how many service rounds a new request would wait at an upstream, by the upstream's
+    /// last report. In one service round, an upstream serves as many requests as it has slots.
     pub fn queued_rounds(&self, index: usize, now: Duration) -> f64 {
         let view = self.view.borrow();
         view.upstreams().get(index).map_or(0.0, |upstream| upstream.queued_rounds(now))
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Records a report of an upstream. `failed` says whether the request failed, `None` if it did
-    /// not run.
+    /// Records a report of an upstream. `failed` says whether the request failed, and is `None` if
+    /// the request did not run.
     pub fn note_report(
         &self,
         index: usize,
@@ -306,7 +306,7 @@
         view.note_report(index, load.in_flight + load.queued, health, now);
     }
 
-    /// Records that an attempt at an upstream takes longer than its hedging delay.
+    /// Records that an attempt at an upstream takes longer than the attempt's hedging delay.
     pub fn note_late(&self, index: usize, now: Duration) {
         self.paths[index].note_late();
         self.view.borrow_mut().note_late(index, now);
@@ -381,7 +381,7 @@
         self.budget.borrow_mut().remaining(now)
     }
 
-    /// Takes a retry from the budget, and says whether there was one.
+    /// Takes a retry from the budget, and says whether the budget allowed the retry.
     pub fn take_retry(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
@@ -393,8 +393,8 @@
         taken
     }
 
-    /// Records that a request succeeded: its earlier failures were not caused by the request
-    /// itself.
+    /// Records that a request succeeded, so that the request itself is not the cause of its earlier
+    /// failures.
     pub fn note_success(&self, method: &str, target: &str, now: Duration) {
         let mut poison = self.poison.borrow_mut();
         poison.forget_old(now);
@@ -502,7 +502,7 @@
     }
 }
 
-/// `SentGuard` counts a request that was sent to an upstream.
+/// `SentGuard` counts a request as sent to an upstream until the guard is dropped.
 pub struct SentGuard {
     service: Rc<ServiceState>,
     index: usize,
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -42,7 +42,7 @@
 pub struct DaemonState {
     /// The settings at the start, with the addresses as bound.
     pub options: DaemonOptions,
-    /// The settings as last reloaded, for those that may change while the daemon runs.
+    /// The settings as last reloaded, used for the settings that may change while the daemon runs.
     live: RefCell<Rc<DaemonOptions>>,
     /// Time since the start.
     pub clock: DaemonClock,
@@ -50,14 +50,13 @@
     pub identity: PeerIdentity,
     /// The configuration in force.
     pub config: ConfigCell,
-    /// The operator's document, where the configuration comes from one.
+    /// The operator's document, if the document is the source of the configuration.
     pub document: DocumentCell,
     /// How recently the configuration was confirmed as the newest.
     pub freshness: FreshnessTracker,
     /// The rows of all hosts.
     pub roster: HostRoster,
-    /// Which daemons of this daemon's failure domain read the rows of hosts from the store, and
-    /// what they relay.
+    /// The relay of the rows of hosts between the daemons of this daemon's failure domain.
     pub rows: RowsRelay,
     /// The registrations of backend servers on this host.
     pub registrations: RegistrationTable,
@@ -75,7 +74,7 @@
     pub host: HostRole,
     /// Load probes of upstreams that are not answered yet.
     pub pending_probes: PendingProbes,
-    /// Rate limits.
+    /// Rate limiting at the ingress, and the limits that this daemon counts for the fleet.
     pub limits: RateLimiter,
     /// Accepted changes of the configuration in the platform's table.
     pub changes: ChangeStore,
@@ -184,8 +183,8 @@
         self.clock.now()
     }
 
-    /// Returns the service that runs on this host: that of a registered backend server, or the one
-    /// that the settings name.
+    /// Returns the service that runs on this host: the service of a registered backend server, or
+    /// else the service that the settings name.
     pub fn own_service(&self) -> Option<String> {
         let servers = self.roster.own_servers();
         let registered = servers.iter().find(|server| !server.draining).or(servers.first());
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -18,8 +18,8 @@
 
 /// Time between checks for requests in flight during a shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum number of checks whether callers have read their last responses: together a third of the
-/// time from the end of the longest drain to the platform's kill.
+/// Maximum number of checks whether callers have read their last responses. All checks together
+/// take a third of the time from the end of the longest drain to the platform's kill.
 const LINGER_CHECKS: usize = 5;
 
 /// `StopReport` says how a daemon ended.
@@ -29,7 +29,8 @@
     pub cut: usize,
 }
 
-/// `StopState` is the progress of a daemon's shutdown, and what it still waits for.
+/// `StopState` is the progress of a daemon's shutdown, and the counts of requests and connections
+/// that the shutdown waits for.
 #[derive(Debug, Default)]
 pub struct StopState {
     /// Raised when the daemon is asked to stop.
@@ -49,8 +50,8 @@
     lingering: Cell<usize>,
 }
 
-/// `StopBegin` is when a stop began and on which terms: settings that are reloaded during it apply
-/// to the next one.
+/// `StopBegin` is when a shutdown began, and its terms. Settings that are reloaded during a
+/// shutdown do not change the terms.
 #[derive(Debug, Clone, Copy)]
 struct StopBegin {
     at: Duration,
@@ -66,9 +67,10 @@
     /// Returns the signal to raise when a person at a terminal interrupts the daemon: the signal of
     /// a stop, or the signal of an immediate end if the daemon is stopping already.
     ///
-    /// No other request ends the daemon at once. Requests to stop come twice when planned
-    /// maintenance overlaps, or when an operator drains a daemon that the platform then stops;
-    /// beyond that the platform can kill it.
+    /// A repeated request to stop that comes from the platform or an operator does not end the
+    /// daemon at once. Such requests come twice when planned maintenance overlaps, or when an
+    /// operator drains a daemon that the platform then stops. The platform can still kill the
+    /// daemon.
     pub fn interrupt_signal(&self) -> &RisingSignal {
         if self.is_asked() {
             &self.interrupted
@@ -88,8 +90,8 @@
     }
 
     /// Says whether the drain is over, so that the daemon gives up the requests in flight or ends.
-    /// A daemon that was suspended past its longest drain may not have entered that phase yet, so
-    /// the clock is checked as well.
+    /// A daemon that was suspended past its longest drain may not have entered a later phase yet,
+    /// so the clock is checked as well.
     pub fn is_over(&self, now: Duration) -> bool {
         let is_past_longest =
             |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
@@ -173,7 +175,7 @@
     }
 }
 
-/// Refuses new requests phase by phase, and waits until those in flight have ended.
+/// Refuses new requests phase by phase, and waits until the requests in flight have ended.
 pub async fn run(state: &Rc<DaemonState>) -> StopReport {
     let stop = &state.stop;
     process::DaemonLeaving { in_flight: stop.in_flight() as u64 }.log();
@@ -205,9 +207,10 @@
 
 /// Returns the number of conditions that must clear before the process may end.
 ///
-/// An acknowledged departure of a backend server is one of them until the row in the store shows
-/// it: the next incarnation of this daemon restores the servers that the row lists, and would send
-/// requests to a server that has left.
+/// Each request in flight is a condition. Another condition is a backend server whose departure was
+/// acknowledged while the row in the store may still list the server. The next incarnation of this
+/// daemon restores the servers that the row lists, and would send requests to a server that has
+/// left.
 fn unfinished(state: &DaemonState) -> usize {
     state.stop.in_flight() + usize::from(state.roster.has_unwritten_servers())
 }
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -40,7 +40,8 @@
 #[derive(Default)]
 pub struct SuspectRegistry {
     table: RefCell<SuspectTable>,
-    /// Requests whose last crash was on this host. Its row records those that are refused.
+    /// Requests that last crashed a backend server on this host. The row of the host records the
+    /// refused ones among these requests.
     crashed_here: RefCell<Vec<RequestFingerprint>>,
     digest: Cell<u64>,
 }
@@ -50,9 +51,9 @@
 pub struct RefusedRecord {
     /// Fingerprint of the request, as text.
     pub fingerprint: String,
-    /// Round of its tally.
+    /// Round of the request's crash tally; a successful run of the request starts a new round.
     pub round: u32,
-    /// Crashes of its tally.
+    /// Number of backend server crashes that count against the request in this round.
     pub crashes: u32,
     /// The backend server that crashed last while it ran the request.
     pub upstream: String,
@@ -69,14 +70,15 @@
         self.table.borrow().tally(fingerprint)
     }
 
-    /// Returns a notice for each suspected request, those with the most crashes first.
+    /// Returns a notice for each suspected request, the requests with the most crashes first.
     pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
         let mut notices = self.table.borrow().notices(now);
         notices.sort_by_key(|notice| (u32::MAX - notice.tally.crashes, notice.seen_ago));
         notices
     }
 
-    /// Returns the digest of the suspected requests, for heartbeats, or `None` if there are none.
+    /// Returns the digest of the suspected requests, for heartbeats, or `None` if no request is
+    /// suspected.
     pub fn digest(&self) -> Option<i64> {
         Some(self.digest.get() as i64).filter(|digest| *digest != 0)
     }
@@ -108,7 +110,7 @@
     }
 }
 
-/// Says whether a copy of a request that came to this daemon is served, tried or refused.
+/// Says whether a copy of a request is served normally, run as a trial, or refused.
 pub fn judge(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
     let makes_trials = || {
         let live = state.members.live_hosts(state);
@@ -225,8 +227,8 @@
     let _ = sender.send(NO_EXCHANGE, FrameBody::SuspectNews(SuspectNews { suspects }));
 }
 
-/// Records the notices of another daemon, and forwards those that are new to this daemon. A sender
-/// that has not learnt of a successful run of a request gets the newer notice in return.
+/// Records the notices of another daemon, and forwards the notices that are new to this daemon. If
+/// the sender has not learnt of a successful run of a request, the newer notice is sent back.
 pub fn handle_news(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
@@ -259,13 +261,13 @@
     };
     let notices: Vec<SuspectNotice> = records.iter().filter_map(notice).collect();
     record_notices(state, &notices, host);
-    // Crashes that an earlier incarnation of this daemon recorded stay in its row.
+    // Crashes that an earlier incarnation of this daemon recorded stay in this daemon's row.
     if host == state.options.host {
         notices.iter().for_each(|notice| add_to_own_row(state, notice.fingerprint));
     }
 }
 
-/// Records notices and returns those that are new to this daemon.
+/// Records notices, and returns the notices that are new to this daemon.
 fn record_notices(
     state: &Rc<DaemonState>,
     notices: &[SuspectNotice],
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -17,9 +17,9 @@
 use bytes::BytesMut;
 use http::HeaderMap;
 
-/// Bytes of a typical header field, to allocate enough at once.
+/// Bytes of a typical header field, by which the buffer for field lines is allocated.
 const FIELD_BYTES: usize = 48;
-/// Fractions are sent between daemons in thousandths.
+/// Factor between a fraction and the thousandths that are sent between daemons.
 const MILLI: f64 = 1000.0;
 
 /// Returns the number of a request's class in the peer protocol.
@@ -129,7 +129,8 @@
     }
 }
 
-/// Reads the slow requests that the other upstreams reported; none if the note lacks them.
+/// Reads the slow requests that the other upstreams of the service reported. The counts are 0 if
+/// the note carries none.
 pub fn siblings_slow_requests(note: Option<&BaselineNote>) -> SlowRequests {
     let counts = note.and_then(|note| Some((note.hung_milli?, note.late_milli?)));
     counts.map_or_else(SlowRequests::default, |(hung, late)| slow_requests(hung, late))
@@ -140,7 +141,7 @@
     SlowRequests { hung: count(hung_milli), late: count(late_milli) }
 }
 
-/// Reads the baseline of a route; the default if the note is missing.
+/// Reads the baseline of a route. A missing note yields the default baseline.
 pub fn baseline_of(note: Option<&BaselineNote>) -> ServiceBaseline {
     let note = match note {
         Some(note) => note,
@@ -159,15 +160,15 @@
 /// `HostLoad` is what a host's daemon reports of an upstream besides its health.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostLoad {
-    /// Requests in the slots.
+    /// Number of requests that occupy slots of the upstream.
     pub in_flight: u32,
-    /// Requests in the queue.
+    /// Number of requests in the upstream's queue.
     pub queued: u32,
     /// Whether the upstream is leaving.
     pub draining: bool,
     /// Revision in force at the host's daemon.
     pub revision: u64,
-    /// Time that the response took, if there was one.
+    /// Time that the response took, `None` if there was no response.
     pub took: Option<Duration>,
     /// Slow requests at the upstream.
     pub slow_requests: SlowRequests,
--- a/crates/options/src/bounds.rs
+++ b/crates/options/src/bounds.rs
@@ -17,13 +17,13 @@
 const CALLER_DESCRIPTORS_DIVISOR: u64 = 2;
 /// Divisor of the memory that yields the share for callers' connections.
 const CALLER_MEMORY_DIVISOR: u64 = 2;
-/// Memory of a caller's connection with a request in progress, in bytes. The idle connection takes
-/// 11.3 KiB and the request takes 21.2 KiB at the ingress, as scripts/measure-memory reports them.
+/// Memory of a caller's connection with a request in progress, in bytes. An idle connection takes
+/// 11.3 KiB at the ingress, and a request on the connection takes another 21.2 KiB.
 const CALLER_BYTES: u64 = 33 * 1024;
 /// Longest accepted time until the platform's kill; a longer time is refused because it was
 /// probably given in the wrong unit.
 const KILL_AFTER_MS_MAX: u64 = 86_400_000;
-/// Longest accepted drain, as no platform waits longer for a host.
+/// Longest accepted drain in milliseconds, as no platform waits longer for a host.
 pub const DRAIN_MS_MAX: u64 = 3_600_000;
 
 /// Returns the bound on callers' connections: the given bound, lowered if the file descriptors or
--- a/crates/options/src/check.rs
+++ b/crates/options/src/check.rs
@@ -71,9 +71,9 @@
     pub service_idle: Duration,
     /// Where the configuration comes from.
     pub source: ConfigSource,
-    /// Address of the readiness probe, if the platform makes one.
+    /// Address of the readiness probe, if the platform probes the daemon.
     pub ready: Option<SocketAddr>,
-    /// Address at which the backend servers of this host register, if they do.
+    /// Address at which the backend servers of this host register, `None` without registration.
     pub registration: Option<SocketAddr>,
     /// Service that runs on this host, if it is known in advance.
     pub own_service: Option<String>,
@@ -81,7 +81,7 @@
     pub defaults: ServiceDefaults,
     /// Shortest drain.
     pub drain_min: Duration,
-    /// How far a limit may be exceeded.
+    /// How far the fleet may exceed a rate limit.
     pub limit_tolerance: LimitTolerance,
     /// Time between heartbeats to the neighbours.
     pub heartbeat: Duration,
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Returns the address at which other daemons reach this one.
+    /// Returns the address at which other daemons reach this daemon.
     pub fn peer_address(&self) -> SocketAddr {
         self.advertise_peers.unwrap_or(self.peers)
     }
--- a/crates/options/src/raw.rs
+++ b/crates/options/src/raw.rs
@@ -91,13 +91,13 @@
     /// Default number of retries beyond `retry_share`, per service over the whole fleet in one
     /// window.
     pub retry_extra: Option<String>,
-    /// Length of that window in milliseconds.
+    /// Length of the window of `retry_extra` in milliseconds.
     pub retry_window_ms: Option<String>,
-    /// Share of a limit by which it may be exceeded.
+    /// Share of a rate limit by which the fleet may exceed the limit.
     pub limit_over: Option<String>,
     /// Requests beyond `limit_over` that are admitted in one window.
     pub limit_extra: Option<String>,
-    /// Length of that window in milliseconds.
+    /// Length of the window of `limit_extra` in milliseconds.
     pub limit_window_ms: Option<String>,
     /// Time from the first stop signal to the platform's kill, in milliseconds.
     pub kill_after_ms: Option<String>,
@@ -112,12 +112,12 @@
     /// Where requests that find no free slot are queued.
     pub waiting: Option<String>,
     /// Time that a request waits in its own failure domain rather than cause a transfer of one
-    /// megabyte to another, in milliseconds.
+    /// megabyte to another failure domain, in milliseconds.
     pub far_megabyte_ms: Option<String>,
 }
 
 impl RawOptions {
-    /// Applies the settings file, which fills what neither a flag nor an environment variable
+    /// Applies the settings file: sets each setting that neither a flag nor an environment variable
     /// gives.
     pub fn with_file(mut self) -> Result<Self, SettingError> {
         let path = match self.file()? {
@@ -146,7 +146,7 @@
         settings::optional("config", self.config.clone(), "a path")
     }
 
-    /// Returns the field of a flag.
+    /// Returns the field that holds the value of a flag.
     fn field(&mut self, flag: &str) -> Option<&mut Option<String>> {
         Some(match flag {
             "host" => &mut self.host,
--- a/crates/options/src/source.rs
+++ b/crates/options/src/source.rs
@@ -16,7 +16,7 @@
     Document,
 }
 
-/// Reads where the configuration comes from; the daemons' API is the default.
+/// Reads where the configuration comes from. The default is the daemons' API.
 pub fn read(given: Option<String>) -> Result<ConfigSource, SettingError> {
     let allowed = "resources or document";
     let name = settings::checked("source", given, "resources".to_owned(), allowed, |name| {
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -54,7 +54,7 @@
     })
 }
 
-/// Reads the key shared by all daemons; an error about it shows only its length.
+/// Reads the key shared by all daemons. An error message about the key shows only its length.
 pub fn fleet_key(given: Option<String>) -> Result<Vec<u8>, SettingError> {
     let allowed = "at least 16 characters";
     let key: String = settings::required("fleet-key", given, allowed)?;
@@ -91,7 +91,7 @@
 }
 
 /// Reads an amount from `min` to `max`. The platform may scale the amount, so it can have a
-/// fraction. It is rounded down, so that no granted amount is exceeded.
+/// fraction. The amount is rounded down, so that the daemon never exceeds what it is granted.
 pub fn amount(
     flag: &str,
     given: Option<String>,
--- a/crates/options/src/waiting.rs
+++ b/crates/options/src/waiting.rs
@@ -15,7 +15,7 @@
     Reservations,
 }
 
-/// Reads where requests are queued; at one host by default.
+/// Reads where requests are queued. The default is the queue of one host.
 pub fn read(given: Option<String>) -> Result<WaitingMode, SettingError> {
     let allowed = "one-host or places";
     let name = settings::checked("waiting", given, "one-host".to_owned(), allowed, |name| {
