--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -31,14 +31,14 @@
 use crate::state::DaemonState;
 
 /// Shortest time between polls of the store.
-const POLL_MIN: Duration = Duration::from_secs(1);
+const POLL_INTERVAL_MIN: Duration = Duration::from_secs(1);
 /// Size in bytes of one part of a snapshot, or of the records in one frame.
 const PART_BYTES: usize = 64 * units::KIB;
 /// Maximum number of bytes queued on a link while a snapshot is sent.
 const SNAPSHOT_BUFFER_MAX: u64 = 1024 * 1024;
 /// Time between checks whether the receiver of a snapshot has read enough bytes to be sent the next
 /// part.
-const SNAPSHOT_PAUSE: Duration = Duration::from_millis(5);
+const SNAPSHOT_SEND_PAUSE: Duration = Duration::from_millis(5);
 
 /// Pause between two slices of a long task. The pause is at least as long as a slice, so that
 /// requests get half of the thread's time. Timers have no finer resolution than this pause.
@@ -67,7 +67,7 @@
 
 fn poll_period(state: &DaemonState) -> Duration {
     let period_s = state.members.count() as f64 / state.options.store_reads;
-    Duration::from_secs_f64(period_s).max(POLL_MIN)
+    Duration::from_secs_f64(period_s).max(POLL_INTERVAL_MIN)
 }
 
 /// Reads the newest revision from the store, and the changes that this daemon lacks.
@@ -114,7 +114,7 @@
 }
 
 async fn adopt_from_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
-    let _reading = match SnapshotReadGuard::take(state) {
+    let _read_guard = match SnapshotReadGuard::take(state) {
         Some(guard) => guard,
         None => return Ok(()),
     };
@@ -193,17 +193,21 @@
 
 /// Compares the revision of a peer with that of this daemon: sends the changes that the peer lacks,
 /// or asks the peer for the changes that this daemon lacks.
-pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
-    let ours = state.config.revision();
+pub fn note_peer_revision(
+    state: &Rc<DaemonState>,
+    sender: &FrameSender,
+    peer_revision: FleetRevision,
+) {
+    let own_revision = state.config.revision();
     if state.options.source == ConfigSource::Document {
-        return document::note_peer_revision(state, sender, theirs);
+        return document::note_peer_revision(state, sender, peer_revision);
     }
-    if theirs < ours {
-        if let Some(records) = state.config.records_after(theirs) {
+    if peer_revision < own_revision {
+        if let Some(records) = state.config.records_after(peer_revision) {
             send_records(state, sender, records.iter().map(|record| &**record));
         }
-    } else if theirs > ours && !state.snapshots.reading.get() {
-        let pull = ChangePull { after: ours.0 as i64 };
+    } else if peer_revision > own_revision && !state.snapshots.reading.get() {
+        let pull = ChangePull { after: own_revision.0 as i64 };
         let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
     }
 }
@@ -256,7 +260,7 @@
     let count = parts.len();
     for (index, part) in parts.enumerate() {
         while sender.bytes_waiting() > SNAPSHOT_BUFFER_MAX {
-            monoio::time::sleep(SNAPSHOT_PAUSE).await;
+            monoio::time::sleep(SNAPSHOT_SEND_PAUSE).await;
         }
         let news = ChangeNews {
             revision,
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -42,7 +42,7 @@
 /// Longest wait of a long poll of the operator's table. The wait is long because every daemon polls
 /// this table, and the store charges for each call whether or not the table changed. The store
 /// itself waits no longer than 30 s.
-const WAIT_MAX: Duration = Duration::from_secs(28);
+const OPERATOR_FEED_WAIT_MAX: Duration = Duration::from_secs(28);
 /// How the operator's table is followed. A failed call costs as much as a successful one. After an
 /// outage, the first daemon that reads a change announces it to the other daemons, so that retries
 /// every 1.5 s are enough.
@@ -50,7 +50,7 @@
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
     failure_pause_max: Duration::from_millis(1500),
-    wait_max: WAIT_MAX,
+    wait_max: OPERATOR_FEED_WAIT_MAX,
 };
 /// Time for which a daemon waits for the store to deliver a document that a peer already has,
 /// before the daemon pulls the document from the peer. The store delivers a change within
@@ -68,7 +68,7 @@
 #[derive(Debug, Default)]
 pub struct DocumentCell {
     held: RefCell<Option<Rc<ConfigDocument>>>,
-    pulling: Cell<bool>,
+    is_pulling: Cell<bool>,
     /// Position up to which the operator's table was read, `None` before the first read.
     position: Cell<Option<TablePosition>>,
     /// Raised when a peer has a later document that the pending call to the store has not returned.
@@ -97,7 +97,7 @@
         let Some(news) = next_unless_stale(&state, &mut reader).await else { continue };
         let (FeedUpdate::Whole(page) | FeedUpdate::Changes(page)) = news else { continue };
         state.document.position.set(reader.position());
-        apply_answer(&state, &page, reader.as_of());
+        apply_answer(&state, &page, reader.complete_until());
     }
 }
 
@@ -118,12 +118,12 @@
     }
 }
 
-/// Applies an answer of the store, which includes all changes up to the time `as_of`.
-fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, as_of: Duration) {
+/// Applies an answer of the store, which includes all changes up to the time `complete_until`.
+fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, complete_until: Duration) {
     let outcomes: Vec<_> = page.rows.iter().filter_map(|row| apply_row(state, row)).collect();
     // A stale answer does not confirm that the document in force is the newest.
     if outcomes.last() != Some(&DocumentOutcome::Outdated) {
-        state.freshness.note_store(as_of);
+        state.freshness.note_store(complete_until);
     }
 }
 
@@ -197,8 +197,8 @@
     if state.config.is_loaded() && revision <= state.config.revision() {
         return skip_document(state, revision, from);
     }
-    let fresh = state.freshness.known().age(state.now());
-    let fresh_ms = fresh.map(|age| age.as_millis() as u64);
+    let confirmation_age = state.freshness.known().age(state.now());
+    let fresh_ms = confirmation_age.map(|age| age.as_millis() as u64);
     fleet::DocumentTaken { revision: revision.0, from, fresh_ms }.log();
     state.freshness.note_readable();
     let next = build_layout(state, &document);
@@ -346,9 +346,13 @@
 /// Pulls the document of a peer that has a later revision in force. A daemon without a document in
 /// force pulls at once. Any other daemon pulls if the store has not delivered the document within
 /// [`STORE_TIMEOUT`].
-pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
-    let is_behind = move |state: &DaemonState| theirs > state.config.revision();
-    if !is_behind(state) || state.document.pulling.replace(true) {
+pub fn note_peer_revision(
+    state: &Rc<DaemonState>,
+    sender: &FrameSender,
+    peer_revision: FleetRevision,
+) {
+    let is_behind = move |state: &DaemonState| peer_revision > state.config.revision();
+    if !is_behind(state) || state.document.is_pulling.replace(true) {
         return;
     }
     let wait = if state.config.is_loaded() { STORE_TIMEOUT } else { Duration::ZERO };
@@ -365,7 +369,7 @@
             let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
             let _ = monoio::time::timeout(PULL_TIMEOUT, state.config.changed().above(seen)).await;
         }
-        state.document.pulling.set(false);
+        state.document.is_pulling.set(false);
     });
 }
 
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -17,12 +17,12 @@
 /// hangs until its wait is over, and the first daemon whose call ends informs the other daemons.
 /// The wait is therefore proportional to the number of daemons in a small fleet: over all daemons,
 /// calls then end as often as in a fleet of twelve daemons, about one every half second.
-const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
+const CALL_WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
 /// Returns the longest wait of a long poll in a fleet of `members` daemons, but no more than
 /// `most`.
 fn longest_wait(members: usize, most: Duration) -> Duration {
-    let wait = WAIT_PER_DAEMON.saturating_mul(members as u32);
+    let wait = CALL_WAIT_PER_DAEMON.saturating_mul(members as u32);
     wait.min(most)
 }
 
@@ -56,10 +56,10 @@
     /// Position up to which the table was read, `None` before the whole table was read.
     position: Option<TablePosition>,
     /// Time up to which the last answer of the store includes all changes.
-    as_of: Duration,
+    complete_until: Duration,
     backoff: RetryBackoff,
     /// When the first of the latest consecutive failed calls ended, `None` after an answer.
-    lost_at: Option<Duration>,
+    failing_since: Option<Duration>,
     /// Number of the latest consecutive failed calls.
     failures: u64,
 }
@@ -68,8 +68,8 @@
     /// Builds a reader that has read nothing yet.
     pub fn new(plan: FeedPlan) -> Self {
         let backoff = RetryBackoff::with_max_delay(plan.failure_pause_max);
-        let as_of = Duration::ZERO;
-        Self { plan, position: None, as_of, backoff, lost_at: None, failures: 0 }
+        let complete_until = Duration::ZERO;
+        Self { plan, position: None, complete_until, backoff, failing_since: None, failures: 0 }
     }
 
     /// Continues from a later version, after a peer relayed the changes up to that version.
@@ -78,8 +78,8 @@
     }
 
     /// Returns the time up to which the last answer of the store includes all changes.
-    pub fn as_of(&self) -> Duration {
-        self.as_of
+    pub fn complete_until(&self) -> Duration {
+        self.complete_until
     }
 
     /// Returns the position from which the next call continues, if the table was read.
@@ -138,7 +138,7 @@
                 // up to the start of the call. An answer without changes was sent no sooner than
                 // the end of the call's wait.
                 let has_waited_fully = page.rows.is_empty() && state.now() >= began + wait;
-                self.as_of = if has_waited_fully { began + wait } else { began };
+                self.complete_until = if has_waited_fully { began + wait } else { began };
                 self.position = Some(position);
                 Ok(FeedUpdate::Changes(page))
             }
@@ -155,7 +155,7 @@
     pub async fn read_whole(&mut self, state: &DaemonState) -> Result<FeedUpdate, StoreError> {
         let began = state.now();
         let (page, position) = state.platform.read_table(self.plan.table).await?;
-        self.as_of = began;
+        self.complete_until = began;
         self.position = Some(position);
         Ok(FeedUpdate::Whole(page))
     }
@@ -163,8 +163,8 @@
     /// Records that a call was answered.
     fn note_answer(&mut self, state: &DaemonState) {
         self.backoff.reset();
-        if let Some(lost_at) = self.lost_at.take() {
-            let after_ms = state.now().saturating_sub(lost_at).as_millis() as u64;
+        if let Some(failing_since) = self.failing_since.take() {
+            let after_ms = state.now().saturating_sub(failing_since).as_millis() as u64;
             let failures = std::mem::take(&mut self.failures);
             process::StoreRegained { table: self.plan.table, after_ms, failures }.log();
         }
@@ -175,8 +175,8 @@
         metrics::STORE_FAILURES.add_one();
         self.failures += 1;
         let error = &error.to_string();
-        if self.lost_at.is_none() {
-            self.lost_at = Some(state.now());
+        if self.failing_since.is_none() {
+            self.failing_since = Some(state.now());
             let waited_ms = state.now().saturating_sub(began).as_millis() as u64;
             process::StoreLost { table: self.plan.table, waited_ms, error }.log();
         } else {
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -41,7 +41,7 @@
 const READER_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time for which no other query is made after a query without a confirmation. Requests that need a
 /// confirmation within this time are refused at once.
-const QUERY_PAUSE: Duration = Duration::from_millis(500);
+const FAILED_QUERY_PAUSE: Duration = Duration::from_millis(500);
 /// Number of peers that are queried along with the store. There are three because one peer may be
 /// unresponsive, and another may not have the newest configuration.
 const QUERIED_PEERS: usize = 3;
@@ -120,7 +120,7 @@
         query_store_and_peers(state).await;
     }
     if !state.freshness.known().is_certain(state.now()) {
-        state.freshness.paused_until.set(state.now() + QUERY_PAUSE);
+        state.freshness.paused_until.set(state.now() + FAILED_QUERY_PAUSE);
     }
     state.freshness.is_querying.set(false);
     state.freshness.confirmed.raise();
@@ -142,14 +142,14 @@
             let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(request.clone()));
         }
     }
-    let until = state.now() + READER_TIMEOUT;
+    let deadline = state.now() + READER_TIMEOUT;
     loop {
         let now = state.now();
         let seen = state.freshness.confirmed.get();
-        if state.freshness.known().is_certain(now) || now >= until {
+        if state.freshness.known().is_certain(now) || now >= deadline {
             return state.freshness.known().is_certain(now);
         }
-        let _ = monoio::time::timeout(until - now, state.freshness.confirmed.above(seen)).await;
+        let _ = monoio::time::timeout(deadline - now, state.freshness.confirmed.above(seen)).await;
     }
 }
 
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -68,7 +68,7 @@
 impl OwnedLimits {
     /// Updates the assignment of a limit, if the eligible hosts have changed.
     pub fn update(&self, state: &DaemonState, limit: &str, assignment: &mut OwnerAssignment) {
-        self.refresh(state);
+        self.refresh_eligible(state);
         let eligible = self.eligible.borrow();
         if assignment.generation == eligible.generation {
             return;
@@ -83,12 +83,12 @@
 
     /// Returns the number of daemons that may own limits.
     pub fn daemons(&self, state: &DaemonState) -> usize {
-        self.refresh(state);
+        self.refresh_eligible(state);
         self.eligible.borrow().hosts.len()
     }
 
     /// Rebuilds the list of eligible hosts, unless it is recent.
-    fn refresh(&self, state: &DaemonState) {
+    fn refresh_eligible(&self, state: &DaemonState) {
         let now = state.now();
         let mut eligible = self.eligible.borrow_mut();
         if eligible.generation > 0 && now.saturating_sub(eligible.refreshed_at) < ELIGIBLE_TTL {
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -82,7 +82,7 @@
         return Ok(());
     }
     for entry in subject.limits(active) {
-        admit_one(state, entry).await.inspect_err(|_| metrics::LIMITED.add_one())?;
+        admit_by_limit(state, entry).await.inspect_err(|_| metrics::LIMITED.add_one())?;
     }
     Ok(())
 }
@@ -137,14 +137,14 @@
     }
 }
 
-async fn admit_one(state: &Rc<DaemonState>, entry: &LimitEntry) -> Result<(), LimitRefusal> {
+async fn admit_by_limit(state: &Rc<DaemonState>, entry: &LimitEntry) -> Result<(), LimitRefusal> {
     // Other requests that wait for the same grant may use up its tokens first, so the owner is
     // asked up to three times.
     for _ in 0..3 {
         if state.limits.should_retry_owner(entry, state.now()) {
             start_token_request(state, entry, 0.0);
         }
-        match state.limits.check(entry, state.now()) {
+        match state.limits.check_limit(entry, state.now()) {
             LimitVerdict::Pass => return Ok(()),
             LimitVerdict::PassAhead => {
                 start_token_request(state, entry, 0.0);
@@ -159,7 +159,7 @@
 }
 
 impl RateLimiter {
-    fn check(&self, entry: &LimitEntry, now: Duration) -> LimitVerdict {
+    fn check_limit(&self, entry: &LimitEntry, now: Duration) -> LimitVerdict {
         let mut states = self.states.borrow_mut();
         let known = states.entry(entry.name.clone()).or_insert_with(|| LimitState {
             limiter: LocalLimiter::new(now),
@@ -231,13 +231,13 @@
     set_pending_request(state, entry, Some(signal.clone()));
     let state = state.clone();
     let entry = entry.clone();
-    let done = signal.clone();
+    let end_signal = signal.clone();
     // The token request runs in a task of its own: if it belonged to the request of a caller that
     // disconnects, the other requests would wait in vain.
     monoio::spawn(async move {
         request_from_any(&state, &entry, wanted).await;
         set_pending_request(&state, &entry, None);
-        done.raise();
+        end_signal.raise();
     });
     signal
 }
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -35,19 +35,19 @@
 /// distant daemon.
 const LINK_WAIT_MAX: Duration = Duration::from_millis(500);
 /// Time between checks of the links.
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without use after which a link is closed.
-const IDLE_TIME_MAX: Duration = Duration::from_secs(120);
+const LINK_IDLE_TIME_MAX: Duration = Duration::from_secs(120);
 /// Time without a received frame after which the link of a cut path is closed, so that a new link
 /// can be established. Also the longest time that a replaced link waits for its last requests.
-const CUT_TIME_MAX: Duration = Duration::from_secs(10);
+const LINK_CUT_TIME_MAX: Duration = Duration::from_secs(10);
 /// Time without a received frame after which a second link is dialled along a cut path, beside the
 /// first link: a connection may be black-holed for good while new connections work. Requests in
 /// flight on the first link continue.
-const RENEW_AFTER: Duration = Duration::from_secs(1);
+const LINK_RENEW_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of accepted links: one link from every other daemon at the fleet size expected in
 /// two years, and some more for daemons that restart.
-const LINKS_MAX: usize = 8192;
+const ACCEPTED_LINKS_MAX: usize = 8192;
 
 type LinkReader = FrameReader<OwnedReadHalf<TcpStream>>;
 type LinkWriter = OwnedWriteHalf<TcpStream>;
@@ -60,13 +60,13 @@
     if let Some(link) = path.link() {
         return Ok(link);
     }
-    match monoio::time::timeout(LINK_WAIT_MAX, wait_link(state, path)).await {
+    match monoio::time::timeout(LINK_WAIT_MAX, wait_for_link(state, path)).await {
         Ok(result) => result,
         Err(_) => Err(LinkError::TimedOut),
     }
 }
 
-async fn wait_link(
+async fn wait_for_link(
     state: &Rc<DaemonState>,
     path: &Rc<PeerPath>,
 ) -> Result<Rc<DialledLink>, LinkError> {
@@ -108,12 +108,12 @@
     }
 }
 
-/// Closes a replaced link once nothing is in flight on it, or after [`CUT_TIME_MAX`].
-async fn retire(link: Rc<DialledLink>) {
+/// Closes a replaced link once nothing is in flight on it, or after [`LINK_CUT_TIME_MAX`].
+async fn close_replaced(link: Rc<DialledLink>) {
     let mut waited = Duration::ZERO;
-    while link.exchange_count() > 0 && waited < CUT_TIME_MAX {
-        monoio::time::sleep(WATCH_INTERVAL).await;
-        waited += WATCH_INTERVAL;
+    while link.exchange_count() > 0 && waited < LINK_CUT_TIME_MAX {
+        monoio::time::sleep(LINK_CHECK_INTERVAL).await;
+        waited += LINK_CHECK_INTERVAL;
     }
     link.sender().close();
 }
@@ -129,8 +129,8 @@
             return;
         }
     };
-    if let Some(former) = path.note_linked(dial_number, link.clone(), state.now()) {
-        monoio::spawn(retire(former));
+    if let Some(replaced_link) = path.note_linked(dial_number, link.clone(), state.now()) {
+        monoio::spawn(close_replaced(replaced_link));
     }
     metrics::LINKS.add(1);
     fleet::PeerLinked { host: &path.host }.log();
@@ -232,7 +232,7 @@
         let state = state.clone();
         async move { run_accepted(&state, stream).await }
     };
-    connection::accept_all(listener, LINKS_MAX, ConnectionCount::default(), serve).await;
+    connection::accept_all(listener, ACCEPTED_LINKS_MAX, ConnectionCount::default(), serve).await;
 }
 
 async fn run_accepted(state: &Rc<DaemonState>, stream: TcpStream) {
@@ -246,8 +246,8 @@
             return;
         }
     };
-    let crosses = crosses_domains(state, &peer);
-    if crosses {
+    let is_cross_domain = crosses_domains(state, &peer);
+    if is_cross_domain {
         reader.start_decoding();
     }
     let sender = FrameSender::default();
@@ -260,7 +260,7 @@
     };
     let on_control = |body: FrameBody| control::handle(state, None, &sender, &link.peer, body);
     let reading = link.run(&mut reader, on_dispatch, on_control);
-    let encoder = crosses.then(LinkEncoder::default);
+    let encoder = is_cross_domain.then(LinkEncoder::default);
     let error = run_halves(reading, &sender, writer, encoder).await;
     link.end();
     fleet::AcceptedEnded { host: &link.peer.host, error: &error.to_string() }.log();
@@ -269,10 +269,10 @@
 /// Monitors the dialled links for ever: probes unresponsive links and closes idle links.
 pub async fn watch(state: Rc<DaemonState>) {
     loop {
-        monoio::time::sleep(WATCH_INTERVAL).await;
+        monoio::time::sleep(LINK_CHECK_INTERVAL).await;
         let now = state.now();
         for path in state.peers.linked() {
-            watch_path(&state, &path, now);
+            check_path(&state, &path, now);
         }
     }
 }
@@ -293,22 +293,22 @@
     }
 }
 
-fn watch_path(state: &Rc<DaemonState>, path: &Rc<PeerPath>, now: Duration) {
+fn check_path(state: &Rc<DaemonState>, path: &Rc<PeerPath>, now: Duration) {
     let link = match path.link() {
         Some(link) => link,
         None => return,
     };
-    let in_use = link.exchange_count() > 0;
-    if path.is_probe_due(now, in_use) {
+    let is_in_use = link.exchange_count() > 0;
+    if path.is_probe_due(now, is_in_use) {
         let note = membership::heartbeat_request(state, Vec::new());
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
     log_silence(path, link.exchange_count(), now);
-    let idle = !in_use && now.saturating_sub(path.used_at()) > IDLE_TIME_MAX;
+    let is_idle = !is_in_use && now.saturating_sub(path.used_at()) > LINK_IDLE_TIME_MAX;
     let is_cut = path.state(now) == PathState::Cut;
-    if idle || is_cut && path.silent_for(now) > CUT_TIME_MAX {
+    if is_idle || is_cut && path.silent_for(now) > LINK_CUT_TIME_MAX {
         link.sender().close();
-    } else if is_cut && path.silent_for(now) > RENEW_AFTER {
+    } else if is_cut && path.silent_for(now) > LINK_RENEW_AFTER {
         start_dial(state, path);
     }
 }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -30,10 +30,10 @@
 use crate::state::DaemonState;
 
 /// Time between attempts to contact the seeds while no other daemon is known.
-const SEED_INTERVAL: Duration = Duration::from_secs(1);
+const SEED_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum number of members in one heartbeat. With this maximum, 64 entries a second are
 /// exchanged, so that each member's entry is renewed within the suspect time.
-const ENTRIES_MAX: usize = 8;
+const HEARTBEAT_ENTRIES_MAX: usize = 8;
 /// Number of heartbeat intervals without a heartbeat after which a member of a small fleet is
 /// suspect.
 const SUSPECT_HEARTBEATS: u32 = 12;
@@ -143,12 +143,12 @@
     /// leaving.
     pub fn live_in_domain(&self, state: &DaemonState) -> Vec<String> {
         let own_domain = &state.options.failure_domain;
-        let mut local = self.live_hosts(state);
+        let mut local_hosts = self.live_hosts(state);
         let members = self.members.borrow();
         let is_local =
             |host: &String| members.get(host).is_none_or(|view| view.failure_domain == *own_domain);
-        local.retain(is_local);
-        local
+        local_hosts.retain(is_local);
+        local_hosts
     }
 
     /// Returns the number of other members, at least 1.
@@ -196,7 +196,7 @@
             Some(view) => {
                 let last_heartbeat_at = view.last_heartbeat_at;
                 let is_later = reported.incarnation > view.incarnation;
-                merge(view, reported);
+                merge_view(view, reported);
                 if !is_later {
                     view.last_heartbeat_at = last_heartbeat_at;
                 }
@@ -284,7 +284,7 @@
             let last_heartbeat_at = now.saturating_sub(age);
             let reported = view_of(entry, last_heartbeat_at);
             let view = members.entry(entry.host.clone()).or_insert_with(|| reported.clone());
-            merge(view, reported);
+            merge_view(view, reported);
             update_path(state, &entry.host, view);
         }
     }
@@ -299,11 +299,11 @@
     ) -> Vec<MemberEntry> {
         let now = state.now();
         let members = self.members.borrow();
-        let others = members.iter().filter(|(host, view)| {
+        let other_members = members.iter().filter(|(host, view)| {
             view.incarnation > 0 && !reported.iter().any(|e| e.host == **host)
         });
         let mut entries = vec![own_entry(state)];
-        let chosen = others.sample(&mut rand::rng(), ENTRIES_MAX - 1);
+        let chosen = other_members.sample(&mut rand::rng(), HEARTBEAT_ENTRIES_MAX - 1);
         entries.extend(chosen.into_iter().map(|(host, view)| entry_of(host, view, now)));
         entries
     }
@@ -341,7 +341,7 @@
 /// Merges a reported view into the known view. A later incarnation replaces the known view. Within
 /// one incarnation, the later heartbeat and revision are kept, and a daemon that is leaving stays
 /// marked as leaving.
-fn merge(view: &mut MemberView, reported: MemberView) {
+fn merge_view(view: &mut MemberView, reported: MemberView) {
     if reported.incarnation < view.incarnation {
         return;
     }
@@ -406,10 +406,10 @@
 }
 
 /// Builds the reply to a heartbeat.
-pub fn heartbeat_reply(state: &DaemonState, asked: &HeartbeatNote) -> HeartbeatNote {
+pub fn heartbeat_reply(state: &DaemonState, request: &HeartbeatNote) -> HeartbeatNote {
     HeartbeatNote {
         reply: true,
-        asked_ms: asked.asked_ms,
+        asked_ms: request.asked_ms,
         ..heartbeat_request(state, vec![own_entry(state)])
     }
 }
@@ -428,7 +428,7 @@
                 }
             }
         }
-        monoio::time::sleep(SEED_INTERVAL).await;
+        monoio::time::sleep(SEED_RETRY_INTERVAL).await;
     }
 }
 
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct SnapshotParts {
     parts: RefCell<FnvHashMap<String, PartialSnapshot>>,
-    transfers: Cell<i64>,
+    last_transfer: Cell<i64>,
     /// Whether a complete snapshot is being read.
     pub reading: Cell<bool>,
 }
@@ -46,8 +46,8 @@
 impl SnapshotParts {
     /// Returns the number of this daemon's next transfer; a later incarnation has higher numbers.
     pub fn next_transfer(&self) -> i64 {
-        let number = (self.transfers.get() + 1).max(units::wall_millis() as i64);
-        self.transfers.set(number);
+        let number = (self.last_transfer.get() + 1).max(units::wall_millis() as i64);
+        self.last_transfer.set(number);
         number
     }
 
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -36,10 +36,10 @@
 const BODY_BYTES_MAX: u64 = 16 * 1024;
 /// Timeout of a health check, which may wait for a slot of the server. A server whose check fails
 /// is registered by its next heartbeat.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Maximum number of ended incarnations of backend servers that are remembered, to recognise
 /// heartbeats that arrive after the end of their incarnation.
-const ENDED_MAX: usize = 64;
+const ENDED_UPSTREAMS_MAX: usize = 64;
 /// Maximum number of backend servers whose incarnations are tracked. A host has few backend
 /// servers, so a client that reports more names than this is no backend server of the host.
 const TRACKERS_MAX: usize = 256;
@@ -66,7 +66,7 @@
     }
 
     /// Classifies a heartbeat, and records the heartbeat's incarnation and sequence number.
-    fn judge(&self, heartbeat: &ServerHeartbeat, now: Duration) -> IncarnationVerdict {
+    fn classify_heartbeat(&self, heartbeat: &ServerHeartbeat, now: Duration) -> IncarnationVerdict {
         let ServerIncarnation { server, born } = &heartbeat.incarnation;
         let claim = IncarnationClaim { born: *born, sequence: heartbeat.sequence };
         let mut trackers = self.trackers.borrow_mut();
@@ -88,9 +88,9 @@
             return false;
         }
         let mut sequences = self.sequences.borrow_mut();
-        let last = sequences.entry(upstream).or_default();
-        let is_later = heartbeat.sequence >= *last;
-        *last = heartbeat.sequence.max(*last);
+        let last_sequence = sequences.entry(upstream).or_default();
+        let is_later = heartbeat.sequence >= *last_sequence;
+        *last_sequence = heartbeat.sequence.max(*last_sequence);
         is_later
     }
 
@@ -116,7 +116,7 @@
         if !ended_upstreams.iter().any(|known| known == upstream) {
             ended_upstreams.push_back(upstream.to_owned());
         }
-        if ended_upstreams.len() > ENDED_MAX {
+        if ended_upstreams.len() > ENDED_UPSTREAMS_MAX {
             ended_upstreams.pop_front();
         }
     }
@@ -144,7 +144,7 @@
         registration::read_call(&request.head.method, uri.path(), uri.query(), &request.body);
     match call {
         Ok(Some(ServerCall::Heartbeat(heartbeat))) => {
-            if let Some(problem) = mismatch(state, &heartbeat) {
+            if let Some(problem) = find_mismatch(state, &heartbeat) {
                 let from = &request.from.to_string();
                 servers::ServerCallRefused { error: problem, from }.log();
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
@@ -174,14 +174,14 @@
 /// Returns why a heartbeat is refused, if its sender may not be a backend server of this host. A
 /// heartbeat is refused if its service or address differs from those registered for the same
 /// incarnation, or if its incarnation is not registered and its service is not configured.
-fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
+fn find_mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
     let servers = state.roster.own_servers();
     if let Some(known) = servers.iter().find(|server| server.name == name) {
-        let same = known.service == heartbeat.service && known.address == heartbeat.address;
+        let is_same = known.service == heartbeat.service && known.address == heartbeat.address;
         // A server that does not report its incarnation may have restarted under its name.
         let may_differ = heartbeat.incarnation.born.is_none();
-        return (!same && !may_differ)
+        return (!is_same && !may_differ)
             .then_some("the service or the address differs from the registered one");
     }
     let document = state.document.get()?;
@@ -192,7 +192,7 @@
 
 /// Handles a heartbeat, and returns the classification of the heartbeat.
 fn note_heartbeat(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) -> IncarnationVerdict {
-    let verdict = state.registrations.judge(heartbeat, state.now());
+    let verdict = state.registrations.classify_heartbeat(heartbeat, state.now());
     match verdict {
         IncarnationVerdict::Current => {}
         IncarnationVerdict::Replaces => drop(state.registrations.is_newer(heartbeat)),
@@ -258,9 +258,9 @@
 pub fn note_ended(state: &Rc<DaemonState>, name: &str) {
     state.registrations.note_ended(name);
     let mut servers = state.roster.own_servers();
-    let before = servers.len();
+    let count_before = servers.len();
     servers.retain(|server| server.name != name);
-    if servers.len() < before {
+    if servers.len() < count_before {
         servers::ServerGone { upstream: name }.log();
         roster::set_own_servers(state, servers);
     }
@@ -281,8 +281,8 @@
         let state = state.clone();
         let server = server.clone();
         monoio::spawn(async move {
-            if answers_as(&state, &server).await {
-                restore(&state, server);
+            if answers_under_name(&state, &server).await {
+                restore_server(&state, server);
             }
         });
     }
@@ -292,34 +292,34 @@
 /// server that has sent this incarnation of the daemon a heartbeat stays.
 fn remove_departed(state: &Rc<DaemonState>, record: &HostRecord) {
     let mut servers = state.roster.own_servers();
-    let before = servers.len();
+    let count_before = servers.len();
     servers.retain(|server| {
         let has_sent_heartbeat = state.registrations.sequences.borrow().contains_key(&server.name);
-        let stays = has_sent_heartbeat || record.is_in_use(&server.name);
-        if !stays {
+        let is_kept = has_sent_heartbeat || record.is_in_use(&server.name);
+        if !is_kept {
             servers::ServerGone { upstream: &server.name }.log();
         }
-        stays
+        is_kept
     });
-    if servers.len() < before {
+    if servers.len() < count_before {
         roster::set_own_servers(state, servers);
     }
 }
 
 /// Checks the health of a backend server. Says whether the server at the recorded address is
 /// healthy and answers with the recorded name.
-async fn answers_as(state: &Rc<DaemonState>, server: &ServerRecord) -> bool {
+async fn answers_under_name(state: &Rc<DaemonState>, server: &ServerRecord) -> bool {
     let path = match health_path(state, &server.service).await {
         Some(path) => path,
         None => return false,
     };
-    let client = HttpClient::new(server.address, PROBE_TIMEOUT);
+    let client = HttpClient::new(server.address, HEALTH_CHECK_TIMEOUT);
     let reply = client.call(Method::GET, &path, HeaderMap::new(), Bytes::new()).await;
     match reply {
         Ok(reply) => {
             let name = incarnation::server_of(&server.name);
-            let same = headers::answering_server(&reply.headers) == Some(name);
-            reply.status == StatusCode::OK && same
+            let is_same = headers::answering_server(&reply.headers) == Some(name);
+            reply.status == StatusCode::OK && is_same
         }
         Err(error) => {
             let error = &error.to_string();
@@ -343,7 +343,7 @@
 /// Registers a recovered backend server. A server is not registered if the server itself or its
 /// replacement is registered already, if the server has left, or if the latest recovered record
 /// does not list the server as in use.
-fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
+fn restore_server(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
     // If a heartbeat of the server or of its replacement has arrived since recovery started, that
     // registration is kept instead of the recovered record.
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -13,19 +13,19 @@
 use crate::state::DaemonState;
 
 /// Minimum time between two rounds of one daemon, each of which sweeps a part of the ledger.
-const ROUND_MIN: Duration = Duration::from_secs(30);
+const ROUND_INTERVAL_MIN: Duration = Duration::from_secs(30);
 /// Factor of the time between two rounds of one daemon, which is multiplied by the number of
 /// daemons. It allows 20 rounds a second in the whole fleet, which take a tenth of the fleet's
 /// store reads.
-const ROUND_PER_DAEMON: Duration = Duration::from_millis(50);
+const ROUND_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(50);
 /// Time from the start to the first round, which is short so that rows soon carry an epoch.
-const ROUND_FIRST: Duration = Duration::from_millis(500);
+const FIRST_ROUND_DELAY: Duration = Duration::from_millis(500);
 
 /// Sweeps the ledger for ever.
 pub async fn run(state: Rc<DaemonState>) {
-    let keep = state.options.once_keep_hours;
-    let retention = OnceRetention::new(state.platform.clone(), state.ledger.clone(), keep);
-    let mut wait = ROUND_FIRST;
+    let keep_hours = state.options.once_keep_hours;
+    let retention = OnceRetention::new(state.platform.clone(), state.ledger.clone(), keep_hours);
+    let mut wait = FIRST_ROUND_DELAY;
     loop {
         monoio::time::sleep(wait.mul_f64(rand::random_range(0.8..1.2))).await;
         match retention.round(state.now()).await {
@@ -42,6 +42,6 @@
             }
         }
         let daemons = state.members.count() as u32;
-        wait = (ROUND_PER_DAEMON * daemons).max(ROUND_MIN);
+        wait = (ROUND_INTERVAL_PER_DAEMON * daemons).max(ROUND_INTERVAL_MIN);
     }
 }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -151,14 +151,14 @@
     own_changes: Cell<u64>,
     own_version: Cell<u64>,
     /// This daemon's own row as the store holds it, `None` if the stored row is not known.
-    written: RefCell<Option<HostRecord>>,
+    stored_record: RefCell<Option<HostRecord>>,
     /// Whether a backend server left while this daemon's row in the store may still list it.
     has_unwritten: Cell<bool>,
     changed: RisingSignal,
     /// Whether the store or a peer reported an earlier incarnation of this host's daemon.
     started_before: Cell<bool>,
     /// Hosts whose daemon was replaced at its address and whose rows still exist.
-    stale: RefCell<Vec<String>>,
+    replaced_hosts: RefCell<Vec<String>>,
 }
 
 impl HostRoster {
@@ -235,13 +235,13 @@
     /// Says whether this daemon's row in the store is known to list the backend servers that are
     /// registered now.
     fn is_row_current(&self) -> bool {
-        let written = self.written.borrow();
-        written.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
+        let stored_record = self.stored_record.borrow();
+        stored_record.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
     }
 
     /// Records which row of this daemon the store holds, `None` if the stored row is not known.
     fn note_written(&self, record: Option<HostRecord>) {
-        *self.written.borrow_mut() = record;
+        *self.stored_record.borrow_mut() = record;
         if self.is_row_current() {
             self.has_unwritten.set(false);
         }
@@ -373,7 +373,7 @@
         for replaced in state.roster.replaced_by(host, record) {
             fleet::HostReplaced { host: &replaced, by: host }.log();
             update_record(state, &replaced, None);
-            state.roster.stale.borrow_mut().push(replaced);
+            state.roster.replaced_hosts.borrow_mut().push(replaced);
         }
     }
     let mut touched_services: Vec<String> = Vec::new();
@@ -421,7 +421,7 @@
     for RelayedRecord { host, record } in relayed {
         suspects::apply_records(state, &host, &record.refused);
         if host == state.options.host {
-            recover_own(state, &record);
+            recover_own_servers(state, &record);
             continue;
         }
         let known = state.roster.record(&host);
@@ -436,9 +436,9 @@
     for row in &page.rows {
         apply_row(state, row);
     }
-    let gone = |host: &String| !page.rows.iter().any(|row| row.key == *host);
+    let is_gone = |host: &String| !page.rows.iter().any(|row| row.key == *host);
     let hosts: Vec<String> = state.roster.records.borrow().keys().cloned().collect();
-    for host in hosts.into_iter().filter(gone) {
+    for host in hosts.into_iter().filter(is_gone) {
         apply_removal(state, &host);
     }
     state.roster.touch();
@@ -468,7 +468,7 @@
         state.roster.own_version.set(row.version);
         state.roster.note_written(Some(record.clone()));
     }
-    recover_own(state, &record);
+    recover_own_servers(state, &record);
     if record.incarnation > state.identity.incarnation {
         let own = state.identity.incarnation;
         fleet::LaterStart { incarnation: record.incarnation, own }.log();
@@ -498,9 +498,9 @@
     }
     let refused = refused.into_iter();
     record.refused = refused.filter_map(|each| RefusedRecord::deserialize(each).ok()).collect();
-    let listed = servers.len();
+    let listed_count = servers.len();
     record.servers = servers.into_iter().filter_map(readable_server).collect();
-    let servers = (listed - record.servers.len()) as u64;
+    let servers = (listed_count - record.servers.len()) as u64;
     if servers > 0 {
         fleet::ServersUnreadable { host, servers }.log();
     }
@@ -522,7 +522,7 @@
 
 /// Recovers the record that an earlier incarnation of this daemon published, from the store or a
 /// peer.
-fn recover_own(state: &Rc<DaemonState>, record: &HostRecord) {
+fn recover_own_servers(state: &Rc<DaemonState>, record: &HostRecord) {
     if record.incarnation >= state.identity.incarnation {
         return;
     }
@@ -550,8 +550,8 @@
     loop {
         let seen = state.roster.changed.get();
         let record = own_record(&state);
-        if state.roster.written.borrow().as_ref() != Some(&record) {
-            match write_row(&state, &record).await {
+        if state.roster.stored_record.borrow().as_ref() != Some(&record) {
+            match write_own_row(&state, &record).await {
                 Ok(()) => backoff.reset(),
                 Err(error) => {
                     metrics::STORE_FAILURES.add_one();
@@ -582,7 +582,7 @@
     let _ = monoio::time::timeout(FIRST_SERVER_TIMEOUT, registered).await;
 }
 
-async fn write_row(state: &Rc<DaemonState>, record: &HostRecord) -> Result<(), StoreError> {
+async fn write_own_row(state: &Rc<DaemonState>, record: &HostRecord) -> Result<(), StoreError> {
     let key = row_key(&state.options.host);
     let check = RowCheck { key: key.clone(), version: state.roster.own_version.get() };
     let write = RowWrite { key, value: Some(json!(record)) };
@@ -601,8 +601,8 @@
         Err(StoreError::Conflict { rows }) => {
             for row in rows {
                 state.roster.own_version.set(row.version);
-                let written = HostRecord::deserialize(&row.value).ok();
-                state.roster.note_written(written);
+                let stored_record = HostRecord::deserialize(&row.value).ok();
+                state.roster.note_written(stored_record);
             }
             Ok(())
         }
@@ -624,7 +624,7 @@
         let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER_FACTOR));
         monoio::time::sleep(pause).await;
         let mut gone = state.members.expired_hosts(&state);
-        gone.extend(state.roster.stale.borrow_mut().drain(..));
+        gone.extend(state.roster.replaced_hosts.borrow_mut().drain(..));
         for host in gone {
             let live = state.members.live_hosts(&state);
             let responsible = limits::owner_of(&host, live.iter().map(String::as_str));
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -49,15 +49,15 @@
 /// The key of the rendezvous hashing by which the readers are chosen.
 const READERS_KEY: &str = "rows of hosts";
 /// Time between two requests for changes to a reader. Each request renews the subscription.
-const RENEW_INTERVAL: Duration = Duration::from_secs(1);
+const SUBSCRIPTION_RENEW_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a message after which a reader is avoided, and after which a daemon that has
 /// received nothing from any reader reads the store. The time allows for two lost requests. It is
 /// not longer because a new backend server should get requests within four seconds.
-const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2500);
+const READER_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2500);
 /// Time for which an unresponsive reader is not chosen. Later, the reader may have recovered.
-const AVOID_TIME: Duration = Duration::from_secs(20);
+const READER_AVOID_TIME: Duration = Duration::from_secs(20);
 /// Maximum number of removed rows that are remembered: as many as a large fleet removes in an hour.
-const REMOVED_MAX: usize = 512;
+const REMOVED_ROWS_MAX: usize = 512;
 /// Version of a message that carries a relayed record. A daemon sends a relayed record directly to
 /// its peers, bypassing the store. All versions of the table are higher than this number.
 const RELAYED_VERSION: i64 = 0;
@@ -75,12 +75,12 @@
     changes_received_at: Cell<Option<Duration>>,
     /// Raised when this daemon missed changes that a reader no longer holds, so that it must read
     /// the whole table.
-    gap: RisingSignal,
+    changes_missed: RisingSignal,
     /// Every row with the version of its last change, to be sent to daemons with an earlier version
     /// of the table.
     notes: RefCell<BTreeMap<String, RowNote>>,
     /// Version up to which removed rows may have been forgotten.
-    forgotten_to: Cell<i64>,
+    forgotten_up_to: Cell<i64>,
     readers: RefCell<Vec<RowsReader>>,
     subscribers: RefCell<Vec<RowsSubscriber>>,
 }
@@ -111,7 +111,7 @@
     fn has_recent_changes(&self, now: Duration) -> bool {
         self.changes_received_at
             .get()
-            .is_some_and(|at| now.saturating_sub(at) <= UNRESPONSIVE_AFTER)
+            .is_some_and(|at| now.saturating_sub(at) <= READER_UNRESPONSIVE_AFTER)
     }
 
     fn is_avoided(&self, host: &str, now: Duration) -> bool {
@@ -120,7 +120,7 @@
     }
 
     /// Records that a reader is asked for changes, and avoids a reader that has been unresponsive
-    /// for longer than [`UNRESPONSIVE_AFTER`].
+    /// for longer than [`READER_UNRESPONSIVE_AFTER`].
     fn note_request(&self, host: &str, now: Duration) {
         let mut readers = self.readers.borrow_mut();
         match readers.iter_mut().find(|reader| reader.host == host) {
@@ -136,8 +136,10 @@
                 reader.avoided_until = Duration::ZERO;
                 reader.last_message_at = now;
             }
-            Some(reader) if now.saturating_sub(reader.last_message_at) > UNRESPONSIVE_AFTER => {
-                reader.avoided_until = now + AVOID_TIME;
+            Some(reader)
+                if now.saturating_sub(reader.last_message_at) > READER_UNRESPONSIVE_AFTER =>
+            {
+                reader.avoided_until = now + READER_AVOID_TIME;
             }
             Some(_) => {}
         }
@@ -157,19 +159,19 @@
         false
     }
 
-    /// Stores the current state of a row. If more than [`REMOVED_MAX`] removed rows are stored, the
+    /// Stores the current state of a row. If more than [`REMOVED_ROWS_MAX`] removed rows are stored, the
     /// row that was removed first is forgotten.
-    fn store_note(&self, note: RowNote) {
+    fn store_row_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
         let removed = notes.values().filter(|note| note.value.is_none());
-        if removed.clone().count() <= REMOVED_MAX {
+        if removed.clone().count() <= REMOVED_ROWS_MAX {
             return;
         }
         let oldest = removed.min_by_key(|note| note.version).cloned();
         if let Some(oldest) = oldest {
             notes.remove(&oldest.key);
-            self.forgotten_to.set(oldest.version.max(self.forgotten_to.get()));
+            self.forgotten_up_to.set(oldest.version.max(self.forgotten_up_to.get()));
         }
     }
 
@@ -184,14 +186,14 @@
             self.notes.borrow().values().filter(is_missing).cloned().collect();
         missing
             .into_iter()
-            .for_each(|note| self.store_note(RowNote { value: None, version, ..note }));
-        page.rows.iter().filter_map(row_note).for_each(|note| self.store_note(note));
+            .for_each(|note| self.store_row_note(RowNote { value: None, version, ..note }));
+        page.rows.iter().filter_map(row_note).for_each(|note| self.store_row_note(note));
     }
 
     /// Returns the changes after the version `after` of the table.
     fn changes_after(&self, after: i64) -> RowsNews {
         let version = self.version.get() as i64;
-        let forgotten = after > 0 && after < self.forgotten_to.get();
+        let forgotten = after > 0 && after < self.forgotten_up_to.get();
         let notes = self.notes.borrow();
         let rows = notes.values().filter(|note| note.version > after && !forgotten);
         RowsNews { after: after.min(version), version, rows: rows.cloned().collect(), forgotten }
@@ -213,16 +215,16 @@
 /// Returns the daemons of this daemon's failure domain that should read the rows from the store.
 pub fn readers(state: &DaemonState) -> Vec<String> {
     let now = state.now();
-    let mut local = state.members.live_in_domain(state);
-    local.retain(|host| !state.rows.is_avoided(host, now));
+    let mut local_hosts = state.members.live_in_domain(state);
+    local_hosts.retain(|host| !state.rows.is_avoided(host, now));
     let mut readers = Vec::new();
     while readers.len() < READERS_PER_DOMAIN {
-        let next = limits::owner_of(READERS_KEY, local.iter().map(String::as_str));
+        let next = limits::owner_of(READERS_KEY, local_hosts.iter().map(String::as_str));
         let next = match next {
             Some(host) => host.to_owned(),
             None => break,
         };
-        local.retain(|host| *host != next);
+        local_hosts.retain(|host| *host != next);
         readers.push(next);
     }
     readers
@@ -259,7 +261,7 @@
             for row in &page.rows {
                 roster::apply_row(state, row);
                 if let Some(note) = row_note(row) {
-                    state.rows.store_note(note);
+                    state.rows.store_row_note(note);
                 }
             }
             state.rows.version.set(state.rows.version.get().max(page.version));
@@ -278,15 +280,15 @@
     state.rows.version.set(page.version);
 }
 
-/// Waits for up to [`RENEW_INTERVAL`], and reads the whole table if relayed changes were missed.
+/// Waits for up to [`SUBSCRIPTION_RENEW_INTERVAL`], and reads the whole table if relayed changes were missed.
 async fn await_changes(state: &Rc<DaemonState>, reader: &mut FeedReader) {
-    let seen = state.rows.gap.get();
-    let waiting = state.rows.gap.above(seen);
-    if monoio::time::timeout(RENEW_INTERVAL, waiting).await.is_err() {
+    let seen = state.rows.changes_missed.get();
+    let waiting = state.rows.changes_missed.above(seen);
+    if monoio::time::timeout(SUBSCRIPTION_RENEW_INTERVAL, waiting).await.is_err() {
         return;
     }
     metrics::ROWS_CALLS.add_one();
-    // If the store does not answer, the next message of a reader raises `gap` again.
+    // If the store does not answer, the next message of a reader raises `changes_missed` again.
     if let Ok(FeedUpdate::Whole(page)) = reader.read_whole(state).await {
         adopt_table(state, &page);
     }
@@ -296,7 +298,7 @@
 /// a reader and gets no answer from the store, it asks the other reader.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
-        monoio::time::sleep(RENEW_INTERVAL).await;
+        monoio::time::sleep(SUBSCRIPTION_RENEW_INTERVAL).await;
         let mut readers = readers(&state);
         let is_reader = readers.contains(&state.options.host);
         if is_reader && state.rows.is_reading.get() || state.stop.is_handing_over() {
@@ -363,14 +365,14 @@
         return;
     }
     if news.forgotten {
-        return state.rows.gap.raise();
+        return state.rows.changes_missed.raise();
     }
     if news.after > known {
         return subscribe(state, &peer.host);
     }
     for note in news.rows {
         roster::apply_row(state, &stored_row(&note));
-        state.rows.store_note(note);
+        state.rows.store_row_note(note);
     }
     state.rows.version.set(news.version as u64);
 }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -92,16 +92,16 @@
     stops: StopRequests,
     on_start: impl FnOnce(&Rc<DaemonState>),
 ) -> Result<StopReport, DaemonError> {
-    let start = |source| DaemonError::Start { source };
-    basaltarch_telemetry::metrics::start(&metrics::entries()).map_err(start)?;
+    let start_error = |source| DaemonError::Start { source };
+    basaltarch_telemetry::metrics::start(&metrics::entries()).map_err(start_error)?;
     let listeners = bind_all(&mut options)?;
     let state = DaemonState::try_new(options).map_err(|source| DaemonError::Clock { source })?;
     if let StopRequests::Signals = stops {
-        let signals = SignalStream::stops().map_err(start)?;
+        let signals = SignalStream::stops().map_err(start_error)?;
         monoio::spawn(relay_signals(signals, state.clone(), |state| &state.stop.asked));
-        let signals = SignalStream::interrupts().map_err(start)?;
+        let signals = SignalStream::interrupts().map_err(start_error)?;
         monoio::spawn(relay_signals(signals, state.clone(), |state| state.stop.interrupt_signal()));
-        let signals = SignalStream::reloads().map_err(start)?;
+        let signals = SignalStream::reloads().map_err(start_error)?;
         monoio::spawn(relay_signals(signals, state.clone(), |state| &state.reloading));
     }
     log_listening(&state);
@@ -129,15 +129,15 @@
     .log();
 }
 
-/// Raises the signal that `choose` returns for each signal of the system, for ever.
+/// Raises the signal that `choose_signal` returns for each signal of the system, for ever.
 async fn relay_signals(
     mut signals: SignalStream,
     state: Rc<DaemonState>,
-    choose: fn(&DaemonState) -> &RisingSignal,
+    choose_signal: fn(&DaemonState) -> &RisingSignal,
 ) {
     loop {
         signals.next().await;
-        choose(&state).raise();
+        choose_signal(&state).raise();
     }
 }
 
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -56,7 +56,7 @@
     baselines: RefCell<FnvHashMap<Rc<str>, RouteBaseline>>,
     /// Mean size of a request and its response, by route.
     bytes: RefCell<FnvHashMap<Rc<str>, ByteMean>>,
-    recent: RefCell<RecentAnswers>,
+    recent_answers: RefCell<RecentAnswers>,
     budget: Rc<RefCell<RetryBudget>>,
     poison: Rc<RefCell<PoisonTable<Rc<str>>>>,
     violations: Cell<u64>,
@@ -67,10 +67,10 @@
 /// Evicts services without recent requests, for ever. The state of a service takes about 400 bytes
 /// for each upstream, and is rebuilt from the first responses.
 pub async fn forget_idle(state: Rc<DaemonState>) {
-    let life = state.options.service_idle;
+    let idle_max = state.options.service_idle;
     loop {
-        monoio::time::sleep(life / 4).await;
-        state.services.forget_idle(state.now().saturating_sub(life));
+        monoio::time::sleep(idle_max / 4).await;
+        state.services.forget_idle(state.now().saturating_sub(idle_max));
     }
 }
 
@@ -172,8 +172,8 @@
             .iter()
             .map(|upstream| {
                 let is_local = upstream.server.failure_domain == *own_domain;
-                let fresh = LoadView::new(upstream.server.slots, is_local);
-                carried_over_view(known, &upstream.name, fresh)
+                let new_view = LoadView::new(upstream.server.slots, is_local);
+                carried_over_view(known, &upstream.name, new_view)
             })
             .collect();
         let hosts = entry.upstreams.iter().map(|upstream| upstream.server.host.as_str());
@@ -187,7 +187,7 @@
             slow_requests: RefCell::new(vec![Default::default(); entry.upstreams.len()]),
             baselines: RefCell::default(),
             bytes: RefCell::default(),
-            recent: RefCell::default(),
+            recent_answers: RefCell::default(),
             budget: budget_of(state, &entry, known),
             poison: known.map(|known| known.poison.clone()).unwrap_or_default(),
             violations: Cell::new(0),
@@ -295,10 +295,10 @@
         let mut view = self.view.borrow_mut();
         if let Some(baseline) = baselines.get_mut(route) {
             if let Some(failed) = failed {
-                let took = load.took.filter(|_| !failed);
+                let service_time = load.took.filter(|_| !failed);
                 let current = baseline.current();
-                let mut recent = self.recent.borrow_mut();
-                recent.note(index as u32, failed, took, &current, now);
+                let mut recent_answers = self.recent_answers.borrow_mut();
+                recent_answers.note(index as u32, failed, service_time, &current, now);
             }
             baseline.note(index as u32, &health);
             view.note_median(baseline.current().median_ln);
@@ -320,7 +320,7 @@
             None => return ServiceBaseline::default(),
         };
         baseline.sickness = self.view.borrow().median_score(now);
-        self.recent.borrow().adjust(index as u32, &mut baseline, now);
+        self.recent_answers.borrow().adjust(index as u32, &mut baseline, now);
         baseline
     }
 
@@ -347,8 +347,8 @@
     pub fn siblings_slow_requests(&self, index: usize, now: Duration) -> SlowRequests {
         let reports = self.slow_requests.borrow();
         let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
-        let aged = others.map(|(_, (slow, at))| slow.decayed(now.saturating_sub(*at)));
-        aged.fold(SlowRequests::default(), |sum, slow| sum.with(&slow))
+        let aged_reports = others.map(|(_, (slow, at))| slow.decayed(now.saturating_sub(*at)));
+        aged_reports.fold(SlowRequests::default(), |sum, slow| sum.with(&slow))
     }
 
     /// Counts a request as sent to an upstream for as long as the guard lives.
@@ -486,19 +486,22 @@
 }
 
 /// Returns the view of an upstream in a rebuilt service: the view in `known`, the previous state of
-/// the service, with the new slots and locality, or `fresh` if the upstream is new.
-fn carried_over_view(known: Option<&ServiceState>, name: &str, fresh: LoadView) -> LoadView {
+/// the service, with the new slots and locality, or `new_view` if the upstream is new.
+fn carried_over_view(known: Option<&ServiceState>, name: &str, new_view: LoadView) -> LoadView {
     let known = match known {
         Some(known) => known,
-        None => return fresh,
+        None => return new_view,
     };
     let index = known.entry.upstreams.iter().position(|upstream| &*upstream.name == name);
     let view = known.view.borrow();
     match index.and_then(|index| view.upstreams().get(index)) {
-        Some(old) => {
-            LoadView { slots: fresh.slots, is_local: fresh.is_local, own_in_flight: 0, ..*old }
-        }
-        None => fresh,
+        Some(previous_view) => LoadView {
+            slots: new_view.slots,
+            is_local: new_view.is_local,
+            own_in_flight: 0,
+            ..*previous_view
+        },
+        None => new_view,
     }
 }
 
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -20,7 +20,7 @@
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of checks whether callers have read their last responses. All checks together
 /// take a third of the time from the end of the longest drain to the platform's kill.
-const LINGER_CHECKS: usize = 5;
+const LINGER_CHECKS_MAX: usize = 5;
 
 /// `StopReport` says how a daemon ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -186,7 +186,7 @@
     let mut given_up = 0;
     loop {
         let elapsed = state.now().saturating_sub(begin);
-        let mut next = terms.next(stop.phase.get(), elapsed, unfinished(state));
+        let mut next = terms.next(stop.phase.get(), elapsed, count_unfinished(state));
         if stop.interrupted.is_raised() {
             next = StopPhase::Over(StopCause::Signal);
         }
@@ -211,7 +211,7 @@
 /// acknowledged while the row in the store may still list the server. The next incarnation of this
 /// daemon restores the servers that the row lists, and would send requests to a server that has
 /// left.
-fn unfinished(state: &DaemonState) -> usize {
+fn count_unfinished(state: &DaemonState) -> usize {
     state.stop.in_flight() + usize::from(state.roster.has_unwritten_servers())
 }
 
@@ -244,7 +244,7 @@
 ) -> StopReport {
     state.stop.ending.raise();
     // Gives the tasks of idle connections time to close them before the process ends.
-    for _ in 0..LINGER_CHECKS {
+    for _ in 0..LINGER_CHECKS_MAX {
         monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         if state.stop.lingering.get() == 0 {
             break;
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -42,7 +42,7 @@
     table: RefCell<SuspectTable>,
     /// Requests that last crashed a backend server on this host. The row of the host records the
     /// refused ones among these requests.
-    crashed_here: RefCell<Vec<RequestFingerprint>>,
+    crashed_on_host: RefCell<Vec<RequestFingerprint>>,
     digest: Cell<u64>,
 }
 
@@ -92,11 +92,11 @@
     /// Returns the records for this daemon's row: refused requests whose last crash was on this
     /// host.
     pub fn own_records(&self, now: Duration) -> Vec<RefusedRecord> {
-        let crashed_here = self.crashed_here.borrow();
+        let crashed_on_host = self.crashed_on_host.borrow();
         let notices = self.notices(now).into_iter();
         let own_notices = notices
             .filter(|notice| {
-                notice.tally.is_refused() && crashed_here.contains(&notice.fingerprint)
+                notice.tally.is_refused() && crashed_on_host.contains(&notice.fingerprint)
             })
             .take(ROW_RECORDS_MAX);
         own_notices
@@ -151,16 +151,16 @@
 
 /// Records that a request succeeded at a backend server of this host.
 pub fn note_success(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) {
-    clear(state, fingerprint, "succeeded at a backend server of this host");
+    clear_request(state, fingerprint, "succeeded at a backend server of this host");
 }
 
 /// Admits a request again because an operator lifted its refusal. Says whether any crashes counted
 /// against the request.
 pub fn lift(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) -> bool {
-    clear(state, fingerprint, "lifted by an operator")
+    clear_request(state, fingerprint, "lifted by an operator")
 }
 
-fn clear(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint, cause: &str) -> bool {
+fn clear_request(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint, cause: &str) -> bool {
     let now = state.now();
     let before = state.suspects.tally(fingerprint);
     let cleared = state.suspects.table.borrow_mut().note_success(fingerprint, now);
@@ -182,11 +182,11 @@
 
 /// Adds a refused request to this daemon's row.
 fn add_to_own_row(state: &Rc<DaemonState>, fingerprint: RequestFingerprint) {
-    let mut crashed_here = state.suspects.crashed_here.borrow_mut();
-    if !crashed_here.contains(&fingerprint) {
-        crashed_here.push(fingerprint);
+    let mut crashed_on_host = state.suspects.crashed_on_host.borrow_mut();
+    if !crashed_on_host.contains(&fingerprint) {
+        crashed_on_host.push(fingerprint);
     }
-    drop(crashed_here);
+    drop(crashed_on_host);
     roster::refresh_refused(state);
 }
 
@@ -216,11 +216,11 @@
 /// Sends a notice to up to `most` of the linked daemons.
 fn notify_some(state: &DaemonState, notice: &SuspectNotice, most: usize) {
     for sender in membership::sample_senders(state, most) {
-        send(&sender, std::slice::from_ref(notice));
+        send_notices(&sender, std::slice::from_ref(notice));
     }
 }
 
-fn send(sender: &FrameSender, notices: &[SuspectNotice]) {
+fn send_notices(sender: &FrameSender, notices: &[SuspectNotice]) {
     let suspects = notices.iter().map(wire::suspect_note).collect();
     // Notices that are lost with a broken link are sent again: the digest in the first heartbeat on
     // the next link shows that they are missing.
@@ -245,7 +245,7 @@
         notices.iter().filter_map(|notice| table.answer(notice, now)).collect();
     drop(table);
     if !answers.is_empty() {
-        send(sender, &answers);
+        send_notices(sender, &answers);
     }
 }
 
@@ -295,7 +295,7 @@
 /// digests differ.
 pub fn handle_digest(state: &DaemonState, sender: &FrameSender, digest: Option<i64>) {
     if state.suspects.digest() != digest && !state.suspects.is_empty() {
-        send(sender, &state.suspects.notices(state.now()));
+        send_notices(sender, &state.suspects.notices(state.now()));
     }
 }
 
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -18,9 +18,9 @@
 use http::HeaderMap;
 
 /// Bytes of a typical header field, by which the buffer for field lines is allocated.
-const FIELD_BYTES: usize = 48;
+const TYPICAL_FIELD_BYTES: usize = 48;
 /// Factor between a fraction and the thousandths that are sent between daemons.
-const MILLI: f64 = 1000.0;
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
 
 /// Returns the number of a request's class in the peer protocol.
 pub fn class_number(class: WorkClass) -> i8 {
@@ -60,7 +60,7 @@
 
 /// Serializes header fields as the lines that are sent between daemons.
 pub fn field_lines(headers: &HeaderMap) -> Vec<u8> {
-    let mut lines = BytesMut::with_capacity(FIELD_BYTES * headers.len());
+    let mut lines = BytesMut::with_capacity(TYPICAL_FIELD_BYTES * headers.len());
     writer::put_fields(&mut lines, headers);
     lines.into()
 }
@@ -109,11 +109,11 @@
 /// Converts the baseline of a route to its note in the peer protocol.
 pub fn baseline_note(baseline: &ServiceBaseline) -> BaselineNote {
     BaselineNote {
-        median_ln_milli: milli(baseline.median_ln),
-        spread_milli: milli(baseline.spread),
-        failure_rate_milli: milli(baseline.failure_rate),
-        overdue_rate_milli: milli(baseline.overdue_rate),
-        sickness_milli: milli(baseline.sickness),
+        median_ln_milli: to_milli(baseline.median_ln),
+        spread_milli: to_milli(baseline.spread),
+        failure_rate_milli: to_milli(baseline.failure_rate),
+        overdue_rate_milli: to_milli(baseline.overdue_rate),
+        sickness_milli: to_milli(baseline.sickness),
         upstreams: baseline.upstreams as i32,
         hung_milli: None,
         late_milli: None,
@@ -123,8 +123,8 @@
 /// Converts the baseline of a route, with the slow requests that the other upstreams reported.
 pub fn baseline_with(baseline: &ServiceBaseline, slow_requests: &SlowRequests) -> BaselineNote {
     BaselineNote {
-        hung_milli: Some(milli(slow_requests.hung)),
-        late_milli: Some(milli(slow_requests.late)),
+        hung_milli: Some(to_milli(slow_requests.hung)),
+        late_milli: Some(to_milli(slow_requests.late)),
         ..baseline_note(baseline)
     }
 }
@@ -137,7 +137,7 @@
 }
 
 fn slow_requests(hung_milli: i32, late_milli: i32) -> SlowRequests {
-    let count = |thousandths: i32| of_milli(thousandths.max(0));
+    let count = |thousandths: i32| from_milli(thousandths.max(0));
     SlowRequests { hung: count(hung_milli), late: count(late_milli) }
 }
 
@@ -148,11 +148,11 @@
         None => return ServiceBaseline::default(),
     };
     ServiceBaseline {
-        median_ln: of_milli(note.median_ln_milli),
-        spread: of_milli(note.spread_milli),
-        failure_rate: of_milli(note.failure_rate_milli),
-        overdue_rate: of_milli(note.overdue_rate_milli),
-        sickness: of_milli(note.sickness_milli),
+        median_ln: from_milli(note.median_ln_milli),
+        spread: from_milli(note.spread_milli),
+        failure_rate: from_milli(note.failure_rate_milli),
+        overdue_rate: from_milli(note.overdue_rate_milli),
+        sickness: from_milli(note.sickness_milli),
         upstreams: note.upstreams.max(0) as u32,
     }
 }
@@ -180,20 +180,20 @@
         in_flight: load.in_flight as i32,
         queued: load.queued as i32,
         draining: load.draining,
-        sickness_milli: milli(health.sickness),
-        median_ln_milli: milli(health.median_ln),
-        spread_milli: milli(health.spread),
-        failure_rate_milli: milli(health.failure_rate),
-        overdue_rate_milli: milli(health.overdue_rate),
+        sickness_milli: to_milli(health.sickness),
+        median_ln_milli: to_milli(health.median_ln),
+        spread_milli: to_milli(health.spread),
+        failure_rate_milli: to_milli(health.failure_rate),
+        overdue_rate_milli: to_milli(health.overdue_rate),
         samples: health.samples.min(i32::MAX as u32) as i32,
-        ramp_milli: milli(health.ramp),
+        ramp_milli: to_milli(health.ramp),
         trial_in_ms: health.trial_in.as_millis().min(i32::MAX as u128) as i32,
         revision: load.revision as i64,
         ejected: health.ejected,
         doubtful: health.doubtful,
         took_us: load.took.map_or(0, |took| took.as_micros().clamp(1, i32::MAX as u128) as i32),
-        hung_milli: Some(milli(load.slow_requests.hung)),
-        late_milli: Some(milli(load.slow_requests.late)),
+        hung_milli: Some(to_milli(load.slow_requests.hung)),
+        late_milli: Some(to_milli(load.slow_requests.late)),
     }
 }
 
@@ -211,14 +211,14 @@
         ),
     };
     let health = HealthReport {
-        sickness: of_milli(report.sickness_milli),
+        sickness: from_milli(report.sickness_milli),
         ejected: report.ejected,
-        median_ln: of_milli(report.median_ln_milli),
-        spread: of_milli(report.spread_milli),
-        failure_rate: of_milli(report.failure_rate_milli),
-        overdue_rate: of_milli(report.overdue_rate_milli),
+        median_ln: from_milli(report.median_ln_milli),
+        spread: from_milli(report.spread_milli),
+        failure_rate: from_milli(report.failure_rate_milli),
+        overdue_rate: from_milli(report.overdue_rate_milli),
         samples: report.samples.max(0) as u32,
-        ramp: of_milli(report.ramp_milli).clamp(0.01, 1.0),
+        ramp: from_milli(report.ramp_milli).clamp(0.01, 1.0),
         trial_in: Duration::from_millis(report.trial_in_ms.max(0) as u64),
         doubtful: report.doubtful,
     };
@@ -231,11 +231,11 @@
 }
 
 /// Converts a fraction to thousandths, saturated at the range of `i32`.
-fn milli(value: f64) -> i32 {
-    (value * MILLI).round() as i32
+fn to_milli(value: f64) -> i32 {
+    (value * THOUSANDTHS_PER_UNIT).round() as i32
 }
 
 /// Converts thousandths to a fraction.
-fn of_milli(thousandths: i32) -> f64 {
-    f64::from(thousandths) / MILLI
+fn from_milli(thousandths: i32) -> f64 {
+    f64::from(thousandths) / THOUSANDTHS_PER_UNIT
 }
--- a/crates/options/src/bounds.rs
+++ b/crates/options/src/bounds.rs
@@ -36,9 +36,9 @@
 ) -> Result<usize, SettingError> {
     let wanted = values::count("connections", given, 10_000, 1, 1_000_000)?;
     let descriptors = values::amount("descriptors", descriptors, 1 << 20, 256, 1 << 30)?;
-    let memory = values::amount("memory-mb", memory_mb, 1 << 20, 16, 1 << 30)? << 20;
+    let memory_bytes = values::amount("memory-mb", memory_mb, 1 << 20, 16, 1 << 30)? << 20;
     let by_descriptors = descriptors / CALLER_DESCRIPTORS_DIVISOR;
-    let by_memory = memory / CALLER_MEMORY_DIVISOR / CALLER_BYTES;
+    let by_memory = memory_bytes / CALLER_MEMORY_DIVISOR / CALLER_BYTES;
     Ok(wanted.min(by_descriptors).min(by_memory) as usize)
 }
 
--- a/crates/options/src/raw.rs
+++ b/crates/options/src/raw.rs
@@ -124,11 +124,11 @@
             Some(path) => path,
             None => return Ok(self),
         };
-        let unreadable = |error: std::io::Error| SettingError::Unreadable {
+        let unreadable_error = |error: std::io::Error| SettingError::Unreadable {
             path: path.clone(),
             message: error.to_string(),
         };
-        let text = fs::read_to_string(&path).map_err(unreadable)?;
+        let text = fs::read_to_string(&path).map_err(unreadable_error)?;
         for line in settings::read_lines(&text)? {
             let field = match self.field(&line.flag) {
                 Some(field) => field,
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -100,9 +100,9 @@
     max: u64,
 ) -> Result<u64, SettingError> {
     let allowed = format!("{min} to {max}");
-    let (bottom, top) = (min as f64, max as f64);
+    let (min_value, max_value) = (min as f64, max as f64);
     let value = settings::checked(flag, given, default as f64, &allowed, |value: &f64| {
-        (bottom..=top).contains(&value.floor())
+        (min_value..=max_value).contains(&value.floor())
     });
     value.map(|value| value as u64)
 }
