--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -159,8 +159,8 @@
         false
     }
 
-    /// Stores the current state of a row. If more than [`REMOVED_ROWS_MAX`] removed rows are stored, the
-    /// row that was removed first is forgotten.
+    /// Stores the current state of a row. If more than [`REMOVED_ROWS_MAX`] removed rows are
+    /// stored, the row that was removed first is forgotten.
     fn store_row_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
@@ -280,7 +280,8 @@
     state.rows.version.set(page.version);
 }
 
-/// Waits for up to [`SUBSCRIPTION_RENEW_INTERVAL`], and reads the whole table if relayed changes were missed.
+/// Waits for up to [`SUBSCRIPTION_RENEW_INTERVAL`], and reads the whole table if relayed changes
+/// were missed.
 async fn await_changes(state: &Rc<DaemonState>, reader: &mut FeedReader) {
     let seen = state.rows.changes_missed.get();
     let waiting = state.rows.changes_missed.above(seen);
