--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -300,7 +300,7 @@
 }
 
 fn handle_part(state: &Rc<DaemonState>, peer: &PeerIdentity, part: SnapshotPart) {
-    let bytes = match state.snapshots.take(&peer.host, part) {
+    let bytes = match state.snapshots.add_part(&peer.host, part) {
         Some(bytes) => bytes,
         None => return,
     };
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -534,7 +534,7 @@
     fn may_be_trial(&self) -> bool {
         self.is_repeatable()
             && self.server_attempts == 0
-            && self.request.service.has_retry(self.state)
+            && self.request.service.has_retry_budget(self.state)
     }
 
     /// Returns the mode that is sent to the host's daemon: a repeatable request that may not be a
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -201,7 +201,7 @@
     request.service.note_request(began);
     let parent = state.host.calls.parent_of(&request.trace.id);
     if parent.as_ref().is_some_and(|parent| parent.repeated) {
-        request.service.note_retried(began);
+        request.service.note_request_as_retry(began);
     }
     let note_failed_call = || {
         if let Some(parent) = &parent {
@@ -229,7 +229,7 @@
         AttemptEnd::Failed(failure) => {
             note_failed_call();
             if let FailureOutcome::NotRun(_) = failure.outcome {
-                limits::give_back(state, &state.config.active(), request.limit_subject());
+                limits::return_tokens(state, &state.config.active(), request.limit_subject());
             }
             trace::log_failed(state, request, &failure);
             record(failure.outcome.header_value());
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -67,7 +67,12 @@
 
 impl OwnedLimits {
     /// Updates the assignment of a limit, if the eligible hosts have changed.
-    pub fn update(&self, state: &DaemonState, limit: &str, assignment: &mut OwnerAssignment) {
+    pub fn update_assignment(
+        &self,
+        state: &DaemonState,
+        limit: &str,
+        assignment: &mut OwnerAssignment,
+    ) {
         self.refresh_eligible(state);
         let eligible = self.eligible.borrow();
         if assignment.generation == eligible.generation {
@@ -112,7 +117,7 @@
             Some(assignment) => assignment,
             None => assignments.entry(limit.to_owned()).or_default(),
         };
-        self.update(state, limit, assignment);
+        self.update_assignment(state, limit, assignment);
         assignment.clone()
     }
 
@@ -178,7 +183,7 @@
     if state.now() >= FIRST_START_WINDOW {
         return FleetStart::Settled;
     }
-    match state.rows.is_known() && !state.roster.started_before() {
+    match state.rows.is_known() && !state.roster.had_earlier_start() {
         true => FleetStart::First,
         false => FleetStart::Restart,
     }
@@ -236,7 +241,7 @@
         return check_owner(state, &request.limit);
     };
     if claim.is_some() {
-        ingress_limits::charge_owner(state, &request.limit, answer.granted);
+        ingress_limits::report_backup_grant(state, &request.limit, answer.granted);
     }
     let reply = GrantReply {
         sequence: request.sequence,
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -88,7 +88,7 @@
 }
 
 /// Returns the tokens of a request that was admitted and then refused for another reason.
-pub fn give_back(state: &DaemonState, active: &ActiveConfig, subject: LimitSubject<'_>) {
+pub fn return_tokens(state: &DaemonState, active: &ActiveConfig, subject: LimitSubject<'_>) {
     if active.has_no_limits() {
         return;
     }
@@ -194,7 +194,7 @@
     fn assignment(&self, state: &DaemonState, entry: &LimitEntry) -> Option<OwnerAssignment> {
         let mut states = self.states.borrow_mut();
         let known = states.get_mut(&entry.name)?;
-        self.owned.update(state, &entry.name, &mut known.assignment);
+        self.owned.update_assignment(state, &entry.name, &mut known.assignment);
         Some(known.assignment.clone())
     }
 
@@ -329,7 +329,7 @@
 /// Reports to the owner the tokens that this daemon granted as the backup owner. If only some
 /// daemons can't reach the owner, the owner's count thus covers the grants to all daemons. An owner
 /// that has left the fleet is not notified, as its successor starts with a new count.
-pub fn charge_owner(state: &Rc<DaemonState>, limit: &str, granted: f64) {
+pub fn report_backup_grant(state: &Rc<DaemonState>, limit: &str, granted: f64) {
     let active = state.config.active();
     let Some(entry) = active.limit(limit).cloned().filter(|_| granted > 0.0) else { return };
     let state = state.clone();
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -9,7 +9,7 @@
 
 use basaltarch_core::settings::EXIT_BAD_SETTINGS;
 use basaltarch_daemon::errors::DaemonError;
-use basaltarch_daemon::run::{self, StopRequests, EXIT_CUT};
+use basaltarch_daemon::run::{self, StopRequests, EXIT_REQUESTS_CUT};
 use basaltarch_daemon::stop::StopReport;
 use basaltarch_options::{DaemonOptions, RawOptions};
 use basaltarch_telemetry::{logs, runtime};
@@ -160,7 +160,7 @@
 }
 
 /// Exit status when the daemon could not start.
-const EXIT_START: i32 = 1;
+const EXIT_START_FAILED: i32 = 1;
 
 fn main() {
     let flags = flags::Basaltarchd::from_env_or_exit();
@@ -168,7 +168,7 @@
         Ok(StopReport { cut: 0 }) => {}
         Ok(StopReport { cut }) => {
             eprintln!("basaltarchd: stopped with {cut} requests cut");
-            process::exit(EXIT_CUT);
+            process::exit(EXIT_REQUESTS_CUT);
         }
         Err(error @ DaemonError::Setting { .. }) => {
             eprintln!("basaltarchd: {error}");
@@ -176,7 +176,7 @@
         }
         Err(error) => {
             eprintln!("basaltarchd: {error}");
-            process::exit(EXIT_START);
+            process::exit(EXIT_START_FAILED);
         }
     }
 }
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -54,7 +54,7 @@
     /// Adds a part, and returns the whole snapshot after the last part. A part that does not follow
     /// the previously received part is dropped: the transfer of the part broke off or was replaced
     /// by a later transfer.
-    pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
+    pub fn add_part(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
         if part.index == 0 {
             let fresh = PartialSnapshot { transfer: part.transfer, ..PartialSnapshot::default() };
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -270,9 +270,9 @@
 
 /// Recovers the backend servers that an earlier incarnation of this daemon published. Each server
 /// that still answers with its name is in use again before its next heartbeat.
-pub fn recover(state: &Rc<DaemonState>, record: &HostRecord) {
-    let known = state.registrations.recovered.borrow().as_ref().map(HostRecord::order);
-    if known >= Some(record.order()) {
+pub fn recover_servers(state: &Rc<DaemonState>, record: &HostRecord) {
+    let known = state.registrations.recovered.borrow().as_ref().map(HostRecord::sort_key);
+    if known >= Some(record.sort_key()) {
         return;
     }
     *state.registrations.recovered.borrow_mut() = Some(record.clone());
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -110,7 +110,7 @@
 impl HostRecord {
     /// Returns the sort key of a host's records: the incarnation, then the changes. The later of
     /// two records has the greater key.
-    pub fn order(&self) -> (i64, u64) {
+    pub fn sort_key(&self) -> (i64, u64) {
         (self.incarnation, self.changes)
     }
 
@@ -156,7 +156,7 @@
     has_unwritten: Cell<bool>,
     changed: RisingSignal,
     /// Whether the store or a peer reported an earlier incarnation of this host's daemon.
-    started_before: Cell<bool>,
+    had_earlier_start: Cell<bool>,
     /// Hosts whose daemon was replaced at its address and whose rows still exist.
     replaced_hosts: RefCell<Vec<String>>,
 }
@@ -248,12 +248,12 @@
     }
 
     /// Says whether an earlier incarnation of this host's daemon is known.
-    pub fn started_before(&self) -> bool {
-        self.started_before.get()
+    pub fn had_earlier_start(&self) -> bool {
+        self.had_earlier_start.get()
     }
 
     /// Signals that this daemon's own record may have changed.
-    pub fn touch(&self) {
+    pub fn signal_change(&self) {
         self.changed.raise();
     }
 }
@@ -283,7 +283,7 @@
     let refused = state.suspects.own_records(state.now());
     let known = state.roster.record(&state.options.host);
     if known.is_some_and(|record| record.refused != refused) {
-        state.roster.touch();
+        state.roster.signal_change();
     }
 }
 
@@ -302,7 +302,7 @@
     }
     update_record(state, &state.options.host, Some(record));
     document::put_host_in_force(state);
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
 /// Records that a backend server of this host has left. The departure is acknowledged to the server
@@ -365,7 +365,7 @@
         // The known record is later than `record`. Either the host's daemon sent the known record
         // directly, or the known record is this daemon's own and changed while `record` was being
         // written.
-        if known.as_ref().is_some_and(|known| known.order() > record.order()) {
+        if known.as_ref().is_some_and(|known| known.sort_key() > record.sort_key()) {
             return;
         }
     }
@@ -425,7 +425,7 @@
             continue;
         }
         let known = state.roster.record(&host);
-        if known.is_none_or(|known| known.order() < record.order()) {
+        if known.is_none_or(|known| known.sort_key() < record.sort_key()) {
             update_record(state, &host, Some(record));
         }
     }
@@ -441,7 +441,7 @@
     for host in hosts.into_iter().filter(is_gone) {
         apply_removal(state, &host);
     }
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
 /// Applies one row, or its removal.
@@ -473,7 +473,7 @@
         let own = state.identity.incarnation;
         fleet::LaterStart { incarnation: record.incarnation, own }.log();
     }
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
 /// Handles a row that can't be read because a program other than a daemon wrote the row. The known
@@ -483,7 +483,7 @@
     if row.key == state.options.host {
         state.roster.own_version.set(row.version);
         state.roster.note_written(None);
-        state.roster.touch();
+        state.roster.signal_change();
     }
 }
 
@@ -526,9 +526,9 @@
     if record.incarnation >= state.identity.incarnation {
         return;
     }
-    state.roster.started_before.set(true);
+    state.roster.had_earlier_start.set(true);
     if state.options.registration.is_some() {
-        registration::recover(state, record);
+        registration::recover_servers(state, record);
     }
 }
 
@@ -540,7 +540,7 @@
     // again.
     state.roster.own_version.set(0);
     state.roster.note_written(None);
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
 /// Writes this daemon's row whenever its record has changed, for ever.
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -35,7 +35,7 @@
 use crate::suspects;
 
 /// Exit status of a stop that cut requests.
-pub const EXIT_CUT: i32 = 3;
+pub const EXIT_REQUESTS_CUT: i32 = 3;
 
 /// `StopRequests` is where requests to stop a daemon come from.
 pub enum StopRequests {
@@ -183,7 +183,7 @@
         let active = state.config.active();
         let touched = state.config.take_touched();
         state.host.configure(&state, &active, &touched);
-        state.services.forget_gone(&active);
+        state.services.forget_removed(&active);
         // The revision is announced to the neighbours at once, so that the fleet's status is up to
         // date.
         if announced.replace(active.revision) != Some(active.revision) {
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -144,7 +144,7 @@
     }
 
     /// Removes services that are no longer configured.
-    pub fn forget_gone(&self, active: &ActiveConfig) {
+    pub fn forget_removed(&self, active: &ActiveConfig) {
         let mut services = self.services.borrow_mut();
         services.retain(|name, _| active.services.contains_key(name));
         metrics::SERVICES.set(services.len() as i64);
@@ -364,12 +364,12 @@
 
     /// Records a request that counts as a retry, since it is a nested call of a request that is
     /// itself a retry.
-    pub fn note_retried(&self, now: Duration) {
+    pub fn note_request_as_retry(&self, now: Duration) {
         self.budget.borrow_mut().note_retry(now);
     }
 
     /// Says whether the budget allows another retry.
-    pub fn has_retry(&self, state: &DaemonState) -> bool {
+    pub fn has_retry_budget(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
         budget.set_terms(terms);
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -222,7 +222,7 @@
     process::DaemonHandingOver { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
     membership::send_heartbeats(state, HeartbeatContent::Own);
     notify_accepted(state);
-    state.roster.touch();
+    state.roster.signal_change();
     for upstream in state.host.all() {
         upstream.slots.refuse_late(|deadline| !allows_start(state, deadline));
     }
