--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -120,7 +120,7 @@
     };
     let pause = async || yield_to_requests(state).await;
     if let Some(config) = state.changes.snapshot(&pause).await? {
-        adopt(state, config).await;
+        adopt_config(state, config).await;
     }
     Ok(())
 }
@@ -146,7 +146,7 @@
 
 /// Builds the layout of a whole configuration in slices, and adopts it if it is later than the
 /// configuration that is in force when the layout is complete.
-async fn adopt(state: &Rc<DaemonState>, config: FleetConfig) {
+async fn adopt_config(state: &Rc<DaemonState>, config: FleetConfig) {
     let layout =
         ActiveConfig::build_in_slices(&config, &async || yield_to_requests(state).await).await;
     state.config.adopt(config, layout, state.now());
@@ -315,7 +315,7 @@
     monoio::spawn(async move {
         let state = &read_guard.state;
         match snapshot::read(&bytes, &async || yield_to_requests(state).await).await {
-            Ok(config) => adopt(state, config).await,
+            Ok(config) => adopt_config(state, config).await,
             Err(error) => {
                 fleet::SnapshotUnreadable { host: &host, error: &error.to_string() }.log();
             }
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -67,7 +67,7 @@
 /// `DocumentCell` holds the document in force, if there is one.
 #[derive(Debug, Default)]
 pub struct DocumentCell {
-    held: RefCell<Option<Rc<ConfigDocument>>>,
+    held_document: RefCell<Option<Rc<ConfigDocument>>>,
     is_pulling: Cell<bool>,
     /// Position up to which the operator's table was read, `None` before the first read.
     position: Cell<Option<TablePosition>>,
@@ -78,7 +78,7 @@
 impl DocumentCell {
     /// Returns the document in force.
     pub fn get(&self) -> Option<Rc<ConfigDocument>> {
-        self.held.borrow().clone()
+        self.held_document.borrow().clone()
     }
 }
 
@@ -201,9 +201,9 @@
     let fresh_ms = confirmation_age.map(|age| age.as_millis() as u64);
     fleet::DocumentTaken { revision: revision.0, from, fresh_ms }.log();
     state.freshness.note_readable();
-    let next = build_layout(state, &document);
-    *state.document.held.borrow_mut() = Some(Rc::new(document));
-    state.config.replace_layout(next, TouchedServices::All, state.now());
+    let next_layout = build_layout(state, &document);
+    *state.document.held_document.borrow_mut() = Some(Rc::new(document));
+    state.config.replace_layout(next_layout, TouchedServices::All, state.now());
     put_host_in_force(state);
     DocumentOutcome::InForce
 }
@@ -224,21 +224,21 @@
         let name: Rc<str> = Rc::from(route.name.as_str());
         (name, Rc::new(route.rule.clone()))
     });
-    let mut next = ActiveConfig::default();
-    next.revision = FleetRevision(document.version);
-    next.routes = RouteTable::build(routes);
+    let mut next_layout = ActiveConfig::default();
+    next_layout.revision = FleetRevision(document.version);
+    next_layout.routes = RouteTable::build(routes);
     for declaration in &document.services {
         let entry = service_entry(state, declaration);
-        next.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
+        next_layout.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
     }
     for declaration in document.organisations.iter().flatten() {
-        add_organisation(&mut next, declaration);
+        add_organisation(&mut next_layout, declaration);
     }
-    next
+    next_layout
 }
 
-fn add_organisation(next: &mut ActiveConfig, declaration: &OrganisationDeclaration) {
-    next.keys.insert_all(&declaration.name, &organisation_spec(declaration));
+fn add_organisation(next_layout: &mut ActiveConfig, declaration: &OrganisationDeclaration) {
+    next_layout.keys.insert_all(&declaration.name, &organisation_spec(declaration));
     let Some(limit) = &declaration.limit else { return };
     let rule = LimitRule {
         scope: LimitScope::Organisation,
@@ -247,7 +247,7 @@
         // A limit without a burst admits requests that come one at a time.
         burst: limit.burst.max(1.0),
     };
-    next.insert_limit(&Rc::from(declaration.name.as_str()), rule);
+    next_layout.insert_limit(&Rc::from(declaration.name.as_str()), rule);
 }
 
 fn organisation_spec(declaration: &OrganisationDeclaration) -> OrganisationSpec {
@@ -281,18 +281,18 @@
         Some(document) => document,
         None => return,
     };
-    let mut next = ActiveConfig::clone(&state.config.active());
+    let mut next_layout = ActiveConfig::clone(&state.config.active());
     let mut touched = Vec::new();
     for declaration in
         document.services.iter().filter(|declaration| names.contains(&declaration.name))
     {
         let entry = service_entry(state, declaration);
         touched.push(entry.name.clone());
-        next.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
+        next_layout.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
     }
     if !touched.is_empty() {
         let touched = TouchedServices::Some(touched);
-        state.config.replace_layout(next, touched, state.now());
+        state.config.replace_layout(next_layout, touched, state.now());
     }
 }
 
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -20,10 +20,10 @@
 const CALL_WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
 
 /// Returns the longest wait of a long poll in a fleet of `members` daemons, but no more than
-/// `most`.
-fn longest_wait(members: usize, most: Duration) -> Duration {
+/// `wait_limit`.
+fn longest_wait(members: usize, wait_limit: Duration) -> Duration {
     let wait = CALL_WAIT_PER_DAEMON.saturating_mul(members as u32);
-    wait.min(most)
+    wait.min(wait_limit)
 }
 
 /// `FeedPlan` says which table is followed and how often the store is called.
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -95,8 +95,8 @@
     let now = state.now();
     let mut states = state.limits.states.borrow_mut();
     for entry in subject.limits(active) {
-        if let Some(known) = states.get_mut(&entry.name) {
-            known.limiter.give_back(now);
+        if let Some(limit_state) = states.get_mut(&entry.name) {
+            limit_state.limiter.give_back(now);
         }
     }
 }
@@ -125,9 +125,12 @@
 impl LimitRefusal {
     fn new(state: &DaemonState, entry: &LimitEntry, wait: Duration) -> Self {
         let states = state.limits.states.borrow();
-        let known = states.get(&entry.name);
-        let is_standalone = known.is_some_and(|known| known.limiter.is_standalone());
-        let owner = known.and_then(|known| known.assignment.owner.as_deref()).unwrap_or("nobody");
+        let limit_state = states.get(&entry.name);
+        let is_standalone =
+            limit_state.is_some_and(|limit_state| limit_state.limiter.is_standalone());
+        let owner = limit_state
+            .and_then(|limit_state| limit_state.assignment.owner.as_deref())
+            .unwrap_or("nobody");
         let count = if is_standalone { "this daemon alone, without" } else { "all daemons at" };
         let LimitRule { rate, burst, .. } = &entry.rule;
         let name = &entry.name;
@@ -161,14 +164,14 @@
 impl RateLimiter {
     fn check_limit(&self, entry: &LimitEntry, now: Duration) -> LimitVerdict {
         let mut states = self.states.borrow_mut();
-        let known = states.entry(entry.name.clone()).or_insert_with(|| LimitState {
+        let limit_state = states.entry(entry.name.clone()).or_insert_with(|| LimitState {
             limiter: LocalLimiter::new(now),
             pending_request: None,
             retry_owner_at: Duration::ZERO,
             owner_lost_until: None,
             assignment: OwnerAssignment::default(),
         });
-        known.limiter.admit(now)
+        limit_state.limiter.admit(now)
     }
 
     /// Calls `change` with the state of a limit, if this ingress has a state for the limit.
@@ -183,19 +186,19 @@
     /// Says whether the owner, which could not be reached, should be tried again.
     fn should_retry_owner(&self, entry: &LimitEntry, now: Duration) -> bool {
         let states = self.states.borrow();
-        states.get(&entry.name).is_some_and(|known| {
-            known.limiter.is_standalone()
-                && known.pending_request.is_none()
-                && now >= known.retry_owner_at
+        states.get(&entry.name).is_some_and(|limit_state| {
+            limit_state.limiter.is_standalone()
+                && limit_state.pending_request.is_none()
+                && now >= limit_state.retry_owner_at
         })
     }
 
     /// Returns the daemons that count a limit.
     fn assignment(&self, state: &DaemonState, entry: &LimitEntry) -> Option<OwnerAssignment> {
         let mut states = self.states.borrow_mut();
-        let known = states.get_mut(&entry.name)?;
-        self.owned.update_assignment(state, &entry.name, &mut known.assignment);
-        Some(known.assignment.clone())
+        let limit_state = states.get_mut(&entry.name)?;
+        self.owned.update_assignment(state, &entry.name, &mut limit_state.assignment);
+        Some(limit_state.assignment.clone())
     }
 
     /// Passes a reply of the owner to the token request that the reply answers.
@@ -247,13 +250,14 @@
     entry: &LimitEntry,
     pending_request: Option<Rc<RisingSignal>>,
 ) {
-    state.limits.with_limit(entry, |known| known.pending_request = pending_request);
+    state.limits.with_limit(entry, |limit_state| limit_state.pending_request = pending_request);
 }
 
 /// Asks the owner, or the backup owner for as long as the owner can't be reached. If neither can be
 /// reached, the ingress admits only its own share of the limit.
 async fn request_from_any(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
-    let lost_until = state.limits.with_limit(entry, |known| known.owner_lost_until).flatten();
+    let lost_until =
+        state.limits.with_limit(entry, |limit_state| limit_state.owner_lost_until).flatten();
     match lost_until {
         Some(until) if state.now() < until => {}
         // The owner is asked in a task of its own: the owner may still be unreachable, and the
@@ -271,35 +275,39 @@
 /// Asks the owner for tokens, and reports the tokens that were used before they were granted. Says
 /// whether the owner replied.
 async fn request_from_owner(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) -> bool {
-    let spent = state.limits.with_limit(entry, |known| known.limiter.take_spent()).unwrap_or(0.0);
+    let spent = state
+        .limits
+        .with_limit(entry, |limit_state| limit_state.limiter.take_spent())
+        .unwrap_or(0.0);
     let owner = state.limits.assignment(state, entry).and_then(|assignment| assignment.owner);
     let terms = GrantTerms { wanted, spent, claim: None };
-    let answer = match owner {
+    let grant = match owner {
         Some(owner) => request_from(state, &owner, entry, terms).await,
         None => None,
     };
     let now = state.now();
-    state.limits.with_limit(entry, |known| match &answer {
-        Some(answer) => {
-            known.owner_lost_until = None;
-            known.limiter.note_owner(answer.ahead, answer.share, now);
-            note_grant(known, entry, wanted, answer, now);
+    state.limits.with_limit(entry, |limit_state| match &grant {
+        Some(grant) => {
+            limit_state.owner_lost_until = None;
+            limit_state.limiter.note_owner(grant.ahead, grant.share, now);
+            note_grant(limit_state, entry, wanted, grant, now);
         }
         None => {
-            known.owner_lost_until = Some(now + OWNER_RETRY_INTERVAL);
-            known.limiter.note_unpaid(spent);
+            limit_state.owner_lost_until = Some(now + OWNER_RETRY_INTERVAL);
+            limit_state.limiter.note_unpaid(spent);
         }
     });
-    answer.is_some()
+    grant.is_some()
 }
 
 async fn request_from_backup(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
     let rule = &entry.rule;
     let daemons = state.limits.owned.daemons(state);
-    let claim =
-        state.limits.with_limit(entry, |known| known.limiter.note_owner_lost(rule.rate, daemons));
+    let claim = state
+        .limits
+        .with_limit(entry, |limit_state| limit_state.limiter.note_owner_lost(rule.rate, daemons));
     let backup = state.limits.assignment(state, entry).and_then(|assignment| assignment.backup);
-    let answer = match backup {
+    let grant = match backup {
         Some(backup) => {
             let terms = GrantTerms { wanted, spent: 0.0, claim };
             request_from(state, &backup, entry, terms).await
@@ -307,12 +315,12 @@
         None => None,
     };
     let now = state.now();
-    state.limits.with_limit(entry, |known| match &answer {
+    state.limits.with_limit(entry, |limit_state| match &grant {
         // The owner has become reachable again since the backup was asked.
-        _ if known.owner_lost_until.is_none() => {}
-        Some(answer) => {
-            known.limiter.note_backup();
-            note_grant(known, entry, wanted, answer, now);
+        _ if limit_state.owner_lost_until.is_none() => {}
+        Some(grant) => {
+            limit_state.limiter.note_backup();
+            note_grant(limit_state, entry, wanted, grant, now);
         }
         None => {
             // Only in a fleet that starts for the first time is this daemon's share of the burst
@@ -320,8 +328,8 @@
             let is_first = limit_owners::fleet_start(state) == FleetStart::First;
             let since = (!is_first).then_some(Duration::ZERO);
             let terms = StandaloneTerms { rate: rule.rate, burst: rule.burst, daemons, since };
-            known.limiter.start_standalone(terms, now);
-            known.retry_owner_at = now + OWNER_RETRY_INTERVAL;
+            limit_state.limiter.start_standalone(terms, now);
+            limit_state.retry_owner_at = now + OWNER_RETRY_INTERVAL;
         }
     });
 }
@@ -343,15 +351,15 @@
 }
 
 fn note_grant(
-    known: &mut LimitState,
+    limit_state: &mut LimitState,
     entry: &LimitEntry,
     wanted: f64,
-    answer: &TokenGrant,
+    grant: &TokenGrant,
     now: Duration,
 ) {
     if wanted > 0.0 {
         let wait = Duration::from_secs_f64(1.0 / entry.rule.rate).min(GRANT_LIFE);
-        known.limiter.note_grant(answer.granted, wait, now);
+        limit_state.limiter.note_grant(grant.granted, wait, now);
     }
 }
 
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -164,10 +164,10 @@
     }
 
     /// Returns a random sample of the open accepted links.
-    pub fn sample_accepted(&self, most: usize) -> Vec<Rc<AcceptedLink>> {
+    pub fn sample_accepted(&self, count_max: usize) -> Vec<Rc<AcceptedLink>> {
         let accepted = self.accepted.borrow();
         let open = accepted.iter().filter_map(Weak::upgrade);
-        open.sample(&mut rand::rng(), most)
+        open.sample(&mut rand::rng(), count_max)
     }
 
     /// Returns the latest known incarnation of a host's daemon, 0 if none is known.
@@ -459,13 +459,13 @@
 }
 
 /// Returns a random sample of the open links, whichever side dialled them.
-pub fn sample_senders(state: &DaemonState, most: usize) -> Vec<FrameSender> {
+pub fn sample_senders(state: &DaemonState, count_max: usize) -> Vec<FrameSender> {
     let accepted = state.members.sample_accepted(usize::MAX);
     let accepted = accepted.iter().map(|link| link.sender().clone());
     let linked = state.peers.linked();
     let dialled = linked.iter().filter_map(|path| path.link());
     let senders = accepted.chain(dialled.map(|link| link.sender().clone()));
-    senders.sample(&mut rand::rng(), most)
+    senders.sample(&mut rand::rng(), count_max)
 }
 
 /// Sends a heartbeat to one host.
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -202,17 +202,17 @@
             return verdict;
         }
     }
-    register(state, heartbeat);
+    register_server(state, heartbeat);
     verdict
 }
 
 /// Puts in force what a heartbeat reports.
-fn register(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) {
+fn register_server(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) {
     let name = heartbeat.incarnation.upstream();
     let cold_until = state.now() + heartbeat.cold_for;
     if !heartbeat.cold_for.is_zero() {
-        let mut cold = state.registrations.cold_until.borrow_mut();
-        cold.insert(name.clone(), cold_until);
+        let mut cold_times = state.registrations.cold_until.borrow_mut();
+        cold_times.insert(name.clone(), cold_until);
     }
     let mut servers = state.roster.own_servers();
     let known = servers.iter().find(|server| server.name == name);
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -29,10 +29,10 @@
     let mut version = file_version(&state);
     let mut seen = state.reloading.get();
     loop {
-        let mut asked = std::pin::pin!(state.reloading.above(seen).fuse());
+        let mut reload_signal = std::pin::pin!(state.reloading.above(seen).fuse());
         let mut tick = std::pin::pin!(monoio::time::sleep(CHECK_INTERVAL).fuse());
         let by_signal = select_biased! {
-            count = asked => { seen = count; true }
+            count = reload_signal => { seen = count; true }
             () = tick => false,
         };
         let current_version = file_version(&state);
@@ -62,9 +62,9 @@
             return;
         }
     };
-    let fixed = state.options.differences(&options);
-    if !fixed.is_empty() {
-        process::SettingsFixed { settings: &fixed.join(", ") }.log();
+    let fixed_settings = state.options.differences(&options);
+    if !fixed_settings.is_empty() {
+        process::SettingsFixed { settings: &fixed_settings.join(", ") }.log();
     }
     options.keep_bound(&state.options);
     state.set_live(options);
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -219,13 +219,13 @@
     local_hosts.retain(|host| !state.rows.is_avoided(host, now));
     let mut readers = Vec::new();
     while readers.len() < READERS_PER_DOMAIN {
-        let next = limits::owner_of(READERS_KEY, local_hosts.iter().map(String::as_str));
-        let next = match next {
+        let next_reader = limits::owner_of(READERS_KEY, local_hosts.iter().map(String::as_str));
+        let next_reader = match next_reader {
             Some(host) => host.to_owned(),
             None => break,
         };
-        local_hosts.retain(|host| *host != next);
-        readers.push(next);
+        local_hosts.retain(|host| *host != next_reader);
+        readers.push(next_reader);
     }
     readers
 }
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -55,7 +55,7 @@
     slow_requests: RefCell<Vec<(SlowRequests, Duration)>>,
     baselines: RefCell<FnvHashMap<Rc<str>, RouteBaseline>>,
     /// Mean size of a request and its response, by route.
-    bytes: RefCell<FnvHashMap<Rc<str>, ByteMean>>,
+    mean_bytes: RefCell<FnvHashMap<Rc<str>, ByteMean>>,
     recent_answers: RefCell<RecentAnswers>,
     budget: Rc<RefCell<RetryBudget>>,
     poison: Rc<RefCell<PoisonTable<Rc<str>>>>,
@@ -186,7 +186,7 @@
             ),
             slow_requests: RefCell::new(vec![Default::default(); entry.upstreams.len()]),
             baselines: RefCell::default(),
-            bytes: RefCell::default(),
+            mean_bytes: RefCell::default(),
             recent_answers: RefCell::default(),
             budget: budget_of(state, &entry, known),
             poison: known.map(|known| known.poison.clone()).unwrap_or_default(),
@@ -326,7 +326,7 @@
 
     /// Records the bytes of a request and its response.
     pub fn note_bytes(&self, route: &Rc<str>, bytes: u64) {
-        self.bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
+        self.mean_bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
     }
 
     /// Returns the longest time, in service rounds, that a request waits for an upstream in the
@@ -336,7 +336,7 @@
         if worth.is_zero() {
             return 0.0;
         }
-        let bytes = self.bytes.borrow();
+        let bytes = self.mean_bytes.borrow();
         let baselines = self.baselines.borrow();
         let usual = baselines.get(route).and_then(|baseline| baseline.current().usual_time());
         let usual = usual.map(|usual| usual.at(0.0));
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -45,7 +45,7 @@
     /// Raised when the daemon ends: idle connections are closed.
     pub ending: RisingSignal,
     phase: Cell<StopPhase>,
-    begun: Cell<Option<StopBegin>>,
+    stop_begin: Cell<Option<StopBegin>>,
     in_flight: Cell<usize>,
     lingering: Cell<usize>,
 }
@@ -54,7 +54,7 @@
 /// shutdown do not change the terms.
 #[derive(Debug, Clone, Copy)]
 struct StopBegin {
-    at: Duration,
+    began_at: Duration,
     terms: StopTerms,
 }
 
@@ -94,14 +94,14 @@
     /// so the clock is checked as well.
     pub fn is_over(&self, now: Duration) -> bool {
         let is_past_longest =
-            |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
+            |begin: StopBegin| now.saturating_sub(begin.began_at) >= begin.terms.longest;
         matches!(self.phase.get(), StopPhase::GivingUp { .. } | StopPhase::Over(_))
-            || self.begun.get().is_some_and(is_past_longest)
+            || self.stop_begin.get().is_some_and(is_past_longest)
     }
 
     /// Returns when the daemon began to stop, since its start.
     pub fn asked_at(&self) -> Option<Duration> {
-        self.begun.get().map(|begin| begin.at)
+        self.stop_begin.get().map(|begin| begin.began_at)
     }
 
     /// Returns the number of callers' requests and peers' dispatches that have not ended.
@@ -144,11 +144,11 @@
 /// Nothing may be awaited between this check and the moment at which the request is counted as in
 /// flight: the daemon ends as soon as it is closed and nothing is in flight.
 pub fn admits_request(state: &DaemonState, request: &str) -> bool {
-    let begin = match state.stop.begun.get() {
+    let begin = match state.stop.stop_begin.get() {
         Some(begin) => begin,
         None => return true,
     };
-    let elapsed = state.now().saturating_sub(begin.at);
+    let elapsed = state.now().saturating_sub(begin.began_at);
     let is_call = state.host.calls.parent_of(request).is_some();
     begin.terms.admits_request(state.stop.phase.get(), elapsed, is_call)
 }
@@ -156,20 +156,20 @@
 /// Says whether a request that must end by `deadline` may still be started at a backend server of
 /// this host.
 pub fn allows_start(state: &DaemonState, deadline: Duration) -> bool {
-    let begin = match state.stop.begun.get() {
+    let begin = match state.stop.stop_begin.get() {
         Some(begin) => begin,
         None => return true,
     };
-    begin.terms.allows_start(state.stop.phase.get(), deadline.saturating_sub(begin.at))
+    begin.terms.allows_start(state.stop.phase.get(), deadline.saturating_sub(begin.began_at))
 }
 
 /// Returns the deadline of a request that is admitted now. After the stop has closed, only nested
 /// calls of requests that run at this daemon are admitted, and those requests are given up at the
 /// returned time.
 pub fn bounded_deadline(state: &DaemonState, deadline: Duration) -> Duration {
-    match state.stop.begun.get() {
+    match state.stop.stop_begin.get() {
         Some(begin) if state.stop.is_closed() => {
-            deadline.min(begin.at + begin.terms.gives_up_after())
+            deadline.min(begin.began_at + begin.terms.gives_up_after())
         }
         _ => deadline,
     }
@@ -182,7 +182,7 @@
     let options = state.live();
     let terms = StopTerms { shortest: options.drain_min, longest: options.drain };
     let begin = state.now();
-    stop.begun.set(Some(StopBegin { at: begin, terms }));
+    stop.stop_begin.set(Some(StopBegin { began_at: begin, terms }));
     let mut given_up = 0;
     loop {
         let elapsed = state.now().saturating_sub(begin);
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -213,9 +213,9 @@
     .log();
 }
 
-/// Sends a notice to up to `most` of the linked daemons.
-fn notify_some(state: &DaemonState, notice: &SuspectNotice, most: usize) {
-    for sender in membership::sample_senders(state, most) {
+/// Sends a notice to up to `count_max` of the linked daemons.
+fn notify_some(state: &DaemonState, notice: &SuspectNotice, count_max: usize) {
+    for sender in membership::sample_senders(state, count_max) {
         send_notices(&sender, std::slice::from_ref(notice));
     }
 }
--- a/crates/options/src/check.rs
+++ b/crates/options/src/check.rs
@@ -107,9 +107,9 @@
         };
         let source = source::read(raw.source)?;
         let peers = address("peers", raw.peers)?;
-        let at_peer_port = values::flag("seeds-at-peer-port", raw.seeds_at_peer_port)?;
+        let uses_peer_port = values::flag("seeds-at-peer-port", raw.seeds_at_peer_port)?;
         let mut seeds = values::seeds(raw.seeds)?;
-        if at_peer_port {
+        if uses_peer_port {
             seeds.iter_mut().for_each(|seed| seed.set_port(peers.port()));
         }
         Ok(Self {
