--- a/crates/daemon/src/admin/suspects.rs
+++ b/crates/daemon/src/admin/suspects.rs
@@ -45,7 +45,7 @@
         None => return problem(StatusCode::BAD_REQUEST, "a fingerprint has 32 hexadecimal digits"),
     };
     let fingerprint_text = fingerprint.to_string();
-    if !suspects::lift(state, &fingerprint) {
+    if !suspects::lift_refusal(state, &fingerprint) {
         return problem(
             StatusCode::NOT_FOUND,
             "no request with this fingerprint is suspected here",
--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -133,14 +133,14 @@
 
 impl SnapshotReadGuard {
     fn take(state: &Rc<DaemonState>) -> Option<Self> {
-        let taken = state.snapshots.reading.replace(true);
+        let taken = state.snapshots.is_reading.replace(true);
         (!taken).then(|| Self { state: state.clone() })
     }
 }
 
 impl Drop for SnapshotReadGuard {
     fn drop(&mut self) {
-        self.state.snapshots.reading.set(false);
+        self.state.snapshots.is_reading.set(false);
     }
 }
 
@@ -206,7 +206,7 @@
         if let Some(records) = state.config.records_after(peer_revision) {
             send_records(state, sender, records.iter().map(|record| &**record));
         }
-    } else if peer_revision > own_revision && !state.snapshots.reading.get() {
+    } else if peer_revision > own_revision && !state.snapshots.is_reading.get() {
         let pull = ChangePull { after: own_revision.0 as i64 };
         let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
     }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -24,7 +24,7 @@
 use crate::suspects;
 
 /// Handles a frame from `peer`; `path` is set on links that this daemon dialled.
-pub fn handle(
+pub fn handle_frame(
     state: &Rc<DaemonState>,
     path: Option<&Rc<PeerPath>>,
     sender: &FrameSender,
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -202,7 +202,7 @@
                 // The retry budget is already charged for the hedge that follows.
                 attempts.log_end(&start, StepEnd::Hedged, None, NextStep::Retry);
                 attempts.server_attempts += 1;
-                attempts.request.service.note_late(choice.index, state.now());
+                attempts.request.service.note_overdue_attempt(choice.index, state.now());
                 attempts.excluded.push(choice.index);
                 attempts.note_outcome(FailureOutcome::Unknown(UnknownReason::TimedOut));
                 slow.push(SlowAttempt { start, live });
@@ -448,7 +448,7 @@
             return Ok(());
         }
         let fingerprint = self.request.fingerprint(self.state);
-        match suspects::judge(self.state, &fingerprint) {
+        match suspects::judge_copy(self.state, &fingerprint) {
             CopyVerdict::Serve => Ok(()),
             CopyVerdict::Trial => {
                 self.is_crash_trial = true;
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -183,7 +183,7 @@
     if state.now() >= FIRST_START_WINDOW {
         return FleetStart::Settled;
     }
-    match state.rows.is_known() && !state.roster.had_earlier_start() {
+    match state.rows.has_read_rows() && !state.roster.had_earlier_start() {
         true => FleetStart::First,
         false => FleetStart::Restart,
     }
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -136,7 +136,7 @@
     fleet::PeerLinked { host: &path.host }.log();
     let sender = link.sender().clone();
     let on_control = |body: FrameBody| {
-        control::handle(state, Some(path), &sender, &link.peer, body);
+        control::handle_frame(state, Some(path), &sender, &link.peer, body);
     };
     let on_frame = || path.note_frame(state.now());
     let reading = link.run(&mut reader, on_frame, on_control);
@@ -170,7 +170,7 @@
 }
 
 /// Identifies the daemon that listens at an address, by a handshake.
-pub async fn identify(
+pub async fn identify_peer(
     state: &Rc<DaemonState>,
     address: SocketAddr,
 ) -> Result<PeerIdentity, LinkError> {
@@ -258,7 +258,8 @@
         let link = link.clone();
         monoio::spawn(async move { host::serve_remote(state, link, inbound).await });
     };
-    let on_control = |body: FrameBody| control::handle(state, None, &sender, &link.peer, body);
+    let on_control =
+        |body: FrameBody| control::handle_frame(state, None, &sender, &link.peer, body);
     let reading = link.run(&mut reader, on_dispatch, on_control);
     let encoder = is_cross_domain.then(LinkEncoder::default);
     let error = run_halves(reading, &sender, writer, encoder).await;
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -419,7 +419,7 @@
     loop {
         if state.members.members.borrow().is_empty() {
             for address in &state.live().seeds {
-                match links::identify(&state, *address).await {
+                match links::identify_peer(&state, *address).await {
                     Ok(peer) => state.members.record_seed_peer(&state, peer, *address),
                     Err(error) => {
                         let (address, error) = (&address.to_string(), &error.to_string());
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -19,7 +19,7 @@
     parts: RefCell<FnvHashMap<String, PartialSnapshot>>,
     last_transfer: Cell<i64>,
     /// Whether a complete snapshot is being read.
-    pub reading: Cell<bool>,
+    pub is_reading: Cell<bool>,
 }
 
 /// `PartialSnapshot` is what has been received of one transfer.
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -62,11 +62,11 @@
             return;
         }
     };
-    let fixed_settings = state.options.differences(&options);
+    let fixed_settings = state.options.fixed_differences(&options);
     if !fixed_settings.is_empty() {
         process::SettingsFixed { settings: &fixed_settings.join(", ") }.log();
     }
-    options.keep_bound(&state.options);
+    options.keep_bound_addresses(&state.options);
     state.set_live(options);
     process::SettingsAdopted { cause }.log();
 }
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -103,7 +103,7 @@
 
 impl RowsRelay {
     /// Says whether the rows of all hosts were read, by this daemon or by a reader.
-    pub fn is_known(&self) -> bool {
+    pub fn has_read_rows(&self) -> bool {
         self.version.get() > 0
     }
 
@@ -235,7 +235,7 @@
     let mut reader = FeedReader::new(HOSTS_FEED_PLAN);
     loop {
         let is_reader = readers(&state).contains(&state.options.host);
-        if state.rows.is_known() && !is_reader && state.rows.has_recent_changes(state.now()) {
+        if state.rows.has_read_rows() && !is_reader && state.rows.has_recent_changes(state.now()) {
             state.rows.is_reading.set(false);
             await_changes(&state, &mut reader).await;
         } else {
@@ -246,7 +246,7 @@
 
 /// Reads the store once and relays the changes that it returns.
 async fn read_store(state: &Rc<DaemonState>, reader: &mut FeedReader) {
-    if state.rows.is_known() && !state.rows.is_reading.get() {
+    if state.rows.has_read_rows() && !state.rows.is_reading.get() {
         reader.skip_to(state.rows.version.get());
     }
     metrics::ROWS_CALLS.add_one();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -168,8 +168,8 @@
         }
     }
     monoio::spawn(trace::report_losses(state.clone()));
-    monoio::spawn(services::forget_idle(state.clone()));
-    monoio::spawn(suspects::forget(state.clone()));
+    monoio::spawn(services::evict_idle(state.clone()));
+    monoio::spawn(suspects::evict_old(state.clone()));
     monoio::spawn(resume::watch(state.clone()));
     monoio::spawn(follow_configuration(state.clone()));
 }
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -66,11 +66,11 @@
 
 /// Evicts services without recent requests, for ever. The state of a service takes about 400 bytes
 /// for each upstream, and is rebuilt from the first responses.
-pub async fn forget_idle(state: Rc<DaemonState>) {
+pub async fn evict_idle(state: Rc<DaemonState>) {
     let idle_max = state.options.service_idle;
     loop {
         monoio::time::sleep(idle_max / 4).await;
-        state.services.forget_idle(state.now().saturating_sub(idle_max));
+        state.services.evict_idle(state.now().saturating_sub(idle_max));
     }
 }
 
@@ -151,7 +151,7 @@
     }
 
     /// Evicts services that have had no request since `before` and have none in flight.
-    fn forget_idle(&self, before: Duration) {
+    fn evict_idle(&self, before: Duration) {
         let mut services = self.services.borrow_mut();
         services
             .retain(|_, service| service.used_at.get() >= before || Rc::strong_count(service) > 1);
@@ -307,7 +307,7 @@
     }
 
     /// Records that an attempt at an upstream takes longer than the attempt's hedging delay.
-    pub fn note_late(&self, index: usize, now: Duration) {
+    pub fn note_overdue_attempt(&self, index: usize, now: Duration) {
         self.paths[index].note_late();
         self.view.borrow_mut().note_late(index, now);
     }
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -111,7 +111,7 @@
 }
 
 /// Says whether a copy of a request is served normally, run as a trial, or refused.
-pub fn judge(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
+pub fn judge_copy(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
     let makes_trials = || {
         let live = state.members.live_hosts(state);
         let key = fingerprint.to_string();
@@ -156,7 +156,7 @@
 
 /// Admits a request again because an operator lifted its refusal. Says whether any crashes counted
 /// against the request.
-pub fn lift(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) -> bool {
+pub fn lift_refusal(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) -> bool {
     clear_request(state, fingerprint, "lifted by an operator")
 }
 
@@ -300,7 +300,7 @@
 }
 
 /// Runs for ever: evicts requests that have not been seen for a while.
-pub async fn forget(state: Rc<DaemonState>) {
+pub async fn evict_old(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(EVICTION_INTERVAL).await;
         let now = state.now();
--- a/crates/options/src/bounds.rs
+++ b/crates/options/src/bounds.rs
@@ -34,9 +34,9 @@
     descriptors: Option<String>,
     memory_mb: Option<String>,
 ) -> Result<usize, SettingError> {
-    let wanted = values::count("connections", given, 10_000, 1, 1_000_000)?;
-    let descriptors = values::amount("descriptors", descriptors, 1 << 20, 256, 1 << 30)?;
-    let memory_bytes = values::amount("memory-mb", memory_mb, 1 << 20, 16, 1 << 30)? << 20;
+    let wanted = values::read_count("connections", given, 10_000, 1, 1_000_000)?;
+    let descriptors = values::read_amount("descriptors", descriptors, 1 << 20, 256, 1 << 30)?;
+    let memory_bytes = values::read_amount("memory-mb", memory_mb, 1 << 20, 16, 1 << 30)? << 20;
     let by_descriptors = descriptors / CALLER_DESCRIPTORS_DIVISOR;
     let by_memory = memory_bytes / CALLER_MEMORY_DIVISOR / CALLER_BYTES;
     Ok(wanted.min(by_descriptors).min(by_memory) as usize)
@@ -47,7 +47,8 @@
     drain: Option<String>,
     kill_after: Option<String>,
 ) -> Result<Duration, SettingError> {
-    let drain = values::millis("drain-ms", drain, 30_000, DRAIN_MS_MAX)?;
-    let kill_after = values::time("kill-after-ms", kill_after, DRAIN_MS_MAX, 0, KILL_AFTER_MS_MAX)?;
+    let drain = values::read_millis("drain-ms", drain, 30_000, DRAIN_MS_MAX)?;
+    let kill_after =
+        values::read_time("kill-after-ms", kill_after, DRAIN_MS_MAX, 0, KILL_AFTER_MS_MAX)?;
     Ok(drain.min(kill_after.saturating_sub(KILL_MARGIN)))
 }
--- a/crates/options/src/check.rs
+++ b/crates/options/src/check.rs
@@ -107,8 +107,8 @@
         };
         let source = source::read(raw.source)?;
         let peers = address("peers", raw.peers)?;
-        let uses_peer_port = values::flag("seeds-at-peer-port", raw.seeds_at_peer_port)?;
-        let mut seeds = values::seeds(raw.seeds)?;
+        let uses_peer_port = values::read_flag("seeds-at-peer-port", raw.seeds_at_peer_port)?;
+        let mut seeds = values::read_seeds(raw.seeds)?;
         if uses_peer_port {
             seeds.iter_mut().for_each(|seed| seed.set_port(peers.port()));
         }
@@ -117,24 +117,26 @@
             callers: address("callers", raw.callers)?,
             peers,
             admin: address("admin", raw.admin)?,
-            advertise_peers: values::advertised("advertise-peers", raw.advertise_peers)?,
-            advertise_admin: values::advertised("advertise-admin", raw.advertise_admin)?,
+            advertise_peers: values::read_advertised("advertise-peers", raw.advertise_peers)?,
+            advertise_admin: values::read_advertised("advertise-admin", raw.advertise_admin)?,
             seeds,
-            host: values::name("host", raw.host)?,
-            failure_domain: values::name("failure-domain", raw.failure_domain)?,
+            host: values::read_name("host", raw.host)?,
+            failure_domain: values::read_name("failure-domain", raw.failure_domain)?,
             platform: settings::required("platform", raw.platform, values::ADDRESS_ALLOWED)?,
-            fleet_key: values::fleet_key(raw.fleet_key)?,
+            fleet_key: values::read_fleet_key(raw.fleet_key)?,
             admin_token: settings::required("admin-token", raw.admin_token, "a token")?,
-            log: values::log_level(raw.log)?,
-            log_requests: values::count("log-requests", raw.log_requests, 20, 0, 1_000_000)? as u32,
-            log_failures: values::count("log-failures", raw.log_failures, 50, 0, 1_000_000)? as u32,
+            log: values::read_log_level(raw.log)?,
+            log_requests: values::read_count("log-requests", raw.log_requests, 20, 0, 1_000_000)?
+                as u32,
+            log_failures: values::read_count("log-failures", raw.log_failures, 50, 0, 1_000_000)?
+                as u32,
             drain: bounds::longest_drain(raw.drain_ms, raw.kill_after_ms)?,
             connections: bounds::caller_connections(
                 raw.connections,
                 raw.descriptors,
                 raw.memory_mb,
             )?,
-            connections_each: values::amount(
+            connections_each: values::read_amount(
                 "connections-each",
                 raw.connections_each,
                 2000,
@@ -142,24 +144,33 @@
                 1_000_000,
             )? as usize,
             head: HeadLimits {
-                bytes: values::count("head-bytes", raw.head_bytes, 16_384, 512, 32_768)? as usize,
-                time: values::millis("head-ms", raw.head_ms, 10_000, 600_000)?,
-                idle: values::millis("idle-ms", raw.idle_ms, 75_000, 3_600_000)?,
+                bytes: values::read_count("head-bytes", raw.head_bytes, 16_384, 512, 32_768)?
+                    as usize,
+                time: values::read_millis("head-ms", raw.head_ms, 10_000, 600_000)?,
+                idle: values::read_millis("idle-ms", raw.idle_ms, 75_000, 3_600_000)?,
                 ..HeadLimits::default()
             },
             body: BodyLimits {
-                bytes: values::count("body-bytes", raw.body_bytes, 4 << 30, 0, 1 << 50)?,
-                idle: values::millis("body-idle-ms", raw.body_idle_ms, 30_000, 600_000)?,
+                bytes: values::read_count("body-bytes", raw.body_bytes, 4 << 30, 0, 1 << 50)?,
+                idle: values::read_millis("body-idle-ms", raw.body_idle_ms, 30_000, 600_000)?,
             },
-            store_reads: values::count("store-reads", raw.store_reads, 400, 1, 100_000)? as f64,
-            store_writes: values::count("store-writes", raw.store_writes, 50, 1, 100_000)? as f64,
-            service_idle: values::millis(
+            store_reads: values::read_count("store-reads", raw.store_reads, 400, 1, 100_000)?
+                as f64,
+            store_writes: values::read_count("store-writes", raw.store_writes, 50, 1, 100_000)?
+                as f64,
+            service_idle: values::read_millis(
                 "service-idle-ms",
                 raw.service_idle_ms,
                 600_000,
                 86_400_000,
             )?,
-            once_keep_hours: values::count("once-keep-hours", raw.once_keep_hours, 24, 1, 8760)?,
+            once_keep_hours: values::read_count(
+                "once-keep-hours",
+                raw.once_keep_hours,
+                24,
+                1,
+                8760,
+            )?,
             source,
             ready: settings::optional("ready", raw.ready, values::ADDRESS_ALLOWED)?,
             registration: settings::optional(
@@ -169,13 +180,13 @@
             )?,
             own_service: settings::optional("own-service", raw.own_service, "a name")?,
             defaults: ServiceDefaults {
-                floor: values::share("floor", raw.floor, 0.7)?,
-                prefer: defaults::prefer(raw.prefer)?,
-                queue: values::count("queue", raw.queue, 16, 0, QUEUE_MAX.into())? as u32,
-                retry_share: values::ratio("retry-share", raw.retry_share, 0.1)?,
-                retry_extra: values::amount("retry-extra", raw.retry_extra, 100, 0, 1_000_000)?
+                floor: values::read_share("floor", raw.floor, 0.7)?,
+                prefer: defaults::read_preference(raw.prefer)?,
+                queue: values::read_count("queue", raw.queue, 16, 0, QUEUE_MAX.into())? as u32,
+                retry_share: values::read_ratio("retry-share", raw.retry_share, 0.1)?,
+                retry_extra: values::read_amount("retry-extra", raw.retry_extra, 100, 0, 1_000_000)?
                     as u32,
-                retry_window: values::millis(
+                retry_window: values::read_millis(
                     "retry-window-ms",
                     raw.retry_window_ms,
                     10_000,
@@ -183,22 +194,27 @@
                 )?,
             },
             limit_tolerance: LimitTolerance {
-                window: values::millis("limit-window-ms", raw.limit_window_ms, 1000, 600_000)?,
-                over: values::share("limit-over", raw.limit_over, 0.0)?,
-                extra: values::amount("limit-extra", raw.limit_extra, 0, 0, 1_000_000)? as f64,
+                window: values::read_millis("limit-window-ms", raw.limit_window_ms, 1000, 600_000)?,
+                over: values::read_share("limit-over", raw.limit_over, 0.0)?,
+                extra: values::read_amount("limit-extra", raw.limit_extra, 0, 0, 1_000_000)? as f64,
             },
-            heartbeat: values::millis("heartbeat-ms", raw.heartbeat_ms, 1000, 600_000)?,
-            forwarded: !values::flag("hide-callers", raw.hide_callers)?,
-            prove_once_only: values::flag("prove-once-only", raw.prove_once_only)?,
+            heartbeat: values::read_millis("heartbeat-ms", raw.heartbeat_ms, 1000, 600_000)?,
+            forwarded: !values::read_flag("hide-callers", raw.hide_callers)?,
+            prove_once_only: values::read_flag("prove-once-only", raw.prove_once_only)?,
             waiting: waiting::read(raw.waiting)?,
-            far_megabyte: Duration::from_millis(values::count(
+            far_megabyte: Duration::from_millis(values::read_count(
                 "far-megabyte-ms",
                 raw.far_megabyte_ms,
                 0,
                 0,
                 600_000,
             )?),
-            drain_min: values::millis("drain-min-ms", raw.drain_min_ms, 500, bounds::DRAIN_MS_MAX)?,
+            drain_min: values::read_millis(
+                "drain-min-ms",
+                raw.drain_min_ms,
+                500,
+                bounds::DRAIN_MS_MAX,
+            )?,
         })
     }
 
--- a/crates/options/src/defaults.rs
+++ b/crates/options/src/defaults.rs
@@ -27,7 +27,7 @@
 }
 
 /// Reads which of detection and precision is preferred; precision is the default.
-pub fn prefer(given: Option<String>) -> Result<EjectionPreference, SettingError> {
+pub fn read_preference(given: Option<String>) -> Result<EjectionPreference, SettingError> {
     let allowed = "detection or precision";
     let name = settings::checked("prefer", given, "precision".to_owned(), allowed, |name| {
         matches!(name.as_str(), "detection" | "precision")
--- a/crates/options/src/restart.rs
+++ b/crates/options/src/restart.rs
@@ -10,7 +10,7 @@
 impl DaemonOptions {
     /// Returns the settings in which `next` differs and that can't change while the daemon runs. An
     /// address with port 0 was bound to a port chosen by the system and does not differ.
-    pub fn differences(&self, next: &Self) -> Vec<&'static str> {
+    pub fn fixed_differences(&self, next: &Self) -> Vec<&'static str> {
         let address_changed = |own: SocketAddr, next: SocketAddr| next.port() != 0 && own != next;
         let option_changed = |own: Option<SocketAddr>, next: Option<SocketAddr>| match (own, next) {
             (Some(own), Some(next)) => address_changed(own, next),
@@ -33,7 +33,7 @@
     }
 
     /// Replaces the configured addresses by the addresses of `bound`, which are in use.
-    pub fn keep_bound(&mut self, bound: &Self) {
+    pub fn keep_bound_addresses(&mut self, bound: &Self) {
         self.callers = bound.callers;
         self.peers = bound.peers;
         self.admin = bound.admin;
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -15,27 +15,30 @@
 pub const ADDRESS_ALLOWED: &str = "an IP address with port, such as 127.0.0.1:8080";
 
 /// Reads a share, from 0 to 1.
-pub fn share(name: &str, given: Option<String>, default: f64) -> Result<f64, SettingError> {
+pub fn read_share(name: &str, given: Option<String>, default: f64) -> Result<f64, SettingError> {
     settings::checked(name, given, default, "0 to 1", |value| (0.0..=1.0).contains(value))
 }
 
 /// Reads a ratio, which may exceed 1.
-pub fn ratio(name: &str, given: Option<String>, default: f64) -> Result<f64, SettingError> {
+pub fn read_ratio(name: &str, given: Option<String>, default: f64) -> Result<f64, SettingError> {
     settings::checked(name, given, default, "0 to 10", |value| (0.0..=10.0).contains(value))
 }
 
 /// Reads a boolean setting; it is off by default.
-pub fn flag(name: &str, given: Option<String>) -> Result<bool, SettingError> {
+pub fn read_flag(name: &str, given: Option<String>) -> Result<bool, SettingError> {
     settings::checked(name, given, false, "true or false", |_| true)
 }
 
 /// Reads an optional address.
-pub fn advertised(flag: &str, given: Option<String>) -> Result<Option<SocketAddr>, SettingError> {
+pub fn read_advertised(
+    flag: &str,
+    given: Option<String>,
+) -> Result<Option<SocketAddr>, SettingError> {
     settings::optional(flag, given, ADDRESS_ALLOWED)
 }
 
 /// Reads addresses of other daemons.
-pub fn seeds(given: Option<String>) -> Result<Vec<SocketAddr>, SettingError> {
+pub fn read_seeds(given: Option<String>) -> Result<Vec<SocketAddr>, SettingError> {
     let allowed = "IP addresses with ports, separated by commas";
     let list: Option<String> = settings::optional("seeds", given, allowed)?;
     let list = list.unwrap_or_default();
@@ -44,7 +47,7 @@
 }
 
 /// Reads a name by which other daemons identify this one.
-pub fn name(flag: &str, given: Option<String>) -> Result<String, SettingError> {
+pub fn read_name(flag: &str, given: Option<String>) -> Result<String, SettingError> {
     let allowed = "1 to 128 of a-z, 0-9, '-', '.', '_'";
     let name: String = settings::required(flag, given, allowed)?;
     settings::checked(flag, Some(name), String::new(), allowed, |name: &String| {
@@ -55,7 +58,7 @@
 }
 
 /// Reads the key shared by all daemons. An error message about the key shows only its length.
-pub fn fleet_key(given: Option<String>) -> Result<Vec<u8>, SettingError> {
+pub fn read_fleet_key(given: Option<String>) -> Result<Vec<u8>, SettingError> {
     let allowed = "at least 16 characters";
     let key: String = settings::required("fleet-key", given, allowed)?;
     if key.len() >= KEY_BYTES_MIN {
@@ -71,7 +74,7 @@
 }
 
 /// Reads the log level, for all modules or per module.
-pub fn log_level(given: Option<String>) -> Result<String, SettingError> {
+pub fn read_log_level(given: Option<String>) -> Result<String, SettingError> {
     let allowed = "error, warn, info, debug, trace, or a list by module";
     settings::checked("log", given, "info".to_owned(), allowed, |level: &String| {
         logs::is_valid(level)
@@ -79,7 +82,7 @@
 }
 
 /// Reads a number from `min` to `max`.
-pub fn count(
+pub fn read_count(
     flag: &str,
     given: Option<String>,
     default: u64,
@@ -92,7 +95,7 @@
 
 /// Reads an amount from `min` to `max`. The platform may scale the amount, so it can have a
 /// fraction. The amount is rounded down, so that the daemon never exceeds what it is granted.
-pub fn amount(
+pub fn read_amount(
     flag: &str,
     given: Option<String>,
     default: u64,
@@ -108,7 +111,7 @@
 }
 
 /// Reads a time of `min` to `max` milliseconds.
-pub fn time(
+pub fn read_time(
     flag: &str,
     given: Option<String>,
     default: u64,
@@ -124,13 +127,13 @@
 }
 
 /// Reads a time of 1 to `max` milliseconds.
-pub fn millis(
+pub fn read_millis(
     flag: &str,
     given: Option<String>,
     default: u64,
     max: u64,
 ) -> Result<Duration, SettingError> {
-    time(flag, given, default, 1, max)
+    read_time(flag, given, default, 1, max)
 }
 
 /// Converts `2.5s` to `2500`; returns `None` for a text of another form.
