--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Handles frames between daemons that belong to no request.
+//! Handles the frames between daemons that belong to no caller's request, such as heartbeats.
 
 use std::rc::Rc;
 
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -44,8 +44,8 @@
 /// itself waits no longer than 30 s.
 const OPERATOR_FEED_WAIT_MAX: Duration = Duration::from_secs(28);
 /// How the operator's table is followed. A failed call costs as much as a successful one. After an
-/// outage, the first daemon that reads a change announces it to the other daemons, so that retries
-/// every 1.5 s are enough.
+/// outage, the first daemon that reads a change announces the change to the other daemons, so that
+/// retries every 1.5 s are enough.
 const DOCUMENT_FEED_PLAN: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
--- a/crates/daemon/src/errors.rs
+++ b/crates/daemon/src/errors.rs
@@ -21,7 +21,7 @@
         /// What is wrong.
         source: SettingError,
     },
-    /// There is no suitable clock.
+    /// The system has no suitable clock.
     #[snafu(display("{source}"))]
     Clock {
         /// What is wrong.
--- a/crates/daemon/src/freshness.rs
+++ b/crates/daemon/src/freshness.rs
@@ -7,9 +7,9 @@
 //!
 //! One query at a time serves all waiting requests, so that callers who ask for unknown routes cost
 //! one query a second, however many they are. The query goes to the two daemons of the failure
-//! domain that read the store for its other daemons, and to the store itself only if neither
-//! confirms. For a while after a query without a confirmation, requests are refused at once as not
-//! run.
+//! domain that read the store for its other daemons. The store itself is queried only if neither of
+//! the two daemons confirms. For a while after a query without a confirmation, requests are refused
+//! at once as not run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -171,14 +171,14 @@
     /// before.
     First,
     /// The daemon started a moment ago, and not for the first time. If all daemons were killed at
-    /// once, their earlier grants are no longer known, and granting a whole burst could grant it a
-    /// second time.
+    /// once, their earlier grants are no longer known, and a burst could be granted a second time.
     Restart,
     /// The daemon started longer ago.
     Settled,
 }
 
-/// Returns how this daemon started. The row of its host shows whether it had started before.
+/// Returns how this daemon started. The row of its host shows whether the daemon had started
+/// before.
 pub fn fleet_start(state: &DaemonState) -> FleetStart {
     if state.now() >= FIRST_START_WINDOW {
         return FleetStart::Settled;
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -235,8 +235,8 @@
     let state = state.clone();
     let entry = entry.clone();
     let end_signal = signal.clone();
-    // The token request runs in a task of its own: if it belonged to the request of a caller that
-    // disconnects, the other requests would wait in vain.
+    // The token request runs in a task of its own. If the task were that of a caller's request and
+    // the caller disconnected, the other requests would wait in vain.
     monoio::spawn(async move {
         request_from_any(&state, &entry, wanted).await;
         set_pending_request(&state, &entry, None);
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -278,8 +278,8 @@
     }
 }
 
-/// Logs when a path counts as cut, because no frame has arrived along it for a while, and when
-/// frames arrive again.
+/// Logs when a path counts as cut, because no frame has arrived along the path for a while, and
+/// when frames arrive again.
 fn log_silence(path: &PeerPath, in_flight: usize, now: Duration) {
     let is_unresponsive = path.state(now) == PathState::Cut;
     if path.note_silence(is_unresponsive) == is_unresponsive {
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -212,15 +212,15 @@
         members.retain(|_, view| view.listed || heartbeat_age(view) < forget_after);
     }
 
-    /// Records that a host has no row any more. Reports of its heartbeats are still used.
+    /// Records that a host has no row any more. Reports of the host's heartbeats are still used.
     pub fn note_removed(&self, host: &str) {
         if let Some(view) = self.members.borrow_mut().get_mut(host) {
             view.listed = false;
         }
     }
 
-    /// Returns the hosts with a row whose latest known heartbeat is so old that they are considered
-    /// gone.
+    /// Returns the hosts with a row whose latest known heartbeat is so old that the row is due to
+    /// be removed.
     pub fn expired_hosts(&self, state: &DaemonState) -> Vec<String> {
         let now = state.now();
         let members = self.members.borrow();
@@ -240,8 +240,9 @@
             failure_domain: String::new(),
             peer_address: address.to_string(),
             admin_address: String::new(),
-            // The stored incarnation is one less than the actual one, so that the daemon's own
-            // entry, which follows in a heartbeat, replaces this view and fills in its fields.
+            // The incarnation in this view is one less than the actual incarnation. The daemon's
+            // own entry, which follows in a heartbeat, thus replaces the view and fills in its
+            // fields.
             incarnation: peer.incarnation.saturating_sub(1),
             last_heartbeat_at: state.now(),
             leaving: false,
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -94,7 +94,7 @@
         is_later
     }
 
-    /// Returns the incarnation that a deregistration is about: the incarnation that it names, or
+    /// Returns the incarnation that a deregistration ends: the incarnation that the call names, or
     /// else the current incarnation of the server.
     fn departing_incarnation(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
         let trackers = self.trackers.borrow();
@@ -237,8 +237,8 @@
         sequence: heartbeat.sequence,
     }
     .log();
-    // A server with the address or the name of another replaces it for good, so that a delayed
-    // heartbeat of the replaced server does not register it again.
+    // A server with the address or the name of another server replaces that server for good. A
+    // delayed heartbeat of the replaced server does not register the server again.
     let is_replaced = |other: &ServerRecord| {
         let same_server = incarnation::server_of(&other.name) == heartbeat.incarnation.server;
         other.name != record.name && (same_server || other.address == record.address)
--- a/crates/daemon/src/reload.rs
+++ b/crates/daemon/src/reload.rs
@@ -14,7 +14,7 @@
 
 use crate::state::DaemonState;
 
-/// Time between checks of the settings file: it may change without a signal.
+/// Time between checks of the settings file, which may change without a signal.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// `FileVersion` identifies the content of a file by its time of change and its size.
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Removes old rows of the at-most-once ledger: each daemon sweeps a part of it periodically.
+//! Removes old rows of the at-most-once ledger: each daemon periodically sweeps a part of the
+//! ledger.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -1,12 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The hosts of the fleet: one row for each in the platform's store.
+//! Publishes this host's row in the platform's store, and keeps the rows of all hosts of the fleet.
 //!
-//! A daemon writes its own row when something about it changes, and never as a heartbeat. All
+//! A daemon writes its own row when the content of the row changes, and never as a heartbeat. All
 //! daemons read the rows once and follow the table's feed. A row names the incarnation of the
-//! daemon that wrote it, and a later incarnation replaces it. Rows do not expire, so that an outage
-//! of the store removes no host.
+//! daemon that wrote the row, and a later incarnation replaces the row. Rows do not expire, so that
+//! an outage of the store removes no host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -42,8 +42,9 @@
 /// Longest pause after consecutive failed calls to the store: changes that were made during an
 /// outage of the store must be known within about two seconds of the end of the outage.
 pub const FAILED_CALL_PAUSE_MAX: Duration = Duration::from_millis(2000);
-/// Time for which a starting daemon waits for the backend server on its host before it writes its
-/// row without one: a little longer than the usual time between two heartbeats.
+/// Time for which a starting daemon waits for the backend server on its host to register, before
+/// the daemon writes its row without a backend server. The time is a little longer than the usual
+/// time between two heartbeats of a backend server.
 const FIRST_SERVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which this daemon's record is sent to the peers if the store has not accepted it. A
 /// write takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends
@@ -152,7 +153,8 @@
     own_version: Cell<u64>,
     /// This daemon's own row as the store holds it, `None` if the stored row is not known.
     stored_record: RefCell<Option<HostRecord>>,
-    /// Whether a backend server left while this daemon's row in the store may still list it.
+    /// Whether a backend server left while this daemon's row in the store may still list the
+    /// server.
     has_unwritten: Cell<bool>,
     changed: RisingSignal,
     /// Whether the store or a peer reported an earlier incarnation of this host's daemon.
@@ -185,7 +187,7 @@
     }
 
     /// Returns the other hosts whose daemon has the same peer address as `record` and an earlier
-    /// start: the daemon of `host` replaced them at that address.
+    /// start: the daemon of `host` replaced their daemons at that address.
     fn replaced_by(&self, host: &str, record: &HostRecord) -> Vec<String> {
         let records = self.records.borrow();
         let replaced = records.iter().filter(|(other, known)| {
@@ -215,7 +217,7 @@
         }
         upstreams.sort_by(|left, right| left.name.cmp(&right.name));
         // If two hosts list the same server, the entry with the later start of the server is used.
-        // The other host refuses requests for it as for an unknown upstream.
+        // The other host refuses requests for the server as for an unknown upstream.
         upstreams.dedup_by(|right, left| {
             let is_same = incarnation::server_of(&left.name) == incarnation::server_of(&right.name);
             if is_same && server_started_at(left) < server_started_at(right) {
@@ -416,7 +418,7 @@
     .log();
 }
 
-/// Applies each record that a peer relayed, if it is later than the known record of its host.
+/// Applies each record that a peer relayed and that is later than the known record of its host.
 pub fn apply_relayed(state: &Rc<DaemonState>, relayed: Vec<RelayedRecord>) {
     for RelayedRecord { host, record } in relayed {
         suspects::apply_records(state, &host, &record.refused);
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -39,8 +39,8 @@
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
     failure_pause_max: FAILED_CALL_PAUSE_MAX,
-    // Two daemons of a failure domain read the store for all its daemons, so their calls must end
-    // soon on a black-holed connection.
+    // Two daemons read the store for all daemons of a failure domain. The calls of the two must
+    // therefore end soon on a black-holed connection.
     wait_max: FEED_WAIT,
 };
 /// Number of daemons of a failure domain that follow the feed. There are two because a daemon may
@@ -73,8 +73,8 @@
     is_reading: Cell<bool>,
     /// When a reader last sent changes.
     changes_received_at: Cell<Option<Duration>>,
-    /// Raised when this daemon missed changes that a reader no longer holds, so that it must read
-    /// the whole table.
+    /// Raised when this daemon missed changes that a reader no longer holds. This daemon must then
+    /// read the whole table.
     changes_missed: RisingSignal,
     /// Every row with the version of its last change, to be sent to daemons with an earlier version
     /// of the table.
@@ -244,7 +244,7 @@
     }
 }
 
-/// Reads the store once and relays the changes that it returns.
+/// Reads the store once, and relays the changes that the store returns.
 async fn read_store(state: &Rc<DaemonState>, reader: &mut FeedReader) {
     if state.rows.has_read_rows() && !state.rows.is_reading.get() {
         reader.skip_to(state.rows.version.get());
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the ingress knows of each service that it sends requests to: the load and health of its
-//! upstreams, the baselines of its routes and its retry budget.
+//! Holds what the ingress knows of each service that it sends requests to: the load and health of
+//! the service's upstreams, the baselines of its routes and its retry budget.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -101,7 +101,7 @@
         Some(service)
     }
 
-    /// Returns the state of a service as [`Self::get`] does, but does not keep it if it is new.
+    /// Returns the state of a service as [`Self::get`] does, but does not store a new state.
     pub fn peek(
         &self,
         state: &DaemonState,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Says whether the next request sends load probes to upstreams before it is dispatched.
+    /// Says whether load probes are sent to upstreams before the next request is dispatched.
     pub fn should_probe(&self) -> bool {
         let mut probe_yield = self.probe_yield.get();
         let should_probe = probe_yield.should_probe();
@@ -241,7 +241,7 @@
         choice
     }
 
-    /// Draws upstreams at which to reserve a slot, among those that `fits` accepts.
+    /// Draws the upstreams at which to reserve a slot, among the upstreams that `fits` accepts.
     pub fn draw_reservations(
         &self,
         now: Duration,
@@ -324,7 +324,7 @@
         baseline
     }
 
-    /// Records the bytes of a request and its response.
+    /// Records the size of a request and its response for the mean of the route.
     pub fn note_bytes(&self, route: &Rc<str>, bytes: u64) {
         self.mean_bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
     }
@@ -357,7 +357,7 @@
         SentGuard { service: self.clone(), index }
     }
 
-    /// Records a request, which adds its share to the retry budget.
+    /// Records a request, by which the retry budget grows by a share of one retry.
     pub fn note_request(&self, now: Duration) {
         self.budget.borrow_mut().note_request(now);
     }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -99,7 +99,7 @@
             || self.stop_begin.get().is_some_and(is_past_longest)
     }
 
-    /// Returns when the daemon began to stop, since its start.
+    /// Returns the time from the daemon's start to the beginning of its shutdown.
     pub fn asked_at(&self) -> Option<Duration> {
         self.stop_begin.get().map(|begin| begin.began_at)
     }
@@ -228,7 +228,7 @@
     }
 }
 
-/// Stops accepting callers' requests, including those whose body is still being received.
+/// Stops accepting callers' requests, including requests whose body is still being received.
 fn close(state: &DaemonState, elapsed: Duration) {
     let in_flight = state.stop.in_flight() as u64;
     process::DaemonClosed { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -3,13 +3,13 @@
 
 //! Distributes through the fleet which requests crash the backend servers that run them.
 //!
-//! The daemon on a server's host observes the crash and notifies all daemons that it has a link to,
-//! among them the ingress of the request, before that ingress learns that its attempt failed. A
-//! daemon that receives a new notice forwards it to a few others. Heartbeats carry a digest, so
-//! that a daemon that was unreachable, suspended or not running receives the notices that it missed
-//! from the first daemon with which it exchanges heartbeats. Refused requests are also recorded in
-//! the row of the host on which the server crashed, so that they are known even after every daemon
-//! ended at once.
+//! The daemon on a server's host observes the crash and notifies all linked daemons. Among these is
+//! the ingress of the request, which gets the notice before the failure of its attempt. A daemon
+//! that receives a new notice forwards the notice to a few other daemons. Heartbeats carry a
+//! digest, so that a daemon that was unreachable, suspended or not running receives the notices
+//! that it missed from the first daemon with which it exchanges heartbeats. Refused requests are
+//! also recorded in the row of the host on which the server crashed, so that they are known even
+//! after every daemon ended at once.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -85,7 +85,7 @@
     CrashTally { round: note.round.max(0) as u32, crashes: note.crashes.max(0) as u32 }
 }
 
-/// Converts what is known of a request that ran at servers when they crashed.
+/// Converts the notice of a request that ran at servers when the servers crashed.
 pub fn suspect_note(notice: &SuspectNotice) -> SuspectNote {
     SuspectNote {
         fingerprint: notice.fingerprint.bytes().to_vec(),
@@ -95,8 +95,8 @@
     }
 }
 
-/// Reads what a peer reports of a request that ran at servers when they crashed. Returns `None` if
-/// the fingerprint of the request is of an unknown form.
+/// Reads a peer's notice of a request that ran at servers when the servers crashed. Returns `None`
+/// if the fingerprint of the request is of an unknown form.
 pub fn suspect_notice(note: &SuspectNote) -> Option<SuspectNotice> {
     Some(SuspectNotice {
         fingerprint: RequestFingerprint::from_bytes(&note.fingerprint)?,
--- a/crates/options/src/defaults.rs
+++ b/crates/options/src/defaults.rs
@@ -20,7 +20,7 @@
     pub queue: u32,
     /// Share of requests that may be retried.
     pub retry_share: f64,
-    /// Retries beyond `retry_share`, over the whole fleet in one window.
+    /// Number of retries beyond `retry_share` that the whole fleet may make in one window.
     pub retry_extra: u32,
     /// Length of the window of `retry_extra`.
     pub retry_window: Duration,
--- a/crates/options/src/raw.rs
+++ b/crates/options/src/raw.rs
@@ -56,7 +56,7 @@
     pub body_bytes: Option<String>,
     /// Maximum wait for the next piece of a body in milliseconds.
     pub body_idle_ms: Option<String>,
-    /// Address at which other daemons reach this one.
+    /// Address at which other daemons reach this daemon.
     pub advertise_peers: Option<String>,
     /// Address at which operators reach this daemon.
     pub advertise_admin: Option<String>,
--- a/crates/options/src/source.rs
+++ b/crates/options/src/source.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where the configuration comes from.
+//! Reads the setting that says where the configuration comes from.
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings;
--- a/crates/options/src/values.rs
+++ b/crates/options/src/values.rs
@@ -24,7 +24,7 @@
     settings::checked(name, given, default, "0 to 10", |value| (0.0..=10.0).contains(value))
 }
 
-/// Reads a boolean setting; it is off by default.
+/// Reads a boolean setting, which is off by default.
 pub fn read_flag(name: &str, given: Option<String>) -> Result<bool, SettingError> {
     settings::checked(name, given, false, "true or false", |_| true)
 }
@@ -46,7 +46,7 @@
     parts.map(|part| settings::required("seeds", Some(part.trim().to_owned()), allowed)).collect()
 }
 
-/// Reads a name by which other daemons identify this one.
+/// Reads a name by which other daemons identify this daemon, such as the name of its host.
 pub fn read_name(flag: &str, given: Option<String>) -> Result<String, SettingError> {
     let allowed = "1 to 128 of a-z, 0-9, '-', '.', '_'";
     let name: String = settings::required(flag, given, allowed)?;
--- a/crates/options/src/waiting.rs
+++ b/crates/options/src/waiting.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where requests that find no free slot are queued.
+//! Reads the setting that says where requests that find no free slot are queued.
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings;
