--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -35,7 +35,7 @@
 /// Largest heartbeat, in bytes.
 const BODY_BYTES_MAX: u64 = 16 * 1024;
 /// Timeout of a health check, which may wait for a slot of the server. A server whose check fails
-/// is registered by its next heartbeat.
+/// is soon registered by its next heartbeat.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Maximum number of ended incarnations of backend servers that are remembered, to recognise
 /// heartbeats that arrive after the end of their incarnation.
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -16,8 +16,8 @@
 /// Minimum time between two rounds of one daemon, each of which sweeps a part of the ledger.
 const ROUND_INTERVAL_MIN: Duration = Duration::from_secs(30);
 /// Factor of the time between two rounds of one daemon, which is multiplied by the number of
-/// daemons. It allows 20 rounds a second in the whole fleet, which take a tenth of the fleet's
-/// store reads.
+/// daemons. The factor allows 20 rounds a second in the whole fleet, which take a tenth of the
+/// fleet's store reads.
 const ROUND_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(50);
 /// Time from the start to the first round, which is short so that rows soon carry an epoch.
 const FIRST_ROUND_DELAY: Duration = Duration::from_millis(500);
