--- a/crates/daemon/src/host/exchange.rs
+++ b/crates/daemon/src/host/exchange.rs
@@ -139,9 +139,9 @@
         let terms = DispatchTerms {
             route: &self.head.route,
             refusable: self.head.refusable,
-            repeatable: wire::mode_of(self.head.work_mode) == WorkMode::Repeatable,
+            repeatable: wire::mode_from_number(self.head.work_mode) == WorkMode::Repeatable,
             passable: self.head.passable,
-            baseline: wire::baseline_of(self.head.baseline.as_ref()),
+            baseline: wire::baseline_from_note(self.head.baseline.as_ref()),
         };
         match self.upstream.admit(&terms, now) {
             AdmitVerdict::Admit => Ok(()),
@@ -157,7 +157,7 @@
     /// the ingress knows of at least as many crashes as this host, it sent this copy deliberately
     /// as a trial, and the copy is not refused.
     fn refuse_suspect(&self) -> Result<(), NotRunReason> {
-        let reported = self.head.tally.as_ref().map(wire::tally_of).unwrap_or_default();
+        let reported = self.head.tally.as_ref().map(wire::tally_from_note).unwrap_or_default();
         let known_tally = match self.state.suspects.is_empty() {
             true => CrashTally::default(),
             false => self.state.suspects.tally(&self.fingerprint()),
@@ -209,7 +209,7 @@
 
     /// Claims the ledger row if the request needs one, waits for a slot and runs the request.
     async fn run(&self, body: &EventPipe, answer: &EventSink) -> Result<(), FailureOutcome> {
-        let class = wire::class_of(self.head.work_class);
+        let class = wire::class_from_number(self.head.work_class);
         if !self.upstream.slots.has_room(class) {
             return Err(FailureOutcome::NotRun(NotRunReason::QueueFull));
         }
@@ -259,14 +259,14 @@
         let usual = self.usual_time();
         let deviations = if self.is_reservation() { RESERVED_DEVIATIONS } else { 0.0 };
         let scheduling = QueuedRequest {
-            class: wire::class_of(self.head.work_class),
+            class: wire::class_from_number(self.head.work_class),
             is_call: self.head.called == Some(true),
             deadline: self.deadline,
             objective: self.objective,
             usual: usual.map(|usual| usual.at(0.0)),
             needed_time: usual.map(|usual| usual.at(deviations)),
         };
-        let is_repeatable = wire::mode_of(self.head.work_mode) == WorkMode::Repeatable;
+        let is_repeatable = wire::mode_from_number(self.head.work_mode) == WorkMode::Repeatable;
         SlotRequest {
             scheduling,
             refusable: self.head.refusable,
--- a/crates/daemon/src/host/trace.rs
+++ b/crates/daemon/src/host/trace.rs
@@ -114,7 +114,7 @@
             upstream: &self.upstream.name,
             route: &self.head.route,
             attempt: self.attempt_number(),
-            repeatable: wire::mode_of(self.head.work_mode) == WorkMode::Repeatable,
+            repeatable: wire::mode_from_number(self.head.work_mode) == WorkMode::Repeatable,
             fault: fault.name(),
             trusted_ms: millis(self.upstream.since_last_success(self.state.now())),
             took_ms: millis(progress.elapsed()),
--- a/crates/daemon/src/ingress/dispatch.rs
+++ b/crates/daemon/src/ingress/dispatch.rs
@@ -204,7 +204,7 @@
         if self.state.live().waiting == WaitingMode::Reservations {
             let slow_requests =
                 self.request.service.siblings_slow_requests(index, self.state.now());
-            return Some(wire::baseline_with(baseline, &slow_requests));
+            return Some(wire::baseline_note_with_slow(baseline, &slow_requests));
         }
         (baseline.upstreams > 0).then(|| wire::baseline_note(baseline))
     }
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -357,7 +357,7 @@
     let (active, target) = target::resolve(state, &query).await?;
     let RequestTarget { route, caller } = target;
     let once_key = once_key(&route, &head)?;
-    let service = state.services.service_of(&route);
+    let service = state.services.choose_service(&route);
     let subject =
         LimitSubject { organisation: caller.limited_organisation(), route: &route.name, service };
     limits::admit(state, &active, subject).await.map_err(|refusal| CallerFailure {
--- a/crates/daemon/src/ingress/trace.rs
+++ b/crates/daemon/src/ingress/trace.rs
@@ -206,7 +206,7 @@
         Self {
             in_flight: report.in_flight.max(0) as u64,
             queued: report.queued.max(0) as u64,
-            sickness: wire::report_of(report).1.sickness,
+            sickness: wire::load_and_health(report).1.sickness,
         }
     }
 }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -283,7 +283,7 @@
             }
             let age = Duration::from_millis(entry.age_ms.max(0) as u64);
             let last_heartbeat_at = now.saturating_sub(age);
-            let reported = view_of(entry, last_heartbeat_at);
+            let reported = view_from_entry(entry, last_heartbeat_at);
             let view = members.entry(entry.host.clone()).or_insert_with(|| reported.clone());
             merge_view(view, reported);
             update_path(state, &entry.host, view);
@@ -305,7 +305,7 @@
         });
         let mut entries = vec![own_entry(state)];
         let chosen = other_members.sample(&mut rand::rng(), HEARTBEAT_ENTRIES_MAX - 1);
-        entries.extend(chosen.into_iter().map(|(host, view)| entry_of(host, view, now)));
+        entries.extend(chosen.into_iter().map(|(host, view)| entry_from_view(host, view, now)));
         entries
     }
 
@@ -326,7 +326,7 @@
     }
 }
 
-fn view_of(entry: &MemberEntry, last_heartbeat_at: Duration) -> MemberView {
+fn view_from_entry(entry: &MemberEntry, last_heartbeat_at: Duration) -> MemberView {
     MemberView {
         failure_domain: entry.failure_domain.clone(),
         peer_address: entry.peer_address.clone(),
@@ -366,7 +366,7 @@
     path.note_leaving(view.leaving);
 }
 
-fn entry_of(host: &str, view: &MemberView, now: Duration) -> MemberEntry {
+fn entry_from_view(host: &str, view: &MemberView, now: Duration) -> MemberEntry {
     MemberEntry {
         host: host.to_owned(),
         failure_domain: view.failure_domain.clone(),
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -121,7 +121,7 @@
 
     /// Returns the service that a request of a route goes to. A route with a weighted split yields
     /// its services in proportion to their weights.
-    pub fn service_of<'a>(&self, route: &'a RouteEntry) -> &'a str {
+    pub fn choose_service<'a>(&self, route: &'a RouteEntry) -> &'a str {
         let split = &route.rule.split;
         if split.is_empty() {
             return &route.rule.service;
@@ -188,7 +188,7 @@
             baselines: RefCell::default(),
             mean_bytes: RefCell::default(),
             recent_answers: RefCell::default(),
-            budget: budget_of(state, &entry, known),
+            budget: carried_over_budget(state, &entry, known),
             poison: known.map(|known| known.poison.clone()).unwrap_or_default(),
             violations: Cell::new(0),
             used_at: Cell::new(state.now()),
@@ -284,7 +284,7 @@
         failed: Option<bool>,
         now: Duration,
     ) {
-        let (load, health) = wire::report_of(report);
+        let (load, health) = wire::load_and_health(report);
         let expires_at = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
         self.draining_until[index].set(expires_at);
         self.slow_requests.borrow_mut()[index] = (load.slow_requests, now);
@@ -459,7 +459,7 @@
 
 /// Returns the retry budget of a service. A service that is rebuilt keeps its budget, so that its
 /// earlier retries still count.
-fn budget_of(
+fn carried_over_budget(
     state: &DaemonState,
     entry: &ServiceEntry,
     known: Option<&ServiceState>,
--- a/crates/daemon/src/wire.rs
+++ b/crates/daemon/src/wire.rs
@@ -32,7 +32,7 @@
 }
 
 /// Reads the number of a request's class.
-pub fn class_of(number: i8) -> WorkClass {
+pub fn class_from_number(number: i8) -> WorkClass {
     match number {
         0 => WorkClass::Sheddable,
         2 => WorkClass::Critical,
@@ -50,7 +50,7 @@
 }
 
 /// Reads the number of a request's mode. A request of an unknown mode is not retried.
-pub fn mode_of(number: i8) -> WorkMode {
+pub fn mode_from_number(number: i8) -> WorkMode {
     match number {
         1 => WorkMode::Repeatable,
         2 => WorkMode::Once,
@@ -81,7 +81,7 @@
 }
 
 /// Reads the crashes that count against a request.
-pub fn tally_of(note: &TallyNote) -> CrashTally {
+pub fn tally_from_note(note: &TallyNote) -> CrashTally {
     CrashTally { round: note.round.max(0) as u32, crashes: note.crashes.max(0) as u32 }
 }
 
@@ -100,7 +100,7 @@
 pub fn suspect_notice(note: &SuspectNote) -> Option<SuspectNotice> {
     Some(SuspectNotice {
         fingerprint: RequestFingerprint::from_bytes(&note.fingerprint)?,
-        tally: tally_of(&note.tally),
+        tally: tally_from_note(&note.tally),
         seen_ago: Duration::from_millis(note.seen_ms_ago.max(0) as u64),
         upstream: Rc::from(note.upstream.as_str()),
     })
@@ -121,7 +121,10 @@
 }
 
 /// Converts the baseline of a route, with the slow requests that the other upstreams reported.
-pub fn baseline_with(baseline: &ServiceBaseline, slow_requests: &SlowRequests) -> BaselineNote {
+pub fn baseline_note_with_slow(
+    baseline: &ServiceBaseline,
+    slow_requests: &SlowRequests,
+) -> BaselineNote {
     BaselineNote {
         hung_milli: Some(to_milli(slow_requests.hung)),
         late_milli: Some(to_milli(slow_requests.late)),
@@ -142,7 +145,7 @@
 }
 
 /// Reads the baseline of a route. A missing note yields the default baseline.
-pub fn baseline_of(note: Option<&BaselineNote>) -> ServiceBaseline {
+pub fn baseline_from_note(note: Option<&BaselineNote>) -> ServiceBaseline {
     let note = match note {
         Some(note) => note,
         None => return ServiceBaseline::default(),
@@ -198,7 +201,7 @@
 }
 
 /// Reads an upstream's report as its load and health.
-pub fn report_of(report: &LoadReport) -> (HostLoad, HealthReport) {
+pub fn load_and_health(report: &LoadReport) -> (HostLoad, HealthReport) {
     let load = HostLoad {
         in_flight: report.in_flight.max(0) as u32,
         queued: report.queued.max(0) as u32,
