--- a/crates/daemon/src/config_sync.rs
+++ b/crates/daemon/src/config_sync.rs
@@ -4,9 +4,9 @@
 //! Keeps the configuration in sync: bounded polling of the store, and gossip of changes between
 //! peers.
 //!
-//! Revisions only increase. A daemon that learns of changes forwards them to its neighbours.
-//! Heartbeats carry revisions, so that a daemon that missed a change pulls it. Polling covers the
-//! case that both forwarding and heartbeats fail.
+//! Revisions only increase. A daemon that learns of changes forwards the changes to its neighbours.
+//! Heartbeats carry revisions, so that a daemon that missed a change pulls the change. If both
+//! forwarding and heartbeats fail, polling still finds the change.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,16 +31,17 @@
 use crate::state::DaemonState;
 
 /// Shortest time between polls of the store.
-const POLL_MIN: Duration = Duration::from_secs(1);
+const POLL_INTERVAL_MIN: Duration = Duration::from_secs(1);
 /// Size in bytes of one part of a snapshot, or of the records in one frame.
 const PART_BYTES: usize = 64 * units::KIB;
 /// Maximum number of bytes queued on a link while a snapshot is sent.
 const SNAPSHOT_BUFFER_MAX: u64 = 1024 * 1024;
-/// Time between checks whether the receiver of a snapshot has read enough of it for more parts.
-const SNAPSHOT_PAUSE: Duration = Duration::from_millis(5);
+/// Time between checks whether the receiver of a snapshot has read enough bytes to be sent the next
+/// part.
+const SNAPSHOT_SEND_PAUSE: Duration = Duration::from_millis(5);
 
-/// Pause between two slices of a long task. It is at least as long as a slice, so that requests get
-/// half of the thread's time; timers have no finer resolution.
+/// Pause between two slices of a long task. The pause is at least as long as a slice, so that
+/// requests get half of the thread's time. Timers have no finer resolution than this pause.
 const YIELD_PAUSE: Duration = Duration::from_millis(1);
 
 /// Polls the store for ever, no more often than this daemon's share of the store reads that the
@@ -66,7 +67,7 @@
 
 fn poll_period(state: &DaemonState) -> Duration {
     let period_s = state.members.count() as f64 / state.options.store_reads;
-    Duration::from_secs_f64(period_s).max(POLL_MIN)
+    Duration::from_secs_f64(period_s).max(POLL_INTERVAL_MIN)
 }
 
 /// Reads the newest revision from the store, and the changes that this daemon lacks.
@@ -77,7 +78,7 @@
         catch_up(state, revision).await?;
     } else if revision < state.config.revision() {
         // The answer was stale. The store had accepted the later configuration that is in force at
-        // this daemon, so it stays in force.
+        // this daemon, so the later configuration stays in force.
         metrics::OLD_REVISIONS.add_one();
     }
     state.config.mark_loaded();
@@ -113,13 +114,13 @@
 }
 
 async fn adopt_from_store(state: &Rc<DaemonState>) -> Result<(), StoreError> {
-    let _reading = match SnapshotReadGuard::take(state) {
+    let _read_guard = match SnapshotReadGuard::take(state) {
         Some(guard) => guard,
         None => return Ok(()),
     };
     let pause = async || yield_to_requests(state).await;
     if let Some(config) = state.changes.snapshot(&pause).await? {
-        adopt(state, config).await;
+        adopt_config(state, config).await;
     }
     Ok(())
 }
@@ -132,20 +133,20 @@
 
 impl SnapshotReadGuard {
     fn take(state: &Rc<DaemonState>) -> Option<Self> {
-        let taken = state.snapshots.reading.replace(true);
+        let taken = state.snapshots.is_reading.replace(true);
         (!taken).then(|| Self { state: state.clone() })
     }
 }
 
 impl Drop for SnapshotReadGuard {
     fn drop(&mut self) {
-        self.state.snapshots.reading.set(false);
+        self.state.snapshots.is_reading.set(false);
     }
 }
 
 /// Builds the layout of a whole configuration in slices, and adopts it if it is later than the
 /// configuration that is in force when the layout is complete.
-async fn adopt(state: &Rc<DaemonState>, config: FleetConfig) {
+async fn adopt_config(state: &Rc<DaemonState>, config: FleetConfig) {
     let layout =
         ActiveConfig::build_in_slices(&config, &async || yield_to_requests(state).await).await;
     state.config.adopt(config, layout, state.now());
@@ -190,25 +191,29 @@
     }
 }
 
-/// Compares the revision of a peer with that of this daemon: sends the peer the changes that it
-/// lacks, or asks it for the changes that this daemon lacks.
-pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
-    let ours = state.config.revision();
+/// Compares the revision of a peer with that of this daemon: sends the changes that the peer lacks,
+/// or asks the peer for the changes that this daemon lacks.
+pub fn note_peer_revision(
+    state: &Rc<DaemonState>,
+    sender: &FrameSender,
+    peer_revision: FleetRevision,
+) {
+    let own_revision = state.config.revision();
     if state.options.source == ConfigSource::Document {
-        return document::note_peer_revision(state, sender, theirs);
+        return document::note_peer_revision(state, sender, peer_revision);
     }
-    if theirs < ours {
-        if let Some(records) = state.config.records_after(theirs) {
+    if peer_revision < own_revision {
+        if let Some(records) = state.config.records_after(peer_revision) {
             send_records(state, sender, records.iter().map(|record| &**record));
         }
-    } else if theirs > ours && !state.snapshots.reading.get() {
-        let pull = ChangePull { after: ours.0 as i64 };
+    } else if peer_revision > own_revision && !state.snapshots.is_reading.get() {
+        let pull = ChangePull { after: own_revision.0 as i64 };
         let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
     }
 }
 
-/// Answers a peer that pulls changes: with the changes, or with a snapshot if they are no longer
-/// cached.
+/// Answers a peer that pulls changes: with the changes, or with a snapshot if the changes are no
+/// longer cached.
 pub fn answer_pull(state: &Rc<DaemonState>, sender: &FrameSender, pull: ChangePull) {
     let after = FleetRevision(pull.after.max(0) as u64);
     if !state.config.is_loaded() {
@@ -255,7 +260,7 @@
     let count = parts.len();
     for (index, part) in parts.enumerate() {
         while sender.bytes_waiting() > SNAPSHOT_BUFFER_MAX {
-            monoio::time::sleep(SNAPSHOT_PAUSE).await;
+            monoio::time::sleep(SNAPSHOT_SEND_PAUSE).await;
         }
         let news = ChangeNews {
             revision,
@@ -271,7 +276,7 @@
     }
 }
 
-/// Applies changes, or a part of a snapshot, from a peer.
+/// Applies the changes, or the part of a snapshot, that a peer sent.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: ChangeNews) {
     if let Some(bytes) = news.snapshot_part {
         let (transfer, index) = (news.telling.unwrap_or(0), news.place.unwrap_or(0));
@@ -295,7 +300,7 @@
 }
 
 fn handle_part(state: &Rc<DaemonState>, peer: &PeerIdentity, part: SnapshotPart) {
-    let bytes = match state.snapshots.take(&peer.host, part) {
+    let bytes = match state.snapshots.add_part(&peer.host, part) {
         Some(bytes) => bytes,
         None => return,
     };
@@ -310,7 +315,7 @@
     monoio::spawn(async move {
         let state = &read_guard.state;
         match snapshot::read(&bytes, &async || yield_to_requests(state).await).await {
-            Ok(config) => adopt(state, config).await,
+            Ok(config) => adopt_config(state, config).await,
             Err(error) => {
                 fleet::SnapshotUnreadable { host: &host, error: &error.to_string() }.log();
             }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Handles frames between daemons that belong to no request.
+//! Handles the frames between daemons that belong to no caller's request, such as heartbeats.
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
 use crate::suspects;
 
 /// Handles a frame from `peer`; `path` is set on links that this daemon dialled.
-pub fn handle(
+pub fn handle_frame(
     state: &Rc<DaemonState>,
     path: Option<&Rc<PeerPath>>,
     sender: &FrameSender,
@@ -66,8 +66,8 @@
     let revision = FleetRevision(note.revision.max(0) as u64);
     state.members.note_heartbeat(state, peer, revision);
     state.members.note_entries(state, &note.members);
-    // The record is sent before the reply, which may prompt the peer to ask for everything that
-    // this daemon knows.
+    // The peer's previous record is sent before the reply, as the reply may prompt the peer to ask
+    // for everything that this daemon knows.
     roster::send_previous_record(state, sender, peer);
     if note.reply {
         freshness::note_answer(state, &note);
--- a/crates/daemon/src/document.rs
+++ b/crates/daemon/src/document.rs
@@ -1,10 +1,10 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The operator's document as the source of the configuration.
+//! Adopts the operator's document, where this document is the source of the configuration.
 //!
-//! The document is adopted as a whole, and only if its version is higher than that of the one in
-//! force. The upstreams of its services are the registered backend servers, which the rows of the
+//! A document is adopted as a whole, and only if its version is higher than that of the document in
+//! force. The upstreams of a service are the registered backend servers, which the rows of the
 //! hosts list.
 
 use std::cell::{Cell, RefCell};
@@ -39,21 +39,22 @@
 use crate::roster::{self, RelayedRecord};
 use crate::state::DaemonState;
 
-/// Longest wait of a long poll of the operator's table. It is long because every daemon makes such
-/// calls and the store charges for each, whether or not anything changed. The store waits no longer
-/// than 30 s.
-const WAIT_MAX: Duration = Duration::from_secs(28);
+/// Longest wait of a long poll of the operator's table. The wait is long because every daemon polls
+/// this table, and the store charges for each call whether or not the table changed. The store
+/// itself waits no longer than 30 s.
+const OPERATOR_FEED_WAIT_MAX: Duration = Duration::from_secs(28);
 /// How the operator's table is followed. A failed call costs as much as a successful one. After an
-/// outage, the first daemon that reads a change announces it to the other daemons, so that retries
-/// every 1.5 s are enough.
+/// outage, the first daemon that reads a change announces the change to the other daemons, so that
+/// retries every 1.5 s are enough.
 const DOCUMENT_FEED_PLAN: FeedPlan = FeedPlan {
     table: OPERATOR_TABLE,
     batch_pause: Duration::ZERO,
     failure_pause_max: Duration::from_millis(1500),
-    wait_max: WAIT_MAX,
+    wait_max: OPERATOR_FEED_WAIT_MAX,
 };
-/// Time for which a daemon waits for the store to deliver a document that a peer already has: the
-/// feed takes milliseconds, and a whole document is large.
+/// Time for which a daemon waits for the store to deliver a document that a peer already has,
+/// before the daemon pulls the document from the peer. The store delivers a change within
+/// milliseconds, and a whole document is large.
 const STORE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time for which a daemon waits for a document that it pulls from a peer before it may ask another
@@ -66,19 +67,18 @@
 /// `DocumentCell` holds the document in force, if there is one.
 #[derive(Debug, Default)]
 pub struct DocumentCell {
-    held: RefCell<Option<Rc<ConfigDocument>>>,
-    pulling: Cell<bool>,
-    /// Position up to which the operator's table was read, if it was.
+    held_document: RefCell<Option<Rc<ConfigDocument>>>,
+    is_pulling: Cell<bool>,
+    /// Position up to which the operator's table was read, `None` before the first read.
     position: Cell<Option<TablePosition>>,
-    /// Raised when a peer has a later document, which the pending call to the store has not
-    /// returned.
+    /// Raised when a peer has a later document that the pending call to the store has not returned.
     stale_call: RisingSignal,
 }
 
 impl DocumentCell {
     /// Returns the document in force.
     pub fn get(&self) -> Option<Rc<ConfigDocument>> {
-        self.held.borrow().clone()
+        self.held_document.borrow().clone()
     }
 }
 
@@ -97,13 +97,13 @@
         let Some(news) = next_unless_stale(&state, &mut reader).await else { continue };
         let (FeedUpdate::Whole(page) | FeedUpdate::Changes(page)) = news else { continue };
         state.document.position.set(reader.position());
-        apply_answer(&state, &page, reader.as_of());
+        apply_answer(&state, &page, reader.complete_until());
     }
 }
 
 /// Waits for the next changes from the store. Abandons the call if a peer turns out to have a later
-/// document, which the call has not returned: the connection of the call may be black-holed, and
-/// the call would then hang for up to 8.7 s.
+/// document that the call has not returned: a call on a black-holed connection would hang for up to
+/// 8.7 s.
 async fn next_unless_stale(state: &Rc<DaemonState>, reader: &mut FeedReader) -> Option<FeedUpdate> {
     let began = state.now();
     let became_stale = state.document.stale_call.above(state.document.stale_call.get());
@@ -118,12 +118,12 @@
     }
 }
 
-/// Applies an answer of the store, which includes all changes up to the time `as_of`.
-fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, as_of: Duration) {
+/// Applies an answer of the store, which includes all changes up to the time `complete_until`.
+fn apply_answer(state: &Rc<DaemonState>, page: &RowsPage, complete_until: Duration) {
     let outcomes: Vec<_> = page.rows.iter().filter_map(|row| apply_row(state, row)).collect();
     // A stale answer does not confirm that the document in force is the newest.
     if outcomes.last() != Some(&DocumentOutcome::Outdated) {
-        state.freshness.note_store(as_of);
+        state.freshness.note_store(complete_until);
     }
 }
 
@@ -149,9 +149,9 @@
 /// `DocumentOutcome` is what became of a received document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DocumentOutcome {
-    /// The document is in force, or was already.
+    /// The document has been put in force, or was already in force.
     InForce,
-    /// The document is older than the one in force and was ignored.
+    /// The document is older than the document in force, and was ignored.
     Outdated,
     /// The document can't be read.
     Unreadable,
@@ -170,7 +170,8 @@
     }
 }
 
-/// Reads the document that the store holds and adopts it if it is later than the one in force.
+/// Reads the document that the store holds, and adopts a document that is later than the one in
+/// force.
 fn read_document(state: &Rc<DaemonState>, bytes: &[u8]) -> DocumentOutcome {
     match document::read(bytes) {
         Ok(document) => {
@@ -186,7 +187,7 @@
     }
 }
 
-/// Adopts a document if it is later than the one in force.
+/// Adopts a document that is later than the document in force.
 fn adopt_document(
     state: &Rc<DaemonState>,
     document: ConfigDocument,
@@ -196,18 +197,18 @@
     if state.config.is_loaded() && revision <= state.config.revision() {
         return skip_document(state, revision, from);
     }
-    let fresh = state.freshness.known().age(state.now());
-    let fresh_ms = fresh.map(|age| age.as_millis() as u64);
+    let confirmation_age = state.freshness.known().age(state.now());
+    let fresh_ms = confirmation_age.map(|age| age.as_millis() as u64);
     fleet::DocumentTaken { revision: revision.0, from, fresh_ms }.log();
     state.freshness.note_readable();
-    let next = build_layout(state, &document);
-    *state.document.held.borrow_mut() = Some(Rc::new(document));
-    state.config.replace_layout(next, TouchedServices::All, state.now());
+    let next_layout = build_layout(state, &document);
+    *state.document.held_document.borrow_mut() = Some(Rc::new(document));
+    state.config.replace_layout(next_layout, TouchedServices::All, state.now());
     put_host_in_force(state);
     DocumentOutcome::InForce
 }
 
-/// Ignores a document that is no later than the one in force.
+/// Ignores a document that is no later than the document in force.
 fn skip_document(state: &DaemonState, revision: FleetRevision, from: &str) -> DocumentOutcome {
     if revision == state.config.revision() {
         return DocumentOutcome::InForce;
@@ -223,21 +224,21 @@
         let name: Rc<str> = Rc::from(route.name.as_str());
         (name, Rc::new(route.rule.clone()))
     });
-    let mut next = ActiveConfig::default();
-    next.revision = FleetRevision(document.version);
-    next.routes = RouteTable::build(routes);
+    let mut next_layout = ActiveConfig::default();
+    next_layout.revision = FleetRevision(document.version);
+    next_layout.routes = RouteTable::build(routes);
     for declaration in &document.services {
         let entry = service_entry(state, declaration);
-        next.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
+        next_layout.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
     }
     for declaration in document.organisations.iter().flatten() {
-        add_organisation(&mut next, declaration);
+        add_organisation(&mut next_layout, declaration);
     }
-    next
+    next_layout
 }
 
-fn add_organisation(next: &mut ActiveConfig, declaration: &OrganisationDeclaration) {
-    next.keys.insert_all(&declaration.name, &organisation_spec(declaration));
+fn add_organisation(next_layout: &mut ActiveConfig, declaration: &OrganisationDeclaration) {
+    next_layout.keys.insert_all(&declaration.name, &organisation_spec(declaration));
     let Some(limit) = &declaration.limit else { return };
     let rule = LimitRule {
         scope: LimitScope::Organisation,
@@ -246,7 +247,7 @@
         // A limit without a burst admits requests that come one at a time.
         burst: limit.burst.max(1.0),
     };
-    next.insert_limit(&Rc::from(declaration.name.as_str()), rule);
+    next_layout.insert_limit(&Rc::from(declaration.name.as_str()), rule);
 }
 
 fn organisation_spec(declaration: &OrganisationDeclaration) -> OrganisationSpec {
@@ -280,18 +281,18 @@
         Some(document) => document,
         None => return,
     };
-    let mut next = ActiveConfig::clone(&state.config.active());
+    let mut next_layout = ActiveConfig::clone(&state.config.active());
     let mut touched = Vec::new();
     for declaration in
         document.services.iter().filter(|declaration| names.contains(&declaration.name))
     {
         let entry = service_entry(state, declaration);
         touched.push(entry.name.clone());
-        next.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
+        next_layout.services.insert(entry.name.clone(), Rc::new(PackedService::new(&entry)));
     }
     if !touched.is_empty() {
         let touched = TouchedServices::Some(touched);
-        state.config.replace_layout(next, touched, state.now());
+        state.config.replace_layout(next_layout, touched, state.now());
     }
 }
 
@@ -302,8 +303,8 @@
     state.host.configure(state, &active, &TouchedServices::All);
 }
 
-/// Returns the configuration in force as resources. It is built for each call, as only operators
-/// ask for it.
+/// Returns the configuration in force as resources. The resources are built for each call, as only
+/// operators request them.
 pub fn resources(state: &DaemonState) -> FleetConfig {
     let revision = state.config.revision();
     let mut builder = ConfigBuilder::default();
@@ -342,12 +343,16 @@
     })
 }
 
-/// Pulls the document of a peer that has a later revision in force. It is pulled at once if this
-/// daemon has no document in force, or else if the store has not delivered the document within
+/// Pulls the document of a peer that has a later revision in force. A daemon without a document in
+/// force pulls at once. Any other daemon pulls if the store has not delivered the document within
 /// [`STORE_TIMEOUT`].
-pub fn note_peer_revision(state: &Rc<DaemonState>, sender: &FrameSender, theirs: FleetRevision) {
-    let is_behind = move |state: &DaemonState| theirs > state.config.revision();
-    if !is_behind(state) || state.document.pulling.replace(true) {
+pub fn note_peer_revision(
+    state: &Rc<DaemonState>,
+    sender: &FrameSender,
+    peer_revision: FleetRevision,
+) {
+    let is_behind = move |state: &DaemonState| peer_revision > state.config.revision();
+    if !is_behind(state) || state.document.is_pulling.replace(true) {
         return;
     }
     let wait = if state.config.is_loaded() { STORE_TIMEOUT } else { Duration::ZERO };
@@ -364,7 +369,7 @@
             let _ = sender.send(NO_EXCHANGE, FrameBody::Pull(pull));
             let _ = monoio::time::timeout(PULL_TIMEOUT, state.config.changed().above(seen)).await;
         }
-        state.document.pulling.set(false);
+        state.document.is_pulling.set(false);
     });
 }
 
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Follows a table of the platform's store: reads all of it once, then each change.
+//! Follows a table of the platform's store: reads the whole table once, and then each change.
 
 use std::time::Duration;
 
@@ -13,39 +13,40 @@
 
 use crate::state::DaemonState;
 
-/// Longest wait of a call, per daemon of the fleet. A call on a black-holed connection hangs until
-/// its wait is over, and the first daemon whose call ends informs the other daemons. The wait in a
-/// small fleet is therefore bounded so that, over all its daemons, calls end as often as in a fleet
-/// of twelve daemons, that is, one every half second.
-const WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
-
-/// Returns the longest wait of a call in a fleet of `members` daemons, but no more than `most`.
-fn longest_wait(members: usize, most: Duration) -> Duration {
-    let wait = WAIT_PER_DAEMON.saturating_mul(members as u32);
-    wait.min(most)
+/// Longest wait of a long poll for each daemon of the fleet. A call on a black-holed connection
+/// hangs until its wait is over, and the first daemon whose call ends informs the other daemons.
+/// The wait is therefore proportional to the number of daemons in a small fleet: over all daemons,
+/// calls then end as often as in a fleet of twelve daemons, about one every half second.
+const CALL_WAIT_PER_DAEMON: Duration = Duration::from_millis(700);
+
+/// Returns the longest wait of a long poll in a fleet of `members` daemons, but no more than
+/// `wait_limit`.
+fn longest_wait(members: usize, wait_limit: Duration) -> Duration {
+    let wait = CALL_WAIT_PER_DAEMON.saturating_mul(members as u32);
+    wait.min(wait_limit)
 }
 
 /// `FeedPlan` says which table is followed and how often the store is called.
 #[derive(Debug, Clone, Copy)]
 pub struct FeedPlan {
-    /// The table.
+    /// Name of the followed table.
     pub table: &'static str,
     /// Pause after a call that brought changes, so that changes close together are read together.
     pub batch_pause: Duration,
     /// Longest pause after consecutive failed calls.
     pub failure_pause_max: Duration,
-    /// Longest wait of a call.
+    /// Longest time for which a call waits at the store for a change.
     pub wait_max: Duration,
 }
 
-/// `FeedUpdate` is the result of one call.
+/// `FeedUpdate` is the result of one call to the store.
 #[derive(Debug)]
 pub enum FeedUpdate {
     /// Every row of the table, all read at the same time.
     Whole(RowsPage),
     /// Rows that changed or were removed, oldest first; none if the wait ended without a change.
     Changes(RowsPage),
-    /// The call failed, and the pause after it is over.
+    /// The call failed, and the pause after the failed call is over.
     Failed,
 }
 
@@ -55,10 +56,10 @@
     /// Position up to which the table was read, `None` before the whole table was read.
     position: Option<TablePosition>,
     /// Time up to which the last answer of the store includes all changes.
-    as_of: Duration,
+    complete_until: Duration,
     backoff: RetryBackoff,
     /// When the first of the latest consecutive failed calls ended, `None` after an answer.
-    lost_at: Option<Duration>,
+    failing_since: Option<Duration>,
     /// Number of the latest consecutive failed calls.
     failures: u64,
 }
@@ -67,8 +68,8 @@
     /// Builds a reader that has read nothing yet.
     pub fn new(plan: FeedPlan) -> Self {
         let backoff = RetryBackoff::with_max_delay(plan.failure_pause_max);
-        let as_of = Duration::ZERO;
-        Self { plan, position: None, as_of, backoff, lost_at: None, failures: 0 }
+        let complete_until = Duration::ZERO;
+        Self { plan, position: None, complete_until, backoff, failing_since: None, failures: 0 }
     }
 
     /// Continues from a later version, after a peer relayed the changes up to that version.
@@ -77,8 +78,8 @@
     }
 
     /// Returns the time up to which the last answer of the store includes all changes.
-    pub fn as_of(&self) -> Duration {
-        self.as_of
+    pub fn complete_until(&self) -> Duration {
+        self.complete_until
     }
 
     /// Returns the position from which the next call continues, if the table was read.
@@ -133,11 +134,11 @@
         let wait = platform::draw_wait(longest_wait(state.members.count(), self.plan.wait_max));
         match state.platform.follow(self.plan.table, position, wait).await? {
             FeedReply::Changes(page, position) => {
-                // An answer may have been delayed on its way, so it includes all changes only up to
-                // the start of the call. An answer without changes was sent no sooner than the end
-                // of its wait.
+                // An answer may have been delayed on its way, so that all changes are included only
+                // up to the start of the call. An answer without changes was sent no sooner than
+                // the end of the call's wait.
                 let has_waited_fully = page.rows.is_empty() && state.now() >= began + wait;
-                self.as_of = if has_waited_fully { began + wait } else { began };
+                self.complete_until = if has_waited_fully { began + wait } else { began };
                 self.position = Some(position);
                 Ok(FeedUpdate::Changes(page))
             }
@@ -154,7 +155,7 @@
     pub async fn read_whole(&mut self, state: &DaemonState) -> Result<FeedUpdate, StoreError> {
         let began = state.now();
         let (page, position) = state.platform.read_table(self.plan.table).await?;
-        self.as_of = began;
+        self.complete_until = began;
         self.position = Some(position);
         Ok(FeedUpdate::Whole(page))
     }
@@ -162,8 +163,8 @@
     /// Records that a call was answered.
     fn note_answer(&mut self, state: &DaemonState) {
         self.backoff.reset();
-        if let Some(lost_at) = self.lost_at.take() {
-            let after_ms = state.now().saturating_sub(lost_at).as_millis() as u64;
+        if let Some(failing_since) = self.failing_since.take() {
+            let after_ms = state.now().saturating_sub(failing_since).as_millis() as u64;
             let failures = std::mem::take(&mut self.failures);
             process::StoreRegained { table: self.plan.table, after_ms, failures }.log();
         }
@@ -174,8 +175,8 @@
         metrics::STORE_FAILURES.add_one();
         self.failures += 1;
         let error = &error.to_string();
-        if self.lost_at.is_none() {
-            self.lost_at = Some(state.now());
+        if self.failing_since.is_none() {
+            self.failing_since = Some(state.now());
             let waited_ms = state.now().saturating_sub(began).as_millis() as u64;
             process::StoreLost { table: self.plan.table, waited_ms, error }.log();
         } else {
--- a/crates/daemon/src/ingress/attempt.rs
+++ b/crates/daemon/src/ingress/attempt.rs
@@ -451,7 +451,7 @@
             return Ok(());
         }
         let fingerprint = self.request.fingerprint(self.state);
-        match suspects::judge(self.state, &fingerprint) {
+        match suspects::judge_copy(self.state, &fingerprint) {
             CopyVerdict::Serve => Ok(()),
             CopyVerdict::Trial => {
                 self.is_crash_trial = true;
@@ -539,7 +539,7 @@
     fn may_be_trial(&self) -> bool {
         self.is_repeatable()
             && self.server_attempts == 0
-            && self.request.service.has_retry(self.state)
+            && self.request.service.has_retry_budget(self.state)
     }
 
     /// Returns the mode that is sent to the host's daemon: a repeatable request that may not be a
--- a/crates/daemon/src/ingress/request.rs
+++ b/crates/daemon/src/ingress/request.rs
@@ -205,7 +205,7 @@
     request.service.note_request(began);
     let parent = state.host.calls.parent_of(&request.trace.id);
     if parent.as_ref().is_some_and(|parent| parent.repeated) {
-        request.service.note_retried(began);
+        request.service.note_request_as_retry(began);
     }
     let note_failed_call = || {
         if let Some(parent) = &parent {
@@ -233,7 +233,7 @@
         AttemptEnd::Failed(failure) => {
             note_failed_call();
             if let FailureOutcome::NotRun(_) = failure.outcome {
-                limits::give_back(state, &state.config.active(), request.limit_subject());
+                limits::return_tokens(state, &state.config.active(), request.limit_subject());
             }
             trace::log_failed(state, request, &failure);
             record(failure.outcome.header_value());
@@ -361,7 +361,7 @@
     let (active, target) = target::resolve(state, &query).await?;
     let RequestTarget { route, caller } = target;
     let once_key = once_key(&route, &head)?;
-    let service = state.services.service_of(&route);
+    let service = state.services.choose_service(&route);
     let subject =
         LimitSubject { organisation: caller.limited_organisation(), route: &route.name, service };
     limits::admit(state, &active, subject).await.map_err(|refusal| CallerFailure {
--- a/crates/daemon/src/limit_owners.rs
+++ b/crates/daemon/src/limit_owners.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Which daemon counts a limit for the whole fleet, and this daemon's replies as the owner or the
-//! backup owner of limits.
+//! Determines which daemon counts a limit for the whole fleet, and answers peers as the owner or
+//! the backup owner of limits.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -29,16 +29,17 @@
 /// has been unresponsive for seconds.
 const ELIGIBLE_TTL: Duration = Duration::from_millis(200);
 
-/// Minimum age of an owner, if any daemon is that old. Some daemons know a new daemon sooner than
-/// others do, and two owners at once would grant a limit twice.
+/// Minimum time since the start of a daemon that owns limits, if any daemon has run for this time.
+/// Some daemons know a new daemon sooner than others do, and two owners at once would grant a limit
+/// twice.
 const OWNER_AGE_MIN: Duration = Duration::from_secs(15);
 
 /// `OwnerAssignment` is the owner of a limit and its backup.
 #[derive(Debug, Clone, Default)]
 pub struct OwnerAssignment {
-    /// Host that counts the limit.
+    /// Host whose daemon counts the limit.
     pub owner: Option<Rc<str>>,
-    /// Host that counts the limit for ingresses that can't reach the owner.
+    /// Host whose daemon counts the limit for ingresses that can't reach the owner.
     pub backup: Option<Rc<str>>,
     /// Generation of the eligible hosts among which the owners were chosen.
     generation: u64,
@@ -66,8 +67,13 @@
 
 impl OwnedLimits {
     /// Updates the assignment of a limit, if the eligible hosts have changed.
-    pub fn update(&self, state: &DaemonState, limit: &str, assignment: &mut OwnerAssignment) {
-        self.refresh(state);
+    pub fn update_assignment(
+        &self,
+        state: &DaemonState,
+        limit: &str,
+        assignment: &mut OwnerAssignment,
+    ) {
+        self.refresh_eligible(state);
         let eligible = self.eligible.borrow();
         if assignment.generation == eligible.generation {
             return;
@@ -82,12 +88,12 @@
 
     /// Returns the number of daemons that may own limits.
     pub fn daemons(&self, state: &DaemonState) -> usize {
-        self.refresh(state);
+        self.refresh_eligible(state);
         self.eligible.borrow().hosts.len()
     }
 
     /// Rebuilds the list of eligible hosts, unless it is recent.
-    fn refresh(&self, state: &DaemonState) {
+    fn refresh_eligible(&self, state: &DaemonState) {
         let now = state.now();
         let mut eligible = self.eligible.borrow_mut();
         if eligible.generation > 0 && now.saturating_sub(eligible.refreshed_at) < ELIGIBLE_TTL {
@@ -111,7 +117,7 @@
             Some(assignment) => assignment,
             None => assignments.entry(limit.to_owned()).or_default(),
         };
-        self.update(state, limit, assignment);
+        self.update_assignment(state, limit, assignment);
         assignment.clone()
     }
 
@@ -120,9 +126,9 @@
         self.assignment(state, limit).owner.as_deref() == Some(&*state.options.host)
     }
 
-    /// Answers as the owner of a limit, or as its backup if the request carries a claim. Returns
-    /// `None` if another daemon is the owner, because two owners would together grant twice the
-    /// limit. The requester then asks the backup.
+    /// Answers as the owner of a limit, or as the backup owner if the request carries a claim.
+    /// Returns `None` if another daemon is the owner, because two owners would together grant twice
+    /// the limit. A requester without an answer asks the backup owner.
     pub fn answer(
         &self,
         state: &DaemonState,
@@ -165,19 +171,19 @@
     /// before.
     First,
     /// The daemon started a moment ago, and not for the first time. If all daemons were killed at
-    /// once, their earlier grants are no longer known, and granting a whole burst could grant it a
-    /// second time.
+    /// once, their earlier grants are no longer known, and a burst could be granted a second time.
     Restart,
     /// The daemon started longer ago.
     Settled,
 }
 
-/// Returns how the daemon started. An earlier start of a daemon shows in the row of its host.
+/// Returns how this daemon started. The row of its host shows whether the daemon had started
+/// before.
 pub fn fleet_start(state: &DaemonState) -> FleetStart {
     if state.now() >= FIRST_START_WINDOW {
         return FleetStart::Settled;
     }
-    match state.rows.is_known() && !state.roster.started_before() {
+    match state.rows.has_read_rows() && !state.roster.had_earlier_start() {
         true => FleetStart::First,
         false => FleetStart::Restart,
     }
@@ -235,7 +241,7 @@
         return check_owner(state, &request.limit);
     };
     if claim.is_some() {
-        ingress_limits::charge_owner(state, &request.limit, answer.granted);
+        ingress_limits::report_backup_grant(state, &request.limit, answer.granted);
     }
     let reply = GrantReply {
         sequence: request.sequence,
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -26,23 +26,25 @@
 use crate::links;
 use crate::state::DaemonState;
 
-/// Longest wait for a grant of the owner along an established link. Two round trips between failure
-/// domains take 6 ms; an owner that takes longer than this timeout is treated as unreachable. The
-/// time to establish the link is not included, as it is longer right after a start.
+/// Longest wait for the owner's grant on an established link. Two round trips between failure
+/// domains take 6 ms. An owner that does not answer within this timeout is treated as unreachable.
+/// The timeout does not include the time to establish the link, which is longer right after a
+/// start.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time for which an ingress that can't reach the owner of a limit sends it no requests for tokens,
-/// before it tries the owner again.
+/// Time for which an ingress that can't reach the owner of a limit sends the owner no requests for
+/// tokens.
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// `LimitState` is what this ingress knows of one limit.
 struct LimitState {
     limiter: LocalLimiter,
-    /// Raised when the token request in progress has ended, `None` if there is none.
+    /// Raised when the token request in progress has ended, `None` if no token request is in
+    /// progress.
     pending_request: Option<Rc<RisingSignal>>,
     /// Time from which the owner is asked again, while neither the owner nor its backup can be
     /// reached.
     retry_owner_at: Duration,
-    /// Time until which the owner is not asked again, because it could not be reached.
+    /// Time until which the owner is not asked again, because the owner could not be reached.
     owner_lost_until: Option<Duration>,
     /// The daemons that count the limit.
     assignment: OwnerAssignment,
@@ -70,7 +72,7 @@
     pub service: &'a str,
 }
 
-/// Admits a request, or returns after what time the caller may retry.
+/// Admits a request, or returns the refusal, which says after what time the caller may retry.
 pub async fn admit(
     state: &Rc<DaemonState>,
     active: &ActiveConfig,
@@ -80,21 +82,21 @@
         return Ok(());
     }
     for entry in subject.limits(active) {
-        admit_one(state, entry).await.inspect_err(|_| metrics::LIMITED.add_one())?;
+        admit_by_limit(state, entry).await.inspect_err(|_| metrics::LIMITED.add_one())?;
     }
     Ok(())
 }
 
 /// Returns the tokens of a request that was admitted and then refused for another reason.
-pub fn give_back(state: &DaemonState, active: &ActiveConfig, subject: LimitSubject<'_>) {
+pub fn return_tokens(state: &DaemonState, active: &ActiveConfig, subject: LimitSubject<'_>) {
     if active.has_no_limits() {
         return;
     }
     let now = state.now();
     let mut states = state.limits.states.borrow_mut();
     for entry in subject.limits(active) {
-        if let Some(known) = states.get_mut(&entry.name) {
-            known.limiter.return_token(now);
+        if let Some(limit_state) = states.get_mut(&entry.name) {
+            limit_state.limiter.return_token(now);
         }
     }
 }
@@ -123,9 +125,12 @@
 impl LimitRefusal {
     fn new(state: &DaemonState, entry: &LimitEntry, wait: Duration) -> Self {
         let states = state.limits.states.borrow();
-        let known = states.get(&entry.name);
-        let is_standalone = known.is_some_and(|known| known.limiter.is_standalone());
-        let owner = known.and_then(|known| known.assignment.owner.as_deref()).unwrap_or("nobody");
+        let limit_state = states.get(&entry.name);
+        let is_standalone =
+            limit_state.is_some_and(|limit_state| limit_state.limiter.is_standalone());
+        let owner = limit_state
+            .and_then(|limit_state| limit_state.assignment.owner.as_deref())
+            .unwrap_or("nobody");
         let count = if is_standalone { "this daemon alone, without" } else { "all daemons at" };
         let LimitRule { rate, burst, .. } = &entry.rule;
         let name = &entry.name;
@@ -135,14 +140,14 @@
     }
 }
 
-async fn admit_one(state: &Rc<DaemonState>, entry: &LimitEntry) -> Result<(), LimitRefusal> {
-    // Other requests that wait for the same grant may use it up first, so up to three requests for
-    // tokens are made.
+async fn admit_by_limit(state: &Rc<DaemonState>, entry: &LimitEntry) -> Result<(), LimitRefusal> {
+    // Other requests that wait for the same grant may use up its tokens first, so the owner is
+    // asked up to three times.
     for _ in 0..3 {
         if state.limits.should_retry_owner(entry, state.now()) {
             start_token_request(state, entry, 0.0);
         }
-        match state.limits.check(entry, state.now()) {
+        match state.limits.check_limit(entry, state.now()) {
             LimitVerdict::Pass => return Ok(()),
             LimitVerdict::PassAhead => {
                 start_token_request(state, entry, 0.0);
@@ -157,19 +162,19 @@
 }
 
 impl RateLimiter {
-    fn check(&self, entry: &LimitEntry, now: Duration) -> LimitVerdict {
+    fn check_limit(&self, entry: &LimitEntry, now: Duration) -> LimitVerdict {
         let mut states = self.states.borrow_mut();
-        let known = states.entry(entry.name.clone()).or_insert_with(|| LimitState {
+        let limit_state = states.entry(entry.name.clone()).or_insert_with(|| LimitState {
             limiter: LocalLimiter::new(now),
             pending_request: None,
             retry_owner_at: Duration::ZERO,
             owner_lost_until: None,
             assignment: OwnerAssignment::default(),
         });
-        known.limiter.admit(now)
+        limit_state.limiter.admit(now)
     }
 
-    /// Calls `change` with the state of a limit, if it has one.
+    /// Calls `change` with the state of a limit, if this ingress has a state for the limit.
     fn with_limit<T>(
         &self,
         entry: &LimitEntry,
@@ -181,22 +186,22 @@
     /// Says whether the owner, which could not be reached, should be tried again.
     fn should_retry_owner(&self, entry: &LimitEntry, now: Duration) -> bool {
         let states = self.states.borrow();
-        states.get(&entry.name).is_some_and(|known| {
-            known.limiter.is_standalone()
-                && known.pending_request.is_none()
-                && now >= known.retry_owner_at
+        states.get(&entry.name).is_some_and(|limit_state| {
+            limit_state.limiter.is_standalone()
+                && limit_state.pending_request.is_none()
+                && now >= limit_state.retry_owner_at
         })
     }
 
     /// Returns the daemons that count a limit.
     fn assignment(&self, state: &DaemonState, entry: &LimitEntry) -> Option<OwnerAssignment> {
         let mut states = self.states.borrow_mut();
-        let known = states.get_mut(&entry.name)?;
-        self.owned.update(state, &entry.name, &mut known.assignment);
-        Some(known.assignment.clone())
+        let limit_state = states.get_mut(&entry.name)?;
+        self.owned.update_assignment(state, &entry.name, &mut limit_state.assignment);
+        Some(limit_state.assignment.clone())
     }
 
-    /// Passes a reply of the owner to the request for tokens that it belongs to.
+    /// Passes a reply of the owner to the token request that the reply answers.
     pub fn handle_reply(&self, reply: &GrantReply) {
         if let Some(waiter) = self.pending_replies.borrow_mut().remove(&reply.sequence) {
             let ahead = reply.ahead.unwrap_or(0).max(0) as u32;
@@ -206,13 +211,14 @@
     }
 }
 
-/// Asks the owner for tokens. Requests that arrive before its reply wait for the same reply.
+/// Asks the owner for tokens. Requests that arrive before the owner's reply wait for the same
+/// reply.
 async fn request_tokens(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
     start_token_request(state, entry, wanted).raised().await;
 }
 
-/// Asks the owner for tokens, and reports the requests that were admitted before their tokens were
-/// granted, unless a token request is pending. Returns the signal that is raised once the token
+/// Asks the owner for tokens, and reports the tokens that were used before they were granted.
+/// Does nothing if a token request is pending. Returns the signal that is raised once the token
 /// request has ended.
 fn start_token_request(
     state: &Rc<DaemonState>,
@@ -228,13 +234,13 @@
     set_pending_request(state, entry, Some(signal.clone()));
     let state = state.clone();
     let entry = entry.clone();
-    let done = signal.clone();
-    // The token request runs in a task of its own: if it belonged to the request of a caller that
-    // disconnects, the other requests would wait in vain.
+    let end_signal = signal.clone();
+    // The token request runs in a task of its own. If the task were that of a caller's request and
+    // the caller disconnected, the other requests would wait in vain.
     monoio::spawn(async move {
         request_from_any(&state, &entry, wanted).await;
         set_pending_request(&state, &entry, None);
-        done.raise();
+        end_signal.raise();
     });
     signal
 }
@@ -244,17 +250,18 @@
     entry: &LimitEntry,
     pending_request: Option<Rc<RisingSignal>>,
 ) {
-    state.limits.with_limit(entry, |known| known.pending_request = pending_request);
+    state.limits.with_limit(entry, |limit_state| limit_state.pending_request = pending_request);
 }
 
 /// Asks the owner, or the backup owner for as long as the owner can't be reached. If neither can be
 /// reached, the ingress admits only its own share of the limit.
 async fn request_from_any(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
-    let lost_until = state.limits.with_limit(entry, |known| known.owner_lost_until).flatten();
+    let lost_until =
+        state.limits.with_limit(entry, |limit_state| limit_state.owner_lost_until).flatten();
     match lost_until {
         Some(until) if state.now() < until => {}
-        // The owner is asked in a task of its own: it may still be unreachable, and must not delay
-        // the requests that wait.
+        // The owner is asked in a task of its own: the owner may still be unreachable, and the
+        // requests that wait must not be delayed.
         Some(_) => {
             let (state, entry) = (state.clone(), entry.clone());
             monoio::spawn(async move { request_from_owner(&state, &entry, 0.0).await });
@@ -265,38 +272,42 @@
     request_from_backup(state, entry, wanted).await;
 }
 
-/// Asks the owner for tokens, and reports the requests that were admitted before their tokens were
-/// granted. Says whether the owner replied.
+/// Asks the owner for tokens, and reports the tokens that were used before they were granted. Says
+/// whether the owner replied.
 async fn request_from_owner(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) -> bool {
-    let spent = state.limits.with_limit(entry, |known| known.limiter.take_spent()).unwrap_or(0.0);
+    let spent = state
+        .limits
+        .with_limit(entry, |limit_state| limit_state.limiter.take_spent())
+        .unwrap_or(0.0);
     let owner = state.limits.assignment(state, entry).and_then(|assignment| assignment.owner);
     let terms = GrantTerms { wanted, spent, claim: None };
-    let answer = match owner {
+    let grant = match owner {
         Some(owner) => request_from(state, &owner, entry, terms).await,
         None => None,
     };
     let now = state.now();
-    state.limits.with_limit(entry, |known| match &answer {
-        Some(answer) => {
-            known.owner_lost_until = None;
-            known.limiter.note_owner(answer.ahead, answer.share, now);
-            note_grant(known, entry, wanted, answer, now);
+    state.limits.with_limit(entry, |limit_state| match &grant {
+        Some(grant) => {
+            limit_state.owner_lost_until = None;
+            limit_state.limiter.note_owner(grant.ahead, grant.share, now);
+            note_grant(limit_state, entry, wanted, grant, now);
         }
         None => {
-            known.owner_lost_until = Some(now + OWNER_RETRY_INTERVAL);
-            known.limiter.restore_spent(spent);
+            limit_state.owner_lost_until = Some(now + OWNER_RETRY_INTERVAL);
+            limit_state.limiter.restore_spent(spent);
         }
     });
-    answer.is_some()
+    grant.is_some()
 }
 
 async fn request_from_backup(state: &Rc<DaemonState>, entry: &LimitEntry, wanted: f64) {
     let rule = &entry.rule;
     let daemons = state.limits.owned.daemons(state);
-    let claim =
-        state.limits.with_limit(entry, |known| known.limiter.note_owner_lost(rule.rate, daemons));
+    let claim = state
+        .limits
+        .with_limit(entry, |limit_state| limit_state.limiter.note_owner_lost(rule.rate, daemons));
     let backup = state.limits.assignment(state, entry).and_then(|assignment| assignment.backup);
-    let answer = match backup {
+    let grant = match backup {
         Some(backup) => {
             let terms = GrantTerms { wanted, spent: 0.0, claim };
             request_from(state, &backup, entry, terms).await
@@ -304,12 +315,12 @@
         None => None,
     };
     let now = state.now();
-    state.limits.with_limit(entry, |known| match &answer {
+    state.limits.with_limit(entry, |limit_state| match &grant {
         // The owner has become reachable again since the backup was asked.
-        _ if known.owner_lost_until.is_none() => {}
-        Some(answer) => {
-            known.limiter.note_backup();
-            note_grant(known, entry, wanted, answer, now);
+        _ if limit_state.owner_lost_until.is_none() => {}
+        Some(grant) => {
+            limit_state.limiter.note_backup();
+            note_grant(limit_state, entry, wanted, grant, now);
         }
         None => {
             // Only in a fleet that starts for the first time is this daemon's share of the burst
@@ -317,16 +328,16 @@
             let is_first = limit_owners::fleet_start(state) == FleetStart::First;
             let since = (!is_first).then_some(Duration::ZERO);
             let terms = StandaloneTerms { rate: rule.rate, burst: rule.burst, daemons, since };
-            known.limiter.start_standalone(terms, now);
-            known.retry_owner_at = now + OWNER_RETRY_INTERVAL;
+            limit_state.limiter.start_standalone(terms, now);
+            limit_state.retry_owner_at = now + OWNER_RETRY_INTERVAL;
         }
     });
 }
 
-/// Reports to the owner what this daemon granted as the backup owner. If only some daemons can't
-/// reach the owner, the owner's count then covers all grants. An owner that has left the fleet is
-/// not notified, as its successor starts with a new count.
-pub fn charge_owner(state: &Rc<DaemonState>, limit: &str, granted: f64) {
+/// Reports to the owner the tokens that this daemon granted as the backup owner. If only some
+/// daemons can't reach the owner, the owner's count thus covers the grants to all daemons. An owner
+/// that has left the fleet is not notified, as its successor starts with a new count.
+pub fn report_backup_grant(state: &Rc<DaemonState>, limit: &str, granted: f64) {
     let active = state.config.active();
     let Some(entry) = active.limit(limit).cloned().filter(|_| granted > 0.0) else { return };
     let state = state.clone();
@@ -340,15 +351,15 @@
 }
 
 fn note_grant(
-    known: &mut LimitState,
+    limit_state: &mut LimitState,
     entry: &LimitEntry,
     wanted: f64,
-    answer: &TokenGrant,
+    grant: &TokenGrant,
     now: Duration,
 ) {
     if wanted > 0.0 {
         let wait = Duration::from_secs_f64(1.0 / entry.rule.rate).min(GRANT_LIFE);
-        known.limiter.note_grant(answer.granted, wait, now);
+        limit_state.limiter.note_grant(grant.granted, wait, now);
     }
 }
 
@@ -361,7 +372,8 @@
     claim: Option<f64>,
 }
 
-/// Asks one daemon for tokens. Returns `None` if it can't be reached.
+/// Asks one daemon for tokens. Returns `None` if that daemon can't be reached or does not
+/// answer.
 async fn request_from(
     state: &Rc<DaemonState>,
     host: &str,
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -31,21 +31,23 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time that a request waits for a link to be established.
 ///
-/// Dialling continues in the background, so that a later request finds a link to a distant daemon.
+/// Dialling continues in the background after this time, so that a later request finds a link to a
+/// distant daemon.
 const LINK_WAIT_MAX: Duration = Duration::from_millis(500);
 /// Time between checks of the links.
-const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time without use after which a link is closed.
-const IDLE_TIME_MAX: Duration = Duration::from_secs(120);
-/// Time for which a path may be cut before its link is closed and established again.
-const CUT_TIME_MAX: Duration = Duration::from_secs(10);
+const LINK_IDLE_TIME_MAX: Duration = Duration::from_secs(120);
+/// Time without a received frame after which the link of a cut path is closed, so that a new link
+/// can be established. Also the longest time that a replaced link waits for its last requests.
+const LINK_CUT_TIME_MAX: Duration = Duration::from_secs(10);
 /// Time without a received frame after which a second link is dialled along a cut path, beside the
 /// first link: a connection may be black-holed for good while new connections work. Requests in
 /// flight on the first link continue.
-const RENEW_AFTER: Duration = Duration::from_secs(1);
-/// Maximum number of accepted links: every other daemon at the fleet size expected in two years,
-/// and room for restarts.
-const LINKS_MAX: usize = 8192;
+const LINK_RENEW_AFTER: Duration = Duration::from_secs(1);
+/// Maximum number of accepted links: one link from every other daemon at the fleet size expected in
+/// two years, and some more for daemons that restart.
+const ACCEPTED_LINKS_MAX: usize = 8192;
 
 type LinkReader = FrameReader<OwnedReadHalf<TcpStream>>;
 type LinkWriter = OwnedWriteHalf<TcpStream>;
@@ -58,13 +60,13 @@
     if let Some(link) = path.link() {
         return Ok(link);
     }
-    match monoio::time::timeout(LINK_WAIT_MAX, wait_link(state, path)).await {
+    match monoio::time::timeout(LINK_WAIT_MAX, wait_for_link(state, path)).await {
         Ok(result) => result,
         Err(_) => Err(LinkError::TimedOut),
     }
 }
 
-async fn wait_link(
+async fn wait_for_link(
     state: &Rc<DaemonState>,
     path: &Rc<PeerPath>,
 ) -> Result<Rc<DialledLink>, LinkError> {
@@ -96,9 +98,9 @@
     true
 }
 
-/// Dials a second link beside a link that may be black-holed, and waits for the new link no longer
-/// than a request would. Requests in flight stay on the old link, as it may recover; new requests
-/// use the new link.
+/// Dials a second link beside a link that may be black-holed, and waits for the second link up to
+/// [`LINK_WAIT_MAX`]. Requests in flight stay on the first link, as that link may recover. New
+/// requests use the second link.
 pub async fn renew(state: &Rc<DaemonState>, path: &Rc<PeerPath>) {
     let seen = path.change_count();
     if start_dial(state, path) || path.is_dialling() {
@@ -106,17 +108,17 @@
     }
 }
 
-/// Closes a replaced link once nothing is in flight on it, or after [`CUT_TIME_MAX`].
-async fn retire(link: Rc<DialledLink>) {
+/// Closes a replaced link once nothing is in flight on it, or after [`LINK_CUT_TIME_MAX`].
+async fn close_replaced(link: Rc<DialledLink>) {
     let mut waited = Duration::ZERO;
-    while link.exchange_count() > 0 && waited < CUT_TIME_MAX {
-        monoio::time::sleep(WATCH_INTERVAL).await;
-        waited += WATCH_INTERVAL;
+    while link.exchange_count() > 0 && waited < LINK_CUT_TIME_MAX {
+        monoio::time::sleep(LINK_CHECK_INTERVAL).await;
+        waited += LINK_CHECK_INTERVAL;
     }
     link.sender().close();
 }
 
-/// Dials a link and runs it until it ends.
+/// Dials a link, and runs the link until its connection ends.
 async fn run_dialled(state: &Rc<DaemonState>, path: &Rc<PeerPath>, dial_number: u64) {
     let (mut reader, writer, link) = match dial(state, path).await {
         Ok(parts) => parts,
@@ -127,14 +129,14 @@
             return;
         }
     };
-    if let Some(former) = path.note_linked(dial_number, link.clone(), state.now()) {
-        monoio::spawn(retire(former));
+    if let Some(replaced_link) = path.note_linked(dial_number, link.clone(), state.now()) {
+        monoio::spawn(close_replaced(replaced_link));
     }
     metrics::LINKS.add(1);
     fleet::PeerLinked { host: &path.host }.log();
     let sender = link.sender().clone();
     let on_control = |body: FrameBody| {
-        control::handle(state, Some(path), &sender, &link.peer, body);
+        control::handle_frame(state, Some(path), &sender, &link.peer, body);
     };
     let on_frame = || path.note_frame(state.now());
     let reading = link.run(&mut reader, on_frame, on_control);
@@ -168,7 +170,7 @@
 }
 
 /// Identifies the daemon that listens at an address, by a handshake.
-pub async fn identify(
+pub async fn identify_peer(
     state: &Rc<DaemonState>,
     address: SocketAddr,
 ) -> Result<PeerIdentity, LinkError> {
@@ -208,9 +210,10 @@
     }
 }
 
-/// Says whether a link crosses failure domains, on which both sides agree. Frames are compressed on
-/// such a link, as traffic between failure domains is expensive. Within a failure domain, the
-/// processor time for compression would cost more.
+/// Says whether a link crosses failure domains. Both sides of a link come to the same result.
+/// Frames are compressed on a link that crosses failure domains, as traffic between failure domains
+/// is expensive. Within a failure domain, the processor time for compression would cost more than
+/// the traffic.
 fn crosses_domains(state: &DaemonState, peer: &PeerIdentity) -> bool {
     state.options.failure_domain != peer.failure_domain
 }
@@ -229,7 +232,7 @@
         let state = state.clone();
         async move { run_accepted(&state, stream).await }
     };
-    connection::accept_all(listener, LINKS_MAX, ConnectionCount::default(), serve).await;
+    connection::accept_all(listener, ACCEPTED_LINKS_MAX, ConnectionCount::default(), serve).await;
 }
 
 async fn run_accepted(state: &Rc<DaemonState>, stream: TcpStream) {
@@ -243,8 +246,8 @@
             return;
         }
     };
-    let crosses = crosses_domains(state, &peer);
-    if crosses {
+    let is_cross_domain = crosses_domains(state, &peer);
+    if is_cross_domain {
         reader.start_decoding();
     }
     let sender = FrameSender::default();
@@ -255,9 +258,10 @@
         let link = link.clone();
         monoio::spawn(async move { host::serve_remote(state, link, inbound).await });
     };
-    let on_control = |body: FrameBody| control::handle(state, None, &sender, &link.peer, body);
+    let on_control =
+        |body: FrameBody| control::handle_frame(state, None, &sender, &link.peer, body);
     let reading = link.run(&mut reader, on_dispatch, on_control);
-    let encoder = crosses.then(LinkEncoder::default);
+    let encoder = is_cross_domain.then(LinkEncoder::default);
     let error = run_halves(reading, &sender, writer, encoder).await;
     link.end();
     fleet::AcceptedEnded { host: &link.peer.host, error: &error.to_string() }.log();
@@ -266,16 +270,16 @@
 /// Monitors the dialled links for ever: probes unresponsive links and closes idle links.
 pub async fn watch(state: Rc<DaemonState>) {
     loop {
-        monoio::time::sleep(WATCH_INTERVAL).await;
+        monoio::time::sleep(LINK_CHECK_INTERVAL).await;
         let now = state.now();
         for path in state.peers.linked() {
-            watch_path(&state, &path, now);
+            check_path(&state, &path, now);
         }
     }
 }
 
-/// Logs when a path counts as cut, because no frame has arrived along it for a while, and when
-/// frames arrive again.
+/// Logs when a path counts as cut, because no frame has arrived along the path for a while, and
+/// when frames arrive again.
 fn log_silence(path: &PeerPath, in_flight: usize, now: Duration) {
     let is_unresponsive = path.state(now) == PathState::Cut;
     if path.note_silence(is_unresponsive) == is_unresponsive {
@@ -290,22 +294,22 @@
     }
 }
 
-fn watch_path(state: &Rc<DaemonState>, path: &Rc<PeerPath>, now: Duration) {
+fn check_path(state: &Rc<DaemonState>, path: &Rc<PeerPath>, now: Duration) {
     let link = match path.link() {
         Some(link) => link,
         None => return,
     };
-    let in_use = link.exchange_count() > 0;
-    if path.is_probe_due(now, in_use) {
+    let is_in_use = link.exchange_count() > 0;
+    if path.is_probe_due(now, is_in_use) {
         let note = membership::heartbeat_request(state, Vec::new());
         let _ = link.sender().send(NO_EXCHANGE, FrameBody::Heartbeat(note));
     }
     log_silence(path, link.exchange_count(), now);
-    let idle = !in_use && now.saturating_sub(path.used_at()) > IDLE_TIME_MAX;
+    let is_idle = !is_in_use && now.saturating_sub(path.used_at()) > LINK_IDLE_TIME_MAX;
     let is_cut = path.state(now) == PathState::Cut;
-    if idle || is_cut && path.time_since_frame(now) > CUT_TIME_MAX {
+    if is_idle || is_cut && path.time_since_frame(now) > LINK_CUT_TIME_MAX {
         link.sender().close();
-    } else if is_cut && path.time_since_frame(now) > RENEW_AFTER {
+    } else if is_cut && path.time_since_frame(now) > LINK_RENEW_AFTER {
         start_dial(state, path);
     }
 }
--- a/crates/daemon/src/membership.rs
+++ b/crates/daemon/src/membership.rs
@@ -5,7 +5,8 @@
 //!
 //! The view is seeded by the rows of the hosts and kept up to date by gossip, in heartbeats between
 //! a few peers. The views of two daemons may always differ, so no guarantee of the fleet depends on
-//! these views. Information about a later incarnation of a daemon takes precedence.
+//! these views. If reports name different incarnations of a daemon, the report of the later
+//! incarnation is used.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,19 +30,21 @@
 use crate::state::DaemonState;
 
 /// Time between attempts to contact the seeds while no other daemon is known.
-const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum number of members in one heartbeat: the resulting 64 entries a second keep the view
-/// fresh within the suspect time.
-const ENTRIES_MAX: usize = 8;
-/// Heartbeat intervals after which a member without a known heartbeat is suspect, in a small fleet.
+const SEED_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of members in one heartbeat. With this maximum, 64 entries a second are
+/// exchanged, so that each member's entry is renewed within the suspect time.
+const HEARTBEAT_ENTRIES_MAX: usize = 8;
+/// Number of heartbeat intervals without a heartbeat after which a member of a small fleet is
+/// suspect.
 const SUSPECT_HEARTBEATS: u32 = 12;
 /// Number of members whose entries one round of heartbeats renews. For each such number of members
 /// in the fleet, the suspect time grows by one heartbeat interval.
 const MEMBERS_RENEWED_EACH_ROUND: usize = 40;
 /// Number of suspect times after which a member without a row is removed.
 const FORGET_FACTOR: u32 = 10;
-/// Numbers of the states in the peer protocol.
+/// Number of a live member's state in the peer protocol.
 const STATE_LIVE: i8 = 0;
+/// Number of a leaving member's state in the peer protocol.
 const STATE_LEAVING: i8 = 1;
 
 /// `MemberState` is the assumed state of a member.
@@ -56,7 +59,7 @@
 }
 
 impl MemberState {
-    /// Returns the name in the operators' tables.
+    /// Returns the name of the state in the operators' tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Live => "live",
@@ -69,21 +72,22 @@
 /// `MemberView` is what is known of one member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberView {
-    /// Failure domain of its host.
+    /// Failure domain of the member's host.
     pub failure_domain: String,
-    /// Address at which it accepts links.
+    /// Address at which the member accepts links.
     pub peer_address: String,
-    /// Address of its admin API.
+    /// Address of the member's admin API.
     pub admin_address: String,
-    /// Number of its incarnation; a later start has a higher number.
+    /// Number of the member's incarnation; a later start has a higher number.
     pub incarnation: i64,
-    /// Time of its latest known heartbeat, received directly or reported by another member.
+    /// Time of the member's latest known heartbeat, which this daemon received directly or another
+    /// member reported.
     pub last_heartbeat_at: Duration,
-    /// Whether it announced that it is leaving, in this incarnation.
+    /// Whether the member announced, in this incarnation, that it is leaving.
     pub leaving: bool,
-    /// Whether it has a row in the platform's store.
+    /// Whether the member has a row in the platform's store.
     pub listed: bool,
-    /// Revision that it has in force.
+    /// Latest revision of the configuration that the member is known to have in force.
     pub revision: FleetRevision,
 }
 
@@ -139,12 +143,12 @@
     /// leaving.
     pub fn live_in_domain(&self, state: &DaemonState) -> Vec<String> {
         let own_domain = &state.options.failure_domain;
-        let mut local = self.live_hosts(state);
+        let mut local_hosts = self.live_hosts(state);
         let members = self.members.borrow();
         let is_local =
             |host: &String| members.get(host).is_none_or(|view| view.failure_domain == *own_domain);
-        local.retain(is_local);
-        local
+        local_hosts.retain(is_local);
+        local_hosts
     }
 
     /// Returns the number of other members, at least 1.
@@ -160,10 +164,10 @@
     }
 
     /// Returns a random sample of the open accepted links.
-    pub fn sample_accepted(&self, most: usize) -> Vec<Rc<AcceptedLink>> {
+    pub fn sample_accepted(&self, count_max: usize) -> Vec<Rc<AcceptedLink>> {
         let accepted = self.accepted.borrow();
         let open = accepted.iter().filter_map(Weak::upgrade);
-        open.sample(&mut rand::rng(), most)
+        open.sample(&mut rand::rng(), count_max)
     }
 
     /// Returns the latest known incarnation of a host's daemon, 0 if none is known.
@@ -171,8 +175,8 @@
         self.members.borrow().get(host).map_or(0, |view| view.incarnation)
     }
 
-    /// Records the row of a host. A row does not count as a heartbeat, unless it is of a later
-    /// incarnation.
+    /// Records the row of a host. A row counts as a heartbeat only if it is of a later incarnation
+    /// than the known one.
     pub fn note_record(&self, state: &DaemonState, host: &str, record: &HostRecord) {
         if host == state.options.host {
             return;
@@ -192,7 +196,7 @@
             Some(view) => {
                 let last_heartbeat_at = view.last_heartbeat_at;
                 let is_later = reported.incarnation > view.incarnation;
-                merge(view, reported);
+                merge_view(view, reported);
                 if !is_later {
                     view.last_heartbeat_at = last_heartbeat_at;
                 }
@@ -208,15 +212,15 @@
         members.retain(|_, view| view.listed || heartbeat_age(view) < forget_after);
     }
 
-    /// Records that a host has no row any more. Reports of its heartbeats are still used.
+    /// Records that a host has no row any more. Reports of the host's heartbeats are still used.
     pub fn note_removed(&self, host: &str) {
         if let Some(view) = self.members.borrow_mut().get_mut(host) {
             view.listed = false;
         }
     }
 
-    /// Returns the hosts with a row whose latest known heartbeat is so old that they are considered
-    /// gone.
+    /// Returns the hosts with a row whose latest known heartbeat is so old that the row is due to
+    /// be removed.
     pub fn expired_hosts(&self, state: &DaemonState) -> Vec<String> {
         let now = state.now();
         let members = self.members.borrow();
@@ -236,8 +240,9 @@
             failure_domain: String::new(),
             peer_address: address.to_string(),
             admin_address: String::new(),
-            // The stored incarnation is one less than the actual one, so that the daemon's own
-            // entry, which follows in a heartbeat, replaces this view and fills in its fields.
+            // The incarnation in this view is one less than the actual incarnation. The daemon's
+            // own entry, which follows in a heartbeat, thus replaces the view and fills in its
+            // fields.
             incarnation: peer.incarnation.saturating_sub(1),
             last_heartbeat_at: state.now(),
             leaving: false,
@@ -248,7 +253,7 @@
         self.members.borrow_mut().entry(peer.host).or_insert(view);
     }
 
-    /// Records a heartbeat that came from the peer itself.
+    /// Records a heartbeat that a peer sent to this daemon directly.
     pub fn note_heartbeat(
         &self,
         state: &DaemonState,
@@ -278,15 +283,16 @@
             }
             let age = Duration::from_millis(entry.age_ms.max(0) as u64);
             let last_heartbeat_at = now.saturating_sub(age);
-            let reported = view_of(entry, last_heartbeat_at);
+            let reported = view_from_entry(entry, last_heartbeat_at);
             let view = members.entry(entry.host.clone()).or_insert_with(|| reported.clone());
-            merge(view, reported);
+            merge_view(view, reported);
             update_path(state, &entry.host, view);
         }
     }
 
-    /// Returns the entries to send to a peer: this daemon's own, and a random sample of those that
-    /// are not in `reported`, which the peer has just sent.
+    /// Returns the entries to send to a peer: this daemon's own entry, and a random sample of the
+    /// other members' entries. Members in `reported` are left out, as the peer has just sent their
+    /// entries.
     pub fn sample_entries(
         &self,
         state: &DaemonState,
@@ -294,12 +300,12 @@
     ) -> Vec<MemberEntry> {
         let now = state.now();
         let members = self.members.borrow();
-        let others = members.iter().filter(|(host, view)| {
+        let other_members = members.iter().filter(|(host, view)| {
             view.incarnation > 0 && !reported.iter().any(|e| e.host == **host)
         });
         let mut entries = vec![own_entry(state)];
-        let chosen = others.sample(&mut rand::rng(), ENTRIES_MAX - 1);
-        entries.extend(chosen.into_iter().map(|(host, view)| entry_of(host, view, now)));
+        let chosen = other_members.sample(&mut rand::rng(), HEARTBEAT_ENTRIES_MAX - 1);
+        entries.extend(chosen.into_iter().map(|(host, view)| entry_from_view(host, view, now)));
         entries
     }
 
@@ -314,13 +320,13 @@
         neighbours::choose(&state.options.host, hosts, round)
     }
 
-    /// Returns the latest revision that a member is known to have.
+    /// Returns the latest revision of the configuration that a member is known to have in force.
     pub fn revision_of(&self, host: &str) -> FleetRevision {
         self.members.borrow().get(host).map_or(FleetRevision(0), |view| view.revision)
     }
 }
 
-fn view_of(entry: &MemberEntry, last_heartbeat_at: Duration) -> MemberView {
+fn view_from_entry(entry: &MemberEntry, last_heartbeat_at: Duration) -> MemberView {
     MemberView {
         failure_domain: entry.failure_domain.clone(),
         peer_address: entry.peer_address.clone(),
@@ -336,7 +342,7 @@
 /// Merges a reported view into the known view. A later incarnation replaces the known view. Within
 /// one incarnation, the later heartbeat and revision are kept, and a daemon that is leaving stays
 /// marked as leaving.
-fn merge(view: &mut MemberView, reported: MemberView) {
+fn merge_view(view: &mut MemberView, reported: MemberView) {
     if reported.incarnation < view.incarnation {
         return;
     }
@@ -360,7 +366,7 @@
     path.note_leaving(view.leaving);
 }
 
-fn entry_of(host: &str, view: &MemberView, now: Duration) -> MemberEntry {
+fn entry_from_view(host: &str, view: &MemberView, now: Duration) -> MemberEntry {
     MemberEntry {
         host: host.to_owned(),
         failure_domain: view.failure_domain.clone(),
@@ -401,10 +407,10 @@
 }
 
 /// Builds the reply to a heartbeat.
-pub fn heartbeat_reply(state: &DaemonState, asked: &HeartbeatNote) -> HeartbeatNote {
+pub fn heartbeat_reply(state: &DaemonState, request: &HeartbeatNote) -> HeartbeatNote {
     HeartbeatNote {
         reply: true,
-        asked_ms: asked.asked_ms,
+        asked_ms: request.asked_ms,
         ..heartbeat_request(state, vec![own_entry(state)])
     }
 }
@@ -414,7 +420,7 @@
     loop {
         if state.members.members.borrow().is_empty() {
             for address in &state.live().seeds {
-                match links::identify(&state, *address).await {
+                match links::identify_peer(&state, *address).await {
                     Ok(peer) => state.members.record_seed_peer(&state, peer, *address),
                     Err(error) => {
                         let (address, error) = (&address.to_string(), &error.to_string());
@@ -423,7 +429,7 @@
                 }
             }
         }
-        monoio::time::sleep(SEED_INTERVAL).await;
+        monoio::time::sleep(SEED_RETRY_INTERVAL).await;
     }
 }
 
@@ -454,13 +460,13 @@
 }
 
 /// Returns a random sample of the open links, whichever side dialled them.
-pub fn sample_senders(state: &DaemonState, most: usize) -> Vec<FrameSender> {
+pub fn sample_senders(state: &DaemonState, count_max: usize) -> Vec<FrameSender> {
     let accepted = state.members.sample_accepted(usize::MAX);
     let accepted = accepted.iter().map(|link| link.sender().clone());
     let linked = state.peers.linked();
     let dialled = linked.iter().filter_map(|path| path.link());
     let senders = accepted.chain(dialled.map(|link| link.sender().clone()));
-    senders.sample(&mut rand::rng(), most)
+    senders.sample(&mut rand::rng(), count_max)
 }
 
 /// Sends a heartbeat to one host.
--- a/crates/daemon/src/parts.rs
+++ b/crates/daemon/src/parts.rs
@@ -8,8 +8,8 @@
 use basaltarch_core::units;
 use fnv::FnvHashMap;
 
-/// Largest snapshot accepted from a peer, in bytes; at the fleet size expected in two years it
-/// takes about 10 MB.
+/// Largest snapshot accepted from a peer, in bytes. At the fleet size expected in two years, a
+/// snapshot takes about 10 MB.
 const SNAPSHOT_MAX: usize = 256 << 20;
 
 /// `SnapshotParts` holds the parts of snapshots that are being received, keyed by the host of the
@@ -17,9 +17,9 @@
 #[derive(Debug, Default)]
 pub struct SnapshotParts {
     parts: RefCell<FnvHashMap<String, PartialSnapshot>>,
-    transfers: Cell<i64>,
+    last_transfer: Cell<i64>,
     /// Whether a complete snapshot is being read.
-    pub reading: Cell<bool>,
+    pub is_reading: Cell<bool>,
 }
 
 /// `PartialSnapshot` is what has been received of one transfer.
@@ -46,15 +46,15 @@
 impl SnapshotParts {
     /// Returns the number of this daemon's next transfer; a later incarnation has higher numbers.
     pub fn next_transfer(&self) -> i64 {
-        let number = (self.transfers.get() + 1).max(units::wall_millis() as i64);
-        self.transfers.set(number);
+        let number = (self.last_transfer.get() + 1).max(units::wall_millis() as i64);
+        self.last_transfer.set(number);
         number
     }
 
-    /// Adds a part, and returns the whole snapshot if it was the last part. A part that does not
-    /// follow the last received part is dropped: its transfer broke off or was replaced by a later
-    /// transfer.
-    pub fn take(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
+    /// Adds a part, and returns the whole snapshot after the last part. A part that does not follow
+    /// the previously received part is dropped: the transfer of the part broke off or was replaced
+    /// by a later transfer.
+    pub fn add_part(&self, host: &str, part: SnapshotPart) -> Option<Vec<u8>> {
         let mut parts = self.parts.borrow_mut();
         if part.index == 0 {
             let fresh = PartialSnapshot { transfer: part.transfer, ..PartialSnapshot::default() };
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -3,8 +3,8 @@
 
 //! Registers the backend servers on this host, and answers whether the daemon is ready.
 //!
-//! An acknowledgement means that what the server reported is in force at this daemon. As only this
-//! daemon sends requests to the backend servers of its host, no other daemon has to be asked.
+//! An acknowledged report of a backend server is in force at this daemon. As only this daemon sends
+//! requests to the backend servers of its host, no other daemon has to be asked.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -34,19 +34,19 @@
 const CONNECTIONS_MAX: usize = 64;
 /// Largest heartbeat, in bytes.
 const BODY_BYTES_MAX: u64 = 16 * 1024;
-/// Timeout of a health check, which may wait for a slot of the server. After a failed check, the
-/// server's next heartbeat comes soon.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Timeout of a health check, which may wait for a slot of the server. A server whose check fails
+/// is soon registered by its next heartbeat.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Maximum number of ended incarnations of backend servers that are remembered, to recognise
-/// heartbeats that arrive after their end.
-const ENDED_MAX: usize = 64;
-/// Maximum number of backend servers whose incarnations are tracked: a host has few backend
-/// servers, and a client that names more of them is no backend server of this host.
+/// heartbeats that arrive after the end of their incarnation.
+const ENDED_UPSTREAMS_MAX: usize = 64;
+/// Maximum number of backend servers whose incarnations are tracked. A host has few backend
+/// servers, so a client that reports more names than this is no backend server of the host.
 const TRACKERS_MAX: usize = 256;
 
-/// `RegistrationTable` is what this daemon knows of the backend servers on its host, apart from
-/// what it publishes. Everything but `trackers` is keyed by the name of the upstream, which is
-/// specific to one incarnation.
+/// `RegistrationTable` is what this daemon knows of the backend servers on its host, apart from the
+/// published record of the host. All fields but `trackers` are keyed by the name of the upstream,
+/// which is specific to one incarnation.
 #[derive(Debug, Default)]
 pub struct RegistrationTable {
     /// Incarnations of each backend server, by the server's own name.
@@ -65,8 +65,8 @@
         self.cold_until.borrow().get(upstream).is_some_and(|until| *until > now)
     }
 
-    /// Classifies a heartbeat, and records it.
-    fn judge(&self, heartbeat: &ServerHeartbeat, now: Duration) -> IncarnationVerdict {
+    /// Classifies a heartbeat, and records the heartbeat's incarnation and sequence number.
+    fn classify_heartbeat(&self, heartbeat: &ServerHeartbeat, now: Duration) -> IncarnationVerdict {
         let ServerIncarnation { server, born } = &heartbeat.incarnation;
         let claim = IncarnationClaim { born: *born, sequence: heartbeat.sequence };
         let mut trackers = self.trackers.borrow_mut();
@@ -80,20 +80,21 @@
         verdict
     }
 
-    /// Says whether a heartbeat is later than the earlier ones of its incarnation, and records it.
+    /// Says whether a heartbeat is no earlier than the other heartbeats of its incarnation, and
+    /// records its sequence number.
     fn is_newer(&self, heartbeat: &ServerHeartbeat) -> bool {
         let upstream = heartbeat.incarnation.upstream();
         if self.ended_upstreams.borrow().contains(&upstream) {
             return false;
         }
         let mut sequences = self.sequences.borrow_mut();
-        let last = sequences.entry(upstream).or_default();
-        let is_later = heartbeat.sequence >= *last;
-        *last = heartbeat.sequence.max(*last);
+        let last_sequence = sequences.entry(upstream).or_default();
+        let is_later = heartbeat.sequence >= *last_sequence;
+        *last_sequence = heartbeat.sequence.max(*last_sequence);
         is_later
     }
 
-    /// Returns the incarnation that a deregistration is about: the incarnation that it names, or
+    /// Returns the incarnation that a deregistration ends: the incarnation that the call names, or
     /// else the current incarnation of the server.
     fn departing_incarnation(&self, incarnation: ServerIncarnation) -> ServerIncarnation {
         let trackers = self.trackers.borrow();
@@ -115,7 +116,7 @@
         if !ended_upstreams.iter().any(|known| known == upstream) {
             ended_upstreams.push_back(upstream.to_owned());
         }
-        if ended_upstreams.len() > ENDED_MAX {
+        if ended_upstreams.len() > ENDED_UPSTREAMS_MAX {
             ended_upstreams.pop_front();
         }
     }
@@ -133,7 +134,7 @@
 
 fn answer_server(state: &Rc<DaemonState>, request: &ServerRequest) -> ServerReply {
     // An acknowledged change must also reach the next incarnation of this daemon, through the
-    // store. This daemon no longer waits for writes to the store, so it refuses the change, and the
+    // store. As this daemon no longer waits for writes to the store, it refuses the call, and the
     // backend server retries.
     if state.stop.is_over(state.now()) {
         return admin::problem(StatusCode::SERVICE_UNAVAILABLE, "the daemon is shutting down");
@@ -143,7 +144,7 @@
         registration::read_call(&request.head.method, uri.path(), uri.query(), &request.body);
     match call {
         Ok(Some(ServerCall::Heartbeat(heartbeat))) => {
-            if let Some(problem) = mismatch(state, &heartbeat) {
+            if let Some(problem) = find_mismatch(state, &heartbeat) {
                 let from = &request.from.to_string();
                 servers::ServerCallRefused { error: problem, from }.log();
                 return admin::problem(StatusCode::BAD_REQUEST, problem);
@@ -170,17 +171,17 @@
     ServerReply::whole(StatusCode::OK, "application/json", body)
 }
 
-/// Returns why a heartbeat is refused, because its sender may not be a backend server of this host.
-/// Either its service or its address differs from those registered for the same
-/// incarnation, or the incarnation is not registered and its service is not configured.
-fn mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
+/// Returns why a heartbeat is refused, if its sender may not be a backend server of this host. A
+/// heartbeat is refused if its service or address differs from those registered for the same
+/// incarnation, or if its incarnation is not registered and its service is not configured.
+fn find_mismatch(state: &DaemonState, heartbeat: &ServerHeartbeat) -> Option<&'static str> {
     let name = heartbeat.incarnation.upstream();
     let servers = state.roster.own_servers();
     if let Some(known) = servers.iter().find(|server| server.name == name) {
-        let same = known.service == heartbeat.service && known.address == heartbeat.address;
+        let is_same = known.service == heartbeat.service && known.address == heartbeat.address;
         // A server that does not report its incarnation may have restarted under its name.
         let may_differ = heartbeat.incarnation.born.is_none();
-        return (!same && !may_differ)
+        return (!is_same && !may_differ)
             .then_some("the service or the address differs from the registered one");
     }
     let document = state.document.get()?;
@@ -189,9 +190,9 @@
     (!is_configured).then_some("the service is not in the configuration")
 }
 
-/// Handles a heartbeat, and returns how it was classified.
+/// Handles a heartbeat, and returns the classification of the heartbeat.
 fn note_heartbeat(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) -> IncarnationVerdict {
-    let verdict = state.registrations.judge(heartbeat, state.now());
+    let verdict = state.registrations.classify_heartbeat(heartbeat, state.now());
     match verdict {
         IncarnationVerdict::Current => {}
         IncarnationVerdict::Replaces => drop(state.registrations.is_newer(heartbeat)),
@@ -201,17 +202,17 @@
             return verdict;
         }
     }
-    register(state, heartbeat);
+    register_server(state, heartbeat);
     verdict
 }
 
 /// Puts in force what a heartbeat reports.
-fn register(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) {
+fn register_server(state: &Rc<DaemonState>, heartbeat: &ServerHeartbeat) {
     let name = heartbeat.incarnation.upstream();
     let cold_until = state.now() + heartbeat.cold_for;
     if !heartbeat.cold_for.is_zero() {
-        let mut cold = state.registrations.cold_until.borrow_mut();
-        cold.insert(name.clone(), cold_until);
+        let mut cold_times = state.registrations.cold_until.borrow_mut();
+        cold_times.insert(name.clone(), cold_until);
     }
     let mut servers = state.roster.own_servers();
     let known = servers.iter().find(|server| server.name == name);
@@ -236,8 +237,8 @@
         sequence: heartbeat.sequence,
     }
     .log();
-    // A server with the address or the name of another replaces it for good, so that a delayed
-    // heartbeat of the replaced server does not register it again.
+    // A server with the address or the name of another server replaces that server for good. A
+    // delayed heartbeat of the replaced server does not register the server again.
     let is_replaced = |other: &ServerRecord| {
         let same_server = incarnation::server_of(&other.name) == heartbeat.incarnation.server;
         other.name != record.name && (same_server || other.address == record.address)
@@ -252,14 +253,14 @@
     roster::set_own_servers(state, servers);
 }
 
-/// Records that an incarnation of a backend server has ended, by its deregistration or because
-/// another server answers in its place.
+/// Records that an incarnation of a backend server has ended, because the server deregistered or
+/// another server answers at its address.
 pub fn note_ended(state: &Rc<DaemonState>, name: &str) {
     state.registrations.note_ended(name);
     let mut servers = state.roster.own_servers();
-    let before = servers.len();
+    let count_before = servers.len();
     servers.retain(|server| server.name != name);
-    if servers.len() < before {
+    if servers.len() < count_before {
         servers::ServerGone { upstream: name }.log();
         roster::set_own_servers(state, servers);
     }
@@ -269,9 +270,9 @@
 
 /// Recovers the backend servers that an earlier incarnation of this daemon published. Each server
 /// that still answers with its name is in use again before its next heartbeat.
-pub fn recover(state: &Rc<DaemonState>, record: &HostRecord) {
-    let known = state.registrations.recovered.borrow().as_ref().map(HostRecord::order);
-    if known >= Some(record.order()) {
+pub fn recover_servers(state: &Rc<DaemonState>, record: &HostRecord) {
+    let known = state.registrations.recovered.borrow().as_ref().map(HostRecord::sort_key);
+    if known >= Some(record.sort_key()) {
         return;
     }
     *state.registrations.recovered.borrow_mut() = Some(record.clone());
@@ -280,8 +281,8 @@
         let state = state.clone();
         let server = server.clone();
         monoio::spawn(async move {
-            if answers_as(&state, &server).await {
-                restore(&state, server);
+            if answers_under_name(&state, &server).await {
+                restore_server(&state, server);
             }
         });
     }
@@ -291,33 +292,34 @@
 /// server that has sent this incarnation of the daemon a heartbeat stays.
 fn remove_departed(state: &Rc<DaemonState>, record: &HostRecord) {
     let mut servers = state.roster.own_servers();
-    let before = servers.len();
+    let count_before = servers.len();
     servers.retain(|server| {
         let has_sent_heartbeat = state.registrations.sequences.borrow().contains_key(&server.name);
-        let stays = has_sent_heartbeat || record.is_in_use(&server.name);
-        if !stays {
+        let is_kept = has_sent_heartbeat || record.is_in_use(&server.name);
+        if !is_kept {
             servers::ServerGone { upstream: &server.name }.log();
         }
-        stays
+        is_kept
     });
-    if servers.len() < before {
+    if servers.len() < count_before {
         roster::set_own_servers(state, servers);
     }
 }
 
-/// Checks the health of a backend server. Says whether it is healthy and still has its name.
-async fn answers_as(state: &Rc<DaemonState>, server: &ServerRecord) -> bool {
+/// Checks the health of a backend server. Says whether the server at the recorded address is
+/// healthy and answers with the recorded name.
+async fn answers_under_name(state: &Rc<DaemonState>, server: &ServerRecord) -> bool {
     let path = match health_path(state, &server.service).await {
         Some(path) => path,
         None => return false,
     };
-    let client = HttpClient::new(server.address, PROBE_TIMEOUT);
+    let client = HttpClient::new(server.address, HEALTH_CHECK_TIMEOUT);
     let reply = client.call(Method::GET, &path, HeaderMap::new(), Bytes::new()).await;
     match reply {
         Ok(reply) => {
             let name = incarnation::server_of(&server.name);
-            let same = headers::answering_server(&reply.headers) == Some(name);
-            reply.status == StatusCode::OK && same
+            let is_same = headers::answering_server(&reply.headers) == Some(name);
+            reply.status == StatusCode::OK && is_same
         }
         Err(error) => {
             let error = &error.to_string();
@@ -327,7 +329,7 @@
     }
 }
 
-/// Returns the path of a service's health check, once there is a document.
+/// Waits until a document is in force, and returns the path of a service's health check.
 async fn health_path(state: &Rc<DaemonState>, service: &str) -> Option<String> {
     let mut seen = state.config.changed().get();
     while state.document.get().is_none() {
@@ -338,9 +340,10 @@
     Some(declaration.health_path.clone())
 }
 
-/// Registers a recovered backend server, unless it or a server that replaced it is registered, it
-/// has left, or the latest recovered record does not list it as in use.
-fn restore(state: &Rc<DaemonState>, server: ServerRecord) {
+/// Registers a recovered backend server. A server is not registered if the server itself or its
+/// replacement is registered already, if the server has left, or if the latest recovered record
+/// does not list the server as in use.
+fn restore_server(state: &Rc<DaemonState>, server: ServerRecord) {
     let mut servers = state.roster.own_servers();
     // If a heartbeat of the server or of its replacement has arrived since recovery started, that
     // registration is kept instead of the recovered record.
--- a/crates/daemon/src/retention.rs
+++ b/crates/daemon/src/retention.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Removes old rows of the at-most-once ledger: each daemon sweeps a part of it periodically.
+//! Removes old rows of the at-most-once ledger: each daemon periodically sweeps a part of the
+//! ledger.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,19 +13,20 @@
 
 use crate::state::DaemonState;
 
-/// Minimum time between two rounds of one daemon.
-const ROUND_MIN: Duration = Duration::from_secs(30);
-/// Time between two rounds for each daemon of the fleet: 20 rounds a second in the whole fleet, a
-/// tenth of the fleet's reads.
-const ROUND_PER_DAEMON: Duration = Duration::from_millis(50);
-/// Time to the first round, short so that rows soon carry an epoch.
-const ROUND_FIRST: Duration = Duration::from_millis(500);
+/// Minimum time between two rounds of one daemon, each of which sweeps a part of the ledger.
+const ROUND_INTERVAL_MIN: Duration = Duration::from_secs(30);
+/// Factor of the time between two rounds of one daemon, which is multiplied by the number of
+/// daemons. The factor allows 20 rounds a second in the whole fleet, which take a tenth of the
+/// fleet's store reads.
+const ROUND_INTERVAL_PER_DAEMON: Duration = Duration::from_millis(50);
+/// Time from the start to the first round, which is short so that rows soon carry an epoch.
+const FIRST_ROUND_DELAY: Duration = Duration::from_millis(500);
 
 /// Sweeps the ledger for ever.
 pub async fn run(state: Rc<DaemonState>) {
-    let keep = state.options.once_keep_hours;
-    let retention = OnceRetention::new(state.platform.clone(), state.ledger.clone(), keep);
-    let mut wait = ROUND_FIRST;
+    let keep_hours = state.options.once_keep_hours;
+    let retention = OnceRetention::new(state.platform.clone(), state.ledger.clone(), keep_hours);
+    let mut wait = FIRST_ROUND_DELAY;
     loop {
         monoio::time::sleep(wait.mul_f64(rand::random_range(0.8..1.2))).await;
         match retention.run_round(state.now()).await {
@@ -41,6 +43,6 @@
             }
         }
         let daemons = state.members.count() as u32;
-        wait = (ROUND_PER_DAEMON * daemons).max(ROUND_MIN);
+        wait = (ROUND_INTERVAL_PER_DAEMON * daemons).max(ROUND_INTERVAL_MIN);
     }
 }
--- a/crates/daemon/src/roster.rs
+++ b/crates/daemon/src/roster.rs
@@ -1,12 +1,12 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The hosts of the fleet: one row for each in the platform's store.
+//! Publishes this host's row in the platform's store, and keeps the rows of all hosts of the fleet.
 //!
-//! A daemon writes its own row when something about it changes, and never as a heartbeat. All
+//! A daemon writes its own row when the content of the row changes, and never as a heartbeat. All
 //! daemons read the rows once and follow the table's feed. A row names the incarnation of the
-//! daemon that wrote it, and a later incarnation replaces it. Rows do not expire, so that an outage
-//! of the store removes no host.
+//! daemon that wrote the row, and a later incarnation replaces the row. Rows do not expire, so that
+//! an outage of the store removes no host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -37,22 +37,23 @@
 use crate::state::DaemonState;
 use crate::suspects::{self, RefusedRecord};
 
-/// Table of the rows.
+/// Name of the store's table with one row for each host.
 pub const HOSTS_TABLE: &str = "hosts";
 /// Longest pause after consecutive failed calls to the store: changes that were made during an
 /// outage of the store must be known within about two seconds of the end of the outage.
 pub const FAILED_CALL_PAUSE_MAX: Duration = Duration::from_millis(2000);
-/// Time for which a starting daemon waits for the backend server on its host before it writes its
-/// row without one: a little longer than the usual time between two heartbeats.
+/// Time for which a starting daemon waits for the backend server on its host to register, before
+/// the daemon writes its row without a backend server. The time is a little longer than the usual
+/// time between two heartbeats of a backend server.
 const FIRST_SERVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which this daemon's record is sent to the peers if the store has not accepted it. A
 /// write takes 250 ms at a slow store, and a daemon that gives up waiting during its shutdown ends
 /// 300 ms later.
 const NOTIFY_AFTER: Duration = Duration::from_millis(200);
-/// Shortest time between checks for rows of hosts that are gone.
+/// Shortest time between two checks for rows of hosts whose daemon no longer sends heartbeats.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(20);
-/// Longest time between these checks as a multiple of [`SWEEP_INTERVAL`], so that not all daemons
-/// check at once.
+/// Longest time between two checks, as a multiple of [`SWEEP_INTERVAL`]. The time is random, so
+/// that not all daemons check at once.
 const SWEEP_JITTER_FACTOR: f64 = 1.5;
 
 /// `HostRecord` is what a host's daemon publishes about itself and the backend servers on its host.
@@ -88,13 +89,13 @@
 pub struct ServerRecord {
     /// Name of this incarnation of the backend server.
     pub name: String,
-    /// Service that it is an upstream of.
+    /// Service that the backend server is an upstream of.
     pub service: String,
-    /// Address that it listens on.
+    /// Address that the backend server listens on.
     pub address: SocketAddr,
-    /// Requests that it handles at once.
+    /// Number of requests that the backend server handles at once.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the backend server is leaving.
     pub draining: bool,
 }
 
@@ -103,14 +104,14 @@
 pub struct RelayedRecord {
     /// Name of the host.
     pub host: String,
-    /// Its record.
+    /// Record of the host.
     pub record: HostRecord,
 }
 
 impl HostRecord {
     /// Returns the sort key of a host's records: the incarnation, then the changes. The later of
     /// two records has the greater key.
-    pub fn order(&self) -> (i64, u64) {
+    pub fn sort_key(&self) -> (i64, u64) {
         (self.incarnation, self.changes)
     }
 
@@ -150,15 +151,16 @@
     own_servers: RefCell<Vec<ServerRecord>>,
     own_changes: Cell<u64>,
     own_version: Cell<u64>,
-    /// This daemon's own row as the store holds it, `None` if that is not known.
-    written: RefCell<Option<HostRecord>>,
-    /// Whether a backend server left while this daemon's row in the store may still list it.
+    /// This daemon's own row as the store holds it, `None` if the stored row is not known.
+    stored_record: RefCell<Option<HostRecord>>,
+    /// Whether a backend server left while this daemon's row in the store may still list the
+    /// server.
     has_unwritten: Cell<bool>,
     changed: RisingSignal,
     /// Whether the store or a peer reported an earlier incarnation of this host's daemon.
-    started_before: Cell<bool>,
+    had_earlier_start: Cell<bool>,
     /// Hosts whose daemon was replaced at its address and whose rows still exist.
-    stale: RefCell<Vec<String>>,
+    replaced_hosts: RefCell<Vec<String>>,
 }
 
 impl HostRoster {
@@ -185,7 +187,7 @@
     }
 
     /// Returns the other hosts whose daemon has the same peer address as `record` and an earlier
-    /// start: the daemon of `host` replaced them at that address.
+    /// start: the daemon of `host` replaced their daemons at that address.
     fn replaced_by(&self, host: &str, record: &HostRecord) -> Vec<String> {
         let records = self.records.borrow();
         let replaced = records.iter().filter(|(other, known)| {
@@ -215,7 +217,7 @@
         }
         upstreams.sort_by(|left, right| left.name.cmp(&right.name));
         // If two hosts list the same server, the entry with the later start of the server is used.
-        // The other host refuses requests for it as for an unknown upstream.
+        // The other host refuses requests for the server as for an unknown upstream.
         upstreams.dedup_by(|right, left| {
             let is_same = incarnation::server_of(&left.name) == incarnation::server_of(&right.name);
             if is_same && server_started_at(left) < server_started_at(right) {
@@ -235,25 +237,25 @@
     /// Says whether this daemon's row in the store is known to list the backend servers that are
     /// registered now.
     fn is_row_current(&self) -> bool {
-        let written = self.written.borrow();
-        written.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
+        let stored_record = self.stored_record.borrow();
+        stored_record.as_ref().is_some_and(|record| record.servers == *self.own_servers.borrow())
     }
 
-    /// Records which row of this daemon the store holds, `None` if that is not known.
+    /// Records which row of this daemon the store holds, `None` if the stored row is not known.
     fn note_written(&self, record: Option<HostRecord>) {
-        *self.written.borrow_mut() = record;
+        *self.stored_record.borrow_mut() = record;
         if self.is_row_current() {
             self.has_unwritten.set(false);
         }
     }
 
     /// Says whether an earlier incarnation of this host's daemon is known.
-    pub fn started_before(&self) -> bool {
-        self.started_before.get()
+    pub fn had_earlier_start(&self) -> bool {
+        self.had_earlier_start.get()
     }
 
     /// Signals that this daemon's own record may have changed.
-    pub fn touch(&self) {
+    pub fn signal_change(&self) {
         self.changed.raise();
     }
 }
@@ -283,12 +285,12 @@
     let refused = state.suspects.own_records(state.now());
     let known = state.roster.record(&state.options.host);
     if known.is_some_and(|record| record.refused != refused) {
-        state.roster.touch();
+        state.roster.signal_change();
     }
 }
 
-/// Sets the backend servers that are registered with this daemon. They are in force at this daemon
-/// on return; the other daemons read them from the store.
+/// Sets the backend servers that are registered with this daemon. On return, the new list is in
+/// force at this daemon; the other daemons read the list from the store.
 pub fn set_own_servers(state: &Rc<DaemonState>, servers: Vec<ServerRecord>) {
     if *state.roster.own_servers.borrow() == servers {
         return;
@@ -302,11 +304,12 @@
     }
     update_record(state, &state.options.host, Some(record));
     document::put_host_in_force(state);
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
-/// Records that a backend server of this host has left, which is acknowledged to the server. If the
-/// store does not accept the changed row soon, the peers are notified.
+/// Records that a backend server of this host has left. The departure is acknowledged to the server
+/// before the store has the changed row, so the peers are notified if the store does not accept the
+/// row within [`NOTIFY_AFTER`].
 pub fn note_departure(state: &Rc<DaemonState>) {
     if state.roster.is_row_current() {
         return;
@@ -361,9 +364,10 @@
             fleet::EarlierStart { host, incarnation, latest }.log();
             return;
         }
-        // The known record is later: it came directly from its daemon, or it is this daemon's own
-        // and changed while `record` was being written.
-        if known.as_ref().is_some_and(|known| known.order() > record.order()) {
+        // The known record is later than `record`. Either the host's daemon sent the known record
+        // directly, or the known record is this daemon's own and changed while `record` was being
+        // written.
+        if known.as_ref().is_some_and(|known| known.sort_key() > record.sort_key()) {
             return;
         }
     }
@@ -371,7 +375,7 @@
         for replaced in state.roster.replaced_by(host, record) {
             fleet::HostReplaced { host: &replaced, by: host }.log();
             update_record(state, &replaced, None);
-            state.roster.stale.borrow_mut().push(replaced);
+            state.roster.replaced_hosts.borrow_mut().push(replaced);
         }
     }
     let mut touched_services: Vec<String> = Vec::new();
@@ -394,7 +398,7 @@
     document::put_services_in_force(state, &touched_services);
 }
 
-/// Logs the new record of a host, or that the host is gone.
+/// Logs the new record of a host, or that the host has no record any more.
 fn log_record(host: &str, record: Option<&HostRecord>) {
     let record = match record {
         Some(record) => record,
@@ -414,32 +418,32 @@
     .log();
 }
 
-/// Applies each record that a peer relayed, if it is later than the known record of its host.
+/// Applies each record that a peer relayed and that is later than the known record of its host.
 pub fn apply_relayed(state: &Rc<DaemonState>, relayed: Vec<RelayedRecord>) {
     for RelayedRecord { host, record } in relayed {
         suspects::apply_records(state, &host, &record.refused);
         if host == state.options.host {
-            recover_own(state, &record);
+            recover_own_servers(state, &record);
             continue;
         }
         let known = state.roster.record(&host);
-        if known.is_none_or(|known| known.order() < record.order()) {
+        if known.is_none_or(|known| known.sort_key() < record.sort_key()) {
             update_record(state, &host, Some(record));
         }
     }
 }
 
-/// Applies the whole table: adopts its rows, and removes the hosts that have no row in it.
+/// Applies the whole table: adopts its rows, and removes the hosts that have no row in the table.
 pub fn apply_table(state: &Rc<DaemonState>, page: &RowsPage) {
     for row in &page.rows {
         apply_row(state, row);
     }
-    let gone = |host: &String| !page.rows.iter().any(|row| row.key == *host);
+    let is_gone = |host: &String| !page.rows.iter().any(|row| row.key == *host);
     let hosts: Vec<String> = state.roster.records.borrow().keys().cloned().collect();
-    for host in hosts.into_iter().filter(gone) {
+    for host in hosts.into_iter().filter(is_gone) {
         apply_removal(state, &host);
     }
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
 /// Applies one row, or its removal.
@@ -461,31 +465,31 @@
     if row.key != state.options.host {
         return update_record(state, &row.key, Some(record));
     }
-    // This row is outdated if the answer to a later write of this daemon came before it.
+    // The row is outdated if the store has answered a later write of this daemon in the meantime.
     if row.version > state.roster.own_version.get() {
         state.roster.own_version.set(row.version);
         state.roster.note_written(Some(record.clone()));
     }
-    recover_own(state, &record);
+    recover_own_servers(state, &record);
     if record.incarnation > state.identity.incarnation {
         let own = state.identity.incarnation;
         fleet::LaterStart { incarnation: record.incarnation, own }.log();
     }
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
-/// Handles a row that can't be read because some other writer wrote it. The known record of its
-/// host stays, since the daemon of that host will write the row again. If it is this daemon's row,
-/// that write is scheduled.
+/// Handles a row that can't be read because a program other than a daemon wrote the row. The known
+/// record of the host stays, since the daemon of that host will write the row again. If the row is
+/// this daemon's own, a write is scheduled.
 fn note_unreadable(state: &DaemonState, row: &StoredRow) {
     if row.key == state.options.host {
         state.roster.own_version.set(row.version);
         state.roster.note_written(None);
-        state.roster.touch();
+        state.roster.signal_change();
     }
 }
 
-/// Reads the record in the row of a host. Backend servers in it that can't be read are left out.
+/// Reads the record in the row of a host. Backend servers that can't be read are left out.
 pub fn read_record(host: &str, bytes: &[u8]) -> Result<HostRecord, serde_json::Error> {
     let mut value: Value = serde_json::from_slice(bytes)?;
     let servers = take_list(&mut value, "servers");
@@ -496,9 +500,9 @@
     }
     let refused = refused.into_iter();
     record.refused = refused.filter_map(|each| RefusedRecord::deserialize(each).ok()).collect();
-    let listed = servers.len();
+    let listed_count = servers.len();
     record.servers = servers.into_iter().filter_map(readable_server).collect();
-    let servers = (listed - record.servers.len()) as u64;
+    let servers = (listed_count - record.servers.len()) as u64;
     if servers > 0 {
         fleet::ServersUnreadable { host, servers }.log();
     }
@@ -520,13 +524,13 @@
 
 /// Recovers the record that an earlier incarnation of this daemon published, from the store or a
 /// peer.
-fn recover_own(state: &Rc<DaemonState>, record: &HostRecord) {
+fn recover_own_servers(state: &Rc<DaemonState>, record: &HostRecord) {
     if record.incarnation >= state.identity.incarnation {
         return;
     }
-    state.roster.started_before.set(true);
+    state.roster.had_earlier_start.set(true);
     if state.options.registration.is_some() {
-        registration::recover(state, record);
+        registration::recover_servers(state, record);
     }
 }
 
@@ -538,7 +542,7 @@
     // again.
     state.roster.own_version.set(0);
     state.roster.note_written(None);
-    state.roster.touch();
+    state.roster.signal_change();
 }
 
 /// Writes this daemon's row whenever its record has changed, for ever.
@@ -548,8 +552,8 @@
     loop {
         let seen = state.roster.changed.get();
         let record = own_record(&state);
-        if state.roster.written.borrow().as_ref() != Some(&record) {
-            match write_row(&state, &record).await {
+        if state.roster.stored_record.borrow().as_ref() != Some(&record) {
+            match write_own_row(&state, &record).await {
                 Ok(()) => backoff.reset(),
                 Err(error) => {
                     metrics::STORE_FAILURES.add_one();
@@ -580,7 +584,7 @@
     let _ = monoio::time::timeout(FIRST_SERVER_TIMEOUT, registered).await;
 }
 
-async fn write_row(state: &Rc<DaemonState>, record: &HostRecord) -> Result<(), StoreError> {
+async fn write_own_row(state: &Rc<DaemonState>, record: &HostRecord) -> Result<(), StoreError> {
     let key = row_key(&state.options.host);
     let check = RowCheck { key: key.clone(), version: state.roster.own_version.get() };
     let write = RowWrite { key, value: Some(json!(record)) };
@@ -594,13 +598,13 @@
             update_record(state, &state.options.host, Some(record.clone()));
             Ok(())
         }
-        // The row that the store holds instead is recorded, for example that of an earlier
-        // incarnation. The next attempt replaces that row.
+        // The store holds another row, for example the row of an earlier incarnation. This stored
+        // row is recorded, and the next attempt replaces it.
         Err(StoreError::Conflict { rows }) => {
             for row in rows {
                 state.roster.own_version.set(row.version);
-                let written = HostRecord::deserialize(&row.value).ok();
-                state.roster.note_written(written);
+                let stored_record = HostRecord::deserialize(&row.value).ok();
+                state.roster.note_written(stored_record);
             }
             Ok(())
         }
@@ -622,7 +626,7 @@
         let pause = SWEEP_INTERVAL.mul_f64(rand::random_range(1.0..SWEEP_JITTER_FACTOR));
         monoio::time::sleep(pause).await;
         let mut gone = state.members.expired_hosts(&state);
-        gone.extend(state.roster.stale.borrow_mut().drain(..));
+        gone.extend(state.roster.replaced_hosts.borrow_mut().drain(..));
         for host in gone {
             let live = state.members.live_hosts(&state);
             let responsible = limits::owner_of(&host, live.iter().map(String::as_str));
--- a/crates/daemon/src/rows.rs
+++ b/crates/daemon/src/rows.rs
@@ -32,40 +32,39 @@
 use crate::roster::{self, RelayedRecord, FAILED_CALL_PAUSE_MAX, HOSTS_TABLE};
 use crate::state::DaemonState;
 
-/// How the feed is followed. Changes in quick succession, as when a fleet starts, are read in one
-/// call. No request waits for a change, since the daemon of a host refuses requests that its server
-/// must not get.
+/// How the feed of the table of hosts is followed. Changes in quick succession, as when a fleet
+/// starts, are read in one call. The pause before that call delays no request: a daemon refuses
+/// requests that the backend server on its own host must not get.
 const HOSTS_FEED_PLAN: FeedPlan = FeedPlan {
     table: HOSTS_TABLE,
     batch_pause: Duration::from_millis(700),
     failure_pause_max: FAILED_CALL_PAUSE_MAX,
-    // Two daemons of a failure domain read the store for all its daemons, so their calls must end
-    // soon on a black-holed connection.
+    // Two daemons read the store for all daemons of a failure domain. The calls of the two must
+    // therefore end soon on a black-holed connection.
     wait_max: FEED_WAIT,
 };
-/// Daemons of a failure domain that follow the feed: one may be unreachable before this is
-/// detected.
+/// Number of daemons of a failure domain that follow the feed. There are two because a daemon may
+/// be unreachable for a while before the other daemons detect this.
 const READERS_PER_DOMAIN: usize = 2;
 /// The key of the rendezvous hashing by which the readers are chosen.
 const READERS_KEY: &str = "rows of hosts";
-/// Time between requests for changes, which renew the subscription.
-const RENEW_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two requests for changes to a reader. Each request renews the subscription.
+const SUBSCRIPTION_RENEW_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a message after which a reader is avoided, and after which a daemon that has
-/// received nothing from any reader reads the store. It allows for two lost requests, and a new
-/// backend server should get requests within four seconds.
-const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2500);
-/// Time for which an unresponsive reader is not chosen. After it the reader may have recovered.
-const AVOID_TIME: Duration = Duration::from_secs(20);
-/// Maximum number of removed rows that are remembered: as many as the hosts that are removed in an
-/// hour of a large fleet.
-const REMOVED_MAX: usize = 512;
-/// Version of the changes that carry a relayed record, which a daemon sends directly, bypassing the
-/// store. The versions of the table are higher.
+/// received nothing from any reader reads the store. The time allows for two lost requests. It is
+/// not longer because a new backend server should get requests within four seconds.
+const READER_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(2500);
+/// Time for which an unresponsive reader is not chosen. Later, the reader may have recovered.
+const READER_AVOID_TIME: Duration = Duration::from_secs(20);
+/// Maximum number of removed rows that are remembered: as many as a large fleet removes in an hour.
+const REMOVED_ROWS_MAX: usize = 512;
+/// Version of a message that carries a relayed record. A daemon sends a relayed record directly to
+/// its peers, bypassing the store. All versions of the table are higher than this number.
 const RELAYED_VERSION: i64 = 0;
-/// Time for which changes are sent to a daemon after its request.
+/// Time for which a reader sends changes to another daemon after that daemon's last request.
 const SUBSCRIPTION_TTL: Duration = Duration::from_millis(3500);
 
-/// `RowsRelay` is this daemon's part in reading the rows and relaying them.
+/// `RowsRelay` is this daemon's part in reading the rows of the hosts and relaying their changes.
 #[derive(Default)]
 pub struct RowsRelay {
     /// Version of the table of hosts up to which this daemon has applied the changes.
@@ -74,14 +73,14 @@
     is_reading: Cell<bool>,
     /// When a reader last sent changes.
     changes_received_at: Cell<Option<Duration>>,
-    /// Raised when this daemon missed changes that a reader no longer holds, so that it must read
-    /// the whole table.
-    gap: RisingSignal,
+    /// Raised when this daemon missed changes that a reader no longer holds. This daemon must then
+    /// read the whole table.
+    changes_missed: RisingSignal,
     /// Every row with the version of its last change, to be sent to daemons with an earlier version
     /// of the table.
     notes: RefCell<BTreeMap<String, RowNote>>,
     /// Version up to which removed rows may have been forgotten.
-    forgotten_to: Cell<i64>,
+    forgotten_up_to: Cell<i64>,
     readers: RefCell<Vec<RowsReader>>,
     subscribers: RefCell<Vec<RowsSubscriber>>,
 }
@@ -89,9 +88,9 @@
 /// `RowsReader` is a daemon that changes were requested from.
 struct RowsReader {
     host: String,
-    /// When it last sent changes, or was first asked for them.
+    /// When the reader last sent changes, or was first asked for changes.
     last_message_at: Duration,
-    /// Time until which it is avoided because it was unresponsive.
+    /// Time until which the reader is not chosen because it was unresponsive.
     avoided_until: Duration,
 }
 
@@ -104,7 +103,7 @@
 
 impl RowsRelay {
     /// Says whether the rows of all hosts were read, by this daemon or by a reader.
-    pub fn is_known(&self) -> bool {
+    pub fn has_read_rows(&self) -> bool {
         self.version.get() > 0
     }
 
@@ -112,7 +111,7 @@
     fn has_recent_changes(&self, now: Duration) -> bool {
         self.changes_received_at
             .get()
-            .is_some_and(|at| now.saturating_sub(at) <= UNRESPONSIVE_AFTER)
+            .is_some_and(|at| now.saturating_sub(at) <= READER_UNRESPONSIVE_AFTER)
     }
 
     fn is_avoided(&self, host: &str, now: Duration) -> bool {
@@ -120,8 +119,8 @@
         readers.iter().any(|reader| reader.host == host && reader.avoided_until > now)
     }
 
-    /// Records that a reader is asked for changes, and avoids it if it has been unresponsive for
-    /// too long.
+    /// Records that a reader is asked for changes, and avoids a reader that has been unresponsive
+    /// for longer than [`READER_UNRESPONSIVE_AFTER`].
     fn note_request(&self, host: &str, now: Duration) {
         let mut readers = self.readers.borrow_mut();
         match readers.iter_mut().find(|reader| reader.host == host) {
@@ -137,15 +136,17 @@
                 reader.avoided_until = Duration::ZERO;
                 reader.last_message_at = now;
             }
-            Some(reader) if now.saturating_sub(reader.last_message_at) > UNRESPONSIVE_AFTER => {
-                reader.avoided_until = now + AVOID_TIME;
+            Some(reader)
+                if now.saturating_sub(reader.last_message_at) > READER_UNRESPONSIVE_AFTER =>
+            {
+                reader.avoided_until = now + READER_AVOID_TIME;
             }
             Some(_) => {}
         }
     }
 
-    /// Records that a daemon sent changes. Says whether it is a reader that this daemon asked for
-    /// them.
+    /// Records that a daemon sent changes. Says whether the sender is a reader that this daemon
+    /// asked for changes.
     fn note_sender(&self, host: &str, now: Duration) -> bool {
         let mut readers = self.readers.borrow_mut();
         let reader = readers.iter_mut().find(|reader| reader.host == host);
@@ -158,24 +159,24 @@
         false
     }
 
-    /// Stores the current state of a row. The note that a row was removed is kept until there are
-    /// more than [`REMOVED_MAX`] of them.
-    fn store_note(&self, note: RowNote) {
+    /// Stores the current state of a row. If more than [`REMOVED_ROWS_MAX`] removed rows are
+    /// stored, the row that was removed first is forgotten.
+    fn store_row_note(&self, note: RowNote) {
         let mut notes = self.notes.borrow_mut();
         notes.insert(note.key.clone(), note);
         let removed = notes.values().filter(|note| note.value.is_none());
-        if removed.clone().count() <= REMOVED_MAX {
+        if removed.clone().count() <= REMOVED_ROWS_MAX {
             return;
         }
         let oldest = removed.min_by_key(|note| note.version).cloned();
         if let Some(oldest) = oldest {
             notes.remove(&oldest.key);
-            self.forgotten_to.set(oldest.version.max(self.forgotten_to.get()));
+            self.forgotten_up_to.set(oldest.version.max(self.forgotten_up_to.get()));
         }
     }
 
-    /// Stores the whole table. A known row that is not in it was removed by the version of the
-    /// table.
+    /// Stores the whole table. A stored row that is missing from the table is recorded as removed
+    /// at the version of the table.
     fn store_table(&self, page: &RowsPage) {
         let version = page.version as i64;
         let is_missing = |note: &&RowNote| {
@@ -185,14 +186,14 @@
             self.notes.borrow().values().filter(is_missing).cloned().collect();
         missing
             .into_iter()
-            .for_each(|note| self.store_note(RowNote { value: None, version, ..note }));
-        page.rows.iter().filter_map(row_note).for_each(|note| self.store_note(note));
+            .for_each(|note| self.store_row_note(RowNote { value: None, version, ..note }));
+        page.rows.iter().filter_map(row_note).for_each(|note| self.store_row_note(note));
     }
 
-    /// Returns the changes after a version.
+    /// Returns the changes after the version `after` of the table.
     fn changes_after(&self, after: i64) -> RowsNews {
         let version = self.version.get() as i64;
-        let forgotten = after > 0 && after < self.forgotten_to.get();
+        let forgotten = after > 0 && after < self.forgotten_up_to.get();
         let notes = self.notes.borrow();
         let rows = notes.values().filter(|note| note.version > after && !forgotten);
         RowsNews { after: after.min(version), version, rows: rows.cloned().collect(), forgotten }
@@ -214,27 +215,27 @@
 /// Returns the daemons of this daemon's failure domain that should read the rows from the store.
 pub fn readers(state: &DaemonState) -> Vec<String> {
     let now = state.now();
-    let mut local = state.members.live_in_domain(state);
-    local.retain(|host| !state.rows.is_avoided(host, now));
+    let mut local_hosts = state.members.live_in_domain(state);
+    local_hosts.retain(|host| !state.rows.is_avoided(host, now));
     let mut readers = Vec::new();
     while readers.len() < READERS_PER_DOMAIN {
-        let next = limits::owner_of(READERS_KEY, local.iter().map(String::as_str));
-        let next = match next {
+        let next_reader = limits::owner_of(READERS_KEY, local_hosts.iter().map(String::as_str));
+        let next_reader = match next_reader {
             Some(host) => host.to_owned(),
             None => break,
         };
-        local.retain(|host| *host != next);
-        readers.push(next);
+        local_hosts.retain(|host| *host != next_reader);
+        readers.push(next_reader);
     }
     readers
 }
 
-/// Keeps the rows up to date for ever: from the store, or from the readers.
+/// Keeps the rows up to date for ever, with changes from the store or from the readers.
 pub async fn follow(state: Rc<DaemonState>) {
     let mut reader = FeedReader::new(HOSTS_FEED_PLAN);
     loop {
         let is_reader = readers(&state).contains(&state.options.host);
-        if state.rows.is_known() && !is_reader && state.rows.has_recent_changes(state.now()) {
+        if state.rows.has_read_rows() && !is_reader && state.rows.has_recent_changes(state.now()) {
             state.rows.is_reading.set(false);
             await_changes(&state, &mut reader).await;
         } else {
@@ -243,9 +244,9 @@
     }
 }
 
-/// Reads the store once and relays the changes that it returns.
+/// Reads the store once, and relays the changes that the store returns.
 async fn read_store(state: &Rc<DaemonState>, reader: &mut FeedReader) {
-    if state.rows.is_known() && !state.rows.is_reading.get() {
+    if state.rows.has_read_rows() && !state.rows.is_reading.get() {
         reader.skip_to(state.rows.version.get());
     }
     metrics::ROWS_CALLS.add_one();
@@ -260,7 +261,7 @@
             for row in &page.rows {
                 roster::apply_row(state, row);
                 if let Some(note) = row_note(row) {
-                    state.rows.store_note(note);
+                    state.rows.store_row_note(note);
                 }
             }
             state.rows.version.set(state.rows.version.get().max(page.version));
@@ -279,25 +280,26 @@
     state.rows.version.set(page.version);
 }
 
-/// Waits for up to [`RENEW_INTERVAL`], and reads the whole table if relayed changes were missed.
+/// Waits for up to [`SUBSCRIPTION_RENEW_INTERVAL`], and reads the whole table if relayed changes
+/// were missed.
 async fn await_changes(state: &Rc<DaemonState>, reader: &mut FeedReader) {
-    let seen = state.rows.gap.get();
-    let waiting = state.rows.gap.above(seen);
-    if monoio::time::timeout(RENEW_INTERVAL, waiting).await.is_err() {
+    let seen = state.rows.changes_missed.get();
+    let waiting = state.rows.changes_missed.above(seen);
+    if monoio::time::timeout(SUBSCRIPTION_RENEW_INTERVAL, waiting).await.is_err() {
         return;
     }
     metrics::ROWS_CALLS.add_one();
-    // If the store does not answer, the next message of a reader raises `gap` again.
+    // If the store does not answer, the next message of a reader raises `changes_missed` again.
     if let Ok(FeedUpdate::Whole(page)) = reader.read_whole(state).await {
         adopt_table(state, &page);
     }
 }
 
-/// Asks the readers of this daemon's failure domain for changes, for ever. A reader that gets no
-/// answer from the store asks the other reader.
+/// Asks the readers of this daemon's failure domain for changes, for ever. If this daemon is itself
+/// a reader and gets no answer from the store, it asks the other reader.
 pub async fn renew_subscriptions(state: Rc<DaemonState>) {
     loop {
-        monoio::time::sleep(RENEW_INTERVAL).await;
+        monoio::time::sleep(SUBSCRIPTION_RENEW_INTERVAL).await;
         let mut readers = readers(&state);
         let is_reader = readers.contains(&state.options.host);
         if is_reader && state.rows.is_reading.get() || state.stop.is_handing_over() {
@@ -349,7 +351,8 @@
     let _ = sender.send(NO_EXCHANGE, FrameBody::RowsNews(news));
 }
 
-/// Applies changes that a peer sent, unless this daemon has them already or lacks earlier changes.
+/// Applies changes that a peer sent, unless this daemon has applied the same changes already or
+/// lacks earlier changes.
 pub fn handle_news(state: &Rc<DaemonState>, peer: &PeerIdentity, news: RowsNews) {
     if news.version == RELAYED_VERSION && !news.rows.is_empty() {
         let relayed = news.rows.iter().filter_map(|note| relayed_record(peer, note));
@@ -363,20 +366,21 @@
         return;
     }
     if news.forgotten {
-        return state.rows.gap.raise();
+        return state.rows.changes_missed.raise();
     }
     if news.after > known {
         return subscribe(state, &peer.host);
     }
     for note in news.rows {
         roster::apply_row(state, &stored_row(&note));
-        state.rows.store_note(note);
+        state.rows.store_row_note(note);
     }
     state.rows.version.set(news.version as u64);
 }
 
 /// Sends a peer a host's record directly, bypassing the store. A daemon of a release without
-/// relayed records ignores it, as its version is lower than any version of the table.
+/// relayed records ignores the message, as the message's version is lower than any version of the
+/// table.
 pub fn send_relayed(sender: &FrameSender, relayed: &RelayedRecord) {
     // The record holds texts and numbers only, so that its serialization can't fail.
     let value = serde_json::to_vec(&relayed.record).ok();
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -35,14 +35,14 @@
 use crate::suspects;
 
 /// Exit status of a stop that cut requests.
-pub const EXIT_CUT: i32 = 3;
+pub const EXIT_REQUESTS_CUT: i32 = 3;
 
 /// `StopRequests` is where requests to stop a daemon come from.
 pub enum StopRequests {
-    /// Signals of the system: SIGTERM drains, however often it comes. SIGINT does too, but ends the
-    /// daemon at once if it is stopping already.
+    /// Signals of the system. SIGTERM drains the daemon, even if the signal comes repeatedly.
+    /// SIGINT drains a running daemon, and ends a daemon at once that is stopping already.
     Signals,
-    /// Only the admin API and [`stop::StopState::asked`]; signals of the system are not handled.
+    /// The admin API and [`stop::StopState::asked`]. Signals of the system are not handled.
     Api,
 }
 
@@ -62,7 +62,7 @@
     Ok((listener, address))
 }
 
-/// Listens on an address if there is one, and replaces it by the address as bound.
+/// Listens on the address, if one is set, and replaces `address` by the address as bound.
 fn listen_optional(address: &mut Option<SocketAddr>) -> Result<Option<TcpListener>, DaemonError> {
     match address {
         Some(wanted) => {
@@ -86,22 +86,22 @@
     Ok(DaemonListeners { callers, peers, admin, ready, registration })
 }
 
-/// Runs a daemon to its end; `on_start` gets its state once it listens.
+/// Runs a daemon to its end. `on_start` is called with the daemon's state once the daemon listens.
 pub async fn run(
     mut options: DaemonOptions,
     stops: StopRequests,
     on_start: impl FnOnce(&Rc<DaemonState>),
 ) -> Result<StopReport, DaemonError> {
-    let start = |source| DaemonError::Start { source };
-    basaltarch_telemetry::metrics::start(&metrics::entries()).map_err(start)?;
+    let start_error = |source| DaemonError::Start { source };
+    basaltarch_telemetry::metrics::start(&metrics::entries()).map_err(start_error)?;
     let listeners = bind_all(&mut options)?;
     let state = DaemonState::try_new(options).map_err(|source| DaemonError::Clock { source })?;
     if let StopRequests::Signals = stops {
-        let signals = SignalStream::stops().map_err(start)?;
+        let signals = SignalStream::stops().map_err(start_error)?;
         monoio::spawn(relay_signals(signals, state.clone(), |state| &state.stop.asked));
-        let signals = SignalStream::interrupts().map_err(start)?;
+        let signals = SignalStream::interrupts().map_err(start_error)?;
         monoio::spawn(relay_signals(signals, state.clone(), |state| state.stop.interrupt_signal()));
-        let signals = SignalStream::reloads().map_err(start)?;
+        let signals = SignalStream::reloads().map_err(start_error)?;
         monoio::spawn(relay_signals(signals, state.clone(), |state| &state.reloading));
     }
     log_listening(&state);
@@ -129,15 +129,15 @@
     .log();
 }
 
-/// Raises the signal that `choose` returns for each signal of the system, for ever.
+/// Raises the signal that `choose_signal` returns for each signal of the system, for ever.
 async fn relay_signals(
     mut signals: SignalStream,
     state: Rc<DaemonState>,
-    choose: fn(&DaemonState) -> &RisingSignal,
+    choose_signal: fn(&DaemonState) -> &RisingSignal,
 ) {
     loop {
         signals.next().await;
-        choose(&state).raise();
+        choose_signal(&state).raise();
     }
 }
 
@@ -168,8 +168,8 @@
         }
     }
     monoio::spawn(trace::report_losses(state.clone()));
-    monoio::spawn(services::forget_idle(state.clone()));
-    monoio::spawn(suspects::forget(state.clone()));
+    monoio::spawn(services::evict_idle(state.clone()));
+    monoio::spawn(suspects::evict_old(state.clone()));
     monoio::spawn(resume::watch(state.clone()));
     monoio::spawn(follow_configuration(state.clone()));
 }
@@ -183,7 +183,7 @@
         let active = state.config.active();
         let touched = state.config.take_touched();
         state.host.configure(&state, &active, &touched);
-        state.services.forget_gone(&active);
+        state.services.forget_removed(&active);
         // The revision is announced to the neighbours at once, so that the fleet's status is up to
         // date.
         if announced.replace(active.revision) != Some(active.revision) {
--- a/crates/daemon/src/services.rs
+++ b/crates/daemon/src/services.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! What the ingress knows of each service that it sends requests to: the load and health of its
-//! upstreams, the baselines of its routes and its retry budget.
+//! Holds what the ingress knows of each service that it sends requests to: the load and health of
+//! the service's upstreams, the baselines of its routes and its retry budget.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -33,11 +33,11 @@
 /// Time for which a report that an upstream is draining counts without being renewed.
 const DRAIN_REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// Share of the configured retry budget that daemons spend; the rest covers retries that are
-/// counted too early or not at all. A retry reaches a server a little after it is counted, possibly
-/// in another window. A retry that a server refuses unexpectedly was received as well, although no
-/// daemon charges it to the budget. With 0.85, a service received 217 retries in a window that
-/// allowed 198.
+/// Share of the configured retry budget that daemons use. The remaining share allows for retries
+/// that are counted too early or not at all. A retry reaches a server a little after the retry is
+/// counted, possibly in another window. A server also receives retries that it then refuses
+/// unexpectedly, and no daemon charges these retries to the budget. With a share of 0.85, a service
+/// received 217 retries in a window that allowed 198.
 const RETRY_BUDGET_FRACTION: f64 = 0.7;
 /// Maximum number of routes with a weighted split whose state is kept. Beyond this number the
 /// states of all routes are dropped, so that the states of removed routes do not accumulate.
@@ -51,12 +51,12 @@
     paths: Vec<Rc<PeerPath>>,
     draining_until: Vec<Cell<Duration>>,
     view: RefCell<ServiceView>,
-    /// Slow requests that each upstream last reported, and the time of that report.
+    /// Slow requests that each upstream last reported, with the time of the report.
     slow_requests: RefCell<Vec<(SlowRequests, Duration)>>,
     baselines: RefCell<FnvHashMap<Rc<str>, RouteBaseline>>,
     /// Mean size of a request and its response, by route.
-    bytes: RefCell<FnvHashMap<Rc<str>, ByteMean>>,
-    recent: RefCell<RecentAnswers>,
+    mean_bytes: RefCell<FnvHashMap<Rc<str>, ByteMean>>,
+    recent_answers: RefCell<RecentAnswers>,
     budget: Rc<RefCell<RetryBudget>>,
     poison: Rc<RefCell<PoisonTable<Rc<str>>>>,
     violations: Cell<u64>,
@@ -66,11 +66,11 @@
 
 /// Evicts services without recent requests, for ever. The state of a service takes about 400 bytes
 /// for each upstream, and is rebuilt from the first responses.
-pub async fn forget_idle(state: Rc<DaemonState>) {
-    let life = state.options.service_idle;
+pub async fn evict_idle(state: Rc<DaemonState>) {
+    let idle_max = state.options.service_idle;
     loop {
-        monoio::time::sleep(life / 4).await;
-        state.services.forget_idle(state.now().saturating_sub(life));
+        monoio::time::sleep(idle_max / 4).await;
+        state.services.evict_idle(state.now().saturating_sub(idle_max));
     }
 }
 
@@ -101,7 +101,7 @@
         Some(service)
     }
 
-    /// Returns the state of a service as [`Self::get`] does, but does not keep it if it is new.
+    /// Returns the state of a service as [`Self::get`] does, but does not store a new state.
     pub fn peek(
         &self,
         state: &DaemonState,
@@ -121,7 +121,7 @@
 
     /// Returns the service that a request of a route goes to. A route with a weighted split yields
     /// its services in proportion to their weights.
-    pub fn service_of<'a>(&self, route: &'a RouteEntry) -> &'a str {
+    pub fn choose_service<'a>(&self, route: &'a RouteEntry) -> &'a str {
         let split = &route.rule.split;
         if split.is_empty() {
             return &route.rule.service;
@@ -144,14 +144,14 @@
     }
 
     /// Removes services that are no longer configured.
-    pub fn forget_gone(&self, active: &ActiveConfig) {
+    pub fn forget_removed(&self, active: &ActiveConfig) {
         let mut services = self.services.borrow_mut();
         services.retain(|name, _| active.services.contains_key(name));
         metrics::SERVICES.set(services.len() as i64);
     }
 
     /// Evicts services that have had no request since `before` and have none in flight.
-    fn forget_idle(&self, before: Duration) {
+    fn evict_idle(&self, before: Duration) {
         let mut services = self.services.borrow_mut();
         services
             .retain(|_, service| service.used_at.get() >= before || Rc::strong_count(service) > 1);
@@ -172,8 +172,8 @@
             .iter()
             .map(|upstream| {
                 let is_local = upstream.server.failure_domain == *own_domain;
-                let fresh = LoadView::new(upstream.server.slots, is_local);
-                carried_over_view(known, &upstream.name, fresh)
+                let new_view = LoadView::new(upstream.server.slots, is_local);
+                carried_over_view(known, &upstream.name, new_view)
             })
             .collect();
         let hosts = entry.upstreams.iter().map(|upstream| upstream.server.host.as_str());
@@ -186,9 +186,9 @@
             ),
             slow_requests: RefCell::new(vec![Default::default(); entry.upstreams.len()]),
             baselines: RefCell::default(),
-            bytes: RefCell::default(),
-            recent: RefCell::default(),
-            budget: budget_of(state, &entry, known),
+            mean_bytes: RefCell::default(),
+            recent_answers: RefCell::default(),
+            budget: carried_over_budget(state, &entry, known),
             poison: known.map(|known| known.poison.clone()).unwrap_or_default(),
             violations: Cell::new(0),
             used_at: Cell::new(state.now()),
@@ -202,9 +202,9 @@
         &self.paths[index]
     }
 
-    /// Updates the view of the upstream on this host while it is ejected or its circuit breaker is
-    /// open. This daemon knows without a response when the next trial is due. Other daemons learn
-    /// this from reports, which are rare for such an upstream.
+    /// Updates the view of the upstream on this host while the upstream is ejected or its circuit
+    /// breaker is open. This daemon knows without a response when the next trial is due. Other
+    /// daemons learn the time of the trial from reports, which are rare for an ejected upstream.
     pub fn refresh_own(&self, state: &DaemonState, route: &Rc<str>) {
         let Some(index) = self.paths.iter().position(|path| path.is_self) else { return };
         let Some(upstream) = state.host.get(&self.entry.upstreams[index].name) else { return };
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Says whether the next request sends load probes to upstreams before it is dispatched.
+    /// Says whether load probes are sent to upstreams before the next request is dispatched.
     pub fn should_probe(&self) -> bool {
         let mut probe_yield = self.probe_yield.get();
         let should_probe = probe_yield.should_probe();
@@ -241,7 +241,7 @@
         choice
     }
 
-    /// Draws upstreams at which to reserve a slot, among those that `fits` accepts.
+    /// Draws the upstreams at which to reserve a slot, among the upstreams that `fits` accepts.
     pub fn draw_reservations(
         &self,
         now: Duration,
@@ -252,8 +252,8 @@
         self.view.borrow_mut().draw_reservations(now, request, fits, &mut rand::rng())
     }
 
-    /// Returns how many service rounds a new request would wait at an upstream by its last report.
-    /// In one service round, the upstream serves as many requests as it has slots.
+    /// Returns how many service rounds a new request would wait at an upstream, by the upstream's
+    /// last report. In one service round, an upstream serves as many requests as it has slots.
     pub fn queued_rounds(&self, index: usize, now: Duration) -> f64 {
         let view = self.view.borrow();
         view.upstreams().get(index).map_or(0.0, |upstream| upstream.queued_rounds(now))
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Records a report of an upstream. `failed` says whether the request failed, `None` if it did
-    /// not run.
+    /// Records a report of an upstream. `failed` says whether the request failed, and is `None` if
+    /// the request did not run.
     pub fn note_report(
         &self,
         index: usize,
@@ -284,7 +284,7 @@
         failed: Option<bool>,
         now: Duration,
     ) {
-        let (load, health) = wire::report_of(report);
+        let (load, health) = wire::load_and_health(report);
         let expires_at = if load.draining { now + DRAIN_REPORT_TTL } else { Duration::ZERO };
         self.draining_until[index].set(expires_at);
         self.slow_requests.borrow_mut()[index] = (load.slow_requests, now);
@@ -295,10 +295,10 @@
         let mut view = self.view.borrow_mut();
         if let Some(baseline) = baselines.get_mut(route) {
             if let Some(failed) = failed {
-                let took = load.took.filter(|_| !failed);
+                let service_time = load.took.filter(|_| !failed);
                 let current = baseline.current();
-                let mut recent = self.recent.borrow_mut();
-                recent.note(index as u32, failed, took, &current, now);
+                let mut recent_answers = self.recent_answers.borrow_mut();
+                recent_answers.note(index as u32, failed, service_time, &current, now);
             }
             baseline.note(index as u32, &health);
             view.note_median(baseline.current().median_ln);
@@ -306,7 +306,7 @@
         view.note_report(index, load.in_flight + load.queued, health, now);
     }
 
-    /// Records that an attempt at an upstream takes longer than its hedging delay.
+    /// Records that an attempt at an upstream takes longer than the attempt's hedging delay.
     pub fn note_hedge_due(&self, index: usize, now: Duration) {
         self.paths[index].note_hedge_due();
         self.view.borrow_mut().note_hedge_due(index, now);
@@ -320,13 +320,13 @@
             None => return ServiceBaseline::default(),
         };
         baseline.sickness = self.view.borrow().median_score(now);
-        self.recent.borrow().adjust(index as u32, &mut baseline, now);
+        self.recent_answers.borrow().adjust(index as u32, &mut baseline, now);
         baseline
     }
 
-    /// Records the bytes of a request and its response.
+    /// Records the size of a request and its response for the mean of the route.
     pub fn note_bytes(&self, route: &Rc<str>, bytes: u64) {
-        self.bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
+        self.mean_bytes.borrow_mut().entry(route.clone()).or_default().note(bytes);
     }
 
     /// Returns the longest time, in service rounds, that a request waits for an upstream in the
@@ -336,7 +336,7 @@
         if worth.is_zero() {
             return 0.0;
         }
-        let bytes = self.bytes.borrow();
+        let bytes = self.mean_bytes.borrow();
         let baselines = self.baselines.borrow();
         let usual = baselines.get(route).and_then(|baseline| baseline.current().usual_time());
         let usual = usual.map(|usual| usual.at(0.0));
@@ -347,8 +347,8 @@
     pub fn siblings_slow_requests(&self, index: usize, now: Duration) -> SlowRequests {
         let reports = self.slow_requests.borrow();
         let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
-        let aged = others.map(|(_, (slow, at))| slow.decayed(now.saturating_sub(*at)));
-        aged.fold(SlowRequests::default(), |sum, slow| sum.with(&slow))
+        let aged_reports = others.map(|(_, (slow, at))| slow.decayed(now.saturating_sub(*at)));
+        aged_reports.fold(SlowRequests::default(), |sum, slow| sum.with(&slow))
     }
 
     /// Counts a request as sent to an upstream for as long as the guard lives.
@@ -357,19 +357,19 @@
         SentGuard { service: self.clone(), index }
     }
 
-    /// Records a request, which adds its share to the retry budget.
+    /// Records a request, by which the retry budget grows by a share of one retry.
     pub fn note_request(&self, now: Duration) {
         self.budget.borrow_mut().note_request(now);
     }
 
     /// Records a request that counts as a retry, since it is a nested call of a request that is
     /// itself a retry.
-    pub fn note_retried(&self, now: Duration) {
+    pub fn note_request_as_retry(&self, now: Duration) {
         self.budget.borrow_mut().note_retry(now);
     }
 
     /// Says whether the budget allows another retry.
-    pub fn has_retry(&self, state: &DaemonState) -> bool {
+    pub fn has_retry_budget(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
         budget.set_terms(terms);
@@ -381,7 +381,7 @@
         self.budget.borrow_mut().remaining(now)
     }
 
-    /// Takes a retry from the budget, and says whether there was one.
+    /// Takes a retry from the budget, and says whether the budget allowed the retry.
     pub fn take_retry(&self, state: &DaemonState) -> bool {
         let terms = budget_terms(state, &self.entry);
         let mut budget = self.budget.borrow_mut();
@@ -393,8 +393,8 @@
         taken
     }
 
-    /// Records that a request succeeded: its earlier failures were not caused by the request
-    /// itself.
+    /// Records that a request succeeded, so that the request itself is not the cause of its earlier
+    /// failures.
     pub fn note_success(&self, method: &str, target: &str, now: Duration) {
         let mut poison = self.poison.borrow_mut();
         poison.forget_old(now);
@@ -459,7 +459,7 @@
 
 /// Returns the retry budget of a service. A service that is rebuilt keeps its budget, so that its
 /// earlier retries still count.
-fn budget_of(
+fn carried_over_budget(
     state: &DaemonState,
     entry: &ServiceEntry,
     known: Option<&ServiceState>,
@@ -486,23 +486,26 @@
 }
 
 /// Returns the view of an upstream in a rebuilt service: the view in `known`, the previous state of
-/// the service, with the new slots and locality, or `fresh` if the upstream is new.
-fn carried_over_view(known: Option<&ServiceState>, name: &str, fresh: LoadView) -> LoadView {
+/// the service, with the new slots and locality, or `new_view` if the upstream is new.
+fn carried_over_view(known: Option<&ServiceState>, name: &str, new_view: LoadView) -> LoadView {
     let known = match known {
         Some(known) => known,
-        None => return fresh,
+        None => return new_view,
     };
     let index = known.entry.upstreams.iter().position(|upstream| &*upstream.name == name);
     let view = known.view.borrow();
     match index.and_then(|index| view.upstreams().get(index)) {
-        Some(old) => {
-            LoadView { slots: fresh.slots, is_local: fresh.is_local, own_in_flight: 0, ..*old }
-        }
-        None => fresh,
+        Some(previous_view) => LoadView {
+            slots: new_view.slots,
+            is_local: new_view.is_local,
+            own_in_flight: 0,
+            ..*previous_view
+        },
+        None => new_view,
     }
 }
 
-/// `SentGuard` counts a request that was sent to an upstream.
+/// `SentGuard` counts a request as sent to an upstream until the guard is dropped.
 pub struct SentGuard {
     service: Rc<ServiceState>,
     index: usize,
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -18,9 +18,9 @@
 
 /// Time between checks for requests in flight during a shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Maximum number of checks whether callers have read their last responses: together a third of the
-/// time from the end of the longest drain to the platform's kill.
-const LINGER_CHECKS: usize = 5;
+/// Maximum number of checks whether callers have read their last responses. All checks together
+/// take a third of the time from the end of the longest drain to the platform's kill.
+const LINGER_CHECKS_MAX: usize = 5;
 
 /// `StopReport` says how a daemon ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,8 @@
     pub cut: usize,
 }
 
-/// `StopState` is the progress of a daemon's shutdown, and what it still waits for.
+/// `StopState` is the progress of a daemon's shutdown, and the counts of requests and connections
+/// that the shutdown waits for.
 #[derive(Debug, Default)]
 pub struct StopState {
     /// Raised when the daemon is asked to stop.
@@ -44,16 +45,16 @@
     /// Raised when the daemon ends: idle connections are closed.
     pub ending: RisingSignal,
     phase: Cell<StopPhase>,
-    begun: Cell<Option<StopBegin>>,
+    stop_begin: Cell<Option<StopBegin>>,
     in_flight: Cell<usize>,
     lingering: Cell<usize>,
 }
 
-/// `StopBegin` is when a stop began and on which terms: settings that are reloaded during it apply
-/// to the next one.
+/// `StopBegin` is when a shutdown began, and its terms. Settings that are reloaded during a
+/// shutdown do not change the terms.
 #[derive(Debug, Clone, Copy)]
 struct StopBegin {
-    at: Duration,
+    began_at: Duration,
     terms: StopTerms,
 }
 
@@ -66,9 +67,10 @@
     /// Returns the signal to raise when a person at a terminal interrupts the daemon: the signal of
     /// a stop, or the signal of an immediate end if the daemon is stopping already.
     ///
-    /// No other request ends the daemon at once. Requests to stop come twice when planned
-    /// maintenance overlaps, or when an operator drains a daemon that the platform then stops;
-    /// beyond that the platform can kill it.
+    /// A repeated request to stop that comes from the platform or an operator does not end the
+    /// daemon at once. Such requests come twice when planned maintenance overlaps, or when an
+    /// operator drains a daemon that the platform then stops. The platform can still kill the
+    /// daemon.
     pub fn interrupt_signal(&self) -> &RisingSignal {
         if self.is_asked() {
             &self.interrupted
@@ -88,18 +90,18 @@
     }
 
     /// Says whether the drain is over, so that the daemon gives up the requests in flight or ends.
-    /// A daemon that was suspended past its longest drain may not have entered that phase yet, so
-    /// the clock is checked as well.
+    /// A daemon that was suspended past its longest drain may not have entered a later phase yet,
+    /// so the clock is checked as well.
     pub fn is_over(&self, now: Duration) -> bool {
         let is_past_longest =
-            |begin: StopBegin| now.saturating_sub(begin.at) >= begin.terms.longest;
+            |begin: StopBegin| now.saturating_sub(begin.began_at) >= begin.terms.longest;
         matches!(self.phase.get(), StopPhase::GivingUp { .. } | StopPhase::Over(_))
-            || self.begun.get().is_some_and(is_past_longest)
+            || self.stop_begin.get().is_some_and(is_past_longest)
     }
 
-    /// Returns when the daemon began to stop, since its start.
+    /// Returns the time from the daemon's start to the beginning of its shutdown.
     pub fn asked_at(&self) -> Option<Duration> {
-        self.begun.get().map(|begin| begin.at)
+        self.stop_begin.get().map(|begin| begin.began_at)
     }
 
     /// Returns the number of callers' requests and peers' dispatches that have not ended.
@@ -142,11 +144,11 @@
 /// Nothing may be awaited between this check and the moment at which the request is counted as in
 /// flight: the daemon ends as soon as it is closed and nothing is in flight.
 pub fn admits_request(state: &DaemonState, request: &str) -> bool {
-    let begin = match state.stop.begun.get() {
+    let begin = match state.stop.stop_begin.get() {
         Some(begin) => begin,
         None => return true,
     };
-    let elapsed = state.now().saturating_sub(begin.at);
+    let elapsed = state.now().saturating_sub(begin.began_at);
     let is_call = state.host.calls.parent_of(request).is_some();
     begin.terms.admits_request(state.stop.phase.get(), elapsed, is_call)
 }
@@ -154,37 +156,37 @@
 /// Says whether a request that must end by `deadline` may still be started at a backend server of
 /// this host.
 pub fn allows_start(state: &DaemonState, deadline: Duration) -> bool {
-    let begin = match state.stop.begun.get() {
+    let begin = match state.stop.stop_begin.get() {
         Some(begin) => begin,
         None => return true,
     };
-    begin.terms.allows_start(state.stop.phase.get(), deadline.saturating_sub(begin.at))
+    begin.terms.allows_start(state.stop.phase.get(), deadline.saturating_sub(begin.began_at))
 }
 
 /// Returns the deadline of a request that is admitted now. After the stop has closed, only nested
 /// calls of requests that run at this daemon are admitted, and those requests are given up at the
 /// returned time.
 pub fn bounded_deadline(state: &DaemonState, deadline: Duration) -> Duration {
-    match state.stop.begun.get() {
+    match state.stop.stop_begin.get() {
         Some(begin) if state.stop.is_closed() => {
-            deadline.min(begin.at + begin.terms.gives_up_after())
+            deadline.min(begin.began_at + begin.terms.gives_up_after())
         }
         _ => deadline,
     }
 }
 
-/// Refuses new requests phase by phase, and waits until those in flight have ended.
+/// Refuses new requests phase by phase, and waits until the requests in flight have ended.
 pub async fn run(state: &Rc<DaemonState>) -> StopReport {
     let stop = &state.stop;
     process::DaemonLeaving { in_flight: stop.in_flight() as u64 }.log();
     let options = state.live();
     let terms = StopTerms { shortest: options.drain_min, longest: options.drain };
     let begin = state.now();
-    stop.begun.set(Some(StopBegin { at: begin, terms }));
+    stop.stop_begin.set(Some(StopBegin { began_at: begin, terms }));
     let mut given_up = 0;
     loop {
         let elapsed = state.now().saturating_sub(begin);
-        let mut next = terms.next(stop.phase.get(), elapsed, unfinished(state));
+        let mut next = terms.next(stop.phase.get(), elapsed, count_unfinished(state));
         if stop.interrupted.is_raised() {
             next = StopPhase::Over(StopCause::Signal);
         }
@@ -205,10 +207,11 @@
 
 /// Returns the number of conditions that must clear before the process may end.
 ///
-/// An acknowledged departure of a backend server is one of them until the row in the store shows
-/// it: the next incarnation of this daemon restores the servers that the row lists, and would send
-/// requests to a server that has left.
-fn unfinished(state: &DaemonState) -> usize {
+/// Each request in flight is a condition. Another condition is a backend server whose departure was
+/// acknowledged while the row in the store may still list the server. The next incarnation of this
+/// daemon restores the servers that the row lists, and would send requests to a server that has
+/// left.
+fn count_unfinished(state: &DaemonState) -> usize {
     state.stop.in_flight() + usize::from(state.roster.has_unwritten_servers())
 }
 
@@ -219,13 +222,13 @@
     process::DaemonHandingOver { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
     membership::send_heartbeats(state, HeartbeatContent::Own);
     notify_accepted(state);
-    state.roster.touch();
+    state.roster.signal_change();
     for upstream in state.host.all() {
         upstream.slots.refuse_late(|deadline| !allows_start(state, deadline));
     }
 }
 
-/// Stops accepting callers' requests, including those whose body is still being received.
+/// Stops accepting callers' requests, including requests whose body is still being received.
 fn close(state: &DaemonState, elapsed: Duration) {
     let in_flight = state.stop.in_flight() as u64;
     process::DaemonClosed { in_flight, elapsed_ms: elapsed.as_millis() as u64 }.log();
@@ -241,7 +244,7 @@
 ) -> StopReport {
     state.stop.ending.raise();
     // Gives the tasks of idle connections time to close them before the process ends.
-    for _ in 0..LINGER_CHECKS {
+    for _ in 0..LINGER_CHECKS_MAX {
         monoio::time::sleep(DRAIN_POLL_INTERVAL).await;
         if state.stop.lingering.get() == 0 {
             break;
--- a/crates/daemon/src/suspects.rs
+++ b/crates/daemon/src/suspects.rs
@@ -3,13 +3,13 @@
 
 //! Distributes through the fleet which requests crash the backend servers that run them.
 //!
-//! The daemon on a server's host observes the crash and notifies all daemons that it has a link to,
-//! among them the ingress of the request, before that ingress learns that its attempt failed. A
-//! daemon that receives a new notice forwards it to a few others. Heartbeats carry a digest, so
-//! that a daemon that was unreachable, suspended or not running receives the notices that it missed
-//! from the first daemon with which it exchanges heartbeats. Refused requests are also recorded in
-//! the row of the host on which the server crashed, so that they are known even after every daemon
-//! ended at once.
+//! The daemon on a server's host observes the crash and notifies all linked daemons. Among these is
+//! the ingress of the request, which gets the notice before the failure of its attempt. A daemon
+//! that receives a new notice forwards the notice to a few other daemons. Heartbeats carry a
+//! digest, so that a daemon that was unreachable, suspended or not running receives the notices
+//! that it missed from the first daemon with which it exchanges heartbeats. Refused requests are
+//! also recorded in the row of the host on which the server crashed, so that they are known even
+//! after every daemon ended at once.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -40,8 +40,9 @@
 #[derive(Default)]
 pub struct SuspectRegistry {
     table: RefCell<SuspectTable>,
-    /// Requests whose last crash was on this host. Its row records those that are refused.
-    crashed_here: RefCell<Vec<RequestFingerprint>>,
+    /// Requests that last crashed a backend server on this host. The row of the host records the
+    /// refused ones among these requests.
+    crashed_on_host: RefCell<Vec<RequestFingerprint>>,
     digest: Cell<u64>,
 }
 
@@ -50,9 +51,9 @@
 pub struct RefusedRecord {
     /// Fingerprint of the request, as text.
     pub fingerprint: String,
-    /// Round of its tally.
+    /// Round of the request's crash tally; a successful run of the request starts a new round.
     pub round: u32,
-    /// Crashes of its tally.
+    /// Number of backend server crashes that count against the request in this round.
     pub crashes: u32,
     /// The backend server that crashed last while it ran the request.
     pub upstream: String,
@@ -69,14 +70,15 @@
         self.table.borrow().tally(fingerprint)
     }
 
-    /// Returns a notice for each suspected request, those with the most crashes first.
+    /// Returns a notice for each suspected request, the requests with the most crashes first.
     pub fn notices(&self, now: Duration) -> Vec<SuspectNotice> {
         let mut notices = self.table.borrow().notices(now);
         notices.sort_by_key(|notice| (u32::MAX - notice.tally.crashes, notice.seen_ago));
         notices
     }
 
-    /// Returns the digest of the suspected requests, for heartbeats, or `None` if there are none.
+    /// Returns the digest of the suspected requests, for heartbeats, or `None` if no request is
+    /// suspected.
     pub fn digest(&self) -> Option<i64> {
         Some(self.digest.get() as i64).filter(|digest| *digest != 0)
     }
@@ -90,11 +92,11 @@
     /// Returns the records for this daemon's row: refused requests whose last crash was on this
     /// host.
     pub fn own_records(&self, now: Duration) -> Vec<RefusedRecord> {
-        let crashed_here = self.crashed_here.borrow();
+        let crashed_on_host = self.crashed_on_host.borrow();
         let notices = self.notices(now).into_iter();
         let own_notices = notices
             .filter(|notice| {
-                notice.tally.is_refused() && crashed_here.contains(&notice.fingerprint)
+                notice.tally.is_refused() && crashed_on_host.contains(&notice.fingerprint)
             })
             .take(ROW_RECORDS_MAX);
         own_notices
@@ -108,8 +110,8 @@
     }
 }
 
-/// Says whether a copy of a request that came to this daemon is served, tried or refused.
-pub fn judge(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
+/// Says whether a copy of a request is served normally, run as a trial, or refused.
+pub fn judge_copy(state: &DaemonState, fingerprint: &RequestFingerprint) -> CopyVerdict {
     let makes_trials = || {
         let live = state.members.live_hosts(state);
         let key = fingerprint.to_string();
@@ -149,16 +151,16 @@
 
 /// Records that a request succeeded at a backend server of this host.
 pub fn note_success(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) {
-    clear(state, fingerprint, "succeeded at a backend server of this host");
+    clear_request(state, fingerprint, "succeeded at a backend server of this host");
 }
 
 /// Admits a request again because an operator lifted its refusal. Says whether any crashes counted
 /// against the request.
-pub fn lift(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) -> bool {
-    clear(state, fingerprint, "lifted by an operator")
+pub fn lift_refusal(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint) -> bool {
+    clear_request(state, fingerprint, "lifted by an operator")
 }
 
-fn clear(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint, cause: &str) -> bool {
+fn clear_request(state: &Rc<DaemonState>, fingerprint: &RequestFingerprint, cause: &str) -> bool {
     let now = state.now();
     let before = state.suspects.tally(fingerprint);
     let cleared = state.suspects.table.borrow_mut().note_success(fingerprint, now);
@@ -180,11 +182,11 @@
 
 /// Adds a refused request to this daemon's row.
 fn add_to_own_row(state: &Rc<DaemonState>, fingerprint: RequestFingerprint) {
-    let mut crashed_here = state.suspects.crashed_here.borrow_mut();
-    if !crashed_here.contains(&fingerprint) {
-        crashed_here.push(fingerprint);
+    let mut crashed_on_host = state.suspects.crashed_on_host.borrow_mut();
+    if !crashed_on_host.contains(&fingerprint) {
+        crashed_on_host.push(fingerprint);
     }
-    drop(crashed_here);
+    drop(crashed_on_host);
     roster::refresh_refused(state);
 }
 
@@ -211,22 +213,22 @@
     .log();
 }
 
-/// Sends a notice to up to `most` of the linked daemons.
-fn notify_some(state: &DaemonState, notice: &SuspectNotice, most: usize) {
-    for sender in membership::sample_senders(state, most) {
-        send(&sender, std::slice::from_ref(notice));
+/// Sends a notice to up to `count_max` of the linked daemons.
+fn notify_some(state: &DaemonState, notice: &SuspectNotice, count_max: usize) {
+    for sender in membership::sample_senders(state, count_max) {
+        send_notices(&sender, std::slice::from_ref(notice));
     }
 }
 
-fn send(sender: &FrameSender, notices: &[SuspectNotice]) {
+fn send_notices(sender: &FrameSender, notices: &[SuspectNotice]) {
     let suspects = notices.iter().map(wire::suspect_note).collect();
     // Notices that are lost with a broken link are sent again: the digest in the first heartbeat on
     // the next link shows that they are missing.
     let _ = sender.send(NO_EXCHANGE, FrameBody::SuspectNews(SuspectNews { suspects }));
 }
 
-/// Records the notices of another daemon, and forwards those that are new to this daemon. A sender
-/// that has not learnt of a successful run of a request gets the newer notice in return.
+/// Records the notices of another daemon, and forwards the notices that are new to this daemon. If
+/// the sender has not learnt of a successful run of a request, the newer notice is sent back.
 pub fn handle_news(
     state: &Rc<DaemonState>,
     sender: &FrameSender,
@@ -243,7 +245,7 @@
         notices.iter().filter_map(|notice| table.answer(notice, now)).collect();
     drop(table);
     if !answers.is_empty() {
-        send(sender, &answers);
+        send_notices(sender, &answers);
     }
 }
 
@@ -259,13 +261,13 @@
     };
     let notices: Vec<SuspectNotice> = records.iter().filter_map(notice).collect();
     record_notices(state, &notices, host);
-    // Crashes that an earlier incarnation of this daemon recorded stay in its row.
+    // Crashes that an earlier incarnation of this daemon recorded stay in this daemon's row.
     if host == state.options.host {
         notices.iter().for_each(|notice| add_to_own_row(state, notice.fingerprint));
     }
 }
 
-/// Records notices and returns those that are new to this daemon.
+/// Records notices, and returns the notices that are new to this daemon.
 fn record_notices(
     state: &Rc<DaemonState>,
     notices: &[SuspectNotice],
@@ -293,12 +295,12 @@
 /// digests differ.
 pub fn handle_digest(state: &DaemonState, sender: &FrameSender, digest: Option<i64>) {
     if state.suspects.digest() != digest && !state.suspects.is_empty() {
-        send(sender, &state.suspects.notices(state.now()));
+        send_notices(sender, &state.suspects.notices(state.now()));
     }
 }
 
 /// Runs for ever: evicts requests that have not been seen for a while.
-pub async fn forget(state: Rc<DaemonState>) {
+pub async fn evict_old(state: Rc<DaemonState>) {
     loop {
         monoio::time::sleep(EVICTION_INTERVAL).await;
         let now = state.now();
--- a/crates/options/src/bounds.rs
+++ b/crates/options/src/bounds.rs
@@ -17,13 +17,13 @@
 const CALLER_DESCRIPTORS_DIVISOR: u64 = 2;
 /// Divisor of the memory that yields the share for callers' connections.
 const CALLER_MEMORY_DIVISOR: u64 = 2;
-/// Memory of a caller's connection with a request in progress, in bytes. The idle connection takes
-/// 11.3 KiB and the request takes 21.2 KiB at the ingress, as scripts/measure-memory reports them.
+/// Memory of a caller's connection with a request in progress, in bytes. An idle connection takes
+/// 11.3 KiB at the ingress, and a request on the connection takes another 21.2 KiB.
 const CALLER_BYTES: u64 = 33 * 1024;
 /// Longest accepted time until the platform's kill; a longer time is refused because it was
 /// probably given in the wrong unit.
 const KILL_AFTER_MS_MAX: u64 = 86_400_000;
-/// Longest accepted drain, as no platform waits longer for a host.
+/// Longest accepted drain in milliseconds, as no platform waits longer for a host.
 pub const DRAIN_MS_MAX: u64 = 3_600_000;
 
 /// Returns the bound on callers' connections: the given bound, lowered if the file descriptors or
@@ -34,11 +34,11 @@
     descriptors: Option<String>,
     memory_mb: Option<String>,
 ) -> Result<usize, SettingError> {
-    let wanted = values::count("connections", given, 10_000, 1, 1_000_000)?;
-    let descriptors = values::amount("descriptors", descriptors, 1 << 20, 256, 1 << 30)?;
-    let memory = values::amount("memory-mb", memory_mb, 1 << 20, 16, 1 << 30)? << 20;
+    let wanted = values::read_count("connections", given, 10_000, 1, 1_000_000)?;
+    let descriptors = values::read_amount("descriptors", descriptors, 1 << 20, 256, 1 << 30)?;
+    let memory_bytes = values::read_amount("memory-mb", memory_mb, 1 << 20, 16, 1 << 30)? << 20;
     let by_descriptors = descriptors / CALLER_DESCRIPTORS_DIVISOR;
-    let by_memory = memory / CALLER_MEMORY_DIVISOR / CALLER_BYTES;
+    let by_memory = memory_bytes / CALLER_MEMORY_DIVISOR / CALLER_BYTES;
     Ok(wanted.min(by_descriptors).min(by_memory) as usize)
 }
 
@@ -47,7 +47,8 @@
     drain: Option<String>,
     kill_after: Option<String>,
 ) -> Result<Duration, SettingError> {
-    let drain = values::millis("drain-ms", drain, 30_000, DRAIN_MS_MAX)?;
-    let kill_after = values::time("kill-after-ms", kill_after, DRAIN_MS_MAX, 0, KILL_AFTER_MS_MAX)?;
+    let drain = values::read_millis("drain-ms", drain, 30_000, DRAIN_MS_MAX)?;
+    let kill_after =
+        values::read_time("kill-after-ms", kill_after, DRAIN_MS_MAX, 0, KILL_AFTER_MS_MAX)?;
     Ok(drain.min(kill_after.saturating_sub(KILL_MARGIN)))
 }
--- a/crates/options/src/defaults.rs
+++ b/crates/options/src/defaults.rs
@@ -20,14 +20,14 @@
     pub queue: u32,
     /// Share of requests that may be retried.
     pub retry_share: f64,
-    /// Retries beyond `retry_share`, over the whole fleet in one window.
+    /// Number of retries beyond `retry_share` that the whole fleet may make in one window.
     pub retry_extra: u32,
     /// Length of the window of `retry_extra`.
     pub retry_window: Duration,
 }
 
 /// Reads which of detection and precision is preferred; precision is the default.
-pub fn prefer(given: Option<String>) -> Result<EjectionPreference, SettingError> {
+pub fn read_preference(given: Option<String>) -> Result<EjectionPreference, SettingError> {
     let allowed = "detection or precision";
     let name = settings::checked("prefer", given, "precision".to_owned(), allowed, |name| {
         matches!(name.as_str(), "detection" | "precision")
--- a/crates/options/src/source.rs
+++ b/crates/options/src/source.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where the configuration comes from.
+//! Reads the setting that says where the configuration comes from.
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings;
@@ -16,7 +16,7 @@
     Document,
 }
 
-/// Reads where the configuration comes from; the daemons' API is the default.
+/// Reads where the configuration comes from. The default is the daemons' API.
 pub fn read(given: Option<String>) -> Result<ConfigSource, SettingError> {
     let allowed = "resources or document";
     let name = settings::checked("source", given, "resources".to_owned(), allowed, |name| {
--- a/crates/options/src/waiting.rs
+++ b/crates/options/src/waiting.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Where requests that find no free slot are queued.
+//! Reads the setting that says where requests that find no free slot are queued.
 
 use basaltarch_core::errors::SettingError;
 use basaltarch_core::settings;
@@ -15,7 +15,7 @@
     Reservations,
 }
 
-/// Reads where requests are queued; at one host by default.
+/// Reads where requests are queued. The default is the queue of one host.
 pub fn read(given: Option<String>) -> Result<WaitingMode, SettingError> {
     let allowed = "one-host or places";
     let name = settings::checked("waiting", given, "one-host".to_owned(), allowed, |name| {
