--- a/crates/daemon/tests/adopting.rs
+++ b/crates/daemon/tests/adopting.rs
@@ -13,7 +13,7 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-fn record(revision: u64) -> ChangeRecord {
+fn change_record(revision: u64) -> ChangeRecord {
     let change = ResourceChange {
         kind: "organisations".to_owned(),
         name: format!("shop-{revision}"),
@@ -30,10 +30,10 @@
     }
 }
 
-fn config_at(revision: u64) -> (FleetConfig, ActiveConfig) {
+fn build_config_at(revision: u64) -> (FleetConfig, ActiveConfig) {
     let mut config = FleetConfig::default();
     for number in 1..=revision {
-        assert_eq!(config.apply(&record(number)), Ok(true));
+        assert_eq!(config.apply(&change_record(number)), Ok(true));
     }
     let layout = ActiveConfig::build(&config);
     (config, layout)
@@ -41,25 +41,32 @@
 
 #[test]
 fn verify_a_snapshot_that_was_overtaken_while_it_was_read_changes_nothing() {
-    let cell = ConfigCell::default();
-    let (snapshot, snapshot_layout) = config_at(3);
-    assert_eq!(cell.apply(&[record(1), record(2), record(3), record(4)], NOW), 4);
-    assert!(!cell.adopt(snapshot, snapshot_layout, NOW), "revision 4 was applied meanwhile");
-    assert_eq!(cell.revision(), FleetRevision(4));
-    assert!(cell.active().has_organisation("shop-4"));
+    let config_cell = ConfigCell::default();
+    let (snapshot, snapshot_layout) = build_config_at(3);
+    assert_eq!(
+        config_cell
+            .apply(&[change_record(1), change_record(2), change_record(3), change_record(4)], NOW),
+        4
+    );
+    assert!(!config_cell.adopt(snapshot, snapshot_layout, NOW), "revision 4 was applied meanwhile");
+    assert_eq!(config_cell.revision(), FleetRevision(4));
+    assert!(config_cell.active().has_organisation("shop-4"));
 }
 
 #[test]
 fn verify_a_later_snapshot_is_adopted_and_changes_continue_from_it() {
-    let cell = ConfigCell::default();
-    assert_eq!(cell.apply(&[record(1)], NOW), 1);
-    let (later, layout) = config_at(9);
-    assert!(cell.adopt(later, layout, NOW));
-    assert_eq!(cell.revision(), FleetRevision(9));
+    let config_cell = ConfigCell::default();
+    assert_eq!(config_cell.apply(&[change_record(1)], NOW), 1);
+    let (later_snapshot, layout) = build_config_at(9);
+    assert!(config_cell.adopt(later_snapshot, layout, NOW));
+    assert_eq!(config_cell.revision(), FleetRevision(9));
     assert!(
-        cell.records_after(FleetRevision(1)).is_none(),
+        config_cell.records_after(FleetRevision(1)).is_none(),
         "the changes of revisions 2 to 9 are not known"
     );
-    assert_eq!(cell.apply(&[record(10)], NOW), 1);
-    assert!(cell.active().has_organisation("shop-10") && cell.active().has_organisation("shop-5"));
+    assert_eq!(config_cell.apply(&[change_record(10)], NOW), 1);
+    assert!(
+        config_cell.active().has_organisation("shop-10")
+            && config_cell.active().has_organisation("shop-5")
+    );
 }
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -76,10 +76,10 @@
 
     /// Writes a document with a route that only this version has.
     fn write(&self, version: u64) {
-        let mut wanted = document(version);
+        let mut new_document = document(version);
         let path = format!("/added-{version}/");
-        wanted.routes.push(route("r-added", &path, WorkMode::Repeatable));
-        self.fleet.write(&wanted);
+        new_document.routes.push(route("r-added", &path, WorkMode::Repeatable));
+        self.fleet.write(&new_document);
     }
 
     /// Requests the route of a document version from a daemon and returns the status. The status is
@@ -123,16 +123,16 @@
 /// minute.
 #[test]
 fn verify_a_document_arrives_although_links_are_black_holed() {
-    const CUT_OFF: usize = HOSTS.len() - 1;
+    const CUT_OFF_DAEMON: usize = HOSTS.len() - 1;
     let proxied = ProxiedFleet::start("60000");
     proxied.write(2);
     proxied.wait_revision(2);
-    proxied.store_forwarders[CUT_OFF].cuts.forward.store(true, Ordering::SeqCst);
-    proxied.store_forwarders[CUT_OFF].cuts.backward.store(true, Ordering::SeqCst);
+    proxied.store_forwarders[CUT_OFF_DAEMON].cuts.forward.store(true, Ordering::SeqCst);
+    proxied.store_forwarders[CUT_OFF_DAEMON].cuts.backward.store(true, Ordering::SeqCst);
     proxied.peer_forwarders.iter().for_each(Forwarder::black_hole);
     proxied.write(3);
     proxied.wait_revision(3);
-    let log = proxied.fleet.daemons[CUT_OFF].log_text();
+    let log = proxied.fleet.daemons[CUT_OFF_DAEMON].log_text();
     assert!(
         log.contains("store call given up"),
         "the black-holed call to the store was not given up"
@@ -144,8 +144,8 @@
 #[test]
 fn verify_unknown_routes_cause_few_freshness_checks() {
     let proxied = ProxiedFleet::start("4000");
-    let began = Instant::now();
-    let check_count = || proxied.fleet.daemons[0].metric("configuration_questions");
+    let started_at = Instant::now();
+    let check_count = || proxied.fleet.daemons[0].metric_sum("configuration_questions");
     let mut requests = 0;
     eventually("three freshness checks were made", || {
         for _ in 0..100 {
@@ -154,10 +154,10 @@
         }
         check_count() >= 3.0
     });
-    let most_checks = 1.0 + began.elapsed().as_secs_f64() / CERTAIN_FOR.as_secs_f64();
+    let check_count_max = 1.0 + started_at.elapsed().as_secs_f64() / CERTAIN_FOR.as_secs_f64();
     assert!(
-        check_count() <= most_checks,
-        "{} freshness checks, at most {most_checks}",
+        check_count() <= check_count_max,
+        "{} freshness checks, at most {check_count_max}",
         check_count()
     );
     assert!(requests >= 300, "{requests} requests");
@@ -179,8 +179,8 @@
     let reply = proxied.fleet.request(0, "GET", "/added-99/x", "asked");
     assert_eq!(reply.header("basaltarch-reason").as_deref(), Some("configuration-unsure"));
     assert!(reply.header("retry-after").is_some());
-    let known = proxied.fleet.request(0, "GET", "/added-2/x", "asked");
-    assert_eq!(known.header("basaltarch-reason").as_deref(), Some("no-upstream"));
+    let known_route_reply = proxied.fleet.request(0, "GET", "/added-2/x", "asked");
+    assert_eq!(known_route_reply.header("basaltarch-reason").as_deref(), Some("no-upstream"));
     proxied.fleet.platform.set_faults(json!({}));
     eventually("a confirmation arrives again", || proxied.request_status(0, 99) == 404);
 }
@@ -189,14 +189,15 @@
 #[test]
 fn verify_the_confirmation_of_a_peer_suffices() {
     let proxied = ProxiedFleet::start("4000");
-    let cut_off = HOSTS.len() - 1;
-    let cuts = &proxied.store_forwarders[cut_off].cuts;
+    let cut_off_daemon = HOSTS.len() - 1;
+    let cuts = &proxied.store_forwarders[cut_off_daemon].cuts;
     cuts.forward.store(true, Ordering::SeqCst);
     cuts.backward.store(true, Ordering::SeqCst);
     for _ in 0..3 {
         // The other daemons ask the store, and the daemon that is cut off asks them.
         eventually("a peer has a confirmation of the store and forwards it", || {
-            proxied.request_status(0, 99) == 404 && proxied.request_status(cut_off, 99) == 404
+            proxied.request_status(0, 99) == 404
+                && proxied.request_status(cut_off_daemon, 99) == 404
         });
     }
 }
--- a/crates/daemon/tests/bounds.rs
+++ b/crates/daemon/tests/bounds.rs
@@ -15,13 +15,13 @@
 use common::{eventually, TestDaemon};
 
 /// Memory of the daemon, which allows 744 connections of callers.
-const MEMORY_MB: u64 = 48;
+const MEMORY_LIMIT_MB: u64 = 48;
 /// Descriptors of the daemon, which allow 750 connections of callers.
-const DESCRIPTORS: u64 = 1500;
+const DESCRIPTOR_LIMIT: u64 = 1500;
 /// Connections that the daemon allows: the lower of the two numbers.
-const CONNECTIONS_ALLOWED: usize = 744;
+const CONNECTION_LIMIT: usize = 744;
 /// Connections that callers try to open.
-const CONNECTIONS_TRIED: usize = 900;
+const CONNECTION_ATTEMPTS: usize = 900;
 
 fn open_descriptors(daemon: &TestDaemon) -> u64 {
     fs::read_dir(format!("/proc/{}/fd", daemon.process_id())).expect("fd").count() as u64
@@ -36,7 +36,7 @@
 }
 
 /// Sends a request on a connection that stays open; returns whether it was answered.
-fn is_served(stream: &mut TcpStream, id: usize) -> bool {
+fn is_request_served(stream: &mut TcpStream, id: usize) -> bool {
     let text = format!("GET /safe/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: many-{id}\r\n\r\n");
     let mut status_line = [0; 15];
     // A refused connection may fail while the request is written or while the reply is read.
@@ -49,7 +49,8 @@
 fn verify_many_callers_leave_the_daemon_within_its_memory_and_descriptors() {
     let mut fleet = RegisteredFleet::start(1);
     fleet.daemons[0].kill();
-    let (memory_limit, descriptor_limit) = (MEMORY_MB.to_string(), DESCRIPTORS.to_string());
+    let (memory_limit, descriptor_limit) =
+        (MEMORY_LIMIT_MB.to_string(), DESCRIPTOR_LIMIT.to_string());
     let extra_flags = [
         ("memory-mb", memory_limit.as_str()),
         ("descriptors", descriptor_limit.as_str()),
@@ -61,28 +62,28 @@
     let daemon = &fleet.daemons[0];
     let descriptors_before = open_descriptors(daemon);
     let mut streams: Vec<TcpStream> =
-        (0..CONNECTIONS_TRIED).map(|_| client::connect(daemon.callers)).collect();
+        (0..CONNECTION_ATTEMPTS).map(|_| client::connect(daemon.callers)).collect();
     let served = streams
         .iter_mut()
         .enumerate()
-        .filter_map(|(id, stream)| is_served(stream, id).then_some(()));
+        .filter_map(|(id, stream)| is_request_served(stream, id).then_some(()));
     let served = served.count();
     assert!(
-        (CONNECTIONS_ALLOWED - 1..=CONNECTIONS_ALLOWED).contains(&served),
+        (CONNECTION_LIMIT - 1..=CONNECTION_LIMIT).contains(&served),
         "{served} connections served"
     );
     assert!(
-        open_descriptors(daemon) <= descriptors_before + CONNECTIONS_ALLOWED as u64 + 8,
+        open_descriptors(daemon) <= descriptors_before + CONNECTION_LIMIT as u64 + 8,
         "{}",
         open_descriptors(daemon)
     );
-    assert!(open_descriptors(daemon) < DESCRIPTORS);
-    assert!(peak_resident_mb(daemon) < MEMORY_MB, "{} MB", peak_resident_mb(daemon));
+    assert!(open_descriptors(daemon) < DESCRIPTOR_LIMIT);
+    assert!(peak_resident_mb(daemon) < MEMORY_LIMIT_MB, "{} MB", peak_resident_mb(daemon));
     drop(streams);
     eventually("new connections are served once the earlier ones are closed", || {
         let mut stream = client::connect(daemon.callers);
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
-        is_served(&mut stream, CONNECTIONS_TRIED)
+        is_request_served(&mut stream, CONNECTION_ATTEMPTS)
     });
 }
 
@@ -95,11 +96,14 @@
     let daemon = &fleet.daemons[0];
     eventually("the document is in force", || fleet.is_ready(0));
     let mut streams: Vec<TcpStream> = (0..2).map(|_| client::connect(daemon.callers)).collect();
-    assert!(streams.iter_mut().enumerate().all(|(id, stream)| is_served(stream, id)));
-    assert!(!is_served(&mut client::connect(daemon.callers), 2), "a third connection is refused");
+    assert!(streams.iter_mut().enumerate().all(|(id, stream)| is_request_served(stream, id)));
+    assert!(
+        !is_request_served(&mut client::connect(daemon.callers), 2),
+        "a third connection is refused"
+    );
     eventually("the refusal is logged", || daemon.log_text().contains("caller refused"));
     drop(streams);
     eventually("new connections are served once the earlier ones are closed", || {
-        is_served(&mut client::connect(daemon.callers), 3)
+        is_request_served(&mut client::connect(daemon.callers), 3)
     });
 }
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -19,8 +19,8 @@
 use basaltarch_peer::protocol::{CancelNotice, DispatchHead, FrameBody, PeerFrame};
 use basaltarch_telemetry::runtime;
 use bytes::BytesMut;
-use common::daemon::KEY;
-use common::loopback;
+use common::daemon::FLEET_KEY;
+use common::loopback_address;
 use common::registered::{RegisteredFleet, SERVICE};
 use monoio::io::{AsyncWriteRentExt, Splitable};
 use monoio::net::TcpStream;
@@ -28,7 +28,7 @@
 #[test]
 fn verify_a_disconnected_caller_ends_the_wait_for_a_link() {
     let test = async {
-        let listener = connection::bind(loopback()).expect("bind");
+        let listener = connection::bind(loopback_address()).expect("bind");
         let address = listener.local_addr().expect("address");
         let caller = std::net::TcpStream::connect(address).expect("connect");
         let (stream, _) = listener.accept().await.expect("accept");
@@ -36,8 +36,8 @@
         let link = waiting::unless_caller_gone(&mut stream, async { "link" }).await;
         assert_eq!(link, Some("link"));
         drop(caller);
-        let never = future::pending::<&str>();
-        assert_eq!(waiting::unless_caller_gone(&mut stream, never).await, None);
+        let pending_link = future::pending::<&str>();
+        assert_eq!(waiting::unless_caller_gone(&mut stream, pending_link).await, None);
         // A caller that has already disconnected is detected at once, so nothing is sent although
         // the link is up.
         assert_eq!(waiting::unless_caller_gone(&mut stream, async { "link" }).await, None);
@@ -84,7 +84,7 @@
     let fleet = RegisteredFleet::start(1);
     fleet.wait_served(0, &[0]);
     let server = &fleet.backends[0];
-    let before = server.total_runs();
+    let runs_before = server.total_runs();
     let peers = fleet.daemons[0].peers;
     let test = async {
         let stream = TcpStream::connect(peers).await.expect("connect");
@@ -97,16 +97,18 @@
             answers_looks: false,
             takes_reservations: false,
         };
-        let side = LinkSide::Dialler;
-        let key = KEY.as_bytes();
-        handshake::run(&mut reader, &mut writer, side, &identity, key).await.expect("handshake");
+        let link_side = LinkSide::Dialler;
+        let key = FLEET_KEY.as_bytes();
+        handshake::run(&mut reader, &mut writer, link_side, &identity, key)
+            .await
+            .expect("handshake");
         let mut buffer = BytesMut::new();
         let cancel = FrameBody::Cancel(CancelNotice { caller_gone: true });
-        let frames_of_cancelled = [
+        let frames_of_cancelled_request = [
             PeerFrame { exchange: 1, ..dispatch_frame("gone") },
             PeerFrame { exchange: 1, body: cancel },
         ];
-        for frame in frames_of_cancelled
+        for frame in frames_of_cancelled_request
             .iter()
             .chain(&[PeerFrame { exchange: 2, ..dispatch_frame("stays") }])
         {
@@ -122,5 +124,5 @@
     };
     runtime::run(test).expect("runtime");
     assert_eq!((server.run_count("gone"), server.run_count("stays")), (0, 1));
-    assert_eq!(server.total_runs(), before + 1);
+    assert_eq!(server.total_runs(), runs_before + 1);
 }
--- a/crates/daemon/tests/common/backend.rs
+++ b/crates/daemon/tests/common/backend.rs
@@ -14,7 +14,7 @@
 use basaltarch_telemetry::runtime;
 use serde_json::Value;
 
-use super::{client, loopback};
+use super::{client, loopback_address};
 
 /// A simulated backend server in a thread.
 pub struct TestBackend {
@@ -24,7 +24,7 @@
 
 impl TestBackend {
     pub fn start(name: &str, service_ms: u64) -> Self {
-        Self::start_at(loopback(), name, service_ms, ExchangeFields::default())
+        Self::start_at(loopback_address(), name, service_ms, ExchangeFields::default())
     }
 
     /// Starts a backend server at an address. `fields` are the names of the header fields that it
@@ -61,16 +61,16 @@
     }
 
     /// Returns the counters of the server, as its control path reports them.
-    pub fn runs(&self) -> Value {
+    pub fn run_counters(&self) -> Value {
         client::call(self.address, "GET", backend::RUNS_PATH, &[], "").json()
     }
 
     pub fn total_runs(&self) -> u64 {
-        self.runs()["total"].as_u64().expect("total")
+        self.run_counters()["total"].as_u64().expect("total")
     }
 
     /// Returns how often this server ran the request with this id.
     pub fn run_count(&self, id: &str) -> u64 {
-        self.runs()["by_id"][id].as_u64().unwrap_or(0)
+        self.run_counters()["by_id"][id].as_u64().unwrap_or(0)
     }
 }
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -15,8 +15,8 @@
 use super::client::{self, Reply};
 use super::{eventually, logs};
 
-pub const TOKEN: &str = "operator-token";
-pub const KEY: &str = "a-fleet-key-for-tests";
+pub const OPERATOR_TOKEN: &str = "operator-token";
+pub const FLEET_KEY: &str = "a-fleet-key-for-tests";
 
 /// A daemon that runs as a process and is killed when dropped.
 pub struct TestDaemon {
@@ -46,7 +46,7 @@
         domain: &str,
         extra_flags: &[(&str, &str)],
     ) -> Self {
-        let log = logs::new_path(host);
+        let log = logs::new_log_path(host);
         let file = File::create(&log).expect("log file");
         let stderr_file = file.try_clone().expect("log file");
         let mut command = daemon_command(platform, host, domain, extra_flags);
@@ -56,7 +56,7 @@
             .spawn()
             .expect("daemon starts");
         let line = logs::wait_line(&log, "listening");
-        Self::from_start_line(child, log, &line, host, domain)
+        Self::from_listening_line(child, log, &line, host, domain)
     }
 
     /// Starts a daemon whose standard output is a pipe, and reads it up to the line `listening`.
@@ -78,13 +78,20 @@
             );
             line = serde_json::from_str(&text).unwrap_or(Value::Null);
         }
-        let mut daemon = Self::from_start_line(child, logs::new_path(host), &line, host, domain);
+        let mut daemon =
+            Self::from_listening_line(child, logs::new_log_path(host), &line, host, domain);
         daemon.output = Some(output);
         daemon
     }
 
     /// Reads the addresses of a daemon from its log line `listening`.
-    fn from_start_line(child: Child, log: PathBuf, line: &Value, host: &str, domain: &str) -> Self {
+    fn from_listening_line(
+        child: Child,
+        log: PathBuf,
+        line: &Value,
+        host: &str,
+        domain: &str,
+    ) -> Self {
         let address_in = |field: &str| line[field].as_str().expect(field).parse().expect(field);
         let parse_address = |text: &str| text.parse().expect("address");
         Self {
@@ -137,7 +144,7 @@
 
     /// Calls the admin API with the token of an operator.
     pub fn call(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
-        let bearer = format!("Bearer {TOKEN}");
+        let bearer = format!("Bearer {OPERATOR_TOKEN}");
         let mut all_headers = vec![("Authorization", bearer.as_str())];
         all_headers.extend_from_slice(headers);
         client::call(self.admin, method, path, &all_headers, body)
@@ -159,7 +166,7 @@
     }
 
     /// Returns the sum, over all labels, of the metrics whose names begin with `name`.
-    pub fn metric(&self, name: &str) -> f64 {
+    pub fn metric_sum(&self, name: &str) -> f64 {
         let reply = client::call(self.admin, "GET", "/metrics", &[], "");
         let prefix = format!("basaltarch_{name}");
         reply
@@ -205,8 +212,8 @@
     command
         .args(["--host", host, "--failure-domain", domain])
         .args(["--platform", &platform.to_string()])
-        .args(["--admin-token", TOKEN])
-        .env("BASALTARCH_FLEET_KEY", KEY)
+        .args(["--admin-token", OPERATOR_TOKEN])
+        .env("BASALTARCH_FLEET_KEY", FLEET_KEY)
         .env("BASALTARCH_DRAIN_MS", "20000")
         // Logs every request, so that a failed test can be traced.
         .env("BASALTARCH_LOG_REQUESTS", "1000000");
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -171,7 +171,7 @@
     /// Checks that no daemon has violated a floor or panicked.
     pub fn check_invariants(&self) {
         for daemon in &self.daemons {
-            assert_eq!(daemon.metric("floor_violations"), 0.0, "floor on {}", daemon.host);
+            assert_eq!(daemon.metric_sum("floor_violations"), 0.0, "floor on {}", daemon.host);
             assert!(!daemon.log_text().contains("panicked"), "panic on {}", daemon.host);
         }
     }
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -24,7 +24,7 @@
     pub refuse: AtomicBool,
     /// Connections up to this number are black-holed: they stay open, and all bytes sent on them
     /// are read and dropped.
-    black_holed_to: AtomicU64,
+    last_black_holed: AtomicU64,
     /// Number of connections that were opened.
     opened_count: AtomicU64,
     /// Hosts whose links are cut; if empty, all links are cut. A daemon names its host in its first
@@ -79,7 +79,7 @@
     /// Black-holes every open connection permanently; new connections work.
     pub fn black_hole(&self) {
         self.cuts
-            .black_holed_to
+            .last_black_holed
             .store(self.cuts.opened_count.load(Ordering::SeqCst), Ordering::SeqCst);
     }
 
@@ -92,24 +92,24 @@
 }
 
 fn forward_connection(
-    near: TcpStream,
+    caller_stream: TcpStream,
     address: SocketAddr,
     cuts: &Arc<Cuts>,
     open_streams: &Arc<Mutex<Vec<TcpStream>>>,
 ) {
-    let far = match TcpStream::connect(address) {
-        Ok(far) => far,
+    let target_stream = match TcpStream::connect(address) {
+        Ok(target_stream) => target_stream,
         Err(_) => return,
     };
     let mut streams = open_streams.lock().expect("lock");
-    streams.push(near.try_clone().expect("clone"));
-    streams.push(far.try_clone().expect("clone"));
-    let (near_read, far_write) =
-        (near.try_clone().expect("clone"), far.try_clone().expect("clone"));
-    let number = cuts.opened_count.fetch_add(1, Ordering::SeqCst) + 1;
+    streams.push(caller_stream.try_clone().expect("clone"));
+    streams.push(target_stream.try_clone().expect("clone"));
+    let (caller_reader, target_writer) =
+        (caller_stream.try_clone().expect("clone"), target_stream.try_clone().expect("clone"));
+    let connection_number = cuts.opened_count.fetch_add(1, Ordering::SeqCst) + 1;
     let is_black_holed = |cuts: &Arc<Cuts>| {
         let cuts = cuts.clone();
-        move || number <= cuts.black_holed_to.load(Ordering::SeqCst)
+        move || connection_number <= cuts.last_black_holed.load(Ordering::SeqCst)
     };
     let (black_holed_forward, black_holed_backward) = (is_black_holed(cuts), is_black_holed(cuts));
     let first_frame = Arc::<OnceLock<Vec<u8>>>::default();
@@ -117,14 +117,14 @@
     let backward = (cuts.clone(), first_frame.clone());
     thread::spawn(move || {
         let (cuts, first) = &forward;
-        forward_bytes(near_read, far_write, black_holed_forward, |chunk| {
+        forward_bytes(caller_reader, target_writer, black_holed_forward, |chunk| {
             let first = first.get_or_init(|| chunk.to_vec());
             cuts.forward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
     });
     thread::spawn(move || {
         let (cuts, first) = &backward;
-        forward_bytes(far, near, black_holed_backward, |_| {
+        forward_bytes(target_stream, caller_stream, black_holed_backward, |_| {
             let first = first.get().map_or(&[][..], Vec::as_slice);
             cuts.backward.load(Ordering::SeqCst) && cuts.applies_to(first)
         });
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -14,7 +14,7 @@
 use basaltarch_options::{DaemonOptions, RawOptions};
 use basaltarch_telemetry::runtime;
 
-use super::daemon::{KEY, TOKEN};
+use super::daemon::{FLEET_KEY, OPERATOR_TOKEN};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -32,17 +32,17 @@
             host: Some(host.to_owned()),
             failure_domain: Some(domain.to_owned()),
             platform: Some(platform.to_string()),
-            fleet_key: Some(KEY.to_owned()),
-            admin_token: Some(TOKEN.to_owned()),
+            fleet_key: Some(FLEET_KEY.to_owned()),
+            admin_token: Some(OPERATOR_TOKEN.to_owned()),
             ..RawOptions::default()
         };
         let options = DaemonOptions::try_new(raw).expect("settings");
-        let (suspend_sender, suspend_requests) = mpsc::channel();
+        let (suspend_sender, suspend_receiver) = mpsc::channel();
         let (sender, receiver) = mpsc::channel();
         thread::spawn(move || {
             let on_start = |state: &Rc<DaemonState>| {
                 sender.send((state.options.callers, state.options.admin)).expect("send");
-                monoio::spawn(apply_suspends(state.clone(), suspend_requests));
+                monoio::spawn(apply_suspends(state.clone(), suspend_receiver));
             };
             let running = run::run(options, StopRequests::Api, on_start);
             runtime::run(running).expect("runtime").expect("daemon");
@@ -57,9 +57,9 @@
     }
 }
 
-async fn apply_suspends(state: Rc<DaemonState>, suspend_requests: Receiver<Duration>) {
+async fn apply_suspends(state: Rc<DaemonState>, suspend_receiver: Receiver<Duration>) {
     loop {
-        if let Ok(length) = suspend_requests.try_recv() {
+        if let Ok(length) = suspend_receiver.try_recv() {
             state.clock.add_suspend(length);
         }
         monoio::time::sleep(POLL_INTERVAL).await;
--- a/crates/daemon/tests/common/logs.rs
+++ b/crates/daemon/tests/common/logs.rs
@@ -13,10 +13,10 @@
 use super::eventually;
 
 /// Returns a unique path for the log of a daemon.
-pub fn new_path(host: &str) -> PathBuf {
+pub fn new_log_path(host: &str) -> PathBuf {
     use std::sync::atomic::{AtomicU64, Ordering};
-    static NEXT: AtomicU64 = AtomicU64::new(0);
-    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("basaltarch-{}-{number}-{host}.log", std::process::id()))
 }
 
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -49,7 +49,7 @@
     }
 }
 
-pub fn loopback() -> SocketAddr {
+pub fn loopback_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
--- a/crates/daemon/tests/common/operator.rs
+++ b/crates/daemon/tests/common/operator.rs
@@ -11,7 +11,7 @@
 use super::{FleetPlan, TestDaemon, TestFleet};
 
 /// Starts a fleet with this many daemons and two backend servers.
-pub fn fleet_of(daemons: usize) -> TestFleet {
+pub fn start_fleet_with_daemons(daemons: usize) -> TestFleet {
     TestFleet::start(&FleetPlan { daemons, backends: 2, ..FleetPlan::default() })
 }
 
@@ -30,13 +30,13 @@
 
 /// Checks on every daemon that the audit trail has one record for each revision, and each change
 /// once and in order.
-pub fn check_audit(fleet: &TestFleet, revisions: u64) {
+pub fn check_audit_trail(fleet: &TestFleet, revisions: u64) {
     for daemon in &fleet.daemons {
         let audit = daemon.get("/v1/audit?after=0");
         let records = audit["records"].as_array().expect("records").clone();
-        let record_revisions: Vec<u64> =
+        let revisions_in_order: Vec<u64> =
             records.iter().map(|record| record["revision"].as_u64().expect("revision")).collect();
-        assert_eq!(record_revisions, (1..=revisions).collect::<Vec<u64>>());
+        assert_eq!(revisions_in_order, (1..=revisions).collect::<Vec<u64>>());
         let mut state: BTreeMap<String, Value> = BTreeMap::new();
         for record in &records {
             assert!(record["actor"].as_str().is_some_and(|actor| !actor.is_empty()));
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -14,13 +14,13 @@
 use basaltarch_telemetry::runtime;
 use serde_json::Value;
 
-use super::{client, loopback};
+use super::{client, loopback_address};
 
 /// The simulated platform in a thread.
 pub struct TestPlatform {
     pub address: SocketAddr,
     /// Address for the second group of hosts, to which an outage can be restricted.
-    pub second: SocketAddr,
+    pub second_address: SocketAddr,
 }
 
 impl TestPlatform {
@@ -28,8 +28,8 @@
         let (sender, receiver) = mpsc::channel();
         thread::spawn(move || {
             let serving = async move {
-                let first = connection::bind(loopback()).expect("bind");
-                let second = connection::bind(loopback()).expect("bind");
+                let first = connection::bind(loopback_address()).expect("bind");
+                let second = connection::bind(loopback_address()).expect("bind");
                 let addresses = [&first, &second].map(|each| each.local_addr().expect("address"));
                 sender.send(addresses).expect("send");
                 let standin = Rc::new(PlatformStandin::default());
@@ -38,8 +38,8 @@
             };
             runtime::run(serving).expect("runtime");
         });
-        let [address, second] = receiver.recv().expect("platform starts");
-        Self { address, second }
+        let [address, second_address] = receiver.recv().expect("platform starts");
+        Self { address, second_address }
     }
 
     /// Replaces the faults that the platform simulates.
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -18,7 +18,7 @@
 use basaltarch_platform::{headers, rows};
 
 use super::client::{self, Reply};
-use super::{eventually, loopback, TestBackend, TestDaemon, TestPlatform};
+use super::{eventually, loopback_address, TestBackend, TestDaemon, TestPlatform};
 
 /// Service of the backend servers.
 pub const SERVICE: &str = "solver-app";
@@ -78,7 +78,7 @@
 }
 
 /// Builds the deregistration of a backend server; its name may include an incarnation.
-pub fn deregistration(name: &str) -> StoreCall {
+pub fn build_deregistration(name: &str) -> StoreCall {
     registration::deregister(&ServerIncarnation::of_upstream(name))
 }
 
@@ -110,7 +110,7 @@
         self.daemons.push(self.start_daemon(&host, domain, &[]));
         let name = format!("i-{}", index + 1);
         let fields = headers::exchange_fields();
-        self.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
+        self.backends.push(TestBackend::start_at(loopback_address(), &name, 1, fields));
         assert_eq!(self.send_heartbeat(index, false).status, 200);
         self
     }
@@ -205,7 +205,7 @@
 
     /// Deregisters a backend server.
     pub fn deregister(&self, index: usize) -> Reply {
-        self.call_daemon(index, &deregistration(&self.backends[index].name))
+        self.call_daemon(index, &build_deregistration(&self.backends[index].name))
     }
 
     /// Sends a call of the registration API to the daemon beside a backend server.
@@ -233,7 +233,7 @@
                 self.request(daemon, "GET", "/safe/x", &format!("wait-{daemon}-{number}"));
             }
             servers.iter().all(|index| {
-                let runs = self.backends[*index].runs();
+                let runs = self.backends[*index].run_counters();
                 runs["by_id"]
                     .as_object()
                     .expect("runs")
--- a/crates/daemon/tests/common/stops.rs
+++ b/crates/daemon/tests/common/stops.rs
@@ -18,7 +18,7 @@
 impl StopRequest {
     /// Checks that the request ran exactly once if it was served, and never if it was refused or
     /// got no reply.
-    pub fn check(&self, fleet: &TestFleet) {
+    pub fn check_runs(&self, fleet: &TestFleet) {
         let runs = fleet.run_count(&self.id);
         let expected = match &self.reply {
             Some(reply) if reply.status == 200 && reply.complete => 1,
@@ -37,14 +37,14 @@
 }
 
 /// Sends a non-repeatable request with a service time of `work_ms`, without reading the reply.
-pub fn write(stream: &mut TcpStream, id: &str, work_ms: &str) -> io::Result<()> {
+pub fn write_request(stream: &mut TcpStream, id: &str, work_ms: &str) -> io::Result<()> {
     let headers = [("Host", "solver.example"), ("x-work-ms", work_ms), ("x-request-id", id)];
     stream.write_all(client::request_text("POST", "/plain", &headers, "x").as_bytes())
 }
 
 /// Sends a non-repeatable request and waits until its reply is read or its connection ends.
-pub fn send(stream: &mut TcpStream, id: &str, work_ms: &str) -> Option<Reply> {
-    write(stream, id, work_ms).ok()?;
+pub fn send_request(stream: &mut TcpStream, id: &str, work_ms: &str) -> Option<Reply> {
+    write_request(stream, id, work_ms).ok()?;
     client::read_reply(stream, "POST")
 }
 
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -9,18 +9,20 @@
 
 use basaltarch_core::organisations::KeyDigest;
 use common::fleet::SHOP_KEY;
-use common::operator::{check_audit, fleet_of, put_organisation, ANY_REVISION};
+use common::operator::{
+    check_audit_trail, put_organisation, start_fleet_with_daemons, ANY_REVISION,
+};
 use common::{client, eventually};
 use serde_json::{json, Value};
 
 #[test]
 fn verify_each_invalid_change_is_refused_with_its_status_and_cause() {
-    let fleet = fleet_of(1);
+    let fleet = start_fleet_with_daemons(1);
     let daemon = &fleet.daemons[0];
-    let put =
+    let put_resource =
         |path: &str, value: Value| daemon.call("PUT", path, &[ANY_REVISION], &value.to_string());
     let server = daemon.get("/v1/backend-servers/server-1");
-    let server_with = |field: &str, value: Value| {
+    let server_with_field = |field: &str, value: Value| {
         let mut server = server.clone();
         server[field] = value;
         server
@@ -28,46 +30,68 @@
     let cases: Vec<(&str, client::Reply, u16, &str)> = vec![
         (
             "floor above one",
-            put("/v1/services/s", json!({"floor": 1.5})),
+            put_resource("/v1/services/s", json!({"floor": 1.5})),
             422,
             "services/s.floor: 1.5",
         ),
-        ("unknown field", put("/v1/services/s", json!({"flor": 0.5})), 422, "unknown field `flor`"),
-        ("unknown preference", put("/v1/services/s", json!({"prefer": "luck"})), 422, "luck"),
-        ("bad name", put("/v1/services/UPPER", json!({})), 422, "services/UPPER"),
+        (
+            "unknown field",
+            put_resource("/v1/services/s", json!({"flor": 0.5})),
+            422,
+            "unknown field `flor`",
+        ),
+        (
+            "unknown preference",
+            put_resource("/v1/services/s", json!({"prefer": "luck"})),
+            422,
+            "luck",
+        ),
+        ("bad name", put_resource("/v1/services/UPPER", json!({})), 422, "services/UPPER"),
         (
             "no slots",
-            put("/v1/backend-servers/server-1", server_with("slots", json!(0))),
+            put_resource("/v1/backend-servers/server-1", server_with_field("slots", json!(0))),
             422,
             "slots",
         ),
         (
             "no address",
-            put("/v1/backend-servers/server-1", server_with("address", json!("here"))),
+            put_resource(
+                "/v1/backend-servers/server-1",
+                server_with_field("address", json!("here")),
+            ),
             422,
             "address",
         ),
         (
             "unknown service",
-            put("/v1/backend-servers/server-1", server_with("service", json!("gone"))),
+            put_resource(
+                "/v1/backend-servers/server-1",
+                server_with_field("service", json!("gone")),
+            ),
             422,
             "services/gone",
         ),
         (
             "unknown failure domain",
-            put("/v1/backend-servers/server-1", server_with("failure_domain", json!("gone"))),
+            put_resource(
+                "/v1/backend-servers/server-1",
+                server_with_field("failure_domain", json!("gone")),
+            ),
             422,
             "failure-domains/gone",
         ),
         (
             "bad prefix",
-            put("/v1/routes/r", json!({"host": "h", "path_prefix": "x", "service": "solver-app"})),
+            put_resource(
+                "/v1/routes/r",
+                json!({"host": "h", "path_prefix": "x", "service": "solver-app"}),
+            ),
             422,
             "path_prefix",
         ),
         (
             "bad method",
-            put(
+            put_resource(
                 "/v1/routes/r",
                 json!({"host": "h", "path_prefix": "/", "service": "solver-app", "methods": ["get"]}),
             ),
@@ -76,7 +100,7 @@
         ),
         (
             "zero rate",
-            put(
+            put_resource(
                 "/v1/limits/l",
                 json!({"scope": "service", "target": "solver-app", "rate": 0, "burst": 1}),
             ),
@@ -85,12 +109,15 @@
         ),
         (
             "limit on an unknown route",
-            put("/v1/limits/l", json!({"scope": "route", "target": "gone", "rate": 1, "burst": 1})),
+            put_resource(
+                "/v1/limits/l",
+                json!({"scope": "route", "target": "gone", "rate": 1, "burst": 1}),
+            ),
             422,
             "routes/gone",
         ),
         ("not JSON", daemon.call("PUT", "/v1/services/s", &[ANY_REVISION], "{"), 400, "body"),
-        ("unknown kind", put("/v1/serviecs/s", json!({})), 404, "serviecs"),
+        ("unknown kind", put_resource("/v1/serviecs/s", json!({})), 404, "serviecs"),
         ("no precondition", daemon.call("PUT", "/v1/services/s", &[], "{}"), 428, "If-Match"),
         (
             "malformed precondition",
@@ -145,7 +172,7 @@
 
 #[test]
 fn verify_a_transaction_is_all_or_nothing() {
-    let fleet = fleet_of(1);
+    let fleet = start_fleet_with_daemons(1);
     let daemon = &fleet.daemons[0];
     let body = json!({"changes": [
         {"kind": "organisations", "name": "good", "value": {"title": "good"}},
@@ -165,7 +192,7 @@
 
 #[test]
 fn verify_concurrent_operators_get_one_success_and_clear_conflicts() {
-    let fleet = fleet_of(2);
+    let fleet = start_fleet_with_daemons(2);
     for round in 0..5 {
         let etag = fleet.daemons[0]
             .call("GET", "/v1/organisations/khlung-shop", &[], "")
@@ -184,9 +211,9 @@
                 .collect();
             threads.into_iter().map(|thread| thread.join().expect("join")).collect()
         });
-        let accepted: Vec<_> = replies.iter().filter(|reply| reply.status == 200).collect();
-        assert_eq!(accepted.len(), 1, "{replies:?}");
-        let revision = accepted[0].json()["revision"].as_u64().expect("revision");
+        let accepted_replies: Vec<_> = replies.iter().filter(|reply| reply.status == 200).collect();
+        assert_eq!(accepted_replies.len(), 1, "{replies:?}");
+        let revision = accepted_replies[0].json()["revision"].as_u64().expect("revision");
         for reply in replies.iter().filter(|reply| reply.status != 200) {
             assert_eq!(reply.status, 412, "{}", reply.text());
             assert_eq!(reply.json()["in_force"]["revision"], json!(revision));
@@ -197,7 +224,7 @@
 
 #[test]
 fn verify_concurrent_changes_at_any_revision_are_all_kept() {
-    let fleet = fleet_of(3);
+    let fleet = start_fleet_with_daemons(3);
     thread::scope(|scope| {
         for number in 0..24 {
             let daemon = &fleet.daemons[number % 3];
@@ -218,12 +245,12 @@
             assert_eq!(daemon.call("GET", &path, &[], "").status, 200);
         }
     }
-    check_audit(&fleet, 25);
+    check_audit_trail(&fleet, 25);
 }
 
 #[test]
 fn verify_the_audit_trail_can_be_filtered() {
-    let fleet = fleet_of(1);
+    let fleet = start_fleet_with_daemons(1);
     let daemon = &fleet.daemons[0];
     let request_headers = |actor: &'static str| [("Basaltarch-Actor", actor), ANY_REVISION];
     for (actor, name) in [("somsri", "a"), ("uwase", "b"), ("somsri", "c")] {
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -23,18 +23,18 @@
 /// Path of the bad request.
 const BAD_PATH: &str = "/puzzle/bad";
 /// Number of copies of the bad request that are sent.
-const COPIES: usize = 40;
+const COPY_COUNT: usize = 40;
 /// Maximum number of servers that the bad request may crash: three before it is identified, and
 /// three by copies that were sent before every daemon was notified.
 const CRASHES_MAX: u64 = 6;
 /// Time that a crashed server needs to restart.
-const DOWN_MS: u64 = 300;
+const RESTART_MS: u64 = 300;
 
 /// Maximum number of requests of one caller, so that a failing test ends.
-const CALLS_MAX: u64 = 100_000;
+const REQUESTS_PER_CALLER_MAX: u64 = 100_000;
 
 /// Starts a fleet whose servers crash when they run the bad request.
-fn fragile_fleet(daemons: usize, backends: usize) -> TestFleet {
+fn start_fragile_fleet(daemons: usize, backends: usize) -> TestFleet {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 0.5});
     let fleet = TestFleet::start(&FleetPlan {
         daemons,
@@ -44,21 +44,22 @@
         ..FleetPlan::default()
     });
     for backend in &fleet.backends {
-        backend
-            .set_faults(json!({"crash_path": BAD_PATH, "crash_after_ms": 20, "down_ms": DOWN_MS}));
+        backend.set_faults(
+            json!({"crash_path": BAD_PATH, "crash_after_ms": 20, "down_ms": RESTART_MS}),
+        );
     }
     fleet
 }
 
 /// Waits until a server is up and returns how often it has crashed.
 fn wait_crash_count(backend: &TestBackend) -> u64 {
-    let mut crashes = None;
+    let mut crash_count = None;
     eventually("the server is up", || {
         let reply = client::try_call(backend.address, "GET", "/__control/runs", &[], "");
-        crashes = reply.and_then(|reply| reply.json()["crashes"].as_u64());
-        crashes.is_some()
+        crash_count = reply.and_then(|reply| reply.json()["crashes"].as_u64());
+        crash_count.is_some()
     });
-    crashes.expect("a count")
+    crash_count.expect("a count")
 }
 
 fn total_crashes(fleet: &TestFleet) -> u64 {
@@ -67,8 +68,8 @@
 
 #[test]
 fn verify_a_request_that_crashes_servers_is_known_to_the_whole_fleet() {
-    let fleet = fragile_fleet(6, 9);
-    for number in 0..COPIES {
+    let fleet = start_fragile_fleet(6, 9);
+    for number in 0..COPY_COUNT {
         let id = format!("copy-{number}");
         let reply = fleet.request(number % 6, "GET", BAD_PATH, &[("x-request-id", &id)], "");
         assert_ne!(reply.status, 200, "no server can answer the bad request");
@@ -78,7 +79,7 @@
         });
     }
     let crashed = total_crashes(&fleet);
-    assert!(crashed <= CRASHES_MAX, "{COPIES} copies crashed {crashed} servers");
+    assert!(crashed <= CRASHES_MAX, "{COPY_COUNT} copies crashed {crashed} servers");
     for daemon in 0..6 {
         let reply = fleet.request(daemon, "GET", BAD_PATH, &[], "");
         let refusal = (reply.status, reply.outcome(), reply.reason());
@@ -92,7 +93,7 @@
 
 #[test]
 fn verify_a_crash_is_distinguished_from_a_broken_connection() {
-    let fleet = fragile_fleet(1, 1);
+    let fleet = start_fragile_fleet(1, 1);
     let log = || fleet.daemons[0].log_text();
     fleet.request(0, "GET", BAD_PATH, &[("x-request-id", "crashes")], "");
     let has_logged_break = |id: &str, crashed: bool| {
@@ -115,8 +116,8 @@
 }
 
 /// Returns how many distinct requests a daemon refuses because they crash servers.
-fn refused_count(daemon: &TestDaemon) -> f64 {
-    daemon.metric("requests_refused")
+fn refused_request_count(daemon: &TestDaemon) -> f64 {
+    daemon.metric_sum("requests_refused")
 }
 
 /// Sends copies of the bad request until it is refused, and waits until every daemon refuses it.
@@ -126,68 +127,72 @@
         reply.reason().as_deref() == Some("crashes-servers")
     });
     for daemon in &fleet.daemons {
-        eventually("every daemon refuses the request", || refused_count(daemon) == 1.0);
+        eventually("every daemon refuses the request", || refused_request_count(daemon) == 1.0);
     }
 }
 
 #[test]
 fn verify_the_logs_show_why_a_copy_is_refused() {
-    let fleet = fragile_fleet(3, 6);
+    let fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     fleet.request(1, "GET", BAD_PATH, &[("x-request-id", "refused-copy")], "");
     let files: Vec<String> = fleet.daemons.iter().map(TestDaemon::log_file).collect();
-    let gather = || explain::gather("refused-copy", &files).expect("logs");
+    let gather_history = || explain::gather("refused-copy", &files).expect("logs");
     let count_events = |event: &str| {
-        let lines = gather().lines;
+        let lines = gather_history().lines;
         lines.iter().filter(|line| line.text("message") == event).count()
     };
     eventually("the crashes of other copies are found", || count_events("request suspected") >= 3);
     eventually("the end of the refused copy is found", || count_events("request failed") == 1);
     assert_eq!(count_events("work started"), 0);
-    let end = explain::conclusion("refused-copy", &gather());
+    let end = explain::conclusion("refused-copy", &gather_history());
     assert!(end.contains("not-run (crashes-servers) with status 503 after 0 attempts"), "{end}");
 }
 
 #[test]
 fn verify_popular_requests_beside_the_bad_one_are_never_refused() {
-    let fleet = fragile_fleet(3, 9);
+    let fleet = start_fragile_fleet(3, 9);
     let stop = AtomicBool::new(false);
-    let (mut good, mut wrongly_refused) = (0, 0);
+    let (mut good_count, mut wrongly_refused) = (0, 0);
     thread::scope(|scope| {
-        let popular = |daemon: usize| {
+        let send_popular_requests = |daemon: usize| {
             let (fleet, stop) = (&fleet, &stop);
             move || {
-                let (mut good, mut wrongly_refused) = (0, 0);
-                while !stop.load(Ordering::SeqCst) && good + wrongly_refused < CALLS_MAX {
+                let (mut good_count, mut wrongly_refused) = (0, 0);
+                while !stop.load(Ordering::SeqCst)
+                    && good_count + wrongly_refused < REQUESTS_PER_CALLER_MAX
+                {
                     let reply = fleet.request(daemon, "GET", "/puzzle/popular", &[], "");
-                    good += u64::from(reply.status == 200);
+                    good_count += u64::from(reply.status == 200);
                     wrongly_refused +=
                         u64::from(reply.reason().as_deref() == Some("crashes-servers"));
                 }
-                (good, wrongly_refused)
+                (good_count, wrongly_refused)
             }
         };
-        let callers: Vec<_> = (0..6).map(|number| scope.spawn(popular(number % 3))).collect();
+        let callers: Vec<_> =
+            (0..6).map(|number| scope.spawn(send_popular_requests(number % 3))).collect();
         // Servers crash one by one, each by a request that is not sent again.
         for number in 0..15 {
             let backend = &fleet.backends[number % 9];
             wait_crash_count(backend);
-            let single_use = format!("/puzzle/lone-{number}");
-            backend
-                .set_faults(json!({"crash_path": single_use, "crash_after_ms": 20, "down_ms": 50}));
-            fleet.request(number % 3, "GET", &single_use, &[], "");
+            let single_use_path = format!("/puzzle/lone-{number}");
+            backend.set_faults(
+                json!({"crash_path": single_use_path, "crash_after_ms": 20, "down_ms": 50}),
+            );
+            fleet.request(number % 3, "GET", &single_use_path, &[], "");
             // The server crashes without a reply.
-            let _ = client::try_call(backend.address, "GET", &single_use, &[], "");
+            let _ = client::try_call(backend.address, "GET", &single_use_path, &[], "");
         }
         stop.store(true, Ordering::SeqCst);
         for caller in callers {
             let (served, refused) = caller.join().expect("join");
-            good += served;
+            good_count += served;
             wrongly_refused += refused;
         }
     });
     assert!(total_crashes(&fleet) >= 15, "servers crashed while they ran the popular request");
-    assert!(good > 100, "{good} popular requests were served");
+    assert!(good_count > 100, "{good_count} popular requests were served");
     assert_eq!(wrongly_refused, 0, "popular requests were refused");
     let has_good_runs = |daemon: &TestDaemon| {
         let list = daemon.get("/v1/suspects");
@@ -203,13 +208,13 @@
 
 #[test]
 fn verify_a_daemon_that_starts_later_refuses_the_bad_request() {
-    let mut fleet = fragile_fleet(3, 6);
+    let mut fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     let crashed = total_crashes(&fleet);
     let platform = fleet.platform.address;
     let later_daemon = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
     eventually("the daemon that started later refuses the request", || {
-        later_daemon.is_ready() && refused_count(&later_daemon) == 1.0
+        later_daemon.is_ready() && refused_request_count(&later_daemon) == 1.0
     });
     fleet.daemons.push(later_daemon);
     let reply = fleet.request(3, "GET", BAD_PATH, &[], "");
@@ -219,33 +224,34 @@
 
 #[test]
 fn verify_a_daemon_that_starts_later_learns_of_suspects() {
-    let mut fleet = fragile_fleet(2, 4);
-    let knows = |daemon: &TestDaemon| {
+    let mut fleet = start_fragile_fleet(2, 4);
+    let knows_suspect = |daemon: &TestDaemon| {
         let list = daemon.get("/v1/suspects");
         list["suspects"].as_array().is_some_and(|suspects| !suspects.is_empty())
     };
     eventually("the request is suspected", || {
         fleet.request(0, "GET", BAD_PATH, &[], "");
-        knows(&fleet.daemons[0])
+        knows_suspect(&fleet.daemons[0])
     });
     assert_eq!(
-        refused_count(&fleet.daemons[0]),
+        refused_request_count(&fleet.daemons[0]),
         0.0,
         "the request is suspected but not refused, so no row holds it"
     );
     let later_daemon = TestDaemon::start(fleet.platform.address, "host-late", "bkk-b", &[]);
     eventually("the daemon that started later learns of the request from a heartbeat", || {
-        knows(&later_daemon)
+        knows_suspect(&later_daemon)
     });
     fleet.daemons.push(later_daemon);
 }
 
 #[test]
 fn verify_the_bad_request_stays_refused_after_all_daemons_are_killed() {
-    let mut fleet = fragile_fleet(3, 6);
+    let mut fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
-    let stored = || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
-    eventually("a row holds the refused request", stored);
+    let is_refusal_stored =
+        || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
+    eventually("a row holds the refused request", is_refusal_stored);
     let crashed = total_crashes(&fleet);
     fleet.daemons.iter_mut().for_each(TestDaemon::kill);
     fleet.daemons = ["host-a", "host-b", "host-c"]
@@ -254,7 +260,7 @@
         .map(|(host, domain)| TestDaemon::start(fleet.platform.address, host, domain, &[]))
         .collect();
     for daemon in &fleet.daemons {
-        eventually("every new daemon refuses the request", || refused_count(daemon) == 1.0);
+        eventually("every new daemon refuses the request", || refused_request_count(daemon) == 1.0);
     }
     fleet.wait_members();
     let reply = fleet.request(1, "GET", BAD_PATH, &[], "");
@@ -264,16 +270,16 @@
 
 #[test]
 fn verify_an_operator_lists_a_refused_request_and_admits_it_again() {
-    let fleet = fragile_fleet(3, 6);
+    let fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     for backend in &fleet.backends {
         wait_crash_count(backend);
         backend.set_faults(json!({}));
     }
     let list = fleet.daemons[1].get("/v1/suspects");
-    let worst = &list["suspects"][0];
-    assert_eq!(worst["refused"], true, "{list}");
-    let fingerprint = worst["fingerprint"].as_str().expect("fingerprint");
+    let first_suspect = &list["suspects"][0];
+    assert_eq!(first_suspect["refused"], true, "{list}");
+    let fingerprint = first_suspect["fingerprint"].as_str().expect("fingerprint");
     let path = format!("/v1/suspects/{fingerprint}");
     let actor = ("basaltarch-actor", "somsak");
     assert_eq!(fleet.daemons[2].call("DELETE", &path, &[actor], "").status, 200);
--- a/crates/daemon/tests/deployed.rs
+++ b/crates/daemon/tests/deployed.rs
@@ -48,11 +48,11 @@
 /// Reads the deployed settings, with organisations, with this value for one placeholder and typical
 /// values for the other placeholders.
 fn read_options(placeholder: &str, value: &str) -> Result<DaemonOptions, SettingError> {
-    read_options_with(placeholder, value, true)
+    read_options_with_sections(placeholder, value, true)
 }
 
 /// Reads the deployed settings with or without the sections for organisations.
-fn read_options_with(
+fn read_options_with_sections(
     placeholder: &str,
     value: &str,
     has_organisations: bool,
@@ -63,10 +63,10 @@
         text = resolve_section(&text, optional, has_organisations);
     }
     text = text.replace(&format!("{{{{{placeholder}}}}}"), value);
-    for (placeholder, typical) in
+    for (placeholder, typical_value) in
         TYPICAL_VALUES.iter().chain(&OPTIONAL_VALUES).chain(&[("bounds.budgetWindowS", "10")])
     {
-        text = text.replace(&format!("{{{{{placeholder}}}}}"), typical);
+        text = text.replace(&format!("{{{{{placeholder}}}}}"), typical_value);
     }
     assert!(!text.contains("{{"), "a placeholder that this test does not fill:\n{text}");
     let placeholder = placeholder.replace('.', "-");
@@ -109,7 +109,7 @@
     let tolerance = read_options("bounds.quotaSlack", "20").expect("settings").limit_tolerance;
     let expected = LimitTolerance { window: Duration::from_secs(5), over: 0.1, extra: 20.0 };
     assert_eq!(tolerance, expected);
-    let options = read_options_with("zone", "zone-1", false).expect("settings");
+    let options = read_options_with_sections("zone", "zone-1", false).expect("settings");
     let no_tolerance = LimitTolerance { window: Duration::from_secs(1), over: 0.0, extra: 0.0 };
     assert_eq!(options.limit_tolerance, no_tolerance, "nothing over a limit is tolerated");
 }
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -68,12 +68,12 @@
     let fleet = RegisteredFleet::start(1);
     eventually("the document is in force", || fleet.daemons[0].revision() == 1);
     let body = json!({"title": "t"}).to_string();
-    let guard = [("If-Match", "*")];
-    let reply = fleet.daemons[0].call("PUT", "/v1/organisations/one", &guard, &body);
+    let precondition = [("If-Match", "*")];
+    let reply = fleet.daemons[0].call("PUT", "/v1/organisations/one", &precondition, &body);
     assert_eq!(reply.status, 405, "{}", reply.text());
     assert!(reply.text().contains("document"), "{}", reply.text());
-    let apply = json!({"changes": []}).to_string();
-    assert_eq!(fleet.daemons[0].call("POST", "/v1/apply", &[], &apply).status, 405);
+    let empty_change = json!({"changes": []}).to_string();
+    assert_eq!(fleet.daemons[0].call("POST", "/v1/apply", &[], &empty_change).status, 405);
     let routes = fleet.daemons[0].get("/v1/routes");
     assert!(routes.to_string().contains("r-unsafe"), "{routes}");
 }
@@ -84,11 +84,11 @@
     let name = &fleet.backends[1].name;
     assert_eq!(fleet.send_heartbeat_as(1, name, "other-app", false).status, 200);
     let mut wanted = document(2);
-    let mut split = route("r-split", "/split/", WorkMode::Repeatable);
-    split.rule.split = [(SERVICE, 75), ("other-app", 25)]
+    let mut split_route = route("r-split", "/split/", WorkMode::Repeatable);
+    split_route.rule.split = [(SERVICE, 75), ("other-app", 25)]
         .map(|(service, weight)| ServiceShare { service: service.to_owned(), weight })
         .to_vec();
-    wanted.routes.push(split);
+    wanted.routes.push(split_route);
     fleet.write(&wanted);
     for daemon in &fleet.daemons {
         eventually("the split is in force", || daemon.revision() == 2);
@@ -106,12 +106,12 @@
         let reply = fleet.request(number % 2, "GET", "/split/x", &format!("split-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    let at_other_service =
+    let other_service_runs =
         (0..200).filter(|n| fleet.backends[1].run_count(&format!("split-{n}")) > 0).count();
     // The count of each of the two ingresses differs from its share by less than one request.
     assert!(
-        (48..=52).contains(&at_other_service),
-        "{at_other_service} of 200 requests ran at the other service"
+        (48..=52).contains(&other_service_runs),
+        "{other_service_runs} of 200 requests ran at the other service"
     );
     assert!((0..200).all(|number| fleet.run_count(&format!("split-{number}")) == 1));
 }
@@ -129,13 +129,13 @@
 #[test_case(json!({"status": 404}), false, 404 ; "the server's own answer")]
 fn verify_a_broken_exchange_reaches_no_caller_as_an_answer(
     faults: Value,
-    served_elsewhere: bool,
+    is_served_elsewhere: bool,
     status: u16,
 ) {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     fleet.backends[1].set_faults(faults);
-    let mut at_faulty = 0;
+    let mut faulty_server_runs = 0;
     for number in 0..60 {
         let id = format!("unsafe-{number}");
         let reply = fleet.request(1, "POST", "/unsafe/x", &id);
@@ -144,7 +144,7 @@
             assert_eq!(reply.status, 200, "{}", reply.text());
             continue;
         }
-        at_faulty += 1;
+        faulty_server_runs += 1;
         assert_eq!(reply.status, status, "{}", reply.text());
         if status == 200 {
             assert!(
@@ -154,8 +154,8 @@
             );
         }
     }
-    assert!(at_faulty > 0, "no request reached the faulty server");
-    if !served_elsewhere {
+    assert!(faulty_server_runs > 0, "no request reached the faulty server");
+    if !is_served_elsewhere {
         return;
     }
     for number in 0..20 {
@@ -178,23 +178,23 @@
     let request_field = headers::exchange_fields().request.expect("a header field for request ids");
     let request = |number: usize| {
         let work_ms = if number == 0 { 200 } else { 1 };
-        let last = if number == 9 { "Connection: close\r\n" } else { "" };
+        let connection_field = if number == 9 { "Connection: close\r\n" } else { "" };
         format!(
             "GET /safe/{number} HTTP/1.1\r\nHost: {HOST}\r\n{request_field}: order-{number}\r\n\
-             x-work-ms: {work_ms}\r\n{last}\r\n"
+             x-work-ms: {work_ms}\r\n{connection_field}\r\n"
         )
     };
     let text: String = (0..10).map(request).collect();
     stream.write_all(text.as_bytes()).expect("write");
     let mut answers = String::new();
     stream.read_to_string(&mut answers).expect("read");
-    let order: Vec<&str> = answers
+    let answer_order: Vec<&str> = answers
         .lines()
         .filter_map(|line| line.strip_prefix(&format!("{request_field}: ")))
         .map(str::trim_end)
         .collect();
     let wanted: Vec<String> = (0..10).map(|number| format!("order-{number}")).collect();
-    assert_eq!(order, wanted);
+    assert_eq!(answer_order, wanted);
 }
 
 #[test]
@@ -209,7 +209,9 @@
     let reply = client::call(fleet.daemons[0].callers, "POST", "/unsafe/x", &headers, "x");
     // The request may have run, so the status must not state that it has not.
     assert_eq!((reply.status, fleet.run_count("slow")), (504, 1), "{}", reply.text());
-    eventually("the request is cancelled", || fleet.backends[0].runs()["cancelled"] == json!(1));
+    eventually("the request is cancelled", || {
+        fleet.backends[0].run_counters()["cancelled"] == json!(1)
+    });
 }
 
 #[test]
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -16,7 +16,7 @@
 
 /// Sends requests one after another until `stop` is set; returns their number and the replies other
 /// than a complete 200.
-fn steady_load(
+fn spawn_load(
     callers: std::net::SocketAddr,
     stop: Arc<AtomicBool>,
 ) -> thread::JoinHandle<(usize, Vec<String>)> {
@@ -41,9 +41,8 @@
     let mut fleet =
         TestFleet::start(&FleetPlan { daemons: 3, backends: 6, ..FleetPlan::default() });
     let stop = Arc::new(AtomicBool::new(false));
-    let loads: Vec<_> = (0..12)
-        .map(|number| steady_load(fleet.daemons[number % 2].callers, stop.clone()))
-        .collect();
+    let load_threads: Vec<_> =
+        (0..12).map(|number| spawn_load(fleet.daemons[number % 2].callers, stop.clone())).collect();
     // A long request through the daemon that stops.
     let callers = fleet.daemons[2].callers;
     let long_request = thread::spawn(move || {
@@ -55,19 +54,19 @@
     let status = fleet.daemons[2].wait_exit();
     assert_eq!(status.code(), Some(0));
     assert_eq!(long_request.join().expect("join").status, 200);
-    let total = |fleet: &TestFleet| -> u64 {
+    let total_runs_of = |fleet: &TestFleet| -> u64 {
         [2, 5].iter().map(|index| fleet.backends[*index].total_runs()).sum()
     };
-    let total_after_stop = total(&fleet);
-    let before_stop = fleet.backends[0].total_runs();
-    eventually("load continues", || fleet.backends[0].total_runs() > before_stop + 20);
+    let total_after_stop = total_runs_of(&fleet);
+    let runs_before_stop = fleet.backends[0].total_runs();
+    eventually("load continues", || fleet.backends[0].total_runs() > runs_before_stop + 20);
     assert_eq!(
-        total(&fleet),
+        total_runs_of(&fleet),
         total_after_stop,
         "no new requests for the servers of the daemon that stopped"
     );
     stop.store(true, Ordering::SeqCst);
-    for load in loads {
+    for load in load_threads {
         let (count, failures) = load.join().expect("join");
         assert!(count > 0);
         assert!(failures.is_empty(), "{failures:?}");
@@ -205,11 +204,11 @@
     );
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.wait_revision(2);
-    let received = fleet.backends[0].runs()["received"].as_u64().expect("count");
+    let received = fleet.backends[0].run_counters()["received"].as_u64().expect("count");
     for number in 0..60 {
         assert_eq!(fleet.request(number % 2, "GET", "/puzzle", &[], "").status, 200);
     }
-    assert_eq!(fleet.backends[0].runs()["received"].as_u64(), Some(received));
+    assert_eq!(fleet.backends[0].run_counters()["received"].as_u64(), Some(received));
     for thread in threads {
         assert_eq!(thread.join().expect("join"), 200);
     }
@@ -220,7 +219,7 @@
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
     fleet.backends[1].set_faults(json!({"drain": true}));
     let received =
-        |fleet: &TestFleet| fleet.backends[1].runs()["received"].as_u64().expect("count");
+        |fleet: &TestFleet| fleet.backends[1].run_counters()["received"].as_u64().expect("count");
     eventually("a server answers with its drain notice", || {
         assert_eq!(fleet.request(1, "GET", "/puzzle", &[], "").status, 200);
         received(&fleet) > 0
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -14,7 +14,7 @@
 use test_case::test_case;
 
 /// Starts a fleet with short time-outs of heads and bodies, and bodies of up to 2 GB.
-fn fleet_with_short_timeouts() -> TestFleet {
+fn start_fleet_with_short_timeouts() -> TestFleet {
     let flags = vec![("head-ms", "400"), ("body-idle-ms", "400"), ("body-bytes", "2000000000")];
     TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() })
 }
@@ -56,7 +56,7 @@
         ("bad deadline", format!("GET / HTTP/1.1\r\n{host}Basaltarch-Deadline-Ms: soon\r\n\r\n"), 400),
         ("empty lines first", format!("\r\n\r\nGET / HTTP/1.1\r\n{host}\r\n"), 200),
     ];
-    let fleet = fleet_with_short_timeouts();
+    let fleet = start_fleet_with_short_timeouts();
     for (case, text, status) in cases {
         let reply = client::send_raw(fleet.daemons[0].callers, text.as_bytes());
         let reply = reply.unwrap_or_else(|| panic!("{case}: no reply"));
@@ -108,7 +108,7 @@
 
 #[test]
 fn verify_chunked_and_expected_bodies_arrive_complete() {
-    let fleet = fleet_with_short_timeouts();
+    let fleet = start_fleet_with_short_timeouts();
     let mut stream = client::connect(fleet.daemons[0].callers);
     let head = "POST /echo HTTP/1.1\r\nHost: solver.example\r\nTransfer-Encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("write");
@@ -119,9 +119,9 @@
                 Expect: 100-continue\r\n\r\n";
     stream.write_all(head.as_bytes()).expect("write");
     let mut buffer = Vec::new();
-    let interim =
+    let interim_reply =
         client::read_next_reply(&mut stream, "POST", &mut buffer).expect("an interim response");
-    assert_eq!(interim.status, 100);
+    assert_eq!(interim_reply.status, 100);
     stream.write_all(b"abc").expect("write");
     let reply = client::read_next_reply(&mut stream, "POST", &mut buffer).expect("reply");
     assert_eq!((reply.status, reply.text()), (200, "abc".to_owned()));
@@ -129,7 +129,7 @@
 
 #[test]
 fn verify_hop_by_hop_fields_are_dropped_and_forwarding_fields_are_set() {
-    let fleet = fleet_with_short_timeouts();
+    let fleet = start_fleet_with_short_timeouts();
     let headers = [
         ("Connection", "x-private, close"),
         ("X-Private", "1"),
@@ -139,8 +139,11 @@
     let reply = fleet.request(0, "GET", "/", &headers, "");
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("connection").as_deref(), Some("close"));
-    let last_heads =
-        fleet.backends.iter().map(|b| b.runs()["last_head"].to_string()).collect::<String>();
+    let last_heads = fleet
+        .backends
+        .iter()
+        .map(|b| b.run_counters()["last_head"].to_string())
+        .collect::<String>();
     assert!(last_heads.contains("198.51.100.7, 127.0.0.1"), "{last_heads}");
     assert!(!last_heads.contains("x-private"), "{last_heads}");
     assert!(last_heads.contains("basaltarch-deadline-ms"), "{last_heads}");
@@ -151,7 +154,7 @@
 const LONG_TIMEOUT_MS: u64 = 600_000;
 
 /// Reads the resident memory of a process in KiB.
-fn resident_kib(id: u32) -> u64 {
+fn read_resident_kib(id: u32) -> u64 {
     let status = fs::read_to_string(format!("/proc/{id}/status")).expect("status");
     let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("VmRSS");
     line.split_whitespace().nth(1).expect("number").parse().expect("number")
@@ -164,7 +167,7 @@
     // daemons.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, ..FleetPlan::default() });
     let before_kib: Vec<u64> =
-        fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
+        fleet.daemons.iter().map(|daemon| read_resident_kib(daemon.process_id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
     let path = format!("/bytes/{BODY_LENGTH}");
     let text = client::request_text("GET", &path, &[("Host", "solver.example")], "");
@@ -178,7 +181,7 @@
         received_bytes += count;
         for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
             growth_kib =
-                growth_kib.max(resident_kib(daemon.process_id()).saturating_sub(*before_kib));
+                growth_kib.max(read_resident_kib(daemon.process_id()).saturating_sub(*before_kib));
         }
     }
     // A daemon holds a window in each direction and the queue of the link: far below the 1 GiB that
@@ -195,7 +198,7 @@
     // daemons.
     let fleet = TestFleet::start(&FleetPlan { backends: 1, routes, ..FleetPlan::default() });
     let before_kib: Vec<u64> =
-        fleet.daemons.iter().map(|daemon| resident_kib(daemon.process_id())).collect();
+        fleet.daemons.iter().map(|daemon| read_resident_kib(daemon.process_id())).collect();
     let mut stream = client::connect(fleet.daemons[1].callers);
     let head = format!(
         "POST /sink HTTP/1.1\r\nHost: solver.example\r\nContent-Length: {BODY_LENGTH}\r\n\r\n"
@@ -207,11 +210,14 @@
     }
     let reply = client::read_reply(&mut stream, "POST").expect("reply");
     assert_eq!(reply.status, 200);
-    let received: u64 =
-        fleet.backends.iter().map(|b| b.runs()["body_bytes"].as_u64().expect("bytes")).sum();
+    let received: u64 = fleet
+        .backends
+        .iter()
+        .map(|b| b.run_counters()["body_bytes"].as_u64().expect("bytes"))
+        .sum();
     assert_eq!(received, BODY_LENGTH as u64);
     for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
-        let growth_kib = resident_kib(daemon.process_id()).saturating_sub(*before_kib);
+        let growth_kib = read_resident_kib(daemon.process_id()).saturating_sub(*before_kib);
         assert!(growth_kib < 16 * 1024, "{} grew by {growth_kib} KiB", daemon.host);
     }
 }
@@ -219,13 +225,13 @@
 #[test]
 fn verify_a_slow_caller_does_not_stall_others() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 2, ..FleetPlan::default() });
-    let mut slow = Vec::new();
+    let mut slow_streams = Vec::new();
     for _ in 0..3 {
         let mut stream = client::connect(fleet.daemons[0].callers);
         let text =
             client::request_text("GET", "/bytes/50000000", &[("Host", "solver.example")], "");
         stream.write_all(text.as_bytes()).expect("write");
-        slow.push(stream);
+        slow_streams.push(stream);
     }
     for number in 0..50 {
         let id = format!("quick-{number}");
@@ -242,11 +248,11 @@
     let headers = [("Host", "solver.example"), ("x-work-ms", "4000")];
     let text = client::request_text("GET", "/plain", &headers, "");
     stream.write_all(text.as_bytes()).expect("write");
-    let total = || fleet.backends.iter().map(|backend| backend.total_runs()).sum::<u64>();
-    common::eventually("the request starts", || total() == 1);
+    let run_total = || fleet.backends.iter().map(|backend| backend.total_runs()).sum::<u64>();
+    common::eventually("the request starts", || run_total() == 1);
     drop(stream);
     common::eventually("the backend server reports the cancellation", || {
-        fleet.backends.iter().any(|backend| backend.runs()["cancelled"] == json!(1))
+        fleet.backends.iter().any(|backend| backend.run_counters()["cancelled"] == json!(1))
     });
 }
 
@@ -261,15 +267,18 @@
         let sent = stream.write_all(text.as_bytes()).is_ok();
         sent.then(|| client::read_reply(stream, "GET")).flatten().map(|reply| reply.status)
     };
-    let mut interim = client::connect(callers);
-    let mut second = client::connect(callers);
-    assert_eq!((send_request(&mut interim), send_request(&mut second)), (Some(200), Some(200)));
+    let mut first_stream = client::connect(callers);
+    let mut second_stream = client::connect(callers);
+    assert_eq!(
+        (send_request(&mut first_stream), send_request(&mut second_stream)),
+        (Some(200), Some(200))
+    );
     assert_eq!(send_request(&mut client::connect(callers)), None, "a third connection is closed");
-    drop(interim);
+    drop(first_stream);
     common::eventually("a new connection is accepted after one has closed", || {
         send_request(&mut client::connect(callers)) == Some(200)
     });
-    assert_eq!(send_request(&mut second), Some(200));
+    assert_eq!(send_request(&mut second_stream), Some(200));
 }
 
 #[test]
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -19,7 +19,7 @@
 use test_case::test_case;
 
 /// Starts a fleet whose daemons each log at most this many requests a second completely.
-fn fleet_logging(daemons: usize, requests: &str) -> RegisteredFleet {
+fn start_fleet_logging(daemons: usize, requests: &str) -> RegisteredFleet {
     let mut fleet = RegisteredFleet::start(daemons);
     for index in 0..daemons {
         let host = format!("host-{}", (b'a' + index as u8) as char);
@@ -65,41 +65,41 @@
     fleet.backends.iter().for_each(|backend| backend.set_faults(faults.clone()));
 }
 
-fn no_route(fleet: &RegisteredFleet, id: &str) {
+fn inject_no_route(fleet: &RegisteredFleet, id: &str) {
     send_request(fleet, "GET", "/nowhere/x", id);
 }
 
-fn lost_answer(fleet: &RegisteredFleet, id: &str) {
+fn inject_lost_answer(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"break_at": "after-run"}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
-fn no_answer(fleet: &RegisteredFleet, id: &str) {
+fn inject_no_answer(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"stuck": true}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
-fn unproved_answer(fleet: &RegisteredFleet, id: &str) {
+fn inject_unproved_answer(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"unstamped": true}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
-fn cut_answer(fleet: &RegisteredFleet, id: &str) {
+fn inject_cut_answer(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"break_at": "in-answer-body"}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
-fn server_error(fleet: &RegisteredFleet, id: &str) {
+fn inject_server_error(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"status": 500}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
-fn shed_request(fleet: &RegisteredFleet, id: &str) {
+fn inject_shed_request(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"shed": true}));
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
-fn all_leave(fleet: &RegisteredFleet, id: &str) {
+fn inject_drain_of_all_servers(fleet: &RegisteredFleet, id: &str) {
     for index in 0..fleet.daemons.len() {
         assert_eq!(fleet.send_heartbeat(index, true).status, 200);
     }
@@ -111,41 +111,46 @@
     send_request(fleet, "POST", "/unsafe/x", id);
 }
 
-fn caller_leaves(fleet: &RegisteredFleet, id: &str) {
+fn inject_caller_disconnect(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"stuck": true}));
-    let before: u64 =
-        fleet.backends.iter().map(|backend| backend.runs()["received"].as_u64().unwrap_or(0)).sum();
+    let before: u64 = fleet
+        .backends
+        .iter()
+        .map(|backend| backend.run_counters()["received"].as_u64().unwrap_or(0))
+        .sum();
     let headers = [("Host", HOST), ("Request-Id", id)];
     let text = client::request_text("POST", "/unsafe/x", &headers, "x");
     let mut stream = client::connect(fleet.daemons[0].callers);
     stream.write_all(text.as_bytes()).expect("write");
     eventually("the request has started", || {
-        let received =
-            fleet.backends.iter().map(|backend| backend.runs()["received"].as_u64().unwrap_or(0));
+        let received = fleet
+            .backends
+            .iter()
+            .map(|backend| backend.run_counters()["received"].as_u64().unwrap_or(0));
         received.sum::<u64>() > before
     });
 }
 
-fn duplicate_host(fleet: &RegisteredFleet, id: &str) {
+fn inject_duplicate_host_header(fleet: &RegisteredFleet, id: &str) {
     let headers = [("Host", HOST), ("Host", "second.example"), ("Request-Id", id)];
     client::call(fleet.daemons[0].callers, "GET", "/safe/x", &headers, "");
 }
 
-#[test_case(no_route, "rejected (no-route) with status 404", &["request rejected"] ; "no route")]
-#[test_case(duplicate_host, "rejected (bad-request) with status 400", &["request rejected"] ; "two hosts")]
-#[test_case(lost_answer, "failed as unknown (backend-broken) with status 502",
+#[test_case(inject_no_route, "rejected (no-route) with status 404", &["request rejected"] ; "no route")]
+#[test_case(inject_duplicate_host_header, "rejected (bad-request) with status 400", &["request rejected"] ; "two hosts")]
+#[test_case(inject_lost_answer, "failed as unknown (backend-broken) with status 502",
     &["request received", "upstream chosen", "work broke", "attempt ended", "request failed"] ; "the answer is lost")]
-#[test_case(no_answer, "failed as unknown (timed-out) with status 504",
+#[test_case(inject_no_answer, "failed as unknown (timed-out) with status 504",
     &["request received", "upstream chosen", "attempt ended", "request failed"] ; "no answer comes")]
-#[test_case(unproved_answer, "failed as unknown (answer-broken) with status 502",
+#[test_case(inject_unproved_answer, "failed as unknown (answer-broken) with status 502",
     &["request received", "upstream chosen", "work broke", "attempt ended", "request failed"] ; "the answer is not proved")]
-#[test_case(cut_answer, "failed as unknown (answer-broken) with status 502",
+#[test_case(inject_cut_answer, "failed as unknown (answer-broken) with status 502",
     &["request received", "upstream chosen", "work broke", "request failed"] ; "the answer is cut")]
-#[test_case(shed_request, "failed as not-run (shed) with status 503",
+#[test_case(inject_shed_request, "failed as not-run (shed) with status 503",
     &["request received", "upstream chosen", "attempt ended", "request failed"] ; "the servers are full")]
-#[test_case(all_leave, "failed as not-run (no-upstream) with status 503",
+#[test_case(inject_drain_of_all_servers, "failed as not-run (no-upstream) with status 503",
     &["request received", "request failed"] ; "all servers leave")]
-#[test_case(caller_leaves, "left after",
+#[test_case(inject_caller_disconnect, "left after",
     &["request received", "upstream chosen", "attempt ended", "caller gone"] ; "the caller leaves")]
 fn verify_each_failure_is_found_by_its_id(
     inject: FaultInjector,
@@ -154,37 +159,40 @@
 ) {
     // The limit `1000000` logs every request from its start, and `0` logs only failures.
     for requests in ["1000000", "0"] {
-        let fleet = fleet_logging(2, requests);
+        let fleet = start_fleet_logging(2, requests);
         let id = format!("harmed-{requests}");
         inject(&fleet, &id);
         let history = wait_history(&fleet, &id, end);
-        let seen = event_names(&history);
+        let seen_events = event_names(&history);
         for event in expected_events {
-            assert!(seen.contains(event), "{event} is missing with {requests}: {seen:?}");
+            assert!(
+                seen_events.contains(event),
+                "{event} is missing with {requests}: {seen_events:?}"
+            );
         }
     }
 }
 
-#[test_case(lost_answer, "broken (backend-broken)" ; "the answer is lost")]
-#[test_case(no_answer, "hung without a call" ; "no answer comes")]
-#[test_case(unproved_answer, "broken (answer-broken)" ; "the answer is not proved")]
-#[test_case(server_error, "server error" ; "the server fails")]
-#[test_case(shed_request, "refused (shed)" ; "the servers are full")]
-#[test_case(all_leave, "refused (no-upstream)" ; "all servers leave")]
-#[test_case(caller_leaves, "caller gone" ; "the caller leaves")]
+#[test_case(inject_lost_answer, "broken (backend-broken)" ; "the answer is lost")]
+#[test_case(inject_no_answer, "hung without a call" ; "no answer comes")]
+#[test_case(inject_unproved_answer, "broken (answer-broken)" ; "the answer is not proved")]
+#[test_case(inject_server_error, "server error" ; "the server fails")]
+#[test_case(inject_shed_request, "refused (shed)" ; "the servers are full")]
+#[test_case(inject_drain_of_all_servers, "refused (no-upstream)" ; "all servers leave")]
+#[test_case(inject_caller_disconnect, "caller gone" ; "the caller leaves")]
 fn verify_losses_name_the_cause_of_each_failure(inject: FaultInjector, cause: &str) {
     // The limit `1000000` logs every request from its start, and `0` logs only failures.
     for requests in ["1000000", "0"] {
-        let fleet = fleet_logging(2, requests);
+        let fleet = start_fleet_logging(2, requests);
         inject(&fleet, &format!("lost-{requests}"));
         let paths = log_paths(&fleet);
-        let single_causes = |tally: &LossTally| {
+        let causes_counted_once = |tally: &LossTally| {
             let causes = tally.causes.iter().filter(|(_, tally)| tally.count == 1);
             causes.map(|(cause, _)| cause.to_string()).collect::<Vec<_>>()
         };
         eventually(&format!("{cause} is reported with {requests}"), || {
             let tally = losses::count(&paths).expect("logs");
-            single_causes(&tally).iter().any(|name| name.starts_with(cause))
+            causes_counted_once(&tally).iter().any(|name| name.starts_with(cause))
         });
         let tally = losses::count(&paths).expect("logs");
         let lost: u64 = tally.routes.values().flat_map(|route| route.lost.values()).sum();
@@ -246,7 +254,7 @@
 
 #[test]
 fn verify_a_retried_request_shows_both_attempts_and_the_reason() {
-    let fleet = fleet_logging(2, "1000000");
+    let fleet = start_fleet_logging(2, "1000000");
     fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     let mut number = 0;
     eventually("a request is retried", || {
@@ -264,8 +272,8 @@
 
 #[test]
 fn verify_the_log_rate_is_bounded_and_requests_are_logged_completely_or_not_at_all() {
-    const REQUESTS: u64 = 5;
-    const FAILURES: u64 = 7;
+    const LOGGED_REQUESTS_MAX: u64 = 5;
+    const LOGGED_FAILURES_MAX: u64 = 7;
     let mut fleet = RegisteredFleet::start(1);
     fleet.daemons[0].kill();
     let extra_flags = [("log-requests", "5"), ("log-failures", "7")];
@@ -292,11 +300,11 @@
     let good: Vec<_> = lines.iter().filter(|(id, _)| id.starts_with("good-")).collect();
     let bad = lines.keys().filter(|id| id.starts_with("bad-")).count() as u64;
     assert!(
-        (1..=REQUESTS * logged_seconds).contains(&(good.len() as u64)),
+        (1..=LOGGED_REQUESTS_MAX * logged_seconds).contains(&(good.len() as u64)),
         "{} logged completely",
         good.len()
     );
-    assert!((1..=FAILURES * logged_seconds).contains(&bad), "{bad} failures logged");
+    assert!((1..=LOGGED_FAILURES_MAX * logged_seconds).contains(&bad), "{bad} failures logged");
     let expected_events_of_good = [
         "request received",
         "upstream chosen",
@@ -335,7 +343,7 @@
             let reply = fleet.request(0, "GET", "/safe/x", &format!("unread-{number}"));
             assert_eq!(reply.status, 200, "{}", reply.text());
         }
-        fleet.daemons[0].metric("log_lines_dropped") > 0.0
+        fleet.daemons[0].metric_sum("log_lines_dropped") > 0.0
     });
     // Once the pipe is read, the log continues and reports the lines that were dropped.
     let mut output = fleet.daemons[0].output.take().expect("pipe");
@@ -376,7 +384,7 @@
 
 #[test]
 fn verify_metrics_hold_the_outcomes_of_a_route_and_the_current_state() {
-    let fleet = fleet_logging(2, "0");
+    let fleet = start_fleet_logging(2, "0");
     for number in 0..5 {
         send_request(&fleet, "GET", "/safe/x", &format!("metrics-{number}"));
     }
--- a/crates/daemon/tests/foreign.rs
+++ b/crates/daemon/tests/foreign.rs
@@ -17,7 +17,7 @@
 use test_case::test_case;
 
 /// Returns the record of a host in the store.
-fn record_of(fleet: &RegisteredFleet, host: &str) -> Option<Value> {
+fn read_host_record(fleet: &RegisteredFleet, host: &str) -> Option<Value> {
     let path = format!("{}?table={HOSTS_TABLE}&part=", rows::READ_PATH);
     let page: Value = client::call(fleet.platform.address, "GET", &path, &[], "").json();
     let row = page["rows"].as_array()?.iter().find(|row| row["key"] == host)?;
@@ -25,22 +25,22 @@
 }
 
 /// Returns a record with one server, at whose address nothing listens.
-fn foreign_record(server: &Value) -> Value {
+fn build_foreign_record(server: &Value) -> Value {
     json!({"incarnation": i64::MAX, "failure_domain": "bkk-a", "peer_address": "127.0.0.1:1",
         "admin_address": "127.0.0.1:1", "leaving": false, "servers": [server]})
 }
 
-fn foreign_server() -> Value {
+fn build_foreign_server() -> Value {
     json!({"name": "i-foreign", "service": SERVICE, "address": "127.0.0.1:1", "slots": 4,
         "draining": false})
 }
 
-fn without(field: &str, mut value: Value) -> Value {
+fn without_field(field: &str, mut value: Value) -> Value {
     value.as_object_mut().expect("an object").remove(field);
     value
 }
 
-fn with(field: &str, field_value: Value, mut value: Value) -> Value {
+fn with_field(field: &str, field_value: Value, mut value: Value) -> Value {
     value[field] = field_value;
     value
 }
@@ -48,11 +48,11 @@
 #[test_case("PUT", "not JSON".to_owned() ; "bytes that can't be read")]
 #[test_case("PATCH", "%%%".to_owned() ; "a value that can't be decoded")]
 #[test_case("PUT", json!([1, 2]).to_string() ; "another type")]
-#[test_case("PUT", without("incarnation", foreign_record(&foreign_server())).to_string() ; "no incarnation")]
-#[test_case("PUT", with("leaving", json!("no"), foreign_record(&foreign_server())).to_string() ; "a flag of another type")]
-#[test_case("PUT", foreign_record(&without("slots", foreign_server())).to_string() ; "a server without slots")]
-#[test_case("PUT", foreign_record(&with("address", json!(7), foreign_server())).to_string() ; "a server whose address has another type")]
-#[test_case("PUT", foreign_record(&with("service", json!("nowhere"), foreign_server())).to_string() ; "an unknown service")]
+#[test_case("PUT", without_field("incarnation", build_foreign_record(&build_foreign_server())).to_string() ; "no incarnation")]
+#[test_case("PUT", with_field("leaving", json!("no"), build_foreign_record(&build_foreign_server())).to_string() ; "a flag of another type")]
+#[test_case("PUT", build_foreign_record(&without_field("slots", build_foreign_server())).to_string() ; "a server without slots")]
+#[test_case("PUT", build_foreign_record(&with_field("address", json!(7), build_foreign_server())).to_string() ; "a server whose address has another type")]
+#[test_case("PUT", build_foreign_record(&with_field("service", json!("nowhere"), build_foreign_server())).to_string() ; "an unknown service")]
 fn verify_a_row_of_another_writer_names_no_upstream(method: &str, value: String) {
     let fleet = RegisteredFleet::start(2);
     fleet.platform.change_row(method, HOSTS_TABLE, "zz-foreign", &value);
@@ -70,7 +70,7 @@
 fn verify_a_copied_record_under_another_name_does_not_replace_its_host() {
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
-    let mut copy = record_of(&fleet, "host-b").expect("a record");
+    let mut copy = read_host_record(&fleet, "host-b").expect("a record");
     copy["incarnation"] = json!(i64::MAX);
     fleet.platform.change_row("PUT", HOSTS_TABLE, "aa-copy", &copy.to_string());
     eventually("the copied record is ignored", || {
@@ -85,10 +85,10 @@
 fn verify_a_host_whose_row_was_overwritten_stays_and_rewrites_its_row(method: &str, value: &str) {
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
-    eventually("the row is in the store", || record_of(&fleet, "host-b").is_some());
+    eventually("the row is in the store", || read_host_record(&fleet, "host-b").is_some());
     fleet.platform.change_row(method, HOSTS_TABLE, "host-b", value);
     eventually("the row is written again", || {
-        let record = record_of(&fleet, "host-b");
+        let record = read_host_record(&fleet, "host-b");
         record.is_some_and(|record| record["servers"][0]["name"] == "i-2")
     });
     fleet.wait_served(0, &[0, 1]);
@@ -117,8 +117,9 @@
     let fleet = RegisteredFleet::start(2);
     assert_eq!(fleet.send_heartbeat_as(0, "i-1#a", SERVICE, false).status, 200);
     assert_eq!(fleet.send_heartbeat_as(0, "i-1#a", "other-app", true).status, 400);
-    let elsewhere = fleet.heartbeat_from(common::closed_address(), "i-1#a", SERVICE, false);
-    assert_eq!(fleet.call_daemon(0, &elsewhere).status, 400);
+    let heartbeat_from_elsewhere =
+        fleet.heartbeat_from(common::closed_address(), "i-1#a", SERVICE, false);
+    assert_eq!(fleet.call_daemon(0, &heartbeat_from_elsewhere).status, 400);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
 }
 
@@ -131,7 +132,7 @@
         "[ -~]{0,12}".prop_map(Value::from),
     ];
     let field = prop_oneof!["name", "service", "address", "slots", "draining", "[a-z]{1,5}"];
-    (field, value).prop_map(|(field, value)| with(&field, value, foreign_server()))
+    (field, value).prop_map(|(field, value)| with_field(&field, value, build_foreign_server()))
 }
 
 proptest! {
@@ -141,23 +142,23 @@
     })]
 
     #[test]
-    fn verify_a_good_server_is_kept_beside_any_entry(entry in any_server(), entry_first in any::<bool>()) {
-        let good = with("name", json!("i-good"), foreign_server());
-        let mut record = foreign_record(&good);
+    fn verify_a_good_server_is_kept_beside_any_entry(entry in any_server(), is_entry_first in any::<bool>()) {
+        let good_server = with_field("name", json!("i-good"), build_foreign_server());
+        let mut record = build_foreign_record(&good_server);
         let servers = record["servers"].as_array_mut().expect("servers");
-        servers.insert(usize::from(!entry_first), entry);
+        servers.insert(usize::from(!is_entry_first), entry);
         let record = roster::read_record("host", record.to_string().as_bytes()).expect("a record");
         prop_assert!(record.is_in_use("i-good"));
     }
 
     #[test]
     fn verify_corrupted_records_cause_no_panic(
-        position in 0..200_usize, byte in any::<u8>(), noise in proptest::collection::vec(any::<u8>(), 0..99),
+        position in 0..200_usize, byte in any::<u8>(), random_bytes in proptest::collection::vec(any::<u8>(), 0..99),
     ) {
-        let mut record = foreign_record(&foreign_server()).to_string().into_bytes();
+        let mut record = build_foreign_record(&build_foreign_server()).to_string().into_bytes();
         let position = position % record.len();
         record[position] = byte;
         let _ = roster::read_record("host", &record);
-        let _ = roster::read_record("host", &noise);
+        let _ = roster::read_record("host", &random_bytes);
     }
 }
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -17,38 +17,40 @@
 /// Load from several callers until [`Load::end`].
 struct Load {
     stop: Arc<AtomicBool>,
-    good: Arc<AtomicU64>,
-    bad: Arc<AtomicU64>,
+    good_count: Arc<AtomicU64>,
+    bad_count: Arc<AtomicU64>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
 impl Load {
     fn start(fleet: &TestFleet, callers: usize, path: &'static str) -> Self {
-        let (stop, good, bad) = (Arc::<AtomicBool>::default(), Arc::default(), Arc::default());
+        let (stop, good_count, bad_count) =
+            (Arc::<AtomicBool>::default(), Arc::default(), Arc::default());
         let threads = (0..callers)
             .map(|number| {
                 let address = fleet.daemons[number % fleet.daemons.len()].callers;
-                let (stop, good, bad) = (stop.clone(), Arc::clone(&good), Arc::clone(&bad));
+                let (stop, good_count, bad_count) =
+                    (stop.clone(), Arc::clone(&good_count), Arc::clone(&bad_count));
                 thread::spawn(move || {
                     while !stop.load(Ordering::SeqCst) {
                         let headers = [("Host", "solver.example")];
                         let reply = client::try_call(address, "GET", path, &headers, "");
                         let is_good = reply.is_some_and(|reply| reply.status == 200);
-                        let count: &AtomicU64 = if is_good { &good } else { &bad };
+                        let count: &AtomicU64 = if is_good { &good_count } else { &bad_count };
                         count.fetch_add(1, Ordering::SeqCst);
                     }
                 })
             })
             .collect();
-        Self { stop, good, bad, threads }
+        Self { stop, good_count, bad_count, threads }
     }
 
-    fn good(&self) -> u64 {
-        self.good.load(Ordering::SeqCst)
+    fn good_count(&self) -> u64 {
+        self.good_count.load(Ordering::SeqCst)
     }
 
-    fn bad(&self) -> u64 {
-        self.bad.load(Ordering::SeqCst)
+    fn bad_count(&self) -> u64 {
+        self.bad_count.load(Ordering::SeqCst)
     }
 
     /// Stops the load and returns the numbers of good and bad replies.
@@ -57,13 +59,13 @@
         for thread in self.threads {
             thread.join().expect("join");
         }
-        (self.good.load(Ordering::SeqCst), self.bad.load(Ordering::SeqCst))
+        (self.good_count.load(Ordering::SeqCst), self.bad_count.load(Ordering::SeqCst))
     }
 }
 
 /// Starts nine servers of a service that prefers precision, that is, missed ejections rather than
 /// false ejections.
-fn precision_fleet() -> TestFleet {
+fn start_precision_fleet() -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons: 3,
         backends: 9,
@@ -74,7 +76,7 @@
 }
 
 /// Returns the health of an upstream as the daemon beside it reports it.
-fn local_health(fleet: &TestFleet, upstream: &str) -> Value {
+fn health_at_own_daemon(fleet: &TestFleet, upstream: &str) -> Value {
     for daemon in &fleet.daemons {
         let health = daemon.get("/v1/health?service=solver-app");
         for each in health["services"][0]["upstreams"].as_array().expect("upstreams") {
@@ -87,7 +89,7 @@
 }
 
 fn is_ejected(fleet: &TestFleet, upstream: &str) -> bool {
-    local_health(fleet, upstream)["ejected"] == json!(true)
+    health_at_own_daemon(fleet, upstream)["ejected"] == json!(true)
 }
 
 #[test_case(json!({"error_rate": 0.6}), "failing" ; "errors")]
@@ -96,13 +98,13 @@
 #[test_case(json!({"stuck": true}), "" ; "stuck")]
 #[test_case(json!({"break_at": "in-answer-body"}), "failing" ; "truncated")]
 fn verify_a_gray_server_is_ejected_and_returns_when_healthy(fault: Value, evidence: &str) {
-    let fleet = precision_fleet();
+    let fleet = start_precision_fleet();
     let load = Load::start(&fleet, 12, "/puzzle");
-    eventually("the fleet is warmed up", || load.good() > 600);
-    let bad_before = load.bad();
+    eventually("the fleet is warmed up", || load.good_count() > 600);
+    let bad_count_before = load.bad_count();
     fleet.backends[4].set_faults(fault);
     eventually("the server is ejected", || is_ejected(&fleet, "server-5"));
-    let report = local_health(&fleet, "server-5");
+    let report = health_at_own_daemon(&fleet, "server-5");
     assert!(report["evidence"].as_str().expect("evidence").contains(evidence), "{report}");
     for daemon in &fleet.daemons {
         let log = daemon.log_text();
@@ -113,11 +115,11 @@
         assert_eq!(ejections, expected.count(), "no healthy server is ejected:\n{log}");
     }
     let ejection_count: f64 =
-        fleet.daemons.iter().map(|d| d.metric("detection_seconds_count")).sum();
+        fleet.daemons.iter().map(|d| d.metric_sum("detection_seconds_count")).sum();
     assert!(ejection_count >= 1.0, "the ejection is counted in the histogram");
-    let good_before = load.good();
-    eventually("callers are still served", || load.good() > good_before + 300);
-    assert_eq!(load.bad(), bad_before, "no caller sees a repeatable request fail");
+    let good_count_before = load.good_count();
+    eventually("callers are still served", || load.good_count() > good_count_before + 300);
+    assert_eq!(load.bad_count(), bad_count_before, "no caller sees a repeatable request fail");
     fleet.backends[4].set_faults(json!({}));
     eventually("the server is no longer ejected", || !is_ejected(&fleet, "server-5"));
     let before = fleet.backends[4].total_runs();
@@ -130,7 +132,7 @@
 
 #[test]
 fn verify_false_health_and_load_reports_change_nothing() {
-    let fleet = precision_fleet();
+    let fleet = start_precision_fleet();
     // One server fails requests but answers health checks with 200 and reports no load.
     let faulty = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
     // Another server serves requests but answers health checks with 503 and reports full load.
@@ -138,7 +140,7 @@
     let probe = client::call(fleet.backends[0].address, "GET", "/health", &[], "");
     assert_eq!(probe.status, 503);
     let load = Load::start(&fleet, 12, "/puzzle");
-    eventually("the fleet is warmed up", || load.good() > 600);
+    eventually("the fleet is warmed up", || load.good_count() > 600);
     fleet.backends[4].set_faults(faulty);
     eventually("the faulty server is ejected", || is_ejected(&fleet, "server-5"));
     let before = fleet.backends[0].total_runs();
@@ -147,9 +149,9 @@
     });
     assert!(!is_ejected(&fleet, "server-1"));
     load.end();
-    let probes = |backend: &common::TestBackend| backend.runs()["probes"].as_u64();
-    assert_eq!(probes(&fleet.backends[0]), Some(1), "only the health check of this test");
-    assert!(fleet.backends[1..].iter().all(|backend| probes(backend) == Some(0)));
+    let probe_count = |backend: &common::TestBackend| backend.run_counters()["probes"].as_u64();
+    assert_eq!(probe_count(&fleet.backends[0]), Some(1), "only the health check of this test");
+    assert!(fleet.backends[1..].iter().all(|backend| probe_count(backend) == Some(0)));
     fleet.check_invariants();
 }
 
@@ -164,16 +166,16 @@
     };
     let fleet = TestFleet::start(&plan);
     let load = Load::start(&fleet, 9, "/puzzle");
-    eventually("the fleet is warmed up", || load.good() > 400);
+    eventually("the fleet is warmed up", || load.good_count() > 400);
     for backend in &fleet.backends[..4] {
         backend.set_faults(json!({"error_rate": 0.9}));
     }
-    let ejected = || (1..=4).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
+    let ejected_count = || (1..=4).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
     eventually("several servers are ejected, or none is an outlier", || {
-        ejected() >= 2 || load.good() > 6000
+        ejected_count() >= 2 || load.good_count() > 6000
     });
-    let sent_before = load.good() + load.bad();
-    eventually("load continues", || load.good() + load.bad() > sent_before + 500);
+    let sent_before = load.good_count() + load.bad_count();
+    eventually("load continues", || load.good_count() + load.bad_count() > sent_before + 500);
     for daemon in &fleet.daemons {
         let health = daemon.get("/v1/health?service=solver-app");
         let service = &health["services"][0];
@@ -187,16 +189,16 @@
 
 #[test]
 fn verify_a_fault_shared_by_all_servers_ejects_none() {
-    let fleet = precision_fleet();
+    let fleet = start_precision_fleet();
     let load = Load::start(&fleet, 12, "/puzzle");
-    eventually("the fleet is warmed up", || load.good() > 600);
+    eventually("the fleet is warmed up", || load.good_count() > 600);
     for backend in &fleet.backends {
         backend.set_faults(json!({"slow_rate": 1.0, "slow_factor": 3.0}));
     }
-    let good_when_slow = load.good();
-    eventually("the fleet is still serving", || load.good() > good_when_slow + 1500);
-    let ejected = (1..=9).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
-    assert!(ejected <= 1, "{ejected} servers were ejected for a fault of all servers");
+    let good_when_slow = load.good_count();
+    eventually("the fleet is still serving", || load.good_count() > good_when_slow + 1500);
+    let ejected_count = (1..=9).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
+    assert!(ejected_count <= 1, "{ejected_count} servers were ejected for a fault of all servers");
     load.end();
     fleet.check_invariants();
 }
@@ -212,17 +214,18 @@
         backend.set_faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
     }
     let load = Load::start(&fleet, 9, "/puzzle");
-    let poison = Load::start(&fleet, callers, "/poison");
+    let poison_load = Load::start(&fleet, callers, "/poison");
     eventually("enough requests of both kinds were sent", || {
-        load.good() > 3000 && poison.bad() > 100
+        load.good_count() > 3000 && poison_load.bad_count() > 100
     });
-    let ejected = (1..=9).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
-    assert_eq!(ejected, 0);
-    let exempted: f64 = fleet.daemons.iter().map(|daemon| daemon.metric("poison_spared")).sum();
-    assert!(exempted > 50.0, "{exempted} attempts were known to be poison requests");
-    poison.end();
-    let (_, bad) = load.end();
-    assert_eq!(bad, 0);
+    let ejected_count = (1..=9).filter(|n| is_ejected(&fleet, &format!("server-{n}"))).count();
+    assert_eq!(ejected_count, 0);
+    let exempted_count: f64 =
+        fleet.daemons.iter().map(|daemon| daemon.metric_sum("poison_spared")).sum();
+    assert!(exempted_count > 50.0, "{exempted_count} attempts were known to be poison requests");
+    poison_load.end();
+    let (_, bad_count) = load.end();
+    assert_eq!(bad_count, 0);
     fleet.check_invariants();
 }
 
@@ -237,18 +240,18 @@
     for backend in &fleet.backends {
         backend.set_faults(json!({"error_rate": 1.0, "error_prefix": "/poison"}));
     }
-    let exempted = || fleet.daemons[0].metric("poison_spared");
+    let exempted_count = || fleet.daemons[0].metric_sum("poison_spared");
     let send_request = || fleet.request(0, "GET", "/poison", &[], "");
     eventually("the request is known as a poison request", || {
-        let before = exempted();
+        let before = exempted_count();
         send_request();
-        exempted() > before
+        exempted_count() > before
     });
     let mut changed_configuration = fleet.configuration(&plan);
     changed_configuration["services"]["solver-app"]["floor"] = json!(0.4);
     assert_eq!(fleet.apply(&changed_configuration).status, 200);
     fleet.wait_revision(2);
-    let before = exempted();
+    let before = exempted_count();
     send_request();
-    assert!(exempted() > before, "the request is still known as a poison request");
+    assert!(exempted_count() > before, "the request is still known as a poison request");
 }
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -24,10 +24,10 @@
 
 impl RestartFleet {
     fn start() -> Self {
-        let restarts = Self { fleet: RegisteredFleet::start(2) };
-        restarts.send_heartbeat(OLD_INCARNATION, false);
-        restarts.fleet.wait_served(1, &[0, 1]);
-        restarts
+        let restart_fleet = Self { fleet: RegisteredFleet::start(2) };
+        restart_fleet.send_heartbeat(OLD_INCARNATION, false);
+        restart_fleet.fleet.wait_served(1, &[0, 1]);
+        restart_fleet
     }
 
     fn heartbeat(&self, name: &str, draining: bool) -> StoreCall {
@@ -48,76 +48,82 @@
         self.send_heartbeat(NEW_INCARNATION, false);
     }
 
-    fn registrations(&self, name: &str) -> usize {
+    fn registration_count(&self, name: &str) -> usize {
         let text = self.fleet.daemons[0].log_text();
-        let quoted = format!("\"{name}\"");
+        let quoted_name = format!("\"{name}\"");
         let is_event = |line: &&str| line.contains("backend server registered");
-        text.lines().filter(is_event).filter(|line| line.contains(&quoted)).count()
+        text.lines().filter(is_event).filter(|line| line.contains(&quoted_name)).count()
     }
 }
 
 #[test_case(|_| {} ; "crashed without a message")]
 #[test_case(|each| each.send_heartbeat(OLD_INCARNATION, true) ; "sent a drain notice")]
-#[test_case(|each| each.send(&registered::deregistration(OLD_INCARNATION)) ; "deregistered")]
-#[test_case(|each| each.send(&registered::deregistration("i-1")) ; "deregistered without its incarnation")]
+#[test_case(|each| each.send(&registered::build_deregistration(OLD_INCARNATION)) ; "deregistered")]
+#[test_case(|each| each.send(&registered::build_deregistration("i-1")) ; "deregistered without its incarnation")]
 fn verify_a_server_restarted_under_its_name_receives_requests(
     end_old_incarnation: fn(&RestartFleet),
 ) {
-    let restarts = RestartFleet::start();
-    end_old_incarnation(&restarts);
-    restarts.restart();
-    eventually("the new incarnation is known", || restarts.registrations(NEW_INCARNATION) == 1);
-    restarts.fleet.wait_served(0, &[0, 1]);
-    restarts.fleet.wait_served(1, &[0, 1]);
+    let restart_fleet = RestartFleet::start();
+    end_old_incarnation(&restart_fleet);
+    restart_fleet.restart();
+    eventually("the new incarnation is known", || {
+        restart_fleet.registration_count(NEW_INCARNATION) == 1
+    });
+    restart_fleet.fleet.wait_served(0, &[0, 1]);
+    restart_fleet.fleet.wait_served(1, &[0, 1]);
 }
 
 #[test_case(|each| each.heartbeat(OLD_INCARNATION, false) ; "a heartbeat")]
 #[test_case(|each| each.heartbeat(OLD_INCARNATION, true) ; "a drain notice")]
-#[test_case(|_| registered::deregistration(OLD_INCARNATION) ; "a deregistration")]
+#[test_case(|_| registered::build_deregistration(OLD_INCARNATION) ; "a deregistration")]
 fn verify_late_messages_of_the_previous_incarnation_are_ignored(
     late_call: fn(&RestartFleet) -> StoreCall,
 ) {
-    let restarts = RestartFleet::start();
-    let late_call = late_call(&restarts);
-    restarts.restart();
-    restarts.send(&late_call);
-    let registrations =
-        || (restarts.registrations(OLD_INCARNATION), restarts.registrations(NEW_INCARNATION));
+    let restart_fleet = RestartFleet::start();
+    let late_call = late_call(&restart_fleet);
+    restart_fleet.restart();
+    restart_fleet.send(&late_call);
+    let registration_count = || {
+        (
+            restart_fleet.registration_count(OLD_INCARNATION),
+            restart_fleet.registration_count(NEW_INCARNATION),
+        )
+    };
     // A separate thread writes the log, so its last lines may be delayed.
-    eventually("each incarnation is registered once", || registrations() == (1, 1));
-    restarts.fleet.wait_served(0, &[0]);
-    restarts.fleet.wait_served(1, &[0]);
-    assert_eq!(registrations(), (1, 1), "the late message registered nothing");
+    eventually("each incarnation is registered once", || registration_count() == (1, 1));
+    restart_fleet.fleet.wait_served(0, &[0]);
+    restart_fleet.fleet.wait_served(1, &[0]);
+    assert_eq!(registration_count(), (1, 1), "the late message registered nothing");
 }
 
 #[test]
 fn verify_a_restarted_daemon_uses_the_later_incarnation_in_any_order() {
-    let mut restarts = RestartFleet::start();
-    let late_call = restarts.heartbeat(OLD_INCARNATION, true);
-    restarts.fleet.daemons[0].kill();
-    restarts.fleet.daemons[0] = restarts.fleet.start_daemon("host-a", "bkk-a", &[]);
-    restarts.send(&late_call);
-    restarts.restart();
-    restarts.send(&late_call);
-    restarts.fleet.wait_served(0, &[0, 1]);
-    restarts.fleet.wait_served(1, &[0, 1]);
+    let mut restart_fleet = RestartFleet::start();
+    let late_call = restart_fleet.heartbeat(OLD_INCARNATION, true);
+    restart_fleet.fleet.daemons[0].kill();
+    restart_fleet.fleet.daemons[0] = restart_fleet.fleet.start_daemon("host-a", "bkk-a", &[]);
+    restart_fleet.send(&late_call);
+    restart_fleet.restart();
+    restart_fleet.send(&late_call);
+    restart_fleet.fleet.wait_served(0, &[0, 1]);
+    restart_fleet.fleet.wait_served(1, &[0, 1]);
 }
 
 #[test]
 fn verify_an_incarnation_started_in_a_store_outage_is_known_after_it() {
-    let restarts = RestartFleet::start();
-    restarts.fleet.platform.set_faults(json!({"busy": true}));
-    restarts.send_heartbeat(OLD_INCARNATION, true);
-    restarts.restart();
-    restarts.fleet.wait_served(0, &[0]);
-    restarts.fleet.platform.set_faults(json!({}));
-    restarts.fleet.wait_served(1, &[0, 1]);
+    let restart_fleet = RestartFleet::start();
+    restart_fleet.fleet.platform.set_faults(json!({"busy": true}));
+    restart_fleet.send_heartbeat(OLD_INCARNATION, true);
+    restart_fleet.restart();
+    restart_fleet.fleet.wait_served(0, &[0]);
+    restart_fleet.fleet.platform.set_faults(json!({}));
+    restart_fleet.fleet.wait_served(1, &[0, 1]);
 }
 
 #[test]
 fn verify_failures_of_an_incarnation_do_not_count_against_the_next() {
-    let restarts = RestartFleet::start();
-    let fleet = &restarts.fleet;
+    let restart_fleet = RestartFleet::start();
+    let fleet = &restart_fleet.fleet;
     fleet.backends[0].set_faults(json!({"stuck": true}));
     eventually("the circuit breaker of the server is open, or it is ejected", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
@@ -125,22 +131,22 @@
         text.contains("upstream doubted") || text.contains("upstream ejected")
     });
     fleet.backends[0].set_faults(json!({}));
-    restarts.restart();
+    restart_fleet.restart();
     // Non-repeatable requests reach the new incarnation at once. A server whose circuit breaker is
     // open would receive them only if no other server is available.
-    let reaches = |number: usize| {
+    let reaches_new_incarnation = |number: usize| {
         let id = format!("anew-{number}");
         let reply = fleet.request(0, "POST", "/unsafe/x", &id);
         assert_eq!(reply.status, 200, "{}", reply.text());
         fleet.backends[0].run_count(&id) == 1
     };
-    assert!((0..20).any(reaches));
+    assert!((0..20).any(reaches_new_incarnation));
 }
 
 #[test]
 fn verify_a_heartbeat_without_incarnation_is_refused_for_a_server_that_sent_one() {
-    let restarts = RestartFleet::start();
-    let reply = restarts.fleet.call_daemon(0, &restarts.heartbeat("i-1", true));
+    let restart_fleet = RestartFleet::start();
+    let reply = restart_fleet.fleet.call_daemon(0, &restart_fleet.heartbeat("i-1", true));
     assert_eq!(reply.status, 400, "{}", reply.text());
-    restarts.fleet.wait_served(1, &[0]);
+    restart_fleet.fleet.wait_served(1, &[0]);
 }
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 
 /// Starts a fleet and sends requests through all ingresses, so that they know its servers.
-fn warmed_up_fleet() -> RegisteredFleet {
+fn start_warmed_up_fleet() -> RegisteredFleet {
     let fleet = RegisteredFleet::start(3);
     (0..3).for_each(|daemon| fleet.wait_served(daemon, &[0, 1, 2]));
     for number in 0..60 {
@@ -26,7 +26,7 @@
 
 #[test]
 fn verify_a_request_at_a_hanging_server_is_answered_by_another() {
-    let fleet = warmed_up_fleet();
+    let fleet = start_warmed_up_fleet();
     fleet.backends[0].set_faults(json!({"stuck": true}));
     for number in 0..30 {
         // A request that only the hanging server receives ends with 504 at the route's time-out.
@@ -37,7 +37,7 @@
 
 #[test]
 fn verify_non_repeatable_requests_avoid_a_hanging_server() {
-    let fleet = warmed_up_fleet();
+    let fleet = start_warmed_up_fleet();
     fleet.backends[0].set_faults(json!({"stuck": true}));
     eventually("the circuit breaker of the server is open, or it is ejected", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
@@ -56,9 +56,9 @@
     let fleet = RegisteredFleet::start(2);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
     let mut new_document = document(2);
-    let mut slow = route("r-slow", "/slow/", WorkMode::Repeatable);
-    slow.rule.objective_ms = 100;
-    new_document.routes.push(slow);
+    let mut slow_route = route("r-slow", "/slow/", WorkMode::Repeatable);
+    slow_route.rule.objective_ms = 100;
+    new_document.routes.push(slow_route);
     fleet.write(&new_document);
     eventually("the route is in force", || {
         fleet.request(0, "GET", "/slow/x", "in-force").status != 404
@@ -76,8 +76,8 @@
 }
 
 /// Returns the timeout in ms that the server received with its last request.
-fn last_timeout_ms(backend: &TestBackend) -> u64 {
-    let head = backend.runs()["last_head"].as_str().expect("head").to_owned();
+fn read_last_timeout_ms(backend: &TestBackend) -> u64 {
+    let head = backend.run_counters()["last_head"].as_str().expect("head").to_owned();
     let timeout_ms =
         head.split("\"deadline-ms\": \"").nth(1).and_then(|rest| rest.split('"').next());
     timeout_ms.expect("a deadline").parse().expect("a number")
@@ -92,7 +92,7 @@
     }
     let server = &fleet.backends[0];
     assert!(
-        last_timeout_ms(server) > 2000,
+        read_last_timeout_ms(server) > 2000,
         "not the whole time-out of the route while slots are free"
     );
     server.set_faults(json!({"stuck": true}));
@@ -111,16 +111,18 @@
 /// slots.
 fn fill_slots(fleet: &RegisteredFleet, round: usize) -> u64 {
     let server = &fleet.backends[0];
-    let received = || server.runs()["received"].as_u64().expect("a count");
-    let before = received();
+    let received_count = || server.run_counters()["received"].as_u64().expect("a count");
+    let before = received_count();
     thread::scope(|scope| {
         for number in 1..=4 {
             let callers = fleet.daemons[0].callers;
             let path = format!("/unsafe/{round}-{number}");
             let headers = [("Host", HOST)];
             scope.spawn(move || client::call(callers, "POST", &path, &headers, "x"));
-            eventually("the server has received the request", || received() == before + number);
+            eventually("the server has received the request", || {
+                received_count() == before + number
+            });
         }
-        last_timeout_ms(server)
+        read_last_timeout_ms(server)
     })
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn start_limited(daemons: usize, rate: f64, burst: f64) -> TestFleet {
+fn start_limited_fleet(daemons: usize, rate: f64, burst: f64) -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons,
         backends: daemons,
@@ -28,10 +28,10 @@
 
 #[test]
 fn verify_requests_over_the_limit_are_refused_with_retry_after() {
-    let fleet = start_limited(2, 0.5, 4.0);
+    let fleet = start_limited_fleet(2, 0.5, 4.0);
     let replies: Vec<_> = (0..20).map(|number| send_request(&fleet, number % 2)).collect();
-    let good = replies.iter().filter(|reply| reply.status == 200).count();
-    assert!((1..=6).contains(&good), "{good} of 20 with a burst of 4");
+    let served_count = replies.iter().filter(|reply| reply.status == 200).count();
+    assert!((1..=6).contains(&served_count), "{served_count} of 20 with a burst of 4");
     for reply in replies.iter().filter(|reply| reply.status != 200) {
         assert_eq!((reply.status, reply.reason().as_deref()), (429, Some("limited")));
         assert_eq!(reply.outcome().as_deref(), Some("not-run"));
@@ -43,63 +43,73 @@
 
 #[test]
 fn verify_the_rate_holds_over_many_ingresses() {
-    let fleet = start_limited(4, 40.0, 10.0);
+    let fleet = start_limited_fleet(4, 40.0, 10.0);
     let start = Instant::now();
-    let mut good = 0;
+    let mut served_count = 0;
     // The number of requests is fixed. On a slow machine they take more time, in which the limit
     // allows more of them.
     for number in 0..2000 {
-        good += u32::from(send_request(&fleet, number % 4).status == 200);
+        served_count += u32::from(send_request(&fleet, number % 4).status == 200);
     }
-    let allowed = 10.0 + 40.0 * start.elapsed().as_secs_f64();
-    assert!(f64::from(good) <= allowed * 1.1, "{good} requests served, at most {allowed} allowed");
-    assert!(good > 0);
+    let served_max = 10.0 + 40.0 * start.elapsed().as_secs_f64();
+    assert!(
+        f64::from(served_count) <= served_max * 1.1,
+        "{served_count} requests served, at most {served_max} allowed"
+    );
+    assert!(served_count > 0);
 }
 
 #[test]
 fn verify_the_rate_holds_after_the_owner_of_the_limit_is_killed() {
-    let mut fleet = start_limited(3, 20.0, 10.0);
+    let mut fleet = start_limited_fleet(3, 20.0, 10.0);
     // Any daemon may own the limit: with two of three killed, the last one must still enforce it.
     fleet.daemons[1].kill();
     fleet.daemons[2].kill();
     eventually("the limit is still served", || send_request(&fleet, 0).status == 200);
     let start = Instant::now();
-    let mut good = 0;
+    let mut served_count = 0;
     for _ in 0..1500 {
-        good += u32::from(send_request(&fleet, 0).status == 200);
+        served_count += u32::from(send_request(&fleet, 0).status == 200);
     }
-    let allowed = 10.0 + 20.0 * start.elapsed().as_secs_f64();
-    assert!(f64::from(good) <= allowed * 1.1, "{good} requests served, at most {allowed} allowed");
+    let served_max = 10.0 + 20.0 * start.elapsed().as_secs_f64();
+    assert!(
+        f64::from(served_count) <= served_max * 1.1,
+        "{served_count} requests served, at most {served_max} allowed"
+    );
 }
 
 #[test_case(1 ; "once")]
 #[test_case(2 ; "twice")]
 fn verify_a_kill_of_all_daemons_grants_no_second_burst(kills: usize) {
     let (rate, burst) = (0.5, 40.0);
-    let mut fleet = start_limited(3, rate, burst);
+    let mut fleet = start_limited_fleet(3, rate, burst);
     let start = Instant::now();
     let count_served = |fleet: &TestFleet| {
         (0..60).filter(|number| send_request(fleet, number % 3).status == 200).count()
     };
-    let mut good = count_served(&fleet);
+    let mut served_count = count_served(&fleet);
     assert!(
-        good as f64 >= burst / 2.0,
-        "a fleet that starts for the first time served only {good} requests of its burst"
+        served_count as f64 >= burst / 2.0,
+        "a fleet that starts for the first time served only {served_count} requests of its burst"
     );
     for _ in 0..kills {
         fleet.restart_all(&[]);
-        good += count_served(&fleet);
+        served_count += count_served(&fleet);
     }
-    let allowed = burst + rate * start.elapsed().as_secs_f64();
-    assert!(good as f64 <= allowed * 1.1, "{good} requests served, at most {allowed} allowed");
+    let served_max = burst + rate * start.elapsed().as_secs_f64();
+    assert!(
+        served_count as f64 <= served_max * 1.1,
+        "{served_count} requests served, at most {served_max} allowed"
+    );
 }
 
 #[test]
 fn verify_a_restarted_fleet_serves_callers_below_the_rate() {
     // The rate is so high that callers stay far below it on any machine.
-    let mut fleet = start_limited(3, 20_000.0, 40.0);
+    let mut fleet = start_limited_fleet(3, 20_000.0, 40.0);
     assert_eq!(send_request(&fleet, 0).status, 200);
     fleet.restart_all(&[]);
-    let refused = (0..20).filter(|number| send_request(&fleet, number % 3).status == 429).count();
-    assert_eq!(refused, 0, "refusals of 20 requests, which the rate allows in 1 ms");
+    let refused_count =
+        (0..20).filter(|number| send_request(&fleet, number % 3).status == 429).count();
+    assert_eq!(refused_count, 0, "refusals of 20 requests, which the rate allows in 1 ms");
 }
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -14,7 +14,7 @@
 use basaltarch_platform::headers;
 use common::forwarder::Forwarder;
 use common::registered::{RegisteredFleet, SERVICE};
-use common::{eventually, loopback, TestBackend};
+use common::{eventually, loopback_address, TestBackend};
 
 const HOSTS: [&str; 3] = ["host-a", "host-b", "host-c"];
 
@@ -31,7 +31,7 @@
         fleet.daemons.push(daemon);
         let name = format!("i-{index}");
         let fields = headers::exchange_fields();
-        fleet.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
+        fleet.backends.push(TestBackend::start_at(loopback_address(), &name, 1, fields));
         assert_eq!(fleet.send_heartbeat_as(index, &name, SERVICE, false).status, 200);
         forwarders.push(forwarder);
     }
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -19,13 +19,13 @@
 #[test]
 fn verify_a_duplicate_request_gets_the_recorded_answer() {
     let fleet = TestFleet::start(&FleetPlan { backends: 4, ..FleetPlan::default() });
-    let first = send_payout(&fleet, 0, "key-1", "amount=5");
-    assert_eq!(first.status, 200);
+    let first_reply = send_payout(&fleet, 0, "key-1", "amount=5");
+    assert_eq!(first_reply.status, 200);
     eventually("the answer is recorded", || {
         let reply = send_payout(&fleet, 1, "key-1", "amount=5");
         match reply.status {
             200 => {
-                assert_eq!(reply.text(), first.text());
+                assert_eq!(reply.text(), first_reply.text());
                 assert!(reply.header("basaltarch-replayed").is_some());
                 true
             }
@@ -86,8 +86,8 @@
     let reply = send_payout(&fleet, 0, "key-3", "amount=5");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(fleet.run_count("key-3"), 1);
-    let again = send_payout(&fleet, 1, "key-3", "amount=5");
-    assert!(matches!(again.status, 200 | 409), "{}", again.head);
+    let second_reply = send_payout(&fleet, 1, "key-3", "amount=5");
+    assert!(matches!(second_reply.status, 200 | 409), "{}", second_reply.head);
     assert_eq!(fleet.run_count("key-3"), 1);
 }
 
@@ -175,7 +175,7 @@
     let fleet =
         TestFleet::start(&FleetPlan { daemons: 1, backends: 2, slots: 64, ..FleetPlan::default() });
     fleet.platform.set_faults(json!({"delay_ms": 40}));
-    let before = fleet.platform.counters()["transactions"].as_u64().expect("count");
+    let transactions_before = fleet.platform.counters()["transactions"].as_u64().expect("count");
     let callers = fleet.daemons[0].callers;
     let threads: Vec<_> = (0..64)
         .map(|number| {
@@ -192,7 +192,8 @@
         .collect();
     let statuses: Vec<u16> = threads.into_iter().map(|t| t.join().expect("join")).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    let transactions = fleet.platform.counters()["transactions"].as_u64().expect("count") - before;
+    let transactions =
+        fleet.platform.counters()["transactions"].as_u64().expect("count") - transactions_before;
     assert!(transactions <= 32, "64 rows took {transactions} transactions, at most 32 allowed");
 }
 
--- a/crates/daemon/tests/organisations.rs
+++ b/crates/daemon/tests/organisations.rs
@@ -22,7 +22,7 @@
     OrganisationDraft { name: "desk", keys: &[DESK_KEY], ..SHOP };
 
 /// Builds a document in which every route except `/safe/` requires a key.
-fn keyed_document(version: u64) -> ConfigDocument {
+fn build_keyed_document(version: u64) -> ConfigDocument {
     let mut document = registered::document(version);
     for route in &mut document.routes {
         route.rule.needs_key = route.name != "r-safe";
@@ -31,14 +31,14 @@
 }
 
 fn write_document(fleet: &RegisteredFleet, version: u64, organisations: &[OrganisationDraft]) {
-    let bytes = document::write_with(&keyed_document(version), Some(organisations));
+    let bytes = document::write_with(&build_keyed_document(version), Some(organisations));
     fleet.write_text(&String::from_utf8(bytes).expect("text"));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == version);
     }
 }
 
-fn start(daemons: usize) -> RegisteredFleet {
+fn start_fleet(daemons: usize) -> RegisteredFleet {
     let fleet = RegisteredFleet::start(daemons);
     for daemon in 0..daemons {
         let all_servers: Vec<usize> = (0..daemons).collect();
@@ -67,7 +67,7 @@
 #[test_case(&[(names::API_KEY, SHOP_KEY), (names::API_KEY, DESK_KEY)] ; "two keys")]
 #[test_case(&[(names::ORGANISATION, "shop")] ; "a name without a key")]
 fn verify_a_caller_without_a_known_key_is_refused_and_nothing_runs(extra_headers: &[(&str, &str)]) {
-    let fleet = start(1);
+    let fleet = start_fleet(1);
     let reply = send_request(&fleet, 0, "/unsafe/x", "stranger", extra_headers);
     assert_eq!((reply.status, reply.reason().as_deref()), (401, Some("key-unknown")));
     assert!(reply.header("www-authenticate").is_some());
@@ -81,9 +81,9 @@
 
 #[test]
 fn verify_a_key_of_8_kb_and_one_that_is_no_text_are_unknown() {
-    let fleet = start(1);
-    let long = "k".repeat(8192);
-    for (id, key) in [("long", long.as_str()), ("bytes", "sch\u{fc}ssel")] {
+    let fleet = start_fleet(1);
+    let long_key = "k".repeat(8192);
+    for (id, key) in [("long", long_key.as_str()), ("bytes", "sch\u{fc}ssel")] {
         assert_eq!(
             send_request(&fleet, 0, "/unsafe/x", id, &[(names::API_KEY, key)]).status,
             401,
@@ -95,15 +95,16 @@
 
 #[test]
 fn verify_the_server_receives_the_organisation_and_the_key_is_never_exposed() {
-    let fleet = start(3);
+    let fleet = start_fleet(3);
     for number in 0..30 {
-        let (key, claimed) = if number % 2 == 0 { (SHOP_KEY, "desk") } else { (DESK_KEY, "shop") };
-        let extra_headers = [(names::API_KEY, key), (names::ORGANISATION, claimed)];
+        let (key, claimed_name) =
+            if number % 2 == 0 { (SHOP_KEY, "desk") } else { (DESK_KEY, "shop") };
+        let extra_headers = [(names::API_KEY, key), (names::ORGANISATION, claimed_name)];
         let id = format!("known-{number}");
         assert_eq!(send_request(&fleet, number % 3, "/unsafe/x", &id, &extra_headers).status, 200);
         let server =
             fleet.backends.iter().find(|backend| backend.run_count(&id) == 1).expect("ran");
-        let head = server.runs()["last_head"].as_str().expect("head").to_owned();
+        let head = server.run_counters()["last_head"].as_str().expect("head").to_owned();
         let name = if number % 2 == 0 { "shop" } else { "desk" };
         let field = format!("\"{}\": \"{name}\"", names::ORGANISATION);
         assert!(head.contains(&field), "{head}");
@@ -113,10 +114,11 @@
         send_request(&fleet, 0, "/safe/x", "open", &[(names::ORGANISATION, "shop")]).status,
         200
     );
-    let keys: u64 = fleet.backends.iter().map(|b| b.runs()["keys"].as_u64().expect("keys")).sum();
+    let keys: u64 =
+        fleet.backends.iter().map(|b| b.run_counters()["keys"].as_u64().expect("keys")).sum();
     assert_eq!(keys, 0, "a key reached a backend server");
     let count_each = |backend: &common::TestBackend| {
-        let runs = backend.runs();
+        let runs = backend.run_counters();
         ["shop", "desk"].map(|name| runs["by_organisation"][name].as_u64().unwrap_or(0))
     };
     let run_counts = fleet
@@ -142,7 +144,7 @@
 
 #[test]
 fn verify_revoked_and_moved_keys_take_effect_with_the_document() {
-    let fleet = start(2);
+    let fleet = start_fleet(2);
     // Header field names are case-insensitive.
     let name = names::API_KEY.to_uppercase();
     let key_header = |key| [(&*name, key)];
@@ -161,7 +163,7 @@
         );
         let server =
             fleet.backends.iter().find(|backend| backend.run_count(&id) == 1).expect("ran");
-        assert!(server.runs()["last_head"].to_string().contains("desk"));
+        assert!(server.run_counters()["last_head"].to_string().contains("desk"));
     }
     write_document(&fleet, 4, &[SHOP]);
     for daemon in 0..2 {
@@ -180,9 +182,9 @@
 
 #[test]
 fn verify_a_nested_call_needs_no_key_and_belongs_to_the_same_organisation() {
-    let fleet = start(1);
+    let fleet = start_fleet(1);
     let address = fleet.daemons[0].callers;
-    let parent = std::thread::spawn(move || {
+    let parent_thread = std::thread::spawn(move || {
         let headers = [
             ("Host", HOST),
             (names::REQUEST, "parent"),
@@ -193,9 +195,9 @@
     });
     eventually("the parent request runs", || fleet.run_count("parent") == 1);
     assert_eq!(send_request(&fleet, 0, "/unsafe/x", "parent.1", &[]).status, 200);
-    let head = fleet.backends[0].runs()["last_head"].to_string();
+    let head = fleet.backends[0].run_counters()["last_head"].to_string();
     assert!(head.contains("shop"), "{head}");
-    assert_eq!(parent.join().expect("join"), 200);
+    assert_eq!(parent_thread.join().expect("join"), 200);
     assert_eq!(
         send_request(&fleet, 0, "/unsafe/x", "parent.2", &[]).status,
         401,
@@ -205,7 +207,7 @@
 
 #[test]
 fn verify_nested_calls_count_towards_no_limit() {
-    let fleet = start(1);
+    let fleet = start_fleet(1);
     let limited = OrganisationDraft { rate: Some(0.01), burst: Some(1.0), ..SHOP };
     write_document(&fleet, 3, &[limited]);
     let address = fleet.daemons[0].callers;
@@ -216,23 +218,23 @@
         ("x-work-ms", "1500"),
     ];
     let send_parent = move || client::call(address, "POST", "/unsafe/x", &headers, "x").status;
-    let parent = std::thread::spawn(send_parent);
+    let parent_thread = std::thread::spawn(send_parent);
     eventually("the parent request runs", || fleet.run_count("parent") == 1);
     for number in 0..5 {
         let id = format!("parent.{number}");
         assert_eq!(send_request(&fleet, 0, "/unsafe/x", &id, &[]).status, 200);
     }
-    assert_eq!(parent.join().expect("join"), 200);
-    let over = send_request(&fleet, 0, "/unsafe/x", "over", &[(names::API_KEY, SHOP_KEY)]);
-    assert_eq!((over.status, over.reason().as_deref()), (429, Some("limited")));
+    assert_eq!(parent_thread.join().expect("join"), 200);
+    let refused_reply = send_request(&fleet, 0, "/unsafe/x", "over", &[(names::API_KEY, SHOP_KEY)]);
+    assert_eq!((refused_reply.status, refused_reply.reason().as_deref()), (429, Some("limited")));
     assert_eq!(fleet.run_count("over"), 0);
 }
 
 #[test]
 fn verify_a_bad_table_of_organisations_changes_nothing_and_no_key_is_logged() {
-    let fleet = start(1);
+    let fleet = start_fleet(1);
     let desk_with_shop_key = OrganisationDraft { keys: &[SHOP_KEY], ..DESK };
-    let bytes = document::write_with(&keyed_document(9), Some(&[SHOP, desk_with_shop_key]));
+    let bytes = document::write_with(&build_keyed_document(9), Some(&[SHOP, desk_with_shop_key]));
     fleet.write_text(&String::from_utf8(bytes).expect("text"));
     let daemon = &fleet.daemons[0];
     eventually("the bad document was read", || {
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -49,7 +49,7 @@
     break_point: &str,
     outcome: &str,
     reason: &str,
-    ran: u64,
+    ran_count: u64,
 ) {
     for ingress in [0, 1] {
         let hops = TwoHops::start(None);
@@ -59,7 +59,7 @@
         assert_eq!(reply.status, 502, "{}", reply.head);
         assert_eq!(reply.outcome().as_deref(), Some(outcome));
         assert_eq!(reply.reason().as_deref(), Some(reason));
-        assert_eq!(hops.backend().run_count("broken"), ran, "dispatched once, never retried");
+        assert_eq!(hops.backend().run_count("broken"), ran_count, "dispatched once, never retried");
         hops.fleet.check_invariants();
     }
 }
@@ -123,17 +123,17 @@
     let fleet = TestFleet::start(&plan);
     fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     fleet.backends[1].set_faults(json!({"shed": true}));
-    let mut ran = 0;
+    let mut ran_count = 0;
     for number in 0..40 {
         let id = format!("both-{number}");
         let reply = fleet.request(number % 2, "GET", "/puzzle", &[("x-request-id", &id)], "");
         assert!(reply.status >= 500, "{}", reply.text());
         if fleet.run_count(&id) > 0 {
             assert_eq!(reply.outcome().as_deref(), Some("unknown"), "{id}: {}", reply.head);
-            ran += 1;
+            ran_count += 1;
         }
     }
-    assert!(ran > 0, "no request reached the server that runs and breaks");
+    assert!(ran_count > 0, "no request reached the server that runs and breaks");
     fleet.check_invariants();
 }
 
@@ -148,7 +148,9 @@
         assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     }
     assert_eq!(hops.backend().run_count("late"), 2);
-    eventually("the requests are cancelled", || hops.backend().runs()["cancelled"] == json!(2));
+    eventually("the requests are cancelled", || {
+        hops.backend().run_counters()["cancelled"] == json!(2)
+    });
 }
 
 #[test]
@@ -173,15 +175,15 @@
         })
         .collect();
     let replies: Vec<_> = threads.into_iter().map(|thread| thread.join().expect("join")).collect();
-    let good = replies.iter().filter(|(_, reply)| reply.status == 200).count();
-    assert_eq!(good, 5, "three slots and a queue of two");
+    let served_count = replies.iter().filter(|(_, reply)| reply.status == 200).count();
+    assert_eq!(served_count, 5, "three slots and a queue of two");
     for (id, reply) in &replies {
         if reply.status != 200 {
             assert_eq!(reply.reason().as_deref(), Some("queue-full"));
             assert_eq!(fleet.run_count(id), 0, "a request reported as not run must not have run");
         }
     }
-    assert_eq!(fleet.backends[0].runs()["most_at_once"], json!(3));
+    assert_eq!(fleet.backends[0].run_counters()["most_at_once"], json!(3));
 }
 
 #[test]
@@ -253,22 +255,22 @@
 fn verify_the_state_of_an_idle_service_is_dropped_after_its_last_request() {
     let daemon_flags = vec![("service-idle-ms", "100")];
     let fleet = TestFleet::start(&FleetPlan { daemon_flags, ..FleetPlan::default() });
-    let known_services =
-        || fleet.daemons[0].metric("services{") + fleet.daemons[0].metric("services ");
-    assert_eq!(known_services(), 0.0);
+    let known_service_count =
+        || fleet.daemons[0].metric_sum("services{") + fleet.daemons[0].metric_sum("services ");
+    assert_eq!(known_service_count(), 0.0);
     let callers = fleet.daemons[0].callers;
-    let slow = thread::spawn(move || {
+    let slow_request = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "slow")];
         client::call(callers, "GET", "/plain", &headers, "")
     });
-    eventually("the service is known", || known_services() == 1.0);
+    eventually("the service is known", || known_service_count() == 1.0);
     eventually("the request runs", || fleet.run_count("slow") == 1);
     // A query for the health of the service does not count as a request for it.
     fleet.daemons[0].get("/v1/health");
     eventually("the state of the service is dropped once no request is running", || {
-        known_services() == 0.0
+        known_service_count() == 0.0
     });
-    assert_eq!(slow.join().expect("join").status, 200);
+    assert_eq!(slow_request.join().expect("join").status, 200);
     for number in 0..5 {
         let id = format!("again-{number}");
         let reply = fleet.request(0, "GET", "/plain", &[("x-request-id", &id)], "");
@@ -376,15 +378,15 @@
 #[test_case(true, true ; "nothing arrives")]
 fn verify_a_cut_path_is_avoided_and_used_again_after_recovery(forward: bool, backward: bool) {
     use std::sync::atomic::Ordering;
-    let link = start_cut_link();
+    let cut_link = start_cut_link();
     let is_served_by = |wanted: &str| {
-        let reply = link.fleet.request(0, "GET", "/puzzle", &[], "");
+        let reply = cut_link.fleet.request(0, "GET", "/puzzle", &[], "");
         reply.status == 200 && reply.header("x-served-by").as_deref() == Some(wanted)
     };
     // So many requests are sent at once that the local server is busy and the remote server
     // receives some of them.
-    let load = |rounds: usize| {
-        let callers = link.fleet.daemons[0].callers;
+    let send_load = |rounds: usize| {
+        let callers = cut_link.fleet.daemons[0].callers;
         let threads: Vec<_> = (0..rounds * 8)
             .map(|_| {
                 thread::spawn(move || {
@@ -399,35 +401,37 @@
             .collect();
         threads.into_iter().map(|thread| thread.join().expect("join")).collect::<Vec<_>>()
     };
-    let from_remote = |replies: &[client::Reply]| {
+    let remote_reply_count = |replies: &[client::Reply]| {
         replies.iter().filter(|r| r.header("x-served-by").as_deref() == Some("server-2")).count()
     };
-    eventually("both servers receive requests", || from_remote(&load(1)) > 0);
-    link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
-    link.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
+    eventually("both servers receive requests", || remote_reply_count(&send_load(1)) > 0);
+    cut_link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
+    cut_link.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
     eventually("the remote server is no longer used", || {
-        let replies = load(1);
-        from_remote(&replies) == 0 && {
-            let health = link.fleet.daemons[0].get("/v1/health?service=solver-app");
+        let replies = send_load(1);
+        remote_reply_count(&replies) == 0 && {
+            let health = cut_link.fleet.daemons[0].get("/v1/health?service=solver-app");
             health["services"][0]["upstreams"][1]["state"] == "unreachable"
         }
     });
     eventually("the local server serves callers", || is_served_by("server-1"));
-    link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
-    link.forwarder.cuts.backward.store(false, Ordering::SeqCst);
-    eventually("the remote server receives requests again", || from_remote(&load(1)) > 0);
-    link.fleet.check_invariants();
+    cut_link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
+    cut_link.forwarder.cuts.backward.store(false, Ordering::SeqCst);
+    eventually("the remote server receives requests again", || {
+        remote_reply_count(&send_load(1)) > 0
+    });
+    cut_link.fleet.check_invariants();
 }
 
 #[test]
 fn verify_a_peer_without_the_fleet_key_is_refused() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
     let key = [("fleet-key", "another-key-altogether")];
-    let stranger = TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &key);
+    let foreign_daemon = TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &key);
     let has_refused =
         |daemon: &TestDaemon| daemon.log_text().contains("does not hold the fleet key");
     eventually("one of the two daemons refuses the other", || {
-        has_refused(&fleet.daemons[0]) || has_refused(&stranger)
+        has_refused(&fleet.daemons[0]) || has_refused(&foreign_daemon)
     });
     // Garbage sent to the peer address closes only that connection.
     let mut stream = client::connect(fleet.daemons[0].peers);
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -7,37 +7,37 @@
 
 const HOST: &str = "host-a";
 
-fn part(transfer: i64, index: i32, text: &str, last: bool) -> SnapshotPart {
+fn snapshot_part(transfer: i64, index: i32, text: &str, last: bool) -> SnapshotPart {
     SnapshotPart { transfer, index, bytes: text.as_bytes().to_vec(), last }
 }
 
 #[test]
 fn verify_an_interrupted_transfer_is_not_joined_to_the_next() {
     let parts = SnapshotParts::default();
-    assert_eq!(parts.take(HOST, part(1, 0, "half of ", false)), None);
-    assert_eq!(parts.take(HOST, part(2, 0, "a ", false)), None);
-    assert_eq!(parts.take(HOST, part(2, 1, "whole", true)), Some(b"a whole".to_vec()));
+    assert_eq!(parts.take(HOST, snapshot_part(1, 0, "half of ", false)), None);
+    assert_eq!(parts.take(HOST, snapshot_part(2, 0, "a ", false)), None);
+    assert_eq!(parts.take(HOST, snapshot_part(2, 1, "whole", true)), Some(b"a whole".to_vec()));
 }
 
 #[test]
 fn verify_of_two_concurrent_transfers_the_later_one_completes() {
     let parts = SnapshotParts::default();
-    assert_eq!(parts.take(HOST, part(1, 0, "first ", false)), None);
-    assert_eq!(parts.take(HOST, part(2, 0, "second ", false)), None);
-    assert_eq!(parts.take(HOST, part(1, 1, "one", true)), None);
-    assert_eq!(parts.take(HOST, part(2, 1, "one", true)), Some(b"second one".to_vec()));
+    assert_eq!(parts.take(HOST, snapshot_part(1, 0, "first ", false)), None);
+    assert_eq!(parts.take(HOST, snapshot_part(2, 0, "second ", false)), None);
+    assert_eq!(parts.take(HOST, snapshot_part(1, 1, "one", true)), None);
+    assert_eq!(parts.take(HOST, snapshot_part(2, 1, "one", true)), Some(b"second one".to_vec()));
 }
 
 #[test]
 fn verify_a_missing_part_fails_only_its_own_transfer() {
     let parts = SnapshotParts::default();
     assert_eq!(
-        parts.take(HOST, part(1, 1, "end", true)),
+        parts.take(HOST, snapshot_part(1, 1, "end", true)),
         None,
         "its first part was never received"
     );
-    assert_eq!(parts.take(HOST, part(2, 0, "a", false)), None);
-    assert_eq!(parts.take(HOST, part(2, 2, "c", true)), None);
-    assert_eq!(parts.take("host-b", part(2, 0, "other", true)), Some(b"other".to_vec()));
-    assert_eq!(parts.take(HOST, part(3, 0, "whole", true)), Some(b"whole".to_vec()));
+    assert_eq!(parts.take(HOST, snapshot_part(2, 0, "a", false)), None);
+    assert_eq!(parts.take(HOST, snapshot_part(2, 2, "c", true)), None);
+    assert_eq!(parts.take("host-b", snapshot_part(2, 0, "other", true)), Some(b"other".to_vec()));
+    assert_eq!(parts.take(HOST, snapshot_part(3, 0, "whole", true)), Some(b"whole".to_vec()));
 }
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -20,7 +20,7 @@
 }
 
 /// Index of the daemon that is reached through the forwarder.
-const FORWARDED: usize = 3;
+const FORWARDED_DAEMON: usize = 3;
 
 impl HalfCut {
     fn start() -> Self {
@@ -33,11 +33,11 @@
         for (index, name) in ["host-a", "host-b", "host-c", "host-d"].iter().enumerate() {
             // One failure domain, so that every ingress uses every server.
             let flags = [("advertise-peers", advertised.as_str())];
-            let flags = if index == FORWARDED { &flags[..] } else { &[] };
+            let flags = if index == FORWARDED_DAEMON { &flags[..] } else { &[] };
             let daemon = TestDaemon::start(platform.address, name, "bkk-a", flags);
             daemons.push(daemon);
         }
-        forwarder.forward_to(daemons[FORWARDED].peers);
+        forwarder.forward_to(daemons[FORWARDED_DAEMON].peers);
         let mut fleet = TestFleet { platform, daemons, backends: Vec::new() };
         fleet.wait_members();
         let start = |number| TestBackend::start(&format!("server-{number}"), 1);
@@ -51,7 +51,10 @@
     /// Returns the state that an ingress reports for the server beside the last daemon.
     fn state_seen_by(&self, daemon: usize) -> String {
         let health = self.fleet.daemons[daemon].get("/v1/health?service=solver-app");
-        health["services"][0]["upstreams"][FORWARDED]["state"].as_str().expect("state").to_owned()
+        health["services"][0]["upstreams"][FORWARDED_DAEMON]["state"]
+            .as_str()
+            .expect("state")
+            .to_owned()
     }
 
     /// Sends requests through an ingress. Returns whether all requests were answered, and whether
@@ -74,7 +77,7 @@
     backward: bool,
 ) {
     let half_cut = HalfCut::start();
-    for daemon in 0..FORWARDED {
+    for daemon in 0..FORWARDED_DAEMON {
         eventually("the last server is used", || half_cut.send_requests(daemon, 20).1);
     }
     *half_cut.forwarder.cuts.only_hosts.lock().expect("lock") =
@@ -97,7 +100,7 @@
     });
     assert_eq!(half_cut.state_seen_by(2), "in service");
     assert!(
-        !half_cut.fleet.daemons[FORWARDED].log_text().contains("upstream ejected"),
+        !half_cut.fleet.daemons[FORWARDED_DAEMON].log_text().contains("upstream ejected"),
         "its server is healthy"
     );
     half_cut.forwarder.cuts.forward.store(false, Ordering::SeqCst);
@@ -113,7 +116,7 @@
 #[test]
 fn verify_a_paused_host_is_avoided_and_used_again_after_it_resumes() {
     let half_cut = HalfCut::start();
-    let paused = &half_cut.fleet.daemons[FORWARDED];
+    let paused = &half_cut.fleet.daemons[FORWARDED_DAEMON];
     eventually("the last server is used", || half_cut.send_requests(0, 20).1);
     for round in 0..2 {
         paused.signal("-STOP");
@@ -138,7 +141,7 @@
 struct TwoRegions {
     fleet: TestFleet,
     forwarders: Vec<Forwarder>,
-    store: Forwarder,
+    store_forwarder: Forwarder,
 }
 
 const REGIONS: [[&str; 2]; 2] = [["host-a", "host-b"], ["host-c", "host-d"]];
@@ -146,20 +149,21 @@
 impl TwoRegions {
     fn start() -> Self {
         let platform = TestPlatform::start();
-        let store = Forwarder::start();
-        store.forward_to(platform.address);
+        let store_forwarder = Forwarder::start();
+        store_forwarder.forward_to(platform.address);
         let mut forwarders = Vec::new();
         let mut daemons = Vec::new();
         for (region, hosts) in REGIONS.iter().enumerate() {
             for name in hosts {
-                let link = Forwarder::start();
-                let advertised = link.address.to_string();
+                let daemon_forwarder = Forwarder::start();
+                let advertised = daemon_forwarder.address.to_string();
                 let flags = [("advertise-peers", advertised.as_str())];
-                let store_address = if region == 0 { platform.address } else { store.address };
+                let store_address =
+                    if region == 0 { platform.address } else { store_forwarder.address };
                 let domain = ["bkk-a", "bkk-b"][region];
                 let daemon = TestDaemon::start(store_address, name, domain, &flags);
-                link.forward_to(daemon.peers);
-                forwarders.push(link);
+                daemon_forwarder.forward_to(daemon.peers);
+                forwarders.push(daemon_forwarder);
                 daemons.push(daemon);
             }
         }
@@ -175,20 +179,20 @@
         let reply = fleet.apply(&configuration);
         assert_eq!(reply.status, 200, "{}", reply.text());
         fleet.wait_revision(1);
-        Self { fleet, forwarders, store }
+        Self { fleet, forwarders, store_forwarder }
     }
 
     /// Cuts the regions from each other, and the second region from the store, in both directions,
     /// or joins them again.
     fn set_cut(&self, is_cut: bool) {
-        for (index, link) in self.forwarders.iter().enumerate() {
+        for (index, daemon_forwarder) in self.forwarders.iter().enumerate() {
             let others = REGIONS[1 - index / 2].map(str::to_owned).to_vec();
-            *link.cuts.only_hosts.lock().expect("lock") = others;
-            link.cuts.forward.store(is_cut, Ordering::SeqCst);
-            link.cuts.backward.store(is_cut, Ordering::SeqCst);
+            *daemon_forwarder.cuts.only_hosts.lock().expect("lock") = others;
+            daemon_forwarder.cuts.forward.store(is_cut, Ordering::SeqCst);
+            daemon_forwarder.cuts.backward.store(is_cut, Ordering::SeqCst);
         }
-        self.store.cuts.forward.store(is_cut, Ordering::SeqCst);
-        self.store.cuts.backward.store(is_cut, Ordering::SeqCst);
+        self.store_forwarder.cuts.forward.store(is_cut, Ordering::SeqCst);
+        self.store_forwarder.cuts.backward.store(is_cut, Ordering::SeqCst);
     }
 
     fn send_payout(&self, daemon: usize, key: &str) -> (u16, Option<String>) {
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -17,7 +17,7 @@
 use serde_json::{json, Value};
 
 /// Number of hosts in most tests, with a backend server each.
-const HOSTS: usize = 3;
+const HOST_COUNT: usize = 3;
 /// Number of concurrent requests for each slot.
 const REQUESTS_PER_SLOT: usize = 4;
 /// Maximum number of requests with an unknown outcome after a host is killed: the request in the
@@ -27,12 +27,17 @@
 const WAITING_MIN: f64 = 6.0;
 
 /// Starts hosts with a backend server of one slot each, with a service time of 300 ms.
-fn start(hosts: usize, waiting: &'static str) -> TestFleet {
-    start_with(hosts, waiting, 1, json!({"floor": 0.5, "prefer": "detection"}))
+fn start_fleet(hosts: usize, waiting_mode: &'static str) -> TestFleet {
+    start_fleet_with_slots(hosts, waiting_mode, 1, json!({"floor": 0.5, "prefer": "detection"}))
 }
 
 /// Starts hosts with a backend server of this many slots each.
-fn start_with(hosts: usize, waiting: &'static str, slots: u32, service: Value) -> TestFleet {
+fn start_fleet_with_slots(
+    hosts: usize,
+    waiting_mode: &'static str,
+    slots: u32,
+    service: Value,
+) -> TestFleet {
     let routes = json!({
         "plain": {"host": "solver.example", "path_prefix": "/", "service": "solver-app",
                   "timeout_ms": 20_000},
@@ -44,7 +49,7 @@
         slots,
         routes,
         service,
-        daemon_flags: vec![("waiting", waiting)],
+        daemon_flags: vec![("waiting", waiting_mode)],
         ..FleetPlan::default()
     })
 }
@@ -59,19 +64,19 @@
 /// once [`WAITING_MIN`] of the requests wait at that daemon.
 fn send_all(fleet: &mut TestFleet, inject: impl FnOnce(&mut TestFleet)) -> Vec<RequestEnd> {
     let requests = REQUESTS_PER_SLOT * fleet.backends.len();
-    send(fleet, requests, WAITING_MIN, inject)
+    send_concurrently(fleet, requests, WAITING_MIN, inject)
 }
 
-/// Sends this many requests to the first daemon at once; `inject` runs once `waiting` of the
+/// Sends this many requests to the first daemon at once; `inject` runs once `waiting_min` of the
 /// requests wait at that daemon.
-fn send(
+fn send_concurrently(
     fleet: &mut TestFleet,
     requests: usize,
-    waiting: f64,
+    waiting_min: f64,
     inject: impl FnOnce(&mut TestFleet),
 ) -> Vec<RequestEnd> {
     let callers = fleet.daemons[0].callers;
-    let sending: Vec<_> = (0..requests)
+    let caller_threads: Vec<_> = (0..requests)
         .map(|number| {
             thread::spawn(move || {
                 let id = format!("waits-{number}");
@@ -81,9 +86,9 @@
             })
         })
         .collect();
-    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= waiting);
+    eventually("requests wait", || fleet.daemons[0].metric_sum("waiting") >= waiting_min);
     inject(fleet);
-    sending.into_iter().map(|thread| thread.join().expect("a caller")).collect()
+    caller_threads.into_iter().map(|thread| thread.join().expect("a caller")).collect()
 }
 
 /// Returns the requests whose reply is not 200. Checks that each request ran at most once, and did
@@ -104,19 +109,19 @@
 
 #[test]
 fn verify_waiting_requests_are_offered_slots_that_become_free() {
-    let mut fleet = start(HOSTS, "places");
+    let mut fleet = start_fleet(HOST_COUNT, "places");
     let ends = send_all(&mut fleet, |_| {});
     assert!(failed_ends(&fleet, ends).is_empty());
-    assert!(fleet.daemons[0].metric("called_in") >= WAITING_MIN);
+    assert!(fleet.daemons[0].metric_sum("called_in") >= WAITING_MIN);
     eventually("no slot stays in use", || {
-        fleet.daemons.iter().all(|daemon| daemon.metric("slots_used") == 0.0)
+        fleet.daemons.iter().all(|daemon| daemon.metric_sum("slots_used") == 0.0)
     });
     fleet.check_invariants();
 }
 
 #[test]
 fn verify_waiting_requests_are_not_lost_with_a_killed_host() {
-    let mut fleet = start(HOSTS, "places");
+    let mut fleet = start_fleet(HOST_COUNT, "places");
     let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].kill());
     let failed_ends = failed_ends(&fleet, ends);
     let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
@@ -125,7 +130,7 @@
 
 #[test]
 fn verify_waiting_requests_go_elsewhere_when_a_host_stops() {
-    let mut fleet = start(HOSTS, "places");
+    let mut fleet = start_fleet(HOST_COUNT, "places");
     let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].signal("-TERM"));
     let failed_ends = failed_ends(&fleet, ends);
     let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
@@ -134,7 +139,7 @@
 
 #[test]
 fn verify_no_slots_are_offered_for_servers_that_are_down() {
-    let mut fleet = start(5, "places");
+    let mut fleet = start_fleet(5, "places");
     // The next request that runs at each of these servers crashes that server, which then stays
     // down for longer than the other servers need for all requests.
     let crash = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
@@ -159,12 +164,17 @@
     // With a floor of 1.0 all slots are needed, so the circuit breaker of the server opens but
     // the server stays in service.
     let service = json!({"floor": 1.0, "prefer": "detection"});
-    let mut fleet = start_with(HOSTS, "places", SLOTS_PER_SERVER, service);
+    let mut fleet = start_fleet_with_slots(HOST_COUNT, "places", SLOTS_PER_SERVER, service);
     let requests_per_server = REQUESTS_PER_SLOT * SLOTS_PER_SERVER as usize;
     let failing = json!({"error_rate": 1.0, "quick_errors": true});
-    let ends = send(&mut fleet, requests_per_server * HOSTS, requests_per_server as f64, |fleet| {
-        fleet.backends[2].set_faults(failing);
-    });
+    let ends = send_concurrently(
+        &mut fleet,
+        requests_per_server * HOST_COUNT,
+        requests_per_server as f64,
+        |fleet| {
+            fleet.backends[2].set_faults(failing);
+        },
+    );
     let failed = failed_ends(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
     assert!(
         failed <= requests_per_server,
@@ -174,9 +184,9 @@
 
 #[test]
 fn verify_a_killed_ingress_leaves_no_slot_in_use() {
-    let mut fleet = start(HOSTS, "places");
+    let mut fleet = start_fleet(HOST_COUNT, "places");
     let callers = fleet.daemons[0].callers;
-    let waiting: Vec<_> = (0..REQUESTS_PER_SLOT * HOSTS)
+    let caller_threads: Vec<_> = (0..REQUESTS_PER_SLOT * HOST_COUNT)
         .map(|_| {
             thread::spawn(move || {
                 // The daemon is killed before it answers; how the connection ends does not matter.
@@ -187,21 +197,21 @@
             })
         })
         .collect();
-    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= WAITING_MIN);
+    eventually("requests wait", || fleet.daemons[0].metric_sum("waiting") >= WAITING_MIN);
     fleet.daemons[0].kill();
-    waiting.into_iter().for_each(|thread| thread.join().expect("a caller"));
+    caller_threads.into_iter().for_each(|thread| thread.join().expect("a caller"));
     for daemon in &fleet.daemons[1..] {
-        eventually("no slot stays in use", || daemon.metric("slots_used") == 0.0);
-        eventually("no request is queued", || daemon.metric("queued") == 0.0);
+        eventually("no slot stays in use", || daemon.metric_sum("slots_used") == 0.0);
+        eventually("no request is queued", || daemon.metric_sum("queued") == 0.0);
     }
     assert_eq!(fleet.request(1, "POST", "/x", &[], "").status, 200);
 }
 
 #[test]
 fn verify_requests_wait_at_the_ingress_only_if_configured() {
-    let fleet = start(HOSTS, "one-host");
+    let fleet = start_fleet(HOST_COUNT, "one-host");
     let callers = fleet.daemons[0].callers;
-    let sending: Vec<_> = (0..REQUESTS_PER_SLOT * HOSTS)
+    let caller_threads: Vec<_> = (0..REQUESTS_PER_SLOT * HOST_COUNT)
         .map(|_| {
             thread::spawn(move || {
                 common::client::call(callers, "POST", "/x", &[("Host", "solver.example")], "")
@@ -209,8 +219,8 @@
             })
         })
         .collect();
-    for thread in sending {
+    for thread in caller_threads {
         thread.join().expect("a caller");
     }
-    assert_eq!(fleet.daemons[0].metric("places"), 0.0);
+    assert_eq!(fleet.daemons[0].metric_sum("places"), 0.0);
 }
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -11,12 +11,12 @@
 use common::{client, eventually};
 
 /// Number of daemons in the failure domain.
-const DAEMONS: usize = 8;
+const DAEMON_COUNT: usize = 8;
 /// Number of readers, which are the daemons that read the store for the failure domain. No other
 /// daemon sends freshness checks to the store.
-const READERS: usize = 2;
+const READER_COUNT: usize = 2;
 
-fn metric_value(fleet: &RegisteredFleet, daemon: usize, metric: &str) -> u64 {
+fn read_metric(fleet: &RegisteredFleet, daemon: usize, metric: &str) -> u64 {
     let text = fleet.daemons[daemon].call("GET", "/metrics", &[], "").text();
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     let mut counts = lines.filter(|line| line.contains(metric));
@@ -26,26 +26,26 @@
 
 #[test]
 fn verify_many_daemons_ask_the_store_through_two_readers() {
-    let fleet = RegisteredFleet::start_in_one_domain(DAEMONS);
+    let fleet = RegisteredFleet::start_in_one_domain(DAEMON_COUNT);
     for daemon in &fleet.daemons {
-        eventually("the daemons know each other", || daemon.live_members() == DAEMONS);
+        eventually("the daemons know each other", || daemon.live_members() == DAEMON_COUNT);
     }
-    for daemon in 0..DAEMONS {
+    for daemon in 0..DAEMON_COUNT {
         let mut number = 0;
         // A daemon with a recent confirmation makes no freshness check.
         eventually("the daemon has checked that its configuration is the newest", || {
             number += 1;
             let status = request_status(&fleet, daemon, &format!("missing-{daemon}-{number}"));
             assert!(status == 404 || status == 503, "{status}");
-            metric_value(&fleet, daemon, "configuration_questions") > 0
+            read_metric(&fleet, daemon, "configuration_questions") > 0
         });
         eventually("the route is reported as missing", || {
             request_status(&fleet, daemon, "missing") == 404
         });
     }
-    let reads_store = |daemon: &usize| metric_value(&fleet, *daemon, "store_questions") > 0;
-    let readers = (0..DAEMONS).filter(reads_store).count();
-    assert!(readers <= READERS, "{readers} daemons asked the store");
+    let reads_store = |daemon: &usize| read_metric(&fleet, *daemon, "store_questions") > 0;
+    let readers = (0..DAEMON_COUNT).filter(reads_store).count();
+    assert!(readers <= READER_COUNT, "{readers} daemons asked the store");
 }
 
 fn request_status(fleet: &RegisteredFleet, daemon: usize, id: &str) -> u16 {
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -8,7 +8,9 @@
 
 use basaltarch_platform::rows;
 use common::forwarder::Forwarder;
-use common::operator::{check_audit, fleet_of, put_organisation, ANY_REVISION};
+use common::operator::{
+    check_audit_trail, put_organisation, start_fleet_with_daemons, ANY_REVISION,
+};
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 use test_case::test_case;
@@ -17,19 +19,19 @@
 #[test_case(json!({"lose_write_answers": 2}) ; "two answers lost")]
 #[test_case(json!({"lose_writes": 1}) ; "write lost")]
 fn verify_a_change_whose_answer_is_lost_is_neither_applied_twice_nor_misreported(faults: Value) {
-    let fleet = fleet_of(2);
+    let fleet = start_fleet_with_daemons(2);
     fleet.platform.set_faults(faults);
     let reply = put_organisation(&fleet.daemons[0], "lost", "t", ("If-None-Match", "*"));
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(reply.json()["revision"], json!(2));
     fleet.wait_revision(2);
     assert_eq!(fleet.daemons[0].revision(), 2);
-    check_audit(&fleet, 2);
+    check_audit_trail(&fleet, 2);
 }
 
 #[test]
 fn verify_with_the_store_down_changes_are_refused_and_requests_are_served() {
-    let fleet = fleet_of(3);
+    let fleet = start_fleet_with_daemons(3);
     fleet.platform.set_faults(json!({"down": true}));
     let reply = put_organisation(&fleet.daemons[0], "x", "t", ANY_REVISION);
     assert!(matches!(reply.status, 503 | 504), "{}", reply.text());
@@ -41,39 +43,39 @@
 
 #[test]
 fn verify_a_daemon_without_store_and_peers_is_not_ready_and_serves_nothing() {
-    let mut fleet = fleet_of(1);
+    let mut fleet = start_fleet_with_daemons(1);
     fleet.platform.set_faults(json!({"down": true}));
     fleet.daemons.clear();
-    let fresh = TestDaemon::start(fleet.platform.address, "host-a", "bkk-a", &[]);
-    let ready = client::call(fresh.admin, "GET", "/readyz", &[], "");
-    assert_eq!(ready.status, 503);
-    assert!(ready.text().contains("waits for a configuration"));
-    let reply = client::call(fresh.callers, "GET", "/", &[("Host", "solver.example")], "");
+    let new_daemon = TestDaemon::start(fleet.platform.address, "host-a", "bkk-a", &[]);
+    let readiness_reply = client::call(new_daemon.admin, "GET", "/readyz", &[], "");
+    assert_eq!(readiness_reply.status, 503);
+    assert!(readiness_reply.text().contains("waits for a configuration"));
+    let reply = client::call(new_daemon.callers, "GET", "/", &[("Host", "solver.example")], "");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("no-configuration")));
     assert_eq!(reply.outcome().as_deref(), Some("not-run"));
     fleet.platform.set_faults(json!({}));
-    eventually("the daemon is ready once the store is back", || fresh.is_ready());
-    assert_eq!(fresh.revision(), 1);
+    eventually("the daemon is ready once the store is back", || new_daemon.is_ready());
+    assert_eq!(new_daemon.revision(), 1);
 }
 
 #[test]
 fn verify_all_daemons_replaced_one_after_another_without_the_store_lose_nothing() {
-    let mut fleet = fleet_of(3);
+    let mut fleet = start_fleet_with_daemons(3);
     assert_eq!(put_organisation(&fleet.daemons[0], "x", "t", ANY_REVISION).status, 200);
     fleet.wait_revision(2);
     fleet.platform.set_faults(json!({"down": true}));
     for index in 0..3 {
-        let old = fleet.daemons.remove(index);
-        let (host, domain) = (old.host.clone(), old.domain.clone());
-        drop(old);
+        let old_daemon = fleet.daemons.remove(index);
+        let (host, domain) = (old_daemon.host.clone(), old_daemon.domain.clone());
+        drop(old_daemon);
         let seeds: Vec<String> = fleet.daemons.iter().map(|d| d.peers.to_string()).collect();
         let seeds = seeds.join(",");
         let flags = [("seeds", seeds.as_str())];
-        let fresh = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
+        let new_daemon = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
         eventually("the new daemon is ready with the configuration of its peers", || {
-            fresh.is_ready()
+            new_daemon.is_ready()
         });
-        fleet.daemons.insert(index, fresh);
+        fleet.daemons.insert(index, new_daemon);
     }
     for daemon in &fleet.daemons {
         assert_eq!(daemon.revision(), 2);
@@ -83,25 +85,28 @@
 
 #[test]
 fn verify_a_replaced_daemon_learns_from_its_peers_while_the_store_is_down() {
-    let mut fleet = fleet_of(3);
+    let mut fleet = start_fleet_with_daemons(3);
     let seeds = format!("{},{}", fleet.daemons[0].peers, fleet.daemons[1].peers);
     assert_eq!(put_organisation(&fleet.daemons[0], "x", "t", ANY_REVISION).status, 200);
     fleet.wait_revision(2);
     fleet.platform.set_faults(json!({"down": true}));
-    let old = fleet.daemons.pop().expect("daemon");
-    let (host, domain) = (old.host.clone(), old.domain.clone());
-    drop(old);
+    let old_daemon = fleet.daemons.pop().expect("daemon");
+    let (host, domain) = (old_daemon.host.clone(), old_daemon.domain.clone());
+    drop(old_daemon);
     let flags = [("seeds", seeds.as_str())];
-    let fresh = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
-    eventually("the new daemon is ready with the configuration of its peers", || fresh.is_ready());
-    assert_eq!(fresh.revision(), 2);
-    let reply = client::call(fresh.callers, "GET", "/puzzle", &[("Host", "solver.example")], "");
+    let new_daemon = TestDaemon::start(fleet.platform.address, &host, &domain, &flags);
+    eventually("the new daemon is ready with the configuration of its peers", || {
+        new_daemon.is_ready()
+    });
+    assert_eq!(new_daemon.revision(), 2);
+    let reply =
+        client::call(new_daemon.callers, "GET", "/puzzle", &[("Host", "solver.example")], "");
     assert_eq!(reply.status, 200, "{}", reply.text());
 }
 
 #[test]
 fn verify_stale_store_answers_never_restore_an_older_revision() {
-    let fleet = fleet_of(2);
+    let fleet = start_fleet_with_daemons(2);
     fleet.platform.set_faults(json!({"reads_from_past_ms": 1}));
     for number in 0..6 {
         let name = format!("org-{number}");
@@ -112,12 +117,12 @@
     fleet.wait_revision(7);
     fleet.platform.set_faults(json!({"reads_from_past_ms": 3_600_000}));
     let mut lowest_revisions = [7, 7];
-    let before = fleet.daemons[1].metric("old_revisions");
+    let before = fleet.daemons[1].metric_sum("old_revisions");
     eventually("stale answers were received and rejected", || {
         for (index, daemon) in fleet.daemons.iter().enumerate() {
             lowest_revisions[index] = lowest_revisions[index].min(daemon.revision());
         }
-        fleet.daemons[1].metric("old_revisions") > before
+        fleet.daemons[1].metric_sum("old_revisions") > before
     });
     assert_eq!(lowest_revisions, [7, 7]);
     // Changes are still accepted: the check on the head of the configuration rejects a
@@ -129,12 +134,12 @@
         reply.status == 200
     });
     fleet.wait_revision(8);
-    check_audit(&fleet, 8);
+    check_audit_trail(&fleet, 8);
 }
 
 #[test]
 fn verify_a_paused_daemon_catches_up_and_never_goes_back() {
-    let fleet = fleet_of(3);
+    let fleet = start_fleet_with_daemons(3);
     fleet.daemons[2].signal("-STOP");
     for number in 0..5 {
         let name = format!("org-{number}");
@@ -144,7 +149,7 @@
     }
     fleet.daemons[2].signal("-CONT");
     fleet.wait_revision(6);
-    check_audit(&fleet, 6);
+    check_audit_trail(&fleet, 6);
 }
 
 #[test]
@@ -153,11 +158,11 @@
     let mut fleet = TestFleet::start(&plan);
     let seeds = format!("{},{}", fleet.daemons[0].peers, fleet.daemons[1].peers);
     // An address at which nothing listens simulates the cut.
-    let nowhere =
+    let closed_address =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("addr");
     let flags = [("seeds", seeds.as_str())];
-    let cut_off = TestDaemon::start(nowhere, "host-c", "bkk-c", &flags);
-    fleet.daemons.push(cut_off);
+    let cut_off_daemon = TestDaemon::start(closed_address, "host-c", "bkk-c", &flags);
+    fleet.daemons.push(cut_off_daemon);
     eventually("the daemon that is cut off is ready", || fleet.daemons[2].is_ready());
     for number in 0..5 {
         let name = format!("org-{number}");
@@ -169,17 +174,18 @@
 #[test]
 fn verify_half_of_the_fleet_cut_off_from_the_store_learns_changes_and_a_second_fault_loses_none() {
     use std::sync::atomic::Ordering;
-    let mut fleet = fleet_of(2);
+    let mut fleet = start_fleet_with_daemons(2);
     let seeds = format!("{},{}", fleet.daemons[0].peers, fleet.daemons[1].peers);
-    let store = Forwarder::start();
-    store.forward_to(fleet.platform.address);
+    let store_forwarder = Forwarder::start();
+    store_forwarder.forward_to(fleet.platform.address);
     for (host, domain) in [("host-c", "bkk-c"), ("host-d", "bkk-a")] {
-        let daemon = TestDaemon::start(store.address, host, domain, &[("seeds", seeds.as_str())]);
+        let daemon =
+            TestDaemon::start(store_forwarder.address, host, domain, &[("seeds", seeds.as_str())]);
         fleet.daemons.push(daemon);
     }
     fleet.wait_members();
-    store.cuts.forward.store(true, Ordering::SeqCst);
-    store.cuts.backward.store(true, Ordering::SeqCst);
+    store_forwarder.cuts.forward.store(true, Ordering::SeqCst);
+    store_forwarder.cuts.backward.store(true, Ordering::SeqCst);
     for number in 0..4 {
         let name = format!("cut-{number}");
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
@@ -193,10 +199,10 @@
     fleet.daemons.remove(1);
     fleet.wait_revision(6);
     // A daemon that is cut off can accept no change and refuses it.
-    let refused = put_organisation(&fleet.daemons[1], "third", "t", ANY_REVISION);
-    assert!(matches!(refused.status, 503 | 504), "{}", refused.text());
-    store.cuts.forward.store(false, Ordering::SeqCst);
-    store.cuts.backward.store(false, Ordering::SeqCst);
+    let refused_reply = put_organisation(&fleet.daemons[1], "third", "t", ANY_REVISION);
+    assert!(matches!(refused_reply.status, 503 | 504), "{}", refused_reply.text());
+    store_forwarder.cuts.forward.store(false, Ordering::SeqCst);
+    store_forwarder.cuts.backward.store(false, Ordering::SeqCst);
     eventually("the cut-off half accepts changes again", || {
         let reply = put_organisation(&fleet.daemons[1], "fourth", "t", ANY_REVISION);
         assert!(matches!(reply.status, 200 | 409 | 503 | 504), "{}", reply.text());
@@ -204,12 +210,12 @@
     });
     let last_revision = fleet.daemons[1].revision();
     fleet.wait_revision(last_revision);
-    check_audit(&fleet, last_revision);
+    check_audit_trail(&fleet, last_revision);
 }
 
 #[test]
 fn verify_wrong_host_rows_neither_revive_nor_remove_a_member() {
-    let mut fleet = fleet_of(3);
+    let mut fleet = start_fleet_with_daemons(3);
     // The row of a killed daemon stays in the store.
     fleet.daemons[2].kill();
     eventually("the killed daemon is suspect although it has a row", || {
@@ -232,14 +238,14 @@
 
 #[test]
 fn verify_a_row_of_an_earlier_incarnation_or_an_unreadable_row_changes_nothing() {
-    let mut fleet = fleet_of(3);
+    let mut fleet = start_fleet_with_daemons(3);
     // The daemon is killed first: otherwise it would rewrite its row before the other daemons read
     // the changed row.
     fleet.daemons[2].kill();
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
-    let old = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
+    let earlier_record = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
                      "admin_address": "127.0.0.1:1", "leaving": true});
-    fleet.platform.change_row("PUT", hosts_table, "host-c", &old.to_string());
+    fleet.platform.change_row("PUT", hosts_table, "host-c", &earlier_record.to_string());
     fleet.platform.change_row("PUT", hosts_table, "host-y", "no record at all");
     let has_logged = |daemon: &TestDaemon, text: &str| daemon.log_text().contains(text);
     eventually("both rows were read", || {
@@ -248,8 +254,8 @@
     });
     let status = fleet.daemons[0].get("/v1/status");
     let members = status["members"].as_array().expect("members").clone();
-    let known = members.iter().find(|m| m["host"] == "host-c").expect("still known");
-    assert_ne!(known["state"], "leaving", "{members:?}");
+    let known_member = members.iter().find(|m| m["host"] == "host-c").expect("still known");
+    assert_ne!(known_member["state"], "leaving", "{members:?}");
     fleet.daemons.pop();
     for request in 0..20 {
         let reply = fleet.request(request % 2, "GET", "/puzzle", &[], "");
@@ -263,7 +269,7 @@
 #[test_case(json!({"down": true}) ; "the store drops connections")]
 #[test_case(json!({"forget_history": true}) ; "the store forgets its history")]
 fn verify_rows_that_change_in_an_outage_are_known_after_it(outage: Value) {
-    let mut fleet = fleet_of(2);
+    let mut fleet = start_fleet_with_daemons(2);
     fleet.platform.set_faults(outage);
     let seeds = fleet.daemons[0].peers.to_string();
     let flags = [("seeds", seeds.as_str())];
--- a/crates/daemon/tests/reference.rs
+++ b/crates/daemon/tests/reference.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn reference() -> String {
+fn read_reference() -> String {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/REFERENCE.md");
     fs::read_to_string(path).expect("docs/REFERENCE.md")
 }
@@ -23,12 +23,12 @@
 fn verify_the_help_text_stands_in_the_reference() {
     let output = Command::new(env!("CARGO_BIN_EXE_basaltarchd")).arg("--help").output();
     let help = String::from_utf8(output.expect("runs").stdout).expect("text");
-    assert!(reference().contains(help.trim_end()), "docs/REFERENCE.md lacks:\n{help}");
+    assert!(read_reference().contains(help.trim_end()), "docs/REFERENCE.md lacks:\n{help}");
 }
 
 #[test]
 fn verify_every_metric_stands_in_the_reference() {
-    let reference = reference();
+    let reference = read_reference();
     for entry in metrics::entries() {
         let line = format!("| `{}` | {} |", entry.name, entry.help);
         assert!(reference.contains(&line), "docs/REFERENCE.md lacks: {line}");
@@ -37,7 +37,7 @@
 
 #[test]
 fn verify_every_header_and_reason_stands_in_the_reference() {
-    let reference = reference();
+    let reference = read_reference();
     let headers = [
         fields::OUTCOME,
         fields::REASON,
@@ -76,7 +76,7 @@
     minimal: serde_json::Value,
 ) {
     let value = ResourceValue::try_new(kind, "name", &minimal).expect("valid").to_json();
-    let reference = reference();
+    let reference = read_reference();
     let rows = reference.lines().filter(|line| line.starts_with(&format!("| `{}` |", kind.name())));
     let documented: Vec<&str> = rows.filter_map(|line| line.split('`').nth(3)).collect();
     let mut known: Vec<&str> =
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -28,7 +28,7 @@
     assert_eq!(fleet.run_count("exchange"), 1);
     let server =
         fleet.backends.iter().find(|backend| backend.run_count("exchange") == 1).expect("ran");
-    let head = server.runs()["last_head"].as_str().expect("head").to_owned();
+    let head = server.run_counters()["last_head"].as_str().expect("head").to_owned();
     for (name, value) in
         [(names::EXPECTED_SERVER, &*server.name), (names::CALLER_SERVICE, "solver-app")]
     {
@@ -76,7 +76,7 @@
     // earlier, so the order is taken from the daemon's log.
     let AttemptCounts { before, after } = count_attempts_around_drain(&fleet);
     assert_eq!(after, 0, "nothing was sent after the drain was acknowledged");
-    let received = fleet.backends[0].runs()["received"].as_u64().expect("received");
+    let received = fleet.backends[0].run_counters()["received"].as_u64().expect("received");
     assert_eq!(received, before, "nothing else reached the server");
 }
 
@@ -118,8 +118,9 @@
     );
     let count_lines = |event: &str| {
         let text = fleet.daemons[0].log_text();
-        let of_crashed = |line: &&str| line.contains(event) && line.contains("i-crashed");
-        text.lines().filter(of_crashed).count()
+        let is_about_crashed_server =
+            |line: &&str| line.contains(event) && line.contains("i-crashed");
+        text.lines().filter(is_about_crashed_server).count()
     };
     eventually("the late heartbeat is ignored", || count_lines("late heartbeat passed over") == 1);
     assert_eq!(count_lines("backend server registered"), 1, "its successor stays registered");
@@ -190,7 +191,7 @@
     fleet.daemons[0].kill();
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
     eventually("the health of the server was checked", || {
-        fleet.backends[0].runs()["probes"].as_u64() > Some(0)
+        fleet.backends[0].run_counters()["probes"].as_u64() > Some(0)
     });
     let before = fleet.backends[0].total_runs();
     for number in 0..20 {
@@ -204,7 +205,7 @@
 #[test_case(|call| call.body = vec![b' '; 200_000], 413 ; "too large")]
 #[test_case(|call| call.target.truncate(call.target.len() - 3), 400 ; "no name")]
 #[test_case(|call| call.target = call.target.replace("heartbeat", "dance"), 404 ; "unknown call")]
-#[test_case(|call| *call = registered::deregistration("i-unknown"), 200 ; "deregistering an unknown server")]
+#[test_case(|call| *call = registered::build_deregistration("i-unknown"), 200 ; "deregistering an unknown server")]
 fn verify_bad_calls_get_a_clear_error_and_change_nothing(corrupt: fn(&mut StoreCall), status: u16) {
     let fleet = RegisteredFleet::start(1);
     let mut call = fleet.heartbeat(0, "i-9", SERVICE, false);
@@ -225,7 +226,7 @@
     let daemon = fleet.start_daemon("host-z", "bkk-b", &[("peers", peers.as_str())]);
     fleet.daemons[1] = daemon;
     let fields = headers::exchange_fields();
-    fleet.backends[1] = TestBackend::start_at(common::loopback(), "i-new", 1, fields);
+    fleet.backends[1] = TestBackend::start_at(common::loopback_address(), "i-new", 1, fields);
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
     eventually("the earlier host is known as replaced", || {
@@ -316,7 +317,7 @@
     fleet.daemons[1].kill();
     let extra_flags = [("seeds", seeds.as_str())];
     fleet.daemons[1] =
-        fleet.start_daemon_at(fleet.platform.second, "host-b", "bkk-b", &extra_flags);
+        fleet.start_daemon_at(fleet.platform.second_address, "host-b", "bkk-b", &extra_flags);
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -21,7 +21,7 @@
 use test_case::test_case;
 
 /// Writes rows as another client of the store.
-fn write_others(fleet: &RegisteredFleet, numbers: Range<u64>) {
+fn write_foreign_rows(fleet: &RegisteredFleet, numbers: Range<u64>) {
     for number in numbers {
         fleet.platform.change_row("PUT", "status", &format!("row-{number}"), "{}");
     }
@@ -32,7 +32,7 @@
 fn verify_a_document_written_after_a_restore_takes_effect(passes_lost_numbers: bool) {
     let fleet = RegisteredFleet::start(2);
     fleet.platform.take_copy();
-    write_others(&fleet, 0..20);
+    write_foreign_rows(&fleet, 0..20);
     fleet.write(&document(2));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == 2);
@@ -43,7 +43,7 @@
     new_document.routes.push(route("r-new", "/new/", WorkMode::Repeatable));
     fleet.write(&new_document);
     if passes_lost_numbers {
-        write_others(&fleet, 20..80);
+        write_foreign_rows(&fleet, 20..80);
     }
     fleet.platform.set_faults(json!({}));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -27,7 +27,7 @@
 fn verify_a_host_refused_by_the_store_learns_of_new_servers(mut outage: Value) {
     let mut fleet = RegisteredFleet::start_in_one_domain(3);
     fleet.daemons[2].kill();
-    fleet.daemons[2] = fleet.start_daemon_at(fleet.platform.second, "host-c", "bkk-a", &[]);
+    fleet.daemons[2] = fleet.start_daemon_at(fleet.platform.second_address, "host-c", "bkk-a", &[]);
     assert_eq!(fleet.send_heartbeat(2, false).status, 200);
     register_and_wait(&fleet, 0, "i-before", &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
@@ -62,14 +62,16 @@
     register_and_wait(&fleet, 0, "i-first", &all_daemons);
     // Each change ends a long poll of the readers; the other daemons learn of the change from the
     // readers.
-    let rows_calls = |daemon: usize| fleet.daemons[daemon].metric("rows_calls") as u64;
+    let rows_call_count = |daemon: usize| fleet.daemons[daemon].metric_sum("rows_calls") as u64;
     eventually("one or two daemons read the rows during four changes", || {
-        let before: Vec<u64> = all_daemons.iter().map(|daemon| rows_calls(*daemon)).collect();
+        let before: Vec<u64> = all_daemons.iter().map(|daemon| rows_call_count(*daemon)).collect();
         for number in 0..4 {
             register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all_daemons);
         }
-        let reader_count =
-            all_daemons.iter().filter(|daemon| rows_calls(**daemon) > before[**daemon]).count();
+        let reader_count = all_daemons
+            .iter()
+            .filter(|daemon| rows_call_count(**daemon) > before[**daemon])
+            .count();
         (1..=2).contains(&reader_count)
     });
 }
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -19,7 +19,7 @@
 
 /// Flags for a stop that closes to new requests after 4 s, gives up pending requests after 7.7 s
 /// and ends after 8 s.
-fn flags() -> Vec<(&'static str, &'static str)> {
+fn stop_flags() -> Vec<(&'static str, &'static str)> {
     vec![("drain-ms", "8000"), ("drain-min-ms", "500")]
 }
 
@@ -38,37 +38,41 @@
 #[test]
 fn verify_a_daemon_paused_past_its_drain_admits_nothing_that_it_gives_up() {
     const LONGEST_DRAIN: Duration = Duration::from_secs(3);
-    let flags = vec![("drain-ms", "3000"), ("drain-min-ms", "2000")];
-    let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
+    let stop_flags = vec![("drain-ms", "3000"), ("drain-min-ms", "2000")];
+    let mut fleet =
+        TestFleet::start(&FleetPlan { daemon_flags: stop_flags, ..FleetPlan::default() });
     let callers = fleet.daemons[0].callers;
     let mut keep_alive: Vec<TcpStream> = (0..4).map(|_| client::connect(callers)).collect();
     for (number, stream) in keep_alive.iter_mut().enumerate() {
-        let reply = stops::send(stream, &format!("before-{number}"), "0");
+        let reply = stops::send_request(stream, &format!("before-{number}"), "0");
         assert_eq!(reply.map(|reply| reply.status), Some(200));
     }
     stops::request_stop(&fleet.daemons[0]);
     let stop_requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
     for (number, stream) in keep_alive.iter_mut().enumerate() {
-        stops::write(stream, &format!("slept-{number}"), "1000").expect("write");
+        stops::write_request(stream, &format!("slept-{number}"), "1000").expect("write");
     }
     eventually("the longest drain is over", || stop_requested_at.elapsed() > LONGEST_DRAIN);
     fleet.daemons[0].signal("-CONT");
     for (number, stream) in keep_alive.iter_mut().enumerate() {
         let reply = client::read_reply(stream, "POST");
-        StopRequest { id: format!("slept-{number}"), reply }.check(&fleet);
+        StopRequest { id: format!("slept-{number}"), reply }.check_runs(&fleet);
     }
     assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
 
 #[test]
 fn verify_a_request_with_an_incomplete_body_is_refused_when_the_stop_closes() {
-    let flags = vec![("drain-ms", "3000"), ("drain-min-ms", "500")];
-    let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
+    let stop_flags = vec![("drain-ms", "3000"), ("drain-min-ms", "500")];
+    let mut fleet =
+        TestFleet::start(&FleetPlan { daemon_flags: stop_flags, ..FleetPlan::default() });
     let mut stream = client::connect(fleet.daemons[0].callers);
     let head = "POST /plain HTTP/1.1\r\nHost: solver.example\r\nx-request-id: slow\r\n";
     stream.write_all(format!("{head}Content-Length: 4\r\n\r\nab").as_bytes()).expect("write");
-    eventually("the head of the request was read", || fleet.daemons[0].metric("in_flight") > 0.0);
+    eventually("the head of the request was read", || {
+        fleet.daemons[0].metric_sum("in_flight") > 0.0
+    });
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut stream, "POST").expect("a refusal");
     assert_eq!((reply.status, reply.reason().as_deref()), (503, Some("draining")));
@@ -79,31 +83,42 @@
 
 #[test]
 fn verify_a_closed_stop_admits_nested_calls_of_running_requests() {
-    let plan =
-        FleetPlan { daemon_flags: flags(), routes: long_timeout_routes(), ..FleetPlan::default() };
+    let plan = FleetPlan {
+        daemon_flags: stop_flags(),
+        routes: long_timeout_routes(),
+        ..FleetPlan::default()
+    };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..2)
         .map(|number| {
             thread::spawn(move || {
                 let mut stream = client::connect(callers);
-                stops::send(&mut stream, &format!("work-{number}"), "6000")
+                stops::send_request(&mut stream, &format!("work-{number}"), "6000")
             })
         })
         .collect();
     eventually("all requests run", || {
         fleet.backends[0].total_runs() + fleet.backends[1].total_runs() == 2
     });
-    let runs_here = |number: &usize| fleet.backends[0].run_count(&format!("work-{number}")) == 1;
-    let parent = (0..2).find(runs_here).expect("one of them runs at the first backend server");
+    let runs_at_first_server =
+        |number: &usize| fleet.backends[0].run_count(&format!("work-{number}")) == 1;
+    let parent =
+        (0..2).find(runs_at_first_server).expect("one of them runs at the first backend server");
     stops::request_stop(&fleet.daemons[0]);
     stops::wait_event(&fleet.daemons[0], "closed");
     let mut stream = client::connect(fleet.daemons[0].callers);
-    let call = stops::send(&mut stream, &format!("work-{parent}.1"), "0").expect("an answer");
-    assert_eq!(call.status, 200, "{}", call.text());
+    let nested_reply =
+        stops::send_request(&mut stream, &format!("work-{parent}.1"), "0").expect("an answer");
+    assert_eq!(nested_reply.status, 200, "{}", nested_reply.text());
     let mut stream = client::connect(fleet.daemons[0].callers);
-    let unrelated = stops::send(&mut stream, "other", "0").expect("an answer");
-    assert_eq!((unrelated.status, fleet.run_count("other")), (503, 0), "{}", unrelated.text());
+    let unrelated_reply = stops::send_request(&mut stream, "other", "0").expect("an answer");
+    assert_eq!(
+        (unrelated_reply.status, fleet.run_count("other")),
+        (503, 0),
+        "{}",
+        unrelated_reply.text()
+    );
     for sending in sending {
         let reply = sending.join().expect("join").expect("an answer");
         assert_eq!(reply.status, 200, "{}", reply.text());
@@ -122,15 +137,15 @@
     };
     let mut fleet = TestFleet::start(&plan);
     let callers = fleet.daemons[1].callers;
-    let mut holding = client::connect(callers);
-    stops::write(&mut holding, "holds", "6000").expect("write");
+    let mut holding_stream = client::connect(callers);
+    stops::write_request(&mut holding_stream, "holds", "6000").expect("write");
     eventually("the request runs", || fleet.run_count("holds") == 1);
-    let mut long = client::connect(callers);
-    stops::write(&mut long, "long", "200").expect("write");
+    let mut long_stream = client::connect(callers);
+    stops::write_request(&mut long_stream, "long", "200").expect("write");
     eventually("the request with the long deadline is queued", || {
-        fleet.daemons[0].metric("queued") == 1.0
+        fleet.daemons[0].metric_sum("queued") == 1.0
     });
-    let mut short = client::connect(callers);
+    let mut short_stream = client::connect(callers);
     let headers = [
         ("Host", "solver.example"),
         ("x-work-ms", "200"),
@@ -138,16 +153,16 @@
         ("basaltarch-deadline-ms", "15000"),
     ];
     let text = client::request_text("POST", "/plain", &headers, "x");
-    short.write_all(text.as_bytes()).expect("write");
-    eventually("both requests are queued", || fleet.daemons[0].metric("queued") == 2.0);
+    short_stream.write_all(text.as_bytes()).expect("write");
+    eventually("both requests are queued", || fleet.daemons[0].metric_sum("queued") == 2.0);
     stops::request_stop(&fleet.daemons[0]);
-    let reply = client::read_reply(&mut long, "POST").expect("a refusal");
+    let reply = client::read_reply(&mut long_stream, "POST").expect("a refusal");
     assert_eq!(
         (reply.status, fleet.run_count("long")),
         (503, 0),
         "the deadline of the request, 60 s, is after the end of the stop"
     );
-    for (id, mut stream) in [("holds", holding), ("short", short)] {
+    for (id, mut stream) in [("holds", holding_stream), ("short", short_stream)] {
         let reply = client::read_reply(&mut stream, "POST");
         assert_eq!(reply.map(|reply| reply.status), Some(200), "{id}");
     }
@@ -159,7 +174,7 @@
     let plan = FleetPlan {
         daemons: 3,
         backends: 3,
-        daemon_flags: flags(),
+        daemon_flags: stop_flags(),
         routes: long_timeout_routes(),
         ..FleetPlan::default()
     };
@@ -185,11 +200,12 @@
     let path = std::env::temp_dir().join(format!("basaltarch-stop-{}.conf", std::process::id()));
     fs::write(&path, "drain-min-ms = 500\n").expect("settings");
     let config: &'static str = path.to_str().expect("path").to_owned().leak();
-    let flags = vec![("config", config)];
-    let mut fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
+    let stop_flags = vec![("config", config)];
+    let mut fleet =
+        TestFleet::start(&FleetPlan { daemon_flags: stop_flags, ..FleetPlan::default() });
     let mut stream = client::connect(fleet.daemons[0].callers);
     stops::request_stop(&fleet.daemons[0]);
-    stops::write(&mut stream, "whole", "3000").expect("write");
+    stops::write_request(&mut stream, "whole", "3000").expect("write");
     eventually("the request runs", || fleet.run_count("whole") == 1);
     fs::write(&path, "drain-min-ms = 500\nkill-after-ms = 1200\n").expect("settings");
     fleet.daemons[0].signal("-HUP");
@@ -205,23 +221,23 @@
     let plan = FleetPlan {
         backends: 1,
         slots: 1,
-        daemon_flags: flags(),
+        daemon_flags: stop_flags(),
         routes: long_timeout_routes(),
         ..FleetPlan::default()
     };
     let fleet = TestFleet::start(&plan);
-    let mut holding = client::connect(fleet.daemons[1].callers);
-    stops::write(&mut holding, "holds", "18000").expect("write");
+    let mut holding_stream = client::connect(fleet.daemons[1].callers);
+    stops::write_request(&mut holding_stream, "holds", "18000").expect("write");
     eventually("the request runs", || fleet.run_count("holds") == 1);
-    let mut waiting = client::connect(fleet.daemons[1].callers);
+    let mut waiting_stream = client::connect(fleet.daemons[1].callers);
     let headers =
         [("Host", "solver.example"), ("Idempotency-Key", "once"), ("x-request-id", "once")];
     let text = client::request_text("POST", "/payouts", &headers, "x");
-    waiting.write_all(text.as_bytes()).expect("write");
-    eventually("the request is queued", || fleet.daemons[0].metric("queued") > 0.0);
+    waiting_stream.write_all(text.as_bytes()).expect("write");
+    eventually("the request is queued", || fleet.daemons[0].metric_sum("queued") > 0.0);
     fleet.platform.set_faults(json!({"silent": true}));
     stops::request_stop(&fleet.daemons[0]);
-    let reply = client::read_reply(&mut waiting, "POST").expect("a refusal");
+    let reply = client::read_reply(&mut waiting_stream, "POST").expect("a refusal");
     assert_eq!((reply.status, fleet.run_count("once")), (503, 0), "{}", reply.text());
 }
 
@@ -230,16 +246,16 @@
     let mut fleet = TestFleet::start(&FleetPlan::default());
     // The store answers long after the end of the shortest drain, 0.5 s.
     fleet.platform.set_faults(json!({"delay_ms": 1200}));
-    let mut changing = client::connect(fleet.daemons[0].admin);
+    let mut change_stream = client::connect(fleet.daemons[0].admin);
     let change = json!({"kind": "organisations", "name": "new", "value": {"title": "New"}});
     let body = json!({"changes": [change]}).to_string();
     let headers = [("Authorization", "Bearer operator-token")];
     let text = client::request_text("POST", "/v1/apply", &headers, &body);
-    changing.write_all(text.as_bytes()).expect("write");
+    change_stream.write_all(text.as_bytes()).expect("write");
     // The daemon has read the change as soon as it answers a later call.
     fleet.daemons[0].get("/v1/status");
     stops::request_stop(&fleet.daemons[0]);
-    let reply = client::read_reply(&mut changing, "POST").expect("an answer");
+    let reply = client::read_reply(&mut change_stream, "POST").expect("an answer");
     assert_eq!(reply.status, 200, "{}", reply.text());
     assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0));
 }
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -33,7 +33,7 @@
         let connection = keep_alive.take().or_else(|| TcpStream::connect(callers).ok());
         let Some(mut stream) = connection else { return requests };
         let id = format!("{caller}-{}", requests.len());
-        let reply = stops::send(&mut stream, &id, WORK_MS);
+        let reply = stops::send_request(&mut stream, &id, WORK_MS);
         let stays_open = reply.as_ref().is_some_and(|reply| reply.header("connection").is_none());
         keep_alive = stays_open.then_some(stream);
         requests.push(StopRequest { id, reply });
@@ -63,13 +63,13 @@
     );
     let requests = sending.into_iter().flat_map(|thread| thread.join().expect("join"));
     let requests: Vec<StopRequest> = requests.collect();
-    requests.iter().for_each(|request| request.check(&fleet));
-    let refused = |request: &&StopRequest| {
+    requests.iter().for_each(|request| request.check_runs(&fleet));
+    let is_refused_as_draining = |request: &&StopRequest| {
         let reason = request.reply.as_ref().and_then(Reply::reason);
         reason.as_deref() == Some("draining")
     };
     assert!(
-        requests.iter().filter(refused).count() > 0,
+        requests.iter().filter(is_refused_as_draining).count() > 0,
         "no request arrived after the daemon stopped admitting requests"
     );
 }
@@ -82,7 +82,7 @@
     let callers = fleet.daemons[0].callers;
     let mut keep_alive = client::connect(callers);
     assert_eq!(
-        stops::send(&mut keep_alive, "before", WORK_MS).map(|reply| reply.status),
+        stops::send_request(&mut keep_alive, "before", WORK_MS).map(|reply| reply.status),
         Some(200)
     );
     stops::request_stop(&fleet.daemons[0]);
@@ -90,17 +90,17 @@
     // finds at the same moment nothing in flight and requests to read.
     let stop_requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
-    let mut fresh = client::connect(callers);
-    stops::write(&mut keep_alive, "kept", WORK_MS).expect("write");
-    stops::write(&mut fresh, "fresh", WORK_MS).expect("write");
+    let mut new_connection = client::connect(callers);
+    stops::write_request(&mut keep_alive, "kept", WORK_MS).expect("write");
+    stops::write_request(&mut new_connection, "fresh", WORK_MS).expect("write");
     eventually("the shortest drain is over", || stop_requested_at.elapsed() > SHORTEST_DRAIN);
     fleet.daemons[0].signal("-CONT");
-    let replies = [("kept", keep_alive), ("fresh", fresh)].map(|(id, mut stream)| {
+    let replies = [("kept", keep_alive), ("fresh", new_connection)].map(|(id, mut stream)| {
         let reply = client::read_reply(&mut stream, "POST");
         StopRequest { id: id.to_owned(), reply }
     });
     assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0), "no request is interrupted");
-    replies.iter().for_each(|request| request.check(&fleet));
+    replies.iter().for_each(|request| request.check_runs(&fleet));
 }
 
 #[test]
@@ -114,7 +114,7 @@
         .map(|number| {
             thread::spawn(move || {
                 let mut stream = client::connect(callers);
-                stops::send(&mut stream, &format!("meanwhile-{number}"), WORK_MS)
+                stops::send_request(&mut stream, &format!("meanwhile-{number}"), WORK_MS)
                     .map(|reply| reply.status)
             })
         })
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -17,9 +17,9 @@
 use serde_json::{json, Value};
 
 /// Deadline of the requests: longer than any test waits, so that only a suspend can make it pass.
-const DEADLINE: (&str, &str) = ("basaltarch-deadline-ms", "600000");
-/// Length of a suspend that outlasts [`DEADLINE`].
-const SUSPEND: Duration = Duration::from_secs(1200);
+const DEADLINE_HEADER: (&str, &str) = ("basaltarch-deadline-ms", "600000");
+/// Length of a suspend that outlasts [`DEADLINE_HEADER`].
+const SUSPEND_LENGTH: Duration = Duration::from_secs(1200);
 
 /// A host whose suspend can be simulated, with one backend server.
 struct SuspendableHost {
@@ -50,31 +50,33 @@
             change("backend-servers", "server-1", server),
             change("routes", "puzzle", route),
         ]});
-        let reply = host.admin("POST", "/v1/apply", &changes.to_string());
+        let reply = host.call_admin("POST", "/v1/apply", &changes.to_string());
         assert_eq!(reply.status, 200, "{}", reply.text());
         host
     }
 
-    fn admin(&self, method: &str, path: &str, body: &str) -> Reply {
+    fn call_admin(&self, method: &str, path: &str, body: &str) -> Reply {
         let token = [("Authorization", "Bearer operator-token")];
         client::call(self.daemon.admin, method, path, &token, body)
     }
 
-    fn health(&self) -> Value {
-        let health = self.admin("GET", "/v1/health?service=solver-app", "").json();
+    fn server_health(&self) -> Value {
+        let health = self.call_admin("GET", "/v1/health?service=solver-app", "").json();
         health["services"][0]["upstreams"][0]["here"].clone()
     }
 
     /// Waits until the server has received this many requests.
-    fn wait_received(&self, wanted: u64) {
+    fn wait_received(&self, expected_count: u64) {
         eventually("the server has received the requests", || {
-            self.backend.runs()["received"].as_u64().is_some_and(|seen| seen >= wanted)
+            self.backend.run_counters()["received"]
+                .as_u64()
+                .is_some_and(|seen| seen >= expected_count)
         });
     }
 }
 
 fn send_request(callers: SocketAddr, work_ms: &str) -> Reply {
-    let headers = [("Host", "solver.example"), DEADLINE, ("x-work-ms", work_ms)];
+    let headers = [("Host", "solver.example"), DEADLINE_HEADER, ("x-work-ms", work_ms)];
     client::call(callers, "GET", "/puzzle/7", &headers, "")
 }
 
@@ -86,8 +88,10 @@
     let running = thread::spawn(move || send_request(callers, "0"));
     host.wait_received(1);
     let waiting = thread::spawn(move || send_request(callers, "0"));
-    eventually("the second request waits for the slot", || host.health()["queued"] == json!(1));
-    host.daemon.suspend(SUSPEND);
+    eventually("the second request waits for the slot", || {
+        host.server_health()["queued"] == json!(1)
+    });
+    host.daemon.suspend(SUSPEND_LENGTH);
     let running = running.join().expect("join");
     assert_eq!(
         running.outcome().as_deref(),
@@ -102,7 +106,11 @@
         Some("not-run"),
         "the queued request never got the slot"
     );
-    assert_eq!(host.backend.runs()["received"], json!(1), "the queued request was never sent");
+    assert_eq!(
+        host.backend.run_counters()["received"],
+        json!(1),
+        "the queued request was never sent"
+    );
 }
 
 #[test]
@@ -112,7 +120,7 @@
     for _ in 0..40 {
         assert_eq!(send_request(callers, "1").status, 200);
     }
-    let received = host.backend.runs()["received"].as_u64().expect("a count");
+    let received = host.backend.run_counters()["received"].as_u64().expect("a count");
     let running: Vec<_> =
         (0..4).map(|_| thread::spawn(move || send_request(callers, "500"))).collect();
     host.wait_received(received + 4);
@@ -122,7 +130,7 @@
     for caller in running {
         assert_eq!(caller.join().expect("join").status, 200);
     }
-    let health = host.health();
+    let health = host.server_health();
     assert_eq!(health["ejected"], json!(false), "{health}");
     assert!(health["score"].as_f64().is_some_and(|score| score < 0.5), "{health}");
     assert_eq!(send_request(callers, "1").status, 200);
