--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -7,7 +7,7 @@
 
 use std::io::{BufRead, BufReader, Write};
 
-use common::operator::{fleet_of, put_organisation, ANY_REVISION};
+use common::operator::{put_organisation, start_fleet_with_daemons, ANY_REVISION};
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 
@@ -40,7 +40,7 @@
 
 #[test]
 fn verify_watches_neither_miss_nor_repeat_changes_over_a_reconnect() {
-    let fleet = fleet_of(2);
+    let fleet = start_fleet_with_daemons(2);
     let mut seen_revisions = Vec::new();
     let mut watch = Watch::start(&fleet.daemons[1], "/v1/watch?after=0");
     for number in 0..12 {
@@ -63,8 +63,12 @@
     }
     assert_eq!(seen_revisions, (1..=13).collect::<Vec<u64>>());
     let mut route_watch = Watch::start(&fleet.daemons[0], "/v1/routes?watch=0");
-    let first = route_watch.next_change();
-    assert!(first["changes"].as_array().expect("changes").iter().all(|c| c["kind"] == "routes"));
+    let first_change = route_watch.next_change();
+    assert!(first_change["changes"]
+        .as_array()
+        .expect("changes")
+        .iter()
+        .all(|c| c["kind"] == "routes"));
 }
 
 #[test]
@@ -82,8 +86,8 @@
     }
     // A new daemon starts from a snapshot and knows only the changes made after it.
     eventually("a snapshot is stored", || fleet.daemons[0].log_text().contains("snapshot kept"));
-    let fresh = TestDaemon::start(fleet.platform.address, "host-n", "bkk-b", &[]);
-    fleet.daemons.push(fresh);
+    let new_daemon = TestDaemon::start(fleet.platform.address, "host-n", "bkk-b", &[]);
+    fleet.daemons.push(new_daemon);
     eventually("the new daemon has all revisions", || {
         fleet.daemons[1].is_ready() && fleet.daemons[1].revision() == 304
     });
