--- a/crates/daemon/tests/adopting.rs
+++ b/crates/daemon/tests/adopting.rs
@@ -11,8 +11,10 @@
 use basaltarch_core::units::FleetRevision;
 use serde_json::json;
 
+/// Time at which all changes and snapshots come into force.
 const NOW: Duration = Duration::from_secs(1);
 
+/// Builds the change of this revision, which adds the organisation `shop-<revision>`.
 fn change_record(revision: u64) -> ChangeRecord {
     let change = ResourceChange {
         kind: "organisations".to_owned(),
@@ -30,6 +32,7 @@
     }
 }
 
+/// Builds the configuration that the changes of the revisions 1 to `revision` result in.
 fn build_config_at(revision: u64) -> (FleetConfig, ActiveConfig) {
     let mut config = FleetConfig::default();
     for number in 1..=revision {
@@ -48,7 +51,7 @@
             .apply(&[change_record(1), change_record(2), change_record(3), change_record(4)], NOW),
         4
     );
-    assert!(!config_cell.adopt(snapshot, snapshot_layout, NOW), "revision 4 was applied meanwhile");
+    assert!(!config_cell.adopt(snapshot, snapshot_layout, NOW), "revision 4 was applied while the snapshot of revision 3 was read");
     assert_eq!(config_cell.revision(), FleetRevision(4));
     assert!(config_cell.active().has_organisation("shop-4"));
 }
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -23,11 +23,11 @@
 use common::registered::{document, route, RegisteredFleet};
 use serde_json::json;
 
-/// Time from an acknowledgement until the document must be in force everywhere.
+/// Longest time from the store's acknowledgement of a document until every daemon has it in force.
 const IN_FORCE_MAX: Duration = Duration::from_secs(2);
-/// Time after a fault in which a host may exceed [`IN_FORCE_MAX`].
+/// Time after the start of a fault during which [`IN_FORCE_MAX`] may be exceeded.
 const RECOVERY_GRACE: Duration = Duration::from_secs(3);
-/// Time between two requests.
+/// Time between two rounds of requests to all daemons.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 const HOSTS: [&str; 3] = ["host-a", "host-b", "host-c"];
 
@@ -119,8 +119,8 @@
     );
 }
 
-/// One daemon can't reach the store, all links are black-holed, and no heartbeat is due for a
-/// minute.
+/// A document reaches a daemon that can't reach the store, although all links are black-holed and
+/// no heartbeat is due for a minute.
 #[test]
 fn verify_a_document_arrives_although_links_are_black_holed() {
     const CUT_OFF_DAEMON: usize = HOSTS.len() - 1;
@@ -139,8 +139,8 @@
     );
 }
 
-/// However many requests callers send for unknown routes, a daemon makes at most one freshness
-/// check at the store a second.
+/// A daemon makes at most one freshness check at the store a second, however many requests for
+/// unknown routes the daemon receives.
 #[test]
 fn verify_unknown_routes_cause_few_freshness_checks() {
     let proxied = ProxiedFleet::start("4000");
@@ -171,8 +171,8 @@
     proxied.write(2);
     proxied.wait_revision(2);
     proxied.fleet.platform.set_faults(json!({"busy": true}));
-    // Before all confirmations have expired, a peer may still send a confirmation after a daemon
-    // has stopped waiting for it.
+    // The test waits, as a daemon may answer 404 until all confirmations have expired: a peer may
+    // send a confirmation even after the daemon has stopped waiting for the peer's reply.
     let busy_since = Instant::now();
     eventually("all confirmations have expired", || busy_since.elapsed() > CERTAIN_FOR);
     assert_eq!(proxied.request_status(0, 99), 503);
@@ -185,7 +185,7 @@
     eventually("a confirmation arrives again", || proxied.request_status(0, 99) == 404);
 }
 
-/// A daemon that can't reach the store uses the confirmation of peers that can.
+/// A daemon that can't reach the store uses the confirmations of peers that can reach the store.
 #[test]
 fn verify_the_confirmation_of_a_peer_suffices() {
     let proxied = ProxiedFleet::start("4000");
@@ -194,7 +194,7 @@
     cuts.forward.store(true, Ordering::SeqCst);
     cuts.backward.store(true, Ordering::SeqCst);
     for _ in 0..3 {
-        // The other daemons ask the store, and the daemon that is cut off asks them.
+        // The other daemons ask the store, and the daemon that is cut off asks its peers.
         eventually("a peer has a confirmation of the store and forwards it", || {
             proxied.request_status(0, 99) == 404
                 && proxied.request_status(cut_off_daemon, 99) == 404
--- a/crates/daemon/tests/bounds.rs
+++ b/crates/daemon/tests/bounds.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Memory and descriptors stay within the limits of the platform, whatever callers do.
+//! The daemon's memory and descriptors stay within their limits, however many connections callers
+//! open.
 
 mod common;
 
@@ -14,13 +15,15 @@
 use common::registered::{RegisteredFleet, HOST};
 use common::{eventually, TestDaemon};
 
-/// Memory of the daemon, which allows 744 connections of callers.
+/// Memory limit of the daemon in MB. By this limit, the daemon allows 744 connections of callers.
 const MEMORY_LIMIT_MB: u64 = 48;
-/// Descriptors of the daemon, which allow 750 connections of callers.
+/// Descriptor limit of the daemon. By this limit alone, the daemon would allow 750 connections of
+/// callers.
 const DESCRIPTOR_LIMIT: u64 = 1500;
-/// Connections that the daemon allows: the lower of the two numbers.
+/// Number of callers' connections that the daemon allows: the lower of the numbers that follow from
+/// [`MEMORY_LIMIT_MB`] and [`DESCRIPTOR_LIMIT`].
 const CONNECTION_LIMIT: usize = 744;
-/// Connections that callers try to open.
+/// Number of connections that callers try to open.
 const CONNECTION_ATTEMPTS: usize = 900;
 
 fn open_descriptors(daemon: &TestDaemon) -> u64 {
@@ -35,7 +38,8 @@
     kib / 1024
 }
 
-/// Sends a request on a connection that stays open; returns whether it was answered.
+/// Sends a request on a connection that stays open; returns whether the request was answered with
+/// status 200.
 fn is_request_served(stream: &mut TcpStream, id: usize) -> bool {
     let text = format!("GET /safe/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: many-{id}\r\n\r\n");
     let mut status_line = [0; 15];
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -1,12 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A request whose caller has disconnected is not sent, wherever it waits.
+//! A request whose caller has disconnected is not sent to a server, wherever the request waits.
 //!
 //! Guards against a fault in which an at-most-once request reached a server 0.78 s after its caller
 //! had closed the connection, while paths between failure domains were cut for some daemons. The
 //! ingress did not watch its caller while it waited for a link and sent the request once the link
-//! was up, and a host started a request although its cancel had arrived together with it.
+//! was up. A host started a request although the cancel of the request had arrived together with
+//! the request.
 
 mod common;
 
@@ -45,6 +46,7 @@
     runtime::run(test).expect("runtime");
 }
 
+/// Builds the dispatch of a non-repeatable request with this id to the server `i-1`.
 fn dispatch_frame(id: &str) -> PeerFrame {
     let lines = format!("host: {}\r\nrequest-id: {id}\r\n", common::registered::HOST);
     let head = DispatchHead {
--- a/crates/daemon/tests/common/backend.rs
+++ b/crates/daemon/tests/common/backend.rs
@@ -60,16 +60,17 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
 
-    /// Returns the counters of the server, as its control path reports them.
+    /// Returns the run counters that the server reports at its control path.
     pub fn run_counters(&self) -> Value {
         client::call(self.address, "GET", backend::RUNS_PATH, &[], "").json()
     }
 
+    /// Returns the number of all runs on this server.
     pub fn total_runs(&self) -> u64 {
         self.run_counters()["total"].as_u64().expect("total")
     }
 
-    /// Returns how often this server ran the request with this id.
+    /// Returns the number of runs of the request with this id on this server.
     pub fn run_count(&self, id: &str) -> u64 {
         self.run_counters()["by_id"][id].as_u64().unwrap_or(0)
     }
--- a/crates/daemon/tests/common/client.rs
+++ b/crates/daemon/tests/common/client.rs
@@ -17,7 +17,8 @@
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// Whether the body ended where its framing says.
+    /// Whether the whole body arrived, by its content length or its last chunk. Always false for a
+    /// body that ends with the connection.
     pub complete: bool,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// Connects to a daemon, backend server or platform.
+/// Connects to a daemon, backend server or platform; reads time out after [`READ_TIMEOUT`].
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("connect");
     stream.set_read_timeout(Some(READ_TIMEOUT)).expect("timeout");
@@ -54,7 +55,7 @@
     stream
 }
 
-/// Formats a request with a body of known length.
+/// Formats a request. Adds a `Host` header if there is none, and the length of a non-empty body.
 pub fn request_text(method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("{method} {path} HTTP/1.1\r\n");
     if !headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("host")) {
@@ -71,7 +72,7 @@
     text
 }
 
-/// Makes one request on a new connection.
+/// Makes one request on a new connection; fails the test if no complete reply head is received.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -82,7 +83,7 @@
     try_call(address, method, path, headers, body).expect("a reply")
 }
 
-/// Makes one request; returns `None` if no complete reply head is received.
+/// Makes one request on a new connection; returns `None` if no complete reply head is received.
 pub fn try_call(
     address: SocketAddr,
     method: &str,
@@ -97,7 +98,7 @@
     read_reply(&mut stream, method)
 }
 
-/// Sends these bytes unchanged on a new connection and reads the reply.
+/// Sends bytes unchanged on a new connection and reads the reply as that to a GET request.
 pub fn send_raw(address: SocketAddr, bytes: &[u8]) -> Option<Reply> {
     let mut stream = connect(address);
     stream.write_all(bytes).ok()?;
@@ -115,7 +116,7 @@
     }
 }
 
-/// Reads the next reply, interim or final; bytes that follow it stay in `buffer`.
+/// Reads the next reply, interim or final. Received bytes that follow the reply stay in `buffer`.
 pub fn read_next_reply(
     stream: &mut TcpStream,
     method: &str,
@@ -158,8 +159,8 @@
                 buffer.extend_from_slice(&chunk[..count]);
                 return true;
             }
-            // A signal, such as SIGCHLD when a daemon of another test ends, is no fault of the
-            // connection.
+            // A signal interrupts the read, such as SIGCHLD when a daemon of another test ends. The
+            // connection is still usable.
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             _ => return false,
         }
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -15,26 +15,29 @@
 use super::client::{self, Reply};
 use super::{eventually, logs};
 
+/// Token of the admin API, with which tests call as an operator.
 pub const OPERATOR_TOKEN: &str = "operator-token";
+/// Key by which the daemons of a fleet authenticate each other.
 pub const FLEET_KEY: &str = "a-fleet-key-for-tests";
 
 /// A daemon that runs as a process and is killed when dropped.
 pub struct TestDaemon {
     pub host: String,
     pub domain: String,
-    /// Address for callers.
+    /// Address that accepts connections of callers.
     pub callers: SocketAddr,
-    /// Address for links of other daemons.
+    /// Address that accepts links of other daemons.
     pub peers: SocketAddr,
     /// Address of the admin API.
     pub admin: SocketAddr,
-    /// Address for heartbeats of backend servers, if the daemon has one.
+    /// Address that accepts heartbeats of backend servers, if the daemon has such an address.
     pub registration: Option<SocketAddr>,
-    /// Address for the platform's readiness probe, if the daemon has one.
+    /// Address that answers the platform's readiness probe, if the daemon has such an address.
     pub ready: Option<SocketAddr>,
     child: Child,
     log: PathBuf,
-    /// Standard output if it is a pipe; the test reads it or leaves it unread.
+    /// Standard output of a daemon that was started by [`TestDaemon::start_piped`], else `None`.
+    /// A test may leave the pipe unread.
     pub output: Option<BufReader<ChildStdout>>,
 }
 
@@ -59,7 +62,8 @@
         Self::from_listening_line(child, log, &line, host, domain)
     }
 
-    /// Starts a daemon whose standard output is a pipe, and reads it up to the line `listening`.
+    /// Starts a daemon whose standard output is a pipe, and reads the pipe up to the log line
+    /// `listening`.
     pub fn start_piped(
         platform: SocketAddr,
         host: &str,
@@ -74,7 +78,7 @@
             let mut text = String::new();
             assert!(
                 output.read_line(&mut text).expect("output") > 0,
-                "no line `listening` before the end"
+                "the daemon ended its output without the log line `listening`"
             );
             line = serde_json::from_str(&text).unwrap_or(Value::Null);
         }
@@ -84,7 +88,7 @@
         daemon
     }
 
-    /// Reads the addresses of a daemon from its log line `listening`.
+    /// Builds the handle of a started daemon. The addresses are read from the log line `listening`.
     fn from_listening_line(
         child: Child,
         log: PathBuf,
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Returns the path of the log.
+    /// Returns the path of the daemon's log.
     pub fn log_file(&self) -> String {
         self.log.to_str().expect("path").to_owned()
     }
@@ -117,7 +121,7 @@
         self.child.id()
     }
 
-    /// Sends a signal, such as `-TERM`, to the process.
+    /// Sends a signal, such as `-TERM`, to the daemon's process.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
@@ -128,7 +132,7 @@
         let _ = self.child.wait();
     }
 
-    /// Waits until the process ends and returns its exit status.
+    /// Waits until the daemon's process ends and returns the exit status.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let mut status = None;
         eventually("the daemon ends", || {
@@ -150,7 +154,7 @@
         client::call(self.admin, method, path, &all_headers, body)
     }
 
-    /// Reads a resource of the admin API; fails unless the status is 200.
+    /// Reads a path of the admin API; fails the test unless the status is 200.
     pub fn get(&self, path: &str) -> Value {
         let reply = self.call("GET", path, &[], "");
         assert_eq!(reply.status, 200, "{path}: {}", reply.text());
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -23,7 +23,7 @@
     pub backends: Vec<TestBackend>,
 }
 
-/// Numbers of daemons and backend servers of a fleet, and its configuration.
+/// Numbers of daemons and backend servers of a test fleet, and the fleet's configuration.
 pub struct FleetPlan {
     pub daemons: usize,
     pub backends: usize,
@@ -60,8 +60,8 @@
 }
 
 impl TestFleet {
-    /// Starts a fleet, applies its configuration, and waits until every daemon is ready, knows all
-    /// other daemons and has the configuration in force.
+    /// Starts a fleet and applies the configuration of the plan. Waits until every daemon is ready,
+    /// knows all other daemons and has the configuration in force.
     pub fn start(plan: &FleetPlan) -> Self {
         let mut fleet = Self::start_unconfigured(plan);
         fleet.backends = (0..plan.backends)
@@ -89,7 +89,8 @@
         fleet
     }
 
-    /// Kills all daemons at once and restarts them; waits until they know each other and are ready.
+    /// Kills all daemons at once and restarts them with the same hosts and failure domains. Waits
+    /// until every daemon is ready and knows all other daemons.
     pub fn restart_all(&mut self, flags: &[(&str, &str)]) {
         self.daemons.iter_mut().for_each(TestDaemon::kill);
         for daemon in &mut self.daemons {
@@ -149,7 +150,7 @@
         self.daemons[0].call("POST", "/v1/apply", &[], &body)
     }
 
-    /// Sends a caller's request to a daemon.
+    /// Sends a caller's request for the host `solver.example` to a daemon.
     pub fn request(
         &self,
         daemon: usize,
@@ -163,12 +164,12 @@
         client::call(self.daemons[daemon].callers, method, path, &all_headers, body)
     }
 
-    /// Returns how often a request ran on all backend servers together.
+    /// Returns the number of runs of the request with this id, over all backend servers.
     pub fn run_count(&self, id: &str) -> u64 {
         self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
 
-    /// Checks that no daemon has violated a floor or panicked.
+    /// Checks that no daemon counted a violation of a service's floor or logged a panic.
     pub fn check_invariants(&self) {
         for daemon in &self.daemons {
             assert_eq!(daemon.metric_sum("floor_violations"), 0.0, "floor on {}", daemon.host);
--- a/crates/daemon/tests/common/forwarder.rs
+++ b/crates/daemon/tests/common/forwarder.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A TCP forwarder between two processes. Each direction can be cut separately, and connections can
-//! be black-holed permanently.
+//! A TCP forwarder between two processes. A test can cut each direction separately, and can
+//! black-hole connections permanently.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,28 +11,30 @@
 use std::thread;
 use std::time::Duration;
 
+/// Time between two checks of whether a direction is still cut.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Faults of a forwarder, which tests switch on and off.
 #[derive(Default)]
 pub struct Cuts {
-    /// Nothing is forwarded from the side that connected.
+    /// Whether bytes from the side that connected are held back until the cut ends.
     pub forward: AtomicBool,
-    /// Nothing is forwarded back to the side that connected.
+    /// Whether bytes to the side that connected are held back until the cut ends.
     pub backward: AtomicBool,
-    /// New connections are closed at once.
+    /// Whether new connections are closed at once.
     pub refuse: AtomicBool,
-    /// Connections up to this number are black-holed: they stay open, and all bytes sent on them
-    /// are read and dropped.
+    /// Number of the last connection that is black-holed, as are all earlier connections. A
+    /// black-holed connection stays open, and its bytes are read and dropped.
     last_black_holed: AtomicU64,
-    /// Number of connections that were opened.
+    /// Number of connections that were opened so far; also the number of the newest connection.
     opened_count: AtomicU64,
-    /// Hosts whose links are cut; if empty, all links are cut. A daemon names its host in its first
-    /// frame.
+    /// Hosts whose links are cut; if empty, all links are cut. A daemon names its host in the first
+    /// frame of a link, by which the link is recognised.
     pub only_hosts: Mutex<Vec<String>>,
 }
 
 impl Cuts {
+    /// Returns whether the cuts apply to the connection with this first frame.
     fn applies_to(&self, first_frame: &[u8]) -> bool {
         let only_hosts = self.only_hosts.lock().expect("lock");
         let is_named =
@@ -41,7 +43,7 @@
     }
 }
 
-/// A forwarder. Connections stay open while a direction is cut, as on a network.
+/// A TCP forwarder. Connections stay open while a direction is cut, as on a network.
 pub struct Forwarder {
     pub address: SocketAddr,
     pub cuts: Arc<Cuts>,
@@ -50,6 +52,7 @@
 }
 
 impl Forwarder {
+    /// Starts a forwarder that closes connections until [`Forwarder::forward_to`] is called.
     pub fn start() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("bind");
         let forwarder = Self {
@@ -72,6 +75,7 @@
         forwarder
     }
 
+    /// Sets the address to which new connections are forwarded.
     pub fn forward_to(&self, target: SocketAddr) {
         *self.target.lock().expect("lock") = Some(target);
     }
@@ -131,7 +135,8 @@
     });
 }
 
-/// Forwards bytes in one direction until the connection ends.
+/// Forwards bytes in one direction until the connection ends. Bytes wait while the direction is
+/// cut, and are dropped if the connection is black-holed.
 fn forward_bytes(
     mut from: TcpStream,
     mut to: TcpStream,
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A daemon in a thread of the test, for which a suspend of its host can be simulated.
+//! A daemon in a thread of the test. The test can simulate a suspend of the daemon's host.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,9 +16,11 @@
 
 use super::daemon::{FLEET_KEY, OPERATOR_TOKEN};
 
+/// Time between two checks for a simulated suspend.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A daemon in a thread. A test process can have only one, as metrics are global to the process.
+/// A daemon in a thread. A test process can have only one such daemon, as metrics are global to the
+/// process.
 pub struct InlineDaemon {
     pub host: String,
     pub callers: SocketAddr,
@@ -51,7 +53,7 @@
         Self { host: host.to_owned(), callers, admin, suspend_sender }
     }
 
-    /// Simulates a suspend of the host of this length; returns at once.
+    /// Simulates that the host was suspended for `length`; returns without waiting.
     pub fn suspend(&self, length: Duration) {
         self.suspend_sender.send(length).expect("the daemon runs");
     }
--- a/crates/daemon/tests/common/logs.rs
+++ b/crates/daemon/tests/common/logs.rs
@@ -20,7 +20,7 @@
     std::env::temp_dir().join(format!("basaltarch-{}-{number}-{host}.log", std::process::id()))
 }
 
-/// Waits for a line with this message and returns its fields.
+/// Waits for a log line with this message and returns the fields of the line.
 pub fn wait_line(log: &std::path::Path, message: &str) -> Value {
     let mut matching_line = Value::Null;
     eventually("the expected line is in the log", || {
@@ -46,7 +46,7 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("events");
     let name = log.file_name().expect("name");
     let text: String = names.iter().map(|name| format!("{name}\n")).collect();
-    // The script reports an event that could not be saved as never seen.
+    // If an event can't be saved here, scripts/check-events reports the event as never seen.
     let _ = fs::create_dir_all(&folder);
     let _ = fs::write(folder.join(name), text);
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -10,8 +10,8 @@
 //! [`forwarder`] cuts or black-holes connections. [`stops`] sends requests to daemons that are
 //! shutting down.
 //!
-//! The kernel assigns the ports. Tests wait for events rather than for fixed times, with a generous
-//! timeout.
+//! The kernel assigns the ports. Tests wait for conditions rather than for fixed times, for at most
+//! [`EVENT_TIMEOUT`].
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -36,8 +36,9 @@
 pub use fleet::{FleetPlan, TestFleet};
 pub use platform::TestPlatform;
 
-/// Longest wait for an event.
+/// Longest wait of [`eventually`] for its condition.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
+/// Time between two checks of a condition that [`eventually`] awaits.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Waits until `holds` returns true, and fails with the description `what` after [`EVENT_TIMEOUT`].
@@ -49,6 +50,7 @@
     }
 }
 
+/// Returns a loopback address with port 0, for which the kernel assigns a free port.
 pub fn loopback_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/daemon/tests/common/operator.rs
+++ b/crates/daemon/tests/common/operator.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Calls of operators, for the tests of the configuration.
+//! Calls that operators make to change the configuration, and a check of the audit trail.
 
 use std::collections::BTreeMap;
 
@@ -25,11 +25,11 @@
     daemon.call("PUT", &path, &[precondition], &json!({"title": title}).to_string())
 }
 
-/// Precondition of a change that is made at whatever revision the resource has.
+/// Precondition of a change that any revision of the resource satisfies.
 pub const ANY_REVISION: (&str, &str) = ("If-Match", "*");
 
-/// Checks on every daemon that the audit trail has one record for each revision, and each change
-/// once and in order.
+/// Checks on every daemon that the audit trail has one record for each revision from 1 to
+/// `revisions`, and that each change starts from the value that the previous change left.
 pub fn check_audit_trail(fleet: &TestFleet, revisions: u64) {
     for daemon in &fleet.daemons {
         let audit = daemon.get("/v1/audit?after=0");
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -19,7 +19,7 @@
 /// The simulated platform in a thread.
 pub struct TestPlatform {
     pub address: SocketAddr,
-    /// Address for the second group of hosts, to which an outage can be restricted.
+    /// Address for the second group of hosts. An outage can be restricted to this group.
     pub second_address: SocketAddr,
 }
 
@@ -65,7 +65,7 @@
         client::call(self.address, "GET", platform::COUNTERS_PATH, &[], "").json()
     }
 
-    /// Returns the values of a table's rows, without those that can't be decoded.
+    /// Returns the values of a table's rows, without the values that can't be decoded.
     pub fn rows(&self, table: &str) -> Vec<Value> {
         let path = format!("{}?table={table}&part=", rows::READ_PATH);
         let page = client::call(self.address, "GET", &path, &[], "").json();
@@ -76,7 +76,8 @@
         page["rows"].as_array().into_iter().flatten().filter_map(decoded_value).collect()
     }
 
-    /// Writes or removes a row without any checks, as a writer other than the daemon that owns it.
+    /// Writes a row by PUT or PATCH, or removes a row by DELETE, without any checks. Simulates a
+    /// writer other than the daemon that owns the row.
     pub fn change_row(&self, method: &str, table: &str, key: &str, decoded_value: &str) {
         let path = format!("{}{table}/{key}", platform::ROWS_CONTROL_PATH);
         let reply = client::call(self.address, method, &path, &[], decoded_value);
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A fleet that is configured by the operator's document and whose backend servers register
+//! A fleet that is configured by the operator's document. The backend servers of the fleet register
 //! themselves.
 
 use std::cell::Cell;
@@ -20,7 +20,7 @@
 use super::client::{self, Reply};
 use super::{eventually, loopback_address, TestBackend, TestDaemon, TestPlatform};
 
-/// Service of the backend servers.
+/// Name of the service of the backend servers.
 pub const SERVICE: &str = "solver-app";
 /// Host header of callers' requests.
 pub const HOST: &str = "solver.example";
@@ -31,7 +31,7 @@
     pub platform: TestPlatform,
     pub daemons: Vec<TestDaemon>,
     pub backends: Vec<TestBackend>,
-    /// Sequence number of the next heartbeat.
+    /// Sequence number of the next heartbeat of any backend server.
     sequence: Cell<u64>,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns a route to [`SERVICE`].
+/// Returns a route to [`SERVICE`] with an objective of 800 ms and a time-out of 3 s.
 pub fn route(name: &str, path_prefix: &str, mode: WorkMode) -> NamedRoute {
     let rule = RouteRule {
         host: HOST.to_owned(),
@@ -92,7 +92,7 @@
         (0..daemons).fold(fleet, |fleet, index| fleet.with_host(index))
     }
 
-    /// Starts the fleet of [`RegisteredFleet::start`] with all hosts in one failure domain.
+    /// Starts a fleet as [`RegisteredFleet::start`] does, but with all hosts in one failure domain.
     pub fn start_in_one_domain(daemons: usize) -> Self {
         let platform = TestPlatform::start();
         let fleet =
@@ -153,7 +153,7 @@
         self.platform.change_row("PUT", rows::OPERATOR_TABLE, rows::DOCUMENT_KEY, text);
     }
 
-    /// Sends a heartbeat of a backend server to the daemon beside it.
+    /// Sends a heartbeat of a backend server to the daemon beside that server.
     pub fn send_heartbeat(&self, index: usize, draining: bool) -> Reply {
         let name = &self.backends[index].name;
         self.send_heartbeat_as(index, name, SERVICE, draining)
@@ -224,7 +224,8 @@
         client::call(self.daemons[daemon].callers, method, path, &headers, "x")
     }
 
-    /// Waits until a daemon has sent requests to each of these backend servers.
+    /// Sends requests to a daemon until each of these backend servers has run at least one of the
+    /// requests.
     pub fn wait_served(&self, daemon: usize, servers: &[usize]) {
         let mut number = 0;
         eventually("every backend server receives requests", || {
@@ -243,7 +244,7 @@
         });
     }
 
-    /// Returns how often a request ran on all backend servers together.
+    /// Returns the number of runs of the request with this id, over all backend servers.
     pub fn run_count(&self, id: &str) -> u64 {
         self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
--- a/crates/daemon/tests/common/stops.rs
+++ b/crates/daemon/tests/common/stops.rs
@@ -16,8 +16,8 @@
 }
 
 impl StopRequest {
-    /// Checks that the request ran exactly once if it was served, and never if it was refused or
-    /// got no reply.
+    /// Checks that the request ran exactly once if the reply is a complete 200. Otherwise checks
+    /// that the request never ran, and that the reply, if there is one, has status 503.
     pub fn check_runs(&self, fleet: &TestFleet) {
         let runs = fleet.run_count(&self.id);
         let expected = match &self.reply {
@@ -42,7 +42,7 @@
     stream.write_all(client::request_text("POST", "/plain", &headers, "x").as_bytes())
 }
 
-/// Sends a non-repeatable request and waits until its reply is read or its connection ends.
+/// Sends a non-repeatable request and waits until the reply is read or the connection ends.
 pub fn send_request(stream: &mut TcpStream, id: &str, work_ms: &str) -> Option<Reply> {
     write_request(stream, id, work_ms).ok()?;
     client::read_reply(stream, "POST")
@@ -54,7 +54,7 @@
     eventually(event, || daemon.log_text().contains(&text));
 }
 
-/// Asks a daemon to stop and waits until it begins its graceful shutdown.
+/// Asks a daemon to stop and waits until the daemon begins its graceful shutdown.
 pub fn request_stop(daemon: &TestDaemon) {
     daemon.signal("-TERM");
     wait_event(daemon, "leaving");
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -5,10 +5,10 @@
 //!
 //! Guards against a fault in which one bad request, sent repeatedly, crashed 25 servers of a
 //! service of 15 within half a minute, while over a tenth of all requests failed. Each daemon
-//! retried a copy at up to three servers, and each crash took down the other requests that ran
-//! there. A daemon's record of the request was not shared with other daemons, applied only to
-//! retries and was dropped whenever the servers of the service changed, which each crash causes. 40
-//! copies sent to six daemons crashed 37 servers.
+//! retried a copy at up to three servers, and each crash also failed the other requests on the
+//! crashed server. A daemon's record of the request was not shared with other daemons and applied
+//! only to retries. The record was dropped whenever the servers of the service changed, which each
+//! crash causes. 40 copies sent to six daemons crashed 37 servers.
 
 mod common;
 
@@ -24,13 +24,13 @@
 const BAD_PATH: &str = "/puzzle/bad";
 /// Number of copies of the bad request that are sent.
 const COPY_COUNT: usize = 40;
-/// Maximum number of servers that the bad request may crash: three before it is identified, and
-/// three by copies that were sent before every daemon was notified.
+/// Maximum number of crashes that the bad request may cause: three before the request is known to
+/// crash servers, and three by copies that were sent before every daemon was notified.
 const CRASHES_MAX: u64 = 6;
-/// Time that a crashed server needs to restart.
+/// Time in milliseconds that a crashed server needs to restart.
 const RESTART_MS: u64 = 300;
 
-/// Maximum number of requests of one caller, so that a failing test ends.
+/// Maximum number of popular requests that one caller sends, so that a failing test ends.
 const REQUESTS_PER_CALLER_MAX: u64 = 100_000;
 
 /// Starts a fleet whose servers crash when they run the bad request.
@@ -51,7 +51,7 @@
     fleet
 }
 
-/// Waits until a server is up and returns how often it has crashed.
+/// Waits until a server is up and returns how often the server has crashed.
 fn wait_crash_count(backend: &TestBackend) -> u64 {
     let mut crash_count = None;
     eventually("the server is up", || {
@@ -73,7 +73,7 @@
         let id = format!("copy-{number}");
         let reply = fleet.request(number % 6, "GET", BAD_PATH, &[("x-request-id", &id)], "");
         assert_ne!(reply.status, 200, "no server can answer the bad request");
-        // A copy is sent only while a server is up: while all servers are down, copies crash none.
+        // Each copy is sent while a server is up, as a copy can't crash a server that is down.
         eventually("a server is up", || {
             fleet.request(number % 6, "GET", "/puzzle/good", &[], "").status == 200
         });
@@ -115,12 +115,14 @@
     assert!(!has_logged_break("breaks", true), "a server that still listens has not crashed");
 }
 
-/// Returns how many distinct requests a daemon refuses because they crash servers.
+/// Returns the number of distinct requests that a daemon refuses because the requests crash
+/// servers.
 fn refused_request_count(daemon: &TestDaemon) -> f64 {
     daemon.metric_sum("requests_refused")
 }
 
-/// Sends copies of the bad request until it is refused, and waits until every daemon refuses it.
+/// Sends copies of the bad request to the first daemon until a copy is refused, and waits until
+/// every daemon refuses the request.
 fn wait_until_refused(fleet: &TestFleet) {
     eventually("the request is refused", || {
         let reply = fleet.request(0, "GET", BAD_PATH, &[], "");
@@ -181,7 +183,7 @@
                 json!({"crash_path": single_use_path, "crash_after_ms": 20, "down_ms": 50}),
             );
             fleet.request(number % 3, "GET", &single_use_path, &[], "");
-            // The server crashes without a reply.
+            // The result is ignored, as the server crashes without a reply.
             let _ = client::try_call(backend.address, "GET", &single_use_path, &[], "");
         }
         stop.store(true, Ordering::SeqCst);
--- a/crates/daemon/tests/deployed.rs
+++ b/crates/daemon/tests/deployed.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The deployed settings accept every value that the platform may fill in and refuse wrong ones.
+//! The settings in deploy/ accept every value that the platform may fill in, and wrong values are
+//! refused.
 
 use std::fs;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use basaltarch_options::{DaemonOptions, RawOptions};
 use test_case::test_case;
 
-/// Typical values that the platform fills in.
+/// Placeholders of the deployed settings, and typical values that the platform fills in.
 const TYPICAL_VALUES: [(&str, &str); 17] = [
     ("nodeName", "host-1"),
     ("zone", "zone-1"),
@@ -32,12 +33,13 @@
     ("bounds.budgetExtraRetries", "56"),
 ];
 
-/// Values that the platform fills in only where callers have organisations.
+/// Placeholders that the platform fills in only where callers have organisations, and typical
+/// values. The settings that use one of these placeholders form an optional section.
 const OPTIONAL_VALUES: [(&str, &str); 3] =
     [("bounds.quotaWindowS", "5"), ("bounds.quotaOverage", "0.1"), ("bounds.quotaSlack", "20")];
 
-/// Keeps an optional section of the settings if its placeholder is filled in, and removes it
-/// otherwise.
+/// Keeps the optional section of a placeholder if the placeholder is filled in, and removes the
+/// section otherwise.
 fn resolve_section(text: &str, placeholder: &str, is_filled: bool) -> String {
     let (open, close) = (format!("{{{{#{placeholder}}}}}"), format!("{{{{/{placeholder}}}}}"));
     let (before, rest) = text.split_once(&open).expect("the start of an optional section");
@@ -51,7 +53,8 @@
     read_options_with_sections(placeholder, value, true)
 }
 
-/// Reads the deployed settings with or without the sections for organisations.
+/// Reads the deployed settings as [`read_options`] does, with or without the sections for
+/// organisations.
 fn read_options_with_sections(
     placeholder: &str,
     value: &str,
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -17,6 +17,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
+/// Builds a document of this version with one more repeatable route for `path`.
 fn document_with_route(version: u64, path: &str) -> ConfigDocument {
     let mut document = document(version);
     document.routes.push(route("r-new", path, WorkMode::Repeatable));
@@ -35,8 +36,8 @@
     let texts = [r#"{"version": 9}"#, "text", r#"{"version": "nine"}"#];
     for (bad_index, text) in texts.into_iter().enumerate() {
         fleet.write_text(text);
-        // The log line is awaited, since a document that is replaced before it is read is not
-        // logged.
+        // Waits for the log line of each document before the next document is written. A document
+        // that is replaced before a daemon reads it is not logged.
         for daemon in &fleet.daemons {
             let logged = || daemon.log_text().matches("configuration unreadable").count();
             eventually("the bad document was read", || logged() > bad_index);
@@ -108,7 +109,8 @@
     }
     let other_service_runs =
         (0..200).filter(|n| fleet.backends[1].run_count(&format!("split-{n}")) > 0).count();
-    // The count of each of the two ingresses differs from its share by less than one request.
+    // At each of the two ingresses, the number of requests that are sent to a service differs from
+    // the weight of the service by less than one request.
     assert!(
         (48..=52).contains(&other_service_runs),
         "{other_service_runs} of 200 requests ran at the other service"
@@ -116,8 +118,9 @@
     assert!((0..200).all(|number| fleet.run_count(&format!("split-{number}")) == 1));
 }
 
-/// Each case is a fault of one server, whether the other server still serves repeatable requests,
-/// and the status of a non-repeatable request that the faulty server ran.
+/// Each case names a fault of one server and two expectations: whether the other server answers
+/// repeatable requests instead, and the status that the caller of a non-repeatable request gets if
+/// the faulty server ran the request.
 #[test_case(json!({"surplus": true}), true, 200 ; "an answer to an earlier request comes first")]
 #[test_case(json!({"twice": true}), true, 200 ; "a second answer follows")]
 #[test_case(json!({"unstamped": true}), true, 502 ; "the answer is not proved")]
@@ -207,7 +210,7 @@
     let request_field = headers::exchange_fields().request.expect("a header field for request ids");
     let headers = [("Host", HOST), (request_field.as_str(), "slow"), ("x-work-ms", "60000")];
     let reply = client::call(fleet.daemons[0].callers, "POST", "/unsafe/x", &headers, "x");
-    // The request may have run, so the status must not state that it has not.
+    // The request may have run, so the status must not state that the request has not run.
     assert_eq!((reply.status, fleet.run_count("slow")), (504, 1), "{}", reply.text());
     eventually("the request is cancelled", || {
         fleet.backends[0].run_counters()["cancelled"] == json!(1)
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Drain of daemons and backend servers: no running request is interrupted, and a draining backend
-//! server receives no new requests.
+//! Drain of daemons and backend servers: a drain interrupts no running request unless the longest
+//! drain is over, and a draining backend server receives no new requests.
 
 mod common;
 
@@ -14,8 +14,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Sends requests one after another until `stop` is set; returns their number and the replies other
-/// than a complete 200.
+/// Starts a thread that sends requests one after another until `stop` is set. The thread returns the
+/// number of requests and the replies other than a complete 200.
 fn spawn_load(
     callers: std::net::SocketAddr,
     stop: Arc<AtomicBool>,
@@ -43,7 +43,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let load_threads: Vec<_> =
         (0..12).map(|number| spawn_load(fleet.daemons[number % 2].callers, stop.clone())).collect();
-    // A long request through the daemon that stops.
+    // Sends a long request to the daemon that is then stopped.
     let callers = fleet.daemons[2].callers;
     let long_request = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "long")];
@@ -84,8 +84,8 @@
     let mut keep_alive = client::connect(fleet.daemons[0].callers);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon is leaving", || !fleet.daemons[0].is_ready());
-    // The kept-alive connection and a new one are both served, as callers learn only after some
-    // time that a daemon is leaving.
+    // Requests on the kept-alive connection and on a new connection are both served, as callers
+    // learn only after some time that a daemon is leaving.
     keep_alive.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
     let mut answer = String::new();
     keep_alive.read_to_string(&mut answer).expect("an answer, then the end of the connection");
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -13,7 +13,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Starts a fleet with short time-outs of heads and bodies, and bodies of up to 2 GB.
+/// Starts a fleet whose daemons wait for at most 0.4 s for a request's head and for more of its
+/// body, and accept bodies of up to 2 GB.
 fn start_fleet_with_short_timeouts() -> TestFleet {
     let flags = vec![("head-ms", "400"), ("body-idle-ms", "400"), ("body-bytes", "2000000000")];
     TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() })
@@ -149,8 +150,8 @@
     assert!(last_heads.contains("basaltarch-deadline-ms"), "{last_heads}");
 }
 
-/// Time-out of the route by which a test transfers 1 GiB. On a busy machine the transfer took over
-/// 5 s, the usual time-out.
+/// Time-out in ms of the route over which a test transfers 1 GiB. On a busy machine the transfer
+/// took longer than 5 s, the time-out of the other routes.
 const LONG_TIMEOUT_MS: u64 = 600_000;
 
 /// Reads the resident memory of a process in KiB.
@@ -184,8 +185,8 @@
                 growth_kib.max(read_resident_kib(daemon.process_id()).saturating_sub(*before_kib));
         }
     }
-    // A daemon holds a window in each direction and the queue of the link: far below the 1 GiB that
-    // was transferred.
+    // For this transfer, a daemon holds one window of bytes in each direction and the queue of the
+    // link. These are far smaller than the 1 GiB that was transferred.
     assert!(growth_kib < 16 * 1024, "a daemon grew by {growth_kib} KiB");
 }
 
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The log of each failed request can be found by its id alone; the log is bounded and never blocks
-//! requests.
+//! The log lines of each failed request can be found by the request's id alone. The rate of log
+//! lines is bounded, and requests never wait for the log.
 
 mod common;
 
@@ -18,7 +18,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Starts a fleet whose daemons each log at most this many requests a second completely.
+/// Starts a fleet whose daemons each log at most `requests` requests a second completely, and at
+/// most 1000 failed requests a second.
 fn start_fleet_logging(daemons: usize, requests: &str) -> RegisteredFleet {
     let mut fleet = RegisteredFleet::start(daemons);
     for index in 0..daemons {
@@ -54,7 +55,7 @@
     history.lines.iter().filter_map(|line| line.fields["message"].as_str()).collect()
 }
 
-/// Sends a request with this id and makes it fail.
+/// Sends a request with the given id and makes the request fail.
 type FaultInjector = fn(&RegisteredFleet, &str);
 
 fn send_request(fleet: &RegisteredFleet, method: &str, path: &str, id: &str) {
@@ -265,7 +266,7 @@
         let ends = history.lines.iter().filter(|line| line.fields["message"] == "attempt ended");
         let next: Vec<&str> =
             ends.map(|line| line.fields["next"].as_str().expect("text")).collect();
-        // The lines about the state of the failed server are listed with the request's own lines.
+        // The history also lists lines about the failed server that don't name the request.
         next == ["repeat", "answer"] && event_names(&history).contains("upstream doubted")
     });
 }
@@ -345,7 +346,7 @@
         }
         fleet.daemons[0].metric_sum("log_lines_dropped") > 0.0
     });
-    // Once the pipe is read, the log continues and reports the lines that were dropped.
+    // Once the test reads the pipe, the daemon logs again and reports how many lines were dropped.
     let mut output = fleet.daemons[0].output.take().expect("pipe");
     let started_at = Instant::now();
     let mut line = String::new();
@@ -357,7 +358,8 @@
         line.clear();
         output.read_line(&mut line).expect("output");
     }
-    // The log file is read by scripts/check-events.
+    // The line read last is written to the log file, from which scripts/check-events learns that
+    // the event occurred.
     std::fs::write(fleet.daemons[0].log_file(), line).expect("log");
 }
 
--- a/crates/daemon/tests/foreign.rs
+++ b/crates/daemon/tests/foreign.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Malformed rows and heartbeats of other writers add no upstream, and all other rows and
-//! heartbeats stay valid.
+//! Malformed rows and heartbeats from a writer other than the daemons and backend servers of the
+//! fleet add no upstream. All other rows and heartbeats stay valid.
 
 mod common;
 
@@ -24,12 +24,13 @@
     serde_json::from_slice(&rows::decode_value(row["value"].as_str()?).ok()?).ok()
 }
 
-/// Returns a record with one server, at whose address nothing listens.
+/// Returns the record of a host with one server. Nothing listens at the addresses of the host.
 fn build_foreign_record(server: &Value) -> Value {
     json!({"incarnation": i64::MAX, "failure_domain": "bkk-a", "peer_address": "127.0.0.1:1",
         "admin_address": "127.0.0.1:1", "leaving": false, "servers": [server]})
 }
 
+/// Returns the entry of a server in the record of a host. Nothing listens at the server's address.
 fn build_foreign_server() -> Value {
     json!({"name": "i-foreign", "service": SERVICE, "address": "127.0.0.1:1", "slots": 4,
         "draining": false})
@@ -57,7 +58,7 @@
     let fleet = RegisteredFleet::start(2);
     fleet.platform.change_row(method, HOSTS_TABLE, "zz-foreign", &value);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
-    // Later rows of the table and of the change feed are still read.
+    // A row that is written after the malformed row is still read.
     assert_eq!(fleet.send_heartbeat_as(1, "i-later", SERVICE, false).status, 200);
     eventually("the other daemon knows of the later server", || {
         fleet.daemons[0].get("/v1/backend-servers").to_string().contains("i-later")
@@ -123,7 +124,7 @@
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
 }
 
-/// Generates server entries that are valid except for one field, which has any value.
+/// Generates server entries in which one field has an arbitrary value or is unknown.
 fn any_server() -> impl Strategy<Value = Value> {
     let value = prop_oneof![
         Just(Value::Null),
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Load from several callers until [`Load::end`].
+/// Callers that send requests one after another until [`Load::end`] is called.
 struct Load {
     stop: Arc<AtomicBool>,
     good_count: Arc<AtomicU64>,
@@ -53,7 +53,7 @@
         self.bad_count.load(Ordering::SeqCst)
     }
 
-    /// Stops the load and returns the numbers of good and bad replies.
+    /// Stops the load. Returns the numbers of good replies, whose status is 200, and of bad replies.
     fn end(self) -> (u64, u64) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -63,8 +63,8 @@
     }
 }
 
-/// Starts nine servers of a service that prefers precision, that is, missed ejections rather than
-/// false ejections.
+/// Starts nine servers of a service that prefers precision: false ejections are avoided even if
+/// some faulty servers are not ejected.
 fn start_precision_fleet() -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons: 3,
@@ -75,7 +75,7 @@
     })
 }
 
-/// Returns the health of an upstream as the daemon beside it reports it.
+/// Returns the health of an upstream as reported by the daemon beside the upstream.
 fn health_at_own_daemon(fleet: &TestFleet, upstream: &str) -> Value {
     for daemon in &fleet.daemons {
         let health = daemon.get("/v1/health?service=solver-app");
@@ -230,8 +230,8 @@
 }
 
 /// Guards against a fault in which the record of poison requests was dropped whenever the servers
-/// of their service changed, which they do when servers crash and restart. The next failure of a
-/// poison request then counted against its server.
+/// of their service changed, which happens when servers crash and restart. The next failure of a
+/// poison request then counted against the server that ran the request.
 #[test]
 fn verify_poison_requests_are_remembered_when_the_service_changes() {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 0.5});
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A backend server that restarts under its name is a new incarnation: messages of the previous one
-//! are ignored, and its failures no longer count.
+//! A backend server that restarts under its name is a new incarnation. Messages of the previous
+//! incarnation are ignored, and failures of the previous incarnation no longer count.
 
 mod common;
 
@@ -12,12 +12,12 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Names that the first backend server sends in its heartbeats: the old incarnation before its
-/// restart, and the new incarnation after it.
+/// Name in the heartbeats of the first backend server before its restart.
 const OLD_INCARNATION: &str = "i-1#a";
+/// Name in the heartbeats of the first backend server after its restart.
 const NEW_INCARNATION: &str = "i-1#b";
 
-/// A fleet whose first backend server has sent its incarnation.
+/// A fleet whose first backend server has registered as [`OLD_INCARNATION`].
 struct RestartFleet {
     fleet: RegisteredFleet,
 }
@@ -42,12 +42,14 @@
         assert_eq!(self.fleet.call_daemon(0, call).status, 200);
     }
 
-    /// Restarts the server: the sequence numbers of its heartbeats begin at 1 again.
+    /// Simulates a restart of the first backend server: the sequence numbers of heartbeats begin at 1
+    /// again, and the server registers as [`NEW_INCARNATION`].
     fn restart(&self) {
         self.fleet.reset_sequence();
         self.send_heartbeat(NEW_INCARNATION, false);
     }
 
+    /// Returns how often the first daemon has logged a registration under this name.
     fn registration_count(&self, name: &str) -> usize {
         let text = self.fleet.daemons[0].log_text();
         let quoted_name = format!("\"{name}\"");
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -13,7 +13,7 @@
 use common::{client, eventually, TestBackend};
 use serde_json::json;
 
-/// Starts a fleet and sends requests through all ingresses, so that they know its servers.
+/// Starts a fleet and sends requests through all ingresses, so that every ingress knows all servers.
 fn start_warmed_up_fleet() -> RegisteredFleet {
     let fleet = RegisteredFleet::start(3);
     (0..3).for_each(|daemon| fleet.wait_served(daemon, &[0, 1, 2]));
@@ -63,8 +63,9 @@
     eventually("the route is in force", || {
         fleet.request(0, "GET", "/slow/x", "in-force").status != 404
     });
-    // One server takes far longer than the objective, and the other never answers. Whichever server
-    // is tried first, only an attempt that continues after its hedging delay gets an answer.
+    // One server takes far longer than the objective, and the other server never answers. Whichever
+    // server is tried first, an answer comes only from an attempt that continues after the hedging
+    // delay.
     fleet.backends[0].set_faults(json!({"slow_rate": 1.0, "slow_factor": 60.0}));
     fleet.backends[1].set_faults(json!({"stuck": true}));
     for number in 0..5 {
@@ -96,8 +97,8 @@
         "not the whole time-out of the route while slots are free"
     );
     server.set_faults(json!({"stuck": true}));
-    // The hanging requests of the first round show that this server does not answer a request later
-    // either, once the request has exceeded its objective.
+    // The hanging requests of the first round show that this server also does not answer after a
+    // request has exceeded its objective.
     fill_slots(&fleet, 0);
     let timeout_ms = fill_slots(&fleet, 1);
     assert!(
@@ -106,9 +107,9 @@
     );
 }
 
-/// Sends requests for all four slots of the first server, one after the other, and waits until they
-/// end. Returns the timeout in ms that the server received with the last request, which filled the
-/// slots.
+/// Fills the four slots of the first server with one request after another, and waits until all
+/// four requests have ended. Returns the timeout in ms that the server received with the last
+/// request.
 fn fill_slots(fleet: &RegisteredFleet, round: usize) -> u64 {
     let server = &fleet.backends[0];
     let received_count = || server.run_counters()["received"].as_u64().expect("a count");
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -4,9 +4,9 @@
 //! A backend server that drains or deregisters while its daemon stops.
 //!
 //! Guards against a fault in which requests reached such a server again after a planned restart of
-//! its daemon. The stopping daemon acknowledged the call at once and ended before it had written
-//! its row, as that write did not count as in flight. The restarted daemon recovered the server
-//! from the old row and found it healthy.
+//! its daemon. The stopping daemon acknowledged the server's call at once and ended before the
+//! daemon's row was written, as the write did not count as in flight. The restarted daemon recovered
+//! the server from the old row and found the server healthy.
 
 mod common;
 
@@ -18,10 +18,10 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Name of a second server beside the first daemon, which stays registered.
+/// Name of the server beside the first daemon that stays registered.
 const REMAINING_SERVER: &str = "i-stays";
 
-/// Two hosts; beside the first daemon are a server that leaves and one that stays registered.
+/// Two hosts. Beside the first daemon are a server that leaves and a server that stays registered.
 struct LeavingFleet {
     fleet: RegisteredFleet,
     _remaining_server: TestBackend,
@@ -82,7 +82,7 @@
     serde_json::from_slice(&rows::decode_value(row["value"].as_str()?).ok()?).ok()
 }
 
-/// Returns the names of the servers in the record of the first host that are not draining.
+/// Returns the names of the servers that are not draining in the record of the first host.
 fn read_stored_servers(fleet: &RegisteredFleet) -> Vec<String> {
     let record = read_stored_record(fleet).unwrap_or(Value::Null);
     let servers = record["servers"].as_array().cloned().unwrap_or_default();
@@ -90,7 +90,7 @@
     servers_in_use.filter_map(|server| server["name"].as_str().map(str::to_owned)).collect()
 }
 
-/// Returns how many calls to the store failed, or 0 once the daemon has ended.
+/// Returns how many of the daemon's calls to the store failed, or 0 once the daemon has ended.
 fn read_store_failures(daemon: &TestDaemon) -> u64 {
     let reply = client::try_call(daemon.admin, "GET", "/metrics", &[], "");
     let text = reply.map(|reply| reply.text()).unwrap_or_default();
@@ -107,8 +107,8 @@
     leaving_fleet.fleet.platform.set_faults(json!({"busy": true}));
     assert_eq!(leave(&leaving_fleet.fleet).status, 200, "the call is acknowledged");
     leaving_fleet.stop_first_daemon();
-    // The store is restored only after more failed calls than a stop that does not wait for the
-    // store has time for.
+    // The store is restored only after five more failed calls. A stop that does not wait for the
+    // store would end earlier.
     let daemon = &mut leaving_fleet.fleet.daemons[0];
     let before = read_store_failures(daemon);
     eventually("the daemon retries its write, or ends", || {
@@ -167,7 +167,8 @@
     assert_eq!(leaving_fleet.fleet.deregister(0).status, 200, "the call is acknowledged");
     leaving_fleet.stop_first_daemon();
     assert_eq!(leaving_fleet.fleet.daemons[0].wait_exit().code(), Some(0));
-    // The store is still down: the restarted daemon learns the earlier state from the other daemon.
+    // The store is still down, so the restarted daemon learns from the other daemon which servers
+    // were registered and which server left.
     let seeds = leaving_fleet.fleet.daemons[1].peers.to_string();
     leaving_fleet.check_left_server_unused(&[("seeds", seeds.as_str())]);
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -12,6 +12,8 @@
 use serde_json::json;
 use test_case::test_case;
 
+/// Starts a fleet with a limit of `rate` requests a second and of `burst` requests at once for one
+/// organisation.
 fn start_limited_fleet(daemons: usize, rate: f64, burst: f64) -> TestFleet {
     TestFleet::start(&FleetPlan {
         daemons,
@@ -46,8 +48,8 @@
     let fleet = start_limited_fleet(4, 40.0, 10.0);
     let start = Instant::now();
     let mut served_count = 0;
-    // The number of requests is fixed. On a slow machine they take more time, in which the limit
-    // allows more of them.
+    // The number of requests is fixed. On a slow machine the requests take more time, and the limit
+    // allows more requests in that time.
     for number in 0..2000 {
         served_count += u32::from(send_request(&fleet, number % 4).status == 200);
     }
@@ -62,7 +64,8 @@
 #[test]
 fn verify_the_rate_holds_after_the_owner_of_the_limit_is_killed() {
     let mut fleet = start_limited_fleet(3, 20.0, 10.0);
-    // Any daemon may own the limit: with two of three killed, the last one must still enforce it.
+    // Any daemon may own the limit. With two of three daemons killed, the last daemon must still
+    // enforce the limit.
     fleet.daemons[1].kill();
     fleet.daemons[2].kill();
     eventually("the limit is still served", || send_request(&fleet, 0).status == 200);
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -18,8 +18,8 @@
 
 const HOSTS: [&str; 3] = ["host-a", "host-b", "host-c"];
 
-/// Starts a fleet whose daemons reach each other through forwarders, with a backend server beside
-/// each.
+/// Starts a fleet with a backend server beside each daemon. Each daemon is reached by its peers
+/// through the forwarder with the daemon's index.
 fn start_fleet() -> (RegisteredFleet, Vec<Forwarder>) {
     let mut fleet = RegisteredFleet::start(0);
     let mut forwarders = Vec::new();
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! At-most-once requests run at most once under each fault that could make one run twice.
+//! At-most-once requests run at most once under each fault that could make a request run twice.
 
 mod common;
 
@@ -11,6 +11,7 @@
 use serde_json::json;
 use test_case::test_case;
 
+/// Sends an at-most-once request whose id is also its idempotency key.
 fn send_payout(fleet: &TestFleet, daemon: usize, key: &str, body: &str) -> client::Reply {
     let headers = [("Idempotency-Key", key), ("x-request-id", key)];
     fleet.request(daemon, "POST", "/payouts", &headers, body)
@@ -29,7 +30,8 @@
                 assert!(reply.header("basaltarch-replayed").is_some());
                 true
             }
-            // Until the answer is recorded, a duplicate is refused because the request was started.
+            // Until the answer is recorded, a duplicate is refused because the first request has
+            // been started.
             status => {
                 assert_eq!((status, reply.outcome().as_deref()), (409, Some("unknown")));
                 false
@@ -103,8 +105,8 @@
     for daemon in 0..2 {
         assert_eq!(fleet.request(daemon, "GET", "/puzzle", &[], "").status, 200);
         assert_eq!(fleet.request(daemon, "POST", "/plain", &[], "x").status, 200);
-        // A request without a key needs no ledger on an at-most-once route: it is sent at most
-        // once.
+        // A request without a key needs no ledger on an at-most-once route, as the daemon sends
+        // such a request only once.
         assert_eq!(fleet.request(daemon, "POST", "/payouts", &[], "x").status, 200);
     }
     fleet.platform.set_faults(json!({}));
--- a/crates/daemon/tests/organisations.rs
+++ b/crates/daemon/tests/organisations.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Organisations end to end: which callers are admitted, the organisation that the backend server
-//! receives, keys that are exposed nowhere, and revoked keys.
+//! Organisations end to end. Callers are admitted by their API key, which can be revoked and is
+//! exposed nowhere, and the backend server receives the name of the caller's organisation.
 
 mod common;
 
@@ -21,7 +21,7 @@
 const DESK: OrganisationDraft<'static> =
     OrganisationDraft { name: "desk", keys: &[DESK_KEY], ..SHOP };
 
-/// Builds a document in which every route except `/safe/` requires a key.
+/// Builds a document in which every route except `/safe/` requires an API key.
 fn build_keyed_document(version: u64) -> ConfigDocument {
     let mut document = registered::document(version);
     for route in &mut document.routes {
@@ -38,6 +38,7 @@
     }
 }
 
+/// Starts a fleet with the organisations [`SHOP`] and [`DESK`].
 fn start_fleet(daemons: usize) -> RegisteredFleet {
     let fleet = RegisteredFleet::start(daemons);
     for daemon in 0..daemons {
@@ -109,7 +110,7 @@
         let field = format!("\"{}\": \"{name}\"", names::ORGANISATION);
         assert!(head.contains(&field), "{head}");
     }
-    // A claimed organisation is not forwarded on a route that requires no key either.
+    // An organisation that the caller claims is not forwarded on a route that requires no key.
     assert_eq!(
         send_request(&fleet, 0, "/safe/x", "open", &[(names::ORGANISATION, "shop")]).status,
         200
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Outcomes: the outcome that a caller gets for each point at which an exchange can break, compared
-//! with what the backend servers ran.
+//! Outcomes: for each point at which an exchange can break, the outcome that the caller gets is
+//! compared with the requests that the backend servers ran.
 
 mod common;
 
@@ -14,8 +14,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Two daemons with one backend server, which is beside the second daemon, so that requests to the
-/// first daemon pass over the link.
+/// Two daemons with one backend server beside the second daemon. Requests to the first daemon pass
+/// over the link between the daemons.
 struct TwoHops {
     fleet: TestFleet,
 }
@@ -88,7 +88,7 @@
         "service": "solver-app", "host": "host-b", "slots": 4, "connections": 300,
         "failure_domain": "bkk-b",
     }}});
-    // Nothing listens at a port that was just released.
+    // Nothing listens at this address, as the listener that reserved the port has been closed.
     let closed_address =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     configuration["backend-servers"]["server-1"]["address"] = json!(closed_address.to_string());
@@ -265,7 +265,7 @@
     });
     eventually("the service is known", || known_service_count() == 1.0);
     eventually("the request runs", || fleet.run_count("slow") == 1);
-    // A query for the health of the service does not count as a request for it.
+    // A health query at the admin API does not count as a request for the service.
     fleet.daemons[0].get("/v1/health");
     eventually("the state of the service is dropped once no request is running", || {
         known_service_count() == 0.0
@@ -313,8 +313,8 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!(reply.header("x-request-id"), Some(id));
     }
-    // The sixty requests end before the daemon of the server has established that it is unhealthy,
-    // which takes 200 ms.
+    // Some requests reach the broken server. The daemon beside the server needs 200 ms to establish
+    // that the server is unhealthy, and the sixty requests end earlier.
     assert!(
         fleet.backends[0].total_runs() <= 14,
         "the broken server ran {} of 60 requests, at most 14 expected",
@@ -433,7 +433,7 @@
     eventually("one of the two daemons refuses the other", || {
         has_refused(&fleet.daemons[0]) || has_refused(&foreign_daemon)
     });
-    // Garbage sent to the peer address closes only that connection.
+    // Bytes that are no frame close only the connection on which they are sent.
     let mut stream = client::connect(fleet.daemons[0].peers);
     let _ = stream.write_all(&[0xff; 64]);
     assert_eq!(fleet.request(0, "GET", "/puzzle", &[], "").status, 200);
--- a/crates/daemon/tests/parts.rs
+++ b/crates/daemon/tests/parts.rs
@@ -1,10 +1,11 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The parts of a snapshot from a peer are only joined to parts of the same transfer.
+//! A part of a snapshot that a peer sends is joined only to other parts of the same transfer.
 
 use basaltarch_daemon::parts::{SnapshotPart, SnapshotParts};
 
+/// Host that sends the parts.
 const HOST: &str = "host-a";
 
 fn snapshot_part(transfer: i64, index: i32, text: &str, last: bool) -> SnapshotPart {
@@ -34,7 +35,7 @@
     assert_eq!(
         parts.take(HOST, snapshot_part(1, 1, "end", true)),
         None,
-        "its first part was never received"
+        "the first part of transfer 1 was never received"
     );
     assert_eq!(parts.take(HOST, snapshot_part(2, 0, "a", false)), None);
     assert_eq!(parts.take(HOST, snapshot_part(2, 2, "c", true)), None);
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -13,13 +13,13 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Four daemons with a backend server each; the last is reached through a forwarder.
+/// Four daemons with a backend server each. Peers reach the last daemon through a forwarder.
 struct HalfCut {
     fleet: TestFleet,
     forwarder: Forwarder,
 }
 
-/// Index of the daemon that is reached through the forwarder.
+/// Index of the daemon that peers reach through the forwarder.
 const FORWARDED_DAEMON: usize = 3;
 
 impl HalfCut {
@@ -31,7 +31,7 @@
         let advertised = forwarder.address.to_string();
         let mut daemons = Vec::new();
         for (index, name) in ["host-a", "host-b", "host-c", "host-d"].iter().enumerate() {
-            // One failure domain, so that every ingress uses every server.
+            // All daemons are in one failure domain, so that every ingress uses every server.
             let flags = [("advertise-peers", advertised.as_str())];
             let flags = if index == FORWARDED_DAEMON { &flags[..] } else { &[] };
             let daemon = TestDaemon::start(platform.address, name, "bkk-a", flags);
@@ -101,7 +101,7 @@
     assert_eq!(half_cut.state_seen_by(2), "in service");
     assert!(
         !half_cut.fleet.daemons[FORWARDED_DAEMON].log_text().contains("upstream ejected"),
-        "its server is healthy"
+        "the server beside the last daemon is healthy"
     );
     half_cut.forwarder.cuts.forward.store(false, Ordering::SeqCst);
     half_cut.forwarder.cuts.backward.store(false, Ordering::SeqCst);
@@ -112,7 +112,7 @@
     half_cut.fleet.check_invariants();
 }
 
-/// A paused host answers nothing, but its links stay open.
+/// The process of the last host is paused. A paused host answers nothing, but its links stay open.
 #[test]
 fn verify_a_paused_host_is_avoided_and_used_again_after_it_resumes() {
     let half_cut = HalfCut::start();
@@ -127,17 +127,17 @@
         assert_eq!(
             half_cut.send_requests(0, 30),
             (true, false),
-            "round {round}: the others serve its callers"
+            "round {round}: the other servers serve the callers of the ingress"
         );
         paused.signal("-CONT");
         eventually("the server of the host is used again", || half_cut.send_requests(0, 20).1);
     }
-    assert!(!paused.log_text().contains("upstream ejected"), "its server was healthy all the time");
+    assert!(!paused.log_text().contains("upstream ejected"), "the server of the paused host was healthy all the time");
     half_cut.fleet.check_invariants();
 }
 
-/// Two regions of two daemons each. Every daemon is reached through its own forwarder, and the
-/// second region reaches the store through another forwarder.
+/// Two regions of two daemons each. Peers reach every daemon through a forwarder of that daemon. The
+/// second region reaches the store through one more forwarder.
 struct TwoRegions {
     fleet: TestFleet,
     forwarders: Vec<Forwarder>,
@@ -182,8 +182,8 @@
         Self { fleet, forwarders, store_forwarder }
     }
 
-    /// Cuts the regions from each other, and the second region from the store, in both directions,
-    /// or joins them again.
+    /// Cuts the regions from each other and the second region from the store, in both directions. If
+    /// `is_cut` is false, ends all these cuts.
     fn set_cut(&self, is_cut: bool) {
         for (index, daemon_forwarder) in self.forwarders.iter().enumerate() {
             let others = REGIONS[1 - index / 2].map(str::to_owned).to_vec();
@@ -226,7 +226,7 @@
     assert_eq!((fleet.daemons[2].revision(), fleet.daemons[3].revision()), (1, 1));
     // An at-most-once request needs the store, so it runs in the region with the store and is
     // refused in the other region.
-    eventually("a request runs in this region", || regions.send_payout(0, "one-key").0 == 200);
+    eventually("an at-most-once request runs in the region with the store", || regions.send_payout(0, "one-key").0 == 200);
     let (status, outcome) = regions.send_payout(2, "one-key");
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
     let (status, outcome) = regions.send_payout(3, "before");
@@ -234,7 +234,7 @@
     regions.set_cut(false);
     fleet.wait_revision(4);
     for key in ["one-key", "before"] {
-        eventually("the other region learns that it has run", || {
+        eventually("the other region learns that the request has run", || {
             regions.send_payout(2, key).0 == 200
         });
         assert_eq!(fleet.run_count(key), 1, "{key}");
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -16,22 +16,23 @@
 use common::{eventually, FleetPlan, TestFleet};
 use serde_json::{json, Value};
 
-/// Number of hosts in most tests, with a backend server each.
+/// Number of hosts in most tests. Each host has one backend server.
 const HOST_COUNT: usize = 3;
 /// Number of concurrent requests for each slot.
 const REQUESTS_PER_SLOT: usize = 4;
-/// Maximum number of requests with an unknown outcome after a host is killed: the request in the
-/// slot, and the request that was offered the slot in advance.
+/// Maximum number of requests with an unknown outcome after a host with one slot is killed: the
+/// request in the slot, and the request that was offered the slot in advance.
 const UNKNOWN_MAX: usize = 2;
-/// Minimum number of requests that wait at the ingress before a fault is injected at a host.
+/// Minimum number of requests that wait at the ingress when a fault is injected at a host.
 const WAITING_MIN: f64 = 6.0;
 
-/// Starts hosts with a backend server of one slot each, with a service time of 300 ms.
+/// Starts hosts with one backend server each. Each server has one slot and a service time of 300 ms.
 fn start_fleet(hosts: usize, waiting_mode: &'static str) -> TestFleet {
     start_fleet_with_slots(hosts, waiting_mode, 1, json!({"floor": 0.5, "prefer": "detection"}))
 }
 
-/// Starts hosts with a backend server of this many slots each.
+/// Starts hosts with one backend server each. Each server has `slots` slots and a service time of
+/// 300 ms. `waiting_mode` is the value of the flag `--waiting`.
 fn start_fleet_with_slots(
     hosts: usize,
     waiting_mode: &'static str,
@@ -54,7 +55,7 @@
     })
 }
 
-/// The id of a request, and its reply.
+/// The id of a request, and the reply to the request.
 struct RequestEnd {
     id: String,
     reply: Reply,
@@ -161,8 +162,8 @@
 #[test]
 fn verify_a_fast_failing_server_receives_no_more_requests_than_healthy_ones() {
     const SLOTS_PER_SERVER: u32 = 4;
-    // With a floor of 1.0 all slots are needed, so the circuit breaker of the server opens but
-    // the server stays in service.
+    // With a floor of 1.0 all slots must stay in service. The circuit breaker of the failing server
+    // opens, but the server is not ejected.
     let service = json!({"floor": 1.0, "prefer": "detection"});
     let mut fleet = start_fleet_with_slots(HOST_COUNT, "places", SLOTS_PER_SERVER, service);
     let requests_per_server = REQUESTS_PER_SLOT * SLOTS_PER_SERVER as usize;
@@ -189,7 +190,8 @@
     let caller_threads: Vec<_> = (0..REQUESTS_PER_SLOT * HOST_COUNT)
         .map(|_| {
             thread::spawn(move || {
-                // The daemon is killed before it answers; how the connection ends does not matter.
+                // The daemon is killed before the answer, so the panic of a call without a reply is
+                // caught.
                 let call = || {
                     common::client::call(callers, "POST", "/x", &[("Host", "solver.example")], "")
                 };
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Freshness checks at the store for unknown routes that callers request at every daemon of a
-//! failure domain.
+//! When callers request unknown routes at every daemon of a failure domain, only the readers of the
+//! failure domain send freshness checks to the store.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 /// Number of daemons in the failure domain.
 const DAEMON_COUNT: usize = 8;
-/// Number of readers, which are the daemons that read the store for the failure domain. No other
-/// daemon sends freshness checks to the store.
+/// Number of readers. A reader is a daemon that reads the store for the whole failure domain; no
+/// other daemon sends freshness checks to the store.
 const READER_COUNT: usize = 2;
 
 fn read_metric(fleet: &RegisteredFleet, daemon: usize, metric: &str) -> u64 {
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Configuration while the store or daemons fail, or rows of hosts are wrong: no change is lost or
-//! undone.
+//! No change of the configuration is lost or undone while the store or daemons fail, or while rows
+//! of hosts in the store are wrong.
 
 mod common;
 
@@ -125,8 +125,8 @@
         fleet.daemons[1].metric_sum("old_revisions") > before
     });
     assert_eq!(lowest_revisions, [7, 7]);
-    // Changes are still accepted: the check on the head of the configuration rejects a
-    // change that is based on an old revision.
+    // Changes are still accepted. A change that is based on an old revision is rejected, as the
+    // store checks the newest revision on each write.
     eventually("the change is accepted, at the latest with current answers of the store", || {
         let reply = put_organisation(&fleet.daemons[0], "late", "t", ANY_REVISION);
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.text());
@@ -157,7 +157,7 @@
     let plan = FleetPlan { daemons: 2, backends: 2, ..FleetPlan::default() };
     let mut fleet = TestFleet::start(&plan);
     let seeds = format!("{},{}", fleet.daemons[0].peers, fleet.daemons[1].peers);
-    // An address at which nothing listens simulates the cut.
+    // As its store, the third daemon gets an address at which nothing listens.
     let closed_address =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("addr");
     let flags = [("seeds", seeds.as_str())];
@@ -198,7 +198,7 @@
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.daemons.remove(1);
     fleet.wait_revision(6);
-    // A daemon that is cut off can accept no change and refuses it.
+    // A daemon that is cut off from the store refuses changes.
     let refused_reply = put_organisation(&fleet.daemons[1], "third", "t", ANY_REVISION);
     assert!(matches!(refused_reply.status, 503 | 504), "{}", refused_reply.text());
     store_forwarder.cuts.forward.store(false, Ordering::SeqCst);
@@ -223,7 +223,7 @@
         let members = status["members"].as_array().expect("members").clone();
         members.iter().any(|m| m["host"] == "host-c" && m["state"] == "suspect")
     });
-    // A live daemon writes its row again after it was deleted.
+    // A live daemon writes its row again after the row was deleted.
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     fleet.platform.change_row("DELETE", hosts_table, "host-b", "");
     let read_rows = || {
@@ -239,8 +239,8 @@
 #[test]
 fn verify_a_row_of_an_earlier_incarnation_or_an_unreadable_row_changes_nothing() {
     let mut fleet = start_fleet_with_daemons(3);
-    // The daemon is killed first: otherwise it would rewrite its row before the other daemons read
-    // the changed row.
+    // The daemon is killed first. Otherwise the daemon would rewrite its row before the other daemons
+    // read the changed row.
     fleet.daemons[2].kill();
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     let earlier_record = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -47,7 +47,8 @@
 fn verify_an_acknowledged_drain_takes_effect_at_once_and_queued_requests_go_elsewhere() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(1, &[0, 1]);
-    // Fills the server's slots and its queue through both daemons, then drains it.
+    // Requests through both daemons fill the slots and the queue of the first server, which then
+    // drains.
     let callers: Vec<_> = (0..16)
         .map(|number| {
             let address = fleet.daemons[number % 2].callers;
@@ -72,8 +73,8 @@
         let status = caller.join().expect("join");
         assert!(matches!(status, 200 | 503), "no request is interrupted: {status}");
     }
-    // The server may read requests after it sent its drain notice although the daemon sent them
-    // earlier, so the order is taken from the daemon's log.
+    // The order is taken from the daemon's log. The server may still read requests after its drain
+    // notice that the daemon sent before the notice.
     let AttemptCounts { before, after } = count_attempts_around_drain(&fleet);
     assert_eq!(after, 0, "nothing was sent after the drain was acknowledged");
     let received = fleet.backends[0].run_counters()["received"].as_u64().expect("received");
@@ -87,7 +88,7 @@
     after: u64,
 }
 
-/// Counts the attempts before and after the drain in the log of the first daemon.
+/// Counts the attempts at the first server in the log of the first daemon.
 fn count_attempts_around_drain(fleet: &RegisteredFleet) -> AttemptCounts {
     let (mut before, mut after, mut draining) = (0, 0, false);
     let text = fleet.daemons[0].log_text();
@@ -146,7 +147,7 @@
 fn verify_an_address_taken_over_by_another_server_is_avoided_and_nothing_runs_there() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    // The daemon still expects a server of another name at this address.
+    // The daemon expects a server of another name at the address of the second server.
     assert_eq!(fleet.send_heartbeat_as(1, "i-of-before", SERVICE, false).status, 200);
     for number in 0..20 {
         let id = format!("moved-{number}");
@@ -154,7 +155,7 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!((fleet.run_count(&id), fleet.backends[1].run_count(&id)), (1, 0));
     }
-    // The next heartbeat of the server that listens there registers it again.
+    // The next heartbeat of the second server registers that server again.
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
 }
@@ -238,7 +239,7 @@
 fn verify_the_last_server_is_used_although_all_breakers_are_open_and_others_are_gone() {
     let mut fleet = RegisteredFleet::start(3);
     fleet.wait_served(0, &[0, 1, 2]);
-    // The row of a host that is gone stays in the store for a long time.
+    // The row of the killed host stays in the store for a long time.
     fleet.daemons[2].kill();
     for round in 0..5 {
         for index in [0, 1] {
@@ -294,7 +295,8 @@
     fleet.daemons[1].kill();
     let seeds = fleet.daemons[0].peers.to_string();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[("seeds", seeds.as_str())]);
-    // The daemon gets its configuration and the registration of its server from the peer.
+    // The restarted daemon gets the configuration and the registration of the server beside it from
+    // its peer.
     eventually("the daemon is ready without the store", || fleet.is_ready(1));
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     let reply = fleet.request(1, "GET", "/safe/x", "dark");
@@ -363,7 +365,7 @@
 fn verify_a_server_that_is_gone_when_its_daemon_restarts_receives_nothing() {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    // Nothing listens at the address of this server.
+    // The server `i-gone` registers an address at which nothing listens.
     let closed = common::closed_address();
     let heartbeat = fleet.heartbeat_from(closed, "i-gone", SERVICE, false);
     assert_eq!(fleet.call_daemon(1, &heartbeat).status, 200);
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -11,7 +11,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Registers a server under another name at a daemon and waits until these daemons know of it.
+/// Registers a server named `name` at the daemon `index`, and waits until the daemons
+/// `daemons_to_know` know of that server.
 fn register_and_wait(fleet: &RegisteredFleet, index: usize, name: &str, daemons_to_know: &[usize]) {
     assert_eq!(fleet.send_heartbeat_as(index, name, SERVICE, false).status, 200);
     for daemon in daemons_to_know {
@@ -32,7 +33,8 @@
     register_and_wait(&fleet, 0, "i-before", &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.set_faults(outage);
-    // Two servers are registered in succession, so that the second change builds on the first.
+    // Two servers are registered one after the other, so that the second change of the rows follows
+    // the first change.
     register_and_wait(&fleet, 0, "i-during", &[0, 1, 2]);
     register_and_wait(&fleet, 1, "i-later", &[0, 1, 2]);
     fleet.platform.set_faults(json!({}));
@@ -60,8 +62,8 @@
     let fleet = RegisteredFleet::start_in_one_domain(6);
     let all_daemons = [0, 1, 2, 3, 4, 5];
     register_and_wait(&fleet, 0, "i-first", &all_daemons);
-    // Each change ends a long poll of the readers; the other daemons learn of the change from the
-    // readers.
+    // Each change ends a long poll of the readers. The other daemons learn of the change from the
+    // readers and don't call the store.
     let rows_call_count = |daemon: usize| fleet.daemons[daemon].metric_sum("rows_calls") as u64;
     eventually("one or two daemons read the rows during four changes", || {
         let before: Vec<u64> = all_daemons.iter().map(|daemon| rows_call_count(*daemon)).collect();
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -17,13 +17,13 @@
 use common::{eventually, FleetPlan, TestFleet};
 use serde_json::{json, Value};
 
-/// Flags for a stop that closes to new requests after 4 s, gives up pending requests after 7.7 s
+/// Returns flags for a stop that admits new requests for 4 s, gives up pending requests after 7.7 s
 /// and ends after 8 s.
 fn stop_flags() -> Vec<(&'static str, &'static str)> {
     vec![("drain-ms", "8000"), ("drain-min-ms", "500")]
 }
 
-/// Routes whose requests may wait and run for longer than the stop.
+/// Returns routes with a time-out of 60 s, which is longer than any stop of these tests.
 fn long_timeout_routes() -> Value {
     json!({
         "any": {"host": "solver.example", "path_prefix": "/", "service": "solver-app",
@@ -184,8 +184,8 @@
     }
     let mut stream = client::connect(fleet.daemons[0].callers);
     stops::request_stop(&fleet.daemons[0]);
-    // The first attempt gets a server error after 5 s, and its retry runs until the daemon gives
-    // up.
+    // The first attempt gets a server error after 5 s. The retry then runs until the daemon gives up
+    // pending requests.
     let headers = [("Host", "solver.example"), ("x-work-ms", "5000"), ("x-request-id", "again")];
     let text = client::request_text("GET", "/puzzle", &headers, "");
     stream.write_all(text.as_bytes()).expect("write");
@@ -252,7 +252,7 @@
     let headers = [("Authorization", "Bearer operator-token")];
     let text = client::request_text("POST", "/v1/apply", &headers, &body);
     change_stream.write_all(text.as_bytes()).expect("write");
-    // The daemon has read the change as soon as it answers a later call.
+    // Once the daemon answers this later call, it has also read the change.
     fleet.daemons[0].get("/v1/status");
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut change_stream, "POST").expect("an answer");
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -6,9 +6,9 @@
 //! Guards against a fault in which a request ran at a backend server although its daemon was
 //! stopping, and its caller got a closed connection or a 504 in place of the answer. With most of a
 //! failure domain stopped at once, callers had no other daemon, and a daemon admitted requests
-//! until its end. Some were admitted with less than their service time left before the daemon gave
-//! up on pending requests, others within the 20 ms between its last check for requests in flight
-//! and its end, as admission and end were decided by separate checks.
+//! until its end. Some requests were admitted although the daemon gave up pending requests before
+//! their service time was over. Other requests were admitted in the 20 ms between the daemon's last
+//! check for requests in flight and its end, as admission and end were decided by separate checks.
 
 mod common;
 
@@ -25,7 +25,8 @@
 const WORK_MS: &str = "1000";
 
 /// Sends non-repeatable requests of [`WORK_MS`] one after another until nothing listens at
-/// `callers` any more. A connection is reused until a reply announces its end or it is closed.
+/// `callers` any more. A connection is reused until a reply announces that the connection ends, or
+/// until no reply is received.
 fn send_until_gone(callers: SocketAddr, caller: usize) -> Vec<StopRequest> {
     let mut requests = Vec::new();
     let mut keep_alive = None;
@@ -86,8 +87,8 @@
         Some(200)
     );
     stops::request_stop(&fleet.daemons[0]);
-    // The daemon is paused while the requests arrive and its shortest drain passes, so on resume it
-    // finds at the same moment nothing in flight and requests to read.
+    // The daemon is paused while the requests arrive and while its shortest drain passes. When the
+    // daemon resumes, nothing is in flight, and there are requests to read.
     let stop_requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
     let mut new_connection = client::connect(callers);
@@ -108,7 +109,7 @@
     let flags = vec![("drain-ms", "60000"), ("drain-min-ms", "30000")];
     let fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
     stops::request_stop(&fleet.daemons[1]);
-    // More concurrent requests at the other daemon than its own server has slots.
+    // The other daemon gets six requests at once, more than the four slots of its own server.
     let callers = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..6)
         .map(|number| {
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -16,9 +16,10 @@
 use common::{eventually, TestBackend, TestPlatform};
 use serde_json::{json, Value};
 
-/// Deadline of the requests: longer than any test waits, so that only a suspend can make it pass.
+/// Header with the deadline of the requests. The deadline is longer than any wait of a test, so that
+/// only a suspend can make the deadline pass.
 const DEADLINE_HEADER: (&str, &str) = ("basaltarch-deadline-ms", "600000");
-/// Length of a suspend that outlasts [`DEADLINE_HEADER`].
+/// Length of a suspend that is longer than the deadline in [`DEADLINE_HEADER`].
 const SUSPEND_LENGTH: Duration = Duration::from_secs(1200);
 
 /// A host whose suspend can be simulated, with one backend server.
@@ -124,8 +125,8 @@
     let running: Vec<_> =
         (0..4).map(|_| thread::spawn(move || send_request(callers, "500"))).collect();
     host.wait_received(received + 4);
-    // The suspend is far longer than the typical service time of the requests, but within their
-    // deadline.
+    // The suspend of 30 s is far longer than the service time of the requests, and shorter than
+    // their deadline.
     host.daemon.suspend(Duration::from_secs(30));
     for caller in running {
         assert_eq!(caller.join().expect("join").status, 200);
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Watches of the resource API.
+//! Watches of the resource API: a watch reports each change once and in order, and a watch from a
+//! discarded revision is refused.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 
-/// Reads the JSON lines of a watch.
+/// A watch of the admin API, which sends one JSON text per line.
 struct Watch {
     lines: std::io::Lines<BufReader<std::net::TcpStream>>,
 }
@@ -84,7 +85,7 @@
         let name = format!("o-{number}");
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
-    // A new daemon starts from a snapshot and knows only the changes made after it.
+    // A new daemon starts from a snapshot and knows only the changes made after that snapshot.
     eventually("a snapshot is stored", || fleet.daemons[0].log_text().contains("snapshot kept"));
     let new_daemon = TestDaemon::start(fleet.platform.address, "host-n", "bkk-b", &[]);
     fleet.daemons.push(new_daemon);
