--- a/crates/daemon/tests/adopting.rs
+++ b/crates/daemon/tests/adopting.rs
@@ -51,7 +51,10 @@
             .apply(&[change_record(1), change_record(2), change_record(3), change_record(4)], NOW),
         4
     );
-    assert!(!config_cell.adopt(snapshot, snapshot_layout, NOW), "revision 4 was applied while the snapshot of revision 3 was read");
+    assert!(
+        !config_cell.adopt(snapshot, snapshot_layout, NOW),
+        "revision 4 was applied while the snapshot of revision 3 was read"
+    );
     assert_eq!(config_cell.revision(), FleetRevision(4));
     assert!(config_cell.active().has_organisation("shop-4"));
 }
--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -41,29 +41,30 @@
 impl ProxiedFleet {
     fn start(heartbeat_ms: &str) -> Self {
         let fleet = RegisteredFleet::start(0);
-        let mut proxied = Self { fleet, store_forwarders: Vec::new(), peer_forwarders: Vec::new() };
+        let mut proxied_fleet =
+            Self { fleet, store_forwarders: Vec::new(), peer_forwarders: Vec::new() };
         for host in HOSTS {
-            proxied.add(host, heartbeat_ms);
+            proxied_fleet.add_daemon(host, heartbeat_ms);
         }
-        proxied.wait_revision(1);
-        let daemons = &proxied.fleet.daemons;
+        proxied_fleet.wait_revision(1);
+        let daemons = &proxied_fleet.fleet.daemons;
         for daemon in daemons {
             eventually("the daemons know each other", || daemon.live_members() == HOSTS.len());
         }
-        proxied
+        proxied_fleet
     }
 
-    fn add(&mut self, host: &str, heartbeat_ms: &str) {
-        let store = Forwarder::start();
-        store.forward_to(self.fleet.platform.address);
-        let peers = Forwarder::start();
-        let advertised = peers.address.to_string();
+    fn add_daemon(&mut self, host: &str, heartbeat_ms: &str) {
+        let store_forwarder = Forwarder::start();
+        store_forwarder.forward_to(self.fleet.platform.address);
+        let peer_forwarder = Forwarder::start();
+        let advertised = peer_forwarder.address.to_string();
         let flags = [("advertise-peers", advertised.as_str()), ("heartbeat-ms", heartbeat_ms)];
-        let daemon = self.fleet.start_daemon_at(store.address, host, "bkk-a", &flags);
-        peers.forward_to(daemon.peers);
+        let daemon = self.fleet.start_daemon_at(store_forwarder.address, host, "bkk-a", &flags);
+        peer_forwarder.forward_to(daemon.peers);
         self.fleet.daemons.push(daemon);
-        self.store_forwarders.push(store);
-        self.peer_forwarders.push(peers);
+        self.store_forwarders.push(store_forwarder);
+        self.peer_forwarders.push(peer_forwarder);
     }
 
     fn wait_revision(&self, revision: u64) {
@@ -75,7 +76,7 @@
     }
 
     /// Writes a document with a route that only this version has.
-    fn write(&self, version: u64) {
+    fn write_document(&self, version: u64) {
         let mut new_document = document(version);
         let path = format!("/added-{version}/");
         new_document.routes.push(route("r-added", &path, WorkMode::Repeatable));
@@ -94,24 +95,28 @@
 /// store began.
 #[test]
 fn verify_a_daemon_that_may_be_behind_never_reports_a_missing_route() {
-    let proxied = ProxiedFleet::start("4000");
-    proxied.write(2);
-    proxied.wait_revision(2);
-    proxied.store_forwarders.iter().chain(&proxied.peer_forwarders).for_each(Forwarder::black_hole);
+    let proxied_fleet = ProxiedFleet::start("4000");
+    proxied_fleet.write_document(2);
+    proxied_fleet.wait_revision(2);
+    proxied_fleet
+        .store_forwarders
+        .iter()
+        .chain(&proxied_fleet.peer_forwarders)
+        .for_each(Forwarder::black_hole);
     let black_holed_at = Instant::now();
-    proxied.write(3);
+    proxied_fleet.write_document(3);
     let acked_at = Instant::now();
     let deadline = (black_holed_at + RECOVERY_GRACE).max(acked_at + IN_FORCE_MAX);
     let mut stale_answers = Vec::new();
     eventually("the document is in force everywhere", || {
         for (daemon, host) in HOSTS.iter().enumerate() {
             let sent_at = Instant::now();
-            if proxied.request_status(daemon, 3) == 404 && sent_at > deadline {
+            if proxied_fleet.request_status(daemon, 3) == 404 && sent_at > deadline {
                 stale_answers.push((host, sent_at - acked_at));
             }
         }
         thread::sleep(REQUEST_INTERVAL);
-        proxied.fleet.daemons.iter().all(|daemon| daemon.revision() == 3)
+        proxied_fleet.fleet.daemons.iter().all(|daemon| daemon.revision() == 3)
     });
     assert!(
         stale_answers.is_empty(),
@@ -124,15 +129,15 @@
 #[test]
 fn verify_a_document_arrives_although_links_are_black_holed() {
     const CUT_OFF_DAEMON: usize = HOSTS.len() - 1;
-    let proxied = ProxiedFleet::start("60000");
-    proxied.write(2);
-    proxied.wait_revision(2);
-    proxied.store_forwarders[CUT_OFF_DAEMON].cuts.forward.store(true, Ordering::SeqCst);
-    proxied.store_forwarders[CUT_OFF_DAEMON].cuts.backward.store(true, Ordering::SeqCst);
-    proxied.peer_forwarders.iter().for_each(Forwarder::black_hole);
-    proxied.write(3);
-    proxied.wait_revision(3);
-    let log = proxied.fleet.daemons[CUT_OFF_DAEMON].log_text();
+    let proxied_fleet = ProxiedFleet::start("60000");
+    proxied_fleet.write_document(2);
+    proxied_fleet.wait_revision(2);
+    proxied_fleet.store_forwarders[CUT_OFF_DAEMON].cuts.forward.store(true, Ordering::SeqCst);
+    proxied_fleet.store_forwarders[CUT_OFF_DAEMON].cuts.backward.store(true, Ordering::SeqCst);
+    proxied_fleet.peer_forwarders.iter().for_each(Forwarder::black_hole);
+    proxied_fleet.write_document(3);
+    proxied_fleet.wait_revision(3);
+    let log = proxied_fleet.fleet.daemons[CUT_OFF_DAEMON].log_text();
     assert!(
         log.contains("store call given up"),
         "the black-holed call to the store was not given up"
@@ -143,14 +148,14 @@
 /// unknown routes the daemon receives.
 #[test]
 fn verify_unknown_routes_cause_few_freshness_checks() {
-    let proxied = ProxiedFleet::start("4000");
+    let proxied_fleet = ProxiedFleet::start("4000");
     let started_at = Instant::now();
-    let check_count = || proxied.fleet.daemons[0].metric_sum("configuration_questions");
-    let mut requests = 0;
+    let check_count = || proxied_fleet.fleet.daemons[0].metric_sum("configuration_questions");
+    let mut request_count = 0;
     eventually("three freshness checks were made", || {
         for _ in 0..100 {
-            assert_eq!(proxied.request_status(0, 99), 404);
-            requests += 1;
+            assert_eq!(proxied_fleet.request_status(0, 99), 404);
+            request_count += 1;
         }
         check_count() >= 3.0
     });
@@ -160,44 +165,44 @@
         "{} freshness checks, at most {check_count_max}",
         check_count()
     );
-    assert!(requests >= 300, "{requests} requests");
+    assert!(request_count >= 300, "{request_count} requests");
 }
 
 /// Without a confirmation from the store or a peer, requests for known routes are served and
 /// requests for unknown routes are refused as not run.
 #[test]
 fn verify_an_unknown_route_is_not_reported_missing_without_confirmation() {
-    let proxied = ProxiedFleet::start("4000");
-    proxied.write(2);
-    proxied.wait_revision(2);
-    proxied.fleet.platform.set_faults(json!({"busy": true}));
+    let proxied_fleet = ProxiedFleet::start("4000");
+    proxied_fleet.write_document(2);
+    proxied_fleet.wait_revision(2);
+    proxied_fleet.fleet.platform.set_faults(json!({"busy": true}));
     // The test waits, as a daemon may answer 404 until all confirmations have expired: a peer may
     // send a confirmation even after the daemon has stopped waiting for the peer's reply.
     let busy_since = Instant::now();
     eventually("all confirmations have expired", || busy_since.elapsed() > CERTAIN_FOR);
-    assert_eq!(proxied.request_status(0, 99), 503);
-    let reply = proxied.fleet.request(0, "GET", "/added-99/x", "asked");
+    assert_eq!(proxied_fleet.request_status(0, 99), 503);
+    let reply = proxied_fleet.fleet.request(0, "GET", "/added-99/x", "asked");
     assert_eq!(reply.header("basaltarch-reason").as_deref(), Some("configuration-unsure"));
     assert!(reply.header("retry-after").is_some());
-    let known_route_reply = proxied.fleet.request(0, "GET", "/added-2/x", "asked");
+    let known_route_reply = proxied_fleet.fleet.request(0, "GET", "/added-2/x", "asked");
     assert_eq!(known_route_reply.header("basaltarch-reason").as_deref(), Some("no-upstream"));
-    proxied.fleet.platform.set_faults(json!({}));
-    eventually("a confirmation arrives again", || proxied.request_status(0, 99) == 404);
+    proxied_fleet.fleet.platform.set_faults(json!({}));
+    eventually("a confirmation arrives again", || proxied_fleet.request_status(0, 99) == 404);
 }
 
 /// A daemon that can't reach the store uses the confirmations of peers that can reach the store.
 #[test]
 fn verify_the_confirmation_of_a_peer_suffices() {
-    let proxied = ProxiedFleet::start("4000");
+    let proxied_fleet = ProxiedFleet::start("4000");
     let cut_off_daemon = HOSTS.len() - 1;
-    let cuts = &proxied.store_forwarders[cut_off_daemon].cuts;
+    let cuts = &proxied_fleet.store_forwarders[cut_off_daemon].cuts;
     cuts.forward.store(true, Ordering::SeqCst);
     cuts.backward.store(true, Ordering::SeqCst);
     for _ in 0..3 {
         // The other daemons ask the store, and the daemon that is cut off asks its peers.
         eventually("a peer has a confirmation of the store and forwards it", || {
-            proxied.request_status(0, 99) == 404
-                && proxied.request_status(cut_off_daemon, 99) == 404
+            proxied_fleet.request_status(0, 99) == 404
+                && proxied_fleet.request_status(cut_off_daemon, 99) == 404
         });
     }
 }
@@ -206,10 +211,10 @@
 /// newest, and each answers 503 in place of 404 until the next readable document.
 #[test]
 fn verify_after_an_unreadable_document_no_route_is_reported_missing() {
-    let proxied = ProxiedFleet::start("4000");
-    assert_eq!(proxied.request_status(0, 99), 404);
-    proxied.fleet.write_text(r#"{"version": "nine"}"#);
-    eventually("the unreadable document was read", || proxied.request_status(0, 99) == 503);
-    proxied.write(9);
-    eventually("the next document is in force", || proxied.request_status(0, 99) == 404);
+    let proxied_fleet = ProxiedFleet::start("4000");
+    assert_eq!(proxied_fleet.request_status(0, 99), 404);
+    proxied_fleet.fleet.write_text(r#"{"version": "nine"}"#);
+    eventually("the unreadable document was read", || proxied_fleet.request_status(0, 99) == 503);
+    proxied_fleet.write_document(9);
+    eventually("the next document is in force", || proxied_fleet.request_status(0, 99) == 404);
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A small fleet on loopback for tests: a simulated platform and backend servers in threads, daemons
-//! as processes, a plain HTTP client.
+//! A small fleet on loopback for tests: a simulated platform and backend servers in threads,
+//! daemons as processes, a plain HTTP client.
 //!
 //! [`platform`] and [`backend`] are simulated, [`daemon`] and [`inline`] start daemons and
 //! [`logs`] reads their logs. [`fleet`] and [`registered`] combine these, one for each source of
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -76,8 +76,8 @@
         page["rows"].as_array().into_iter().flatten().filter_map(decoded_value).collect()
     }
 
-    /// Writes a row by PUT or PATCH, or removes a row by DELETE, without any checks. Simulates a
-    /// writer other than the daemon that owns the row.
+    /// Writes a row by PUT, writes a row with an undecodable value by PATCH, or removes a row by
+    /// DELETE. Nothing is checked, as for a writer other than the daemon that owns the row.
     pub fn change_row(&self, method: &str, table: &str, key: &str, decoded_value: &str) {
         let path = format!("{}{table}/{key}", platform::ROWS_CONTROL_PATH);
         let reply = client::call(self.address, method, &path, &[], decoded_value);
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -94,18 +94,18 @@
 #[test]
 fn verify_a_crash_is_distinguished_from_a_broken_connection() {
     let fleet = start_fragile_fleet(1, 1);
-    let log = || fleet.daemons[0].log_text();
+    let read_log = || fleet.daemons[0].log_text();
     fleet.request(0, "GET", BAD_PATH, &[("x-request-id", "crashes")], "");
     let has_logged_break = |id: &str, crashed: bool| {
         let expected_parts = [format!("\"request\":\"{id}\""), format!("\"crashed\":{crashed}")];
         let is_break = |line: &&str| line.contains("work broke");
-        log()
+        read_log()
             .lines()
             .filter(is_break)
             .any(|line| expected_parts.iter().all(|part| line.contains(part)))
     };
     eventually("the crash is logged", || has_logged_break("crashes", true));
-    assert!(log().contains("backend server crashed"));
+    assert!(read_log().contains("backend server crashed"));
     wait_crash_count(&fleet.backends[0]);
     fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     eventually("the broken connection is logged", || {
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -84,13 +84,13 @@
     let fleet = RegisteredFleet::start(2);
     let name = &fleet.backends[1].name;
     assert_eq!(fleet.send_heartbeat_as(1, name, "other-app", false).status, 200);
-    let mut wanted = document(2);
+    let mut new_document = document(2);
     let mut split_route = route("r-split", "/split/", WorkMode::Repeatable);
     split_route.rule.split = [(SERVICE, 75), ("other-app", 25)]
         .map(|(service, weight)| ServiceShare { service: service.to_owned(), weight })
         .to_vec();
-    wanted.routes.push(split_route);
-    fleet.write(&wanted);
+    new_document.routes.push(split_route);
+    fleet.write(&new_document);
     for daemon in &fleet.daemons {
         eventually("the split is in force", || daemon.revision() == 2);
     }
@@ -196,8 +196,8 @@
         .filter_map(|line| line.strip_prefix(&format!("{request_field}: ")))
         .map(str::trim_end)
         .collect();
-    let wanted: Vec<String> = (0..10).map(|number| format!("order-{number}")).collect();
-    assert_eq!(answer_order, wanted);
+    let expected_order: Vec<String> = (0..10).map(|number| format!("order-{number}")).collect();
+    assert_eq!(answer_order, expected_order);
 }
 
 #[test]
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -14,8 +14,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Starts a thread that sends requests one after another until `stop` is set. The thread returns the
-/// number of requests and the replies other than a complete 200.
+/// Starts a thread that sends requests one after another until `stop` is set. The thread returns
+/// the number of requests and the replies other than a complete 200.
 fn spawn_load(
     callers: std::net::SocketAddr,
     stop: Arc<AtomicBool>,
@@ -204,11 +204,11 @@
     );
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.wait_revision(2);
-    let received = fleet.backends[0].run_counters()["received"].as_u64().expect("count");
+    let received_count = fleet.backends[0].run_counters()["received"].as_u64().expect("count");
     for number in 0..60 {
         assert_eq!(fleet.request(number % 2, "GET", "/puzzle", &[], "").status, 200);
     }
-    assert_eq!(fleet.backends[0].run_counters()["received"].as_u64(), Some(received));
+    assert_eq!(fleet.backends[0].run_counters()["received"].as_u64(), Some(received_count));
     for thread in threads {
         assert_eq!(thread.join().expect("join"), 200);
     }
@@ -218,15 +218,15 @@
 fn verify_a_backend_server_that_sends_a_drain_notice_receives_no_new_requests() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
     fleet.backends[1].set_faults(json!({"drain": true}));
-    let received =
+    let received_count =
         |fleet: &TestFleet| fleet.backends[1].run_counters()["received"].as_u64().expect("count");
     eventually("a server answers with its drain notice", || {
         assert_eq!(fleet.request(1, "GET", "/puzzle", &[], "").status, 200);
-        received(&fleet) > 0
+        received_count(&fleet) > 0
     });
-    let received_by_notice = received(&fleet);
+    let received_by_notice = received_count(&fleet);
     for number in 0..60 {
         assert_eq!(fleet.request(number % 2, "GET", "/puzzle", &[], "").status, 200);
     }
-    assert_eq!(received(&fleet), received_by_notice);
+    assert_eq!(received_count(&fleet), received_by_notice);
 }
--- a/crates/daemon/tests/edge.rs
+++ b/crates/daemon/tests/edge.rs
@@ -211,12 +211,12 @@
     }
     let reply = client::read_reply(&mut stream, "POST").expect("reply");
     assert_eq!(reply.status, 200);
-    let received: u64 = fleet
+    let body_bytes_received: u64 = fleet
         .backends
         .iter()
         .map(|b| b.run_counters()["body_bytes"].as_u64().expect("bytes"))
         .sum();
-    assert_eq!(received, BODY_LENGTH as u64);
+    assert_eq!(body_bytes_received, BODY_LENGTH as u64);
     for (daemon, before_kib) in fleet.daemons.iter().zip(&before_kib) {
         let growth_kib = read_resident_kib(daemon.process_id()).saturating_sub(*before_kib);
         assert!(growth_kib < 16 * 1024, "{} grew by {growth_kib} KiB", daemon.host);
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -114,7 +114,7 @@
 
 fn inject_caller_disconnect(fleet: &RegisteredFleet, id: &str) {
     set_all_faults(fleet, json!({"stuck": true}));
-    let before: u64 = fleet
+    let received_before: u64 = fleet
         .backends
         .iter()
         .map(|backend| backend.run_counters()["received"].as_u64().unwrap_or(0))
@@ -128,7 +128,7 @@
             .backends
             .iter()
             .map(|backend| backend.run_counters()["received"].as_u64().unwrap_or(0));
-        received.sum::<u64>() > before
+        received.sum::<u64>() > received_before
     });
 }
 
@@ -298,14 +298,17 @@
             lines.entry(id.to_owned()).or_default().insert(event);
         }
     }
-    let good: Vec<_> = lines.iter().filter(|(id, _)| id.starts_with("good-")).collect();
-    let bad = lines.keys().filter(|id| id.starts_with("bad-")).count() as u64;
+    let good_requests: Vec<_> = lines.iter().filter(|(id, _)| id.starts_with("good-")).collect();
+    let bad_request_count = lines.keys().filter(|id| id.starts_with("bad-")).count() as u64;
     assert!(
-        (1..=LOGGED_REQUESTS_MAX * logged_seconds).contains(&(good.len() as u64)),
+        (1..=LOGGED_REQUESTS_MAX * logged_seconds).contains(&(good_requests.len() as u64)),
         "{} logged completely",
-        good.len()
+        good_requests.len()
+    );
+    assert!(
+        (1..=LOGGED_FAILURES_MAX * logged_seconds).contains(&bad_request_count),
+        "{bad_request_count} failures logged"
     );
-    assert!((1..=LOGGED_FAILURES_MAX * logged_seconds).contains(&bad), "{bad} failures logged");
     let expected_events_of_good = [
         "request received",
         "upstream chosen",
@@ -314,7 +317,7 @@
         "attempt ended",
         "request answered",
     ];
-    for (id, event_names) in good {
+    for (id, event_names) in good_requests {
         assert!(
             expected_events_of_good.iter().all(|event| event_names.contains(*event)),
             "{id}: {event_names:?}"
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -53,7 +53,8 @@
         self.bad_count.load(Ordering::SeqCst)
     }
 
-    /// Stops the load. Returns the numbers of good replies, whose status is 200, and of bad replies.
+    /// Stops the load. Returns the numbers of good replies, whose status is 200, and of bad
+    /// replies.
     fn end(self) -> (u64, u64) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -122,9 +123,9 @@
     assert_eq!(load.bad_count(), bad_count_before, "no caller sees a repeatable request fail");
     fleet.backends[4].set_faults(json!({}));
     eventually("the server is no longer ejected", || !is_ejected(&fleet, "server-5"));
-    let before = fleet.backends[4].total_runs();
+    let count_before = fleet.backends[4].total_runs();
     eventually("the server receives requests again", || {
-        fleet.backends[4].total_runs() > before + 20
+        fleet.backends[4].total_runs() > count_before + 20
     });
     load.end();
     fleet.check_invariants();
@@ -143,9 +144,9 @@
     eventually("the fleet is warmed up", || load.good_count() > 600);
     fleet.backends[4].set_faults(faulty);
     eventually("the faulty server is ejected", || is_ejected(&fleet, "server-5"));
-    let before = fleet.backends[0].total_runs();
+    let count_before = fleet.backends[0].total_runs();
     eventually("the healthy server receives requests", || {
-        fleet.backends[0].total_runs() > before + 100
+        fleet.backends[0].total_runs() > count_before + 100
     });
     assert!(!is_ejected(&fleet, "server-1"));
     load.end();
@@ -243,15 +244,15 @@
     let exempted_count = || fleet.daemons[0].metric_sum("poison_spared");
     let send_request = || fleet.request(0, "GET", "/poison", &[], "");
     eventually("the request is known as a poison request", || {
-        let before = exempted_count();
+        let count_before = exempted_count();
         send_request();
-        exempted_count() > before
+        exempted_count() > count_before
     });
     let mut changed_configuration = fleet.configuration(&plan);
     changed_configuration["services"]["solver-app"]["floor"] = json!(0.4);
     assert_eq!(fleet.apply(&changed_configuration).status, 200);
     fleet.wait_revision(2);
-    let before = exempted_count();
+    let count_before = exempted_count();
     send_request();
-    assert!(exempted_count() > before, "the request is still known as a poison request");
+    assert!(exempted_count() > count_before, "the request is still known as a poison request");
 }
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -35,16 +35,16 @@
     }
 
     fn send_heartbeat(&self, name: &str, draining: bool) {
-        self.send(&self.heartbeat(name, draining));
+        self.send_call(&self.heartbeat(name, draining));
     }
 
-    fn send(&self, call: &StoreCall) {
+    fn send_call(&self, call: &StoreCall) {
         assert_eq!(self.fleet.call_daemon(0, call).status, 200);
     }
 
-    /// Simulates a restart of the first backend server: the sequence numbers of heartbeats begin at 1
-    /// again, and the server registers as [`NEW_INCARNATION`].
-    fn restart(&self) {
+    /// Simulates a restart of the first backend server: the sequence numbers of heartbeats begin at
+    /// 1 again, and the server registers as [`NEW_INCARNATION`].
+    fn restart_first_server(&self) {
         self.fleet.reset_sequence();
         self.send_heartbeat(NEW_INCARNATION, false);
     }
@@ -60,14 +60,14 @@
 
 #[test_case(|_| {} ; "crashed without a message")]
 #[test_case(|each| each.send_heartbeat(OLD_INCARNATION, true) ; "sent a drain notice")]
-#[test_case(|each| each.send(&registered::build_deregistration(OLD_INCARNATION)) ; "deregistered")]
-#[test_case(|each| each.send(&registered::build_deregistration("i-1")) ; "deregistered without its incarnation")]
+#[test_case(|each| each.send_call(&registered::build_deregistration(OLD_INCARNATION)) ; "deregistered")]
+#[test_case(|each| each.send_call(&registered::build_deregistration("i-1")) ; "deregistered without its incarnation")]
 fn verify_a_server_restarted_under_its_name_receives_requests(
     end_old_incarnation: fn(&RestartFleet),
 ) {
     let restart_fleet = RestartFleet::start();
     end_old_incarnation(&restart_fleet);
-    restart_fleet.restart();
+    restart_fleet.restart_first_server();
     eventually("the new incarnation is known", || {
         restart_fleet.registration_count(NEW_INCARNATION) == 1
     });
@@ -83,8 +83,8 @@
 ) {
     let restart_fleet = RestartFleet::start();
     let late_call = late_call(&restart_fleet);
-    restart_fleet.restart();
-    restart_fleet.send(&late_call);
+    restart_fleet.restart_first_server();
+    restart_fleet.send_call(&late_call);
     let registration_count = || {
         (
             restart_fleet.registration_count(OLD_INCARNATION),
@@ -104,9 +104,9 @@
     let late_call = restart_fleet.heartbeat(OLD_INCARNATION, true);
     restart_fleet.fleet.daemons[0].kill();
     restart_fleet.fleet.daemons[0] = restart_fleet.fleet.start_daemon("host-a", "bkk-a", &[]);
-    restart_fleet.send(&late_call);
-    restart_fleet.restart();
-    restart_fleet.send(&late_call);
+    restart_fleet.send_call(&late_call);
+    restart_fleet.restart_first_server();
+    restart_fleet.send_call(&late_call);
     restart_fleet.fleet.wait_served(0, &[0, 1]);
     restart_fleet.fleet.wait_served(1, &[0, 1]);
 }
@@ -116,7 +116,7 @@
     let restart_fleet = RestartFleet::start();
     restart_fleet.fleet.platform.set_faults(json!({"busy": true}));
     restart_fleet.send_heartbeat(OLD_INCARNATION, true);
-    restart_fleet.restart();
+    restart_fleet.restart_first_server();
     restart_fleet.fleet.wait_served(0, &[0]);
     restart_fleet.fleet.platform.set_faults(json!({}));
     restart_fleet.fleet.wait_served(1, &[0, 1]);
@@ -133,7 +133,7 @@
         text.contains("upstream doubted") || text.contains("upstream ejected")
     });
     fleet.backends[0].set_faults(json!({}));
-    restart_fleet.restart();
+    restart_fleet.restart_first_server();
     // Non-repeatable requests reach the new incarnation at once. A server whose circuit breaker is
     // open would receive them only if no other server is available.
     let reaches_new_incarnation = |number: usize| {
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -13,7 +13,8 @@
 use common::{client, eventually, TestBackend};
 use serde_json::json;
 
-/// Starts a fleet and sends requests through all ingresses, so that every ingress knows all servers.
+/// Starts a fleet and sends requests through all ingresses, so that every ingress knows all
+/// servers.
 fn start_warmed_up_fleet() -> RegisteredFleet {
     let fleet = RegisteredFleet::start(3);
     (0..3).for_each(|daemon| fleet.wait_served(daemon, &[0, 1, 2]));
@@ -44,11 +45,11 @@
         fleet.daemons[0].log_text().contains("upstream doubted")
             || fleet.daemons[0].log_text().contains("upstream ejected")
     });
-    let served = (0..20).filter(|number| {
+    let served_requests = (0..20).filter(|number| {
         let reply = fleet.request(0, "POST", "/unsafe/x", &format!("once-{number}"));
         reply.status == 200
     });
-    assert!(served.count() >= 18, "other servers have free slots");
+    assert!(served_requests.count() >= 18, "other servers have free slots");
 }
 
 #[test]
@@ -113,7 +114,7 @@
 fn fill_slots(fleet: &RegisteredFleet, round: usize) -> u64 {
     let server = &fleet.backends[0];
     let received_count = || server.run_counters()["received"].as_u64().expect("a count");
-    let before = received_count();
+    let received_before = received_count();
     thread::scope(|scope| {
         for number in 1..=4 {
             let callers = fleet.daemons[0].callers;
@@ -121,7 +122,7 @@
             let headers = [("Host", HOST)];
             scope.spawn(move || client::call(callers, "POST", &path, &headers, "x"));
             eventually("the server has received the request", || {
-                received_count() == before + number
+                received_count() == received_before + number
             });
         }
         read_last_timeout_ms(server)
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -5,8 +5,8 @@
 //!
 //! Guards against a fault in which requests reached such a server again after a planned restart of
 //! its daemon. The stopping daemon acknowledged the server's call at once and ended before the
-//! daemon's row was written, as the write did not count as in flight. The restarted daemon recovered
-//! the server from the old row and found the server healthy.
+//! daemon's row was written, as the write did not count as in flight. The restarted daemon
+//! recovered the server from the old row and found the server healthy.
 
 mod common;
 
@@ -60,11 +60,15 @@
         let fleet = &mut self.fleet;
         fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", flags);
         eventually("the server that stays is recovered", || has_recovered(fleet, REMAINING_SERVER));
-        let before = fleet.backends[0].total_runs();
+        let count_before = fleet.backends[0].total_runs();
         for number in 0..60 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("left-{number}"));
         }
-        assert_eq!(fleet.backends[0].total_runs(), before, "nothing reaches a server that left");
+        assert_eq!(
+            fleet.backends[0].total_runs(),
+            count_before,
+            "nothing reaches a server that left"
+        );
         assert!(!has_recovered(fleet, "i-1"));
     }
 }
@@ -110,9 +114,9 @@
     // The store is restored only after five more failed calls. A stop that does not wait for the
     // store would end earlier.
     let daemon = &mut leaving_fleet.fleet.daemons[0];
-    let before = read_store_failures(daemon);
+    let count_before = read_store_failures(daemon);
     eventually("the daemon retries its write, or ends", || {
-        read_store_failures(daemon) >= before + 5 || !daemon.is_running()
+        read_store_failures(daemon) >= count_before + 5 || !daemon.is_running()
     });
     leaving_fleet.fleet.platform.set_faults(json!({}));
     assert_eq!(leaving_fleet.fleet.daemons[0].wait_exit().code(), Some(0));
@@ -187,11 +191,11 @@
     let mut round = 0;
     eventually("nothing reaches the server that left", || {
         round += 1;
-        let before = fleet.backends[0].total_runs();
+        let count_before = fleet.backends[0].total_runs();
         for number in 0..60 {
             fleet.request(number % 2, "GET", "/safe/x", &format!("old-row-{round}-{number}"));
         }
-        fleet.backends[0].total_runs() == before
+        fleet.backends[0].total_runs() == count_before
     });
     eventually("the row no longer lists the server that left", || {
         read_stored_servers(fleet) == [REMAINING_SERVER]
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -52,26 +52,30 @@
     ran_count: u64,
 ) {
     for ingress in [0, 1] {
-        let hops = TwoHops::start(None);
-        hops.backend().set_faults(json!({ "break_at": break_point }));
+        let two_hops = TwoHops::start(None);
+        two_hops.backend().set_faults(json!({ "break_at": break_point }));
         let headers = [("x-request-id", "broken")];
-        let reply = hops.fleet.request(ingress, "POST", "/plain", &headers, "body");
+        let reply = two_hops.fleet.request(ingress, "POST", "/plain", &headers, "body");
         assert_eq!(reply.status, 502, "{}", reply.head);
         assert_eq!(reply.outcome().as_deref(), Some(outcome));
         assert_eq!(reply.reason().as_deref(), Some(reason));
-        assert_eq!(hops.backend().run_count("broken"), ran_count, "dispatched once, never retried");
-        hops.fleet.check_invariants();
+        assert_eq!(
+            two_hops.backend().run_count("broken"),
+            ran_count,
+            "dispatched once, never retried"
+        );
+        two_hops.fleet.check_invariants();
     }
 }
 
 #[test]
 fn verify_a_truncated_answer_is_never_forwarded_as_complete() {
-    let hops = TwoHops::start(None);
-    hops.backend().set_faults(json!({"break_at": "in-answer-body"}));
+    let two_hops = TwoHops::start(None);
+    two_hops.backend().set_faults(json!({"break_at": "in-answer-body"}));
     for path in ["/plain/x", "/bytes/300000"] {
         for ingress in [0, 1] {
             let headers = [("Host", "solver.example")];
-            let callers = hops.fleet.daemons[ingress].callers;
+            let callers = two_hops.fleet.daemons[ingress].callers;
             let reply = client::try_call(callers, "GET", path, &headers, "");
             let is_truncated = reply.as_ref().is_none_or(|reply| {
                 !reply.complete || reply.outcome().as_deref() == Some("unknown")
@@ -83,7 +87,7 @@
 
 #[test]
 fn verify_a_server_that_cannot_be_reached_ran_nothing() {
-    let hops = TwoHops::start(None);
+    let two_hops = TwoHops::start(None);
     let mut configuration = json!({"backend-servers": {"server-1": {
         "service": "solver-app", "host": "host-b", "slots": 4, "connections": 300,
         "failure_domain": "bkk-b",
@@ -92,9 +96,9 @@
     let closed_address =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     configuration["backend-servers"]["server-1"]["address"] = json!(closed_address.to_string());
-    assert_eq!(hops.fleet.apply(&configuration).status, 200);
-    hops.fleet.wait_revision(2);
-    let reply = hops.fleet.request(0, "POST", "/plain", &[], "x");
+    assert_eq!(two_hops.fleet.apply(&configuration).status, 200);
+    two_hops.fleet.wait_revision(2);
+    let reply = two_hops.fleet.request(0, "POST", "/plain", &[], "x");
     assert_eq!((reply.status, reply.outcome().as_deref()), (503, Some("not-run")));
     assert_eq!(reply.reason().as_deref(), Some("connect-failed"));
     assert!(reply.header("retry-after").is_some());
@@ -139,17 +143,17 @@
 
 #[test_case("/plain", 504, "timed-out" ; "plain")]
 fn verify_the_deadline_cancels_a_running_request(path: &str, status: u16, reason: &str) {
-    let hops = TwoHops::start(None);
+    let two_hops = TwoHops::start(None);
     let headers =
         [("x-work-ms", "20000"), ("basaltarch-deadline-ms", "300"), ("x-request-id", "late")];
     for ingress in [0, 1] {
-        let reply = hops.fleet.request(ingress, "GET", path, &headers, "");
+        let reply = two_hops.fleet.request(ingress, "GET", path, &headers, "");
         assert_eq!((reply.status, reply.reason().as_deref()), (status, Some(reason)));
         assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     }
-    assert_eq!(hops.backend().run_count("late"), 2);
+    assert_eq!(two_hops.backend().run_count("late"), 2);
     eventually("the requests are cancelled", || {
-        hops.backend().run_counters()["cancelled"] == json!(2)
+        two_hops.backend().run_counters()["cancelled"] == json!(2)
     });
 }
 
@@ -210,31 +214,32 @@
             client::call(callers, "POST", path, &headers, "x")
         })
     };
-    let wait_queued = |wanted: u64| {
+    let wait_queued = |expected: u64| {
         eventually("requests wait", || {
             let health = fleet.daemons[0].get("/v1/health?service=solver-app");
             let here = &health["services"][0]["upstreams"][0]["here"];
-            here["queued"].as_u64() == Some(wanted) && here["in_flight"].as_u64() == Some(1)
+            here["queued"].as_u64() == Some(expected) && here["in_flight"].as_u64() == Some(1)
         });
     };
-    let first = send("/hints", "hint-1");
+    let first_hint = send("/hints", "hint-1");
     wait_queued(0);
-    let second = send("/hints", "hint-2");
+    let second_hint = send("/hints", "hint-2");
     wait_queued(1);
-    let third = send("/hints", "hint-3");
+    let third_hint = send("/hints", "hint-3");
     wait_queued(2);
     let payout = send("/payouts", "payout");
     assert_eq!(payout.join().expect("join").status, 200);
-    assert_eq!(first.join().expect("join").status, 200);
-    let others = [second.join().expect("join"), third.join().expect("join")];
-    let displaced = others.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
+    assert_eq!(first_hint.join().expect("join").status, 200);
+    let queued_replies = [second_hint.join().expect("join"), third_hint.join().expect("join")];
+    let displaced =
+        queued_replies.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
     assert_eq!(displaced.count(), 1, "one of the queued hints was displaced by the payout");
 }
 
 #[test]
 fn verify_a_lost_peer_is_reported_as_unknown_or_not_run() {
-    let hops = TwoHops::start(None);
-    let mut fleet = hops.fleet;
+    let two_hops = TwoHops::start(None);
+    let mut fleet = two_hops.fleet;
     let callers = fleet.daemons[0].callers;
     let request = thread::spawn(move || {
         let headers =
@@ -281,16 +286,17 @@
 
 #[test]
 fn verify_the_status_counts_requests_by_outcome() {
-    let hops = TwoHops::start(None);
-    let outcomes = |daemon: usize| hops.fleet.daemons[daemon].get("/v1/status")["outcomes"].clone();
+    let two_hops = TwoHops::start(None);
+    let outcomes =
+        |daemon: usize| two_hops.fleet.daemons[daemon].get("/v1/status")["outcomes"].clone();
     assert_eq!(outcomes(0)["complete"], json!(0));
     for _ in 0..3 {
-        assert_eq!(hops.fleet.request(0, "GET", "/plain", &[], "").status, 200);
+        assert_eq!(two_hops.fleet.request(0, "GET", "/plain", &[], "").status, 200);
     }
-    hops.fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
-    assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 502);
-    hops.fleet.backends[0].set_faults(json!({"shed": true}));
-    assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 503);
+    two_hops.fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
+    assert_eq!(two_hops.fleet.request(0, "POST", "/plain", &[], "x").status, 502);
+    two_hops.fleet.backends[0].set_faults(json!({"shed": true}));
+    assert_eq!(two_hops.fleet.request(0, "POST", "/plain", &[], "x").status, 503);
     let outcome_counts = outcomes(0);
     assert_eq!(
         (&outcome_counts["requests"], &outcome_counts["complete"]),
@@ -325,13 +331,13 @@
 
 #[test]
 fn verify_a_late_answer_never_reaches_another_caller() {
-    let hops = TwoHops::start(None);
-    let callers = hops.fleet.daemons[0].callers;
+    let two_hops = TwoHops::start(None);
+    let callers = two_hops.fleet.daemons[0].callers;
     for round in 0..10 {
         let late_id = format!("late-{round}");
         let headers =
             [("x-work-ms", "150"), ("basaltarch-deadline-ms", "60"), ("x-request-id", &late_id)];
-        let reply = hops.fleet.request(0, "GET", "/plain", &headers, "");
+        let reply = two_hops.fleet.request(0, "GET", "/plain", &headers, "");
         assert_eq!(reply.status, 504);
         let mut stream = client::connect(callers);
         let mut buffer = Vec::new();
@@ -379,9 +385,9 @@
 fn verify_a_cut_path_is_avoided_and_used_again_after_recovery(forward: bool, backward: bool) {
     use std::sync::atomic::Ordering;
     let cut_link = start_cut_link();
-    let is_served_by = |wanted: &str| {
+    let is_served_by = |expected: &str| {
         let reply = cut_link.fleet.request(0, "GET", "/puzzle", &[], "");
-        reply.status == 200 && reply.header("x-served-by").as_deref() == Some(wanted)
+        reply.status == 200 && reply.header("x-served-by").as_deref() == Some(expected)
     };
     // So many requests are sent at once that the local server is busy and the remote server
     // receives some of them.
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -132,12 +132,15 @@
         paused.signal("-CONT");
         eventually("the server of the host is used again", || half_cut.send_requests(0, 20).1);
     }
-    assert!(!paused.log_text().contains("upstream ejected"), "the server of the paused host was healthy all the time");
+    assert!(
+        !paused.log_text().contains("upstream ejected"),
+        "the server of the paused host was healthy all the time"
+    );
     half_cut.fleet.check_invariants();
 }
 
-/// Two regions of two daemons each. Peers reach every daemon through a forwarder of that daemon. The
-/// second region reaches the store through one more forwarder.
+/// Two regions of two daemons each. Peers reach every daemon through a forwarder of that daemon.
+/// The second region reaches the store through one more forwarder.
 struct TwoRegions {
     fleet: TestFleet,
     forwarders: Vec<Forwarder>,
@@ -182,8 +185,8 @@
         Self { fleet, forwarders, store_forwarder }
     }
 
-    /// Cuts the regions from each other and the second region from the store, in both directions. If
-    /// `is_cut` is false, ends all these cuts.
+    /// Cuts the regions from each other and the second region from the store, in both directions.
+    /// If `is_cut` is false, ends all these cuts.
     fn set_cut(&self, is_cut: bool) {
         for (index, daemon_forwarder) in self.forwarders.iter().enumerate() {
             let others = REGIONS[1 - index / 2].map(str::to_owned).to_vec();
@@ -206,12 +209,12 @@
 fn verify_partitioned_regions_both_serve_and_agree_afterwards() {
     let regions = TwoRegions::start();
     let fleet = &regions.fleet;
-    let served = |daemon: usize| fleet.request(daemon, "GET", "/puzzle", &[], "").status == 200;
-    assert!((0..4).all(served));
+    let is_served = |daemon: usize| fleet.request(daemon, "GET", "/puzzle", &[], "").status == 200;
+    assert!((0..4).all(is_served));
     assert_eq!(regions.send_payout(2, "before").0, 200);
     regions.set_cut(true);
     for daemon in 0..4 {
-        eventually("each region serves its own callers", || (0..10).all(|_| served(daemon)));
+        eventually("each region serves its own callers", || (0..10).all(|_| is_served(daemon)));
     }
     // Changes are accepted in the region with the store. The other region serves with its last
     // configuration.
@@ -226,7 +229,9 @@
     assert_eq!((fleet.daemons[2].revision(), fleet.daemons[3].revision()), (1, 1));
     // An at-most-once request needs the store, so it runs in the region with the store and is
     // refused in the other region.
-    eventually("an at-most-once request runs in the region with the store", || regions.send_payout(0, "one-key").0 == 200);
+    eventually("an at-most-once request runs in the region with the store", || {
+        regions.send_payout(0, "one-key").0 == 200
+    });
     let (status, outcome) = regions.send_payout(2, "one-key");
     assert_eq!((status, outcome.as_deref()), (503, Some("not-run")));
     let (status, outcome) = regions.send_payout(3, "before");
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -26,7 +26,8 @@
 /// Minimum number of requests that wait at the ingress when a fault is injected at a host.
 const WAITING_MIN: f64 = 6.0;
 
-/// Starts hosts with one backend server each. Each server has one slot and a service time of 300 ms.
+/// Starts hosts with one backend server each. Each server has one slot and a service time of 300
+/// ms.
 fn start_fleet(hosts: usize, waiting_mode: &'static str) -> TestFleet {
     start_fleet_with_slots(hosts, waiting_mode, 1, json!({"floor": 0.5, "prefer": "detection"}))
 }
@@ -63,7 +64,10 @@
 
 /// Sends [`REQUESTS_PER_SLOT`] requests for each server to the first daemon at once; `inject` runs
 /// once [`WAITING_MIN`] of the requests wait at that daemon.
-fn send_all(fleet: &mut TestFleet, inject: impl FnOnce(&mut TestFleet)) -> Vec<RequestEnd> {
+fn send_to_all_slots(
+    fleet: &mut TestFleet,
+    inject: impl FnOnce(&mut TestFleet),
+) -> Vec<RequestEnd> {
     let requests = REQUESTS_PER_SLOT * fleet.backends.len();
     send_concurrently(fleet, requests, WAITING_MIN, inject)
 }
@@ -94,7 +98,7 @@
 
 /// Returns the requests whose reply is not 200. Checks that each request ran at most once, and did
 /// not run if its outcome is `not-run`.
-fn failed_ends(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
+fn check_and_filter_failed(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
     for end in &ends {
         let runs = fleet.run_count(&end.id);
         assert!(runs <= 1, "{} ran {runs} times", end.id);
@@ -111,8 +115,8 @@
 #[test]
 fn verify_waiting_requests_are_offered_slots_that_become_free() {
     let mut fleet = start_fleet(HOST_COUNT, "places");
-    let ends = send_all(&mut fleet, |_| {});
-    assert!(failed_ends(&fleet, ends).is_empty());
+    let ends = send_to_all_slots(&mut fleet, |_| {});
+    assert!(check_and_filter_failed(&fleet, ends).is_empty());
     assert!(fleet.daemons[0].metric_sum("called_in") >= WAITING_MIN);
     eventually("no slot stays in use", || {
         fleet.daemons.iter().all(|daemon| daemon.metric_sum("slots_used") == 0.0)
@@ -123,8 +127,8 @@
 #[test]
 fn verify_waiting_requests_are_not_lost_with_a_killed_host() {
     let mut fleet = start_fleet(HOST_COUNT, "places");
-    let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].kill());
-    let failed_ends = failed_ends(&fleet, ends);
+    let ends = send_to_all_slots(&mut fleet, |fleet| fleet.daemons[1].kill());
+    let failed_ends = check_and_filter_failed(&fleet, ends);
     let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
     assert!(failed_ends.len() <= UNKNOWN_MAX, "{statuses:?}");
 }
@@ -132,8 +136,8 @@
 #[test]
 fn verify_waiting_requests_go_elsewhere_when_a_host_stops() {
     let mut fleet = start_fleet(HOST_COUNT, "places");
-    let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].signal("-TERM"));
-    let failed_ends = failed_ends(&fleet, ends);
+    let ends = send_to_all_slots(&mut fleet, |fleet| fleet.daemons[1].signal("-TERM"));
+    let failed_ends = check_and_filter_failed(&fleet, ends);
     let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
     assert!(failed_ends.is_empty(), "{statuses:?}");
 }
@@ -143,14 +147,14 @@
     let mut fleet = start_fleet(5, "places");
     // The next request that runs at each of these servers crashes that server, which then stays
     // down for longer than the other servers need for all requests.
-    let crash = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
-    let ends = send_all(&mut fleet, |fleet| {
-        fleet.backends[2..].iter().for_each(|backend| backend.set_faults(crash.clone()));
+    let crash_fault = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
+    let ends = send_to_all_slots(&mut fleet, |fleet| {
+        fleet.backends[2..].iter().for_each(|backend| backend.set_faults(crash_fault.clone()));
     });
     for backend in &fleet.backends {
         eventually("the server is up", || TcpStream::connect(backend.address).is_ok());
     }
-    let failed_ends = failed_ends(&fleet, ends);
+    let failed_ends = check_and_filter_failed(&fleet, ends);
     let outcomes: Vec<_> =
         failed_ends.iter().map(|end| (end.reply.status, end.reply.reason())).collect();
     assert!(
@@ -167,16 +171,17 @@
     let service = json!({"floor": 1.0, "prefer": "detection"});
     let mut fleet = start_fleet_with_slots(HOST_COUNT, "places", SLOTS_PER_SERVER, service);
     let requests_per_server = REQUESTS_PER_SLOT * SLOTS_PER_SERVER as usize;
-    let failing = json!({"error_rate": 1.0, "quick_errors": true});
+    let failing_fault = json!({"error_rate": 1.0, "quick_errors": true});
     let ends = send_concurrently(
         &mut fleet,
         requests_per_server * HOST_COUNT,
         requests_per_server as f64,
         |fleet| {
-            fleet.backends[2].set_faults(failing);
+            fleet.backends[2].set_faults(failing_fault);
         },
     );
-    let failed = failed_ends(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
+    let failed =
+        check_and_filter_failed(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
     assert!(
         failed <= requests_per_server,
         "{failed} requests failed at one server of three, at most {requests_per_server} expected"
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -44,8 +44,8 @@
         });
     }
     let reads_store = |daemon: &usize| read_metric(&fleet, *daemon, "store_questions") > 0;
-    let readers = (0..DAEMON_COUNT).filter(reads_store).count();
-    assert!(readers <= READER_COUNT, "{readers} daemons asked the store");
+    let reader_count = (0..DAEMON_COUNT).filter(reads_store).count();
+    assert!(reader_count <= READER_COUNT, "{reader_count} daemons asked the store");
 }
 
 fn request_status(fleet: &RegisteredFleet, daemon: usize, id: &str) -> u16 {
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -117,16 +117,16 @@
     fleet.wait_revision(7);
     fleet.platform.set_faults(json!({"reads_from_past_ms": 3_600_000}));
     let mut lowest_revisions = [7, 7];
-    let before = fleet.daemons[1].metric_sum("old_revisions");
+    let rejections_before = fleet.daemons[1].metric_sum("old_revisions");
     eventually("stale answers were received and rejected", || {
         for (index, daemon) in fleet.daemons.iter().enumerate() {
             lowest_revisions[index] = lowest_revisions[index].min(daemon.revision());
         }
-        fleet.daemons[1].metric_sum("old_revisions") > before
+        fleet.daemons[1].metric_sum("old_revisions") > rejections_before
     });
     assert_eq!(lowest_revisions, [7, 7]);
-    // Changes are still accepted. A change that is based on an old revision is rejected, as the
-    // store checks the newest revision on each write.
+    // Changes are still accepted. Each write checks the head of the configuration in the store, so
+    // that a change that is based on an old revision is rejected.
     eventually("the change is accepted, at the latest with current answers of the store", || {
         let reply = put_organisation(&fleet.daemons[0], "late", "t", ANY_REVISION);
         assert!(matches!(reply.status, 200 | 409 | 503), "{}", reply.text());
@@ -239,8 +239,8 @@
 #[test]
 fn verify_a_row_of_an_earlier_incarnation_or_an_unreadable_row_changes_nothing() {
     let mut fleet = start_fleet_with_daemons(3);
-    // The daemon is killed first. Otherwise the daemon would rewrite its row before the other daemons
-    // read the changed row.
+    // The daemon is killed first. Otherwise the daemon would rewrite its row before the other
+    // daemons read the changed row.
     fleet.daemons[2].kill();
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
     let earlier_record = json!({"incarnation": 1, "failure_domain": "bkk-b", "peer_address": "127.0.0.1:1",
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -135,12 +135,12 @@
     let late_heartbeat = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
     assert_eq!(fleet.deregister(1).status, 200);
     assert_eq!(fleet.call_daemon(1, &late_heartbeat).status, 200);
-    let before = fleet.backends[1].total_runs();
+    let runs_before = fleet.backends[1].total_runs();
     for number in 0..30 {
         let reply = fleet.request(number % 2, "GET", "/safe/x", &format!("gone-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    assert_eq!(fleet.backends[1].total_runs(), before);
+    assert_eq!(fleet.backends[1].total_runs(), runs_before);
 }
 
 #[test]
@@ -165,12 +165,12 @@
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
-    let rows = |fleet: &RegisteredFleet| {
+    let read_rows = |fleet: &RegisteredFleet| {
         let path = format!("{}?table={hosts_table}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
     let is_server_listed = |fleet: &RegisteredFleet| {
-        let page: Value = serde_json::from_str(&rows(fleet)).expect("rows");
+        let page: Value = serde_json::from_str(&read_rows(fleet)).expect("rows");
         let row = page["rows"].as_array().expect("rows").iter().find(|row| row["key"] == "host-b");
         let value = row.and_then(|row| row["value"].as_str()).map(rows::decode_value);
         value
@@ -180,12 +180,12 @@
     eventually("the row lists the server", || is_server_listed(&fleet));
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
-    let before = fleet.backends[1].total_runs();
+    let runs_before = fleet.backends[1].total_runs();
     let mut number = 0;
     eventually("the server receives requests again", || {
         number += 1;
         fleet.request(1, "GET", "/safe/x", &format!("again-{number}"));
-        fleet.backends[1].total_runs() > before
+        fleet.backends[1].total_runs() > runs_before
     });
     // A server that answers the health check as unhealthy is not recovered.
     fleet.backends[0].set_faults(json!({"health_status": 503}));
@@ -194,11 +194,11 @@
     eventually("the health of the server was checked", || {
         fleet.backends[0].run_counters()["probes"].as_u64() > Some(0)
     });
-    let before = fleet.backends[0].total_runs();
+    let runs_before = fleet.backends[0].total_runs();
     for number in 0..20 {
         fleet.request(0, "GET", "/safe/x", &format!("ill-{number}"));
     }
-    assert_eq!(fleet.backends[0].total_runs(), before);
+    assert_eq!(fleet.backends[0].total_runs(), runs_before);
 }
 
 #[test_case(|call| call.body.truncate(9), 400 ; "cut short")]
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -66,13 +66,19 @@
     // readers and don't call the store.
     let rows_call_count = |daemon: usize| fleet.daemons[daemon].metric_sum("rows_calls") as u64;
     eventually("one or two daemons read the rows during four changes", || {
-        let before: Vec<u64> = all_daemons.iter().map(|daemon| rows_call_count(*daemon)).collect();
+        let calls_before: Vec<u64> =
+            all_daemons.iter().map(|daemon| rows_call_count(*daemon)).collect();
         for number in 0..4 {
-            register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all_daemons);
+            register_and_wait(
+                &fleet,
+                number,
+                &format!("i-{}-{number}", calls_before[0]),
+                &all_daemons,
+            );
         }
         let reader_count = all_daemons
             .iter()
-            .filter(|daemon| rows_call_count(**daemon) > before[**daemon])
+            .filter(|daemon| rows_call_count(**daemon) > calls_before[**daemon])
             .count();
         (1..=2).contains(&reader_count)
     });
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -184,8 +184,8 @@
     }
     let mut stream = client::connect(fleet.daemons[0].callers);
     stops::request_stop(&fleet.daemons[0]);
-    // The first attempt gets a server error after 5 s. The retry then runs until the daemon gives up
-    // pending requests.
+    // The first attempt gets a server error after 5 s. The retry then runs until the daemon gives
+    // up pending requests.
     let headers = [("Host", "solver.example"), ("x-work-ms", "5000"), ("x-request-id", "again")];
     let text = client::request_text("GET", "/puzzle", &headers, "");
     stream.write_all(text.as_bytes()).expect("write");
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -16,8 +16,8 @@
 use common::{eventually, TestBackend, TestPlatform};
 use serde_json::{json, Value};
 
-/// Header with the deadline of the requests. The deadline is longer than any wait of a test, so that
-/// only a suspend can make the deadline pass.
+/// Header with the deadline of the requests. The deadline is longer than any wait of a test, so
+/// that only a suspend can make the deadline pass.
 const DEADLINE_HEADER: (&str, &str) = ("basaltarch-deadline-ms", "600000");
 /// Length of a suspend that is longer than the deadline in [`DEADLINE_HEADER`].
 const SUSPEND_LENGTH: Duration = Duration::from_secs(1200);
