--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -49,7 +49,7 @@
         proxied_fleet.wait_revision(1);
         let daemons = &proxied_fleet.fleet.daemons;
         for daemon in daemons {
-            eventually("the daemons know each other", || daemon.live_members() == HOSTS.len());
+            eventually("the daemons know each other", || daemon.live_member_count() == HOSTS.len());
         }
         proxied_fleet
     }
@@ -80,7 +80,7 @@
         let mut new_document = document(version);
         let path = format!("/added-{version}/");
         new_document.routes.push(route("r-added", &path, WorkMode::Repeatable));
-        self.fleet.write(&new_document);
+        self.fleet.write_document(&new_document);
     }
 
     /// Requests the route of a document version from a daemon and returns the status. The status is
--- a/crates/daemon/tests/bounds.rs
+++ b/crates/daemon/tests/bounds.rs
@@ -26,11 +26,11 @@
 /// Number of connections that callers try to open.
 const CONNECTION_ATTEMPTS: usize = 900;
 
-fn open_descriptors(daemon: &TestDaemon) -> u64 {
+fn count_open_descriptors(daemon: &TestDaemon) -> u64 {
     fs::read_dir(format!("/proc/{}/fd", daemon.process_id())).expect("fd").count() as u64
 }
 
-fn peak_resident_mb(daemon: &TestDaemon) -> u64 {
+fn read_peak_resident_mb(daemon: &TestDaemon) -> u64 {
     let status =
         fs::read_to_string(format!("/proc/{}/status", daemon.process_id())).expect("status");
     let line = status.lines().find(|line| line.starts_with("VmHWM:")).expect("peak");
@@ -64,7 +64,7 @@
     assert_eq!(fleet.send_heartbeat(0, false).status, 200);
     fleet.wait_served(0, &[0]);
     let daemon = &fleet.daemons[0];
-    let descriptors_before = open_descriptors(daemon);
+    let descriptors_before = count_open_descriptors(daemon);
     let mut streams: Vec<TcpStream> =
         (0..CONNECTION_ATTEMPTS).map(|_| client::connect(daemon.callers)).collect();
     let served = streams
@@ -77,12 +77,16 @@
         "{served} connections served"
     );
     assert!(
-        open_descriptors(daemon) <= descriptors_before + CONNECTION_LIMIT as u64 + 8,
+        count_open_descriptors(daemon) <= descriptors_before + CONNECTION_LIMIT as u64 + 8,
         "{}",
-        open_descriptors(daemon)
+        count_open_descriptors(daemon)
+    );
+    assert!(count_open_descriptors(daemon) < DESCRIPTOR_LIMIT);
+    assert!(
+        read_peak_resident_mb(daemon) < MEMORY_LIMIT_MB,
+        "{} MB",
+        read_peak_resident_mb(daemon)
     );
-    assert!(open_descriptors(daemon) < DESCRIPTOR_LIMIT);
-    assert!(peak_resident_mb(daemon) < MEMORY_LIMIT_MB, "{} MB", peak_resident_mb(daemon));
     drop(streams);
     eventually("new connections are served once the earlier ones are closed", || {
         let mut stream = client::connect(daemon.callers);
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -48,14 +48,14 @@
 
 /// Builds the dispatch of a non-repeatable request with this id to the server `i-1`.
 fn dispatch_frame(id: &str) -> PeerFrame {
-    let lines = format!("host: {}\r\nrequest-id: {id}\r\n", common::registered::HOST);
+    let header_lines = format!("host: {}\r\nrequest-id: {id}\r\n", common::registered::HOST);
     let head = DispatchHead {
         service_name: SERVICE.to_owned(),
         upstream: "i-1".to_owned(),
         route: "r-unsafe".to_owned(),
         method: "POST".to_owned(),
         target: "/unsafe/x".to_owned(),
-        field_lines: lines.into_bytes(),
+        field_lines: header_lines.into_bytes(),
         deadline_ms: 3000,
         refusable: false,
         work_class: 1,
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -186,7 +186,7 @@
     }
 
     /// Returns how many members of the fleet this daemon reports as live.
-    pub fn live_members(&self) -> usize {
+    pub fn live_member_count(&self) -> usize {
         let status = self.get("/v1/status");
         let members = status["members"].as_array().expect("members");
         members.iter().filter(|member| member["state"] == "live").count()
--- a/crates/daemon/tests/common/fleet.rs
+++ b/crates/daemon/tests/common/fleet.rs
@@ -67,7 +67,7 @@
         fleet.backends = (0..plan.backends)
             .map(|index| TestBackend::start(&format!("server-{}", index + 1), plan.service_ms))
             .collect();
-        let reply = fleet.apply(&fleet.configuration(plan));
+        let reply = fleet.apply(&fleet.build_configuration(plan));
         assert_eq!(reply.status, 200, "{}", reply.text());
         fleet.wait_revision(1);
         fleet
@@ -105,7 +105,7 @@
     pub fn wait_members(&self) {
         for daemon in &self.daemons {
             eventually("the daemons know each other", || {
-                daemon.is_ready() && daemon.live_members() == self.daemons.len()
+                daemon.is_ready() && daemon.live_member_count() == self.daemons.len()
             });
         }
     }
@@ -117,7 +117,7 @@
     }
 
     /// Builds the configuration of a plan for the running daemons and backend servers.
-    pub fn configuration(&self, plan: &FleetPlan) -> Value {
+    pub fn build_configuration(&self, plan: &FleetPlan) -> Value {
         let mut servers = BTreeMap::new();
         for (index, backend) in self.backends.iter().enumerate() {
             let daemon = &self.daemons[index % self.daemons.len()];
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -61,12 +61,12 @@
         assert_eq!(reply.status, 204, "{}", reply.text());
     }
 
-    pub fn counters(&self) -> Value {
+    pub fn read_counters(&self) -> Value {
         client::call(self.address, "GET", platform::COUNTERS_PATH, &[], "").json()
     }
 
     /// Returns the values of a table's rows, without the values that can't be decoded.
-    pub fn rows(&self, table: &str) -> Vec<Value> {
+    pub fn read_rows(&self, table: &str) -> Vec<Value> {
         let path = format!("{}?table={table}&part=", rows::READ_PATH);
         let page = client::call(self.address, "GET", &path, &[], "").json();
         let decoded_value = |row: &Value| {
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -88,7 +88,7 @@
         let platform = TestPlatform::start();
         let fleet =
             Self { platform, daemons: Vec::new(), backends: Vec::new(), sequence: Cell::new(1) };
-        fleet.write(&document(1));
+        fleet.write_document(&document(1));
         (0..daemons).fold(fleet, |fleet, index| fleet.with_host(index))
     }
 
@@ -97,7 +97,7 @@
         let platform = TestPlatform::start();
         let fleet =
             Self { platform, daemons: Vec::new(), backends: Vec::new(), sequence: Cell::new(1) };
-        fleet.write(&document(1));
+        fleet.write_document(&document(1));
         (0..daemons).fold(fleet, |fleet, index| fleet.with_host_in(index, DOMAINS[0]))
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Writes the operator's document.
-    pub fn write(&self, new_document: &ConfigDocument) {
+    pub fn write_document(&self, new_document: &ConfigDocument) {
         let text = String::from_utf8(document::write(new_document)).expect("text");
         self.write_text(&text);
     }
@@ -169,7 +169,7 @@
         service: &str,
         draining: bool,
     ) -> Reply {
-        self.call_daemon(index, &self.heartbeat(index, name, service, draining))
+        self.call_daemon(index, &self.build_heartbeat(index, name, service, draining))
     }
 
     /// Resets the sequence numbers of heartbeats, as a backend server does when it starts.
@@ -178,12 +178,18 @@
     }
 
     /// Builds a heartbeat with any name and service and the address of a backend server.
-    pub fn heartbeat(&self, index: usize, name: &str, service: &str, draining: bool) -> StoreCall {
-        self.heartbeat_from(self.backends[index].address, name, service, draining)
+    pub fn build_heartbeat(
+        &self,
+        index: usize,
+        name: &str,
+        service: &str,
+        draining: bool,
+    ) -> StoreCall {
+        self.build_heartbeat_from(self.backends[index].address, name, service, draining)
     }
 
     /// Builds the heartbeat of a backend server at any address.
-    pub fn heartbeat_from(
+    pub fn build_heartbeat_from(
         &self,
         address: SocketAddr,
         name: &str,
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -62,7 +62,7 @@
     crash_count.expect("a count")
 }
 
-fn total_crashes(fleet: &TestFleet) -> u64 {
+fn count_total_crashes(fleet: &TestFleet) -> u64 {
     fleet.backends.iter().map(wait_crash_count).sum()
 }
 
@@ -78,7 +78,7 @@
             fleet.request(number % 6, "GET", "/puzzle/good", &[], "").status == 200
         });
     }
-    let crashed = total_crashes(&fleet);
+    let crashed = count_total_crashes(&fleet);
     assert!(crashed <= CRASHES_MAX, "{COPY_COUNT} copies crashed {crashed} servers");
     for daemon in 0..6 {
         let reply = fleet.request(daemon, "GET", BAD_PATH, &[], "");
@@ -87,7 +87,7 @@
             (503, Some("not-run".to_owned()), Some("crashes-servers".to_owned()));
         assert_eq!(refusal, expected_refusal, "refused as not run by every daemon");
     }
-    assert_eq!(total_crashes(&fleet), crashed, "the bad request has not run again");
+    assert_eq!(count_total_crashes(&fleet), crashed, "the bad request has not run again");
     fleet.check_invariants();
 }
 
@@ -193,7 +193,10 @@
             wrongly_refused += refused;
         }
     });
-    assert!(total_crashes(&fleet) >= 15, "servers crashed while they ran the popular request");
+    assert!(
+        count_total_crashes(&fleet) >= 15,
+        "servers crashed while they ran the popular request"
+    );
     assert!(good_count > 100, "{good_count} popular requests were served");
     assert_eq!(wrongly_refused, 0, "popular requests were refused");
     let has_good_runs = |daemon: &TestDaemon| {
@@ -212,7 +215,7 @@
 fn verify_a_daemon_that_starts_later_refuses_the_bad_request() {
     let mut fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
-    let crashed = total_crashes(&fleet);
+    let crashed = count_total_crashes(&fleet);
     let platform = fleet.platform.address;
     let later_daemon = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
     eventually("the daemon that started later refuses the request", || {
@@ -221,7 +224,7 @@
     fleet.daemons.push(later_daemon);
     let reply = fleet.request(3, "GET", BAD_PATH, &[], "");
     assert_eq!(reply.reason().as_deref(), Some("crashes-servers"));
-    assert_eq!(total_crashes(&fleet), crashed);
+    assert_eq!(count_total_crashes(&fleet), crashed);
 }
 
 #[test]
@@ -252,9 +255,9 @@
     let mut fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     let is_refusal_stored =
-        || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
+        || fleet.platform.read_rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
     eventually("a row holds the refused request", is_refusal_stored);
-    let crashed = total_crashes(&fleet);
+    let crashed = count_total_crashes(&fleet);
     fleet.daemons.iter_mut().for_each(TestDaemon::kill);
     fleet.daemons = ["host-a", "host-b", "host-c"]
         .iter()
@@ -267,7 +270,7 @@
     fleet.wait_members();
     let reply = fleet.request(1, "GET", BAD_PATH, &[], "");
     assert_eq!(reply.reason().as_deref(), Some("crashes-servers"));
-    assert_eq!(total_crashes(&fleet), crashed);
+    assert_eq!(count_total_crashes(&fleet), crashed);
 }
 
 #[test]
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -27,7 +27,7 @@
 #[test]
 fn verify_only_newer_documents_take_effect_and_bad_ones_change_nothing() {
     let fleet = RegisteredFleet::start(2);
-    fleet.write(&document_with_route(5, "/new/"));
+    fleet.write_document(&document_with_route(5, "/new/"));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         eventually("the document is in force", || daemon.revision() == 5);
         let id = format!("new-{index}");
@@ -39,16 +39,16 @@
         // Waits for the log line of each document before the next document is written. A document
         // that is replaced before a daemon reads it is not logged.
         for daemon in &fleet.daemons {
-            let logged = || daemon.log_text().matches("configuration unreadable").count();
-            eventually("the bad document was read", || logged() > bad_index);
+            let unreadable_count = || daemon.log_text().matches("configuration unreadable").count();
+            eventually("the bad document was read", || unreadable_count() > bad_index);
         }
     }
-    fleet.write(&document(3));
+    fleet.write_document(&document(3));
     for daemon in &fleet.daemons {
-        let logged = || daemon.log_text().contains("older configuration passed over");
-        eventually("the older document was read", logged);
+        let is_logged = || daemon.log_text().contains("older configuration passed over");
+        eventually("the older document was read", is_logged);
     }
-    fleet.write(&document_with_route(7, "/newer/"));
+    fleet.write_document(&document_with_route(7, "/newer/"));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         eventually("the last document is in force", || daemon.revision() == 7);
         assert_eq!(fleet.request(index, "GET", "/newer/x", "a").status, 200);
@@ -90,7 +90,7 @@
         .map(|(service, weight)| ServiceShare { service: service.to_owned(), weight })
         .to_vec();
     new_document.routes.push(split_route);
-    fleet.write(&new_document);
+    fleet.write_document(&new_document);
     for daemon in &fleet.daemons {
         eventually("the split is in force", || daemon.revision() == 2);
     }
@@ -205,7 +205,7 @@
     let fleet = RegisteredFleet::start(1);
     let mut short_document = document(2);
     short_document.routes[1].rule.timeout_ms = 300;
-    fleet.write(&short_document);
+    fleet.write_document(&short_document);
     eventually("the document is in force", || fleet.daemons[0].revision() == 2);
     let request_field = headers::exchange_fields().request.expect("a header field for request ids");
     let headers = [("Host", HOST), (request_field.as_str(), "slow"), ("x-work-ms", "60000")];
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -35,14 +35,14 @@
     fleet
 }
 
-fn log_paths(fleet: &RegisteredFleet) -> Vec<String> {
+fn list_log_paths(fleet: &RegisteredFleet) -> Vec<String> {
     fleet.daemons.iter().map(TestDaemon::log_file).collect()
 }
 
 /// Waits until the conclusion from the logs about a request contains `end`, and returns the history
 /// of the request.
 fn wait_history(fleet: &RegisteredFleet, id: &str, end: &str) -> explain::RequestHistory {
-    let paths = log_paths(fleet);
+    let paths = list_log_paths(fleet);
     let mut history = explain::RequestHistory::default();
     eventually(&format!("the logs show for {id}: {end}"), || {
         history = explain::gather(id, &paths).expect("logs");
@@ -51,7 +51,7 @@
     history
 }
 
-fn event_names(history: &explain::RequestHistory) -> BTreeSet<&str> {
+fn collect_event_names(history: &explain::RequestHistory) -> BTreeSet<&str> {
     history.lines.iter().filter_map(|line| line.fields["message"].as_str()).collect()
 }
 
@@ -164,7 +164,7 @@
         let id = format!("harmed-{requests}");
         inject(&fleet, &id);
         let history = wait_history(&fleet, &id, end);
-        let seen_events = event_names(&history);
+        let seen_events = collect_event_names(&history);
         for event in expected_events {
             assert!(
                 seen_events.contains(event),
@@ -186,7 +186,7 @@
     for requests in ["1000000", "0"] {
         let fleet = start_fleet_logging(2, requests);
         inject(&fleet, &format!("lost-{requests}"));
-        let paths = log_paths(&fleet);
+        let paths = list_log_paths(&fleet);
         let causes_counted_once = |tally: &LossTally| {
             let causes = tally.causes.iter().filter(|(_, tally)| tally.count == 1);
             causes.map(|(cause, _)| cause.to_string()).collect::<Vec<_>>()
@@ -196,56 +196,60 @@
             causes_counted_once(&tally).iter().any(|name| name.starts_with(cause))
         });
         let tally = losses::count(&paths).expect("logs");
-        let lost: u64 = tally.routes.values().flat_map(|route| route.lost.values()).sum();
-        assert_eq!(lost, 1, "{tally:?}");
+        let lost_count: u64 = tally.routes.values().flat_map(|route| route.lost.values()).sum();
+        assert_eq!(lost_count, 1, "{tally:?}");
     }
 }
 
 #[test]
 fn verify_losses_attribute_a_failed_nested_call_and_count_unreadable_lines() {
     let path = std::env::temp_dir().join(format!("basaltarch-losses-{}.log", std::process::id()));
-    let line = |second: u32, event: &str, fields: &str| {
+    let format_line = |second: u32, event: &str, fields: &str| {
         format!(
             "{second} host | {{\"timestamp\":\"2026-12-02T10:00:0{second}.000000Z\",\"message\":\"{event}\",{fields}}}"
         )
     };
     let lines = [
-        line(1, "request received", r#""request":"r-1","route":"top","service":"s""#),
-        line(
+        format_line(1, "request received", r#""request":"r-1","route":"top","service":"s""#),
+        format_line(
             1,
             "work started",
             r#""request":"r-1","upstream":"u-1","attempt":1,"in_flight":1,"slots":2"#,
         ),
-        line(2, "request received", r#""request":"r-1.c","route":"call","service":"t""#),
-        line(
+        format_line(2, "request received", r#""request":"r-1.c","route":"call","service":"t""#),
+        format_line(
             2,
             "work started",
             r#""request":"r-1.c","upstream":"u-2","attempt":1,"in_flight":1,"slots":2"#,
         ),
-        line(3, "upstream doubted", r#""upstream":"u-2","service":"t""#),
-        line(
+        format_line(3, "upstream doubted", r#""upstream":"u-2","service":"t""#),
+        format_line(
             4,
             "request answered",
             r#""request":"r-1.c","at_ms":2000,"route":"call","status":504"#,
         ),
-        line(4, "request answered", r#""request":"r-1","at_ms":3000,"route":"top","status":500"#),
-        line(5, "request received", r#""request":"r-2","route":"top","service":"s""#),
-        line(
+        format_line(
+            4,
+            "request answered",
+            r#""request":"r-1","at_ms":3000,"route":"top","status":500"#,
+        ),
+        format_line(5, "request received", r#""request":"r-2","route":"top","service":"s""#),
+        format_line(
             5,
             "request answered",
             r#""request":"r-2","at_ms":9,"route":"top","status":200,"late":true"#,
         ),
-        line(6, "request received", r#""request":"r-3","route":"top","service":"s""#),
-        line(7, "requests not logged", r#""requests":5,"failed":1"#),
+        format_line(6, "request received", r#""request":"r-3","route":"top","service":"s""#),
+        format_line(7, "requests not logged", r#""requests":5,"failed":1"#),
         r#"{"timestamp":"2026-12-02T10:00:02.000000Z","message":"request fai"#.to_owned(),
         "a line of another program".to_owned(),
     ];
     std::fs::write(&path, lines.join("\n")).expect("file");
     let tally = losses::count(&[path.to_str().expect("path").to_owned()]).expect("read");
     let _ = std::fs::remove_file(&path);
-    let top = &tally.routes["top"];
-    assert_eq!((top.asked, top.served, top.late), (3, 1, 1));
-    let causes: Vec<String> = top.lost.keys().map(ToString::to_string).collect();
+    let top_route = &tally.routes["top"];
+    assert_eq!((top_route.asked, top_route.served, top_route.late), (3, 1, 1));
+    let causes: Vec<String> = top_route.lost.keys().map(ToString::to_string).collect();
     assert_eq!(causes, ["a call was lost: hung without a call", "nothing seen"]);
     assert_eq!(tally.calls["call"].asked, 1);
     assert_eq!(tally.seconds, BTreeMap::from([(0, 1), (5, 1)]));
@@ -263,11 +267,13 @@
         let id = format!("repeat-{number}");
         send_request(&fleet, "GET", "/safe/x", &id);
         let history = wait_history(&fleet, &id, "got the server's answer 200");
-        let ends = history.lines.iter().filter(|line| line.fields["message"] == "attempt ended");
-        let next: Vec<&str> =
-            ends.map(|line| line.fields["next"].as_str().expect("text")).collect();
+        let attempt_ends =
+            history.lines.iter().filter(|line| line.fields["message"] == "attempt ended");
+        let next_steps: Vec<&str> =
+            attempt_ends.map(|line| line.fields["next"].as_str().expect("text")).collect();
         // The history also lists lines about the failed server that don't name the request.
-        next == ["repeat", "answer"] && event_names(&history).contains("upstream doubted")
+        next_steps == ["repeat", "answer"]
+            && collect_event_names(&history).contains("upstream doubted")
     });
 }
 
@@ -338,7 +344,7 @@
     let platform = fleet.platform.address;
     fleet.daemons[0] = TestDaemon::start_piped(platform, "host-a", "bkk-a", &flags);
     assert_eq!(fleet.send_heartbeat(0, false).status, 200);
-    fleet.write(&document(2));
+    fleet.write_document(&document(2));
     fleet.wait_served(0, &[0]);
     let mut number = 0;
     eventually("more lines are logged than the pipe and the queue hold", || {
--- a/crates/daemon/tests/foreign.rs
+++ b/crates/daemon/tests/foreign.rs
@@ -103,7 +103,7 @@
 #[test_case("born", json!("7") ; "an incarnation of another type")]
 fn verify_a_heartbeat_of_another_writer_names_no_upstream(field: &str, value: Value) {
     let fleet = RegisteredFleet::start(1);
-    let mut call = fleet.heartbeat(0, "i-foreign", SERVICE, false);
+    let mut call = fleet.build_heartbeat(0, "i-foreign", SERVICE, false);
     let mut body: Value = serde_json::from_slice(&call.body).expect("a heartbeat");
     body[field] = value;
     call.body = body.to_string().into_bytes();
@@ -119,7 +119,7 @@
     assert_eq!(fleet.send_heartbeat_as(0, "i-1#a", SERVICE, false).status, 200);
     assert_eq!(fleet.send_heartbeat_as(0, "i-1#a", "other-app", true).status, 400);
     let heartbeat_from_elsewhere =
-        fleet.heartbeat_from(common::closed_address(), "i-1#a", SERVICE, false);
+        fleet.build_heartbeat_from(common::closed_address(), "i-1#a", SERVICE, false);
     assert_eq!(fleet.call_daemon(0, &heartbeat_from_elsewhere).status, 400);
     (0..2).for_each(|daemon| fleet.wait_served(daemon, &[0, 1]));
 }
--- a/crates/daemon/tests/gray.rs
+++ b/crates/daemon/tests/gray.rs
@@ -105,15 +105,18 @@
     let bad_count_before = load.bad_count();
     fleet.backends[4].set_faults(fault);
     eventually("the server is ejected", || is_ejected(&fleet, "server-5"));
-    let report = health_at_own_daemon(&fleet, "server-5");
-    assert!(report["evidence"].as_str().expect("evidence").contains(evidence), "{report}");
+    let health_report = health_at_own_daemon(&fleet, "server-5");
+    assert!(
+        health_report["evidence"].as_str().expect("evidence").contains(evidence),
+        "{health_report}"
+    );
     for daemon in &fleet.daemons {
         let log = daemon.log_text();
         let ejections = log.lines().filter(|line| line.contains("upstream ejected")).count();
-        let expected = log
+        let expected_ejections = log
             .lines()
             .filter(|line| line.contains("upstream ejected") && line.contains("server-5"));
-        assert_eq!(ejections, expected.count(), "no healthy server is ejected:\n{log}");
+        assert_eq!(ejections, expected_ejections.count(), "no healthy server is ejected:\n{log}");
     }
     let ejection_count: f64 =
         fleet.daemons.iter().map(|d| d.metric_sum("detection_seconds_count")).sum();
@@ -135,14 +138,14 @@
 fn verify_false_health_and_load_reports_change_nothing() {
     let fleet = start_precision_fleet();
     // One server fails requests but answers health checks with 200 and reports no load.
-    let faulty = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
+    let server_faults = json!({"error_rate": 0.8, "health_status": 200, "claimed_load": 0});
     // Another server serves requests but answers health checks with 503 and reports full load.
     fleet.backends[0].set_faults(json!({"health_status": 503, "claimed_load": 1000}));
     let probe = client::call(fleet.backends[0].address, "GET", "/health", &[], "");
     assert_eq!(probe.status, 503);
     let load = Load::start(&fleet, 12, "/puzzle");
     eventually("the fleet is warmed up", || load.good_count() > 600);
-    fleet.backends[4].set_faults(faulty);
+    fleet.backends[4].set_faults(server_faults);
     eventually("the faulty server is ejected", || is_ejected(&fleet, "server-5"));
     let count_before = fleet.backends[0].total_runs();
     eventually("the healthy server receives requests", || {
@@ -248,7 +251,7 @@
         send_request();
         exempted_count() > count_before
     });
-    let mut changed_configuration = fleet.configuration(&plan);
+    let mut changed_configuration = fleet.build_configuration(&plan);
     changed_configuration["services"]["solver-app"]["floor"] = json!(0.4);
     assert_eq!(fleet.apply(&changed_configuration).status, 200);
     fleet.wait_revision(2);
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -30,12 +30,12 @@
         restart_fleet
     }
 
-    fn heartbeat(&self, name: &str, draining: bool) -> StoreCall {
-        self.fleet.heartbeat(0, name, SERVICE, draining)
+    fn build_heartbeat(&self, name: &str, draining: bool) -> StoreCall {
+        self.fleet.build_heartbeat(0, name, SERVICE, draining)
     }
 
     fn send_heartbeat(&self, name: &str, draining: bool) {
-        self.send_call(&self.heartbeat(name, draining));
+        self.send_call(&self.build_heartbeat(name, draining));
     }
 
     fn send_call(&self, call: &StoreCall) {
@@ -75,8 +75,8 @@
     restart_fleet.fleet.wait_served(1, &[0, 1]);
 }
 
-#[test_case(|each| each.heartbeat(OLD_INCARNATION, false) ; "a heartbeat")]
-#[test_case(|each| each.heartbeat(OLD_INCARNATION, true) ; "a drain notice")]
+#[test_case(|each| each.build_heartbeat(OLD_INCARNATION, false) ; "a heartbeat")]
+#[test_case(|each| each.build_heartbeat(OLD_INCARNATION, true) ; "a drain notice")]
 #[test_case(|_| registered::build_deregistration(OLD_INCARNATION) ; "a deregistration")]
 fn verify_late_messages_of_the_previous_incarnation_are_ignored(
     late_call: fn(&RestartFleet) -> StoreCall,
@@ -101,7 +101,7 @@
 #[test]
 fn verify_a_restarted_daemon_uses_the_later_incarnation_in_any_order() {
     let mut restart_fleet = RestartFleet::start();
-    let late_call = restart_fleet.heartbeat(OLD_INCARNATION, true);
+    let late_call = restart_fleet.build_heartbeat(OLD_INCARNATION, true);
     restart_fleet.fleet.daemons[0].kill();
     restart_fleet.fleet.daemons[0] = restart_fleet.fleet.start_daemon("host-a", "bkk-a", &[]);
     restart_fleet.send_call(&late_call);
@@ -148,7 +148,7 @@
 #[test]
 fn verify_a_heartbeat_without_incarnation_is_refused_for_a_server_that_sent_one() {
     let restart_fleet = RestartFleet::start();
-    let reply = restart_fleet.fleet.call_daemon(0, &restart_fleet.heartbeat("i-1", true));
+    let reply = restart_fleet.fleet.call_daemon(0, &restart_fleet.build_heartbeat("i-1", true));
     assert_eq!(reply.status, 400, "{}", reply.text());
     restart_fleet.fleet.wait_served(1, &[0]);
 }
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -60,7 +60,7 @@
     let mut slow_route = route("r-slow", "/slow/", WorkMode::Repeatable);
     slow_route.rule.objective_ms = 100;
     new_document.routes.push(slow_route);
-    fleet.write(&new_document);
+    fleet.write_document(&new_document);
     eventually("the route is in force", || {
         fleet.request(0, "GET", "/slow/x", "in-force").status != 404
     });
--- a/crates/daemon/tests/leaving.rs
+++ b/crates/daemon/tests/leaving.rs
@@ -37,7 +37,7 @@
         let remaining_server =
             TestBackend::start_at(common::loopback_address(), REMAINING_SERVER, 1, fields);
         let heartbeat =
-            fleet.heartbeat_from(remaining_server.address, REMAINING_SERVER, SERVICE, false);
+            fleet.build_heartbeat_from(remaining_server.address, REMAINING_SERVER, SERVICE, false);
         assert_eq!(fleet.call_daemon(0, &heartbeat).status, 200);
         fleet.wait_served(1, &[0, 1]);
         eventually("the row lists both servers", || {
@@ -135,7 +135,7 @@
     let mut last_acknowledged = None;
     for number in 0.. {
         let name = format!("i-drains-{number}");
-        let call = leaving_fleet.fleet.heartbeat(0, &name, SERVICE, true);
+        let call = leaving_fleet.fleet.build_heartbeat(0, &name, SERVICE, true);
         let body = String::from_utf8_lossy(&call.body);
         match client::try_call(address, call.method.as_str(), &call.target, &[], &body) {
             Some(reply) if reply.status == 200 => last_acknowledged = Some(name),
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -177,7 +177,8 @@
     let fleet =
         TestFleet::start(&FleetPlan { daemons: 1, backends: 2, slots: 64, ..FleetPlan::default() });
     fleet.platform.set_faults(json!({"delay_ms": 40}));
-    let transactions_before = fleet.platform.counters()["transactions"].as_u64().expect("count");
+    let transactions_before =
+        fleet.platform.read_counters()["transactions"].as_u64().expect("count");
     let callers = fleet.daemons[0].callers;
     let threads: Vec<_> = (0..64)
         .map(|number| {
@@ -194,8 +195,8 @@
         .collect();
     let statuses: Vec<u16> = threads.into_iter().map(|t| t.join().expect("join")).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    let transactions =
-        fleet.platform.counters()["transactions"].as_u64().expect("count") - transactions_before;
+    let transactions = fleet.platform.read_counters()["transactions"].as_u64().expect("count")
+        - transactions_before;
     assert!(transactions <= 32, "64 rows took {transactions} transactions, at most 32 allowed");
 }
 
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -28,7 +28,7 @@
         }
         let mut fleet = TestFleet::start_unconfigured(&plan);
         fleet.backends = vec![TestBackend::start("server-1", 1)];
-        let mut configuration = fleet.configuration(&plan);
+        let mut configuration = fleet.build_configuration(&plan);
         configuration["backend-servers"]["server-1"]["host"] = json!("host-b");
         configuration["backend-servers"]["server-1"]["failure_domain"] = json!("bkk-b");
         let reply = fleet.apply(&configuration);
@@ -373,7 +373,7 @@
         TestFleet { platform, daemons: vec![local_daemon, remote_daemon], backends: Vec::new() };
     fleet.wait_members();
     fleet.backends = vec![TestBackend::start("server-1", 1), TestBackend::start("server-2", 1)];
-    let configuration = fleet.configuration(&plan);
+    let configuration = fleet.build_configuration(&plan);
     assert_eq!(fleet.apply(&configuration).status, 200);
     fleet.wait_revision(1);
     CutLink { fleet, forwarder }
@@ -432,8 +432,9 @@
 #[test]
 fn verify_a_peer_without_the_fleet_key_is_refused() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
-    let key = [("fleet-key", "another-key-altogether")];
-    let foreign_daemon = TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &key);
+    let fleet_key_flag = [("fleet-key", "another-key-altogether")];
+    let foreign_daemon =
+        TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &fleet_key_flag);
     let has_refused =
         |daemon: &TestDaemon| daemon.log_text().contains("does not hold the fleet key");
     eventually("one of the two daemons refuses the other", || {
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -42,7 +42,7 @@
         fleet.wait_members();
         let start = |number| TestBackend::start(&format!("server-{number}"), 1);
         fleet.backends = (1..=4).map(start).collect();
-        let reply = fleet.apply(&fleet.configuration(&plan));
+        let reply = fleet.apply(&fleet.build_configuration(&plan));
         assert_eq!(reply.status, 200, "{}", reply.text());
         fleet.wait_revision(1);
         Self { fleet, forwarder }
@@ -116,10 +116,10 @@
 #[test]
 fn verify_a_paused_host_is_avoided_and_used_again_after_it_resumes() {
     let half_cut = HalfCut::start();
-    let paused = &half_cut.fleet.daemons[FORWARDED_DAEMON];
+    let paused_daemon = &half_cut.fleet.daemons[FORWARDED_DAEMON];
     eventually("the last server is used", || half_cut.send_requests(0, 20).1);
     for round in 0..2 {
-        paused.signal("-STOP");
+        paused_daemon.signal("-STOP");
         eventually("the path to the host is no longer used", || {
             half_cut.send_requests(0, 5);
             half_cut.state_seen_by(0) == "unreachable"
@@ -129,11 +129,11 @@
             (true, false),
             "round {round}: the other servers serve the callers of the ingress"
         );
-        paused.signal("-CONT");
+        paused_daemon.signal("-CONT");
         eventually("the server of the host is used again", || half_cut.send_requests(0, 20).1);
     }
     assert!(
-        !paused.log_text().contains("upstream ejected"),
+        !paused_daemon.log_text().contains("upstream ejected"),
         "the server of the paused host was healthy all the time"
     );
     half_cut.fleet.check_invariants();
@@ -175,7 +175,8 @@
         let start = |number| TestBackend::start(&format!("server-{number}"), 1);
         fleet.backends = (1..=4).map(start).collect();
         let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 1.0});
-        let mut configuration = fleet.configuration(&FleetPlan { service, ..FleetPlan::default() });
+        let mut configuration =
+            fleet.build_configuration(&FleetPlan { service, ..FleetPlan::default() });
         for (index, name) in ["server-1", "server-2", "server-3", "server-4"].iter().enumerate() {
             configuration["backend-servers"][name]["host"] = json!(REGIONS[index / 2][index % 2]);
         }
@@ -189,8 +190,8 @@
     /// If `is_cut` is false, ends all these cuts.
     fn set_cut(&self, is_cut: bool) {
         for (index, daemon_forwarder) in self.forwarders.iter().enumerate() {
-            let others = REGIONS[1 - index / 2].map(str::to_owned).to_vec();
-            *daemon_forwarder.cuts.only_hosts.lock().expect("lock") = others;
+            let other_region_hosts = REGIONS[1 - index / 2].map(str::to_owned).to_vec();
+            *daemon_forwarder.cuts.only_hosts.lock().expect("lock") = other_region_hosts;
             daemon_forwarder.cuts.forward.store(is_cut, Ordering::SeqCst);
             daemon_forwarder.cuts.backward.store(is_cut, Ordering::SeqCst);
         }
--- a/crates/daemon/tests/questions.rs
+++ b/crates/daemon/tests/questions.rs
@@ -28,7 +28,7 @@
 fn verify_many_daemons_ask_the_store_through_two_readers() {
     let fleet = RegisteredFleet::start_in_one_domain(DAEMON_COUNT);
     for daemon in &fleet.daemons {
-        eventually("the daemons know each other", || daemon.live_members() == DAEMON_COUNT);
+        eventually("the daemons know each other", || daemon.live_member_count() == DAEMON_COUNT);
     }
     for daemon in 0..DAEMON_COUNT {
         let mut number = 0;
--- a/crates/daemon/tests/recovery.rs
+++ b/crates/daemon/tests/recovery.rs
@@ -277,7 +277,7 @@
     fleet.daemons.push(daemon);
     // Daemons discover each other through peers, without the store.
     eventually("the new daemon and the others know each other", || {
-        fleet.daemons[2].live_members() == 3 && fleet.daemons[0].live_members() == 3
+        fleet.daemons[2].live_member_count() == 3 && fleet.daemons[0].live_member_count() == 3
     });
     fleet.platform.set_faults(json!({}));
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
--- a/crates/daemon/tests/reference.rs
+++ b/crates/daemon/tests/reference.rs
@@ -78,13 +78,13 @@
     let value = ResourceValue::try_new(kind, "name", &minimal).expect("valid").to_json();
     let reference = read_reference();
     let rows = reference.lines().filter(|line| line.starts_with(&format!("| `{}` |", kind.name())));
-    let documented: Vec<&str> = rows.filter_map(|line| line.split('`').nth(3)).collect();
-    let mut known: Vec<&str> =
+    let documented_fields: Vec<&str> = rows.filter_map(|line| line.split('`').nth(3)).collect();
+    let mut value_fields: Vec<&str> =
         value.as_object().expect("fields").keys().map(String::as_str).collect();
-    let mut documented_sorted = documented.clone();
-    documented_sorted.sort();
-    known.sort();
-    assert_eq!(documented_sorted, known);
+    let mut sorted_documented_fields = documented_fields.clone();
+    sorted_documented_fields.sort();
+    value_fields.sort();
+    assert_eq!(sorted_documented_fields, value_fields);
 }
 
 #[test_case(&["--host", "UPPER"], "--host" ; "bad name")]
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -111,7 +111,7 @@
     let fleet = RegisteredFleet::start(1);
     assert_eq!(fleet.send_heartbeat_as(0, "i-crashed", SERVICE, false).status, 200);
     assert_eq!(fleet.send_heartbeat_as(0, "i-successor", SERVICE, false).status, 200);
-    let late_heartbeat = fleet.heartbeat(0, "i-crashed", SERVICE, false);
+    let late_heartbeat = fleet.build_heartbeat(0, "i-crashed", SERVICE, false);
     assert_eq!(
         fleet.call_daemon(0, &late_heartbeat).status,
         200,
@@ -132,7 +132,7 @@
 fn verify_a_deregistered_server_receives_nothing_and_a_late_heartbeat_does_not_restore_it() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    let late_heartbeat = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
+    let late_heartbeat = fleet.build_heartbeat(1, &fleet.backends[1].name, SERVICE, false);
     assert_eq!(fleet.deregister(1).status, 200);
     assert_eq!(fleet.call_daemon(1, &late_heartbeat).status, 200);
     let runs_before = fleet.backends[1].total_runs();
@@ -209,7 +209,7 @@
 #[test_case(|call| *call = registered::build_deregistration("i-unknown"), 200 ; "deregistering an unknown server")]
 fn verify_bad_calls_get_a_clear_error_and_change_nothing(corrupt: fn(&mut StoreCall), status: u16) {
     let fleet = RegisteredFleet::start(1);
-    let mut call = fleet.heartbeat(0, "i-9", SERVICE, false);
+    let mut call = fleet.build_heartbeat(0, "i-9", SERVICE, false);
     corrupt(&mut call);
     let reply = fleet.call_daemon(0, &call);
     assert_eq!(reply.status, status, "{}", reply.text());
@@ -303,7 +303,7 @@
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.platform.set_faults(json!({}));
     fleet.wait_served(0, &[0, 1]);
-    fleet.write(&document(2));
+    fleet.write_document(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
     }
@@ -325,7 +325,7 @@
     outage["second_group_only"] = json!(true);
     fleet.platform.set_faults(outage);
     // The host learns of a changed document and accepts a drain notice without the store.
-    fleet.write(&document(2));
+    fleet.write_document(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
     }
@@ -351,7 +351,7 @@
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     fleet.platform.set_faults(json!({"silent": true}));
-    fleet.write(&document(4));
+    fleet.write_document(&document(4));
     fleet.platform.set_faults(json!({"silent": true, "forget_history": true}));
     fleet.platform.set_faults(json!({}));
     for daemon in &fleet.daemons {
@@ -367,7 +367,7 @@
     fleet.wait_served(0, &[0, 1]);
     // The server `i-gone` registers an address at which nothing listens.
     let closed = common::closed_address();
-    let heartbeat = fleet.heartbeat_from(closed, "i-gone", SERVICE, false);
+    let heartbeat = fleet.build_heartbeat_from(closed, "i-gone", SERVICE, false);
     assert_eq!(fleet.call_daemon(1, &heartbeat).status, 200);
     eventually("the other daemon knows of the server", || {
         fleet.daemons[0].log_text().contains("i-2, i-gone")
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -33,7 +33,7 @@
     let fleet = RegisteredFleet::start(2);
     fleet.platform.take_copy();
     write_foreign_rows(&fleet, 0..20);
-    fleet.write(&document(2));
+    fleet.write_document(&document(2));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == 2);
     }
@@ -41,7 +41,7 @@
     fleet.platform.restore();
     let mut new_document = document(3);
     new_document.routes.push(route("r-new", "/new/", WorkMode::Repeatable));
-    fleet.write(&new_document);
+    fleet.write_document(&new_document);
     if passes_lost_numbers {
         write_foreign_rows(&fleet, 20..80);
     }
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -45,12 +45,14 @@
 fn verify_rows_arrive_although_readers_are_gone() {
     let mut fleet = RegisteredFleet::start_in_one_domain(4);
     register_and_wait(&fleet, 0, "i-first", &[0, 1, 2, 3]);
-    for killed in [1, 2] {
-        fleet.daemons[killed].kill();
-        let remaining: Vec<usize> =
-            [0, 1, 2, 3].into_iter().filter(|index| *index > killed || *index == 0).collect();
-        register_and_wait(&fleet, 0, &format!("i-without-{killed}"), &remaining);
-        register_and_wait(&fleet, 3, &format!("i-still-{killed}"), &remaining);
+    for killed_daemon in [1, 2] {
+        fleet.daemons[killed_daemon].kill();
+        let remaining_daemons: Vec<usize> = [0, 1, 2, 3]
+            .into_iter()
+            .filter(|index| *index > killed_daemon || *index == 0)
+            .collect();
+        register_and_wait(&fleet, 0, &format!("i-without-{killed_daemon}"), &remaining_daemons);
+        register_and_wait(&fleet, 3, &format!("i-still-{killed_daemon}"), &remaining_daemons);
     }
     let domain = fleet.daemons[1].domain.clone();
     fleet.daemons[1] = fleet.start_daemon("host-b", &domain, &[]);
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -103,13 +103,13 @@
     });
     let runs_at_first_server =
         |number: &usize| fleet.backends[0].run_count(&format!("work-{number}")) == 1;
-    let parent =
+    let parent_number =
         (0..2).find(runs_at_first_server).expect("one of them runs at the first backend server");
     stops::request_stop(&fleet.daemons[0]);
     stops::wait_event(&fleet.daemons[0], "closed");
     let mut stream = client::connect(fleet.daemons[0].callers);
-    let nested_reply =
-        stops::send_request(&mut stream, &format!("work-{parent}.1"), "0").expect("an answer");
+    let nested_reply = stops::send_request(&mut stream, &format!("work-{parent_number}.1"), "0")
+        .expect("an answer");
     assert_eq!(nested_reply.status, 200, "{}", nested_reply.text());
     let mut stream = client::connect(fleet.daemons[0].callers);
     let unrelated_reply = stops::send_request(&mut stream, "other", "0").expect("an answer");
--- a/crates/daemon/tests/suspended.rs
+++ b/crates/daemon/tests/suspended.rs
@@ -86,24 +86,24 @@
     let host = SuspendableHost::start(1);
     host.backend.set_faults(json!({"stuck": true}));
     let callers = host.daemon.callers;
-    let running = thread::spawn(move || send_request(callers, "0"));
+    let running_request = thread::spawn(move || send_request(callers, "0"));
     host.wait_received(1);
-    let waiting = thread::spawn(move || send_request(callers, "0"));
+    let waiting_request = thread::spawn(move || send_request(callers, "0"));
     eventually("the second request waits for the slot", || {
         host.server_health()["queued"] == json!(1)
     });
     host.daemon.suspend(SUSPEND_LENGTH);
-    let running = running.join().expect("join");
+    let running_request = running_request.join().expect("join");
     assert_eq!(
-        running.outcome().as_deref(),
+        running_request.outcome().as_deref(),
         Some("unknown"),
         "the request may have run: {}",
-        running.text()
+        running_request.text()
     );
-    assert_eq!(running.reason().as_deref(), Some("timed-out"));
-    let waiting = waiting.join().expect("join");
+    assert_eq!(running_request.reason().as_deref(), Some("timed-out"));
+    let waiting_request = waiting_request.join().expect("join");
     assert_eq!(
-        waiting.outcome().as_deref(),
+        waiting_request.outcome().as_deref(),
         Some("not-run"),
         "the queued request never got the slot"
     );
@@ -122,13 +122,13 @@
         assert_eq!(send_request(callers, "1").status, 200);
     }
     let received = host.backend.run_counters()["received"].as_u64().expect("a count");
-    let running: Vec<_> =
+    let running_request: Vec<_> =
         (0..4).map(|_| thread::spawn(move || send_request(callers, "500"))).collect();
     host.wait_received(received + 4);
     // The suspend of 30 s is far longer than the service time of the requests, and shorter than
     // their deadline.
     host.daemon.suspend(Duration::from_secs(30));
-    for caller in running {
+    for caller in running_request {
         assert_eq!(caller.join().expect("join").status, 200);
     }
     let health = host.server_health();
