--- a/crates/daemon/tests/behind.rs
+++ b/crates/daemon/tests/behind.rs
@@ -120,7 +120,7 @@
     });
     assert!(
         stale_answers.is_empty(),
-        "404 for the new route after its deadline: {stale_answers:?}"
+        "daemons answered 404 for the new route after the deadline: {stale_answers:?}"
     );
 }
 
--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -39,8 +39,8 @@
         drop(caller);
         let pending_link = future::pending::<&str>();
         assert_eq!(waiting::unless_caller_gone(&mut stream, pending_link).await, None);
-        // A caller that has already disconnected is detected at once, so nothing is sent although
-        // the link is up.
+        // A caller that has already disconnected is detected at once, so the request is not sent
+        // although the link is up.
         assert_eq!(waiting::unless_caller_gone(&mut stream, async { "link" }).await, None);
     };
     runtime::run(test).expect("runtime");
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -41,7 +41,7 @@
 /// Time between two checks of a condition that [`eventually`] awaits.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits until `holds` returns true, and fails with the description `what` after [`EVENT_TIMEOUT`].
+/// Waits until `holds` returns true. Fails with the description `what` after [`EVENT_TIMEOUT`].
 pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
--- a/crates/daemon/tests/documents.rs
+++ b/crates/daemon/tests/documents.rs
@@ -36,8 +36,8 @@
     let texts = [r#"{"version": 9}"#, "text", r#"{"version": "nine"}"#];
     for (bad_index, text) in texts.into_iter().enumerate() {
         fleet.write_text(text);
-        // Waits for the log line of each document before the next document is written. A document
-        // that is replaced before a daemon reads it is not logged.
+        // Waits for the log line of each document before the next document is written. A daemon
+        // logs nothing for a document that is replaced before the daemon reads the document.
         for daemon in &fleet.daemons {
             let unreadable_count = || daemon.log_text().matches("configuration unreadable").count();
             eventually("the bad document was read", || unreadable_count() > bad_index);
--- a/crates/daemon/tests/explaining.rs
+++ b/crates/daemon/tests/explaining.rs
@@ -292,7 +292,7 @@
         send_request(&fleet, "GET", "/safe/x", &format!("good-{number}"));
         send_request(&fleet, "GET", "/nowhere/x", &format!("bad-{number}"));
     }
-    eventually("the log reports the requests that it left out", || {
+    eventually("the log reports how many requests were not logged", || {
         fleet.daemons[0].log_text().contains("requests not logged")
     });
     let logged_seconds = started_at.elapsed().as_secs() + 2;
--- a/crates/daemon/tests/incarnations.rs
+++ b/crates/daemon/tests/incarnations.rs
@@ -91,7 +91,7 @@
             restart_fleet.registration_count(NEW_INCARNATION),
         )
     };
-    // A separate thread writes the log, so its last lines may be delayed.
+    // A separate thread writes the log, so the last lines of the log may be delayed.
     eventually("each incarnation is registered once", || registration_count() == (1, 1));
     restart_fleet.fleet.wait_served(0, &[0]);
     restart_fleet.fleet.wait_served(1, &[0]);
@@ -127,7 +127,7 @@
     let restart_fleet = RestartFleet::start();
     let fleet = &restart_fleet.fleet;
     fleet.backends[0].set_faults(json!({"stuck": true}));
-    eventually("the circuit breaker of the server is open, or it is ejected", || {
+    eventually("the circuit breaker of the server is open, or the server is ejected", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
         let text = fleet.daemons[0].log_text();
         text.contains("upstream doubted") || text.contains("upstream ejected")
--- a/crates/daemon/tests/late.rs
+++ b/crates/daemon/tests/late.rs
@@ -40,7 +40,7 @@
 fn verify_non_repeatable_requests_avoid_a_hanging_server() {
     let fleet = start_warmed_up_fleet();
     fleet.backends[0].set_faults(json!({"stuck": true}));
-    eventually("the circuit breaker of the server is open, or it is ejected", || {
+    eventually("the circuit breaker of the server is open, or the server is ejected", || {
         fleet.request(0, "GET", "/safe/x", "find-out");
         fleet.daemons[0].log_text().contains("upstream doubted")
             || fleet.daemons[0].log_text().contains("upstream ejected")
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -389,8 +389,8 @@
         let reply = cut_link.fleet.request(0, "GET", "/puzzle", &[], "");
         reply.status == 200 && reply.header("x-served-by").as_deref() == Some(expected)
     };
-    // So many requests are sent at once that the local server is busy and the remote server
-    // receives some of them.
+    // So many requests are sent at once that the local server is busy, and that the remote server
+    // receives some of the requests.
     let send_load = |rounds: usize| {
         let callers = cut_link.fleet.daemons[0].callers;
         let threads: Vec<_> = (0..rounds * 8)
--- a/crates/daemon/tests/paths.rs
+++ b/crates/daemon/tests/paths.rs
@@ -228,8 +228,8 @@
         fleet.daemons[1].revision() == 4
     });
     assert_eq!((fleet.daemons[2].revision(), fleet.daemons[3].revision()), (1, 1));
-    // An at-most-once request needs the store, so it runs in the region with the store and is
-    // refused in the other region.
+    // An at-most-once request needs the store. The request therefore runs in the region with the
+    // store and is refused in the other region.
     eventually("an at-most-once request runs in the region with the store", || {
         regions.send_payout(0, "one-key").0 == 200
     });
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -4,8 +4,8 @@
 //! Requests that find no free slot wait at their ingress, with reservations at several hosts.
 //!
 //! Guards against a fault in which an at-most-once request that waited in the queue of a host was
-//! answered 502, as if it may have run, when the host's daemon was killed, although no server had
-//! started it.
+//! answered 502 when the host's daemon was killed. The 502 states that the request may have run,
+//! although no server had started the request.
 
 mod common;
 
@@ -103,10 +103,10 @@
         let runs = fleet.run_count(&end.id);
         assert!(runs <= 1, "{} ran {runs} times", end.id);
         if end.reply.status == 200 {
-            assert_eq!(runs, 1, "{} was answered", end.id);
+            assert_eq!(runs, 1, "number of runs of {}, which was answered with 200", end.id);
         }
         if end.reply.outcome().as_deref() == Some("not-run") {
-            assert_eq!(runs, 0, "{} was reported as not run", end.id);
+            assert_eq!(runs, 0, "number of runs of {}, which was reported as not run", end.id);
         }
     }
     ends.into_iter().filter(|end| end.reply.status != 200).collect()
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -124,7 +124,11 @@
         text.lines().filter(is_about_crashed_server).count()
     };
     eventually("the late heartbeat is ignored", || count_lines("late heartbeat passed over") == 1);
-    assert_eq!(count_lines("backend server registered"), 1, "its successor stays registered");
+    assert_eq!(
+        count_lines("backend server registered"),
+        1,
+        "the crashed server is not registered again"
+    );
     assert_eq!(count_lines("backend server gone"), 1);
 }
 
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -6,9 +6,10 @@
 //!
 //! Guards against a fault in which every daemon answered 404 for a route that was added after the
 //! restore, until the next change. The restored store assigns row numbers again that daemons have
-//! already read, also to the new document. A daemon that asks for changes after the last
-//! number that it has read then gets none and concludes that it has the newest document. A daemon
-//! that asks before the store passes that number gets 410 and reads all rows again.
+//! already read, and the new document gets such a number. A daemon asks for changes after the last
+//! number that the daemon has read. If the store has passed that number, the daemon gets no changes
+//! and concludes that it has the newest document. If the store has not passed that number, the
+//! daemon gets 410 and reads all rows again.
 
 mod common;
 
@@ -20,7 +21,7 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Writes rows as another client of the store.
+/// Writes the rows `row-<number>` as another client of the store.
 fn write_foreign_rows(fleet: &RegisteredFleet, numbers: Range<u64>) {
     for number in numbers {
         fleet.platform.change_row("PUT", "status", &format!("row-{number}"), "{}");
--- a/crates/daemon/tests/stop_phases.rs
+++ b/crates/daemon/tests/stop_phases.rs
@@ -103,8 +103,9 @@
     });
     let runs_at_first_server =
         |number: &usize| fleet.backends[0].run_count(&format!("work-{number}")) == 1;
-    let parent_number =
-        (0..2).find(runs_at_first_server).expect("one of them runs at the first backend server");
+    let parent_number = (0..2)
+        .find(runs_at_first_server)
+        .expect("one of the requests runs at the first backend server");
     stops::request_stop(&fleet.daemons[0]);
     stops::wait_event(&fleet.daemons[0], "closed");
     let mut stream = client::connect(fleet.daemons[0].callers);
@@ -252,7 +253,7 @@
     let headers = [("Authorization", "Bearer operator-token")];
     let text = client::request_text("POST", "/v1/apply", &headers, &body);
     change_stream.write_all(text.as_bytes()).expect("write");
-    // Once the daemon answers this later call, it has also read the change.
+    // Once the daemon answers this later call, the daemon has also read the change.
     fleet.daemons[0].get("/v1/status");
     stops::request_stop(&fleet.daemons[0]);
     let reply = client::read_reply(&mut change_stream, "POST").expect("an answer");
