--- a/crates/daemon/tests/cancel.rs
+++ b/crates/daemon/tests/cancel.rs
@@ -1,12 +1,13 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A request whose caller has disconnected is not sent, wherever it waits.
+//! A request whose caller has disconnected is not sent to a server, wherever the request waits.
 //!
 //! Guards against a fault in which an at-most-once request reached a server 0.78 s after its caller
 //! had closed the connection, while paths between failure domains were cut for some daemons. The
 //! ingress did not watch its caller while it waited for a link and sent the request once the link
-//! was up, and a host started a request although its cancel had arrived together with it.
+//! was up. A host started a request although the cancel of the request had arrived together with
+//! the request.
 
 mod common;
 
@@ -19,8 +20,8 @@
 use basaltarch_peer::protocol::{CancelNotice, DispatchHead, FrameBody, PeerFrame};
 use basaltarch_telemetry::runtime;
 use bytes::BytesMut;
-use common::daemon::KEY;
-use common::loopback;
+use common::daemon::FLEET_KEY;
+use common::loopback_address;
 use common::registered::{RegisteredFleet, SERVICE};
 use monoio::io::{AsyncWriteRentExt, Splitable};
 use monoio::net::TcpStream;
@@ -28,7 +29,7 @@
 #[test]
 fn verify_a_disconnected_caller_ends_the_wait_for_a_link() {
     let test = async {
-        let listener = connection::bind(loopback()).expect("bind");
+        let listener = connection::bind(loopback_address()).expect("bind");
         let address = listener.local_addr().expect("address");
         let caller = std::net::TcpStream::connect(address).expect("connect");
         let (stream, _) = listener.accept().await.expect("accept");
@@ -36,24 +37,25 @@
         let link = waiting::unless_caller_gone(&mut stream, async { "link" }).await;
         assert_eq!(link, Some("link"));
         drop(caller);
-        let never = future::pending::<&str>();
-        assert_eq!(waiting::unless_caller_gone(&mut stream, never).await, None);
-        // A caller that has already disconnected is detected at once, so nothing is sent although
-        // the link is up.
+        let pending_link = future::pending::<&str>();
+        assert_eq!(waiting::unless_caller_gone(&mut stream, pending_link).await, None);
+        // A caller that has already disconnected is detected at once, so the request is not sent
+        // although the link is up.
         assert_eq!(waiting::unless_caller_gone(&mut stream, async { "link" }).await, None);
     };
     runtime::run(test).expect("runtime");
 }
 
+/// Builds the dispatch of a non-repeatable request with this id to the server `i-1`.
 fn dispatch_frame(id: &str) -> PeerFrame {
-    let lines = format!("host: {}\r\nrequest-id: {id}\r\n", common::registered::HOST);
+    let header_lines = format!("host: {}\r\nrequest-id: {id}\r\n", common::registered::HOST);
     let head = DispatchHead {
         service_name: SERVICE.to_owned(),
         upstream: "i-1".to_owned(),
         route: "r-unsafe".to_owned(),
         method: "POST".to_owned(),
         target: "/unsafe/x".to_owned(),
-        field_lines: lines.into_bytes(),
+        field_lines: header_lines.into_bytes(),
         deadline_ms: 3000,
         refusable: false,
         work_class: 1,
@@ -84,7 +86,7 @@
     let fleet = RegisteredFleet::start(1);
     fleet.wait_served(0, &[0]);
     let server = &fleet.backends[0];
-    let before = server.total_runs();
+    let runs_before = server.total_runs();
     let peers = fleet.daemons[0].peers;
     let test = async {
         let stream = TcpStream::connect(peers).await.expect("connect");
@@ -97,16 +99,18 @@
             answers_looks: false,
             takes_reservations: false,
         };
-        let side = LinkSide::Dialler;
-        let key = KEY.as_bytes();
-        handshake::run(&mut reader, &mut writer, side, &identity, key).await.expect("handshake");
+        let link_side = LinkSide::Dialler;
+        let key = FLEET_KEY.as_bytes();
+        handshake::run(&mut reader, &mut writer, link_side, &identity, key)
+            .await
+            .expect("handshake");
         let mut buffer = BytesMut::new();
         let cancel = FrameBody::Cancel(CancelNotice { caller_gone: true });
-        let frames_of_cancelled = [
+        let frames_of_cancelled_request = [
             PeerFrame { exchange: 1, ..dispatch_frame("gone") },
             PeerFrame { exchange: 1, body: cancel },
         ];
-        for frame in frames_of_cancelled
+        for frame in frames_of_cancelled_request
             .iter()
             .chain(&[PeerFrame { exchange: 2, ..dispatch_frame("stays") }])
         {
@@ -122,5 +126,5 @@
     };
     runtime::run(test).expect("runtime");
     assert_eq!((server.run_count("gone"), server.run_count("stays")), (0, 1));
-    assert_eq!(server.total_runs(), before + 1);
+    assert_eq!(server.total_runs(), runs_before + 1);
 }
--- a/crates/daemon/tests/common/daemon.rs
+++ b/crates/daemon/tests/common/daemon.rs
@@ -15,26 +15,29 @@
 use super::client::{self, Reply};
 use super::{eventually, logs};
 
-pub const TOKEN: &str = "operator-token";
-pub const KEY: &str = "a-fleet-key-for-tests";
+/// Token of the admin API, with which tests call as an operator.
+pub const OPERATOR_TOKEN: &str = "operator-token";
+/// Key by which the daemons of a fleet authenticate each other.
+pub const FLEET_KEY: &str = "a-fleet-key-for-tests";
 
 /// A daemon that runs as a process and is killed when dropped.
 pub struct TestDaemon {
     pub host: String,
     pub domain: String,
-    /// Address for callers.
+    /// Address that accepts connections of callers.
     pub callers: SocketAddr,
-    /// Address for links of other daemons.
+    /// Address that accepts links of other daemons.
     pub peers: SocketAddr,
     /// Address of the admin API.
     pub admin: SocketAddr,
-    /// Address for heartbeats of backend servers, if the daemon has one.
+    /// Address that accepts heartbeats of backend servers, if the daemon has such an address.
     pub registration: Option<SocketAddr>,
-    /// Address for the platform's readiness probe, if the daemon has one.
+    /// Address that answers the platform's readiness probe, if the daemon has such an address.
     pub ready: Option<SocketAddr>,
     child: Child,
     log: PathBuf,
-    /// Standard output if it is a pipe; the test reads it or leaves it unread.
+    /// Standard output of a daemon that was started by [`TestDaemon::start_piped`], else `None`.
+    /// A test may leave the pipe unread.
     pub output: Option<BufReader<ChildStdout>>,
 }
 
@@ -46,7 +49,7 @@
         domain: &str,
         extra_flags: &[(&str, &str)],
     ) -> Self {
-        let log = logs::new_path(host);
+        let log = logs::new_log_path(host);
         let file = File::create(&log).expect("log file");
         let stderr_file = file.try_clone().expect("log file");
         let mut command = daemon_command(platform, host, domain, extra_flags);
@@ -56,10 +59,11 @@
             .spawn()
             .expect("daemon starts");
         let line = logs::wait_line(&log, "listening");
-        Self::from_start_line(child, log, &line, host, domain)
+        Self::from_listening_line(child, log, &line, host, domain)
     }
 
-    /// Starts a daemon whose standard output is a pipe, and reads it up to the line `listening`.
+    /// Starts a daemon whose standard output is a pipe, and reads the pipe up to the log line
+    /// `listening`.
     pub fn start_piped(
         platform: SocketAddr,
         host: &str,
@@ -74,17 +78,24 @@
             let mut text = String::new();
             assert!(
                 output.read_line(&mut text).expect("output") > 0,
-                "no line `listening` before the end"
+                "the daemon ended its output without the log line `listening`"
             );
             line = serde_json::from_str(&text).unwrap_or(Value::Null);
         }
-        let mut daemon = Self::from_start_line(child, logs::new_path(host), &line, host, domain);
+        let mut daemon =
+            Self::from_listening_line(child, logs::new_log_path(host), &line, host, domain);
         daemon.output = Some(output);
         daemon
     }
 
-    /// Reads the addresses of a daemon from its log line `listening`.
-    fn from_start_line(child: Child, log: PathBuf, line: &Value, host: &str, domain: &str) -> Self {
+    /// Builds the handle of a started daemon. The addresses are read from the log line `listening`.
+    fn from_listening_line(
+        child: Child,
+        log: PathBuf,
+        line: &Value,
+        host: &str,
+        domain: &str,
+    ) -> Self {
         let address_in = |field: &str| line[field].as_str().expect(field).parse().expect(field);
         let parse_address = |text: &str| text.parse().expect("address");
         Self {
@@ -101,7 +112,7 @@
         }
     }
 
-    /// Returns the path of the log.
+    /// Returns the path of the daemon's log.
     pub fn log_file(&self) -> String {
         self.log.to_str().expect("path").to_owned()
     }
@@ -110,7 +121,7 @@
         self.child.id()
     }
 
-    /// Sends a signal, such as `-TERM`, to the process.
+    /// Sends a signal, such as `-TERM`, to the daemon's process.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(status.expect("kill runs").success());
@@ -121,7 +132,7 @@
         let _ = self.child.wait();
     }
 
-    /// Waits until the process ends and returns its exit status.
+    /// Waits until the daemon's process ends and returns the exit status.
     pub fn wait_exit(&mut self) -> ExitStatus {
         let mut status = None;
         eventually("the daemon ends", || {
@@ -137,13 +148,13 @@
 
     /// Calls the admin API with the token of an operator.
     pub fn call(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
-        let bearer = format!("Bearer {TOKEN}");
+        let bearer = format!("Bearer {OPERATOR_TOKEN}");
         let mut all_headers = vec![("Authorization", bearer.as_str())];
         all_headers.extend_from_slice(headers);
         client::call(self.admin, method, path, &all_headers, body)
     }
 
-    /// Reads a resource of the admin API; fails unless the status is 200.
+    /// Reads a path of the admin API; fails the test unless the status is 200.
     pub fn get(&self, path: &str) -> Value {
         let reply = self.call("GET", path, &[], "");
         assert_eq!(reply.status, 200, "{path}: {}", reply.text());
@@ -159,7 +170,7 @@
     }
 
     /// Returns the sum, over all labels, of the metrics whose names begin with `name`.
-    pub fn metric(&self, name: &str) -> f64 {
+    pub fn metric_sum(&self, name: &str) -> f64 {
         let reply = client::call(self.admin, "GET", "/metrics", &[], "");
         let prefix = format!("basaltarch_{name}");
         reply
@@ -175,7 +186,7 @@
     }
 
     /// Returns how many members of the fleet this daemon reports as live.
-    pub fn live_members(&self) -> usize {
+    pub fn live_member_count(&self) -> usize {
         let status = self.get("/v1/status");
         let members = status["members"].as_array().expect("members");
         members.iter().filter(|member| member["state"] == "live").count()
@@ -205,8 +216,8 @@
     command
         .args(["--host", host, "--failure-domain", domain])
         .args(["--platform", &platform.to_string()])
-        .args(["--admin-token", TOKEN])
-        .env("BASALTARCH_FLEET_KEY", KEY)
+        .args(["--admin-token", OPERATOR_TOKEN])
+        .env("BASALTARCH_FLEET_KEY", FLEET_KEY)
         .env("BASALTARCH_DRAIN_MS", "20000")
         // Logs every request, so that a failed test can be traced.
         .env("BASALTARCH_LOG_REQUESTS", "1000000");
--- a/crates/daemon/tests/common/inline.rs
+++ b/crates/daemon/tests/common/inline.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A daemon in a thread of the test, for which a suspend of its host can be simulated.
+//! A daemon in a thread of the test. The test can simulate a suspend of the daemon's host.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,11 +14,13 @@
 use basaltarch_options::{DaemonOptions, RawOptions};
 use basaltarch_telemetry::runtime;
 
-use super::daemon::{KEY, TOKEN};
+use super::daemon::{FLEET_KEY, OPERATOR_TOKEN};
 
+/// Time between two checks for a simulated suspend.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A daemon in a thread. A test process can have only one, as metrics are global to the process.
+/// A daemon in a thread. A test process can have only one such daemon, as metrics are global to the
+/// process.
 pub struct InlineDaemon {
     pub host: String,
     pub callers: SocketAddr,
@@ -32,17 +34,17 @@
             host: Some(host.to_owned()),
             failure_domain: Some(domain.to_owned()),
             platform: Some(platform.to_string()),
-            fleet_key: Some(KEY.to_owned()),
-            admin_token: Some(TOKEN.to_owned()),
+            fleet_key: Some(FLEET_KEY.to_owned()),
+            admin_token: Some(OPERATOR_TOKEN.to_owned()),
             ..RawOptions::default()
         };
         let options = DaemonOptions::try_new(raw).expect("settings");
-        let (suspend_sender, suspend_requests) = mpsc::channel();
+        let (suspend_sender, suspend_receiver) = mpsc::channel();
         let (sender, receiver) = mpsc::channel();
         thread::spawn(move || {
             let on_start = |state: &Rc<DaemonState>| {
                 sender.send((state.options.callers, state.options.admin)).expect("send");
-                monoio::spawn(apply_suspends(state.clone(), suspend_requests));
+                monoio::spawn(apply_suspends(state.clone(), suspend_receiver));
             };
             let running = run::run(options, StopRequests::Api, on_start);
             runtime::run(running).expect("runtime").expect("daemon");
@@ -51,15 +53,15 @@
         Self { host: host.to_owned(), callers, admin, suspend_sender }
     }
 
-    /// Simulates a suspend of the host of this length; returns at once.
+    /// Simulates that the host was suspended for `length`; returns without waiting.
     pub fn suspend(&self, length: Duration) {
         self.suspend_sender.send(length).expect("the daemon runs");
     }
 }
 
-async fn apply_suspends(state: Rc<DaemonState>, suspend_requests: Receiver<Duration>) {
+async fn apply_suspends(state: Rc<DaemonState>, suspend_receiver: Receiver<Duration>) {
     loop {
-        if let Ok(length) = suspend_requests.try_recv() {
+        if let Ok(length) = suspend_receiver.try_recv() {
             state.clock.add_suspend(length);
         }
         monoio::time::sleep(POLL_INTERVAL).await;
--- a/crates/daemon/tests/common/operator.rs
+++ b/crates/daemon/tests/common/operator.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Calls of operators, for the tests of the configuration.
+//! Calls that operators make to change the configuration, and a check of the audit trail.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use super::{FleetPlan, TestDaemon, TestFleet};
 
 /// Starts a fleet with this many daemons and two backend servers.
-pub fn fleet_of(daemons: usize) -> TestFleet {
+pub fn start_fleet_with_daemons(daemons: usize) -> TestFleet {
     TestFleet::start(&FleetPlan { daemons, backends: 2, ..FleetPlan::default() })
 }
 
@@ -25,18 +25,18 @@
     daemon.call("PUT", &path, &[precondition], &json!({"title": title}).to_string())
 }
 
-/// Precondition of a change that is made at whatever revision the resource has.
+/// Precondition of a change that any revision of the resource satisfies.
 pub const ANY_REVISION: (&str, &str) = ("If-Match", "*");
 
-/// Checks on every daemon that the audit trail has one record for each revision, and each change
-/// once and in order.
-pub fn check_audit(fleet: &TestFleet, revisions: u64) {
+/// Checks on every daemon that the audit trail has one record for each revision from 1 to
+/// `revisions`, and that each change starts from the value that the previous change left.
+pub fn check_audit_trail(fleet: &TestFleet, revisions: u64) {
     for daemon in &fleet.daemons {
         let audit = daemon.get("/v1/audit?after=0");
         let records = audit["records"].as_array().expect("records").clone();
-        let record_revisions: Vec<u64> =
+        let revisions_in_order: Vec<u64> =
             records.iter().map(|record| record["revision"].as_u64().expect("revision")).collect();
-        assert_eq!(record_revisions, (1..=revisions).collect::<Vec<u64>>());
+        assert_eq!(revisions_in_order, (1..=revisions).collect::<Vec<u64>>());
         let mut state: BTreeMap<String, Value> = BTreeMap::new();
         for record in &records {
             assert!(record["actor"].as_str().is_some_and(|actor| !actor.is_empty()));
--- a/crates/daemon/tests/common/platform.rs
+++ b/crates/daemon/tests/common/platform.rs
@@ -14,13 +14,13 @@
 use basaltarch_telemetry::runtime;
 use serde_json::Value;
 
-use super::{client, loopback};
+use super::{client, loopback_address};
 
 /// The simulated platform in a thread.
 pub struct TestPlatform {
     pub address: SocketAddr,
-    /// Address for the second group of hosts, to which an outage can be restricted.
-    pub second: SocketAddr,
+    /// Address for the second group of hosts. An outage can be restricted to this group.
+    pub second_address: SocketAddr,
 }
 
 impl TestPlatform {
@@ -28,8 +28,8 @@
         let (sender, receiver) = mpsc::channel();
         thread::spawn(move || {
             let serving = async move {
-                let first = connection::bind(loopback()).expect("bind");
-                let second = connection::bind(loopback()).expect("bind");
+                let first = connection::bind(loopback_address()).expect("bind");
+                let second = connection::bind(loopback_address()).expect("bind");
                 let addresses = [&first, &second].map(|each| each.local_addr().expect("address"));
                 sender.send(addresses).expect("send");
                 let standin = Rc::new(PlatformStandin::default());
@@ -38,8 +38,8 @@
             };
             runtime::run(serving).expect("runtime");
         });
-        let [address, second] = receiver.recv().expect("platform starts");
-        Self { address, second }
+        let [address, second_address] = receiver.recv().expect("platform starts");
+        Self { address, second_address }
     }
 
     /// Replaces the faults that the platform simulates.
@@ -61,12 +61,12 @@
         assert_eq!(reply.status, 204, "{}", reply.text());
     }
 
-    pub fn counters(&self) -> Value {
+    pub fn read_counters(&self) -> Value {
         client::call(self.address, "GET", platform::COUNTERS_PATH, &[], "").json()
     }
 
-    /// Returns the values of a table's rows, without those that can't be decoded.
-    pub fn rows(&self, table: &str) -> Vec<Value> {
+    /// Returns the values of a table's rows, without the values that can't be decoded.
+    pub fn read_rows(&self, table: &str) -> Vec<Value> {
         let path = format!("{}?table={table}&part=", rows::READ_PATH);
         let page = client::call(self.address, "GET", &path, &[], "").json();
         let decoded_value = |row: &Value| {
@@ -76,7 +76,8 @@
         page["rows"].as_array().into_iter().flatten().filter_map(decoded_value).collect()
     }
 
-    /// Writes or removes a row without any checks, as a writer other than the daemon that owns it.
+    /// Writes a row by PUT, writes a row with an undecodable value by PATCH, or removes a row by
+    /// DELETE. Nothing is checked, as for a writer other than the daemon that owns the row.
     pub fn change_row(&self, method: &str, table: &str, key: &str, decoded_value: &str) {
         let path = format!("{}{table}/{key}", platform::ROWS_CONTROL_PATH);
         let reply = client::call(self.address, method, &path, &[], decoded_value);
--- a/crates/daemon/tests/common/registered.rs
+++ b/crates/daemon/tests/common/registered.rs
@@ -1,7 +1,7 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! A fleet that is configured by the operator's document and whose backend servers register
+//! A fleet that is configured by the operator's document. The backend servers of the fleet register
 //! themselves.
 
 use std::cell::Cell;
@@ -18,9 +18,9 @@
 use basaltarch_platform::{headers, rows};
 
 use super::client::{self, Reply};
-use super::{eventually, loopback, TestBackend, TestDaemon, TestPlatform};
+use super::{eventually, loopback_address, TestBackend, TestDaemon, TestPlatform};
 
-/// Service of the backend servers.
+/// Name of the service of the backend servers.
 pub const SERVICE: &str = "solver-app";
 /// Host header of callers' requests.
 pub const HOST: &str = "solver.example";
@@ -31,7 +31,7 @@
     pub platform: TestPlatform,
     pub daemons: Vec<TestDaemon>,
     pub backends: Vec<TestBackend>,
-    /// Sequence number of the next heartbeat.
+    /// Sequence number of the next heartbeat of any backend server.
     sequence: Cell<u64>,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns a route to [`SERVICE`].
+/// Returns a route to [`SERVICE`] with an objective of 800 ms and a time-out of 3 s.
 pub fn route(name: &str, path_prefix: &str, mode: WorkMode) -> NamedRoute {
     let rule = RouteRule {
         host: HOST.to_owned(),
@@ -78,7 +78,7 @@
 }
 
 /// Builds the deregistration of a backend server; its name may include an incarnation.
-pub fn deregistration(name: &str) -> StoreCall {
+pub fn build_deregistration(name: &str) -> StoreCall {
     registration::deregister(&ServerIncarnation::of_upstream(name))
 }
 
@@ -88,16 +88,16 @@
         let platform = TestPlatform::start();
         let fleet =
             Self { platform, daemons: Vec::new(), backends: Vec::new(), sequence: Cell::new(1) };
-        fleet.write(&document(1));
+        fleet.write_document(&document(1));
         (0..daemons).fold(fleet, |fleet, index| fleet.with_host(index))
     }
 
-    /// Starts the fleet of [`RegisteredFleet::start`] with all hosts in one failure domain.
+    /// Starts a fleet as [`RegisteredFleet::start`] does, but with all hosts in one failure domain.
     pub fn start_in_one_domain(daemons: usize) -> Self {
         let platform = TestPlatform::start();
         let fleet =
             Self { platform, daemons: Vec::new(), backends: Vec::new(), sequence: Cell::new(1) };
-        fleet.write(&document(1));
+        fleet.write_document(&document(1));
         (0..daemons).fold(fleet, |fleet, index| fleet.with_host_in(index, DOMAINS[0]))
     }
 
@@ -110,7 +110,7 @@
         self.daemons.push(self.start_daemon(&host, domain, &[]));
         let name = format!("i-{}", index + 1);
         let fields = headers::exchange_fields();
-        self.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
+        self.backends.push(TestBackend::start_at(loopback_address(), &name, 1, fields));
         assert_eq!(self.send_heartbeat(index, false).status, 200);
         self
     }
@@ -143,7 +143,7 @@
     }
 
     /// Writes the operator's document.
-    pub fn write(&self, new_document: &ConfigDocument) {
+    pub fn write_document(&self, new_document: &ConfigDocument) {
         let text = String::from_utf8(document::write(new_document)).expect("text");
         self.write_text(&text);
     }
@@ -153,7 +153,7 @@
         self.platform.change_row("PUT", rows::OPERATOR_TABLE, rows::DOCUMENT_KEY, text);
     }
 
-    /// Sends a heartbeat of a backend server to the daemon beside it.
+    /// Sends a heartbeat of a backend server to the daemon beside that server.
     pub fn send_heartbeat(&self, index: usize, draining: bool) -> Reply {
         let name = &self.backends[index].name;
         self.send_heartbeat_as(index, name, SERVICE, draining)
@@ -169,7 +169,7 @@
         service: &str,
         draining: bool,
     ) -> Reply {
-        self.call_daemon(index, &self.heartbeat(index, name, service, draining))
+        self.call_daemon(index, &self.build_heartbeat(index, name, service, draining))
     }
 
     /// Resets the sequence numbers of heartbeats, as a backend server does when it starts.
@@ -178,12 +178,18 @@
     }
 
     /// Builds a heartbeat with any name and service and the address of a backend server.
-    pub fn heartbeat(&self, index: usize, name: &str, service: &str, draining: bool) -> StoreCall {
-        self.heartbeat_from(self.backends[index].address, name, service, draining)
+    pub fn build_heartbeat(
+        &self,
+        index: usize,
+        name: &str,
+        service: &str,
+        draining: bool,
+    ) -> StoreCall {
+        self.build_heartbeat_from(self.backends[index].address, name, service, draining)
     }
 
     /// Builds the heartbeat of a backend server at any address.
-    pub fn heartbeat_from(
+    pub fn build_heartbeat_from(
         &self,
         address: SocketAddr,
         name: &str,
@@ -205,7 +211,7 @@
 
     /// Deregisters a backend server.
     pub fn deregister(&self, index: usize) -> Reply {
-        self.call_daemon(index, &deregistration(&self.backends[index].name))
+        self.call_daemon(index, &build_deregistration(&self.backends[index].name))
     }
 
     /// Sends a call of the registration API to the daemon beside a backend server.
@@ -224,7 +230,8 @@
         client::call(self.daemons[daemon].callers, method, path, &headers, "x")
     }
 
-    /// Waits until a daemon has sent requests to each of these backend servers.
+    /// Sends requests to a daemon until each of these backend servers has run at least one of the
+    /// requests.
     pub fn wait_served(&self, daemon: usize, servers: &[usize]) {
         let mut number = 0;
         eventually("every backend server receives requests", || {
@@ -233,7 +240,7 @@
                 self.request(daemon, "GET", "/safe/x", &format!("wait-{daemon}-{number}"));
             }
             servers.iter().all(|index| {
-                let runs = self.backends[*index].runs();
+                let runs = self.backends[*index].run_counters();
                 runs["by_id"]
                     .as_object()
                     .expect("runs")
@@ -243,7 +250,7 @@
         });
     }
 
-    /// Returns how often a request ran on all backend servers together.
+    /// Returns the number of runs of the request with this id, over all backend servers.
     pub fn run_count(&self, id: &str) -> u64 {
         self.backends.iter().map(|backend| backend.run_count(id)).sum()
     }
--- a/crates/daemon/tests/crashing.rs
+++ b/crates/daemon/tests/crashing.rs
@@ -5,10 +5,10 @@
 //!
 //! Guards against a fault in which one bad request, sent repeatedly, crashed 25 servers of a
 //! service of 15 within half a minute, while over a tenth of all requests failed. Each daemon
-//! retried a copy at up to three servers, and each crash took down the other requests that ran
-//! there. A daemon's record of the request was not shared with other daemons, applied only to
-//! retries and was dropped whenever the servers of the service changed, which each crash causes. 40
-//! copies sent to six daemons crashed 37 servers.
+//! retried a copy at up to three servers, and each crash also failed the other requests on the
+//! crashed server. A daemon's record of the request was not shared with other daemons and applied
+//! only to retries. The record was dropped whenever the servers of the service changed, which each
+//! crash causes. 40 copies sent to six daemons crashed 37 servers.
 
 mod common;
 
@@ -23,18 +23,18 @@
 /// Path of the bad request.
 const BAD_PATH: &str = "/puzzle/bad";
 /// Number of copies of the bad request that are sent.
-const COPIES: usize = 40;
-/// Maximum number of servers that the bad request may crash: three before it is identified, and
-/// three by copies that were sent before every daemon was notified.
+const COPY_COUNT: usize = 40;
+/// Maximum number of crashes that the bad request may cause: three before the request is known to
+/// crash servers, and three by copies that were sent before every daemon was notified.
 const CRASHES_MAX: u64 = 6;
-/// Time that a crashed server needs to restart.
-const DOWN_MS: u64 = 300;
+/// Time in milliseconds that a crashed server needs to restart.
+const RESTART_MS: u64 = 300;
 
-/// Maximum number of requests of one caller, so that a failing test ends.
-const CALLS_MAX: u64 = 100_000;
+/// Maximum number of popular requests that one caller sends, so that a failing test ends.
+const REQUESTS_PER_CALLER_MAX: u64 = 100_000;
 
 /// Starts a fleet whose servers crash when they run the bad request.
-fn fragile_fleet(daemons: usize, backends: usize) -> TestFleet {
+fn start_fragile_fleet(daemons: usize, backends: usize) -> TestFleet {
     let service = json!({"floor": 0.5, "prefer": "detection", "retry_budget": 0.5});
     let fleet = TestFleet::start(&FleetPlan {
         daemons,
@@ -44,41 +44,42 @@
         ..FleetPlan::default()
     });
     for backend in &fleet.backends {
-        backend
-            .set_faults(json!({"crash_path": BAD_PATH, "crash_after_ms": 20, "down_ms": DOWN_MS}));
+        backend.set_faults(
+            json!({"crash_path": BAD_PATH, "crash_after_ms": 20, "down_ms": RESTART_MS}),
+        );
     }
     fleet
 }
 
-/// Waits until a server is up and returns how often it has crashed.
+/// Waits until a server is up and returns how often the server has crashed.
 fn wait_crash_count(backend: &TestBackend) -> u64 {
-    let mut crashes = None;
+    let mut crash_count = None;
     eventually("the server is up", || {
         let reply = client::try_call(backend.address, "GET", "/__control/runs", &[], "");
-        crashes = reply.and_then(|reply| reply.json()["crashes"].as_u64());
-        crashes.is_some()
+        crash_count = reply.and_then(|reply| reply.json()["crashes"].as_u64());
+        crash_count.is_some()
     });
-    crashes.expect("a count")
+    crash_count.expect("a count")
 }
 
-fn total_crashes(fleet: &TestFleet) -> u64 {
+fn count_total_crashes(fleet: &TestFleet) -> u64 {
     fleet.backends.iter().map(wait_crash_count).sum()
 }
 
 #[test]
 fn verify_a_request_that_crashes_servers_is_known_to_the_whole_fleet() {
-    let fleet = fragile_fleet(6, 9);
-    for number in 0..COPIES {
+    let fleet = start_fragile_fleet(6, 9);
+    for number in 0..COPY_COUNT {
         let id = format!("copy-{number}");
         let reply = fleet.request(number % 6, "GET", BAD_PATH, &[("x-request-id", &id)], "");
         assert_ne!(reply.status, 200, "no server can answer the bad request");
-        // A copy is sent only while a server is up: while all servers are down, copies crash none.
+        // Each copy is sent while a server is up, as a copy can't crash a server that is down.
         eventually("a server is up", || {
             fleet.request(number % 6, "GET", "/puzzle/good", &[], "").status == 200
         });
     }
-    let crashed = total_crashes(&fleet);
-    assert!(crashed <= CRASHES_MAX, "{COPIES} copies crashed {crashed} servers");
+    let crashed = count_total_crashes(&fleet);
+    assert!(crashed <= CRASHES_MAX, "{COPY_COUNT} copies crashed {crashed} servers");
     for daemon in 0..6 {
         let reply = fleet.request(daemon, "GET", BAD_PATH, &[], "");
         let refusal = (reply.status, reply.outcome(), reply.reason());
@@ -86,25 +87,25 @@
             (503, Some("not-run".to_owned()), Some("crashes-servers".to_owned()));
         assert_eq!(refusal, expected_refusal, "refused as not run by every daemon");
     }
-    assert_eq!(total_crashes(&fleet), crashed, "the bad request has not run again");
+    assert_eq!(count_total_crashes(&fleet), crashed, "the bad request has not run again");
     fleet.check_invariants();
 }
 
 #[test]
 fn verify_a_crash_is_distinguished_from_a_broken_connection() {
-    let fleet = fragile_fleet(1, 1);
-    let log = || fleet.daemons[0].log_text();
+    let fleet = start_fragile_fleet(1, 1);
+    let read_log = || fleet.daemons[0].log_text();
     fleet.request(0, "GET", BAD_PATH, &[("x-request-id", "crashes")], "");
     let has_logged_break = |id: &str, crashed: bool| {
         let expected_parts = [format!("\"request\":\"{id}\""), format!("\"crashed\":{crashed}")];
         let is_break = |line: &&str| line.contains("work broke");
-        log()
+        read_log()
             .lines()
             .filter(is_break)
             .any(|line| expected_parts.iter().all(|part| line.contains(part)))
     };
     eventually("the crash is logged", || has_logged_break("crashes", true));
-    assert!(log().contains("backend server crashed"));
+    assert!(read_log().contains("backend server crashed"));
     wait_crash_count(&fleet.backends[0]);
     fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     eventually("the broken connection is logged", || {
@@ -114,80 +115,89 @@
     assert!(!has_logged_break("breaks", true), "a server that still listens has not crashed");
 }
 
-/// Returns how many distinct requests a daemon refuses because they crash servers.
-fn refused_count(daemon: &TestDaemon) -> f64 {
-    daemon.metric("requests_refused")
+/// Returns the number of distinct requests that a daemon refuses because the requests crash
+/// servers.
+fn refused_request_count(daemon: &TestDaemon) -> f64 {
+    daemon.metric_sum("requests_refused")
 }
 
-/// Sends copies of the bad request until it is refused, and waits until every daemon refuses it.
+/// Sends copies of the bad request to the first daemon until a copy is refused, and waits until
+/// every daemon refuses the request.
 fn wait_until_refused(fleet: &TestFleet) {
     eventually("the request is refused", || {
         let reply = fleet.request(0, "GET", BAD_PATH, &[], "");
         reply.reason().as_deref() == Some("crashes-servers")
     });
     for daemon in &fleet.daemons {
-        eventually("every daemon refuses the request", || refused_count(daemon) == 1.0);
+        eventually("every daemon refuses the request", || refused_request_count(daemon) == 1.0);
     }
 }
 
 #[test]
 fn verify_the_logs_show_why_a_copy_is_refused() {
-    let fleet = fragile_fleet(3, 6);
+    let fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     fleet.request(1, "GET", BAD_PATH, &[("x-request-id", "refused-copy")], "");
     let files: Vec<String> = fleet.daemons.iter().map(TestDaemon::log_file).collect();
-    let gather = || explain::gather("refused-copy", &files).expect("logs");
+    let gather_history = || explain::gather("refused-copy", &files).expect("logs");
     let count_events = |event: &str| {
-        let lines = gather().lines;
+        let lines = gather_history().lines;
         lines.iter().filter(|line| line.text("message") == event).count()
     };
     eventually("the crashes of other copies are found", || count_events("request suspected") >= 3);
     eventually("the end of the refused copy is found", || count_events("request failed") == 1);
     assert_eq!(count_events("work started"), 0);
-    let end = explain::conclusion("refused-copy", &gather());
+    let end = explain::conclusion("refused-copy", &gather_history());
     assert!(end.contains("not-run (crashes-servers) with status 503 after 0 attempts"), "{end}");
 }
 
 #[test]
 fn verify_popular_requests_beside_the_bad_one_are_never_refused() {
-    let fleet = fragile_fleet(3, 9);
+    let fleet = start_fragile_fleet(3, 9);
     let stop = AtomicBool::new(false);
-    let (mut good, mut wrongly_refused) = (0, 0);
+    let (mut good_count, mut wrongly_refused) = (0, 0);
     thread::scope(|scope| {
-        let popular = |daemon: usize| {
+        let send_popular_requests = |daemon: usize| {
             let (fleet, stop) = (&fleet, &stop);
             move || {
-                let (mut good, mut wrongly_refused) = (0, 0);
-                while !stop.load(Ordering::SeqCst) && good + wrongly_refused < CALLS_MAX {
+                let (mut good_count, mut wrongly_refused) = (0, 0);
+                while !stop.load(Ordering::SeqCst)
+                    && good_count + wrongly_refused < REQUESTS_PER_CALLER_MAX
+                {
                     let reply = fleet.request(daemon, "GET", "/puzzle/popular", &[], "");
-                    good += u64::from(reply.status == 200);
+                    good_count += u64::from(reply.status == 200);
                     wrongly_refused +=
                         u64::from(reply.reason().as_deref() == Some("crashes-servers"));
                 }
-                (good, wrongly_refused)
+                (good_count, wrongly_refused)
             }
         };
-        let callers: Vec<_> = (0..6).map(|number| scope.spawn(popular(number % 3))).collect();
+        let callers: Vec<_> =
+            (0..6).map(|number| scope.spawn(send_popular_requests(number % 3))).collect();
         // Servers crash one by one, each by a request that is not sent again.
         for number in 0..15 {
             let backend = &fleet.backends[number % 9];
             wait_crash_count(backend);
-            let single_use = format!("/puzzle/lone-{number}");
-            backend
-                .set_faults(json!({"crash_path": single_use, "crash_after_ms": 20, "down_ms": 50}));
-            fleet.request(number % 3, "GET", &single_use, &[], "");
-            // The server crashes without a reply.
-            let _ = client::try_call(backend.address, "GET", &single_use, &[], "");
+            let single_use_path = format!("/puzzle/lone-{number}");
+            backend.set_faults(
+                json!({"crash_path": single_use_path, "crash_after_ms": 20, "down_ms": 50}),
+            );
+            fleet.request(number % 3, "GET", &single_use_path, &[], "");
+            // The result is ignored, as the server crashes without a reply.
+            let _ = client::try_call(backend.address, "GET", &single_use_path, &[], "");
         }
         stop.store(true, Ordering::SeqCst);
         for caller in callers {
             let (served, refused) = caller.join().expect("join");
-            good += served;
+            good_count += served;
             wrongly_refused += refused;
         }
     });
-    assert!(total_crashes(&fleet) >= 15, "servers crashed while they ran the popular request");
-    assert!(good > 100, "{good} popular requests were served");
+    assert!(
+        count_total_crashes(&fleet) >= 15,
+        "servers crashed while they ran the popular request"
+    );
+    assert!(good_count > 100, "{good_count} popular requests were served");
     assert_eq!(wrongly_refused, 0, "popular requests were refused");
     let has_good_runs = |daemon: &TestDaemon| {
         let list = daemon.get("/v1/suspects");
@@ -203,50 +213,51 @@
 
 #[test]
 fn verify_a_daemon_that_starts_later_refuses_the_bad_request() {
-    let mut fleet = fragile_fleet(3, 6);
+    let mut fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
-    let crashed = total_crashes(&fleet);
+    let crashed = count_total_crashes(&fleet);
     let platform = fleet.platform.address;
     let later_daemon = TestDaemon::start(platform, "host-late", "bkk-b", &[]);
     eventually("the daemon that started later refuses the request", || {
-        later_daemon.is_ready() && refused_count(&later_daemon) == 1.0
+        later_daemon.is_ready() && refused_request_count(&later_daemon) == 1.0
     });
     fleet.daemons.push(later_daemon);
     let reply = fleet.request(3, "GET", BAD_PATH, &[], "");
     assert_eq!(reply.reason().as_deref(), Some("crashes-servers"));
-    assert_eq!(total_crashes(&fleet), crashed);
+    assert_eq!(count_total_crashes(&fleet), crashed);
 }
 
 #[test]
 fn verify_a_daemon_that_starts_later_learns_of_suspects() {
-    let mut fleet = fragile_fleet(2, 4);
-    let knows = |daemon: &TestDaemon| {
+    let mut fleet = start_fragile_fleet(2, 4);
+    let knows_suspect = |daemon: &TestDaemon| {
         let list = daemon.get("/v1/suspects");
         list["suspects"].as_array().is_some_and(|suspects| !suspects.is_empty())
     };
     eventually("the request is suspected", || {
         fleet.request(0, "GET", BAD_PATH, &[], "");
-        knows(&fleet.daemons[0])
+        knows_suspect(&fleet.daemons[0])
     });
     assert_eq!(
-        refused_count(&fleet.daemons[0]),
+        refused_request_count(&fleet.daemons[0]),
         0.0,
         "the request is suspected but not refused, so no row holds it"
     );
     let later_daemon = TestDaemon::start(fleet.platform.address, "host-late", "bkk-b", &[]);
     eventually("the daemon that started later learns of the request from a heartbeat", || {
-        knows(&later_daemon)
+        knows_suspect(&later_daemon)
     });
     fleet.daemons.push(later_daemon);
 }
 
 #[test]
 fn verify_the_bad_request_stays_refused_after_all_daemons_are_killed() {
-    let mut fleet = fragile_fleet(3, 6);
+    let mut fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
-    let stored = || fleet.platform.rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
-    eventually("a row holds the refused request", stored);
-    let crashed = total_crashes(&fleet);
+    let is_refusal_stored =
+        || fleet.platform.read_rows(HOSTS_TABLE).iter().any(|row| row["refused"].is_array());
+    eventually("a row holds the refused request", is_refusal_stored);
+    let crashed = count_total_crashes(&fleet);
     fleet.daemons.iter_mut().for_each(TestDaemon::kill);
     fleet.daemons = ["host-a", "host-b", "host-c"]
         .iter()
@@ -254,26 +265,26 @@
         .map(|(host, domain)| TestDaemon::start(fleet.platform.address, host, domain, &[]))
         .collect();
     for daemon in &fleet.daemons {
-        eventually("every new daemon refuses the request", || refused_count(daemon) == 1.0);
+        eventually("every new daemon refuses the request", || refused_request_count(daemon) == 1.0);
     }
     fleet.wait_members();
     let reply = fleet.request(1, "GET", BAD_PATH, &[], "");
     assert_eq!(reply.reason().as_deref(), Some("crashes-servers"));
-    assert_eq!(total_crashes(&fleet), crashed);
+    assert_eq!(count_total_crashes(&fleet), crashed);
 }
 
 #[test]
 fn verify_an_operator_lists_a_refused_request_and_admits_it_again() {
-    let fleet = fragile_fleet(3, 6);
+    let fleet = start_fragile_fleet(3, 6);
     wait_until_refused(&fleet);
     for backend in &fleet.backends {
         wait_crash_count(backend);
         backend.set_faults(json!({}));
     }
     let list = fleet.daemons[1].get("/v1/suspects");
-    let worst = &list["suspects"][0];
-    assert_eq!(worst["refused"], true, "{list}");
-    let fingerprint = worst["fingerprint"].as_str().expect("fingerprint");
+    let first_suspect = &list["suspects"][0];
+    assert_eq!(first_suspect["refused"], true, "{list}");
+    let fingerprint = first_suspect["fingerprint"].as_str().expect("fingerprint");
     let path = format!("/v1/suspects/{fingerprint}");
     let actor = ("basaltarch-actor", "somsak");
     assert_eq!(fleet.daemons[2].call("DELETE", &path, &[actor], "").status, 200);
--- a/crates/daemon/tests/deployed.rs
+++ b/crates/daemon/tests/deployed.rs
@@ -1,7 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! The deployed settings accept every value that the platform may fill in and refuse wrong ones.
+//! The settings in deploy/ accept every value that the platform may fill in, and wrong values are
+//! refused.
 
 use std::fs;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use basaltarch_options::{DaemonOptions, RawOptions};
 use test_case::test_case;
 
-/// Typical values that the platform fills in.
+/// Placeholders of the deployed settings, and typical values that the platform fills in.
 const TYPICAL_VALUES: [(&str, &str); 17] = [
     ("nodeName", "host-1"),
     ("zone", "zone-1"),
@@ -32,12 +33,13 @@
     ("bounds.budgetExtraRetries", "56"),
 ];
 
-/// Values that the platform fills in only where callers have organisations.
+/// Placeholders that the platform fills in only where callers have organisations, and typical
+/// values. The settings that use one of these placeholders form an optional section.
 const OPTIONAL_VALUES: [(&str, &str); 3] =
     [("bounds.quotaWindowS", "5"), ("bounds.quotaOverage", "0.1"), ("bounds.quotaSlack", "20")];
 
-/// Keeps an optional section of the settings if its placeholder is filled in, and removes it
-/// otherwise.
+/// Keeps the optional section of a placeholder if the placeholder is filled in, and removes the
+/// section otherwise.
 fn resolve_section(text: &str, placeholder: &str, is_filled: bool) -> String {
     let (open, close) = (format!("{{{{#{placeholder}}}}}"), format!("{{{{/{placeholder}}}}}"));
     let (before, rest) = text.split_once(&open).expect("the start of an optional section");
@@ -48,11 +50,12 @@
 /// Reads the deployed settings, with organisations, with this value for one placeholder and typical
 /// values for the other placeholders.
 fn read_options(placeholder: &str, value: &str) -> Result<DaemonOptions, SettingError> {
-    read_options_with(placeholder, value, true)
+    read_options_with_sections(placeholder, value, true)
 }
 
-/// Reads the deployed settings with or without the sections for organisations.
-fn read_options_with(
+/// Reads the deployed settings as [`read_options`] does, with or without the sections for
+/// organisations.
+fn read_options_with_sections(
     placeholder: &str,
     value: &str,
     has_organisations: bool,
@@ -63,10 +66,10 @@
         text = resolve_section(&text, optional, has_organisations);
     }
     text = text.replace(&format!("{{{{{placeholder}}}}}"), value);
-    for (placeholder, typical) in
+    for (placeholder, typical_value) in
         TYPICAL_VALUES.iter().chain(&OPTIONAL_VALUES).chain(&[("bounds.budgetWindowS", "10")])
     {
-        text = text.replace(&format!("{{{{{placeholder}}}}}"), typical);
+        text = text.replace(&format!("{{{{{placeholder}}}}}"), typical_value);
     }
     assert!(!text.contains("{{"), "a placeholder that this test does not fill:\n{text}");
     let placeholder = placeholder.replace('.', "-");
@@ -109,7 +112,7 @@
     let tolerance = read_options("bounds.quotaSlack", "20").expect("settings").limit_tolerance;
     let expected = LimitTolerance { window: Duration::from_secs(5), over: 0.1, extra: 20.0 };
     assert_eq!(tolerance, expected);
-    let options = read_options_with("zone", "zone-1", false).expect("settings");
+    let options = read_options_with_sections("zone", "zone-1", false).expect("settings");
     let no_tolerance = LimitTolerance { window: Duration::from_secs(1), over: 0.0, extra: 0.0 };
     assert_eq!(options.limit_tolerance, no_tolerance, "nothing over a limit is tolerated");
 }
--- a/crates/daemon/tests/drain.rs
+++ b/crates/daemon/tests/drain.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Drain of daemons and backend servers: no running request is interrupted, and a draining backend
-//! server receives no new requests.
+//! Drain of daemons and backend servers: a drain interrupts no running request unless the longest
+//! drain is over, and a draining backend server receives no new requests.
 
 mod common;
 
@@ -14,9 +14,9 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Sends requests one after another until `stop` is set; returns their number and the replies other
-/// than a complete 200.
-fn steady_load(
+/// Starts a thread that sends requests one after another until `stop` is set. The thread returns
+/// the number of requests and the replies other than a complete 200.
+fn spawn_load(
     callers: std::net::SocketAddr,
     stop: Arc<AtomicBool>,
 ) -> thread::JoinHandle<(usize, Vec<String>)> {
@@ -41,10 +41,9 @@
     let mut fleet =
         TestFleet::start(&FleetPlan { daemons: 3, backends: 6, ..FleetPlan::default() });
     let stop = Arc::new(AtomicBool::new(false));
-    let loads: Vec<_> = (0..12)
-        .map(|number| steady_load(fleet.daemons[number % 2].callers, stop.clone()))
-        .collect();
-    // A long request through the daemon that stops.
+    let load_threads: Vec<_> =
+        (0..12).map(|number| spawn_load(fleet.daemons[number % 2].callers, stop.clone())).collect();
+    // Sends a long request to the daemon that is then stopped.
     let callers = fleet.daemons[2].callers;
     let long_request = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "long")];
@@ -55,19 +54,19 @@
     let status = fleet.daemons[2].wait_exit();
     assert_eq!(status.code(), Some(0));
     assert_eq!(long_request.join().expect("join").status, 200);
-    let total = |fleet: &TestFleet| -> u64 {
+    let total_runs_of = |fleet: &TestFleet| -> u64 {
         [2, 5].iter().map(|index| fleet.backends[*index].total_runs()).sum()
     };
-    let total_after_stop = total(&fleet);
-    let before_stop = fleet.backends[0].total_runs();
-    eventually("load continues", || fleet.backends[0].total_runs() > before_stop + 20);
+    let total_after_stop = total_runs_of(&fleet);
+    let runs_before_stop = fleet.backends[0].total_runs();
+    eventually("load continues", || fleet.backends[0].total_runs() > runs_before_stop + 20);
     assert_eq!(
-        total(&fleet),
+        total_runs_of(&fleet),
         total_after_stop,
         "no new requests for the servers of the daemon that stopped"
     );
     stop.store(true, Ordering::SeqCst);
-    for load in loads {
+    for load in load_threads {
         let (count, failures) = load.join().expect("join");
         assert!(count > 0);
         assert!(failures.is_empty(), "{failures:?}");
@@ -85,8 +84,8 @@
     let mut keep_alive = client::connect(fleet.daemons[0].callers);
     fleet.daemons[0].signal("-TERM");
     eventually("the daemon is leaving", || !fleet.daemons[0].is_ready());
-    // The kept-alive connection and a new one are both served, as callers learn only after some
-    // time that a daemon is leaving.
+    // Requests on the kept-alive connection and on a new connection are both served, as callers
+    // learn only after some time that a daemon is leaving.
     keep_alive.write_all(b"GET /plain HTTP/1.1\r\nHost: solver.example\r\n\r\n").expect("write");
     let mut answer = String::new();
     keep_alive.read_to_string(&mut answer).expect("an answer, then the end of the connection");
@@ -205,11 +204,11 @@
     );
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.wait_revision(2);
-    let received = fleet.backends[0].runs()["received"].as_u64().expect("count");
+    let received_count = fleet.backends[0].run_counters()["received"].as_u64().expect("count");
     for number in 0..60 {
         assert_eq!(fleet.request(number % 2, "GET", "/puzzle", &[], "").status, 200);
     }
-    assert_eq!(fleet.backends[0].runs()["received"].as_u64(), Some(received));
+    assert_eq!(fleet.backends[0].run_counters()["received"].as_u64(), Some(received_count));
     for thread in threads {
         assert_eq!(thread.join().expect("join"), 200);
     }
@@ -219,15 +218,15 @@
 fn verify_a_backend_server_that_sends_a_drain_notice_receives_no_new_requests() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 2, backends: 4, ..FleetPlan::default() });
     fleet.backends[1].set_faults(json!({"drain": true}));
-    let received =
-        |fleet: &TestFleet| fleet.backends[1].runs()["received"].as_u64().expect("count");
+    let received_count =
+        |fleet: &TestFleet| fleet.backends[1].run_counters()["received"].as_u64().expect("count");
     eventually("a server answers with its drain notice", || {
         assert_eq!(fleet.request(1, "GET", "/puzzle", &[], "").status, 200);
-        received(&fleet) > 0
+        received_count(&fleet) > 0
     });
-    let received_by_notice = received(&fleet);
+    let received_by_notice = received_count(&fleet);
     for number in 0..60 {
         assert_eq!(fleet.request(number % 2, "GET", "/puzzle", &[], "").status, 200);
     }
-    assert_eq!(received(&fleet), received_by_notice);
+    assert_eq!(received_count(&fleet), received_by_notice);
 }
--- a/crates/daemon/tests/looks.rs
+++ b/crates/daemon/tests/looks.rs
@@ -14,12 +14,12 @@
 use basaltarch_platform::headers;
 use common::forwarder::Forwarder;
 use common::registered::{RegisteredFleet, SERVICE};
-use common::{eventually, loopback, TestBackend};
+use common::{eventually, loopback_address, TestBackend};
 
 const HOSTS: [&str; 3] = ["host-a", "host-b", "host-c"];
 
-/// Starts a fleet whose daemons reach each other through forwarders, with a backend server beside
-/// each.
+/// Starts a fleet with a backend server beside each daemon. Each daemon is reached by its peers
+/// through the forwarder with the daemon's index.
 fn start_fleet() -> (RegisteredFleet, Vec<Forwarder>) {
     let mut fleet = RegisteredFleet::start(0);
     let mut forwarders = Vec::new();
@@ -31,7 +31,7 @@
         fleet.daemons.push(daemon);
         let name = format!("i-{index}");
         let fields = headers::exchange_fields();
-        fleet.backends.push(TestBackend::start_at(loopback(), &name, 1, fields));
+        fleet.backends.push(TestBackend::start_at(loopback_address(), &name, 1, fields));
         assert_eq!(fleet.send_heartbeat_as(index, &name, SERVICE, false).status, 200);
         forwarders.push(forwarder);
     }
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -1,8 +1,8 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Outcomes: the outcome that a caller gets for each point at which an exchange can break, compared
-//! with what the backend servers ran.
+//! Outcomes: for each point at which an exchange can break, the outcome that the caller gets is
+//! compared with the requests that the backend servers ran.
 
 mod common;
 
@@ -14,8 +14,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Two daemons with one backend server, which is beside the second daemon, so that requests to the
-/// first daemon pass over the link.
+/// Two daemons with one backend server beside the second daemon. Requests to the first daemon pass
+/// over the link between the daemons.
 struct TwoHops {
     fleet: TestFleet,
 }
@@ -28,7 +28,7 @@
         }
         let mut fleet = TestFleet::start_unconfigured(&plan);
         fleet.backends = vec![TestBackend::start("server-1", 1)];
-        let mut configuration = fleet.configuration(&plan);
+        let mut configuration = fleet.build_configuration(&plan);
         configuration["backend-servers"]["server-1"]["host"] = json!("host-b");
         configuration["backend-servers"]["server-1"]["failure_domain"] = json!("bkk-b");
         let reply = fleet.apply(&configuration);
@@ -49,29 +49,33 @@
     break_point: &str,
     outcome: &str,
     reason: &str,
-    ran: u64,
+    ran_count: u64,
 ) {
     for ingress in [0, 1] {
-        let hops = TwoHops::start(None);
-        hops.backend().set_faults(json!({ "break_at": break_point }));
+        let two_hops = TwoHops::start(None);
+        two_hops.backend().set_faults(json!({ "break_at": break_point }));
         let headers = [("x-request-id", "broken")];
-        let reply = hops.fleet.request(ingress, "POST", "/plain", &headers, "body");
+        let reply = two_hops.fleet.request(ingress, "POST", "/plain", &headers, "body");
         assert_eq!(reply.status, 502, "{}", reply.head);
         assert_eq!(reply.outcome().as_deref(), Some(outcome));
         assert_eq!(reply.reason().as_deref(), Some(reason));
-        assert_eq!(hops.backend().run_count("broken"), ran, "dispatched once, never retried");
-        hops.fleet.check_invariants();
+        assert_eq!(
+            two_hops.backend().run_count("broken"),
+            ran_count,
+            "dispatched once, never retried"
+        );
+        two_hops.fleet.check_invariants();
     }
 }
 
 #[test]
 fn verify_a_truncated_answer_is_never_forwarded_as_complete() {
-    let hops = TwoHops::start(None);
-    hops.backend().set_faults(json!({"break_at": "in-answer-body"}));
+    let two_hops = TwoHops::start(None);
+    two_hops.backend().set_faults(json!({"break_at": "in-answer-body"}));
     for path in ["/plain/x", "/bytes/300000"] {
         for ingress in [0, 1] {
             let headers = [("Host", "solver.example")];
-            let callers = hops.fleet.daemons[ingress].callers;
+            let callers = two_hops.fleet.daemons[ingress].callers;
             let reply = client::try_call(callers, "GET", path, &headers, "");
             let is_truncated = reply.as_ref().is_none_or(|reply| {
                 !reply.complete || reply.outcome().as_deref() == Some("unknown")
@@ -83,18 +87,18 @@
 
 #[test]
 fn verify_a_server_that_cannot_be_reached_ran_nothing() {
-    let hops = TwoHops::start(None);
+    let two_hops = TwoHops::start(None);
     let mut configuration = json!({"backend-servers": {"server-1": {
         "service": "solver-app", "host": "host-b", "slots": 4, "connections": 300,
         "failure_domain": "bkk-b",
     }}});
-    // Nothing listens at a port that was just released.
+    // Nothing listens at this address, as the listener that reserved the port has been closed.
     let closed_address =
         std::net::TcpListener::bind("127.0.0.1:0").expect("bind").local_addr().expect("address");
     configuration["backend-servers"]["server-1"]["address"] = json!(closed_address.to_string());
-    assert_eq!(hops.fleet.apply(&configuration).status, 200);
-    hops.fleet.wait_revision(2);
-    let reply = hops.fleet.request(0, "POST", "/plain", &[], "x");
+    assert_eq!(two_hops.fleet.apply(&configuration).status, 200);
+    two_hops.fleet.wait_revision(2);
+    let reply = two_hops.fleet.request(0, "POST", "/plain", &[], "x");
     assert_eq!((reply.status, reply.outcome().as_deref()), (503, Some("not-run")));
     assert_eq!(reply.reason().as_deref(), Some("connect-failed"));
     assert!(reply.header("retry-after").is_some());
@@ -123,32 +127,34 @@
     let fleet = TestFleet::start(&plan);
     fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
     fleet.backends[1].set_faults(json!({"shed": true}));
-    let mut ran = 0;
+    let mut ran_count = 0;
     for number in 0..40 {
         let id = format!("both-{number}");
         let reply = fleet.request(number % 2, "GET", "/puzzle", &[("x-request-id", &id)], "");
         assert!(reply.status >= 500, "{}", reply.text());
         if fleet.run_count(&id) > 0 {
             assert_eq!(reply.outcome().as_deref(), Some("unknown"), "{id}: {}", reply.head);
-            ran += 1;
+            ran_count += 1;
         }
     }
-    assert!(ran > 0, "no request reached the server that runs and breaks");
+    assert!(ran_count > 0, "no request reached the server that runs and breaks");
     fleet.check_invariants();
 }
 
 #[test_case("/plain", 504, "timed-out" ; "plain")]
 fn verify_the_deadline_cancels_a_running_request(path: &str, status: u16, reason: &str) {
-    let hops = TwoHops::start(None);
+    let two_hops = TwoHops::start(None);
     let headers =
         [("x-work-ms", "20000"), ("basaltarch-deadline-ms", "300"), ("x-request-id", "late")];
     for ingress in [0, 1] {
-        let reply = hops.fleet.request(ingress, "GET", path, &headers, "");
+        let reply = two_hops.fleet.request(ingress, "GET", path, &headers, "");
         assert_eq!((reply.status, reply.reason().as_deref()), (status, Some(reason)));
         assert_eq!(reply.outcome().as_deref(), Some("unknown"));
     }
-    assert_eq!(hops.backend().run_count("late"), 2);
-    eventually("the requests are cancelled", || hops.backend().runs()["cancelled"] == json!(2));
+    assert_eq!(two_hops.backend().run_count("late"), 2);
+    eventually("the requests are cancelled", || {
+        two_hops.backend().run_counters()["cancelled"] == json!(2)
+    });
 }
 
 #[test]
@@ -173,15 +179,15 @@
         })
         .collect();
     let replies: Vec<_> = threads.into_iter().map(|thread| thread.join().expect("join")).collect();
-    let good = replies.iter().filter(|(_, reply)| reply.status == 200).count();
-    assert_eq!(good, 5, "three slots and a queue of two");
+    let served_count = replies.iter().filter(|(_, reply)| reply.status == 200).count();
+    assert_eq!(served_count, 5, "three slots and a queue of two");
     for (id, reply) in &replies {
         if reply.status != 200 {
             assert_eq!(reply.reason().as_deref(), Some("queue-full"));
             assert_eq!(fleet.run_count(id), 0, "a request reported as not run must not have run");
         }
     }
-    assert_eq!(fleet.backends[0].runs()["most_at_once"], json!(3));
+    assert_eq!(fleet.backends[0].run_counters()["most_at_once"], json!(3));
 }
 
 #[test]
@@ -208,31 +214,32 @@
             client::call(callers, "POST", path, &headers, "x")
         })
     };
-    let wait_queued = |wanted: u64| {
+    let wait_queued = |expected: u64| {
         eventually("requests wait", || {
             let health = fleet.daemons[0].get("/v1/health?service=solver-app");
             let here = &health["services"][0]["upstreams"][0]["here"];
-            here["queued"].as_u64() == Some(wanted) && here["in_flight"].as_u64() == Some(1)
+            here["queued"].as_u64() == Some(expected) && here["in_flight"].as_u64() == Some(1)
         });
     };
-    let first = send("/hints", "hint-1");
+    let first_hint = send("/hints", "hint-1");
     wait_queued(0);
-    let second = send("/hints", "hint-2");
+    let second_hint = send("/hints", "hint-2");
     wait_queued(1);
-    let third = send("/hints", "hint-3");
+    let third_hint = send("/hints", "hint-3");
     wait_queued(2);
     let payout = send("/payouts", "payout");
     assert_eq!(payout.join().expect("join").status, 200);
-    assert_eq!(first.join().expect("join").status, 200);
-    let others = [second.join().expect("join"), third.join().expect("join")];
-    let displaced = others.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
+    assert_eq!(first_hint.join().expect("join").status, 200);
+    let queued_replies = [second_hint.join().expect("join"), third_hint.join().expect("join")];
+    let displaced =
+        queued_replies.iter().filter(|reply| reply.reason().as_deref() == Some("queue-full"));
     assert_eq!(displaced.count(), 1, "one of the queued hints was displaced by the payout");
 }
 
 #[test]
 fn verify_a_lost_peer_is_reported_as_unknown_or_not_run() {
-    let hops = TwoHops::start(None);
-    let mut fleet = hops.fleet;
+    let two_hops = TwoHops::start(None);
+    let mut fleet = two_hops.fleet;
     let callers = fleet.daemons[0].callers;
     let request = thread::spawn(move || {
         let headers =
@@ -253,22 +260,22 @@
 fn verify_the_state_of_an_idle_service_is_dropped_after_its_last_request() {
     let daemon_flags = vec![("service-idle-ms", "100")];
     let fleet = TestFleet::start(&FleetPlan { daemon_flags, ..FleetPlan::default() });
-    let known_services =
-        || fleet.daemons[0].metric("services{") + fleet.daemons[0].metric("services ");
-    assert_eq!(known_services(), 0.0);
+    let known_service_count =
+        || fleet.daemons[0].metric_sum("services{") + fleet.daemons[0].metric_sum("services ");
+    assert_eq!(known_service_count(), 0.0);
     let callers = fleet.daemons[0].callers;
-    let slow = thread::spawn(move || {
+    let slow_request = thread::spawn(move || {
         let headers = [("Host", "solver.example"), ("x-work-ms", "1500"), ("x-request-id", "slow")];
         client::call(callers, "GET", "/plain", &headers, "")
     });
-    eventually("the service is known", || known_services() == 1.0);
+    eventually("the service is known", || known_service_count() == 1.0);
     eventually("the request runs", || fleet.run_count("slow") == 1);
-    // A query for the health of the service does not count as a request for it.
+    // A health query at the admin API does not count as a request for the service.
     fleet.daemons[0].get("/v1/health");
     eventually("the state of the service is dropped once no request is running", || {
-        known_services() == 0.0
+        known_service_count() == 0.0
     });
-    assert_eq!(slow.join().expect("join").status, 200);
+    assert_eq!(slow_request.join().expect("join").status, 200);
     for number in 0..5 {
         let id = format!("again-{number}");
         let reply = fleet.request(0, "GET", "/plain", &[("x-request-id", &id)], "");
@@ -279,16 +286,17 @@
 
 #[test]
 fn verify_the_status_counts_requests_by_outcome() {
-    let hops = TwoHops::start(None);
-    let outcomes = |daemon: usize| hops.fleet.daemons[daemon].get("/v1/status")["outcomes"].clone();
+    let two_hops = TwoHops::start(None);
+    let outcomes =
+        |daemon: usize| two_hops.fleet.daemons[daemon].get("/v1/status")["outcomes"].clone();
     assert_eq!(outcomes(0)["complete"], json!(0));
     for _ in 0..3 {
-        assert_eq!(hops.fleet.request(0, "GET", "/plain", &[], "").status, 200);
+        assert_eq!(two_hops.fleet.request(0, "GET", "/plain", &[], "").status, 200);
     }
-    hops.fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
-    assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 502);
-    hops.fleet.backends[0].set_faults(json!({"shed": true}));
-    assert_eq!(hops.fleet.request(0, "POST", "/plain", &[], "x").status, 503);
+    two_hops.fleet.backends[0].set_faults(json!({"break_at": "after-run"}));
+    assert_eq!(two_hops.fleet.request(0, "POST", "/plain", &[], "x").status, 502);
+    two_hops.fleet.backends[0].set_faults(json!({"shed": true}));
+    assert_eq!(two_hops.fleet.request(0, "POST", "/plain", &[], "x").status, 503);
     let outcome_counts = outcomes(0);
     assert_eq!(
         (&outcome_counts["requests"], &outcome_counts["complete"]),
@@ -311,8 +319,8 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!(reply.header("x-request-id"), Some(id));
     }
-    // The sixty requests end before the daemon of the server has established that it is unhealthy,
-    // which takes 200 ms.
+    // Some requests reach the broken server. The daemon beside the server needs 200 ms to establish
+    // that the server is unhealthy, and the sixty requests end earlier.
     assert!(
         fleet.backends[0].total_runs() <= 14,
         "the broken server ran {} of 60 requests, at most 14 expected",
@@ -323,13 +331,13 @@
 
 #[test]
 fn verify_a_late_answer_never_reaches_another_caller() {
-    let hops = TwoHops::start(None);
-    let callers = hops.fleet.daemons[0].callers;
+    let two_hops = TwoHops::start(None);
+    let callers = two_hops.fleet.daemons[0].callers;
     for round in 0..10 {
         let late_id = format!("late-{round}");
         let headers =
             [("x-work-ms", "150"), ("basaltarch-deadline-ms", "60"), ("x-request-id", &late_id)];
-        let reply = hops.fleet.request(0, "GET", "/plain", &headers, "");
+        let reply = two_hops.fleet.request(0, "GET", "/plain", &headers, "");
         assert_eq!(reply.status, 504);
         let mut stream = client::connect(callers);
         let mut buffer = Vec::new();
@@ -365,7 +373,7 @@
         TestFleet { platform, daemons: vec![local_daemon, remote_daemon], backends: Vec::new() };
     fleet.wait_members();
     fleet.backends = vec![TestBackend::start("server-1", 1), TestBackend::start("server-2", 1)];
-    let configuration = fleet.configuration(&plan);
+    let configuration = fleet.build_configuration(&plan);
     assert_eq!(fleet.apply(&configuration).status, 200);
     fleet.wait_revision(1);
     CutLink { fleet, forwarder }
@@ -376,15 +384,15 @@
 #[test_case(true, true ; "nothing arrives")]
 fn verify_a_cut_path_is_avoided_and_used_again_after_recovery(forward: bool, backward: bool) {
     use std::sync::atomic::Ordering;
-    let link = start_cut_link();
-    let is_served_by = |wanted: &str| {
-        let reply = link.fleet.request(0, "GET", "/puzzle", &[], "");
-        reply.status == 200 && reply.header("x-served-by").as_deref() == Some(wanted)
+    let cut_link = start_cut_link();
+    let is_served_by = |expected: &str| {
+        let reply = cut_link.fleet.request(0, "GET", "/puzzle", &[], "");
+        reply.status == 200 && reply.header("x-served-by").as_deref() == Some(expected)
     };
-    // So many requests are sent at once that the local server is busy and the remote server
-    // receives some of them.
-    let load = |rounds: usize| {
-        let callers = link.fleet.daemons[0].callers;
+    // So many requests are sent at once that the local server is busy, and that the remote server
+    // receives some of the requests.
+    let send_load = |rounds: usize| {
+        let callers = cut_link.fleet.daemons[0].callers;
         let threads: Vec<_> = (0..rounds * 8)
             .map(|_| {
                 thread::spawn(move || {
@@ -399,37 +407,40 @@
             .collect();
         threads.into_iter().map(|thread| thread.join().expect("join")).collect::<Vec<_>>()
     };
-    let from_remote = |replies: &[client::Reply]| {
+    let remote_reply_count = |replies: &[client::Reply]| {
         replies.iter().filter(|r| r.header("x-served-by").as_deref() == Some("server-2")).count()
     };
-    eventually("both servers receive requests", || from_remote(&load(1)) > 0);
-    link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
-    link.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
+    eventually("both servers receive requests", || remote_reply_count(&send_load(1)) > 0);
+    cut_link.forwarder.cuts.forward.store(forward, Ordering::SeqCst);
+    cut_link.forwarder.cuts.backward.store(backward, Ordering::SeqCst);
     eventually("the remote server is no longer used", || {
-        let replies = load(1);
-        from_remote(&replies) == 0 && {
-            let health = link.fleet.daemons[0].get("/v1/health?service=solver-app");
+        let replies = send_load(1);
+        remote_reply_count(&replies) == 0 && {
+            let health = cut_link.fleet.daemons[0].get("/v1/health?service=solver-app");
             health["services"][0]["upstreams"][1]["state"] == "unreachable"
         }
     });
     eventually("the local server serves callers", || is_served_by("server-1"));
-    link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
-    link.forwarder.cuts.backward.store(false, Ordering::SeqCst);
-    eventually("the remote server receives requests again", || from_remote(&load(1)) > 0);
-    link.fleet.check_invariants();
+    cut_link.forwarder.cuts.forward.store(false, Ordering::SeqCst);
+    cut_link.forwarder.cuts.backward.store(false, Ordering::SeqCst);
+    eventually("the remote server receives requests again", || {
+        remote_reply_count(&send_load(1)) > 0
+    });
+    cut_link.fleet.check_invariants();
 }
 
 #[test]
 fn verify_a_peer_without_the_fleet_key_is_refused() {
     let fleet = TestFleet::start(&FleetPlan { daemons: 1, backends: 1, ..FleetPlan::default() });
-    let key = [("fleet-key", "another-key-altogether")];
-    let stranger = TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &key);
+    let fleet_key_flag = [("fleet-key", "another-key-altogether")];
+    let foreign_daemon =
+        TestDaemon::start(fleet.platform.address, "host-z", "bkk-c", &fleet_key_flag);
     let has_refused =
         |daemon: &TestDaemon| daemon.log_text().contains("does not hold the fleet key");
     eventually("one of the two daemons refuses the other", || {
-        has_refused(&fleet.daemons[0]) || has_refused(&stranger)
+        has_refused(&fleet.daemons[0]) || has_refused(&foreign_daemon)
     });
-    // Garbage sent to the peer address closes only that connection.
+    // Bytes that are no frame close only the connection on which they are sent.
     let mut stream = client::connect(fleet.daemons[0].peers);
     let _ = stream.write_all(&[0xff; 64]);
     assert_eq!(fleet.request(0, "GET", "/puzzle", &[], "").status, 200);
--- a/crates/daemon/tests/places.rs
+++ b/crates/daemon/tests/places.rs
@@ -4,8 +4,8 @@
 //! Requests that find no free slot wait at their ingress, with reservations at several hosts.
 //!
 //! Guards against a fault in which an at-most-once request that waited in the queue of a host was
-//! answered 502, as if it may have run, when the host's daemon was killed, although no server had
-//! started it.
+//! answered 502 when the host's daemon was killed. The 502 states that the request may have run,
+//! although no server had started the request.
 
 mod common;
 
@@ -16,23 +16,30 @@
 use common::{eventually, FleetPlan, TestFleet};
 use serde_json::{json, Value};
 
-/// Number of hosts in most tests, with a backend server each.
-const HOSTS: usize = 3;
+/// Number of hosts in most tests. Each host has one backend server.
+const HOST_COUNT: usize = 3;
 /// Number of concurrent requests for each slot.
 const REQUESTS_PER_SLOT: usize = 4;
-/// Maximum number of requests with an unknown outcome after a host is killed: the request in the
-/// slot, and the request that was offered the slot in advance.
+/// Maximum number of requests with an unknown outcome after a host with one slot is killed: the
+/// request in the slot, and the request that was offered the slot in advance.
 const UNKNOWN_MAX: usize = 2;
-/// Minimum number of requests that wait at the ingress before a fault is injected at a host.
+/// Minimum number of requests that wait at the ingress when a fault is injected at a host.
 const WAITING_MIN: f64 = 6.0;
 
-/// Starts hosts with a backend server of one slot each, with a service time of 300 ms.
-fn start(hosts: usize, waiting: &'static str) -> TestFleet {
-    start_with(hosts, waiting, 1, json!({"floor": 0.5, "prefer": "detection"}))
+/// Starts hosts with one backend server each. Each server has one slot and a service time of 300
+/// ms.
+fn start_fleet(hosts: usize, waiting_mode: &'static str) -> TestFleet {
+    start_fleet_with_slots(hosts, waiting_mode, 1, json!({"floor": 0.5, "prefer": "detection"}))
 }
 
-/// Starts hosts with a backend server of this many slots each.
-fn start_with(hosts: usize, waiting: &'static str, slots: u32, service: Value) -> TestFleet {
+/// Starts hosts with one backend server each. Each server has `slots` slots and a service time of
+/// 300 ms. `waiting_mode` is the value of the flag `--waiting`.
+fn start_fleet_with_slots(
+    hosts: usize,
+    waiting_mode: &'static str,
+    slots: u32,
+    service: Value,
+) -> TestFleet {
     let routes = json!({
         "plain": {"host": "solver.example", "path_prefix": "/", "service": "solver-app",
                   "timeout_ms": 20_000},
@@ -44,12 +51,12 @@
         slots,
         routes,
         service,
-        daemon_flags: vec![("waiting", waiting)],
+        daemon_flags: vec![("waiting", waiting_mode)],
         ..FleetPlan::default()
     })
 }
 
-/// The id of a request, and its reply.
+/// The id of a request, and the reply to the request.
 struct RequestEnd {
     id: String,
     reply: Reply,
@@ -57,21 +64,24 @@
 
 /// Sends [`REQUESTS_PER_SLOT`] requests for each server to the first daemon at once; `inject` runs
 /// once [`WAITING_MIN`] of the requests wait at that daemon.
-fn send_all(fleet: &mut TestFleet, inject: impl FnOnce(&mut TestFleet)) -> Vec<RequestEnd> {
+fn send_to_all_slots(
+    fleet: &mut TestFleet,
+    inject: impl FnOnce(&mut TestFleet),
+) -> Vec<RequestEnd> {
     let requests = REQUESTS_PER_SLOT * fleet.backends.len();
-    send(fleet, requests, WAITING_MIN, inject)
+    send_concurrently(fleet, requests, WAITING_MIN, inject)
 }
 
-/// Sends this many requests to the first daemon at once; `inject` runs once `waiting` of the
+/// Sends this many requests to the first daemon at once; `inject` runs once `waiting_min` of the
 /// requests wait at that daemon.
-fn send(
+fn send_concurrently(
     fleet: &mut TestFleet,
     requests: usize,
-    waiting: f64,
+    waiting_min: f64,
     inject: impl FnOnce(&mut TestFleet),
 ) -> Vec<RequestEnd> {
     let callers = fleet.daemons[0].callers;
-    let sending: Vec<_> = (0..requests)
+    let caller_threads: Vec<_> = (0..requests)
         .map(|number| {
             thread::spawn(move || {
                 let id = format!("waits-{number}");
@@ -81,22 +91,22 @@
             })
         })
         .collect();
-    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= waiting);
+    eventually("requests wait", || fleet.daemons[0].metric_sum("waiting") >= waiting_min);
     inject(fleet);
-    sending.into_iter().map(|thread| thread.join().expect("a caller")).collect()
+    caller_threads.into_iter().map(|thread| thread.join().expect("a caller")).collect()
 }
 
 /// Returns the requests whose reply is not 200. Checks that each request ran at most once, and did
 /// not run if its outcome is `not-run`.
-fn failed_ends(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
+fn check_and_filter_failed(fleet: &TestFleet, ends: Vec<RequestEnd>) -> Vec<RequestEnd> {
     for end in &ends {
         let runs = fleet.run_count(&end.id);
         assert!(runs <= 1, "{} ran {runs} times", end.id);
         if end.reply.status == 200 {
-            assert_eq!(runs, 1, "{} was answered", end.id);
+            assert_eq!(runs, 1, "number of runs of {}, which was answered with 200", end.id);
         }
         if end.reply.outcome().as_deref() == Some("not-run") {
-            assert_eq!(runs, 0, "{} was reported as not run", end.id);
+            assert_eq!(runs, 0, "number of runs of {}, which was reported as not run", end.id);
         }
     }
     ends.into_iter().filter(|end| end.reply.status != 200).collect()
@@ -104,47 +114,47 @@
 
 #[test]
 fn verify_waiting_requests_are_offered_slots_that_become_free() {
-    let mut fleet = start(HOSTS, "places");
-    let ends = send_all(&mut fleet, |_| {});
-    assert!(failed_ends(&fleet, ends).is_empty());
-    assert!(fleet.daemons[0].metric("called_in") >= WAITING_MIN);
+    let mut fleet = start_fleet(HOST_COUNT, "places");
+    let ends = send_to_all_slots(&mut fleet, |_| {});
+    assert!(check_and_filter_failed(&fleet, ends).is_empty());
+    assert!(fleet.daemons[0].metric_sum("called_in") >= WAITING_MIN);
     eventually("no slot stays in use", || {
-        fleet.daemons.iter().all(|daemon| daemon.metric("slots_used") == 0.0)
+        fleet.daemons.iter().all(|daemon| daemon.metric_sum("slots_used") == 0.0)
     });
     fleet.check_invariants();
 }
 
 #[test]
 fn verify_waiting_requests_are_not_lost_with_a_killed_host() {
-    let mut fleet = start(HOSTS, "places");
-    let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].kill());
-    let failed_ends = failed_ends(&fleet, ends);
+    let mut fleet = start_fleet(HOST_COUNT, "places");
+    let ends = send_to_all_slots(&mut fleet, |fleet| fleet.daemons[1].kill());
+    let failed_ends = check_and_filter_failed(&fleet, ends);
     let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
     assert!(failed_ends.len() <= UNKNOWN_MAX, "{statuses:?}");
 }
 
 #[test]
 fn verify_waiting_requests_go_elsewhere_when_a_host_stops() {
-    let mut fleet = start(HOSTS, "places");
-    let ends = send_all(&mut fleet, |fleet| fleet.daemons[1].signal("-TERM"));
-    let failed_ends = failed_ends(&fleet, ends);
+    let mut fleet = start_fleet(HOST_COUNT, "places");
+    let ends = send_to_all_slots(&mut fleet, |fleet| fleet.daemons[1].signal("-TERM"));
+    let failed_ends = check_and_filter_failed(&fleet, ends);
     let statuses: Vec<u16> = failed_ends.iter().map(|end| end.reply.status).collect();
     assert!(failed_ends.is_empty(), "{statuses:?}");
 }
 
 #[test]
 fn verify_no_slots_are_offered_for_servers_that_are_down() {
-    let mut fleet = start(5, "places");
+    let mut fleet = start_fleet(5, "places");
     // The next request that runs at each of these servers crashes that server, which then stays
     // down for longer than the other servers need for all requests.
-    let crash = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
-    let ends = send_all(&mut fleet, |fleet| {
-        fleet.backends[2..].iter().for_each(|backend| backend.set_faults(crash.clone()));
+    let crash_fault = json!({"crash_path": "/x", "crash_after_ms": 20, "down_ms": 12_000});
+    let ends = send_to_all_slots(&mut fleet, |fleet| {
+        fleet.backends[2..].iter().for_each(|backend| backend.set_faults(crash_fault.clone()));
     });
     for backend in &fleet.backends {
         eventually("the server is up", || TcpStream::connect(backend.address).is_ok());
     }
-    let failed_ends = failed_ends(&fleet, ends);
+    let failed_ends = check_and_filter_failed(&fleet, ends);
     let outcomes: Vec<_> =
         failed_ends.iter().map(|end| (end.reply.status, end.reply.reason())).collect();
     assert!(
@@ -156,16 +166,22 @@
 #[test]
 fn verify_a_fast_failing_server_receives_no_more_requests_than_healthy_ones() {
     const SLOTS_PER_SERVER: u32 = 4;
-    // With a floor of 1.0 all slots are needed, so the circuit breaker of the server opens but
-    // the server stays in service.
+    // With a floor of 1.0 all slots must stay in service. The circuit breaker of the failing server
+    // opens, but the server is not ejected.
     let service = json!({"floor": 1.0, "prefer": "detection"});
-    let mut fleet = start_with(HOSTS, "places", SLOTS_PER_SERVER, service);
+    let mut fleet = start_fleet_with_slots(HOST_COUNT, "places", SLOTS_PER_SERVER, service);
     let requests_per_server = REQUESTS_PER_SLOT * SLOTS_PER_SERVER as usize;
-    let failing = json!({"error_rate": 1.0, "quick_errors": true});
-    let ends = send(&mut fleet, requests_per_server * HOSTS, requests_per_server as f64, |fleet| {
-        fleet.backends[2].set_faults(failing);
-    });
-    let failed = failed_ends(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
+    let failing_fault = json!({"error_rate": 1.0, "quick_errors": true});
+    let ends = send_concurrently(
+        &mut fleet,
+        requests_per_server * HOST_COUNT,
+        requests_per_server as f64,
+        |fleet| {
+            fleet.backends[2].set_faults(failing_fault);
+        },
+    );
+    let failed =
+        check_and_filter_failed(&fleet, ends).iter().filter(|end| end.reply.status == 500).count();
     assert!(
         failed <= requests_per_server,
         "{failed} requests failed at one server of three, at most {requests_per_server} expected"
@@ -174,12 +190,13 @@
 
 #[test]
 fn verify_a_killed_ingress_leaves_no_slot_in_use() {
-    let mut fleet = start(HOSTS, "places");
+    let mut fleet = start_fleet(HOST_COUNT, "places");
     let callers = fleet.daemons[0].callers;
-    let waiting: Vec<_> = (0..REQUESTS_PER_SLOT * HOSTS)
+    let caller_threads: Vec<_> = (0..REQUESTS_PER_SLOT * HOST_COUNT)
         .map(|_| {
             thread::spawn(move || {
-                // The daemon is killed before it answers; how the connection ends does not matter.
+                // The daemon is killed before the answer, so the panic of a call without a reply is
+                // caught.
                 let call = || {
                     common::client::call(callers, "POST", "/x", &[("Host", "solver.example")], "")
                 };
@@ -187,21 +204,21 @@
             })
         })
         .collect();
-    eventually("requests wait", || fleet.daemons[0].metric("waiting") >= WAITING_MIN);
+    eventually("requests wait", || fleet.daemons[0].metric_sum("waiting") >= WAITING_MIN);
     fleet.daemons[0].kill();
-    waiting.into_iter().for_each(|thread| thread.join().expect("a caller"));
+    caller_threads.into_iter().for_each(|thread| thread.join().expect("a caller"));
     for daemon in &fleet.daemons[1..] {
-        eventually("no slot stays in use", || daemon.metric("slots_used") == 0.0);
-        eventually("no request is queued", || daemon.metric("queued") == 0.0);
+        eventually("no slot stays in use", || daemon.metric_sum("slots_used") == 0.0);
+        eventually("no request is queued", || daemon.metric_sum("queued") == 0.0);
     }
     assert_eq!(fleet.request(1, "POST", "/x", &[], "").status, 200);
 }
 
 #[test]
 fn verify_requests_wait_at_the_ingress_only_if_configured() {
-    let fleet = start(HOSTS, "one-host");
+    let fleet = start_fleet(HOST_COUNT, "one-host");
     let callers = fleet.daemons[0].callers;
-    let sending: Vec<_> = (0..REQUESTS_PER_SLOT * HOSTS)
+    let caller_threads: Vec<_> = (0..REQUESTS_PER_SLOT * HOST_COUNT)
         .map(|_| {
             thread::spawn(move || {
                 common::client::call(callers, "POST", "/x", &[("Host", "solver.example")], "")
@@ -209,8 +226,8 @@
             })
         })
         .collect();
-    for thread in sending {
+    for thread in caller_threads {
         thread.join().expect("a caller");
     }
-    assert_eq!(fleet.daemons[0].metric("places"), 0.0);
+    assert_eq!(fleet.daemons[0].metric_sum("places"), 0.0);
 }
--- a/crates/daemon/tests/reference.rs
+++ b/crates/daemon/tests/reference.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use test_case::test_case;
 
-fn reference() -> String {
+fn read_reference() -> String {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/REFERENCE.md");
     fs::read_to_string(path).expect("docs/REFERENCE.md")
 }
@@ -23,12 +23,12 @@
 fn verify_the_help_text_stands_in_the_reference() {
     let output = Command::new(env!("CARGO_BIN_EXE_basaltarchd")).arg("--help").output();
     let help = String::from_utf8(output.expect("runs").stdout).expect("text");
-    assert!(reference().contains(help.trim_end()), "docs/REFERENCE.md lacks:\n{help}");
+    assert!(read_reference().contains(help.trim_end()), "docs/REFERENCE.md lacks:\n{help}");
 }
 
 #[test]
 fn verify_every_metric_stands_in_the_reference() {
-    let reference = reference();
+    let reference = read_reference();
     for entry in metrics::entries() {
         let line = format!("| `{}` | {} |", entry.name, entry.help);
         assert!(reference.contains(&line), "docs/REFERENCE.md lacks: {line}");
@@ -37,7 +37,7 @@
 
 #[test]
 fn verify_every_header_and_reason_stands_in_the_reference() {
-    let reference = reference();
+    let reference = read_reference();
     let headers = [
         fields::OUTCOME,
         fields::REASON,
@@ -76,15 +76,15 @@
     minimal: serde_json::Value,
 ) {
     let value = ResourceValue::try_new(kind, "name", &minimal).expect("valid").to_json();
-    let reference = reference();
+    let reference = read_reference();
     let rows = reference.lines().filter(|line| line.starts_with(&format!("| `{}` |", kind.name())));
-    let documented: Vec<&str> = rows.filter_map(|line| line.split('`').nth(3)).collect();
-    let mut known: Vec<&str> =
+    let documented_fields: Vec<&str> = rows.filter_map(|line| line.split('`').nth(3)).collect();
+    let mut value_fields: Vec<&str> =
         value.as_object().expect("fields").keys().map(String::as_str).collect();
-    let mut documented_sorted = documented.clone();
-    documented_sorted.sort();
-    known.sort();
-    assert_eq!(documented_sorted, known);
+    let mut sorted_documented_fields = documented_fields.clone();
+    sorted_documented_fields.sort();
+    value_fields.sort();
+    assert_eq!(sorted_documented_fields, value_fields);
 }
 
 #[test_case(&["--host", "UPPER"], "--host" ; "bad name")]
--- a/crates/daemon/tests/registered.rs
+++ b/crates/daemon/tests/registered.rs
@@ -28,7 +28,7 @@
     assert_eq!(fleet.run_count("exchange"), 1);
     let server =
         fleet.backends.iter().find(|backend| backend.run_count("exchange") == 1).expect("ran");
-    let head = server.runs()["last_head"].as_str().expect("head").to_owned();
+    let head = server.run_counters()["last_head"].as_str().expect("head").to_owned();
     for (name, value) in
         [(names::EXPECTED_SERVER, &*server.name), (names::CALLER_SERVICE, "solver-app")]
     {
@@ -47,7 +47,8 @@
 fn verify_an_acknowledged_drain_takes_effect_at_once_and_queued_requests_go_elsewhere() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(1, &[0, 1]);
-    // Fills the server's slots and its queue through both daemons, then drains it.
+    // Requests through both daemons fill the slots and the queue of the first server, which then
+    // drains.
     let callers: Vec<_> = (0..16)
         .map(|number| {
             let address = fleet.daemons[number % 2].callers;
@@ -72,11 +73,11 @@
         let status = caller.join().expect("join");
         assert!(matches!(status, 200 | 503), "no request is interrupted: {status}");
     }
-    // The server may read requests after it sent its drain notice although the daemon sent them
-    // earlier, so the order is taken from the daemon's log.
+    // The order is taken from the daemon's log. The server may still read requests after its drain
+    // notice that the daemon sent before the notice.
     let AttemptCounts { before, after } = count_attempts_around_drain(&fleet);
     assert_eq!(after, 0, "nothing was sent after the drain was acknowledged");
-    let received = fleet.backends[0].runs()["received"].as_u64().expect("received");
+    let received = fleet.backends[0].run_counters()["received"].as_u64().expect("received");
     assert_eq!(received, before, "nothing else reached the server");
 }
 
@@ -87,7 +88,7 @@
     after: u64,
 }
 
-/// Counts the attempts before and after the drain in the log of the first daemon.
+/// Counts the attempts at the first server in the log of the first daemon.
 fn count_attempts_around_drain(fleet: &RegisteredFleet) -> AttemptCounts {
     let (mut before, mut after, mut draining) = (0, 0, false);
     let text = fleet.daemons[0].log_text();
@@ -110,7 +111,7 @@
     let fleet = RegisteredFleet::start(1);
     assert_eq!(fleet.send_heartbeat_as(0, "i-crashed", SERVICE, false).status, 200);
     assert_eq!(fleet.send_heartbeat_as(0, "i-successor", SERVICE, false).status, 200);
-    let late_heartbeat = fleet.heartbeat(0, "i-crashed", SERVICE, false);
+    let late_heartbeat = fleet.build_heartbeat(0, "i-crashed", SERVICE, false);
     assert_eq!(
         fleet.call_daemon(0, &late_heartbeat).status,
         200,
@@ -118,11 +119,16 @@
     );
     let count_lines = |event: &str| {
         let text = fleet.daemons[0].log_text();
-        let of_crashed = |line: &&str| line.contains(event) && line.contains("i-crashed");
-        text.lines().filter(of_crashed).count()
+        let is_about_crashed_server =
+            |line: &&str| line.contains(event) && line.contains("i-crashed");
+        text.lines().filter(is_about_crashed_server).count()
     };
     eventually("the late heartbeat is ignored", || count_lines("late heartbeat passed over") == 1);
-    assert_eq!(count_lines("backend server registered"), 1, "its successor stays registered");
+    assert_eq!(
+        count_lines("backend server registered"),
+        1,
+        "the crashed server is not registered again"
+    );
     assert_eq!(count_lines("backend server gone"), 1);
 }
 
@@ -130,22 +136,22 @@
 fn verify_a_deregistered_server_receives_nothing_and_a_late_heartbeat_does_not_restore_it() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    let late_heartbeat = fleet.heartbeat(1, &fleet.backends[1].name, SERVICE, false);
+    let late_heartbeat = fleet.build_heartbeat(1, &fleet.backends[1].name, SERVICE, false);
     assert_eq!(fleet.deregister(1).status, 200);
     assert_eq!(fleet.call_daemon(1, &late_heartbeat).status, 200);
-    let before = fleet.backends[1].total_runs();
+    let runs_before = fleet.backends[1].total_runs();
     for number in 0..30 {
         let reply = fleet.request(number % 2, "GET", "/safe/x", &format!("gone-{number}"));
         assert_eq!(reply.status, 200, "{}", reply.text());
     }
-    assert_eq!(fleet.backends[1].total_runs(), before);
+    assert_eq!(fleet.backends[1].total_runs(), runs_before);
 }
 
 #[test]
 fn verify_an_address_taken_over_by_another_server_is_avoided_and_nothing_runs_there() {
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    // The daemon still expects a server of another name at this address.
+    // The daemon expects a server of another name at the address of the second server.
     assert_eq!(fleet.send_heartbeat_as(1, "i-of-before", SERVICE, false).status, 200);
     for number in 0..20 {
         let id = format!("moved-{number}");
@@ -153,7 +159,7 @@
         assert_eq!(reply.status, 200, "{}", reply.text());
         assert_eq!((fleet.run_count(&id), fleet.backends[1].run_count(&id)), (1, 0));
     }
-    // The next heartbeat of the server that listens there registers it again.
+    // The next heartbeat of the second server registers that server again.
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
 }
@@ -163,12 +169,12 @@
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     let hosts_table = basaltarch_daemon::roster::HOSTS_TABLE;
-    let rows = |fleet: &RegisteredFleet| {
+    let read_rows = |fleet: &RegisteredFleet| {
         let path = format!("{}?table={hosts_table}&part=", rows::READ_PATH);
         client::call(fleet.platform.address, "GET", &path, &[], "").text()
     };
     let is_server_listed = |fleet: &RegisteredFleet| {
-        let page: Value = serde_json::from_str(&rows(fleet)).expect("rows");
+        let page: Value = serde_json::from_str(&read_rows(fleet)).expect("rows");
         let row = page["rows"].as_array().expect("rows").iter().find(|row| row["key"] == "host-b");
         let value = row.and_then(|row| row["value"].as_str()).map(rows::decode_value);
         value
@@ -178,25 +184,25 @@
     eventually("the row lists the server", || is_server_listed(&fleet));
     fleet.daemons[1].kill();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[]);
-    let before = fleet.backends[1].total_runs();
+    let runs_before = fleet.backends[1].total_runs();
     let mut number = 0;
     eventually("the server receives requests again", || {
         number += 1;
         fleet.request(1, "GET", "/safe/x", &format!("again-{number}"));
-        fleet.backends[1].total_runs() > before
+        fleet.backends[1].total_runs() > runs_before
     });
     // A server that answers the health check as unhealthy is not recovered.
     fleet.backends[0].set_faults(json!({"health_status": 503}));
     fleet.daemons[0].kill();
     fleet.daemons[0] = fleet.start_daemon("host-a", "bkk-a", &[]);
     eventually("the health of the server was checked", || {
-        fleet.backends[0].runs()["probes"].as_u64() > Some(0)
+        fleet.backends[0].run_counters()["probes"].as_u64() > Some(0)
     });
-    let before = fleet.backends[0].total_runs();
+    let runs_before = fleet.backends[0].total_runs();
     for number in 0..20 {
         fleet.request(0, "GET", "/safe/x", &format!("ill-{number}"));
     }
-    assert_eq!(fleet.backends[0].total_runs(), before);
+    assert_eq!(fleet.backends[0].total_runs(), runs_before);
 }
 
 #[test_case(|call| call.body.truncate(9), 400 ; "cut short")]
@@ -204,10 +210,10 @@
 #[test_case(|call| call.body = vec![b' '; 200_000], 413 ; "too large")]
 #[test_case(|call| call.target.truncate(call.target.len() - 3), 400 ; "no name")]
 #[test_case(|call| call.target = call.target.replace("heartbeat", "dance"), 404 ; "unknown call")]
-#[test_case(|call| *call = registered::deregistration("i-unknown"), 200 ; "deregistering an unknown server")]
+#[test_case(|call| *call = registered::build_deregistration("i-unknown"), 200 ; "deregistering an unknown server")]
 fn verify_bad_calls_get_a_clear_error_and_change_nothing(corrupt: fn(&mut StoreCall), status: u16) {
     let fleet = RegisteredFleet::start(1);
-    let mut call = fleet.heartbeat(0, "i-9", SERVICE, false);
+    let mut call = fleet.build_heartbeat(0, "i-9", SERVICE, false);
     corrupt(&mut call);
     let reply = fleet.call_daemon(0, &call);
     assert_eq!(reply.status, status, "{}", reply.text());
@@ -225,7 +231,7 @@
     let daemon = fleet.start_daemon("host-z", "bkk-b", &[("peers", peers.as_str())]);
     fleet.daemons[1] = daemon;
     let fields = headers::exchange_fields();
-    fleet.backends[1] = TestBackend::start_at(common::loopback(), "i-new", 1, fields);
+    fleet.backends[1] = TestBackend::start_at(common::loopback_address(), "i-new", 1, fields);
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1]);
     eventually("the earlier host is known as replaced", || {
@@ -237,7 +243,7 @@
 fn verify_the_last_server_is_used_although_all_breakers_are_open_and_others_are_gone() {
     let mut fleet = RegisteredFleet::start(3);
     fleet.wait_served(0, &[0, 1, 2]);
-    // The row of a host that is gone stays in the store for a long time.
+    // The row of the killed host stays in the store for a long time.
     fleet.daemons[2].kill();
     for round in 0..5 {
         for index in [0, 1] {
@@ -293,14 +299,15 @@
     fleet.daemons[1].kill();
     let seeds = fleet.daemons[0].peers.to_string();
     fleet.daemons[1] = fleet.start_daemon("host-b", "bkk-b", &[("seeds", seeds.as_str())]);
-    // The daemon gets its configuration and the registration of its server from the peer.
+    // The restarted daemon gets the configuration and the registration of the server beside it from
+    // its peer.
     eventually("the daemon is ready without the store", || fleet.is_ready(1));
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     let reply = fleet.request(1, "GET", "/safe/x", "dark");
     assert_eq!(reply.status, 200, "{}", reply.text());
     fleet.platform.set_faults(json!({}));
     fleet.wait_served(0, &[0, 1]);
-    fleet.write(&document(2));
+    fleet.write_document(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
     }
@@ -316,13 +323,13 @@
     fleet.daemons[1].kill();
     let extra_flags = [("seeds", seeds.as_str())];
     fleet.daemons[1] =
-        fleet.start_daemon_at(fleet.platform.second, "host-b", "bkk-b", &extra_flags);
+        fleet.start_daemon_at(fleet.platform.second_address, "host-b", "bkk-b", &extra_flags);
     assert_eq!(fleet.send_heartbeat(1, false).status, 200);
     fleet.wait_served(0, &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.set_faults(outage);
     // The host learns of a changed document and accepts a drain notice without the store.
-    fleet.write(&document(2));
+    fleet.write_document(&document(2));
     for daemon in &fleet.daemons {
         eventually("the next document is in force", || daemon.revision() == 2);
     }
@@ -348,7 +355,7 @@
     let fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
     fleet.platform.set_faults(json!({"silent": true}));
-    fleet.write(&document(4));
+    fleet.write_document(&document(4));
     fleet.platform.set_faults(json!({"silent": true, "forget_history": true}));
     fleet.platform.set_faults(json!({}));
     for daemon in &fleet.daemons {
@@ -362,9 +369,9 @@
 fn verify_a_server_that_is_gone_when_its_daemon_restarts_receives_nothing() {
     let mut fleet = RegisteredFleet::start(2);
     fleet.wait_served(0, &[0, 1]);
-    // Nothing listens at the address of this server.
+    // The server `i-gone` registers an address at which nothing listens.
     let closed = common::closed_address();
-    let heartbeat = fleet.heartbeat_from(closed, "i-gone", SERVICE, false);
+    let heartbeat = fleet.build_heartbeat_from(closed, "i-gone", SERVICE, false);
     assert_eq!(fleet.call_daemon(1, &heartbeat).status, 200);
     eventually("the other daemon knows of the server", || {
         fleet.daemons[0].log_text().contains("i-2, i-gone")
--- a/crates/daemon/tests/restored.rs
+++ b/crates/daemon/tests/restored.rs
@@ -6,9 +6,10 @@
 //!
 //! Guards against a fault in which every daemon answered 404 for a route that was added after the
 //! restore, until the next change. The restored store assigns row numbers again that daemons have
-//! already read, also to the new document. A daemon that asks for changes after the last
-//! number that it has read then gets none and concludes that it has the newest document. A daemon
-//! that asks before the store passes that number gets 410 and reads all rows again.
+//! already read, and the new document gets such a number. A daemon asks for changes after the last
+//! number that the daemon has read. If the store has passed that number, the daemon gets no changes
+//! and concludes that it has the newest document. If the store has not passed that number, the
+//! daemon gets 410 and reads all rows again.
 
 mod common;
 
@@ -20,8 +21,8 @@
 use serde_json::json;
 use test_case::test_case;
 
-/// Writes rows as another client of the store.
-fn write_others(fleet: &RegisteredFleet, numbers: Range<u64>) {
+/// Writes the rows `row-<number>` as another client of the store.
+fn write_foreign_rows(fleet: &RegisteredFleet, numbers: Range<u64>) {
     for number in numbers {
         fleet.platform.change_row("PUT", "status", &format!("row-{number}"), "{}");
     }
@@ -32,8 +33,8 @@
 fn verify_a_document_written_after_a_restore_takes_effect(passes_lost_numbers: bool) {
     let fleet = RegisteredFleet::start(2);
     fleet.platform.take_copy();
-    write_others(&fleet, 0..20);
-    fleet.write(&document(2));
+    write_foreign_rows(&fleet, 0..20);
+    fleet.write_document(&document(2));
     for daemon in &fleet.daemons {
         eventually("the document is in force", || daemon.revision() == 2);
     }
@@ -41,9 +42,9 @@
     fleet.platform.restore();
     let mut new_document = document(3);
     new_document.routes.push(route("r-new", "/new/", WorkMode::Repeatable));
-    fleet.write(&new_document);
+    fleet.write_document(&new_document);
     if passes_lost_numbers {
-        write_others(&fleet, 20..80);
+        write_foreign_rows(&fleet, 20..80);
     }
     fleet.platform.set_faults(json!({}));
     for (index, daemon) in fleet.daemons.iter().enumerate() {
--- a/crates/daemon/tests/rows.rs
+++ b/crates/daemon/tests/rows.rs
@@ -11,7 +11,8 @@
 use serde_json::{json, Value};
 use test_case::test_case;
 
-/// Registers a server under another name at a daemon and waits until these daemons know of it.
+/// Registers a server named `name` at the daemon `index`, and waits until the daemons
+/// `daemons_to_know` know of that server.
 fn register_and_wait(fleet: &RegisteredFleet, index: usize, name: &str, daemons_to_know: &[usize]) {
     assert_eq!(fleet.send_heartbeat_as(index, name, SERVICE, false).status, 200);
     for daemon in daemons_to_know {
@@ -27,12 +28,13 @@
 fn verify_a_host_refused_by_the_store_learns_of_new_servers(mut outage: Value) {
     let mut fleet = RegisteredFleet::start_in_one_domain(3);
     fleet.daemons[2].kill();
-    fleet.daemons[2] = fleet.start_daemon_at(fleet.platform.second, "host-c", "bkk-a", &[]);
+    fleet.daemons[2] = fleet.start_daemon_at(fleet.platform.second_address, "host-c", "bkk-a", &[]);
     assert_eq!(fleet.send_heartbeat(2, false).status, 200);
     register_and_wait(&fleet, 0, "i-before", &[0, 1, 2]);
     outage["second_group_only"] = json!(true);
     fleet.platform.set_faults(outage);
-    // Two servers are registered in succession, so that the second change builds on the first.
+    // Two servers are registered one after the other, so that the second change of the rows follows
+    // the first change.
     register_and_wait(&fleet, 0, "i-during", &[0, 1, 2]);
     register_and_wait(&fleet, 1, "i-later", &[0, 1, 2]);
     fleet.platform.set_faults(json!({}));
@@ -43,12 +45,14 @@
 fn verify_rows_arrive_although_readers_are_gone() {
     let mut fleet = RegisteredFleet::start_in_one_domain(4);
     register_and_wait(&fleet, 0, "i-first", &[0, 1, 2, 3]);
-    for killed in [1, 2] {
-        fleet.daemons[killed].kill();
-        let remaining: Vec<usize> =
-            [0, 1, 2, 3].into_iter().filter(|index| *index > killed || *index == 0).collect();
-        register_and_wait(&fleet, 0, &format!("i-without-{killed}"), &remaining);
-        register_and_wait(&fleet, 3, &format!("i-still-{killed}"), &remaining);
+    for killed_daemon in [1, 2] {
+        fleet.daemons[killed_daemon].kill();
+        let remaining_daemons: Vec<usize> = [0, 1, 2, 3]
+            .into_iter()
+            .filter(|index| *index > killed_daemon || *index == 0)
+            .collect();
+        register_and_wait(&fleet, 0, &format!("i-without-{killed_daemon}"), &remaining_daemons);
+        register_and_wait(&fleet, 3, &format!("i-still-{killed_daemon}"), &remaining_daemons);
     }
     let domain = fleet.daemons[1].domain.clone();
     fleet.daemons[1] = fleet.start_daemon("host-b", &domain, &[]);
@@ -60,16 +64,24 @@
     let fleet = RegisteredFleet::start_in_one_domain(6);
     let all_daemons = [0, 1, 2, 3, 4, 5];
     register_and_wait(&fleet, 0, "i-first", &all_daemons);
-    // Each change ends a long poll of the readers; the other daemons learn of the change from the
-    // readers.
-    let rows_calls = |daemon: usize| fleet.daemons[daemon].metric("rows_calls") as u64;
+    // Each change ends a long poll of the readers. The other daemons learn of the change from the
+    // readers and don't call the store.
+    let rows_call_count = |daemon: usize| fleet.daemons[daemon].metric_sum("rows_calls") as u64;
     eventually("one or two daemons read the rows during four changes", || {
-        let before: Vec<u64> = all_daemons.iter().map(|daemon| rows_calls(*daemon)).collect();
+        let calls_before: Vec<u64> =
+            all_daemons.iter().map(|daemon| rows_call_count(*daemon)).collect();
         for number in 0..4 {
-            register_and_wait(&fleet, number, &format!("i-{}-{number}", before[0]), &all_daemons);
+            register_and_wait(
+                &fleet,
+                number,
+                &format!("i-{}-{number}", calls_before[0]),
+                &all_daemons,
+            );
         }
-        let reader_count =
-            all_daemons.iter().filter(|daemon| rows_calls(**daemon) > before[**daemon]).count();
+        let reader_count = all_daemons
+            .iter()
+            .filter(|daemon| rows_call_count(**daemon) > calls_before[**daemon])
+            .count();
         (1..=2).contains(&reader_count)
     });
 }
--- a/crates/daemon/tests/stops.rs
+++ b/crates/daemon/tests/stops.rs
@@ -6,9 +6,9 @@
 //! Guards against a fault in which a request ran at a backend server although its daemon was
 //! stopping, and its caller got a closed connection or a 504 in place of the answer. With most of a
 //! failure domain stopped at once, callers had no other daemon, and a daemon admitted requests
-//! until its end. Some were admitted with less than their service time left before the daemon gave
-//! up on pending requests, others within the 20 ms between its last check for requests in flight
-//! and its end, as admission and end were decided by separate checks.
+//! until its end. Some requests were admitted although the daemon gave up pending requests before
+//! their service time was over. Other requests were admitted in the 20 ms between the daemon's last
+//! check for requests in flight and its end, as admission and end were decided by separate checks.
 
 mod common;
 
@@ -25,7 +25,8 @@
 const WORK_MS: &str = "1000";
 
 /// Sends non-repeatable requests of [`WORK_MS`] one after another until nothing listens at
-/// `callers` any more. A connection is reused until a reply announces its end or it is closed.
+/// `callers` any more. A connection is reused until a reply announces that the connection ends, or
+/// until no reply is received.
 fn send_until_gone(callers: SocketAddr, caller: usize) -> Vec<StopRequest> {
     let mut requests = Vec::new();
     let mut keep_alive = None;
@@ -33,7 +34,7 @@
         let connection = keep_alive.take().or_else(|| TcpStream::connect(callers).ok());
         let Some(mut stream) = connection else { return requests };
         let id = format!("{caller}-{}", requests.len());
-        let reply = stops::send(&mut stream, &id, WORK_MS);
+        let reply = stops::send_request(&mut stream, &id, WORK_MS);
         let stays_open = reply.as_ref().is_some_and(|reply| reply.header("connection").is_none());
         keep_alive = stays_open.then_some(stream);
         requests.push(StopRequest { id, reply });
@@ -63,13 +64,13 @@
     );
     let requests = sending.into_iter().flat_map(|thread| thread.join().expect("join"));
     let requests: Vec<StopRequest> = requests.collect();
-    requests.iter().for_each(|request| request.check(&fleet));
-    let refused = |request: &&StopRequest| {
+    requests.iter().for_each(|request| request.check_runs(&fleet));
+    let is_refused_as_draining = |request: &&StopRequest| {
         let reason = request.reply.as_ref().and_then(Reply::reason);
         reason.as_deref() == Some("draining")
     };
     assert!(
-        requests.iter().filter(refused).count() > 0,
+        requests.iter().filter(is_refused_as_draining).count() > 0,
         "no request arrived after the daemon stopped admitting requests"
     );
 }
@@ -82,25 +83,25 @@
     let callers = fleet.daemons[0].callers;
     let mut keep_alive = client::connect(callers);
     assert_eq!(
-        stops::send(&mut keep_alive, "before", WORK_MS).map(|reply| reply.status),
+        stops::send_request(&mut keep_alive, "before", WORK_MS).map(|reply| reply.status),
         Some(200)
     );
     stops::request_stop(&fleet.daemons[0]);
-    // The daemon is paused while the requests arrive and its shortest drain passes, so on resume it
-    // finds at the same moment nothing in flight and requests to read.
+    // The daemon is paused while the requests arrive and while its shortest drain passes. When the
+    // daemon resumes, nothing is in flight, and there are requests to read.
     let stop_requested_at = Instant::now();
     fleet.daemons[0].signal("-STOP");
-    let mut fresh = client::connect(callers);
-    stops::write(&mut keep_alive, "kept", WORK_MS).expect("write");
-    stops::write(&mut fresh, "fresh", WORK_MS).expect("write");
+    let mut new_connection = client::connect(callers);
+    stops::write_request(&mut keep_alive, "kept", WORK_MS).expect("write");
+    stops::write_request(&mut new_connection, "fresh", WORK_MS).expect("write");
     eventually("the shortest drain is over", || stop_requested_at.elapsed() > SHORTEST_DRAIN);
     fleet.daemons[0].signal("-CONT");
-    let replies = [("kept", keep_alive), ("fresh", fresh)].map(|(id, mut stream)| {
+    let replies = [("kept", keep_alive), ("fresh", new_connection)].map(|(id, mut stream)| {
         let reply = client::read_reply(&mut stream, "POST");
         StopRequest { id: id.to_owned(), reply }
     });
     assert_eq!(fleet.daemons[0].wait_exit().code(), Some(0), "no request is interrupted");
-    replies.iter().for_each(|request| request.check(&fleet));
+    replies.iter().for_each(|request| request.check_runs(&fleet));
 }
 
 #[test]
@@ -108,13 +109,13 @@
     let flags = vec![("drain-ms", "60000"), ("drain-min-ms", "30000")];
     let fleet = TestFleet::start(&FleetPlan { daemon_flags: flags, ..FleetPlan::default() });
     stops::request_stop(&fleet.daemons[1]);
-    // More concurrent requests at the other daemon than its own server has slots.
+    // The other daemon gets six requests at once, more than the four slots of its own server.
     let callers = fleet.daemons[0].callers;
     let sending: Vec<_> = (0..6)
         .map(|number| {
             thread::spawn(move || {
                 let mut stream = client::connect(callers);
-                stops::send(&mut stream, &format!("meanwhile-{number}"), WORK_MS)
+                stops::send_request(&mut stream, &format!("meanwhile-{number}"), WORK_MS)
                     .map(|reply| reply.status)
             })
         })
--- a/crates/daemon/tests/watches.rs
+++ b/crates/daemon/tests/watches.rs
@@ -1,17 +1,18 @@
 // Copyright 2026 The basaltarch Authors
 // SPDX-License-Identifier: Apache-2.0
 
-//! Watches of the resource API.
+//! Watches of the resource API: a watch reports each change once and in order, and a watch from a
+//! discarded revision is refused.
 
 mod common;
 
 use std::io::{BufRead, BufReader, Write};
 
-use common::operator::{fleet_of, put_organisation, ANY_REVISION};
+use common::operator::{put_organisation, start_fleet_with_daemons, ANY_REVISION};
 use common::{client, eventually, FleetPlan, TestDaemon, TestFleet};
 use serde_json::{json, Value};
 
-/// Reads the JSON lines of a watch.
+/// A watch of the admin API, which sends one JSON text per line.
 struct Watch {
     lines: std::io::Lines<BufReader<std::net::TcpStream>>,
 }
@@ -40,7 +41,7 @@
 
 #[test]
 fn verify_watches_neither_miss_nor_repeat_changes_over_a_reconnect() {
-    let fleet = fleet_of(2);
+    let fleet = start_fleet_with_daemons(2);
     let mut seen_revisions = Vec::new();
     let mut watch = Watch::start(&fleet.daemons[1], "/v1/watch?after=0");
     for number in 0..12 {
@@ -63,8 +64,12 @@
     }
     assert_eq!(seen_revisions, (1..=13).collect::<Vec<u64>>());
     let mut route_watch = Watch::start(&fleet.daemons[0], "/v1/routes?watch=0");
-    let first = route_watch.next_change();
-    assert!(first["changes"].as_array().expect("changes").iter().all(|c| c["kind"] == "routes"));
+    let first_change = route_watch.next_change();
+    assert!(first_change["changes"]
+        .as_array()
+        .expect("changes")
+        .iter()
+        .all(|c| c["kind"] == "routes"));
 }
 
 #[test]
@@ -80,10 +85,10 @@
         let name = format!("o-{number}");
         assert_eq!(put_organisation(&fleet.daemons[0], &name, "t", ANY_REVISION).status, 200);
     }
-    // A new daemon starts from a snapshot and knows only the changes made after it.
+    // A new daemon starts from a snapshot and knows only the changes made after that snapshot.
     eventually("a snapshot is stored", || fleet.daemons[0].log_text().contains("snapshot kept"));
-    let fresh = TestDaemon::start(fleet.platform.address, "host-n", "bkk-b", &[]);
-    fleet.daemons.push(fresh);
+    let new_daemon = TestDaemon::start(fleet.platform.address, "host-n", "bkk-b", &[]);
+    fleet.daemons.push(new_daemon);
     eventually("the new daemon has all revisions", || {
         fleet.daemons[1].is_ready() && fleet.daemons[1].revision() == 304
     });
